--- a/crates/core/src/jobs/job.rs
+++ b/crates/core/src/jobs/job.rs
@@ -432,6 +432,7 @@
             checkpoint_s: 0.0,
             save_s: 0.0,
             deadline_s: None,
+            dependencies: Vec::new(),
         };
         let mut job = Self::new(spec, Mono(0), Revision(0));
         job.state = JobState::Over;
--- a/crates/core/src/jobs/tests.rs
+++ b/crates/core/src/jobs/tests.rs
@@ -27,6 +27,7 @@
         checkpoint_s: 0.0,
         save_s: 0.0,
         deadline_s: None,
+        dependencies: Vec::new(),
     }
 }
 
--- a/crates/core/src/store.rs
+++ b/crates/core/src/store.rs
@@ -353,7 +353,10 @@
     use oatloom_protocol::wire::Change;
 
     fn client() -> StoreClient<u32> {
-        StoreClient::new(&StateFacts { rps: 80.0, write_rps: 25.0, value_kb: 8.0, txn_ops: 16 }, 3)
+        StoreClient::new(
+            &StateFacts { rps: 80.0, write_rps: 25.0, value_kb: 8.0, txn_ops: 16, next: None },
+            3,
+        )
     }
 
     /// Over any second the pacer lets through no more than its share and the bucket's content.
--- a/crates/ctl/src/jobs.rs
+++ b/crates/ctl/src/jobs.rs
@@ -115,6 +115,7 @@
             checkpoint_s: 0.0,
             save_s: 0.0,
             deadline_s: self.due_s,
+            dependencies: Vec::new(),
         })
     }
 }
--- a/crates/ctl/src/suite.rs
+++ b/crates/ctl/src/suite.rs
@@ -190,6 +190,7 @@
         checkpoint_s: if saves { 1.0 } else { 0.0 },
         save_s: if saves { 0.5 } else { 0.0 },
         deadline_s: rng.random_bool(0.3).then_some(60.0),
+        dependencies: Vec::new(),
     };
     let last = length.troubled_ms;
     let at = rng.random_range(200..last * 3 / 4);
--- a/crates/graph/src/launching.rs
+++ b/crates/graph/src/launching.rs
@@ -81,6 +81,7 @@
         checkpoint_s: spec.snapshot_s,
         save_s: spec.flush_s,
         deadline_s: deadline_s.filter(|_| ends),
+        dependencies: Vec::new(),
     }
 }
 
--- a/crates/protocol/src/settings.rs
+++ b/crates/protocol/src/settings.rs
@@ -102,12 +102,66 @@
     pub cancel_s: f64,
 }
 
+/// Limits of the state service.
 #[derive(Clone, Debug, Deserialize)]
 pub struct StateFacts {
     pub rps: f64,
     pub write_rps: f64,
     pub value_kb: f64,
     pub txn_ops: usize,
+    /// Limits that it will have from some moment on, which nobody announces.
+    #[serde(default)]
+    pub next: Option<NextStateFacts>,
+}
+
+/// Limits to come; one that is absent stays as it is.
+#[derive(Clone, Debug, Default, PartialEq, Deserialize)]
+pub struct NextStateFacts {
+    #[serde(default)]
+    pub rps: Option<f64>,
+    #[serde(default)]
+    pub write_rps: Option<f64>,
+    #[serde(default)]
+    pub value_kb: Option<f64>,
+    #[serde(default)]
+    pub txn_ops: Option<usize>,
+}
+
+impl StateFacts {
+    /// The smaller of each limit as it is and as it will be: what is written within these is taken before the change
+    /// and after it.
+    pub fn strictest(&self) -> Self {
+        let next = self.next.clone().unwrap_or_default();
+        let smaller =
+            |present: f64, future: Option<f64>| future.map_or(present, |f| f.min(present));
+        Self {
+            rps: smaller(self.rps, next.rps),
+            write_rps: smaller(self.write_rps, next.write_rps),
+            value_kb: smaller(self.value_kb, next.value_kb),
+            txn_ops: next.txn_ops.map_or(self.txn_ops, |ops| ops.min(self.txn_ops)),
+            next: None,
+        }
+    }
+}
+
+impl StateFacts {
+    fn check_next(&self) -> Result<(), BadField> {
+        let Some(next) = &self.next else { return Ok(()) };
+        let amounts = [
+            ("facts.state.next.rps", next.rps),
+            ("facts.state.next.write_rps", next.write_rps),
+            ("facts.state.next.value_kb", next.value_kb),
+        ];
+        for (field, value) in amounts {
+            if value.is_some_and(|value| !value.is_finite() || value <= 0.0) {
+                return Err(bad(field, "must be a finite number above 0"));
+            }
+        }
+        if next.txn_ops.is_some_and(|ops| ops < 4) {
+            return Err(bad("facts.state.next.txn_ops", "must be at least 4"));
+        }
+        Ok(())
+    }
 }
 
 #[derive(Clone, Debug, Deserialize)]
@@ -212,6 +266,7 @@
         if facts.state.txn_ops < 4 {
             return Err(bad("facts.state.txn_ops", "must be at least 4"));
         }
+        facts.state.check_next()?;
         let limits = &facts.limits;
         if limits.sockets < SOCKETS_LEAST {
             let text = format!(
--- a/crates/protocol/src/wire.rs
+++ b/crates/protocol/src/wire.rs
@@ -3,7 +3,7 @@
 
 use crate::ids::{Attempt, HostId, JobId, LeaseId, Member, Revision, Shift, Tally, Token, Zone};
 use garde::Validate;
-use serde::{Deserialize, Serialize};
+use serde::{Deserialize, Deserializer, Serialize};
 use serde_json::Value;
 use serde_json::value::RawValue;
 use std::sync::Arc;
@@ -88,6 +88,29 @@
     #[garde(inner(custom(amount("dueS"))))]
     #[cfg_attr(feature = "schema", schemars(range(min = 0.0)))]
     pub deadline_s: Option<f64>,
+    /// Jobs that have to be done before any task of this one starts.
+    #[serde(
+        rename = "awaits",
+        default,
+        skip_serializing_if = "Vec::is_empty",
+        deserialize_with = "null_as_empty"
+    )]
+    #[garde(custom(dependency_ids))]
+    #[cfg_attr(feature = "schema", schemars(with = "Option<Vec<JobId>>"))]
+    pub dependencies: Vec<JobId>,
+}
+
+/// Reads a list that may be null or absent.
+fn null_as_empty<'de, D: Deserializer<'de>, T: Deserialize<'de>>(
+    from: D,
+) -> Result<Vec<T>, D::Error> {
+    Ok(Option::deserialize(from)?.unwrap_or_default())
+}
+
+fn dependency_ids(ids: &[JobId], _: &()) -> garde::Result {
+    let good = ids.iter().all(|id| JobId::parse(id.as_str()).is_some());
+    good.then_some(())
+        .ok_or_else(|| garde::Error::new("awaits must list ids of the form req-000000"))
 }
 
 fn job_id(id: &JobId, _: &()) -> garde::Result {
@@ -116,7 +139,11 @@
     /// The first field that is out of its range, by the name that users know it by.
     pub fn check(&self) -> Result<(), String> {
         let first = |report: garde::Report| report.iter().next().map(|(_, e)| e.to_string());
-        self.validate().map_err(|report| first(report).unwrap_or_default())
+        self.validate().map_err(|report| first(report).unwrap_or_default())?;
+        if self.dependencies.contains(&self.id) {
+            return Err("awaits names the job itself".to_owned());
+        }
+        Ok(())
     }
 }
 
--- a/tests/ops.rs
+++ b/tests/ops.rs
@@ -93,6 +93,7 @@
         checkpoint_s: 0.0,
         save_s: 0.0,
         deadline_s: None,
+        dependencies: Vec::new(),
     }
 }
 
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -91,6 +91,7 @@
             checkpoint_s: 0.0,
             save_s: 0.0,
             deadline_s: None,
+            dependencies: Vec::new(),
         };
         let now = Now { mono: NOW, wall_ms: 5_000 };
         book.insert(LiveRecord { spec, wall_ms: 1_000, part: None }, Revision(1), now);
@@ -317,6 +318,7 @@
         checkpoint_s: 0.0,
         save_s: 0.0,
         deadline_s: None,
+        dependencies: Vec::new(),
     };
     let (id, now) = (spec.id.clone(), Now { mono: NOW, wall_ms: 5_000 });
     book.insert(LiveRecord { spec, wall_ms: 1_000, part: None }, Revision(1), now);
--- a/tests/served.rs
+++ b/tests/served.rs
@@ -140,6 +140,7 @@
         checkpoint_s: if class.shape == Shape::Gang { 10.0 } else { 0.0 },
         save_s: if class.shape == Shape::Gang { 2.0 } else { 0.0 },
         deadline_s: (class.shape == Shape::Array).then_some(class.seconds * 4.0),
+        dependencies: Vec::new(),
     }
 }
 
@@ -367,6 +368,7 @@
         memory_gb: 0.5,
         estimate_s: 4.0,
         deadline_s: None,
+        dependencies: Vec::new(),
         ..spec(survey, 900_000, &mut rng)
     };
     let id = huge.id.clone();
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -675,6 +675,7 @@
             checkpoint_s: if saves { 5.0 } else { 0.0 },
             save_s: if saves { 1.0 } else { 0.0 },
             deadline_s: rng.random_bool(0.3).then_some(60.0),
+            dependencies: Vec::new(),
         };
         // A zone that is the only one, and a spread over several, cannot both be had.
         let spec = JobSpec { spread: spec.spread && spec.zone.is_none(), ..spec };
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -38,6 +38,7 @@
         checkpoint_s: 0.0,
         save_s: 0.0,
         deadline_s: Some(60.0),
+        dependencies: Vec::new(),
     }
 }
 
