--- a/crates/core/src/constants.rs
+++ b/crates/core/src/constants.rs
@@ -144,6 +144,16 @@
 pub const REQUEST_PATIENCE_MS: Millis = Millis(1_700);
 /// Final states remembered by each controller, so that polls need no read; about 4 MB.
 pub const OVER_CACHE: usize = 20_000;
+/// Accepted jobs remembered by each controller, so that submissions that name them need no read; about 1 MB.
+pub const ACCEPTED_CACHE: usize = 20_000;
+/// How often the leader looks for dependencies of waiting jobs that it has to read: a small part of what a read takes
+/// beside the other work.
+pub const DEPENDENCY_LOOK_MS: Millis = Millis(50);
+/// Final records of dependencies read at once: leases and the writer's transactions go beside them.
+pub const DEPENDENCY_READS_MOST: usize = 4;
+/// When a dependency's final record that was not there is read again. Its job is open, and is known here once its
+/// acceptance has come by the watch.
+pub const DEPENDENCY_RETRY_MS: Millis = Millis(1_000);
 /// Requests from users under way at once; beyond it they are told to come back.
 pub const USER_INFLIGHT: usize = 600;
 /// A node whose store calls all failed for this long says so at `/up` if a peer is better off.
--- /dev/null
+++ b/crates/core/src/controller/dependencies.rs
@@ -0,0 +1,218 @@
+//! Dependencies of jobs at a controller: whether those that a submission names were accepted, and, at the leader, how
+//! those ended that it does not have in memory.
+
+use super::leading::live_record;
+use super::{Controller, Purpose, Why};
+use crate::constants::{
+    DEPENDENCY_LOOK_MS, DEPENDENCY_READS_MOST, DEPENDENCY_RETRY_MS, STORE_PAUSE_MS,
+};
+use crate::jobs::{self, AcceptedKind, LiveRecord, OverRecord};
+use crate::reign::Stage;
+use crate::reply::ConnId;
+use crate::store::{Lane, StoreOp, StoreReply};
+use oatloom_protocol::ids::{JobId, Mono, Now, Token};
+use oatloom_protocol::reply::HttpReply;
+use oatloom_protocol::wire::{JobSpec, Shape};
+use std::collections::BTreeMap;
+
+/// A submission whose dependencies are being looked up.
+#[derive(Debug)]
+pub(super) struct DependencyCheck {
+    conn: ConnId,
+    spec: JobSpec,
+    forwarded: bool,
+    /// Dependencies of which it is not known yet whether they were accepted.
+    unknown: Vec<JobId>,
+}
+
+/// Which record of a dependency is read. Jobs only move from the first to the second.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum DependencyRecord {
+    Live,
+    Over,
+}
+
+/// Reads of final records for jobs that wait.
+#[derive(Debug, Default)]
+pub(super) struct DependencyReads {
+    /// Jobs whose records are being read, or were not found, and when they may be read again.
+    not_before: BTreeMap<JobId, Mono>,
+    in_flight: usize,
+    next_look: Mono,
+}
+
+impl Controller {
+    /// Accepts a submission that names dependencies, once it is known that all of them were accepted.
+    pub(super) fn accept_dependent(
+        &mut self,
+        now: Now,
+        conn: ConnId,
+        spec: JobSpec,
+        forwarded: bool,
+    ) {
+        let unknown = spec.dependencies.clone();
+        self.check_dependencies(now, DependencyCheck { conn, spec, forwarded, unknown });
+    }
+
+    fn check_dependencies(&mut self, now: Now, mut check: DependencyCheck) {
+        while let Some(id) = check.unknown.last() {
+            match self.accepted_kind(id) {
+                Some(AcceptedKind::Finite) => {
+                    check.unknown.pop();
+                }
+                Some(AcceptedKind::Service) => {
+                    let reply = HttpReply::error(422, "awaits names a service, which never ends");
+                    return self.refuse_dependent(now, check, reply);
+                }
+                None => return self.read_named(now, check, DependencyRecord::Live),
+            }
+        }
+        self.accept(now, check.conn, check.spec, check.forwarded);
+    }
+
+    /// What this controller knows for certain of a job that was accepted.
+    fn accepted_kind(&self, id: &JobId) -> Option<AcceptedKind> {
+        if self.over.get(id).is_some() {
+            return Some(AcceptedKind::Finite);
+        }
+        self.accepted.get(id)
+    }
+
+    fn read_named(&mut self, now: Now, check: DependencyCheck, record: DependencyRecord) {
+        let Some(id) = check.unknown.last() else { return };
+        let key = match record {
+            DependencyRecord::Live => jobs::live_key(id),
+            DependencyRecord::Over => jobs::over_key(id),
+        };
+        let conn = check.conn;
+        let purpose = Purpose::NamedDependency { check: Box::new(check), record };
+        if self.submit(now.mono, Lane::Open, StoreOp::Get { key }, purpose).is_err() {
+            self.reply(conn, HttpReply::later("the state service is busy"));
+        }
+    }
+
+    /// Takes up a record of a job that a submission names.
+    pub(super) fn on_named_dependency(
+        &mut self,
+        now: Now,
+        check: DependencyCheck,
+        record: DependencyRecord,
+        reply: StoreReply,
+    ) {
+        if !self.open.contains_key(&check.conn) {
+            return;
+        }
+        match reply {
+            StoreReply::Found(row) => {
+                let kind = match live_record(&row) {
+                    Some(record) => kind_of(&record),
+                    None => AcceptedKind::Finite,
+                };
+                if let Some(id) = check.unknown.last() {
+                    self.accepted.insert(id.clone(), kind);
+                }
+                self.check_dependencies(now, check);
+            }
+            StoreReply::Missing(_) if record == DependencyRecord::Live => {
+                self.read_named(now, check, DependencyRecord::Over);
+            }
+            StoreReply::Missing(_) => {
+                let text = "awaits names a job that was never accepted";
+                self.refuse_dependent(now, check, HttpReply::error(422, text));
+            }
+            _ => {
+                if !self.hand_on(now.mono, check.conn, &check.spec, check.forwarded) {
+                    let reply = HttpReply::later("the state service cannot be reached");
+                    self.reply(check.conn, reply);
+                }
+            }
+        }
+    }
+
+    /// Refuses a submission for what it names, unless it was accepted before: a repeated one gets what it got.
+    fn refuse_dependent(&mut self, now: Now, check: DependencyCheck, reply: HttpReply) {
+        self.lookup(now.mono, check.conn, check.spec.id, Why::Submit(reply));
+    }
+
+    /// Notes that a job was accepted, as its durable record shows.
+    pub(super) fn note_accepted(&mut self, record: &LiveRecord) {
+        self.accepted.insert(record.spec.id.clone(), kind_of(record));
+    }
+
+    /// Settles dependencies of waiting jobs that are not open in the leader's memory: by the final states that this
+    /// controller remembers, else by reading a few records at a time, each once for all jobs that need it.
+    pub(super) fn resolve_dependencies(&mut self, now: Mono) {
+        if now < self.dependency_reads.next_look {
+            return;
+        }
+        let Some(reign) = self.reign.as_mut().filter(|reign| reign.stage == Stage::Ruling) else {
+            return;
+        };
+        self.dependency_reads.next_look = now.plus(DEPENDENCY_LOOK_MS);
+        let unresolved: Vec<JobId> = reign.book.unresolved_dependencies().cloned().collect();
+        let token = reign.token;
+        let mut to_read = Vec::new();
+        for id in unresolved {
+            if let Some(record) = self.over.get(&id) {
+                reign.book.dependency_ended(&id, record.status, now);
+                self.dependency_reads.not_before.remove(&id);
+            } else if self.dependency_reads.not_before.get(&id).is_none_or(|at| now >= *at) {
+                to_read.push(id);
+            }
+        }
+        for id in to_read {
+            if self.dependency_reads.in_flight >= DEPENDENCY_READS_MOST {
+                break;
+            }
+            self.dependency_reads.in_flight += 1;
+            let unanswered = now.plus(DEPENDENCY_RETRY_MS);
+            self.dependency_reads.not_before.insert(id.clone(), unanswered);
+            let op = StoreOp::Get { key: jobs::over_key(&id) };
+            // Through the lane that is never full.
+            let _ = self.submit(now, Lane::Write, op, Purpose::Dependency { token, id });
+        }
+    }
+
+    /// Takes up the final record of a job that others wait for.
+    pub(super) fn on_dependency(&mut self, now: Mono, token: Token, id: JobId, reply: StoreReply) {
+        let reads = &mut self.dependency_reads;
+        reads.in_flight = reads.in_flight.saturating_sub(1);
+        reads.next_look = now;
+        let record = match reply {
+            StoreReply::Found(row) => serde_json::from_value::<OverRecord>(row.value),
+            // Accepted a moment ago elsewhere: its own record is on its way here.
+            StoreReply::Missing(_) => return,
+            _ => {
+                reads.not_before.insert(id, now.plus(STORE_PAUSE_MS));
+                return;
+            }
+        };
+        reads.not_before.remove(&id);
+        let book = self.reign.as_mut().filter(|reign| reign.token == token).map(|r| &mut r.book);
+        match (record, book) {
+            (Ok(record), book) => {
+                if let Some(book) = book {
+                    book.dependency_ended(&id, record.status, now);
+                }
+                self.over.insert(id, record);
+            }
+            (Err(error), Some(book)) => {
+                log::error!("store: {} cannot be read: {error}", jobs::over_key(&id));
+                book.dependency_unreadable(&id);
+            }
+            (Err(_), None) => {}
+        }
+    }
+
+    /// A new term begins with nothing asked for.
+    pub(super) fn forget_dependency_reads(&mut self) {
+        self.dependency_reads = DependencyReads::default();
+    }
+}
+
+fn kind_of(record: &LiveRecord) -> AcceptedKind {
+    match record.spec.shape {
+        Shape::Service => AcceptedKind::Service,
+        Shape::Array | Shape::Gang => AcceptedKind::Finite,
+    }
+}
--- a/crates/core/src/controller/leading.rs
+++ b/crates/core/src/controller/leading.rs
@@ -30,6 +30,7 @@
                 self.desk.lead(token, now.mono);
                 self.store.lead(true);
                 self.writer = Writer::Idle;
+                self.forget_dependency_reads();
                 self.watch_live = None;
                 self.load(now.mono, jobs::LIVE, String::new(), None);
             }
@@ -172,6 +173,7 @@
         if self.over.get(&record.spec.id).is_some() || term != self.leadership.token() {
             return;
         }
+        self.note_accepted(&record);
         if let Some(reign) = self.reign.as_mut() {
             reign.book.insert(record, stamp, now);
             reign.wake();
--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -1,6 +1,7 @@
 //! One controller: turns events into actions, deterministically. Every answer that only a leader
 //! may give passes through a check of its validity here.
 
+mod dependencies;
 mod graphs;
 mod leading;
 mod members;
@@ -12,7 +13,7 @@
 use crate::api::{Request, Submission};
 use crate::cloud::{CloudDesk, CloudOp, CloudReply, Kind, News};
 use crate::constants::*;
-use crate::jobs::{self, Item, JobState, LiveRecord, OverCache, OverRecord, Written};
+use crate::jobs::{self, AcceptedJobs, Item, JobState, LiveRecord, OverCache, OverRecord, Written};
 use crate::leadership::{Ask, LEAD_KEY, Leadership, Turn};
 use crate::mesh::Question;
 use crate::notes::Notes;
@@ -145,6 +146,16 @@
         /// As above.
         term: Option<Token>,
     },
+    /// Whether a job that a submission names was accepted.
+    NamedDependency {
+        check: Box<dependencies::DependencyCheck>,
+        record: dependencies::DependencyRecord,
+    },
+    /// How a job ended that others wait for.
+    Dependency {
+        token: Token,
+        id: JobId,
+    },
     /// What a new leader has to know before it counts usage.
     Account {
         token: Token,
@@ -246,6 +257,8 @@
     fleet: Fleet,
     reign: Option<Reign>,
     over: OverCache,
+    accepted: AcceptedJobs,
+    dependency_reads: dependencies::DependencyReads,
     open: BTreeMap<ConnId, Mono>,
     waiting_end: BTreeMap<JobId, Vec<ConnId>>,
     asks: BTreeMap<u64, (ConnId, Question, Mono)>,
@@ -298,6 +311,8 @@
             fleet: Fleet::default(),
             reign: None,
             over: OverCache::default(),
+            accepted: AcceptedJobs::new(ACCEPTED_CACHE),
+            dependency_reads: dependencies::DependencyReads::default(),
             open: BTreeMap::new(),
             waiting_end: BTreeMap::new(),
             asks: BTreeMap::new(),
@@ -425,6 +440,7 @@
         self.greet(now);
         self.learn_account(mono);
         self.turn_graphs(now);
+        self.resolve_dependencies(mono);
         self.write(now);
         self.answer_parked(mono);
         self.send_commands(mono);
@@ -519,6 +535,10 @@
             Purpose::Accept { conn, record, forwarded, term } => {
                 self.on_accepted(now, conn, *record, (forwarded, term), reply);
             }
+            Purpose::NamedDependency { check, record } => {
+                self.on_named_dependency(now, *check, record, reply);
+            }
+            Purpose::Dependency { token, id } => self.on_dependency(now.mono, token, id, reply),
             Purpose::Graphs { token, read } => self.on_graphs(now, token, read, reply),
             Purpose::WriteGraphs { token, written } => {
                 self.on_graphs_written(now, token, written, reply);
--- a/crates/core/src/controller/users.rs
+++ b/crates/core/src/controller/users.rs
@@ -136,7 +136,12 @@
             return;
         }
         match (verdict, submission, id) {
-            (None, Submission::Spec(spec), _) => self.accept(now, conn, *spec, forwarded),
+            (None, Submission::Spec(spec), _) if spec.dependencies.is_empty() => {
+                self.accept(now, conn, *spec, forwarded);
+            }
+            (None, Submission::Spec(spec), _) => {
+                self.accept_dependent(now, conn, *spec, forwarded);
+            }
             // A job accepted earlier is known, whatever its text is worth now.
             (Some(reply), _, Some(id)) if reply.status != 503 => {
                 self.lookup(now.mono, conn, id, Why::Submit(reply));
@@ -242,6 +247,7 @@
         let view = |status| JobView { id: id.clone(), status, done: 0, running: 0, failure: None };
         match reply {
             StoreReply::Committed(stamp) => {
+                self.note_accepted(&record);
                 self.admit(now, record, stamp, term);
                 self.reply(conn, HttpReply::json(201, &view(JobStatus::Queued)));
             }
@@ -342,10 +348,15 @@
             Question::View(id) => match (reign.book.view(&id), reign.book.get(&id)) {
                 (Some(view), _) => self.reply(conn, HttpReply::json(200, &view)),
                 (None, Some(job)) if job.state != JobState::Over => {
-                    self.reply(conn, HttpReply::later("its end is being written"));
+                    self.reply(conn, HttpReply::later("its state is being written or read"));
                 }
                 _ => self.lookup(now.mono, conn, id, Why::View),
             },
+            Question::Abort(id) if reign.book.view(&id).is_some_and(|v| v.status.is_final()) => {
+                if let Some(view) = reign.book.view(&id) {
+                    self.reply(conn, HttpReply::json(200, &view));
+                }
+            }
             Question::Abort(id) => match reign.book.get(&id).map(|j| j.state) {
                 None | Some(JobState::Over) => self.lookup(now.mono, conn, id, Why::Abort),
                 Some(_) => {
@@ -408,6 +419,16 @@
         }
     }
 
+    /// Has the leader say how an open job stands, if another controller leads and can be reached.
+    fn ask_for_view(&mut self, now: Mono, conn: ConnId, id: JobId) {
+        match self.leadership.other_leader().cloned() {
+            Some(leader) if self.reaches(&leader, now) => {
+                self.ask(now, conn, leader, Question::View(id));
+            }
+            _ => self.reply(conn, HttpReply::later("no leader can be reached")),
+        }
+    }
+
     pub(super) fn found_live(
         &mut self,
         now: Now,
@@ -416,7 +437,10 @@
         why: Why,
         (row, term): (Row, Option<Token>),
     ) {
+        let mut waits = false;
         if let Some(record) = live_record(&row) {
+            waits = !record.spec.dependencies.is_empty();
+            self.note_accepted(&record);
             self.admit(now, record, row.version, term);
         }
         if let Some(view) = self.known(now.mono, &id) {
@@ -437,6 +461,8 @@
             return self.answer_as_leader(now, conn, Question::Abort(id));
         }
         match why {
+            // It may be cancelled with a job that it needs, which only the leader knows before that is written.
+            Why::Submit(_) if waits => self.ask_for_view(now.mono, conn, id),
             // That it is accepted, and not over, was true when the key was read.
             Why::Submit(_) => {
                 let status = JobStatus::Queued;
--- a/crates/core/src/jobs/job.rs
+++ b/crates/core/src/jobs/job.rs
@@ -1,5 +1,6 @@
 //! One job: its tasks, where each is counted as being, and its gang.
 
+use super::dependencies::Inherited;
 use super::records::{ChunkRecord, OverRecord, to_hex};
 use crate::constants::*;
 use crate::estimate::{Kalman, Measurement};
@@ -78,6 +79,8 @@
 /// Where a job stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobState {
+    /// Needs other jobs done first; nothing of it may start, and it takes no part in what is placed or hired.
+    Waiting,
     Open,
     /// A task has used up its allowed repeats: nothing more starts, and once nothing of it can be on a machine
     /// its end as failed is written.
@@ -105,6 +108,14 @@
 pub struct Job {
     pub spec: Arc<JobSpec>,
     pub submitted: Mono,
+    /// When it could first start: at its submission, or once all jobs that it needs were done.
+    pub released: Mono,
+    /// Jobs that it needs and that are not known to be done.
+    pub unmet: BTreeSet<JobId>,
+    /// The cancelled job that it needs, if there is one: it is cancelled too, whether or not that is written yet.
+    pub cancelled_by: Option<JobId>,
+    /// What it is lent by jobs that need it.
+    pub inherited: Inherited,
     pub(super) live_stamp: Revision,
     pub state: JobState,
     pub tasks: Vec<Task>,
@@ -157,6 +168,10 @@
             chunks: vec![Chunk::default(); chunks],
             spec: Arc::new(spec),
             submitted,
+            released: submitted,
+            unmet: BTreeSet::new(),
+            cancelled_by: None,
+            inherited: Inherited::default(),
             live_stamp,
             state: JobState::Open,
             done: 0,
@@ -237,7 +252,7 @@
         let waited = |since: Mono, most: f64| now.since(since).secs() > most;
         self.spec.shape == Shape::Array
             && self.done + self.held == 0
-            && waited(self.submitted, BEGIN_S)
+            && waited(self.released, BEGIN_S)
             && self.placed_at.is_none_or(|at| waited(at, BEGIN_AGAIN_S))
     }
 
@@ -323,17 +338,17 @@
     /// What may be said of a job that is open. Of one whose end is being written nothing may: the
     /// write may have been applied, and another controller may have read it and told a user.
     pub(super) fn view(&self) -> Option<JobView> {
-        if !matches!(self.state, JobState::Open | JobState::Failing(_)) {
-            return None;
-        }
         let running = self.running();
-        Some(JobView {
-            id: self.spec.id.clone(),
-            status: if running > 0 { JobStatus::Running } else { JobStatus::Queued },
-            done: self.done,
-            running,
-            failure: None,
-        })
+        let status = match self.state {
+            JobState::Waiting => JobStatus::Queued,
+            JobState::Open | JobState::Failing(_) if running > 0 => JobStatus::Running,
+            JobState::Open | JobState::Failing(_) => JobStatus::Queued,
+            JobState::Ending(JobStatus::Cancelled) if self.cancelled_by.is_some() => {
+                JobStatus::Cancelled
+            }
+            JobState::Ending(_) | JobState::Over => return None,
+        };
+        Some(JobView { id: self.spec.id.clone(), status, done: self.done, running, failure: None })
     }
 
     /// What is kept of it for ever.
--- a/crates/core/src/jobs/mod.rs
+++ b/crates/core/src/jobs/mod.rs
@@ -4,12 +4,17 @@
 //! [`CHUNK_TASKS`] tasks, `over/{id}` the final state. `live/` and `over/` change in one
 //! transaction, so a job is always under exactly one of them.
 
+mod accepted;
+mod dependencies;
 mod job;
 mod over;
 mod records;
 mod usage;
 mod writing;
 
+pub use accepted::{AcceptedJobs, AcceptedKind};
+use dependencies::Dependencies;
+pub use dependencies::Inherited;
 pub use job::*;
 pub use over::OverCache;
 pub use records::*;
@@ -46,6 +51,8 @@
     pub progress: Vec<(JobId, Vec<u32>)>,
     /// The account of usage, where one is kept.
     pub account: Option<Account>,
+    /// What its jobs need of each other.
+    dependencies: Dependencies,
     /// When it was last asked for something to write.
     now: Mono,
     /// Jobs that came lately, oldest first.
@@ -104,8 +111,12 @@
             }
             job.part = Some(part);
         }
-        self.arrivals.push_back((submitted, job.spec.clone()));
-        self.jobs.insert(id, job);
+        if job.spec.dependencies.is_empty() {
+            self.arrivals.push_back((submitted, job.spec.clone()));
+        }
+        self.jobs.insert(id.clone(), job);
+        self.dependency_opened(&id);
+        self.await_dependencies(&id);
     }
 
     /// Takes up an assignment record read from the store. For a job that is over, its tasks are
@@ -119,6 +130,11 @@
         now: Mono,
     ) -> Vec<(u32, HostId, Shift)> {
         let job = self.jobs.entry(id.clone()).or_insert_with(|| Job::ghost(id, &record));
+        if job.state == JobState::Waiting {
+            // A record of its assignments is written only after its release.
+            self.release(id, now, "was released by an earlier leader");
+        }
+        let Some(job) = self.jobs.get_mut(id) else { return Vec::new() };
         let over = job.state == JobState::Over;
         let Some(slot) = job.chunks.get_mut(chunk as usize) else {
             return Vec::new();
@@ -237,11 +253,13 @@
         let Some(job) = self.jobs.get_mut(id) else { return };
         let open = match job.state {
             JobState::Open => status != JobStatus::Failed,
+            JobState::Waiting => status == JobStatus::Cancelled,
             JobState::Failing(_) => matches!(status, JobStatus::Failed | JobStatus::Cancelled),
             JobState::Ending(_) | JobState::Over => false,
         };
         if open {
             job.enter(JobState::Ending(status), why);
+            self.stop_waiting(id);
             self.enqueue(Item::End(id.clone()), Haste::Soon);
         }
     }
@@ -283,7 +301,9 @@
 
     /// The state that may be told of a job that is open here.
     pub fn view(&self, id: &JobId) -> Option<JobView> {
-        self.jobs.get(id).and_then(Job::view)
+        let job = self.jobs.get(id)?;
+        let known = job.state != JobState::Waiting || self.dependencies_known(job);
+        if known { job.view() } else { None }
     }
 }
 
--- a/crates/core/src/jobs/writing.rs
+++ b/crates/core/src/jobs/writing.rs
@@ -282,8 +282,11 @@
             return None;
         };
         job.enter(JobState::Over, "durable");
+        self.stop_waiting(id);
+        let job = self.jobs.get(id)?;
         let record = job.over_record(status, spent);
         self.counted(id, &record, stamp);
+        self.dependency_ended(id, status, self.now);
         let job = self.jobs.get(id)?;
         for chunk in job.stored_chunks() {
             self.enqueue(Item::Chunk(id.clone(), chunk), Haste::Lazy);
--- a/crates/core/src/placement/aims.rs
+++ b/crates/core/src/placement/aims.rs
@@ -39,7 +39,27 @@
         .deadline_s
         .or_else(|| objective(settings, &spec.class, "finished"))
         .unwrap_or(UNDATED_S);
-    job.submitted.plus(Millis::from_secs(within))
+    let counted_from = if spec.deadline_s.is_some() { job.submitted } else { job.released };
+    let own = counted_from.plus(Millis::from_secs(within));
+    job.inherited.latest_end.map_or(own, |latest| latest.min(own))
+}
+
+/// By when a job whose deadline others have to make possible must be released: its own deadline or the one that it
+/// inherits, less what it takes by its estimate, as corrected by `bias`, and on the way.
+pub fn latest_release(job: &Job, bias: f64, overhead_s: f64) -> Option<Mono> {
+    let own = job.spec.deadline_s.map(|within| job.submitted.plus(Millis::from_secs(within)));
+    let latest_end = match (own, job.inherited.latest_end) {
+        (Some(own), Some(inherited)) => own.min(inherited),
+        (own, inherited) => own.or(inherited)?,
+    };
+    let takes = Millis::from_secs(job.spec.estimate_s * bias + overhead_s);
+    Some(Mono(latest_end.0.saturating_sub(takes.0)))
+}
+
+/// Whether a deadline that is shared with other jobs binds it: each stage's wait adds to that of all others.
+pub fn in_pipeline(job: &Job) -> bool {
+    let bound = job.spec.deadline_s.is_some() && !job.spec.dependencies.is_empty();
+    bound || job.inherited.latest_end.is_some()
 }
 
 /// By when the job has to be placed to meet the next of its aims that can still be met. A job that
@@ -58,21 +78,22 @@
     };
     let finish = due(settings, job).0 as f64 / 1000.0 - run_s - overhead_s;
     let next = waits
-        .map(|within| job.submitted.0 as f64 / 1000.0 + within - overhead_s)
+        .map(|within| job.released.0 as f64 / 1000.0 + within - overhead_s)
         .chain([finish])
         .filter(|by| *by >= now.0 as f64 / 1000.0)
         .fold(f64::INFINITY, f64::min);
     if next.is_finite() {
         Mono((next * 1000.0) as u64)
     } else {
-        job.submitted.plus(Millis::from_secs(LATE_AFTER_S))
+        job.released.plus(Millis::from_secs(LATE_AFTER_S))
     }
 }
 
 /// By what arrays without a deadline of their own are ordered among jobs of their rank: the tasks
 /// left. Guards against one large array that makes many small ones late and is late all the same.
 pub(super) fn work_left(job: &Job) -> u32 {
-    let undated = job.spec.shape == Shape::Array && job.spec.deadline_s.is_none();
+    let dated = job.spec.deadline_s.is_some() || job.inherited.latest_end.is_some();
+    let undated = job.spec.shape == Shape::Array && !dated;
     if undated { job.spec.tasks - job.done } else { 0 }
 }
 
--- a/crates/core/src/placement/gangs.rs
+++ b/crates/core/src/placement/gangs.rs
@@ -12,8 +12,7 @@
             }
             let mut room = Room::default();
             for (task, held) in &m.held {
-                let lower =
-                    |j: &Job| j.spec.shape == Shape::Array && j.spec.rank < need.job.spec.rank;
+                let lower = |j: &Job| j.spec.shape == Shape::Array && j.rank() < need.job.rank();
                 if book.get(&task.job).is_some_and(lower) {
                     room.add(held);
                 }
@@ -92,7 +91,7 @@
         // Machines that are being cleared are kept for it; others would come later than those. Not
         // for long: guards against waiting for ever for room that does not come.
         let clearing = self.make_room(&need, book, false, &sites);
-        if clearing && self.now.since(job.submitted) < RESERVE_MS {
+        if clearing && self.now.since(job.released) < RESERVE_MS {
             return;
         }
         // Not now: count it against live room first, then machines on their way or to be hired,
--- a/crates/core/src/placement/limits.rs
+++ b/crates/core/src/placement/limits.rs
@@ -68,8 +68,8 @@
     order.sort_by(|(a, due_a), (b, due_b)| {
         let (ja, jb) = (&book.jobs[a], &book.jobs[b]);
         let guarantee = |id| !guaranteed.contains_key(id);
-        (jb.spec.rank, guarantee(a), work_left(ja), due_a, a)
-            .cmp(&(ja.spec.rank, guarantee(b), work_left(jb), due_b, b))
+        (jb.rank(), guarantee(a), work_left(ja), due_a, a)
+            .cmp(&(ja.rank(), guarantee(b), work_left(jb), due_b, b))
             .then(ja.submitted.cmp(&jb.submitted))
     });
     order
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -14,7 +14,7 @@
 use crate::constants::*;
 use crate::jobs::{Book, Gang, Hold, Job, JobState, StopWhy, Usage};
 use crate::workers::{Fleet, Life, Machine, Room};
-pub use aims::{any_eager, due, eager, guaranteed, objective};
+pub use aims::{any_eager, due, eager, guaranteed, in_pipeline, latest_release, objective};
 use aims::{start_by, work_left};
 pub use limits::{Headroom, in_order};
 use oatloom_protocol::ids::*;
@@ -350,7 +350,7 @@
     fn starved(&self, need: &Need) -> bool {
         let job = need.job;
         job.held == 0
-            && (self.now.since(job.submitted).secs() > STARVED_S
+            && (self.now.since(job.released).secs() > STARVED_S
                 || !job.held_to_burnt()
                     && !self.yard.any_usable(need, &self.yard.mask(need, &job.zones, None)))
     }
--- a/crates/core/src/placement/room.rs
+++ b/crates/core/src/placement/room.rs
@@ -15,7 +15,7 @@
         let Some(within) = objective(self.settings, &job.spec.class, "wait") else {
             return false;
         };
-        let left = within - self.now.since(job.submitted).secs();
+        let left = within - self.now.since(job.released).secs();
         let boot = self
             .fleet
             .catalog
@@ -181,7 +181,7 @@
             let Some(hold) = victim.hold(task.index) else {
                 continue;
             };
-            let lower = victim.spec.rank < need.job.spec.rank;
+            let lower = victim.rank() < need.job.rank();
             let borrowed = owed
                 && victim.spec.team != need.job.spec.team
                 && self.borrows(&victim.spec.team, book)
--- a/crates/core/src/reign/capacity.rs
+++ b/crates/core/src/reign/capacity.rs
@@ -106,11 +106,32 @@
 
     /// What passes around a task's run: a boot, reports before and after it, and the image's fetch.
     pub(super) fn overhead_s(&self, settings: &Settings, spec: &JobSpec) -> f64 {
+        let boot_s = self.fleet.least_boot_s().unwrap_or(0.0);
+        self.stage_overhead_s(settings, spec) + boot_s
+    }
+
+    /// Jobs that others need inherit their ranks and, less what those take by what their classes have shown, their
+    /// deadlines: the filter and the loop see a pipeline as work with one deadline.
+    fn inherit_urgency(&mut self, settings: &Settings) {
+        let mut book = std::mem::take(&mut self.book);
+        book.inherit(|job| {
+            let bias = self.bias(&job.spec).longest;
+            let overhead_s = self.stage_overhead_s(settings, &job.spec);
+            placement::latest_release(job, bias, overhead_s)
+        });
+        self.book = book;
+    }
+
+    /// What passes around the run of a job that is released while machines are there: a report before and after it, and
+    /// the image's fetch.
+    fn stage_overhead_s(&self, settings: &Settings, spec: &JobSpec) -> f64 {
+        2.0 * settings.facts.workers.report_s + self.fetch_s(spec)
+    }
+
+    fn fetch_s(&self, spec: &JobSpec) -> f64 {
         let flavors = self.fleet.catalog.iter().flat_map(|c| c.flavors.iter());
         let fetch = flavors.map(|f| f.fetch_gb_per_s).fold(0.0, f64::max);
-        let fetch_s = if fetch > 0.0 { spec.image_gb / fetch } else { 0.0 };
-        let boot_s = self.fleet.least_boot_s().unwrap_or(0.0);
-        2.0 * settings.facts.workers.report_s + fetch_s + boot_s
+        if fetch > 0.0 { spec.image_gb / fetch } else { 0.0 }
     }
 
     /// Rates of all jobs, the target N*, the floor of services, gangs and guarantees, and what teams' limits leave beside them.
@@ -120,6 +141,7 @@
         tick_s: f64,
         now: Mono,
     ) -> (f64, f64, Vec<(JobId, Claim)>, Headroom<'s>) {
+        self.inherit_urgency(settings);
         let owed = placement::guaranteed(settings, &self.book);
         for job in self.book.jobs.values_mut() {
             if let Some(measured) = job.measured.take() {
--- a/crates/core/src/reign/mod.rs
+++ b/crates/core/src/reign/mod.rs
@@ -397,6 +397,7 @@
         if self.stage != Stage::Ruling {
             return;
         }
+        self.place_dirty |= self.book.take_released();
         if now >= self.next_tick && now >= self.next_place.min(self.next_tick.plus(ops.tick())) {
             self.next_tick = now.plus(ops.tick());
             self.watch_machines(settings, ops, desk, now);
