--- a/crates/core/src/constants.rs
+++ b/crates/core/src/constants.rs
@@ -66,6 +66,14 @@
 /// How long one watch is held open.
 pub const FOLLOW_HOLD_MS: Millis = Millis(10_000);
 
+// --- Upgrades ---------------------------------------------------------------
+
+/// The version that this program announces: raised with each change of stored forms or messages that an earlier
+/// program cannot read.
+pub const VERSION_RECORD: u32 = 2;
+/// Pause between two looks at the members' versions: an upgrade takes minutes, and a look is one request.
+pub const VERSIONS_EVERY_MS: Millis = Millis(1_000);
+
 // --- State service ----------------------------------------------------------
 
 /// Share of the request and change budgets that the leader may use.
--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -7,6 +7,7 @@
 mod reports;
 mod usage;
 mod users;
+pub mod versions;
 mod writing;
 
 use crate::api::{Request, Submission};
@@ -168,6 +169,10 @@
         ask: Box<GraphAsk>,
         step: graphs::OverStep,
     },
+    /// Which versions the members run.
+    Versions {
+        step: versions::Step,
+    },
     /// A page of usage that an operator asked for.
     Usage {
         conn: ConnId,
@@ -282,6 +287,8 @@
     /// What was only said to peers: to whom, and until when an answer is waited for.
     said: BTreeMap<u64, (Member, Mono)>,
     next_greet: Mono,
+    /// Which versions the members are known to run.
+    versions: versions::Versions,
     out: Vec<Action>,
 }
 
@@ -326,6 +333,7 @@
             membership: None,
             said: BTreeMap::new(),
             next_greet: Mono(0),
+            versions: versions::Versions::default(),
             out: Vec::new(),
         }
     }
@@ -424,6 +432,7 @@
         self.pass_notes(now);
         self.greet(now);
         self.learn_account(mono);
+        self.learn_versions(mono);
         self.turn_graphs(now);
         self.write(now);
         self.answer_parked(mono);
@@ -527,6 +536,7 @@
             Purpose::GraphOver { conn, ask, step } => {
                 self.on_graph_over(now.mono, conn, ask, step, reply);
             }
+            Purpose::Versions { step } => self.on_versions(now.mono, step, reply),
             Purpose::Account { token, step } => self.on_account(token, step, reply),
             Purpose::Usage { conn, query, cursor } => {
                 self.on_usage(now.mono, conn, query, cursor, reply);
