--- a/crates/core/src/controller/dependencies.rs
+++ b/crates/core/src/controller/dependencies.rs
@@ -50,6 +50,11 @@
         spec: JobSpec,
         forwarded: bool,
     ) {
+        // An earlier version takes up the job without its dependencies and would start it.
+        if !self.all_upgraded() {
+            return self
+                .reply(conn, HttpReply::later("not every controller runs this version yet"));
+        }
         let unknown = spec.dependencies.clone();
         self.check_dependencies(now, DependencyCheck { conn, spec, forwarded, unknown });
     }
