--- a/crates/core/src/constants.rs
+++ b/crates/core/src/constants.rs
@@ -152,6 +152,8 @@
 pub const REQUEST_PATIENCE_MS: Millis = Millis(1_700);
 /// Final states remembered by each controller, so that polls need no read; about 4 MB.
 pub const OVER_CACHE: usize = 20_000;
+/// Jobs that an answer about a waiting one names as what it waits for: some 300 bytes.
+pub const SHOWN_DEPENDENCIES: usize = 20;
 /// Accepted jobs remembered by each controller, so that submissions that name them need no read; about 1 MB.
 pub const ACCEPTED_CACHE: usize = 20_000;
 /// How often the leader looks for dependencies of waiting jobs that it has to read: a small part of what a read takes
--- a/crates/core/src/controller/users.rs
+++ b/crates/core/src/controller/users.rs
@@ -244,12 +244,11 @@
         reply: StoreReply,
     ) {
         let id = record.spec.id.clone();
-        let view = |status| JobView { id: id.clone(), status, done: 0, running: 0, failure: None };
         match reply {
             StoreReply::Committed(stamp) => {
                 self.note_accepted(&record);
                 self.admit(now, record, stamp, term);
-                self.reply(conn, HttpReply::json(201, &view(JobStatus::Queued)));
+                self.reply(conn, HttpReply::json(201, &JobView::queued(id)));
             }
             // It is known: under which key, and so in what state, is read afresh.
             StoreReply::Conflict(_) | StoreReply::Lost => {
@@ -465,9 +464,7 @@
             Why::Submit(_) if waits => self.ask_for_view(now.mono, conn, id),
             // That it is accepted, and not over, was true when the key was read.
             Why::Submit(_) => {
-                let status = JobStatus::Queued;
-                let view = JobView { id, status, done: 0, running: 0, failure: None };
-                self.reply(conn, HttpReply::json(200, &view));
+                self.reply(conn, HttpReply::json(200, &JobView::queued(id)));
             }
             _ => self.reply(conn, HttpReply::later("no leader can be reached")),
         }
--- a/crates/core/src/jobs/job.rs
+++ b/crates/core/src/jobs/job.rs
@@ -348,7 +348,10 @@
             }
             JobState::Ending(_) | JobState::Over => return None,
         };
-        Some(JobView { id: self.spec.id.clone(), status, done: self.done, running, failure: None })
+        let unmet = self.unmet.iter().take(SHOWN_DEPENDENCIES).cloned();
+        let waits_for = if self.state == JobState::Waiting { unmet.collect() } else { Vec::new() };
+        let queued = JobView::queued(self.spec.id.clone());
+        Some(JobView { status, done: self.done, running, waits_for, ..queued })
     }
 
     /// What is kept of it for ever.
--- a/crates/core/src/jobs/records.rs
+++ b/crates/core/src/jobs/records.rs
@@ -63,7 +63,8 @@
 impl OverRecord {
     pub fn view(&self, id: &JobId) -> JobView {
         let failure = self.failure.clone();
-        JobView { id: id.clone(), status: self.status, done: self.done, running: 0, failure }
+        let queued = JobView::queued(id.clone());
+        JobView { status: self.status, done: self.done, failure, ..queued }
     }
 }
 
--- a/crates/ctl/src/jobs.rs
+++ b/crates/ctl/src/jobs.rs
@@ -60,6 +60,9 @@
     /// By when it should be done, in seconds from now
     #[arg(long, value_name = "SECONDS")]
     pub due_s: Option<f64>,
+    /// Jobs that have to be done before it starts; several with commas between
+    #[arg(long = "awaits", value_name = "ID", value_delimiter = ',')]
+    pub dependencies: Vec<String>,
     /// It may run on machines that the cloud can take back
     #[arg(long)]
     pub spot: bool,
@@ -115,7 +118,7 @@
             checkpoint_s: 0.0,
             save_s: 0.0,
             deadline_s: self.due_s,
-            dependencies: Vec::new(),
+            dependencies: self.dependencies.iter().map(|id| JobId::new(id)).collect(),
         })
     }
 }
@@ -147,6 +150,10 @@
             let tasks = format!("{} done, {} running", view.done, view.running);
             let word = serde_json::json!(view.status);
             let mut text = format!("{id}: {} ({tasks})", word.as_str().unwrap_or_default());
+            if !view.waits_for.is_empty() {
+                let ids: Vec<&str> = view.waits_for.iter().map(JobId::as_str).collect();
+                text += &format!(", waits for {}", ids.join(", "));
+            }
             if let Some(failure) = &view.failure {
                 let (task, times) = (&failure.task, failure.failures);
                 let (class, repeats) = (&failure.class, failure.repeats);
--- a/crates/protocol/src/wire.rs
+++ b/crates/protocol/src/wire.rs
@@ -209,6 +209,23 @@
     /// Why it failed, if it did.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub failure: Option<Arc<Failure>>,
+    /// Some of the jobs that it still waits for (an addition to the protocol).
+    #[serde(rename = "awaits", default, skip_serializing_if = "Vec::is_empty")]
+    pub waits_for: Vec<JobId>,
+}
+
+impl JobView {
+    /// A job of which nothing has run yet.
+    pub fn queued(id: JobId) -> Self {
+        Self {
+            id,
+            status: JobStatus::Queued,
+            done: 0,
+            running: 0,
+            failure: None,
+            waits_for: Vec::new(),
+        }
+    }
 }
 
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
