--- a/crates/core/src/constants.rs
+++ b/crates/core/src/constants.rs
@@ -119,13 +119,32 @@
 pub const ACCOUNT_PAUSE_MS: Millis = Millis(200);
 /// Entries of the account kept for tests; some 300 bytes each.
 pub const LATEST_MOST: usize = 64;
+/// How long roll-ups give way to ends and assignments at most: they count for the next leader's reading.
+pub const POSTPONED_MS: Millis = Millis(20_000);
 /// Bytes of values put into one transaction; the service allows 64 KiB in total.
 pub const TXN_BYTES: usize = 40 * 1024;
-/// About the size of an assignment and of a row of failures in its record, and what both and the usage may take
-/// of a value of 8 KiB, in bytes.
-pub const HELD_BYTES: usize = 54;
-pub const CHARGE_BYTES: usize = 10;
-pub const RECORD_BYTES: usize = 7_000;
+/// Value limit where none is given, in bytes: the smallest seen fit to support before the second version.
+pub const VALUE_BYTES: usize = 8 * 1024;
+/// Share of the service's value limit that records use: how it writes what it measures is its own affair.
+pub const VALUE_SHARE: f64 = 0.92;
+/// What is kept free in a record for usage that comes after its assignments, in bytes: one day's joined row.
+pub const USAGE_RESERVE_BYTES: usize = 240;
+/// More than an assignment takes in a record beside twice the names of machine and zone, in bytes: records that are well
+/// within their limit by it are not measured.
+pub const ASSIGNMENT_BYTES_MOST: usize = 60;
+/// More than a record takes beside assignments, usage and failures, in bytes: done tasks, team and sizes.
+pub const CHUNK_HEAD_BYTES: usize = 300;
+/// Rows of usage of one day in a final state, and machines that it names as where its job failed, where it has little
+/// room.
+pub const FINAL_ROWS: usize = 3;
+pub const CAUSES_FEW: usize = 6;
+/// Items that go into one transaction at most, and transactions in a row that have to be taken before twice as many
+/// items are tried again after a refusal.
+pub const ITEMS_MOST: usize = 64;
+pub const GROW_AFTER: u32 = 8;
+/// Pause before what the service refused alone is written again, and the longest such pause: it doubles each time.
+pub const REFUSED_PAUSE_MS: Millis = Millis(1_000);
+pub const REFUSED_PAUSE_MAX_MS: Millis = Millis(60_000);
 /// How long the end of a task may wait to be written: workers keep results meanwhile, further ends
 /// of the same job share the write, and the end of the job makes it needless.
 pub const LAZY_WRITE_MS: Millis = Millis(4_000);
@@ -140,8 +159,7 @@
 /// How much more a machine on which another task of its job is counts, for tasks that are better on unlike ones; as
 /// much as a fetch that takes all the time there is.
 pub const APART_WEIGHT: f64 = 1.0;
-/// Tasks whose assignments share one key: 96 of them stay under 5 KiB, below the smallest value
-/// limit seen fit to support (8 KiB).
+/// Tasks whose assignments share one key: 96 of them stay under 5 KiB as rows, and packed under 1.5 KiB.
 pub const CHUNK_TASKS: u32 = 96;
 
 // --- Users ------------------------------------------------------------------
--- a/crates/core/src/controller/graphs.rs
+++ b/crates/core/src/controller/graphs.rs
@@ -296,8 +296,12 @@
         let (Some(token), Some(fence)) = (self.leadership.token(), self.leadership.fence()) else {
             return false;
         };
-        let ops = self.settings.facts.state.txn_ops;
+        let ops = self.limits.changes();
+        let retried = self.graph_refusals.take_due(now.mono);
+        let most = if retried.is_some() { 1 } else { self.graph_refusals.most() };
         let Some(desk) = self.desk() else { return false };
+        desk.items_most = most;
+        retried.into_iter().for_each(|item| desk.retry(item));
         let Some((txn, written)) = desk.next_txn(fence, ops, now, &live_of) else { return false };
         self.writer = Writer::Writing;
         self.traffic.changes += txn.changes.len();
@@ -319,7 +323,10 @@
         self.writer = Writer::Idle;
         let Some(desk) = self.desk() else { return };
         match reply {
-            StoreReply::Committed(revision) => desk.committed(&written, revision),
+            StoreReply::Committed(revision) => {
+                desk.committed(&written, revision);
+                self.graph_refusals.taken(written.iter().map(|wrote| &wrote.item));
+            }
             StoreReply::Conflict(failed) if failed.iter().any(|k| k == LEAD_KEY) => {
                 desk.refused(written);
                 self.leadership.fenced_off();
@@ -328,10 +335,8 @@
                 log::warn!("store: a write of graphs' fate is open; reading its keys");
                 self.resolve_graphs(now, token, Unsure { items: written, ..Unsure::default() });
             }
-            other => {
-                if let StoreReply::Malformed(text) = &other {
-                    log::error!("store: a write of graphs was refused: {text}");
-                }
+            StoreReply::Malformed(text) => self.graphs_write_refused(now.mono, written, &text),
+            _ => {
                 desk.refused(written);
                 self.write_after = now.mono.plus(STORE_PAUSE_MS);
             }
@@ -339,6 +344,20 @@
         self.graph_effects(now);
     }
 
+    /// The service has refused a transaction for what it is: it is not written as it was again.
+    fn graphs_write_refused(&mut self, now: Mono, mut written: Vec<desk::Wrote>, text: &str) {
+        if !self.write_refused(text) {
+            let items: Vec<_> = written.iter().map(|wrote| wrote.item.clone()).collect();
+            if let Some(Refusal::SetAside(item, pause)) = self.graph_refusals.refused(&items, now) {
+                log::error!("store: of graphs, {item:?} is refused alone; again in {pause:?}");
+                written.retain(|wrote| wrote.item != item);
+            }
+        }
+        if let Some(desk) = self.desk() {
+            desk.refused(written);
+        }
+    }
+
     /// Reads the keys of writes whose fate is open, one after the other.
     fn resolve_graphs(&mut self, now: Now, token: Token, mut unsure: Unsure) {
         let live = |id: &JobId| jobs::live_key(id);
--- a/crates/core/src/controller/leading.rs
+++ b/crates/core/src/controller/leading.rs
@@ -27,6 +27,7 @@
                 let fleet = std::mem::take(&mut self.fleet);
                 self.fleet.catalog.clone_from(&fleet.catalog);
                 self.reign = Some(Reign::new(token, now.mono, fleet, &self.terms));
+                self.graph_refusals = Refusals::default();
                 self.desk.lead(token, now.mono);
                 self.store.lead(true);
                 self.writer = Writer::Idle;
--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -3,6 +3,7 @@
 
 mod graphs;
 mod leading;
+mod limits;
 mod members;
 mod reports;
 mod usage;
@@ -20,6 +21,7 @@
 use crate::operators::Operators;
 use crate::parked::ParkedReports;
 use crate::placement;
+use crate::refusals::{Refusal, Refusals};
 use crate::reign::{Reign, Stage, Terms};
 use crate::relay::{Relays, Way};
 use crate::reply::ConnId;
@@ -289,11 +291,15 @@
     next_greet: Mono,
     /// Which versions the members are known to run.
     versions: versions::Versions,
+    limits: limits::Limits,
+    /// Writes of graphs that the service refused.
+    graph_refusals: Refusals<oatloom_graph::desk::Item>,
     out: Vec<Action>,
 }
 
 impl Controller {
     pub fn new(settings: Settings, ops: Operators, seed: u64) -> Self {
+        let limits = limits::Limits::new(&settings.facts.state);
         Self {
             leadership: Leadership::new(settings.member.clone(), settings.bound_alone()),
             store: StoreClient::new(&settings.facts.state, settings.peers.len() + 1),
@@ -334,6 +340,8 @@
             said: BTreeMap::new(),
             next_greet: Mono(0),
             versions: versions::Versions::default(),
+            limits,
+            graph_refusals: Refusals::default(),
             out: Vec::new(),
         }
     }
@@ -409,6 +417,7 @@
         if !self.store.throttled_lately(mono) {
             self.store.leaderless(!led && self.leadership.token().is_none());
         }
+        self.follow_limits();
         if let Some(reign) = self.reign.as_mut() {
             if valid && !self.was_valid {
                 // Workers were turned away meanwhile; they need time to come back.
@@ -511,6 +520,9 @@
         let Some(purpose) = self.store.answered(now.mono, id, &reply, jitter) else {
             return;
         };
+        if reply == StoreReply::Throttled {
+            self.throttled();
+        }
         match purpose {
             Purpose::Lead { ask, sent } => {
                 let random = self.rng.random::<u64>() >> 12;
--- a/crates/core/src/controller/users.rs
+++ b/crates/core/src/controller/users.rs
@@ -197,8 +197,7 @@
             Ok(value) => value,
             Err(e) => return self.reply(conn, HttpReply::error(400, &e.to_string())),
         };
-        let limit = self.settings.facts.state.value_kb * 1024.0;
-        if value.to_string().len() as f64 > limit {
+        if value.to_string().len() > self.limits.submission() {
             // The job may be known by another text.
             let reply = HttpReply::error(400, "the description is too long to keep");
             return self.lookup(now.mono, conn, id.clone(), Why::Submit(reply));
@@ -251,7 +250,7 @@
                 self.lookup(now.mono, conn, id, Why::Submit(later));
             }
             StoreReply::Malformed(text) => {
-                log::error!("store: a submission was refused: {text}");
+                self.write_refused(&text);
                 self.reply(conn, HttpReply::later("the state service refused it"));
             }
             _ if self.hand_on(now.mono, conn, &record.spec, forwarded) => {}
--- a/crates/core/src/controller/writing.rs
+++ b/crates/core/src/controller/writing.rs
@@ -27,7 +27,7 @@
         let Some(reign) = self.reign.as_mut().filter(|r| r.stage == Stage::Ruling) else {
             return false;
         };
-        let ops = self.settings.facts.state.txn_ops;
+        let ops = self.limits.changes();
         let Some((txn, written)) = reign.book.next_txn(fence, ops, now) else {
             return false;
         };
@@ -72,10 +72,17 @@
                 self.resolve(now, token, items);
                 self.turn_waiters_away();
             }
-            other => {
-                if let StoreReply::Malformed(text) = &other {
-                    log::error!("store: a write was refused: {text}");
+            StoreReply::Malformed(text) => {
+                let other = self.write_refused(&text);
+                let Some(reign) = self.reign.as_mut() else { return };
+                if other {
+                    reign.book.requeue(written);
+                } else {
+                    reign.book.refused(written, now);
                 }
+                self.turn_waiters_away();
+            }
+            _ => {
                 reign.book.requeue(written);
                 self.write_after = now.plus(STORE_PAUSE_MS);
                 self.turn_waiters_away();
--- /dev/null
+++ b/crates/core/src/jobs/fitting/tests.rs
@@ -0,0 +1,218 @@
+//! Records fit the limits to come, whatever they hold; and nothing that is on a machine is left out.
+
+use super::*;
+use crate::jobs::tests::spec;
+use oatloom_ledger::entry::{End, Entry};
+use oatloom_protocol::wire::Cause;
+
+const SMALL: RecordLimits = RecordLimits { form: RecordForm::Packed, value: 1_884, most: 1_884 };
+
+fn fence() -> Condition {
+    Condition { key: "lead".into(), version: Revision(1) }
+}
+
+fn hold(host: &str, attempt: u64) -> Hold {
+    Hold {
+        host: HostId::new(host),
+        shift: Shift(1),
+        zone: Zone::new("kalamaria"),
+        attempt: Attempt(attempt),
+        version: 0,
+        run: RunSent::No,
+        phase: None,
+        since: Mono(0),
+        running_since: None,
+        told_ms: None,
+        stop: None,
+    }
+}
+
+fn book(tasks: u32, limits: RecordLimits) -> (Book, JobId) {
+    let mut book = Book { limits, ..Book::default() };
+    let now = Now { mono: Mono(1000), wall_ms: 1000 };
+    let record = LiveRecord { spec: spec("req-1", Shape::Array, tasks), wall_ms: 900, part: None };
+    book.insert(record, Revision(5), now);
+    (book, JobId::new("req-1"))
+}
+
+fn entry(task: u32, flavor: &str, day: u64) -> Entry {
+    Entry {
+        task: TaskId::new(&JobId::new("req-1"), task),
+        attempt: Attempt(1),
+        team: "t".into(),
+        class: "c".into(),
+        shape: Shape::Array,
+        rank: oatloom_protocol::wire::Rank::Low,
+        host: HostId::new("i-1"),
+        flavor: flavor.into(),
+        zone: Zone::new("kalamaria"),
+        spot: true,
+        ended_ms: day * 86_400_000,
+        held_ms: 99_999_999,
+        ran_ms: 88_888_888,
+        unseen_ms: 0,
+        end: End::Seen(Cause::Stopped),
+        stored: true,
+        goes_on: true,
+        checkpoint_ms: 30_000,
+        cpus: 12.0,
+        gpus: 4.0,
+        memory_gb: 150.0,
+        price: 11.6,
+        share: 0.25,
+    }
+}
+
+/// All 96 tasks of a chunk on as many machines, some tasks with failures, and usage of two days and many types.
+#[test]
+fn a_full_chunk_fits_two_kib() {
+    let (mut book, id) = book(100_000, SMALL);
+    book.account = Some(Account::default());
+    for task in 960..1_056 {
+        assert!(book.hold(&id, task, hold(&format!("i-{:06}", task * 37 % 4_000), 7 << 41)));
+    }
+    for n in 0..40u32 {
+        let entry = entry(970, &format!("kivotos-{}", n % 20), 20_000 + u64::from(n % 2));
+        book.account(&entry);
+    }
+    let job = book.jobs.get_mut(&id).unwrap();
+    for n in 0..20u32 {
+        job.charges.add(960 + n, &HostId::new(&format!("i-{n:06}")));
+    }
+    let (txn, _) = book.next_txn(fence(), 5, Mono(10_000)).unwrap();
+    let Change::Put { value, .. } = &txn.changes[0] else { panic!("{txn:?}") };
+    assert!(size(value) <= SMALL.value, "{} bytes", size(value));
+    let read: ChunkRecord = serde_json::from_value(value.clone()).unwrap();
+    assert_eq!(read.held, book.jobs[&id].record(10).held);
+    let failures: u32 = read.charges.rows.iter().map(|row| row.2).sum();
+    assert_eq!(failures, 20);
+    let attempts: u64 = read.usage.days().map(|(_, tally)| tally.total().attempts).sum();
+    assert_eq!(attempts, 40);
+}
+
+/// Names that are nothing but length: as many tasks are held as the record takes, and all of them stand in it.
+#[test]
+fn no_more_is_held_than_a_record_takes() {
+    let (mut book, id) = book(96, SMALL);
+    let name = |n: u32| format!("{n}-{}", "x".repeat(100));
+    let held = (0..96).filter(|n| book.hold(&id, *n, hold(&name(*n), 5))).count();
+    assert!((5..20).contains(&held), "{held}");
+    let (txn, written) = book.next_txn(fence(), 5, Mono(10_000)).unwrap();
+    let Change::Put { value, .. } = &txn.changes[0] else { panic!("{txn:?}") };
+    assert!(size(value) <= SMALL.value);
+    book.committed(&written, Revision(9));
+    assert_eq!((0..96).filter(|n| book.jobs[&id].durable(*n)).count(), held);
+    // What has ended makes room.
+    book.free(&id, 0, true);
+    assert!(book.hold(&id, 95, hold(&name(95), 6)));
+}
+
+/// A record that an earlier version stored larger is read, rewritten small once that is possible, and removed at the end.
+#[test]
+fn a_larger_record_is_read_and_rewritten_small() {
+    for long in [8, 100] {
+        let name = |n: u32| format!("{n}-{}", "x".repeat(long));
+        let (mut old, id) = book(96, RecordLimits { most: 16_384, ..RecordLimits::default() });
+        assert!((0..96).all(|n| old.hold(&id, n, hold(&name(n), 5))));
+        let stored = old.jobs[&id].record(0);
+        let (mut new, _) = book(96, SMALL);
+        assert_eq!(new.load_chunk(&id, 0, stored, Revision(7), Mono(5)).len(), 96);
+        let mut now = Mono(10_000);
+        let mut smallest = 96;
+        for task in 0..96 {
+            new.free(&id, task, true);
+            now = now.plus(Millis(70_000));
+            if let Some((txn, written)) = new.next_txn(fence(), 5, now) {
+                let Change::Put { value, .. } = &txn.changes[0] else { panic!("{txn:?}") };
+                assert!(size(value) <= SMALL.value, "never written too large");
+                new.committed(&written, Revision(100 + u64::from(task)));
+                smallest = smallest.min(95 - task);
+                assert!(new.jobs[&id].settled(task));
+            } else {
+                assert!(!new.jobs[&id].settled(task), "what is not written is not forgotten");
+            }
+        }
+        assert_eq!(smallest, 0);
+        new.end(&id, JobStatus::Done, "all done");
+        let (txn, written) = new.next_txn(fence(), 5, now).unwrap();
+        assert_eq!(txn.changes.len(), 3, "the end takes the record along");
+        assert_eq!(new.committed(&written, Revision(999)).len(), 1);
+    }
+}
+
+/// An end with a long failure and much usage fits, and is the same when it is told.
+#[test]
+fn a_final_state_fits_two_kib() {
+    let (mut book, id) = book(10, SMALL);
+    book.account = Some(Account::default());
+    for n in 0..40u32 {
+        book.account(&entry(0, &format!("kivotos-{}", n % 20), 20_000 + u64::from(n % 2)));
+    }
+    let cause = |n: u32| FailureCause {
+        host: Some(HostId::new(&format!("machine-with-a-long-name-{n:030}"))),
+        cause: Cause::Error,
+        count: 1,
+    };
+    book.fail(
+        &id,
+        oatloom_policy::classes::OnExhausted::FailJob,
+        Failure {
+            class: "c".into(),
+            task: "req-1/0".into(),
+            failures: 20,
+            repeats: 19,
+            causes: (0..20).map(cause).collect(),
+        },
+    );
+    book.end(&id, JobStatus::Failed, "used up");
+    let (txn, written) = book.next_txn(fence(), 5, Mono(10_000)).unwrap();
+    let Change::Put { value, .. } = &txn.changes[0] else { panic!("{txn:?}") };
+    assert!(size(value) <= SMALL.value, "{} bytes", size(value));
+    let told = book.committed(&written, Revision(9));
+    assert_eq!(serde_json::to_value(&told[0].1).unwrap(), *value);
+    let failure = told[0].1.failure.as_ref().unwrap();
+    assert_eq!(failure.causes.iter().map(|cause| cause.count).sum::<u32>(), 20);
+}
+
+/// Within what the earlier version could write, records are byte for byte its own.
+#[test]
+fn rows_are_written_as_they_were() {
+    let (mut book, id) = book(3, RecordLimits::default());
+    assert!(book.hold(&id, 1, hold("i-000231", (7 << 20) + 3)));
+    let (txn, _) = book.next_txn(fence(), 16, Mono(10_000)).unwrap();
+    let Change::Put { value, .. } = &txn.changes[0] else { panic!("{txn:?}") };
+    let text = r#"{"a":[[1,7340035,"i-000231",1,"kalamaria"]],"d":"0","u":["t",1.0,0.0,1.0,3]}"#;
+    assert_eq!(value.to_string(), text);
+}
+
+/// A transaction that the service refuses becomes smaller, and what it refuses alone holds nothing else up. Guards against
+/// the same transaction once or twice a second for ever, after which nothing was durable any more.
+#[test]
+fn what_is_refused_alone_holds_nothing_else_up() {
+    let (mut book, id) = book(960, SMALL);
+    for task in (0..960).step_by(96) {
+        assert!(book.hold(&id, task, hold("i-000001", 5)));
+    }
+    let bad = chunk_key(&id, 3);
+    let (mut refused, mut revision, mut now) = (Vec::new(), 10, Mono(10_000));
+    for _ in 0..40 {
+        now = now.plus(Millis(250));
+        let Some((txn, written)) = book.next_txn(fence(), 5, now) else { continue };
+        if txn.changes.iter().any(|c| matches!(c, Change::Put { key, .. } if *key == bad)) {
+            refused.push(txn.changes.len());
+            book.refused(written, now);
+        } else {
+            revision += 1;
+            book.committed(&written, Revision(revision));
+        }
+    }
+    let durable = (0..960).step_by(96).filter(|task| book.jobs[&id].durable(*task));
+    assert_eq!(durable.count(), 9, "all others are durable");
+    assert_eq!(refused[..3], [4, 2, 1], "{refused:?}");
+    assert!(refused.len() <= 7, "it is not repeated again and again: {refused:?}");
+    // Once the service takes it, it is written.
+    let (txn, written) = book.next_txn(fence(), 5, now.plus(REFUSED_PAUSE_MAX_MS)).unwrap();
+    assert_eq!(txn.changes.len(), 1);
+    book.committed(&written, Revision(99));
+    assert!(book.jobs[&id].durable(288) && book.unwritten() == 0);
+}
--- a/crates/core/src/jobs/job.rs
+++ b/crates/core/src/jobs/job.rs
@@ -4,7 +4,6 @@
 use crate::constants::*;
 use crate::estimate::{Kalman, Measurement};
 use oatloom_graph::records::{Part, PartEnd};
-use oatloom_ledger::constants::TIGHT_ROWS;
 use oatloom_ledger::rollup::{Days, Spent};
 use oatloom_policy::charges::Charges;
 use oatloom_policy::classes::{Allowance, OnExhausted};
@@ -368,18 +367,19 @@
         self.part.as_ref().and_then(|part| part.apart)
     }
 
+    /// Tasks of a chunk.
+    pub(super) fn chunk_range(&self, chunk: u32) -> std::ops::Range<u32> {
+        let from = chunk.saturating_mul(CHUNK_TASKS);
+        from..from.saturating_add(CHUNK_TASKS).min(self.spec.tasks)
+    }
+
+    /// What is to be kept of a chunk, whatever room that takes.
     pub(super) fn record(&self, chunk: u32) -> ChunkRecord {
         let from = (chunk * CHUNK_TASKS) as usize;
         let to = (from + CHUNK_TASKS as usize).min(self.tasks.len());
         let slice = &self.tasks[from..to];
         let charges = self.charges.record(from as u32..to as u32);
-        let mut usage = self.usage.get(&chunk).cloned().unwrap_or_default();
-        let held = slice.iter().filter(|t| matches!(t, Task::Held(_))).count();
-        let others = held * HELD_BYTES + charges.rows.len() * CHARGE_BYTES;
-        if others + usage.bytes() > RECORD_BYTES {
-            // Its sums are the same; which machines they were on is kept in memory only.
-            usage.shrink(TIGHT_ROWS);
-        }
+        let usage = self.usage.get(&chunk).cloned().unwrap_or_default();
         ChunkRecord {
             done: to_hex(slice.iter().map(|t| *t == Task::Done)),
             held: slice
--- a/crates/core/src/jobs/mod.rs
+++ b/crates/core/src/jobs/mod.rs
@@ -4,12 +4,15 @@
 //! [`CHUNK_TASKS`] tasks, `over/{id}` the final state. `live/` and `over/` change in one
 //! transaction, so a job is always under exactly one of them.
 
+mod fitting;
 mod job;
 mod over;
+mod packed;
 mod records;
 mod usage;
 mod writing;
 
+pub use fitting::RecordLimits;
 pub use job::*;
 pub use over::OverCache;
 pub use records::*;
@@ -18,6 +21,7 @@
 pub use writing::{Item, Written};
 
 use crate::constants::*;
+use crate::refusals::{Refusal, Refusals};
 use oatloom_policy::classes::{Allowance, Classes, OnExhausted};
 use oatloom_protocol::ids::*;
 use oatloom_protocol::wire::{
@@ -60,6 +64,12 @@
     /// The same for arrays of nodes, whose turn comes sooner.
     brisk: VecDeque<(Mono, Item)>,
     queued: BTreeMap<Item, Haste>,
+    /// What records and transactions may take.
+    pub limits: RecordLimits,
+    /// Items that the service refused one by one, or that do not fit a value yet.
+    refusals: Refusals<Item>,
+    /// Whether it was said that a record takes no further assignment.
+    said_full: bool,
 }
 
 impl Book {
@@ -187,6 +197,9 @@
 
     /// Assigns a task to a machine; the assignment still has to become durable.
     pub fn hold(&mut self, id: &JobId, index: u32, mut hold: Hold) -> bool {
+        if !self.has_room(id, index, &hold) {
+            return false;
+        }
         let Some(job) = self.jobs.get(id) else { return false };
         hold.version = job.chunks[(index / CHUNK_TASKS) as usize].version + 1;
         let held = self.hold_unwritten(id, index, hold);
--- /dev/null
+++ b/crates/core/src/jobs/packed/tests.rs
@@ -0,0 +1,92 @@
+//! The short form comes back as it was, is small, and whatever is read in its place ends in an error.
+
+use super::*;
+use rand::{Rng, SeedableRng};
+use rand_chacha::ChaCha8Rng;
+
+fn assignment(task: u32, attempt: u64, host: &str, zone: &str) -> Assignment {
+    (task, Attempt(attempt), HostId::new(host), Shift(1), Zone::new(zone))
+}
+
+fn drawn(rng: &mut ChaCha8Rng, first: u32) -> Vec<Assignment> {
+    let names = ["i-", "m", "", "węzeł-", "a-b-0"];
+    let prefix = names[rng.random_range(0..names.len())];
+    let mut held = Vec::new();
+    for task in (first..first + CHUNK_TASKS).filter(|_| rng.random_bool(0.7)).collect::<Vec<_>>() {
+        let number: u64 = rng.random::<u64>() >> rng.random_range(0..64);
+        let host = match rng.random_range(0..6) {
+            0 => format!("odd.{number}.name"),
+            1 => format!("{prefix}{number}"),
+            _ => format!("{prefix}{:06}", number % 3_000_000),
+        };
+        let attempt = (rng.random_range(0..4u64) << 40) + rng.random_range(0..5_000u64);
+        let attempt = if rng.random_bool(0.02) { u64::MAX } else { attempt };
+        let shift = if rng.random_bool(0.05) { rng.random() } else { rng.random_range(1..4) };
+        let zone = Zone::new(["a", "b", "c"][rng.random_range(0..3)]);
+        held.push((task, Attempt(attempt), HostId::new(&host), Shift(shift), zone));
+    }
+    held
+}
+
+fn charges(rng: &mut ChaCha8Rng, first: u32) -> ChargeRecord {
+    if rng.random_bool(0.5) {
+        return ChargeRecord::default();
+    }
+    let row = |n: u32| (first + n, [0, 1, u16::MAX][n as usize % 3], n % 4 + 1);
+    ChargeRecord {
+        hosts: vec![HostId::new("i-7"), HostId::new("i-8")],
+        excused: vec![1],
+        rows: (0..rng.random_range(0..CHUNK_TASKS)).map(row).collect(),
+        counted: rng.random_bool(0.5).then(|| Attempt(rng.random())),
+    }
+}
+
+#[test]
+fn what_is_packed_comes_back() {
+    for seed in 0..500 {
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
+        let first = rng.random_range(0..1_041) * CHUNK_TASKS;
+        let held = drawn(&mut rng, first);
+        let charges = charges(&mut rng, first);
+        let text = pack(first, &held, &charges);
+        assert_eq!(unpack(&text), Ok(Unpacked { held, charges }), "seed {seed}");
+    }
+}
+
+/// 96 assignments on as many machines of a large fleet, by two leaders.
+#[test]
+fn a_full_chunk_takes_little() {
+    for seed in 0..100 {
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
+        let held: Vec<Assignment> = (0..CHUNK_TASKS)
+            .map(|task| {
+                let leader = if rng.random_bool(0.5) { 412u64 } else { 91_234 };
+                let attempt = (leader << 20) + rng.random_range(0..20_000u64);
+                let host = format!("i-{:06}", rng.random_range(0..4_000));
+                assignment(task, attempt, &host, ["a", "b", "c"][rng.random_range(0..3)])
+            })
+            .collect();
+        let text = pack(0, &held, &ChargeRecord::default());
+        assert!(text.len() <= 96 * 12, "seed {seed}: {} bytes", text.len());
+    }
+}
+
+/// Whatever stands there, reading it ends, and what cannot be is an error.
+#[test]
+fn a_damaged_short_form_is_refused() {
+    let held = [assignment(3, 7, "i-000001", "a"), assignment(4, 9, "i-000002", "b")];
+    let text = pack(0, &held, &ChargeRecord::default());
+    for cut in 0..text.len() {
+        assert!(unpack(&text[..cut]).is_err(), "cut at {cut}");
+    }
+    let mut rng = ChaCha8Rng::seed_from_u64(1);
+    for _ in 0..5_000 {
+        let mut bytes = text.clone().into_bytes();
+        let at = rng.random_range(0..bytes.len());
+        bytes[at] = rng.random_range(32..127);
+        let _ = unpack(std::str::from_utf8(&bytes).unwrap());
+    }
+    assert!(matches!(unpack("!"), Err(PackedError::Text(_))));
+    let far = pack(0, &[assignment(96, 1, "i-1", "a")], &ChargeRecord::default());
+    assert_eq!(unpack(&far), Err(PackedError::Row { row: 0, what: "a task" }));
+}
--- a/crates/core/src/jobs/records.rs
+++ b/crates/core/src/jobs/records.rs
@@ -1,5 +1,6 @@
 //! What stands in the state service, under which key, and in what form.
 
+use super::packed::{self, PackedError};
 use oatloom_graph::records::{Part, PartEnd};
 use oatloom_ledger::rollup::{Days, Spent};
 use oatloom_policy::charges::ChargeRecord;
@@ -67,14 +68,28 @@
     }
 }
 
-/// Value of a chunk key: done tasks as a hexadecimal bitmap, assignments in short form.
+/// Task, attempt, host, shift, zone.
+pub type Assignment = (u32, Attempt, HostId, Shift, Zone);
+
+/// In which form assignment records are written; each is always read.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum RecordForm {
+    /// Assignments as rows of names and numbers: every version reads it.
+    #[default]
+    Rows,
+    /// Assignments and failures packed: versions before the second do not see them.
+    Packed,
+}
+
+/// Value of a chunk key: done tasks as a hexadecimal bitmap, assignments as rows. Serialised as it stands it is the form
+/// that every version reads; see [`ChunkRecord::value`] for the other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(try_from = "StoredChunk")]
 pub struct ChunkRecord {
     #[serde(rename = "d", default)]
     pub done: String,
-    /// Task, attempt, host, shift, zone.
     #[serde(rename = "a", default)]
-    pub held: Vec<(u32, Attempt, HostId, Shift, Zone)>,
+    pub held: Vec<Assignment>,
     /// Team, cores, GPUs, memory and number of tasks: what a later leader must count for tasks
     /// still on machines when the description is gone.
     #[serde(rename = "u")]
@@ -82,16 +97,61 @@
     /// What failed, in the same write that frees the task: counted if and only if its end is.
     #[serde(rename = "e", default, skip_serializing_if = "ChargeRecord::is_empty")]
     pub charges: ChargeRecord,
-    /// What its attempts have used. What cannot be read is left out and said: the job goes on.
-    #[serde(
-        rename = "l",
-        default,
-        skip_serializing_if = "Days::is_empty",
-        deserialize_with = "or_none"
-    )]
+    /// What its attempts have used.
+    #[serde(rename = "l", default, skip_serializing_if = "Days::is_empty")]
     pub usage: Days,
 }
 
+/// A chunk's value as it is read, in either form.
+#[derive(Deserialize)]
+struct StoredChunk {
+    #[serde(rename = "d", default)]
+    done: String,
+    #[serde(rename = "a", default)]
+    held: Vec<Assignment>,
+    #[serde(rename = "u")]
+    size: (String, f64, f64, f64, u32),
+    #[serde(rename = "e", default)]
+    charges: ChargeRecord,
+    /// What cannot be read is left out and said: the job goes on.
+    #[serde(rename = "l", default, deserialize_with = "or_none")]
+    usage: Days,
+    #[serde(rename = "p", default)]
+    packed: Option<String>,
+}
+
+impl TryFrom<StoredChunk> for ChunkRecord {
+    type Error = PackedError;
+
+    fn try_from(stored: StoredChunk) -> Result<Self, PackedError> {
+        let StoredChunk { done, held, size, charges, usage, packed } = stored;
+        let (held, charges) = match packed {
+            Some(text) => {
+                let unpacked = packed::unpack(&text)?;
+                (unpacked.held, unpacked.charges)
+            }
+            None => (held, charges),
+        };
+        Ok(Self { done, held, size, charges, usage })
+    }
+}
+
+impl ChunkRecord {
+    /// The value to be stored for the chunk that begins with the task `first`.
+    pub fn value(&self, form: RecordForm, first: u32) -> serde_json::Value {
+        let plain = self.held.is_empty() && self.charges.is_empty();
+        if form == RecordForm::Rows || plain {
+            return serde_json::json!(self);
+        }
+        let text = packed::pack(first, &self.held, &self.charges);
+        let (done, size, usage) = (self.done.clone(), self.size.clone(), self.usage.clone());
+        let rest = Self { done, held: Vec::new(), size, charges: ChargeRecord::default(), usage };
+        let mut value = serde_json::json!(rest);
+        value["p"] = text.into();
+        value
+    }
+}
+
 /// Reads a part of a record without which the rest is still good.
 fn or_none<'de, D: Deserializer<'de>, T: Default + DeserializeOwned>(
     from: D,
--- a/crates/core/src/jobs/usage.rs
+++ b/crates/core/src/jobs/usage.rs
@@ -31,6 +31,10 @@
     pub latest: VecDeque<Entry>,
     /// Roll-ups that could not be read, which are kept aside by the next write.
     damaged: BTreeMap<Slot, serde_json::Value>,
+    /// Transactions of roll-ups that the service refused, one after the other.
+    refusals: Refusals<()>,
+    /// Since when roll-ups wait for what somebody waits for.
+    postponed: Option<Mono>,
 }
 
 impl Account {
@@ -38,6 +42,17 @@
         Self { classes, rollups: Rollups::new(every), ..Self::default() }
     }
 
+    /// The same with roll-ups that fit values of so many bytes.
+    pub fn within(self, value_bytes: usize) -> Self {
+        Self { rollups: self.rollups.within(value_bytes), ..self }
+    }
+
+    /// Whether roll-ups give way to what somebody waits for, which they do for a while.
+    fn gives_way(&mut self, now: Mono, awaited: bool) -> bool {
+        let since = *self.postponed.get_or_insert(now);
+        awaited && now.since(since) < POSTPONED_MS
+    }
+
     pub fn class(&self, class: &str) -> String {
         if self.classes.contains(class) { class.to_owned() } else { OTHER_CLASS.to_owned() }
     }
@@ -123,13 +138,19 @@
         fence: Condition,
         ops: usize,
         now: Mono,
+        awaited: bool,
     ) -> Option<(Txn, Vec<Written>)> {
         let account = self.account.as_mut()?;
         let open_from = account.open_from();
-        if !account.rollups.flush_due(now, open_from) {
+        if account.refusals.holds(&()) && account.refusals.take_due(now).is_none()
+            || !account.rollups.flush_due(now, open_from)
+            || account.gives_way(now, awaited)
+        {
             return None;
         }
+        account.postponed = None;
         let most = ops.saturating_sub(1).clamp(1, TXN_BYTES / ROLLUP_BYTES);
+        let most = most.min(account.refusals.most());
         account.cursor = account.rollups.flush(most, now, open_from);
         let (mut txn, mut written) =
             (Txn { conditions: vec![fence], changes: Vec::new() }, Vec::new());
@@ -138,6 +159,15 @@
         (!written.is_empty()).then_some((txn, written))
     }
 
+    /// A transaction of roll-ups was refused: the next one is smaller, or comes later.
+    pub(super) fn flush_refused(&mut self, now: Mono) {
+        let Some(account) = self.account.as_mut() else { return };
+        let rollups = vec![(); account.rollups.touched().max(1)];
+        if let Some(Refusal::SetAside((), pause)) = account.refusals.refused(&rollups, now) {
+            log::error!("ledger: a roll-up is refused alone; again in {pause:?}");
+        }
+    }
+
     /// Values that could not be read are kept under another key, for somebody to look at.
     fn keep_aside(&mut self, txn: &mut Txn, ops: usize) {
         let Some(account) = self.account.as_mut() else { return };
@@ -153,6 +183,7 @@
         match item {
             Item::Rollup(slot) => account.rollups.committed(slot, revision),
             Item::Cursor => {
+                account.refusals.taken([()].iter());
                 if let Some(cursor) = account.cursor.take() {
                     account.rollups.cursor_committed(cursor, revision);
                 }
--- a/crates/core/src/jobs/writing.rs
+++ b/crates/core/src/jobs/writing.rs
@@ -3,7 +3,7 @@
 use super::*;
 use oatloom_ledger::constants::ROLLUP_BYTES;
 use oatloom_ledger::rollup::{CURSOR, Slot, Spent};
-use serde_json::{Value, json};
+use serde_json::Value;
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Item {
@@ -46,7 +46,7 @@
 impl Book {
     /// Changes that are not written yet.
     pub fn unwritten(&self) -> usize {
-        self.queued.len()
+        self.queued.len() + self.refusals.waiting()
     }
 
     /// Marks the chunk of a task as changed.
@@ -60,7 +60,9 @@
 
     pub(super) fn enqueue(&mut self, item: Item, haste: Haste) {
         // What waits already and is now wanted sooner leaves a stale row behind, which is skipped.
-        if self.queued.get(&item).is_some_and(|known| *known >= haste) {
+        // What the service refused alone comes again by itself.
+        let known = self.queued.get(&item).is_some_and(|known| *known >= haste);
+        if known || self.refusals.holds(&item) {
             return;
         }
         self.queued.insert(item.clone(), haste);
@@ -93,7 +95,9 @@
             };
             if self.queued.get(&item) == Some(&haste) {
                 self.queued.remove(&item);
-                return Some(item);
+                if !self.refusals.holds(&item) {
+                    return Some(item);
+                }
             }
         }
     }
@@ -106,7 +110,8 @@
         now: Mono,
     ) -> Option<(Txn, Vec<Written>)> {
         self.now = now;
-        if let Some(flush) = self.flush(fence.clone(), ops, now) {
+        let awaited = !self.urgent.is_empty() || !self.dirty.is_empty();
+        if let Some(flush) = self.flush(fence.clone(), ops, now, awaited) {
             return Some(flush);
         }
         let mut txn = Txn { conditions: vec![fence], changes: Vec::new() };
@@ -119,10 +124,18 @@
         let least = if self.account.is_some() { 3.min(ops) } else { 2 };
         let full =
             |book: &Self, bytes: usize| bytes + book.rollups_touched() * ROLLUP_BYTES >= TXN_BYTES;
-        while room(self, &txn) >= least && !full(self, bytes) {
-            let Some(item) = self.pop() else { break };
+        // What was refused alone is tried alone.
+        let mut retried = self.refusals.take_due(now);
+        let most = if retried.is_some() { 1 } else { self.refusals.most() };
+        let mut items = 0;
+        while items < most && room(self, &txn) >= least && !full(self, bytes) {
+            let Some(item) = retried.take().or_else(|| self.pop()) else { break };
+            items += 1;
             let Item::End(id) = &item else {
-                let Some(done) = self.write(&item, &mut txn, &mut bytes) else { continue };
+                let Some(done) = self.write(&item, &mut txn, &mut bytes) else {
+                    items -= 1;
+                    continue;
+                };
                 if done.deletes
                     && let Item::Chunk(id, chunk) = &item
                 {
@@ -131,8 +144,11 @@
                 written.push(done);
                 continue;
             };
-            let chunks = self.leftovers(id, room(self, &txn).saturating_sub(2));
+            // Alone and refused before, an end takes nothing along.
+            let beside = if most > 1 { room(self, &txn).saturating_sub(2) } else { 0 };
+            let chunks = self.leftovers(id, beside);
             let Some(done) = self.write_end(id, chunks.is_some(), &mut txn, &mut bytes) else {
+                items -= 1;
                 continue;
             };
             if chunks.is_some() && self.account.is_some() {
@@ -154,16 +170,25 @@
         (!written.is_empty()).then_some((txn, written))
     }
 
-    pub(super) fn write(&self, item: &Item, txn: &mut Txn, bytes: &mut usize) -> Option<Written> {
+    pub(super) fn write(
+        &mut self,
+        item: &Item,
+        txn: &mut Txn,
+        bytes: &mut usize,
+    ) -> Option<Written> {
         match item {
             Item::End(_) | Item::Rollup(_) | Item::Cursor => None,
             Item::Chunk(id, chunk) => {
                 let job = self.jobs.get(id)?;
                 let slot = job.chunks.get(*chunk as usize)?;
-                let record = job.record(*chunk);
-                if job.state == JobState::Over && record.held.is_empty() {
+                let empty = job.chunk_range(*chunk).all(|task| job.hold(task).is_none());
+                if job.state == JobState::Over && empty {
                     return self.remove(id, *chunk, txn);
                 }
+                let Some(value) = self.chunk_value(job, *chunk) else {
+                    self.wait_for_room(item.clone());
+                    return None;
+                };
                 let key = chunk_key(id, *chunk);
                 txn.conditions.push(Condition { key: key.clone(), version: slot.stamp });
                 if slot.stamp == Revision(0) {
@@ -177,8 +202,8 @@
                     let version = job.live_stamp;
                     txn.conditions.push(Condition { key: live_key(id), version });
                 }
-                *bytes += 60 + record.done.len() + record.held.len() * 48;
-                txn.changes.push(Change::put(key, json!(record)));
+                *bytes += 60 + value.to_string().len();
+                txn.changes.push(Change::put(key, value));
                 let range = chunk * CHUNK_TASKS..(chunk + 1).saturating_mul(CHUNK_TASKS);
                 let is_done = |task: &u32| job.tasks.get(*task as usize) == Some(&Task::Done);
                 let done =
@@ -190,7 +215,7 @@
 
     /// Writes a job's final state, with its usage if its records go in the same write.
     pub(super) fn write_end(
-        &self,
+        &mut self,
         id: &JobId,
         with_records: bool,
         txn: &mut Txn,
@@ -202,13 +227,17 @@
             return None;
         };
         let spent = self.spent(job, with_records);
-        let record = job.over_record(status, spent.clone());
+        let record = self.over_record(job, status, spent.clone());
+        let value = serde_json::to_value(record).unwrap_or(Value::Null);
+        if !self.fits(&value) {
+            self.wait_for_room(Item::End(id.clone()));
+            return None;
+        }
         txn.conditions.push(when(over_key(id), Revision(0)));
         txn.conditions.push(when(live_key(id), job.live_stamp));
-        let value = serde_json::to_value(record).unwrap_or(Value::Null);
+        *bytes += 60 + value.to_string().len();
         txn.changes.push(Change::put(over_key(id), value));
         txn.changes.push(Change::Delete { key: live_key(id) });
-        *bytes += 200;
         Some(Written { spent, ..Written::of(Item::End(id.clone())) })
     }
 
@@ -239,6 +268,7 @@
         written: &[Written],
         revision: Revision,
     ) -> Vec<(JobId, OverRecord)> {
+        self.refusals.taken(written.iter().map(|done| &done.item));
         let mut over = Vec::new();
         // Records before ends: guards against forgetting a job whose record was written along with
         // its end, and which nobody would remove any more.
@@ -282,7 +312,8 @@
             return None;
         };
         job.enter(JobState::Over, "durable");
-        let record = job.over_record(status, spent);
+        let job = self.jobs.get(id)?;
+        let record = self.over_record(job, status, spent);
         self.counted(id, &record, stamp);
         let job = self.jobs.get(id)?;
         for chunk in job.stored_chunks() {
@@ -314,6 +345,30 @@
         }
     }
 
+    /// A transaction was refused for what it is: it is not written as it was again.
+    pub fn refused(&mut self, written: Vec<Written>, now: Mono) {
+        let own = |done: &&Written| matches!(done.item, Item::End(_) | Item::Chunk(..));
+        let mut items: Vec<Item> = written.iter().filter(own).map(|w| w.item.clone()).collect();
+        // An end takes records along, and is written without them if it is refused.
+        items.sort();
+        match self.refusals.refused(&items, now) {
+            None => self.flush_refused(now),
+            Some(Refusal::Smaller) => {
+                log::warn!("store: writing {} items at once from here on", self.refusals.most());
+            }
+            Some(Refusal::SetAside(item, pause)) => {
+                log::error!("store: {} is refused alone; again in {pause:?}", Self::key_of(&item));
+            }
+        }
+        self.requeue(written);
+    }
+
+    /// What does not fit a value at present is written later: by then some of it may have ended.
+    fn wait_for_room(&mut self, item: Item) {
+        let pause = self.refusals.set_aside(item.clone(), self.now);
+        log::error!("store: {} does not fit a value; again in {pause:?}", Self::key_of(&item));
+    }
+
     /// What the store holds under the key of an item whose fate was unknown: its version, and
     /// whether a job's end was found there.
     pub fn resolved(&mut self, item: &Item, row: Option<Row>) -> Option<(JobId, OverRecord)> {
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -15,6 +15,7 @@
 pub mod owners;
 pub mod parked;
 pub mod placement;
+pub mod refusals;
 pub mod reign;
 pub mod relay;
 pub mod reply;
--- /dev/null
+++ b/crates/core/src/refusals/tests.rs
@@ -0,0 +1,42 @@
+//! Refused transactions become smaller, and what is refused alone waits longer each time.
+
+use super::*;
+
+#[test]
+fn refused_transactions_become_smaller_until_one_item_is_left() {
+    let mut refusals = Refusals::default();
+    let items: Vec<u32> = (0..16).collect();
+    let mut most = Vec::new();
+    while refusals.refused(&items[..refusals.most().min(16)], Mono(0)) == Some(Refusal::Smaller) {
+        most.push(refusals.most());
+    }
+    assert_eq!(most, [8, 4, 2, 1]);
+    assert!(refusals.holds(&0) && !refusals.holds(&1));
+    for _ in 0..GROW_AFTER {
+        assert_eq!(refusals.most(), 1);
+        refusals.taken([1].iter());
+    }
+    assert_eq!(refusals.most(), 2, "it grows back");
+}
+
+#[test]
+fn what_is_refused_alone_waits_longer_each_time_and_is_never_dropped() {
+    let mut refusals = Refusals::default();
+    let (mut now, mut pauses) = (Mono(0), Vec::new());
+    for _ in 0..9 {
+        let Some(Refusal::SetAside(7, pause)) = refusals.refused(&[7], now) else {
+            panic!("one item alone is set aside");
+        };
+        pauses.push(pause);
+        assert!(refusals.holds(&7) && refusals.waiting() == 1);
+        assert_eq!(refusals.take_due(Mono(now.plus(pause).0 - 1)), None);
+        now = now.plus(pause);
+        assert_eq!(refusals.take_due(now), Some(7));
+        assert!(!refusals.holds(&7) && refusals.take_due(now).is_none());
+    }
+    assert!(pauses.windows(2).all(|two| two[1].0 == (two[0].0 * 2).min(REFUSED_PAUSE_MAX_MS.0)));
+    assert_eq!(pauses.last(), Some(&REFUSED_PAUSE_MAX_MS));
+    refusals.taken([7].iter());
+    assert_eq!(refusals.refused(&[7], now), Some(Refusal::SetAside(7, REFUSED_PAUSE_MS)));
+    assert_eq!(refusals.refused(&[], now), None);
+}
--- a/crates/core/src/reign/graphs.rs
+++ b/crates/core/src/reign/graphs.rs
@@ -13,9 +13,9 @@
     Some(Desk::new(limits, token, room, now))
 }
 
-/// What the state service's limits leave for the records of one addition.
+/// What the state service's limits, those to come included, leave for the records of one addition.
 pub(super) fn room(settings: &Settings) -> RecordRoom {
-    let state = &settings.facts.state;
+    let state = settings.facts.state.strictest();
     let value = (state.value_kb * 1024.0) as usize;
     RecordRoom { value, values: state.txn_ops.saturating_sub(GRAPH_OPS_KEPT).max(1) }
 }
--- a/crates/core/src/reign/mod.rs
+++ b/crates/core/src/reign/mod.rs
@@ -81,6 +81,8 @@
     pub account_every: Millis,
     /// How much of graphs is taken on, where they are served, and what their records may take.
     pub graphs: Option<(Limits, RecordRoom)>,
+    /// What a value may take at most, now and later, in bytes.
+    pub value_bytes: usize,
 }
 
 impl Terms {
@@ -90,11 +92,14 @@
         let accounted = ops.ledger.then(|| Arc::new(named.chain(limited).collect()));
         let account_every = Millis(ops.ledger_every_ms);
         let graphs = ops.graphs.then(|| (ops.graph_limits.clone(), graphs::room(settings)));
-        Self { classes: Arc::new(ops.classes.clone()), accounted, account_every, graphs }
+        let value_bytes = (settings.facts.state.strictest().value_kb * 1024.0) as usize;
+        let classes = Arc::new(ops.classes.clone());
+        Self { classes, accounted, account_every, graphs, value_bytes }
     }
 
     fn account(&self) -> Option<Account> {
-        self.accounted.clone().map(|classes| Account::new(classes, self.account_every))
+        let classes = self.accounted.clone()?;
+        Some(Account::new(classes, self.account_every).within(self.value_bytes))
     }
 }
 
--- a/crates/core/src/store.rs
+++ b/crates/core/src/store.rs
@@ -186,6 +186,16 @@
         }
     }
 
+    /// The service is known to hold, or to be about to hold, to other limits: what was saved up beyond them is gone.
+    pub fn keep_to(&mut self, facts: &StateFacts) {
+        let rates = (facts.rps, facts.write_rps);
+        if rates != self.rates {
+            log::info!("store: {} requests and {} changes a second from here on", rates.0, rates.1);
+            self.rates = rates;
+            self.share_out();
+        }
+    }
+
     /// The one place where this controller's share of the budgets changes.
     fn share_out(&mut self) {
         let share = if self.leading {
--- a/crates/graph/src/constants.rs
+++ b/crates/graph/src/constants.rs
@@ -19,6 +19,12 @@
 pub const KINDS_MOST: usize = 1_000;
 /// Retries that a node may ask for; its class bounds it further.
 pub const RETRIES_MOST: u32 = 1_000;
+/// The value limit that the two bounds below are for; with less they are lowered in proportion.
+pub const VALUE_BYTES: usize = 8 * 1024;
+/// How a node ended, as it stands in a page, in bytes beside its name: the number of its job has nine digits at most.
+pub const END_ROW_BYTES: usize = 18;
+/// What such a page takes beside its rows, in bytes.
+pub const END_HEAD_BYTES: usize = 20;
 /// Nodes that go as one array: what is to be kept of each when the array ends fits into a record of 8 KiB.
 pub const BATCH_MOST: usize = 400;
 /// Runs of consecutive nodes in one array, for the same reason.
--- a/crates/graph/src/desk.rs
+++ b/crates/graph/src/desk.rs
@@ -71,6 +71,8 @@
     pub(crate) queue: Queue,
     pub(crate) effects: Vec<Effect>,
     pub(crate) order: Order,
+    /// Items that one transaction may have at present.
+    pub items_most: usize,
     over: BTreeMap<GraphId, OverRecord>,
     over_order: VecDeque<GraphId>,
     bucket: Bucket,
@@ -101,6 +103,7 @@
             queue: Queue::default(),
             effects: Vec::new(),
             order: Order::default(),
+            items_most: usize::MAX,
             over: BTreeMap::new(),
             over_order: VecDeque::new(),
             bucket,
@@ -665,7 +668,7 @@
             let order = self.order;
             let live = self.graphs.get_mut(&id)?;
             live.weigh(bias, now.mono);
-            let launch = live.launch(allowed, bias, order, now.mono, now.wall_ms);
+            let launch = live.launch(allowed, bias, order, self.room, (now.mono, now.wall_ms));
             if !live.model.any_ready() || launch.is_none() {
                 self.wanting.remove(&id);
             }
--- a/crates/graph/src/launching.rs
+++ b/crates/graph/src/launching.rs
@@ -3,7 +3,7 @@
 use crate::constants::*;
 use crate::ids::{GraphId, NodeIx, Seq};
 use crate::live::{JobPhase, Live, Phase};
-use crate::model::{Group, Kind};
+use crate::model::{Group, Kind, Room};
 use crate::paths::{graph_due, node_due_s, seconds};
 use crate::records::{Head, Part};
 use crate::requests::{NodeShape, Strategy};
@@ -110,8 +110,8 @@
         allowed: Option<u32>,
         bias: f64,
         order: Order,
-        now: Mono,
-        wall_ms: u64,
+        room: Room,
+        (now, wall_ms): (Mono, u64),
     ) -> Option<Launch> {
         if self.phase != Phase::Open {
             return None;
@@ -119,15 +119,15 @@
         let (group, nodes): (Group, Vec<NodeIx>) = match order {
             Order::LongestPath => {
                 let (group, nodes) = self.model.next_group()?;
-                (group, nodes.take(BATCH_MOST).collect())
+                (group, nodes.take(room.batch()).collect())
             }
             Order::Added => {
                 let (group, nodes) = self.model.next_in_order()?;
-                (group, nodes.take(BATCH_MOST).collect())
+                (group, nodes.take(room.batch()).collect())
             }
         };
         let seq = self.next?;
-        let (runs, taken) = Runs::of(&nodes, RUNS_MOST);
+        let (runs, taken) = Runs::of(&nodes, room.runs());
         let nodes = &nodes[..taken];
         let own_s = self.own_s(group.kind, bias);
         let due = graph_due(self.created, self.head.due_s, self.path_s, now);
--- a/crates/graph/src/live.rs
+++ b/crates/graph/src/live.rs
@@ -1,6 +1,7 @@
 //! One graph that is not over: which of its jobs are open, and how it comes to its end.
 
 use crate::answers::{GraphStatus, GraphView, JobNodes, NodeView, TaskNode};
+use crate::constants::END_HEAD_BYTES;
 use crate::constants::JOB_NODES_BYTES;
 use crate::ids::{GraphId, NodeIx, Seq};
 use crate::model::{Model, NodeState, Prepared};
@@ -310,17 +311,25 @@
     }
 
     /// How the nodes of a page ended.
-    pub fn over_page(&self, page: u32) -> OverPage {
+    /// How the nodes of a page ended. Why they failed is told as far as a value of so many bytes holds it.
+    pub fn over_page(&self, page: u32, value: usize) -> OverPage {
         let nodes = || self.model.page_nodes(page).map(NodeIx);
         let row = |at: NodeIx| {
             let node = self.model.node(at)?;
             Some((node.name.to_string(), node.job_number(), node.state.status().letter()))
         };
         let failed = |at: NodeIx| self.failures.contains_key(&at).then(|| self.failed_node(at))?;
-        OverPage {
-            nodes: nodes().filter_map(row).collect(),
-            failures: nodes().filter_map(failed).collect(),
-        }
+        let rows: Vec<_> = nodes().filter_map(row).collect();
+        let size =
+            |text: serde_json::Result<String>| text.map_or(usize::MAX, |text| text.len() + 1);
+        let mut left = value.saturating_sub(size(serde_json::to_string(&rows)) + END_HEAD_BYTES);
+        let fits = |failure: &FailedNode| {
+            let taken = size(serde_json::to_string(failure));
+            let fits = taken <= left;
+            left -= if fits { taken } else { 0 };
+            fits
+        };
+        OverPage { nodes: rows, failures: nodes().filter_map(failed).filter(fits).collect() }
     }
 
     /// The task that made a node's result.
--- a/crates/graph/src/model.rs
+++ b/crates/graph/src/model.rs
@@ -143,6 +143,23 @@
     pub values: usize,
 }
 
+impl Room {
+    /// What of `most` fits, where that many fit a value of [`VALUE_BYTES`].
+    fn part_of(&self, most: usize) -> usize {
+        (most * self.value / VALUE_BYTES).clamp(1, most)
+    }
+
+    /// Nodes that go as one array.
+    pub fn batch(&self) -> usize {
+        self.part_of(BATCH_MOST)
+    }
+
+    /// Runs of consecutive nodes in one array.
+    pub fn runs(&self) -> usize {
+        self.part_of(RUNS_MOST)
+    }
+}
+
 #[derive(Debug, Default)]
 pub struct Model {
     pub kinds: Vec<Kind>,
@@ -559,7 +576,9 @@
         pages.last_mut().into_iter().for_each(|page| page.kinds.push(kind.clone()));
     }
     for row in rows {
-        place(&mut pages, size(serde_json::to_string(&row)), next)?;
+        // How it ended is kept in a page like this one.
+        let ended = row.0.len() + END_ROW_BYTES;
+        place(&mut pages, size(serde_json::to_string(&row)).max(ended), next)?;
         next += 1;
         pages.last_mut().into_iter().for_each(|page| page.nodes.push(row.clone()));
     }
--- a/crates/graph/src/writing.rs
+++ b/crates/graph/src/writing.rs
@@ -134,7 +134,12 @@
         let mut txn = Txn { conditions: vec![fence], changes: Vec::new() };
         let mut wrote: Vec<Wrote> = Vec::new();
         let mut bytes = 0;
-        while txn.changes.len() < ops && bytes < TXN_BYTES && txn.conditions.len() + 4 < ops * 4 {
+        let most = self.items_most;
+        while wrote.len() < most
+            && txn.changes.len() < ops
+            && bytes < TXN_BYTES
+            && txn.conditions.len() + 4 < ops * 4
+        {
             let Some(item) = self.next_item(now) else { break };
             let before = (txn.conditions.len(), txn.changes.len());
             let written = self.write(&item, &mut txn, live);
@@ -248,7 +253,10 @@
             Item::EndPage(id, page) => {
                 let Some(live) = self.graphs.get(id) else { return false };
                 txn.conditions.push(when(head_key(*id), live.stamp));
-                txn.changes.push(put(over_page_key(*id, *page), json!(live.over_page(*page))));
+                txn.changes.push(put(
+                    over_page_key(*id, *page),
+                    json!(live.over_page(*page, self.room.value)),
+                ));
             }
             Item::End(id) => {
                 let Some(live) = self.graphs.get(id) else { return false };
@@ -377,6 +385,11 @@
         wrote.into_iter().rev().for_each(|wrote| self.queue.put_back(wrote.item));
     }
 
+    /// An item that was refused alone is to be tried again, before others.
+    pub fn retry(&mut self, item: Item) {
+        self.queue.put_back(item);
+    }
+
     /// Keys whose reading settles an item whose fate is unknown; none: it is written again as it is. `live` and `over`:
     /// where a job stands.
     pub fn keys_of(
--- a/crates/ledger/src/constants.rs
+++ b/crates/ledger/src/constants.rs
@@ -20,6 +20,8 @@
 /// Rows of a roll-up, in a value of 8 KiB, and its largest size in bytes.
 pub const ROLLUP_ROWS_MOST: usize = 40;
 pub const ROLLUP_BYTES: usize = 8 * 1024;
+/// What a roll-up takes beside its rows, in bytes.
+pub const ROLLUP_HEAD_BYTES: usize = 60;
 /// Period in which what ended is added to the roll-ups. Each costs a change for every team and class that had an
 /// end, and what is not added yet has to be read again by the next leader.
 pub const FLUSH_MS: Millis = Millis(30_000);
--- a/crates/ledger/src/rollup.rs
+++ b/crates/ledger/src/rollup.rs
@@ -99,6 +99,14 @@
         }
     }
 
+    /// All usage counts for the last day.
+    pub fn join_days(&mut self) {
+        while self.0.len() > 1 {
+            self.move_up();
+        }
+        self.shrink(TIGHT_ROWS);
+    }
+
     /// Usage of days before `open` counts for `open`: they may have closed meanwhile.
     pub fn reopen_from(&mut self, open: u64) {
         let late = self.0.iter().take_while(|(day, _)| **day < open);
@@ -182,6 +190,8 @@
     in_flight: BTreeMap<Slot, Rollup>,
     next_flush: Mono,
     every: Millis,
+    /// Rows that a roll-up may have.
+    rows_most: usize,
     /// The newest final state that is known.
     newest: Revision,
 }
@@ -189,7 +199,13 @@
 impl Rollups {
     /// An account that is empty, and adds what ended so often.
     pub fn new(every: Millis) -> Self {
-        Self { every, ..Self::default() }
+        Self { every, rows_most: ROLLUP_ROWS_MOST, ..Self::default() }
+    }
+
+    /// The same with roll-ups that fit values of so many bytes.
+    pub fn within(self, value_bytes: usize) -> Self {
+        let rows = value_bytes.saturating_sub(ROLLUP_HEAD_BYTES) / ROW_BYTES;
+        Self { rows_most: rows.clamp(1, ROLLUP_ROWS_MOST), ..self }
     }
 
     pub fn knowledge(&self) -> Knowledge {
@@ -244,7 +260,7 @@
             let slot = Slot { day, team: team.to_owned(), class: class.to_owned() };
             let mut rollup = self.latest(&slot);
             rollup.tally.merge(tally);
-            rollup.tally.shrink(ROLLUP_ROWS_MOST);
+            rollup.tally.shrink(self.rows_most);
             self.in_flight.insert(slot, rollup);
         }
     }
@@ -286,7 +302,7 @@
             if self.pending.iter().any(|p| p.slot == *slot) {
                 rollup.through = rollup.through.max(self.newest);
             }
-            rollup.tally.shrink(ROLLUP_ROWS_MOST);
+            rollup.tally.shrink(self.rows_most);
         }
         if left_out {
             self.next_flush = now;
--- a/crates/policy/src/charges.rs
+++ b/crates/policy/src/charges.rs
@@ -30,6 +30,20 @@
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
     }
+
+    /// Joins the failures of each task whatever the machine. What was excused is left out, as it did not count.
+    pub fn forget_hosts(&mut self) {
+        let mut joined: BTreeMap<u32, u32> = BTreeMap::new();
+        for (task, place, count) in &self.rows {
+            if !self.excused.contains(place) {
+                let sum = joined.entry(*task).or_default();
+                *sum = sum.saturating_add(*count);
+            }
+        }
+        self.rows = joined.into_iter().map(|(task, count)| (task, u16::MAX, count)).collect();
+        self.hosts.clear();
+        self.excused.clear();
+    }
 }
 
 /// Whether a task may be tried again.
--- a/crates/protocol/src/settings.rs
+++ b/crates/protocol/src/settings.rs
@@ -103,7 +103,7 @@
 }
 
 /// Limits of the state service.
-#[derive(Clone, Debug, Deserialize)]
+#[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct StateFacts {
     pub rps: f64,
     pub write_rps: f64,
