--- a/crates/core/src/jobs/mod.rs
+++ b/crates/core/src/jobs/mod.rs
@@ -6,8 +6,10 @@
 
 mod accepted;
 mod dependencies;
+mod fitting;
 mod job;
 mod over;
+mod packed;
 mod records;
 mod usage;
 mod writing;
@@ -15,6 +17,7 @@
 pub use accepted::{AcceptedJobs, AcceptedKind};
 use dependencies::Dependencies;
 pub use dependencies::Inherited;
+pub use fitting::RecordLimits;
 pub use job::*;
 pub use over::OverCache;
 pub use records::*;
@@ -23,6 +26,7 @@
 pub use writing::{Item, Written};
 
 use crate::constants::*;
+use crate::refusals::{Refusal, Refusals};
 use oatloom_policy::classes::{Allowance, Classes, OnExhausted};
 use oatloom_protocol::ids::*;
 use oatloom_protocol::wire::{
@@ -67,6 +71,12 @@
     /// The same for arrays of nodes, whose turn comes sooner.
     brisk: VecDeque<(Mono, Item)>,
     queued: BTreeMap<Item, Haste>,
+    /// What records and transactions may take.
+    pub limits: RecordLimits,
+    /// Items that the service refused one by one, or that do not fit a value yet.
+    refusals: Refusals<Item>,
+    /// Whether it was said that a record takes no further assignment.
+    said_full: bool,
 }
 
 impl Book {
@@ -203,6 +213,9 @@
 
     /// Assigns a task to a machine; the assignment still has to become durable.
     pub fn hold(&mut self, id: &JobId, index: u32, mut hold: Hold) -> bool {
+        if !self.has_room(id, index, &hold) {
+            return false;
+        }
         let Some(job) = self.jobs.get(id) else { return false };
         hold.version = job.chunks[(index / CHUNK_TASKS) as usize].version + 1;
         let held = self.hold_unwritten(id, index, hold);
