--- a/crates/emulator/src/checker.rs
+++ b/crates/emulator/src/checker.rs
@@ -1,5 +1,7 @@
 //! The rules of the protocol, checked after every step of a simulated day.
 
+mod dependencies;
+
 use oatloom_protocol::wire::{Cause, JobSpec, JobStatus, Order, Shape};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -52,6 +54,8 @@
     pub repeats: HashMap<String, u32>,
     /// From the last failure that was allowed to the first time that a user was told `failed`, in milliseconds.
     pub refused_ms: Vec<u64>,
+    /// The longest that a job was called open after its user was told that a job before it is cancelled, in milliseconds.
+    pub orphaned_ms: u64,
     /// How attempts ended, by machine, job, task and attempt: the cause, and for how long they ran, in milliseconds.
     pub exits: BTreeMap<(String, Start), (Cause, u64)>,
     /// Tasks that came onto machines since this was last taken, where somebody takes it.
@@ -98,6 +102,7 @@
             starts: 0,
             repeats: HashMap::new(),
             refused_ms: Vec::new(),
+            orphaned_ms: 0,
             exits: BTreeMap::new(),
             begun: None,
             errors: BTreeMap::new(),
@@ -181,14 +186,20 @@
         self.repeats.get(&self.specs.get(job)?.class).copied()
     }
 
+    /// Whether a task of a job, or the gang, failed once more often than its class allows, on whichever machines.
+    fn has_spent_repeats(&self, job: &str) -> bool {
+        let Some(allowed) = self.allowed(job) else { return false };
+        let units = (job.to_owned(), 0)..=(job.to_owned(), u32::MAX);
+        self.errors.range(units).any(|(_, errors)| errors.own.len() > allowed as usize)
+    }
+
     /// A user was told for the first time that a job has failed.
     fn told_failed(&mut self, now: u64, job: &str) {
         let units = (job.to_owned(), 0)..=(job.to_owned(), u32::MAX);
         let errors: Vec<Errors> =
             self.errors.range(units).map(|(_, errors)| errors.clone()).collect();
         let allowed = self.allowed(job);
-        let spent = |e: &Errors| allowed.is_some_and(|allowed| e.own.len() > allowed as usize);
-        if !errors.iter().any(spent) {
+        if !self.has_spent_repeats(job) {
             let text = format!("{job} was refused for others' faults: {errors:?} of {allowed:?}");
             self.fail(now, "repeats", text);
         }
@@ -254,6 +265,7 @@
             let text = format!("{task:?} at {place:?}, {siblings:?}, {spec:?}");
             self.fail(now, "wrong_place", text);
         }
+        self.check_not_early(now, &spec, &task);
         if self.over(&task.job) == Some(JobStatus::Failed) {
             self.fail(now, "failed_early", format!("{task:?} starts"));
         }
@@ -353,6 +365,7 @@
         if said == JobStatus::Done && !self.all_done(job) {
             self.fail(now, "not_done", job.into());
         }
+        let may_be_cancelled = self.may_be_cancelled(job);
         let told = self.told.entry(job.into()).or_default();
         if !told.accepted {
             (told.accepted, told.accepted_at) = (true, now);
@@ -360,9 +373,10 @@
         // Two different ends cannot have crossed: one of them was never true.
         let back = told.over.is_some_and(|over| over != said)
             && (asked >= told.over_at || said.is_final());
-        let unasked = said == JobStatus::Cancelled && !told.cancel_asked;
+        let unasked = said == JobStatus::Cancelled && !may_be_cancelled;
         let before = told.over;
-        let failed = said == JobStatus::Failed && told.over.is_none();
+        let ends = said.is_final() && told.over.is_none();
+        let failed = ends && said == JobStatus::Failed;
         if said.is_final() && told.over.is_none() {
             told.over = Some(said);
             told.over_at = now;
@@ -373,6 +387,12 @@
         if failed {
             self.told_failed(now, job);
         }
+        if ends {
+            self.check_agrees(now, job, said);
+        }
+        if matches!(said, JobStatus::Queued | JobStatus::Running) {
+            self.check_not_orphaned(now, asked, job);
+        }
         if back || unasked {
             self.fail(now, "went_back", format!("{job} was {before:?}, is {said:?}"));
         }
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -6,8 +6,7 @@
 
 use oatloom_core::api::Request;
 use oatloom_core::jobs::{ChunkRecord, LiveRecord};
-use oatloom_emulator::checker::Place;
-use oatloom_emulator::worker::{Broken, Fetch, Instance, Times, Worker};
+use oatloom_emulator::worker::{Broken, Instance, Worker};
 use oatloom_protocol::ids::{Attempt, HostId, JobId, Shift, Tally, Zone};
 use oatloom_protocol::wire::{
     Cause, Change, JobSpec, JobStatus, Order, Rank, Report, ReportAnswer, Shape, TaskPhase,
@@ -32,19 +31,13 @@
 
 // --- The check `neglected` itself -----------------------------------------------------------------
 
-fn machine(host: &str, zone: &str, spot: bool) -> Worker {
-    let times = Times { report: 3_000, lease: 26_000, gang_wait: 40_000, gang_peer: 4_000 };
-    let place = Place { flavor: "g4".into(), zone: zone.into(), spot };
-    Worker::new(host.into(), place, 4.0, 0, times, Fetch::Between(10, 11))
-}
-
 /// A world without controllers from the beginning, a machine of four GPUs in zone a, and a job of two tasks of one GPU that
 /// was accepted.
 fn planted(limit: f64, change: impl Fn(&mut JobSpec)) -> World {
     let teams = [Terms { name: "blue", gpus_max: limit, ..Terms::default() }];
     let mut world = World::deployed(site(&teams), &mut ChaCha8Rng::seed_from_u64(1), 0);
     (0..3).for_each(|node| world.strike(Fault::NodeDown(node, 1_000_000)));
-    world.region.workers.insert("i-1".into(), machine("i-1", "a", false));
+    world.add_machine("i-1", "a", false);
     let mut spec = small_array("req-1", 5);
     change(&mut spec);
     world.add_job(spec);
--- a/tests/world/limits.rs
+++ b/tests/world/limits.rs
@@ -2,7 +2,8 @@
 
 use super::{SETTINGS, Site, User, World, settings};
 use oatloom_core::workers::Room;
-use oatloom_emulator::worker::Worker;
+use oatloom_emulator::checker::Place;
+use oatloom_emulator::worker::{Fetch, Times, Worker};
 use oatloom_protocol::wire::{JobSpec, JobStatus, Shape, TaskPhase};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
@@ -161,6 +162,7 @@
             if !user.accepted
                 || user.abort_at.is_some_and(|at| self.now >= at)
                 || self.region.checker.over(id).is_some()
+                || self.open_dependency(spec).is_some()
                 || self.region.outside.broken.contains_key(id)
                 || !(0..spec.tasks).any(wants)
             {
@@ -191,6 +193,15 @@
         }
     }
 
+    /// A machine of four GPUs that is up from the beginning.
+    pub fn add_machine(&mut self, host: &str, zone: &str, spot: bool) {
+        let times = Times { report: 3_000, lease: 26_000, gang_wait: 40_000, gang_peer: 4_000 };
+        let place = Place { flavor: "g4".into(), zone: zone.into(), spot };
+        let fetch = Fetch::Between(10, 11);
+        let worker = Worker::new(host.into(), place, 4.0, 0, times, fetch);
+        self.region.workers.insert(host.into(), worker);
+    }
+
     /// All users who came have been told that their jobs are accepted.
     pub fn accept_all(&mut self) {
         self.users.iter_mut().for_each(|user| user.accepted = true);
--- a/tests/world/looks.rs
+++ b/tests/world/looks.rs
@@ -166,6 +166,7 @@
             && let Ok(answer) = serde_json::from_str::<ReportAnswer>(&reply.body)
         {
             self.region.checker.ordered(self.now, &answer.orders);
+            self.look_at_orders(&answer.orders);
             for order in &answer.orders {
                 if let Order::Run { task, .. } = order
                     && let Some((job, _)) = task.rsplit_once('/')
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -5,9 +5,12 @@
 pub mod limits;
 pub mod looks;
 pub mod machines;
+pub mod pipelines;
 pub mod served;
 pub mod solo;
 pub mod state;
+pub mod troubles;
+pub mod upgrades;
 
 use graphs::Clients;
 use limits::Neglect;
@@ -28,6 +31,7 @@
 use oatloom_protocol::reply::HttpReply;
 use oatloom_protocol::settings::{Peer, Settings, Team};
 use oatloom_protocol::wire::{Command, Flavor, JobSpec, JobStatus, Rank, Report, Row, Shape};
+use pipelines::Submits;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -211,6 +215,10 @@
     PeersApart(usize, usize, u64),
     /// The state service takes so many times as long.
     StoreSlow(u64, u32),
+    /// The state service has the limits that the settings announce, from now on.
+    LimitsFall,
+    /// A node is killed, and comes back with the new version so much later.
+    Upgrade(usize, u64),
     /// What else strikes, strikes the node that leads at that moment.
     Leader(Upon),
 }
@@ -227,6 +235,8 @@
 
 struct Node {
     core: Option<Controller>,
+    /// Which version it comes back with when it is started next.
+    version: upgrades::Version,
     life: u64,
     started: u64,
     drift: f64,
@@ -259,6 +269,8 @@
     accepted_after: Option<u64>,
     abort_at: Option<u64>,
     aborted: bool,
+    /// What it waits for before it submits a job that needs others.
+    submits: pipelines::Submits,
     /// Questions, and those that were answered in time.
     asked: u32,
     answered: u32,
@@ -269,7 +281,9 @@
 impl User {
     fn new(spec: JobSpec, at: u64, abort_at: Option<u64>) -> Self {
         let (accepted, accepted_after, aborted, asked, answered) = (false, None, false, 0, 0);
+        let needs = !spec.dependencies.is_empty();
         Self {
+            submits: if needs { Submits::OnceAccepted } else { Submits::AtOnce },
             spec,
             at,
             give_up: at + 60_000,
@@ -334,6 +348,9 @@
     pub operators: Operators,
     /// What controllers have accounted, in order, with their number and which of their lives it was.
     pub entries: Vec<(usize, u64, Entry)>,
+    /// Whether the state service has its lower limits, and what it refused for its size: by node, its life, and changes.
+    pub limits_lowered: bool,
+    refused_writes: BTreeSet<(usize, u64, u64)>,
     site: Site,
     /// Requests and changes that the state service was asked for, by second.
     pub spent: BTreeMap<u64, (u32, u32)>,
@@ -475,7 +492,7 @@
             now: 0,
             queue: BTreeMap::new(),
             order: 0,
-            state: State::default(),
+            state: upgrades::limited_state(&site),
             outage_until: 0,
             cloud_outage_until: 0,
             cloud_late: (0, 0),
@@ -500,6 +517,8 @@
             restart_ms: 5_000,
             operators: Operators::default(),
             entries: Vec::new(),
+            limits_lowered: false,
+            refused_writes: BTreeSet::new(),
             nodes: Vec::new(),
             watches: Vec::new(),
             region: region(&site, rng.random()),
@@ -520,6 +539,7 @@
         for _ in 0..3 {
             world.nodes.push(Node {
                 core: None,
+                version: upgrades::Version::Current,
                 life: 0,
                 started: 0,
                 drift: rng.random_range(0.0..0.0005),
@@ -873,8 +893,8 @@
             }
             Message::Store { node, life, id, op, answer } => {
                 let out = self.now < self.outage_until || self.now < self.nodes[node].refused_until;
-                let reply =
-                    if out { StoreReply::Refused } else { self.state.execute(self.now, &op) };
+                let reply = if out { StoreReply::Refused } else { self.state.serve(self.now, &op) };
+                self.look_at_write(node, &op, &reply);
                 self.clients.wrote(self.now, &op, &reply, &mut self.region);
                 let lost = self.now < self.store_loses_until
                     || self.now < self.nodes[node].cut_until
@@ -1081,6 +1101,8 @@
             }
             Fault::NodeCut(node, span) => self.nodes[node].cut_until = now + span,
             Fault::NodeParted(node, span) => self.nodes[node].parted_until = now + span,
+            Fault::LimitsFall => self.lower_limits(),
+            Fault::Upgrade(node, away) => self.upgrade(node, away),
             Fault::Leader(what) => {
                 // While nobody may lead it strikes the one that does not know yet that it does not.
                 let seated = |n: &usize| self.nodes[*n].core.as_ref().is_some_and(|c| c.leads());
@@ -1157,7 +1179,8 @@
                 continue;
             };
             if self.rng.random_bool(0.5) {
-                self.state.execute(self.now, &op);
+                let reply = self.state.serve(self.now, &op);
+                self.look_at_write(node, &op, &reply);
             }
             let event = Event::Store { id, reply: StoreReply::Lost };
             self.send(30, Message::Node { node, life, event });
@@ -1185,12 +1208,7 @@
         for node in 0..3 {
             if self.nodes[node].core.is_none() && self.now >= self.nodes[node].restart_at {
                 let seed = self.rng.random();
-                let core = Controller::new(
-                    settings(&self.site.settings, node),
-                    self.operators.clone(),
-                    seed,
-                );
-                self.nodes[node].core = Some(core);
+                self.nodes[node].core = Some(self.controller(node, seed));
                 self.nodes[node].started = self.now;
             }
             if self.now >= self.nodes[node].frozen_until {
@@ -1234,9 +1252,10 @@
         let now = self.now;
         for at in 0..self.users.len() {
             let user = &self.users[at];
-            if now < user.next {
+            if now < user.next || !self.submits_now(at) {
                 continue;
             }
+            let user = &self.users[at];
             if self.quiet && self.region.checker.over(user.spec.id.as_str()).is_some() {
                 self.users[at].next = u64::MAX;
                 continue;
@@ -1350,6 +1369,7 @@
             self.region.note_list(self.now);
             self.region.checker.look(self.now);
             self.look_for_forgotten();
+            self.look_at_waiting();
             self.look_for_neglected();
         }
         self.clients.look(self.now, &mut self.region);
--- /dev/null
+++ b/tests/world/pipelines.rs
@@ -0,0 +1,311 @@
+//! Users with pipelines: jobs that need others, of random shape, and what must hold of them after every step.
+
+use super::{STEP_MS, User, World};
+use oatloom_core::jobs::{ChunkRecord, JobState, OverRecord, Usage, over_key, parse_chunk_key};
+use oatloom_core::store::{StoreOp, StoreReply};
+use oatloom_protocol::ids::JobId;
+use oatloom_protocol::wire::{Change, JobSpec, JobStatus, Order, Rank, Shape, Txn};
+use rand::seq::{IndexedRandom, SliceRandom};
+use rand::{Rng, SeedableRng};
+use rand_chacha::ChaCha8Rng;
+use std::collections::BTreeMap;
+
+/// How long users try to submit a job, in milliseconds (protocol).
+const SUBMIT_FOR_MS: u64 = 60_000;
+/// Numbers of pipelines' jobs begin here, beyond those of other users.
+const FIRST_NUMBER: usize = 600;
+/// Slack for sums of decimal amounts.
+const EPSILON: f64 = 1e-6;
+
+/// What a user waits for before it submits a job.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Submits {
+    AtOnce,
+    /// Until all jobs that it needs were accepted.
+    OnceAccepted,
+    /// Until the user knows how all jobs that it needs ended.
+    OnceOver,
+}
+
+/// How the jobs of a pipeline need each other.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Form {
+    Chain,
+    Diamond,
+    ManyBehindOne,
+    OneBehindMany,
+    /// Each needs some of those before it.
+    Mesh,
+}
+
+const FORMS: [Form; 5] =
+    [Form::Chain, Form::Diamond, Form::ManyBehindOne, Form::OneBehindMany, Form::Mesh];
+
+/// How pipelines are drawn.
+#[derive(Clone, Copy, Debug)]
+pub struct Draw {
+    pub count: usize,
+    /// Between which moments their users come, in milliseconds.
+    pub from: u64,
+    pub to: u64,
+    /// The share of pipelines of which jobs are cancelled, up to so long after its user came.
+    pub cancelled: f64,
+    pub cancelled_within: u64,
+    /// The share of last jobs that are submitted when all jobs that they need are over.
+    pub late: f64,
+}
+
+impl Default for Draw {
+    fn default() -> Self {
+        let (cancelled, cancelled_within, late) = (0.35, 40_000, 0.3);
+        Self { count: 7, from: 2_000, to: 100_000, cancelled, cancelled_within, late }
+    }
+}
+
+/// For each of so many jobs, those before it that it needs.
+pub fn needs(form: Form, jobs: usize, rng: &mut ChaCha8Rng) -> Vec<Vec<usize>> {
+    let last = jobs.saturating_sub(1);
+    let of = |job: usize, rng: &mut ChaCha8Rng| match form {
+        _ if job == 0 => Vec::new(),
+        Form::Chain => vec![job - 1],
+        Form::Diamond if job == last => (1..last).collect(),
+        Form::Diamond | Form::ManyBehindOne => vec![0],
+        Form::OneBehindMany if job == last => (0..last).collect(),
+        Form::OneBehindMany => Vec::new(),
+        Form::Mesh => {
+            let mut before: Vec<usize> = (0..job).collect();
+            before.shuffle(rng);
+            before.truncate(rng.random_range(1..4));
+            before
+        }
+    };
+    (0..jobs).map(|job| of(job, rng)).collect()
+}
+
+/// One job of a pipeline, short, with nothing that it needs yet.
+pub fn stage(id: JobId, rng: &mut ChaCha8Rng) -> JobSpec {
+    let shape = if rng.random_bool(0.7) { Shape::Array } else { Shape::Gang };
+    JobSpec {
+        id,
+        class: "quick".into(),
+        team: if rng.random_bool(0.4) { "red" } else { "blue" }.into(),
+        shape,
+        rank: if rng.random_bool(0.5) { Rank::Low } else { Rank::Standard },
+        tasks: rng.random_range(1..4),
+        cpus: 1.0,
+        gpus: 1.0,
+        memory_gb: 4.0,
+        image: format!("img-{}", rng.random_range(0..4)),
+        image_gb: 1.0,
+        flavors: None,
+        zone: None,
+        one_zone: shape == Shape::Gang && rng.random_bool(0.3),
+        spread: false,
+        spot: rng.random_bool(0.5),
+        estimate_s: rng.random_range(1.0..8.0),
+        checkpoint_s: 0.0,
+        save_s: 0.0,
+        deadline_s: None,
+        dependencies: Vec::new(),
+    }
+}
+
+impl World {
+    /// Users of drawn pipelines come. Some of their first jobs need jobs of other users or of earlier pipelines.
+    pub fn add_pipelines(&mut self, seed: u64, draw: Draw) {
+        let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x7069_7065);
+        let finite = |user: &&User| user.spec.shape != Shape::Service;
+        let mut known: Vec<JobId> =
+            self.users.iter().filter(finite).map(|user| user.spec.id.clone()).collect();
+        let mut number = FIRST_NUMBER;
+        for _ in 0..draw.count {
+            let jobs = rng.random_range(2..8);
+            let form = *FORMS.choose(&mut rng).unwrap_or(&Form::Chain);
+            let mut ids = Vec::new();
+            for _ in 0..jobs {
+                let thousands = rng.random_range(0..900) * 1_000;
+                ids.push(JobId::new(&format!("req-{:06}", thousands + number)));
+                number += 1;
+            }
+            self.add_pipeline(form, &ids, &known, draw, &mut rng);
+            known.extend(ids);
+        }
+    }
+
+    fn add_pipeline(
+        &mut self,
+        form: Form,
+        ids: &[JobId],
+        known: &[JobId],
+        draw: Draw,
+        rng: &mut ChaCha8Rng,
+    ) {
+        let at = rng.random_range(draw.from..draw.to);
+        let needs = needs(form, ids.len(), rng);
+        for (job, needed) in needs.iter().enumerate() {
+            let mut spec = stage(ids[job].clone(), rng);
+            spec.dependencies = needed.iter().map(|needed| ids[*needed].clone()).collect();
+            if job == 0 && rng.random_bool(0.4) {
+                spec.dependencies.extend(known.choose(rng).cloned());
+            }
+            let last = job + 1 == ids.len();
+            if last {
+                (spec.rank, spec.deadline_s) = (Rank::High, Some(rng.random_range(60.0..150.0)));
+            }
+            self.add_job_at(spec, at);
+            if last && rng.random_bool(draw.late) {
+                self.submit_last_once_over();
+            }
+        }
+        if rng.random_bool(draw.cancelled) {
+            let cancelled_at = at + rng.random_range(0..draw.cancelled_within);
+            // Two of one pipeline at once, as often as one.
+            let jobs = rng.random_range(1..3);
+            for id in ids.choose_multiple(rng, jobs) {
+                self.cancel(id.as_str(), cancelled_at);
+            }
+        }
+    }
+
+    /// The last user that was added submits its job when all jobs that it needs are over.
+    pub fn submit_last_once_over(&mut self) {
+        if let Some(user) = self.users.last_mut().filter(|u| !u.spec.dependencies.is_empty()) {
+            user.submits = Submits::OnceOver;
+        }
+    }
+
+    /// Whether a user may ask anything by now: its job's dependencies are as far as it waits for, and nobody is asked
+    /// for jobs that need others before every controller has the version that knows them.
+    pub(super) fn submits_now(&mut self, at: usize) -> bool {
+        let user = &self.users[at];
+        if user.submits == Submits::AtOnce {
+            return true;
+        }
+        let ready = |id: &JobId| self.is_ready_to_be_named(id, user.submits);
+        if self.now < user.at || !self.all_current() || !user.spec.dependencies.iter().all(ready) {
+            return false;
+        }
+        let now = self.now;
+        let user = &mut self.users[at];
+        user.submits = Submits::AtOnce;
+        (user.at, user.next, user.give_up) = (now, now, now + SUBMIT_FOR_MS);
+        true
+    }
+
+    fn is_ready_to_be_named(&self, id: &JobId, submits: Submits) -> bool {
+        let Some(user) = self.users.iter().find(|user| user.spec.id == *id) else { return true };
+        match submits {
+            Submits::OnceOver => self.region.checker.over(id.as_str()).is_some(),
+            Submits::AtOnce | Submits::OnceAccepted => user.accepted,
+        }
+    }
+
+    /// Whether a job's end as done stands in the state service.
+    pub fn is_durably_done(&self, id: &JobId) -> bool {
+        let record = self.state.value(&over_key(id)).cloned();
+        let record = record.and_then(|value| serde_json::from_value::<OverRecord>(value).ok());
+        record.is_some_and(|record| record.status == JobStatus::Done)
+    }
+
+    /// A job that another one needs and whose end as done does not stand in the state service.
+    pub fn open_dependency<'s>(&self, spec: &'s JobSpec) -> Option<&'s JobId> {
+        spec.dependencies.iter().find(|id| !self.is_durably_done(id))
+    }
+
+    /// Accepted jobs that wait for others.
+    pub fn waiting_jobs(&self) -> usize {
+        let over = |user: &User| self.region.checker.over(user.spec.id.as_str()).is_some();
+        let waits = |user: &&User| {
+            user.accepted && !over(user) && self.open_dependency(&user.spec).is_some()
+        };
+        self.users.iter().filter(waits).count()
+    }
+
+    /// Accepted jobs that need others.
+    pub fn accepted_dependents(&self) -> usize {
+        let accepted = |user: &&User| user.accepted && !user.spec.dependencies.is_empty();
+        self.users.iter().filter(accepted).count()
+    }
+
+    /// A task of a job is given out: the ends of all jobs that it needs are durable by then.
+    fn look_at_release(&mut self, job: &str, what: &str) {
+        let Some(spec) = self.region.outside.specs.get(job) else { return };
+        if let Some(open) = self.open_dependency(spec) {
+            let text = format!("{job} {what}, {open} is not durably done");
+            self.region.checker.fail(self.now, "too_early", text);
+        }
+    }
+
+    /// A controller wrote something, or tried to.
+    pub(super) fn look_at_write(&mut self, node: usize, op: &StoreOp, reply: &StoreReply) {
+        self.look_at_refusal(node, op, reply);
+        let (StoreOp::Txn(txn), StoreReply::Committed(_)) = (op, reply) else { return };
+        for job in assigned(txn) {
+            self.look_at_release(job.as_str(), "is assigned");
+        }
+    }
+
+    /// Orders leave a controller.
+    pub(super) fn look_at_orders(&mut self, orders: &[Order]) {
+        for order in orders {
+            let Order::Run { task, .. } = order else { continue };
+            if let Some((job, _)) = task.rsplit_once('/') {
+                self.look_at_release(job, "is to run");
+            }
+        }
+    }
+
+    /// Jobs that wait for others hold nothing, and what the leader counts against teams' limits is what is held.
+    pub(super) fn look_at_waiting(&mut self) {
+        let Some(reign) = self.ruling() else { return };
+        let mut wrong = Vec::new();
+        let mut held: BTreeMap<&str, Usage> = BTreeMap::new();
+        for (id, job) in &reign.book.jobs {
+            if job.state == JobState::Waiting && job.held > 0 {
+                wrong.push(format!("{id} waits and holds {} tasks", job.held));
+            }
+            let usage = held.entry(&job.spec.team).or_default();
+            usage.cpus += job.spec.cpus * f64::from(job.held);
+            usage.gpus += job.spec.gpus * f64::from(job.held);
+        }
+        for (team, counted) in &reign.book.usage {
+            let held = held.get(team.as_str()).copied().unwrap_or_default();
+            let differs = |a: f64, b: f64| (a - b).abs() > EPSILON;
+            if differs(counted.gpus, held.gpus) || differs(counted.cpus, held.cpus) {
+                wrong.push(format!("{team} counts as using {counted:?}, it holds {held:?}"));
+            }
+        }
+        for text in wrong {
+            self.region.checker.fail(self.now, "waiting", text);
+        }
+    }
+
+    /// The moment at which this many accepted jobs wait for others, if it comes before the other one.
+    pub fn play_until_waiting(&mut self, jobs: usize, until: u64) -> Option<u64> {
+        while self.before(until) {
+            if self.waiting_jobs() >= jobs {
+                return Some(self.now);
+            }
+            self.play_to(self.now + STEP_MS);
+        }
+        None
+    }
+}
+
+/// Jobs to whose tasks a transaction gives machines.
+fn assigned(txn: &Txn) -> impl Iterator<Item = JobId> {
+    txn.changes.iter().filter_map(|change| {
+        let Change::Put { key, value, .. } = change else { return None };
+        let (job, _) = parse_chunk_key(key)?;
+        let record = serde_json::from_value::<ChunkRecord>(value.clone()).ok()?;
+        (!record.held.is_empty()).then_some(job)
+    })
+}
+
+impl World {
+    /// Something is written as if by the first controller, whatever controllers do.
+    pub fn write(&mut self, op: &StoreOp) {
+        let reply = self.state.serve(self.now, op);
+        self.look_at_write(0, op, &reply);
+    }
+}
--- a/tests/world/state.rs
+++ b/tests/world/state.rs
@@ -1,10 +1,17 @@
 //! Stand-in for the state service: keys, leases, transactions, watches.
 
+#[path = "state_limits.rs"]
+pub mod limits;
+
+use limits::{Refusals, StateLimits};
 use oatloom_core::store::{StoreOp, StoreReply};
 use oatloom_protocol::ids::{LeaseId, Revision};
 use oatloom_protocol::wire::{Change, Changes, Logged, Page, Row, Txn};
 use std::collections::BTreeMap;
 
+/// The refusal of a put under a lease that has ended, which has nothing to do with sizes.
+pub const NO_SUCH_LEASE: &str = "no such lease";
+
 struct Entry {
     value: serde_json::Value,
     version: u64,
@@ -18,9 +25,40 @@
     pub revision: u64,
     next_lease: u64,
     log: Vec<Logged>,
+    /// What it takes; without limits if there are none.
+    limits: Option<StateLimits>,
+    /// What it did not take.
+    pub refusals: Refusals,
 }
 
 impl State {
+    /// From now on it takes no more than these.
+    pub fn limit(&mut self, limits: StateLimits) {
+        self.limits = Some(limits);
+    }
+
+    /// The same as [`Self::execute`], within the limits.
+    pub fn serve(&mut self, now: u64, op: &StoreOp) -> StoreReply {
+        let refusal = self.limits.as_mut().and_then(|limits| limits.refuse(now, op));
+        match refusal {
+            None => self.execute(now, op),
+            Some(reply) => {
+                match &reply {
+                    StoreReply::Malformed(why) => {
+                        self.refusals.too_large.push((now, why.clone()));
+                    }
+                    _ => self.refusals.throttled += 1,
+                }
+                reply
+            }
+        }
+    }
+
+    /// The value of a key.
+    pub fn value(&self, key: &str) -> Option<&serde_json::Value> {
+        self.keys.get(key).map(|entry| &entry.value)
+    }
+
     /// Ends leases that were not renewed.
     pub fn expire(&mut self, now: u64) {
         let late: Vec<u64> =
@@ -77,7 +115,7 @@
             Change::Delete { .. } => None,
         });
         if leased.into_iter().any(|l| !self.leases.contains_key(&l.0)) {
-            return StoreReply::Malformed("no such lease".into());
+            return StoreReply::Malformed(NO_SUCH_LEASE.into());
         }
         let failed: Vec<String> = txn
             .conditions
--- /dev/null
+++ b/tests/world/state_limits.rs
@@ -0,0 +1,77 @@
+//! Limits of the stand-in for the state service: sizes of values and transactions, requests and changes a second.
+
+use oatloom_core::store::{StoreOp, StoreReply};
+use oatloom_protocol::ids::Mono;
+use oatloom_protocol::settings::StateFacts;
+use oatloom_protocol::wire::{Change, Txn};
+use oatloom_state::limits::Limits as Rates;
+use std::hash::{DefaultHasher, Hash, Hasher};
+
+/// Most conditions of a transaction, as a multiple of its most changes (protocol).
+const CONDITIONS_PER_CHANGE: usize = 4;
+/// Most bytes of a transaction (protocol).
+const TXN_BYTES: usize = 64 * 1024;
+
+/// What the state service takes.
+#[derive(Clone, Debug)]
+pub struct StateLimits {
+    value_bytes: usize,
+    changes: usize,
+    rates: Rates,
+}
+
+/// Transactions that were refused for their size, and requests beyond the rates.
+#[derive(Clone, Debug, Default)]
+pub struct Refusals {
+    /// When, and why.
+    pub too_large: Vec<(u64, String)>,
+    pub throttled: u32,
+}
+
+impl StateLimits {
+    /// The limits of some settings, at a moment in milliseconds.
+    pub fn new(facts: &StateFacts, now: u64) -> Self {
+        Self {
+            value_bytes: (facts.value_kb * 1024.0) as usize,
+            changes: facts.txn_ops,
+            rates: Rates::new(facts.rps, facts.write_rps, Mono(now)),
+        }
+    }
+
+    /// The refusal of an operation, if it is beyond a limit.
+    pub fn refuse(&mut self, now: u64, op: &StoreOp) -> Option<StoreReply> {
+        let changes = if let StoreOp::Txn(txn) = op { txn.changes.len() } else { 0 };
+        if !self.rates.take(changes, Mono(now)) {
+            return Some(StoreReply::Throttled);
+        }
+        let StoreOp::Txn(txn) = op else { return None };
+        self.too_large(txn).map(StoreReply::Malformed)
+    }
+
+    fn too_large(&self, txn: &Txn) -> Option<String> {
+        let most_conditions = self.changes * CONDITIONS_PER_CHANGE;
+        if txn.changes.len() > self.changes {
+            return Some(format!("{} changes of {}", txn.changes.len(), self.changes));
+        }
+        if txn.conditions.len() > most_conditions {
+            return Some(format!("{} conditions of {most_conditions}", txn.conditions.len()));
+        }
+        let mut total = 0;
+        for change in &txn.changes {
+            let Change::Put { key, value, .. } = change else { continue };
+            let bytes = value.to_string().len();
+            total += key.len() + bytes;
+            if bytes > self.value_bytes {
+                return Some(format!("{key} has {bytes} bytes of {}", self.value_bytes));
+            }
+        }
+        (total > TXN_BYTES).then(|| format!("{total} bytes of {TXN_BYTES}"))
+    }
+}
+
+/// What tells transactions apart that make different changes.
+pub fn digest(txn: &Txn) -> u64 {
+    let mut hasher = DefaultHasher::new();
+    format!("{:?}", txn.changes).hash(&mut hasher);
+    hasher.finish()
+}
