--- a/crates/core/src/controller/versions.rs
+++ b/crates/core/src/controller/versions.rs
@@ -43,6 +43,8 @@
 #[derive(Debug, Default)]
 pub(super) struct Versions {
     progress: Progress,
+    /// Whether this controller stands in for one of the previous version, which announces nothing.
+    previous: bool,
     /// Whether an answer of the state service is awaited.
     awaited: bool,
     next: Mono,
@@ -70,6 +72,16 @@
 }
 
 impl Controller {
+    /// A stand-in for a controller of the previous version, for simulated upgrades: it knows no limits to come, announces
+    /// no version and never learns of those of others, so it keeps to the earlier forms for good.
+    #[doc(hidden)]
+    pub fn new_previous_version(mut settings: Settings, operators: Operators, seed: u64) -> Self {
+        settings.facts.state.next = None;
+        let mut controller = Self::new(settings, operators, seed);
+        controller.versions.previous = true;
+        controller
+    }
+
     /// Whether every controller is known to run this version, for good: no process of an earlier version exists.
     pub fn all_upgraded(&self) -> bool {
         self.versions.progress == Progress::Upgraded
@@ -78,7 +90,7 @@
     /// Once a turn: asks for the members' versions until all are known to have this one.
     pub(super) fn learn_versions(&mut self, now: Mono) {
         let versions = &self.versions;
-        if self.all_upgraded() || versions.awaited || now < versions.next {
+        if versions.previous || self.all_upgraded() || versions.awaited || now < versions.next {
             return;
         }
         let op = StoreOp::List { prefix: VERSIONS.to_owned(), after: String::new() };
--- a/tests/world/upgrades.rs
+++ b/tests/world/upgrades.rs
@@ -45,6 +45,11 @@
         self.nodes.iter().all(|node| node.version == Version::Current)
     }
 
+    /// Whether every controller that runs knows that no other version exists.
+    pub fn all_know_the_upgrade(&self) -> bool {
+        self.nodes.iter().filter_map(|node| node.core.as_ref()).all(Controller::all_upgraded)
+    }
+
     /// A node is killed, and comes back with the current version so much later.
     pub(super) fn upgrade(&mut self, node: usize, away: u64) {
         self.crash(node);
@@ -54,14 +59,11 @@
 
     /// A controller of the version that its node has at present.
     pub(super) fn controller(&self, node: usize, seed: u64) -> Controller {
-        let mut settings = settings(&self.site.settings, node);
+        let settings = settings(&self.site.settings, node);
         let operators = self.operators.clone();
         match self.nodes[node].version {
             Version::Current => Controller::new(settings, operators, seed),
-            Version::Previous => {
-                settings.facts.state.next = None;
-                Controller::new(settings, operators, seed)
-            }
+            Version::Previous => Controller::new_previous_version(settings, operators, seed),
         }
     }
 
