--- /dev/null
+++ b/tests/upgrade_days.rs
@@ -0,0 +1,245 @@
+//! Upgrades in seeded days: controllers of two versions side by side, killed and replaced in turn, under troubles; and
+//! limits of the state service that fall afterwards. `OATLOOM_SEEDS=n` plays n seeds more of each.
+
+#[allow(dead_code)]
+mod world;
+
+use oatloom_protocol::wire::{JobSpec, JobStatus, Shape};
+use rand::{Rng, SeedableRng};
+use rand_chacha::ChaCha8Rng;
+use world::pipelines::Draw;
+use world::troubles::trouble;
+use world::upgrades::site_with_next_limits;
+use world::{Fault, Upon, World, finished, more_days, show_log, small_array};
+
+/// Troubles are over from then on, in milliseconds.
+const CALM_MS: u64 = 200_000;
+/// The first turn of an upgrade, in milliseconds.
+const FIRST_TURN_MS: u64 = 20_000;
+/// How long after its turn a node comes back, as on the sites.
+const AWAY_MS: u64 = 6_000;
+/// Pipelines' users come once the upgrade is over.
+const PIPELINES: Draw = Draw {
+    count: 6,
+    from: FIRST_TURN_MS,
+    to: 150_000,
+    cancelled: 0.35,
+    cancelled_within: 40_000,
+    late: 0.3,
+};
+/// How long the state service may refuse what is too large after its limits fell: a transaction that was under way, and
+/// those that a controller had decided before it heard of the refusal.
+const REFUSED_MOST: usize = 3;
+
+/// A day that begins with the previous version everywhere. Pipelines come once all nodes have had their turn.
+fn day(seed: u64, faults: Vec<(u64, Fault)>) -> World {
+    show_log();
+    let mut rng = ChaCha8Rng::seed_from_u64(seed);
+    let mut world = World::deployed(site_with_next_limits(), &mut rng, CALM_MS);
+    world.begin_with_previous_version();
+    world.restart_ms = [300, 2_000, 6_000][(seed % 3) as usize];
+    world.add_users(16, &mut rng);
+    world.add_pipelines(seed, PIPELINES);
+    world.trouble(faults);
+    world
+}
+
+/// Turns of all nodes, one after the other, in an order of the seed's own.
+fn turns(seed: u64, first: u64, every: u64, away: u64) -> Vec<(u64, Fault)> {
+    let from = seed as usize % 3;
+    let node = |turn: usize| (from + turn) % 3;
+    (0..3).map(|turn| (first + turn as u64 * every, Fault::Upgrade(node(turn), away))).collect()
+}
+
+/// Plays a day to its end; what the state service refused for its size afterwards.
+fn play(world: &mut World, what: &str) {
+    world.play();
+    finished(world, what);
+    assert!(world.all_current(), "{what}: some node had no turn");
+    assert!(world.all_know_the_upgrade(), "{what}: somebody does not know that all were upgraded");
+    let refused = &world.refusals().too_large;
+    assert!(refused.len() <= REFUSED_MOST, "{what}: {} refusals: {refused:?}", refused.len());
+}
+
+/// What came about over several days, so that a test can tell that it tried something.
+#[derive(Debug, Default)]
+struct Tried {
+    dependents: usize,
+    done: usize,
+    cancelled: usize,
+}
+
+impl Tried {
+    fn add(&mut self, world: &World) {
+        self.dependents += world.accepted_dependents();
+        self.done += world.told(JobStatus::Done);
+        self.cancelled += world.told(JobStatus::Cancelled);
+    }
+
+    fn assert_some(&self, what: &str) {
+        println!("{what}: {self:?}");
+        assert!(self.dependents > 0 && self.done > 0 && self.cancelled > 0, "{what}: {self:?}");
+    }
+}
+
+/// Plays days of some seeds with the troubles that `faults` gives each.
+fn play_days(what: &str, first: u64, count: u64, faults: impl Fn(u64) -> Vec<(u64, Fault)>) {
+    let mut tried = Tried::default();
+    for seed in first..first + count + more_days() {
+        let faults = faults(seed);
+        let mut world = day(seed, faults.clone());
+        play(&mut world, &format!("{what}, seed {seed}, {faults:?}"));
+        tried.add(&world);
+    }
+    tried.assert_some(what);
+}
+
+fn rng_of(seed: u64) -> ChaCha8Rng {
+    ChaCha8Rng::seed_from_u64(seed)
+}
+
+#[test]
+fn calm_upgrades_keep_the_rules() {
+    play_days("calm", 0, 6, |seed| turns(seed, FIRST_TURN_MS, 15_000, AWAY_MS));
+}
+
+#[test]
+fn turns_every_two_seconds_keep_the_rules() {
+    play_days("every 2 s", 1_000, 6, |seed| turns(seed, FIRST_TURN_MS, 2_000, AWAY_MS));
+}
+
+/// Transactions of the previous version are carried out after the upgrade.
+#[test]
+fn turns_during_late_writes_keep_the_rules() {
+    play_days("late writes", 2_000, 6, |seed| {
+        let every = [2_000, 5_000, 9_000][(seed % 3) as usize];
+        let mut faults = turns(seed, FIRST_TURN_MS, every, AWAY_MS);
+        faults.push((FIRST_TURN_MS - 5_000, Fault::LateWrites(40_000, 300)));
+        faults
+    });
+}
+
+#[test]
+fn a_turn_inside_an_outage_keeps_the_rules() {
+    play_days("outage", 3_000, 6, |seed| {
+        let mut faults = turns(seed, FIRST_TURN_MS, 6_000, AWAY_MS);
+        let from = FIRST_TURN_MS + (seed % 6) * 2_500;
+        faults.push((from, Fault::StoreOutage(4_000 + (seed % 4) * 4_000)));
+        faults
+    });
+}
+
+/// A node that crashes before its turn comes back with the previous version.
+#[test]
+fn nodes_that_die_before_their_turns_keep_the_rules() {
+    play_days("deaths before turns", 4_000, 6, |seed| {
+        let mut rng = rng_of(seed);
+        let mut faults = turns(seed, 40_000, 8_000, AWAY_MS);
+        for _ in 0..3 {
+            let at = rng.random_range(10_000..56_000);
+            let any = Fault::Crash(rng.random_range(0..3));
+            faults.push((at, if rng.random_bool(0.5) { Fault::Leader(Upon::Crash) } else { any }));
+        }
+        faults
+    });
+}
+
+/// A process of the previous version stands still in the midst of what it does while the others have their turns.
+#[test]
+fn an_earlier_process_that_wakes_up_late_keeps_the_rules() {
+    play_days("asleep", 5_000, 6, |seed| {
+        let mut faults = turns(seed, FIRST_TURN_MS, 5_000, AWAY_MS);
+        let asleep = Fault::LeaderAsleep(3_000 + (seed % 5) * 3_000);
+        faults.push((FIRST_TURN_MS - 1_000 + (seed % 3) * 5_000, asleep));
+        faults
+    });
+}
+
+#[test]
+fn turns_under_drawn_troubles_keep_the_rules() {
+    play_days("drawn troubles", 6_000, 10, |seed| {
+        let mut rng = rng_of(seed);
+        let every = rng.random_range(2_000..15_000);
+        let mut faults = turns(seed, 30_000, every, rng.random_range(500..9_000));
+        for _ in 0..rng.random_range(1..4) {
+            let at = rng.random_range(10_000..90_000);
+            let span = rng.random_range(1_000..40_000);
+            faults.push((at, trouble(&mut rng, span)));
+        }
+        faults
+    });
+}
+
+// --- Limits of the state service that fall ----------------------------------------------------------
+
+/// When the limits fall at the earliest, after the upgrade.
+const FALL_MS: u64 = 75_000;
+
+/// After a usual upgrade, the limits fall at `FALL_MS`, with these troubles beside it.
+fn fall(seed: u64, beside: impl IntoIterator<Item = (u64, Fault)>) -> Vec<(u64, Fault)> {
+    let mut faults = turns(seed, FIRST_TURN_MS, 8_000, AWAY_MS);
+    faults.push((FALL_MS, Fault::LimitsFall));
+    faults.extend(beside);
+    faults
+}
+
+#[test]
+fn limits_that_fall_keep_the_rules() {
+    play_days("limits fall", 10_000, 8, |seed| fall(seed, []));
+}
+
+#[test]
+fn limits_that_fall_within_an_outage_keep_the_rules() {
+    play_days("limits fall in an outage", 11_000, 8, |seed| {
+        let before = 500 + (seed % 5) * 2_000;
+        fall(seed, [(FALL_MS - before, Fault::StoreOutage(before + 3_000))])
+    });
+}
+
+/// At a takeover: the leader ends a little before or after the limits fall.
+#[test]
+fn limits_that_fall_at_a_takeover_keep_the_rules() {
+    play_days("limits fall at a takeover", 12_000, 9, |seed| {
+        let at = FALL_MS - 5_000 + (seed % 9) * 1_000;
+        let what = match seed % 3 {
+            0 => Upon::Crash,
+            1 => Upon::Refused(9_000),
+            _ => Upon::Parted(9_000),
+        };
+        fall(seed, [(at, Fault::Leader(what))])
+    });
+}
+
+#[test]
+fn limits_that_fall_under_drawn_troubles_keep_the_rules() {
+    play_days("limits fall, drawn troubles", 13_000, 10, |seed| {
+        let mut rng = rng_of(seed);
+        let mut beside = Vec::new();
+        for _ in 0..rng.random_range(1..4) {
+            let at = rng.random_range(60_000..110_000);
+            let span = rng.random_range(1_000..40_000);
+            beside.push((at, trouble(&mut rng, span)));
+        }
+        fall(seed, beside)
+    });
+}
+
+/// A gang and an array so wide that their records had the former size, held across the fall, cancelled or ended after it.
+#[test]
+fn wide_jobs_across_a_fall_end_well() {
+    for seed in 14_000..14_006 + more_days() {
+        let mut world = day(seed, fall(seed, []));
+        for (n, shape) in [Shape::Array, Shape::Gang, Shape::Array].into_iter().enumerate() {
+            let wide = JobSpec {
+                shape,
+                tasks: if shape == Shape::Gang { 24 } else { 90 },
+                gpus: 0.5,
+                cpus: 0.5,
+                ..small_array(&format!("req-00000{n}"), 40)
+            };
+            world.add_job_at(wide, 5_000 + n as u64 * 2_000);
+        }
+        world.cancel_last(FALL_MS + 4_000);
+        play(&mut world, &format!("wide jobs, seed {seed}"));
+    }
+}
--- a/tests/world/upgrades.rs
+++ b/tests/world/upgrades.rs
@@ -6,6 +6,7 @@
 use oatloom_core::controller::Controller;
 use oatloom_core::store::{StoreOp, StoreReply};
 use oatloom_protocol::wire::Change;
+use rand_chacha::ChaCha8Rng;
 
 /// The limits of the usual settings that come last, and with them the limits to come.
 const LIMITS_TEXT: &str = "txn_ops = 16\n";
@@ -35,6 +36,12 @@
 }
 
 impl World {
+    /// So many users of drawn jobs come.
+    pub fn add_users(&mut self, count: u64, rng: &mut ChaCha8Rng) {
+        let calm_from = self.calm_from;
+        (0..count).for_each(|n| self.add_user(n, rng, calm_from));
+    }
+
     /// All controllers that are started from now on run the previous version, until each has its turn.
     pub fn begin_with_previous_version(&mut self) {
         self.nodes.iter_mut().for_each(|node| node.version = Version::Previous);
