--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -8,7 +8,7 @@
 use oatloom_emulator::checker::{Checker, Limit, OnMachine, Place};
 use oatloom_protocol::ids::{JobId, LeaseId};
 use oatloom_protocol::settings::StateFacts;
-use oatloom_protocol::wire::{Change, JobSpec, JobStatus, Rank, Shape, Txn};
+use oatloom_protocol::wire::{Change, JobSpec, JobStatus, Shape, Txn};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde_json::json;
@@ -17,7 +17,8 @@
 use world::state::State;
 use world::state::limits::StateLimits;
 use world::troubles::trouble;
-use world::{Fault, Upon, World, check, finished, more_days, show_log, small_array};
+use world::upgrades::site_with_next_limits;
+use world::{Fault, Site, Upon, World, finished, more_days, show_log, small_array};
 
 /// Troubles are over from then on, in milliseconds.
 const CALM_MS: u64 = 180_000;
@@ -346,3 +347,331 @@
 fn drawn_threes_of_troubles_keep_the_rules_of_pipelines() {
     play_drawn(30_000, 8, 3);
 }
+
+// --- Cascades of cancellations --------------------------------------------------------------------
+
+/// When the job at the head of a pipeline is cancelled, in milliseconds.
+const CANCELLED_AT_MS: u64 = 30_000;
+/// Jobs behind the one that is cancelled, and of those, how many are a chain of their own.
+const BEHIND: u32 = 40;
+const CHAINED: u32 = 12;
+
+fn job(n: u32) -> JobId {
+    JobId::new(&format!("req-{:06}", 500_000 - n))
+}
+
+/// A long job, jobs that need it, and a chain behind the last of those, with nobody else about.
+fn long_head(seed: u64, site: Site) -> World {
+    show_log();
+    let mut world = World::deployed(site, &mut ChaCha8Rng::seed_from_u64(seed), CALM_MS);
+    world.add_job_at(small_array(job(0).as_str(), 300), 2_000);
+    for n in 1..=BEHIND {
+        let behind = if n + CHAINED > BEHIND { n - 1 } else { 0 };
+        let spec = JobSpec { dependencies: vec![job(behind)], ..small_array(job(n).as_str(), 2) };
+        world.add_job_at(spec, 3_000);
+    }
+    world
+}
+
+/// Lets time pass until the user of the first job hears that it is cancelled.
+fn play_until_head_is_cancelled(world: &mut World, what: &str) {
+    world.play_to(CANCELLED_AT_MS - 1_000);
+    assert_eq!(world.accepted_dependents(), BEHIND as usize, "{what}: all wait by then");
+    world.cancel(job(0).as_str(), CANCELLED_AT_MS);
+    while !world.told_cancelled(job(0).as_str()) && world.before(CANCELLED_AT_MS + 20_000) {
+        world.step();
+    }
+}
+
+/// The leader that decided it ends while the jobs behind are being cancelled, at any phase of that; and once more.
+#[test]
+fn a_takeover_in_the_midst_of_a_cascade_orphans_nobody() {
+    let mut longest = 0;
+    let mut interrupted = 0;
+    for seed in 0..24 + more_days() {
+        let lowered = seed % 2 == 1;
+        let site = if lowered { site_with_next_limits() } else { Site::default() };
+        let mut world = long_head(seed, site);
+        let what = format!("seed {seed}");
+        if lowered {
+            world.trouble([(20_000, Fault::LimitsFall)]);
+        }
+        play_until_head_is_cancelled(&mut world, &what);
+        world.play_to(world.now + [0, 50, 150, 400, 1_000, 2_500][(seed % 6) as usize]);
+        let before = world.stored("over/").len();
+        interrupted += usize::from(before < 1 + BEHIND as usize);
+        world.strike(Fault::Leader(match seed % 4 {
+            0 => Upon::Crash,
+            1 => Upon::Down(20_000),
+            2 => Upon::Refused(8_000),
+            _ => Upon::Parted(8_000),
+        }));
+        if seed % 3 == 0 {
+            world.trouble([(world.now + 6_000, Fault::Leader(Upon::Crash))]);
+        }
+        world.play();
+        finished(&world, &what);
+        assert_eq!(world.told(JobStatus::Cancelled), 1 + BEHIND as usize, "{what}");
+        longest = longest.max(world.region.checker.orphaned_ms);
+    }
+    println!(
+        "{interrupted} interrupted; called open for at most {longest} ms after the cancellation"
+    );
+    assert!(interrupted > 4, "{interrupted}");
+}
+
+/// The state service goes away while the jobs behind are being cancelled, for longer than a cancellation may take.
+#[test]
+fn an_outage_in_the_midst_of_a_cascade_orphans_nobody() {
+    for seed in 0..8 + more_days() {
+        let mut world = long_head(seed, Site::default());
+        let what = format!("seed {seed}");
+        play_until_head_is_cancelled(&mut world, &what);
+        world.play_to(world.now + [0, 50, 300, 900][(seed % 4) as usize]);
+        world.strike(Fault::StoreOutage(60_000));
+        if seed % 2 == 0 {
+            world.strike(Fault::Leader(Upon::Crash));
+        }
+        world.play();
+        finished(&world, &what);
+        assert_eq!(world.told(JobStatus::Cancelled), 1 + BEHIND as usize, "{what}");
+    }
+}
+
+// --- Users who look closely -----------------------------------------------------------------------
+
+/// What changes hands, or is lost, while users look.
+fn disturbances(seed: u64) -> Vec<(u64, Fault)> {
+    match seed % 6 {
+        0 => vec![],
+        1 => vec![(17_000, Fault::Leader(Upon::Crash)), (25_000, Fault::Leader(Upon::Crash))],
+        2 => vec![(18_000, Fault::Leader(Upon::Refused(7_000)))],
+        3 => vec![(6_000, Fault::AnswersLost(30_000, 400))],
+        4 => vec![(16_000, Fault::Leader(Upon::Parted(9_000)))],
+        _ => vec![(8_000, Fault::LateWrites(30_000, 300))],
+    }
+}
+
+/// Pipelines alone, in fine steps, whose users ask every node at once whatever they hear.
+fn close_day(seed: u64, draw: Draw, prepare: impl Fn(&mut World)) -> World {
+    let mut world = World::scripted(seed, disturbances(seed), 70_000, None);
+    world.alone();
+    world.restart_ms = [50, 1_000][(seed % 2) as usize];
+    world.looks.close = true;
+    prepare(&mut world);
+    world.add_pipelines(seed, draw);
+    world.play_finely_to(50_000);
+    world.play_to(190_000);
+    finished(&world, &format!("seed {seed}, {:?}", disturbances(seed)));
+    world
+}
+
+const CLOSE: Draw =
+    Draw { count: 7, from: 2_000, to: 30_000, cancelled: 0.6, cancelled_within: 12_000, late: 0.3 };
+
+/// Each job is submitted at any node within milliseconds of the acceptance of those that it needs at another, or of their
+/// being called off. Guards against a need that is judged by one node's memory.
+#[test]
+fn jobs_named_within_milliseconds_of_their_acceptance_are_known() {
+    let mut tried = Tried::default();
+    for seed in 0..12 + more_days() {
+        let world = close_day(seed, CLOSE, |_| {});
+        tried.add(&world);
+    }
+    tried.assert_some("named at once");
+}
+
+/// Jobs are called off at the moment that they are accepted, while others that name them are being submitted.
+#[test]
+fn jobs_named_while_they_are_called_off_have_one_outcome() {
+    let mut tried = Tried::default();
+    for seed in 100..112 + more_days() {
+        let world = close_day(seed, CLOSE, |world| world.looks.abort_at_once = 0.25);
+        tried.add(&world);
+    }
+    tried.assert_some("called off at once");
+}
+
+/// Jobs of pipelines are called off when their last task ends. Either end may be told, and what follows agrees.
+#[test]
+fn calls_that_meet_the_end_of_the_last_task_of_a_stage_have_one_outcome() {
+    let (mut tried, mut called_off) = (Tried::default(), 0);
+    for seed in 200..216 + more_days() {
+        let within = [60, 300, 900, 4_500][(seed % 4) as usize];
+        let strike = [None, Some((4, Fault::Leader(Upon::Crash)))][(seed / 2 % 2) as usize];
+        let draw = Draw { cancelled: 0.0, ..CLOSE };
+        let world = close_day(seed, draw, |world| {
+            world.looks.abort_at_end = (0.4, within);
+            world.looks.strike_at_end = strike;
+        });
+        called_off += world.looks.called_off.len();
+        tried.add(&world);
+    }
+    tried.assert_some("called off at the end");
+    assert!(called_off > 40, "{called_off}");
+}
+
+/// Two jobs of one pipeline are called off at the same moment, at different nodes.
+#[test]
+fn two_calls_within_one_pipeline_have_one_outcome() {
+    for seed in 300..312 + more_days() {
+        let mut world = World::scripted(seed, disturbances(seed), 70_000, None);
+        world.alone();
+        world.looks.close = true;
+        for n in 0..6 {
+            let spec = JobSpec {
+                dependencies: (n > 0).then(|| job(n - 1)).into_iter().collect(),
+                ..small_array(job(n).as_str(), 4)
+            };
+            world.add_job_at(spec, 2_000);
+        }
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
+        world.play_finely_to(rng.random_range(3_000..30_000));
+        let first = rng.random_range(0..5);
+        for (n, node) in [(first, 0), (rng.random_range(first + 1..6), 1)] {
+            if world.is_accepted(job(n).as_str()) {
+                let after = rng.random_range(0..40);
+                world.look(job(n).as_str(), node, world::looks::Look::Abort, after);
+            }
+        }
+        world.play_finely_to(45_000);
+        world.play_to(180_000);
+        finished(&world, &format!("seed {seed}"));
+    }
+}
+
+/// A job that was never accepted, or that never ends by itself, cannot be named.
+#[test]
+fn what_was_never_accepted_or_never_ends_is_refused() {
+    let mut world = World::deployed(Site::default(), &mut ChaCha8Rng::seed_from_u64(5), CALM_MS);
+    let service = JobSpec { shape: Shape::Service, ..small_array("req-000001", 0) };
+    world.add_job_at(service, 1_000);
+    world.play_to(20_000);
+    assert!(world.is_accepted("req-000001"));
+    for named in ["req-000009", "req-000001"] {
+        let spec =
+            JobSpec { dependencies: vec![JobId::new(named)], ..small_array("req-000002", 2) };
+        let text = World::text_of(&spec).to_string();
+        (0..3).for_each(|node| world.send_odd(node, "POST", "/v2/runs", &text));
+    }
+    world.play_to(40_000);
+    assert_eq!(world.looks.odd.len(), 6);
+    for odd in &world.looks.odd {
+        let status = odd.answer.as_ref().map(|(_, reply)| reply.status);
+        assert_eq!(status, Some(422), "{odd:?}");
+    }
+    assert!(!world.ever_written("req-000002"));
+}
+
+// --- While jobs wait ------------------------------------------------------------------------------
+
+/// Many pipelines at nearly the same time.
+const CROWD: Draw = Draw {
+    count: 12,
+    from: 2_000,
+    to: 20_000,
+    cancelled: 0.35,
+    cancelled_within: 40_000,
+    late: 0.1,
+};
+
+/// The state service is away while jobs wait for one whose tasks end meanwhile: nothing starts before its end is written.
+#[test]
+fn an_outage_while_jobs_wait_starts_nothing_early() {
+    for seed in 0..10 + more_days() {
+        let mut world = day(seed, Vec::new(), CROWD);
+        let waiting = world.play_until_waiting(6, 100_000).expect("jobs wait");
+        world.strike(Fault::StoreOutage(5_000 + (seed % 5) * 12_000));
+        if seed % 3 == 0 {
+            world.trouble([(waiting + 2_000, Fault::Leader(Upon::Crash))]);
+        }
+        world.play();
+        finished(&world, &format!("seed {seed}"));
+    }
+}
+
+/// A gang that needs the whole of its team's limit, and more than the cloud has machines for, waits for a long job.
+#[test]
+fn a_waiting_job_takes_nothing_of_its_teams_limit() {
+    let teams = [
+        Terms { name: "blue", ..Terms::default() },
+        Terms { name: "narrow", gpus_max: 4.0, ..Terms::default() },
+    ];
+    for seed in 0..4 {
+        let mut world =
+            World::deployed(site(&teams), &mut ChaCha8Rng::seed_from_u64(seed), CALM_MS);
+        world.add_job_at(small_array("req-000001", 70), 1_000);
+        let wide = JobSpec {
+            team: "narrow".into(),
+            shape: Shape::Gang,
+            tasks: 4,
+            dependencies: vec![JobId::new("req-000001")],
+            ..small_array("req-000002", 4)
+        };
+        world.add_job_at(wide, 1_000);
+        for n in 3..7 {
+            let id = format!("req-00000{n}");
+            let spec = JobSpec { team: "narrow".into(), ..small_array(&id, 4) };
+            world.add_job_at(spec, 8_000);
+        }
+        world.play_to(60_000);
+        assert_eq!(world.told(JobStatus::Done), 4, "seed {seed}: the others are done by now");
+        world.play();
+        finished(&world, &format!("seed {seed}"));
+    }
+}
+
+/// The last job of a pipeline, long waited for, and one that came later with as much time: one place for both.
+#[test]
+fn a_deadline_counts_from_the_submission() {
+    let teams = [
+        Terms { name: "blue", ..Terms::default() },
+        Terms { name: "narrow", gpus_max: 2.0, ..Terms::default() },
+    ];
+    for seed in 0..6 {
+        let mut world =
+            World::deployed(site(&teams), &mut ChaCha8Rng::seed_from_u64(seed), CALM_MS);
+        let narrow = |id: &str, seconds, deadline_s| JobSpec {
+            team: "narrow".into(),
+            deadline_s,
+            ..small_array(id, seconds)
+        };
+        world.add_job_at(small_array("req-000001", 15), 1_000);
+        let last = JobSpec {
+            dependencies: vec![JobId::new("req-000001")],
+            ..narrow("req-000002", 5, Some(110.0))
+        };
+        world.add_job_at(last, 2_000);
+        // Takes the place until both wait for it.
+        world.add_job_at(narrow("req-000003", 60, None), 2_000);
+        world.add_job_at(narrow("req-000004", 5, Some(110.0)), 20_000);
+        world.play();
+        finished(&world, &format!("seed {seed}"));
+        let ended = |id: &str| world.region.checker.over_at(id).expect("it is over");
+        let (last, later) = (ended("req-000002"), ended("req-000004"));
+        assert!(last < later, "seed {seed}: {last} ms and {later} ms");
+    }
+}
+
+/// The limits of the state service fall while jobs wait, and while cancellations pass on.
+#[test]
+fn limits_that_fall_while_jobs_wait_keep_the_rules() {
+    let mut tried = Tried::default();
+    for seed in 0..10 + more_days() {
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
+        let mut world = World::deployed(site_with_next_limits(), &mut rng, CALM_MS);
+        world.add_users(8, &mut rng);
+        world.add_pipelines(seed, CROWD);
+        world.play_until_waiting(5, 100_000).expect("jobs wait");
+        world.strike(Fault::LimitsFall);
+        if seed % 2 == 0 {
+            world.strike(Fault::Leader(Upon::Crash));
+        }
+        world.play();
+        finished(&world, &format!("seed {seed}"));
+        let refused = &world.refusals().too_large;
+        assert!(refused.len() <= 3, "seed {seed}: {refused:?}");
+        tried.add(&world);
+    }
+    tried.assert_some("limits fall");
+}
--- a/tests/upgrade_days.rs
+++ b/tests/upgrade_days.rs
@@ -4,9 +4,12 @@
 #[allow(dead_code)]
 mod world;
 
-use oatloom_protocol::wire::{JobSpec, JobStatus, Shape};
+use oatloom_core::store::StoreOp;
+use oatloom_protocol::ids::JobId;
+use oatloom_protocol::wire::{Change, JobSpec, JobStatus, Shape, Txn};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
+use serde_json::json;
 use world::pipelines::Draw;
 use world::troubles::trouble;
 use world::upgrades::site_with_next_limits;
@@ -98,6 +101,62 @@
     ChaCha8Rng::seed_from_u64(seed)
 }
 
+/// Whoever writes what the previous version cannot read, while it may still run, is caught.
+#[test]
+fn a_new_form_beside_the_previous_version_is_caught() {
+    let broken = |key: &str, value: serde_json::Value, upgraded: bool| {
+        let mut rng = rng_of(1);
+        let mut world = World::deployed(site_with_next_limits(), &mut rng, CALM_MS);
+        if !upgraded {
+            world.begin_with_previous_version();
+        }
+        let changes = vec![Change::Put { key: key.into(), value, lease: None }];
+        world.write(&StoreOp::Txn(Txn { conditions: Vec::new(), changes }));
+        let rules = &world.region.checker.broken;
+        assert!(rules.iter().all(|text| text.contains(" new_form: ")), "{rules:?}");
+        !rules.is_empty()
+    };
+    let size = json!(["blue", 1.0, 1.0, 1.0, 2]);
+    let packed = json!({"d": "", "u": size, "p": "AAAA"});
+    assert!(broken("asg/req-1/0000", packed.clone(), false));
+    assert!(!broken("asg/req-1/0000", packed, true));
+    assert!(!broken("asg/req-1/0000", json!({"d": "", "a": [], "u": size}), false));
+    assert!(!broken("live/req-1", json!({"s": small_array("req-1", 2), "t": 1}), false));
+    let dependent = JobSpec { dependencies: vec![JobId::new("req-2")], ..small_array("req-1", 2) };
+    assert!(broken("live/req-1", json!({"s": dependent, "t": 1}), false));
+}
+
+/// A job that names others is not taken while any controller may run the previous version, at whichever node.
+#[test]
+fn nothing_new_is_accepted_before_all_are_upgraded() {
+    for seed in 0..6 + more_days() {
+        let mut world = day(seed, turns(seed, FIRST_TURN_MS, 10_000, AWAY_MS));
+        world.add_job_at(small_array("req-000001", 5), 1_000);
+        world.play_to(12_000);
+        assert!(world.is_accepted("req-000001"), "seed {seed}");
+        let dependencies = vec![JobId::new("req-000001")];
+        let dependent = JobSpec { dependencies, ..small_array("req-000002", 5) };
+        let text = World::text_of(&dependent).to_string();
+        // The last turn is at 40 s; the first to come back is there from 26 s on.
+        while world.before(40_000) {
+            let upgraded: Vec<usize> = (0..3).filter(|node| world.is_current(*node)).collect();
+            for node in upgraded {
+                world.send_odd(node, "POST", "/v2/runs", &text);
+            }
+            world.play_to(world.now + 700);
+        }
+        let answers: Vec<u16> = world
+            .looks
+            .odd
+            .iter()
+            .filter_map(|odd| odd.answer.as_ref().map(|(_, reply)| reply.status))
+            .collect();
+        assert!(answers.len() > 10, "seed {seed}: {answers:?}");
+        assert!(answers.iter().all(|status| matches!(status, 503 | 599)), "{answers:?}");
+        assert!(!world.ever_written("req-000002"), "seed {seed}");
+    }
+}
+
 #[test]
 fn calm_upgrades_keep_the_rules() {
     play_days("calm", 0, 6, |seed| turns(seed, FIRST_TURN_MS, 15_000, AWAY_MS));
--- a/tests/world/pipelines.rs
+++ b/tests/world/pipelines.rs
@@ -236,9 +236,20 @@
         }
     }
 
+    /// A submission was answered: one that names accepted jobs is never refused for good.
+    pub(super) fn look_at_answer(&mut self, job: &str, status: u16, submission: bool) {
+        let spec = self.region.outside.specs.get(job);
+        let dependent = spec.is_some_and(|spec| !spec.dependencies.is_empty());
+        if submission && dependent && matches!(status, 400 | 422) {
+            let text = format!("{job} got {status}, all jobs that it names were accepted");
+            self.region.checker.fail(self.now, "refused", text);
+        }
+    }
+
     /// A controller wrote something, or tried to.
     pub(super) fn look_at_write(&mut self, node: usize, op: &StoreOp, reply: &StoreReply) {
         self.look_at_refusal(node, op, reply);
+        self.look_at_form(node, op, reply);
         let (StoreOp::Txn(txn), StoreReply::Committed(_)) = (op, reply) else { return };
         for job in assigned(txn) {
             self.look_at_release(job.as_str(), "is assigned");
--- a/tests/world/upgrades.rs
+++ b/tests/world/upgrades.rs
@@ -13,6 +13,15 @@
 const NEXT_LIMITS_TEXT: &str =
     "[facts.state.next]\nvalue_kb = 2.0\ntxn_ops = 5\nwrite_rps = 18.0\n";
 
+/// Fields of records as the previous version has them, by the keys' prefixes.
+const PREVIOUS_FIELDS: [(&str, &[&str]); 3] = [
+    ("live/", &["s", "t", "g"]),
+    ("over/", &["s", "n", "f", "u", "g"]),
+    ("asg/", &["d", "a", "u", "e", "l"]),
+];
+/// The field of a job's description that the previous version does not know.
+const DEPENDENCIES_FIELD: &str = "awaits";
+
 /// Which version a controller runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Version {
@@ -52,6 +61,12 @@
         self.nodes.iter().all(|node| node.version == Version::Current)
     }
 
+    /// Whether a node runs the current version.
+    pub fn is_current(&self, node: usize) -> bool {
+        let node = &self.nodes[node];
+        node.core.is_some() && node.version == Version::Current
+    }
+
     /// Whether every controller that runs knows that no other version exists.
     pub fn all_know_the_upgrade(&self) -> bool {
         self.nodes.iter().filter_map(|node| node.core.as_ref()).all(Controller::all_upgraded)
@@ -86,6 +101,22 @@
         &self.state.refusals
     }
 
+    /// Something was written: while a controller of the previous version runs, or may be started, it reads all of it.
+    pub(super) fn look_at_form(&mut self, node: usize, op: &StoreOp, reply: &StoreReply) {
+        let (StoreOp::Txn(txn), StoreReply::Committed(_)) = (op, reply) else { return };
+        if self.all_current() {
+            return;
+        }
+        for change in &txn.changes {
+            if let Change::Put { key, value, .. } = change
+                && let Some(field) = unknown_field(key, value)
+            {
+                let text = format!("n-{node} writes {key} with {field:?}: {value}");
+                self.region.checker.fail(self.now, "new_form", text);
+            }
+        }
+    }
+
     /// A transaction was refused for its size: the same controller does not ask for the same changes again.
     pub(super) fn look_at_refusal(&mut self, node: usize, op: &StoreOp, reply: &StoreReply) {
         let (StoreOp::Txn(txn), StoreReply::Malformed(why)) = (op, reply) else { return };
@@ -106,3 +137,12 @@
         Change::Put { key, .. } | Change::Delete { key } => key,
     }
 }
+
+/// A field of a record that the previous version does not know.
+fn unknown_field(key: &str, value: &serde_json::Value) -> Option<String> {
+    let (_, known) = PREVIOUS_FIELDS.iter().find(|(prefix, _)| key.starts_with(prefix))?;
+    let fields = value.as_object()?;
+    let unknown = fields.keys().find(|field| !known.contains(&field.as_str())).cloned();
+    let dependencies = fields.get("s").and_then(|spec| spec.get(DEPENDENCIES_FIELD));
+    unknown.or(dependencies.map(|_| DEPENDENCIES_FIELD.to_owned()))
+}
