--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -675,3 +675,57 @@
     }
     tried.assert_some("limits fall");
 }
+
+// --- Many jobs ------------------------------------------------------------------------------------
+
+/// Short jobs of one task, which are accepted at up to 25 a second.
+fn short(n: u32, dependencies: Vec<JobId>) -> JobSpec {
+    JobSpec { tasks: 1, gpus: 0.0, cpus: 0.1, dependencies, ..small_array(job(n).as_str(), 1) }
+}
+
+/// A world of nobody but the users of these jobs, played to its end.
+fn play_many(site: Site, jobs: Vec<JobSpec>) -> World {
+    show_log();
+    let mut world = World::deployed(site, &mut ChaCha8Rng::seed_from_u64(7), 240_000);
+    world.quiet = true;
+    jobs.into_iter().for_each(|spec| world.add_job_at(spec, 2_000));
+    world.play();
+    world
+}
+
+#[test]
+fn a_job_behind_three_hundred_ends() {
+    let mut jobs: Vec<JobSpec> = (1..=300).map(|n| short(n, Vec::new())).collect();
+    jobs.push(short(0, (1..=300).map(job).collect()));
+    let world = play_many(Site::default(), jobs);
+    finished(&world, "one behind many");
+    assert_eq!(world.told(JobStatus::Done), 301);
+}
+
+#[test]
+fn three_hundred_jobs_behind_one_end() {
+    let behind = (1..=300).map(|n| short(n, vec![job(0)]));
+    let jobs = std::iter::once(short(0, Vec::new())).chain(behind).collect();
+    let world = play_many(Site::default(), jobs);
+    finished(&world, "many behind one");
+    assert_eq!(world.told(JobStatus::Done), 301);
+}
+
+/// Cancelled at its head when all are accepted, a long chain ends in time, at five changes a transaction.
+#[test]
+fn a_cancelled_chain_of_a_hundred_and_fifty_ends_in_time() {
+    show_log();
+    let mut rng = ChaCha8Rng::seed_from_u64(7);
+    let mut world = World::deployed(site_with_next_limits(), &mut rng, 200_000);
+    world.trouble([(10_000, Fault::LimitsFall)]);
+    world.add_job_at(small_array(job(0).as_str(), 400), 2_000);
+    for n in 1..150 {
+        world.add_job_at(short(n, vec![job(n - 1)]), 2_000);
+    }
+    world.play_to(100_000);
+    assert_eq!(world.accepted_dependents(), 149);
+    world.cancel(job(0).as_str(), world.now);
+    world.play();
+    finished(&world, "a long chain");
+    assert_eq!(world.told(JobStatus::Cancelled), 150);
+}
