--- a/crates/core/src/constants.rs
+++ b/crates/core/src/constants.rs
@@ -170,6 +170,8 @@
 pub const REQUEST_PATIENCE_MS: Millis = Millis(1_700);
 /// Final states remembered by each controller, so that polls need no read; about 4 MB.
 pub const OVER_CACHE: usize = 20_000;
+/// Dependencies that a record holds as their ids; more are kept in the short form.
+pub const DEPENDENCIES_AS_TEXT: usize = 16;
 /// Jobs that an answer about a waiting one names as what it waits for: some 300 bytes.
 pub const SHOWN_DEPENDENCIES: usize = 20;
 /// Accepted jobs remembered by each controller, so that submissions that name them need no read; about 1 MB.
--- a/crates/core/src/jobs/mod.rs
+++ b/crates/core/src/jobs/mod.rs
@@ -6,6 +6,7 @@
 
 mod accepted;
 mod dependencies;
+mod dependency_list;
 mod fitting;
 mod job;
 mod over;
--- a/crates/core/src/jobs/records.rs
+++ b/crates/core/src/jobs/records.rs
@@ -1,6 +1,8 @@
 //! What stands in the state service, under which key, and in what form.
 
+use super::dependency_list::{self, DependencyListError};
 use super::packed::{self, PackedError};
+use crate::constants::DEPENDENCIES_AS_TEXT;
 use oatloom_graph::records::{Part, PartEnd};
 use oatloom_ledger::rollup::{Days, Spent};
 use oatloom_policy::charges::ChargeRecord;
@@ -28,17 +30,53 @@
 
 /// Value of a live key.
 #[derive(Clone, Debug, Serialize, Deserialize)]
+#[serde(try_from = "StoredLive", into = "StoredLive")]
 pub struct LiveRecord {
-    #[serde(rename = "s")]
     pub spec: JobSpec,
     /// Time of day at acceptance, in milliseconds.
-    #[serde(rename = "t")]
     pub wall_ms: u64,
     /// What of a graph it runs, if it does.
-    #[serde(rename = "g", default, skip_serializing_if = "Option::is_none")]
     pub part: Option<Arc<Part>>,
 }
 
+/// A live key's value as it is stored.
+#[derive(Serialize, Deserialize)]
+struct StoredLive {
+    #[serde(rename = "s")]
+    spec: JobSpec,
+    #[serde(rename = "t")]
+    wall_ms: u64,
+    #[serde(rename = "g", default, skip_serializing_if = "Option::is_none")]
+    part: Option<Arc<Part>>,
+    /// Dependencies, where there are so many that the description holds none of them.
+    #[serde(rename = "w", default, skip_serializing_if = "Option::is_none")]
+    dependencies: Option<String>,
+}
+
+impl From<LiveRecord> for StoredLive {
+    fn from(record: LiveRecord) -> Self {
+        let LiveRecord { mut spec, wall_ms, part } = record;
+        let many = spec.dependencies.len() > DEPENDENCIES_AS_TEXT;
+        let dependencies = many.then(|| dependency_list::pack(&spec.dependencies));
+        if many {
+            spec.dependencies.clear();
+        }
+        Self { spec, wall_ms, part, dependencies }
+    }
+}
+
+impl TryFrom<StoredLive> for LiveRecord {
+    type Error = DependencyListError;
+
+    fn try_from(stored: StoredLive) -> Result<Self, DependencyListError> {
+        let StoredLive { mut spec, wall_ms, part, dependencies } = stored;
+        if let Some(text) = dependencies {
+            spec.dependencies = dependency_list::unpack(&text)?;
+        }
+        Ok(Self { spec, wall_ms, part })
+    }
+}
+
 /// Value of an over key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OverRecord {
