--- a/crates/core/src/constants.rs
+++ b/crates/core/src/constants.rs
@@ -182,6 +182,14 @@
 /// How long the answer to a report may wait for something to say: with what is lost on the way and
 /// on a slow processor it still comes well before its worker gives up.
 pub const PARK_MS: Millis = Millis(2_800);
+/// Parked reports that are answered by one event at most: a new leader has thousands to answer once its book is read, and its
+/// lease is renewed between events. At some 50 µs each it is 10 ms of a whole processor.
+pub const PARKED_AT_ONCE: usize = 200;
+/// How often all parked reports are looked at, whether or not anything is known to have changed for them: one look costs well
+/// under a microsecond, so that 6,000 cost about a hundredth of a processor.
+pub const PARKED_SWEEP_MS: Millis = Millis(500);
+/// How often those are looked at that wait for a write or a stop.
+pub const PARKED_LOOK_MS: Millis = Millis(50);
 /// Answers wait where users want a class started within this many report periods: else starts are
 /// not what is late.
 pub const EAGER_REPORTS: f64 = 1.75;
--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -17,6 +17,7 @@
 use crate::mesh::Question;
 use crate::notes::Notes;
 use crate::operators::Operators;
+use crate::open::OpenRequests;
 use crate::parked::ParkedReports;
 use crate::placement;
 use crate::reign::{Reign, Stage, Terms};
@@ -246,11 +247,14 @@
     fleet: Fleet,
     reign: Option<Reign>,
     over: OverCache,
-    open: BTreeMap<ConnId, Mono>,
+    open: OpenRequests,
     waiting_end: BTreeMap<JobId, Vec<ConnId>>,
     asks: BTreeMap<u64, (ConnId, Question, Mono)>,
     relays: Relays,
     parked: ParkedReports,
+    /// Whether something may have changed for parked reports, and when those that are watched are looked at next.
+    parked_changed: bool,
+    next_parked_look: Mono,
     /// Direct commands under way.
     commands: usize,
     cloud_ops: BTreeMap<u64, (CloudOp, Token)>,
@@ -298,11 +302,13 @@
             fleet: Fleet::default(),
             reign: None,
             over: OverCache::default(),
-            open: BTreeMap::new(),
+            open: OpenRequests::default(),
             waiting_end: BTreeMap::new(),
             asks: BTreeMap::new(),
             relays: Relays::default(),
             parked: ParkedReports::default(),
+            parked_changed: false,
+            next_parked_look: Mono(0),
             commands: 0,
             traffic: Traffic::default(),
             next_line: Mono(0),
@@ -356,6 +362,11 @@
         }
     }
 
+    /// How many parked reports have been looked at, for tests: what must not grow with events times reports.
+    pub fn parked_looks(&self) -> u64 {
+        self.parked.looks()
+    }
+
     pub fn valid(&self, now: Mono) -> Option<Token> {
         self.leadership.valid(now)
     }
@@ -467,7 +478,7 @@
     }
 
     fn reply(&mut self, conn: ConnId, reply: HttpReply) {
-        if self.open.remove(&conn).is_some() {
+        if self.open.remove(conn) {
             self.out.push(Action::Reply { conn, reply });
         }
     }
@@ -477,22 +488,13 @@
         for id in self.store.expired(now.mono) {
             self.on_store(now, id, StoreReply::Unsent);
         }
-        let late: Vec<u64> = self
-            .asks
-            .iter()
-            .filter(|(_, (_, _, until))| now.mono >= *until)
-            .map(|(id, _)| *id)
-            .collect();
+        // All questions wait equally long, so that the first ones asked are the first that are late.
+        let late = self.asks.iter().take_while(|(_, (_, _, until))| now.mono >= *until);
+        let late: Vec<u64> = late.map(|(id, _)| *id).collect();
         for id in late {
             self.on_told(now, id, None);
         }
-        let late: Vec<ConnId> = self
-            .open
-            .iter()
-            .filter(|(_, until)| now.mono >= **until)
-            .map(|(conn, _)| *conn)
-            .collect();
-        for conn in late {
+        for conn in self.open.expired(now.mono) {
             self.reply(conn, HttpReply::later("took too long"));
         }
     }
@@ -514,7 +516,10 @@
             }
             Purpose::Load { token, after, first } => self.on_load(now, token, after, first, reply),
             Purpose::Watch { token, after } => self.on_watch(now, token, after, reply),
-            Purpose::Write { token, written } => self.on_written(now.mono, token, written, reply),
+            Purpose::Write { token, written } => {
+                self.parked_changed = true;
+                self.on_written(now.mono, token, written, reply);
+            }
             Purpose::Resolve { token, item } => self.on_resolved(now.mono, token, item, reply),
             Purpose::Accept { conn, record, forwarded, term } => {
                 self.on_accepted(now, conn, *record, (forwarded, term), reply);
--- a/crates/core/src/controller/reports.rs
+++ b/crates/core/src/controller/reports.rs
@@ -1,7 +1,7 @@
 //! Workers' reports, answers that wait for a start, and direct commands.
 
 use super::*;
-use crate::parked::Parked;
+use crate::parked::{Look, Parked};
 
 /// What a report is told that is older than another, or whose machine is gone.
 const OUTDATED: &str = "an older report, or a machine that was returned";
@@ -76,6 +76,9 @@
         self.traffic.parked += 1;
         let (shift, tally) = (report.shift, report.tally);
         self.parked.park(report.host.clone(), conn, shift, tally, now, unread);
+        if self.reign.as_ref().is_some_and(|reign| reign.has_unsent(&report.host)) {
+            self.parked.watch(&report.host);
+        }
         self.open.insert(conn, now.plus(REPORT_DROP_MS));
     }
 
@@ -96,9 +99,21 @@
             return;
         };
         let ruling = reign.stage == Stage::Ruling;
+        for host in reign.take_stirred() {
+            self.parked_changed = true;
+            self.parked.watch(&host);
+        }
+        let changed = std::mem::take(&mut self.parked_changed) || now >= self.next_parked_look;
+        let look = if ruling && changed { Look::Watched } else { Look::Deadlines };
+        if look == Look::Watched {
+            self.next_parked_look = now.plus(PARKED_LOOK_MS);
+        }
         let ready =
             |host: &HostId, p: &Parked| ruling && (p.unread.is_some() || reign.has_orders(host));
-        for host in self.parked.due(now, ready) {
+        let due = self.parked.due(now, look, ready);
+        // Guards against the rest of a fleet that waits for the next look.
+        self.parked_changed = due.len() >= PARKED_AT_ONCE;
+        for host in due {
             let (Some(reign), Some(parked)) = (self.reign.as_mut(), self.parked.take(&host)) else {
                 continue;
             };
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -11,6 +11,7 @@
 pub mod leadership;
 pub mod mesh;
 pub mod notes;
+pub mod open;
 pub mod operators;
 pub mod owners;
 pub mod parked;
--- /dev/null
+++ b/crates/core/src/open.rs
@@ -0,0 +1,47 @@
+//! Requests without an answer, by the deadline at which they are answered in any case.
+
+use crate::reply::ConnId;
+use oatloom_protocol::ids::Mono;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Open requests, indexed by deadline: looking for expired ones costs nothing while there are none, however many are
+/// open. It is done before every event.
+#[derive(Debug, Default)]
+pub struct OpenRequests {
+    deadlines: BTreeMap<ConnId, Mono>,
+    by_deadline: BTreeSet<(Mono, ConnId)>,
+}
+
+impl OpenRequests {
+    /// Adds a request, or moves the deadline of one that is open.
+    pub fn insert(&mut self, conn: ConnId, deadline: Mono) {
+        if let Some(former) = self.deadlines.insert(conn, deadline) {
+            self.by_deadline.remove(&(former, conn));
+        }
+        self.by_deadline.insert((deadline, conn));
+    }
+
+    /// Removes a request that is being answered; whether it was open.
+    pub fn remove(&mut self, conn: ConnId) -> bool {
+        let Some(deadline) = self.deadlines.remove(&conn) else { return false };
+        self.by_deadline.remove(&(deadline, conn));
+        true
+    }
+
+    /// The requests whose deadline has passed, the earliest first; they stay open until they are removed.
+    pub fn expired(&self, now: Mono) -> Vec<ConnId> {
+        let passed = self.by_deadline.iter().take_while(|(deadline, _)| now >= *deadline);
+        passed.map(|(_, conn)| *conn).collect()
+    }
+
+    pub fn len(&self) -> usize {
+        self.deadlines.len()
+    }
+
+    pub fn is_empty(&self) -> bool {
+        self.deadlines.is_empty()
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/core/src/parked.rs
+++ b/crates/core/src/parked.rs
@@ -2,11 +2,11 @@
 //! answer to a report, so a machine that has just reported hears of its next task a whole report
 //! period later; one whose report is still open hears of it at once.
 
-use crate::constants::PARK_MS;
+use crate::constants::{PARKED_AT_ONCE, PARKED_SWEEP_MS, PARK_MS};
 use crate::reply::ConnId;
 use oatloom_protocol::ids::{HostId, Mono, Shift, Tally};
 use oatloom_protocol::wire::Report;
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 
 /// A report that has been taken up and not been answered.
 #[derive(Clone, Debug, PartialEq)]
@@ -20,9 +20,26 @@
     pub unread: Option<Box<Report>>,
 }
 
+/// Which parked reports are looked at. Looking at all of them at every event cost a leader of thousands of machines more than
+/// its reports did, the more the more of them waited.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum Look {
+    /// Those whose time is up.
+    Deadlines,
+    /// These, and those of machines that are watched.
+    Watched,
+    All,
+}
+
 #[derive(Debug, Default)]
 pub struct ParkedReports {
     waiting: BTreeMap<HostId, Parked>,
+    by_deadline: BTreeSet<(Mono, HostId)>,
+    /// Machines for which there may be something to say before their time is up.
+    watched: BTreeSet<HostId>,
+    next_sweep: Mono,
+    /// Reports looked at so far, for tests.
+    looks: u64,
 }
 
 impl ParkedReports {
@@ -35,10 +52,27 @@
         now: Mono,
         unread: Option<Box<Report>>,
     ) {
+        self.take(&host);
         let until = now.plus(PARK_MS);
+        if unread.is_some() {
+            self.watched.insert(host.clone());
+        }
+        self.by_deadline.insert((until, host.clone()));
         self.waiting.insert(host, Parked { conn, shift, tally, until, unread });
     }
 
+    /// There may be something to say to a machine by now, or soon.
+    pub fn watch(&mut self, host: &HostId) {
+        if self.waiting.contains_key(host) {
+            self.watched.insert(host.clone());
+        }
+    }
+
+    /// How many reports have been looked at.
+    pub fn looks(&self) -> u64 {
+        self.looks
+    }
+
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
@@ -55,18 +89,53 @@
 
     /// Takes out what is parked of a machine: a newer report has come, or it is being answered.
     pub fn take(&mut self, host: &HostId) -> Option<Parked> {
-        self.waiting.remove(host)
+        let parked = self.waiting.remove(host)?;
+        self.by_deadline.remove(&(parked.until, host.clone()));
+        self.watched.remove(host);
+        Some(parked)
     }
 
     /// All of them, to be answered since this controller may no longer say anything.
     pub fn take_all(&mut self) -> BTreeMap<HostId, Parked> {
+        self.by_deadline.clear();
+        self.watched.clear();
         std::mem::take(&mut self.waiting)
     }
 
-    /// Those for which `ready` holds or whose time is up.
-    pub fn due(&self, now: Mono, ready: impl Fn(&HostId, &Parked) -> bool) -> Vec<HostId> {
-        let due = |(host, p): &(&HostId, &Parked)| now >= p.until || ready(host, p);
-        self.waiting.iter().filter(due).map(|(host, _)| host.clone()).collect()
+    /// Those whose time is up, and of those looked at the ones for which `ready` holds; no more than can be answered at
+    /// once. All are looked at now and then, whatever is asked for.
+    pub fn due(
+        &mut self,
+        now: Mono,
+        look: Look,
+        ready: impl Fn(&HostId, &Parked) -> bool,
+    ) -> Vec<HostId> {
+        let passed = self.by_deadline.iter().take_while(|(until, _)| now >= *until);
+        let mut due: Vec<HostId> =
+            passed.take(PARKED_AT_ONCE).map(|(_, host)| host.clone()).collect();
+        let sweep = now >= self.next_sweep;
+        if sweep {
+            self.next_sweep = now.plus(PARKED_SWEEP_MS);
+        }
+        let looked_at: Box<dyn Iterator<Item = &HostId>> = match look {
+            _ if sweep => Box::new(self.waiting.keys()),
+            Look::All => Box::new(self.waiting.keys()),
+            Look::Watched => Box::new(self.watched.iter()),
+            Look::Deadlines => return due,
+        };
+        let mut looks = 0;
+        for host in looked_at {
+            if due.len() >= PARKED_AT_ONCE {
+                break;
+            }
+            looks += 1;
+            let Some(parked) = self.waiting.get(host) else { continue };
+            if now < parked.until && ready(host, parked) {
+                due.push(host.clone());
+            }
+        }
+        self.looks += looks;
+        due
     }
 }
 
--- a/crates/core/src/reign/dispatch.rs
+++ b/crates/core/src/reign/dispatch.rs
@@ -122,6 +122,7 @@
                 machine.reserved = None;
             }
         }
+        self.stirred.push(host.clone());
         log::debug!("task {id}/{index}: assigned to {host}");
     }
 }
--- a/crates/core/src/reign/mod.rs
+++ b/crates/core/src/reign/mod.rs
@@ -130,6 +130,8 @@
     trials: BTreeMap<TaskId, Mono>,
     /// Stops that do not wait for their machine's next report.
     hasty: BTreeMap<HostId, Vec<Order>>,
+    /// Machines for which a task was assigned or stopped since the last call of [`Reign::take_stirred`].
+    stirred: Vec<HostId>,
     /// Machines that do not report and have something of jobs that are over, the one told longest ago last.
     overdue: Vec<HostId>,
     /// Task graphs, where they are served.
@@ -167,6 +169,7 @@
             condemned: BTreeSet::new(),
             trials: BTreeMap::new(),
             hasty: BTreeMap::new(),
+            stirred: Vec::new(),
             overdue: Vec::new(),
             graphs: graphs::desk(terms, token, now),
             kinds: graphs::Kinds::new(),
@@ -357,6 +360,7 @@
         }
         let since = hold.stop.as_ref().map_or(now, |s| s.since);
         hold.stop = Some(Stop { why, grace_s, since });
+        self.stirred.push(hold.host.clone());
         if matches!(why, StopWhy::Preempted | StopWhy::Draining | StopWhy::Moved) {
             let (host, attempt) = (hold.host.clone(), hold.attempt);
             let orders = self.hasty.entry(host).or_default();
--- a/crates/core/src/reign/reports.rs
+++ b/crates/core/src/reign/reports.rs
@@ -134,6 +134,19 @@
             })
     }
 
+    /// Machines for which a task was assigned or stopped since the last call.
+    pub fn take_stirred(&mut self) -> Vec<HostId> {
+        std::mem::take(&mut self.stirred)
+    }
+
+    /// Whether a machine has something that it is to be told, now or once it is durable.
+    pub fn has_unsent(&self, host: &HostId) -> bool {
+        let unsent = |hold: &Hold| hold.run == RunSent::No || hold.stop.is_some();
+        self.fleet.machines.get(host).is_some_and(|machine| {
+            machine.held.keys().any(|task| self.book.held(task).is_some_and(unsent))
+        })
+    }
+
     /// A report is being answered with 200.
     pub fn answered(&mut self, host: &HostId, now: Mono) {
         if let Some(machine) = self.fleet.machines.get_mut(host) {
--- a/crates/core/src/store.rs
+++ b/crates/core/src/store.rs
@@ -318,6 +318,11 @@
 
     /// Operations that waited too long; they were never sent.
     pub fn expired(&mut self, now: Mono) -> Vec<OpId> {
+        // All have the same patience, so that the first one queued is the first that is late: this is asked at every event.
+        let first = self.queue.iter().find(|w| w.lane != Lane::Write);
+        if first.is_none_or(|w| now < w.until) {
+            return Vec::new();
+        }
         let (keep, late): (VecDeque<_>, VecDeque<_>) =
             self.queue.drain(..).partition(|w| now < w.until || w.lane == Lane::Write);
         self.queue = keep;
