--- a/crates/core/src/constants.rs
+++ b/crates/core/src/constants.rs
@@ -136,6 +136,19 @@
 /// limit seen fit to support (8 KiB).
 pub const CHUNK_TASKS: u32 = 96;
 
+// --- Admission --------------------------------------------------------------
+
+/// How long an input may wait for the core's thread and still be worth an answer: within its caller's time-out, less what
+/// the answer itself may take. A load balancer's probe is given up after 1 s, a poll after 2 s, a report after 4 s, a
+/// submission after 5 s (protocol); a peer waits for [`ASK_TIMEOUT_MS`].
+pub const CONTROL_AGE_MS: Millis = Millis(900);
+pub const QUESTION_AGE_MS: Millis = Millis(1_500);
+pub const REPORT_AGE_MS: Millis = Millis(3_000);
+pub const SUBMISSION_AGE_MS: Millis = Millis(2_500);
+pub const FORWARDED_AGE_MS: Millis = Millis(600);
+/// Over how many seconds those are spread who are told to come back: as long as polls are apart.
+pub const RETRY_SPREAD_S: u32 = 5;
+
 // --- Users ------------------------------------------------------------------
 
 /// How long a question may wait for the leader before the store is read instead.
@@ -144,8 +157,10 @@
 pub const REQUEST_PATIENCE_MS: Millis = Millis(1_700);
 /// Final states remembered by each controller, so that polls need no read; about 4 MB.
 pub const OVER_CACHE: usize = 20_000;
-/// Requests from users under way at once; beyond it they are told to come back.
-pub const USER_INFLIGHT: usize = 600;
+/// Requests from users under way at once, as a share of the connections, and at least; beyond it they are told to come back.
+/// With the leader away each waits for [`ASK_TIMEOUT_MS`]: at 6,000 machines 1,250 polls a second are 875 at once.
+pub const USER_INFLIGHT_SHARE: f64 = 0.5;
+pub const USER_INFLIGHT_LEAST: usize = 600;
 /// A node whose store calls all failed for this long says so at `/up` if a peer is better off.
 pub const UP_STORE_SILENCE_MS: Millis = Millis(6_000);
 
@@ -164,10 +179,19 @@
 
 /// Period of the leader's notes to its peers.
 pub const NOTES_EVERY_MS: Millis = Millis(3_000);
-/// Machines whose images one note tells of: some 15 KB of a frame.
+/// Machines whose images one note tells of, at least.
 pub const NOTES_MACHINES: usize = 150;
-/// Machines of which a follower keeps what it was told; a few hundred bytes each.
-pub const NOTES_MACHINES_KEPT: usize = 4_000;
+/// Notes in which the whole fleet is told of: half of [`NOTES_OLD_MS`], so that one note may be lost for each that comes.
+pub const NOTES_ROUND: usize = 10;
+/// Bytes of images in one note, at most, as they are in a frame: half of the largest frame that any version reads, 256 KiB. At
+/// 6,000 machines a note tells of 600, and so of five images of 40 bytes each before it is cut short.
+pub const NOTES_BYTES: usize = 128 * 1024;
+/// Bytes that a machine's name and an image take in a frame, beyond the image's name.
+pub const NOTES_MACHINE_BYTES: usize = 24;
+pub const NOTES_IMAGE_BYTES: usize = 16;
+/// Machines of which a follower keeps what it was told, a few hundred bytes each: 6,000 at once, and as many that came in their
+/// places during the leader's term.
+pub const NOTES_MACHINES_KEPT: usize = 12_000;
 /// Notes older than this are of no use to a new leader.
 pub const NOTES_OLD_MS: Millis = Millis(60_000);
 /// How fresh a leader's answer must be to show that only this node is refused.
--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -16,8 +16,8 @@
 use crate::leadership::{Ask, LEAD_KEY, Leadership, Turn};
 use crate::mesh::Question;
 use crate::notes::Notes;
-use crate::operators::Operators;
 use crate::open::OpenRequests;
+use crate::operators::Operators;
 use crate::parked::ParkedReports;
 use crate::placement;
 use crate::reign::{Reign, Stage, Terms};
--- a/crates/core/src/controller/users.rs
+++ b/crates/core/src/controller/users.rs
@@ -43,7 +43,7 @@
                 self.reply(conn, reply);
             }
             // Reports that wait are bounded by the machines there are.
-            _ if self.open.len().saturating_sub(self.parked.len()) > USER_INFLIGHT => {
+            _ if self.open.len().saturating_sub(self.parked.len()) > self.user_inflight() => {
                 self.traffic.users += 1;
                 self.reply(conn, HttpReply::later("too many requests at once"));
             }
@@ -67,6 +67,12 @@
         }
     }
 
+    /// Requests of users that may be under way at once.
+    fn user_inflight(&self) -> usize {
+        let share = self.settings.facts.limits.connections() as f64 * USER_INFLIGHT_SHARE;
+        (share as usize).max(USER_INFLIGHT_LEAST)
+    }
+
     pub(super) fn up(&self, now: Mono) -> HttpReply {
         let reached = self.store.last_good() > Mono(0);
         let mute = now.since(self.store.last_good()) > UP_STORE_SILENCE_MS;
@@ -408,6 +414,11 @@
         }
     }
 
+    /// Whether this controller leads and has the job in its book, where its end may be being written.
+    fn holds(&self, id: &JobId) -> bool {
+        self.reign.as_ref().is_some_and(|reign| reign.book.get(id).is_some())
+    }
+
     pub(super) fn found_live(
         &mut self,
         now: Now,
@@ -437,8 +448,9 @@
             return self.answer_as_leader(now, conn, Question::Abort(id));
         }
         match why {
-            // That it is accepted, and not over, was true when the key was read.
-            Why::Submit(_) => {
+            // That it is accepted, and not over, was true when the key was read. Guards against jobs of which nothing can be
+            // heard while the leader cannot be reached or does not keep up.
+            Why::Submit(_) | Why::View if !self.holds(&id) => {
                 let status = JobStatus::Queued;
                 let view = JobView { id, status, done: 0, running: 0, failure: None };
                 self.reply(conn, HttpReply::json(200, &view));
--- /dev/null
+++ b/crates/core/src/inbox/tests.rs
@@ -0,0 +1,117 @@
+use super::*;
+use rand::{Rng, SeedableRng};
+use rand_chacha::ChaCha8Rng;
+use std::collections::BTreeMap;
+
+/// Most callers of the machine that these tests think of.
+const CALLERS: usize = 2_400;
+
+/// What came of a spell of load.
+#[derive(Debug, Default)]
+struct Outcome {
+    /// Answers in time and dropped inputs, by kind.
+    answered: BTreeMap<InputKind, u32>,
+    dropped: u32,
+    /// The oldest input that was taken, in milliseconds.
+    oldest: u64,
+    longest_queue: usize,
+}
+
+/// Plays so many inputs of each kind a second against a thread that takes `cost_us` for each that it takes and a tenth for
+/// each that it drops.
+fn play(seed: u64, loads: &[(InputKind, f64)], cost_us: u64, span_ms: u64) -> Outcome {
+    let mut rng = ChaCha8Rng::seed_from_u64(seed);
+    let mut inbox = Inbox::new(CALLERS);
+    let mut outcome = Outcome::default();
+    let mut spare_us: i64 = 0;
+    for now in 0..span_ms {
+        for (kind, rate) in loads {
+            let count =
+                (rate / 1e3).floor() as u32 + u32::from(rng.random_bool((rate / 1e3).fract()));
+            for _ in 0..count {
+                let evicted = inbox.push(Mono(now), *kind, false, (*kind, now));
+                outcome.dropped += u32::from(evicted.is_some());
+            }
+        }
+        spare_us = (spare_us + 1_000).min(1_000);
+        while spare_us > 0
+            && let Some(next) = inbox.pop(Mono(now))
+        {
+            match next {
+                Admitted::Take((kind, at)) => {
+                    spare_us -= cost_us as i64;
+                    outcome.oldest = outcome.oldest.max(now - at);
+                    *outcome.answered.entry(kind).or_default() += 1;
+                }
+                Admitted::Drop(..) => {
+                    spare_us -= cost_us as i64 / 10;
+                    outcome.dropped += 1;
+                }
+            }
+        }
+        outcome.longest_queue = outcome.longest_queue.max(inbox.len());
+    }
+    outcome
+}
+
+/// In any flood each kind keeps its share, nothing is taken that is too old, and what waits is bounded.
+#[test]
+fn each_kind_keeps_its_share_in_any_flood() {
+    use InputKind::*;
+    for (seed, flood) in InputKind::ALL.into_iter().enumerate() {
+        // 1,000 a second can be answered; one kind asks for twenty times that.
+        let loads = InputKind::ALL.map(|kind| (kind, if kind == flood { 20_000.0 } else { 30.0 }));
+        let outcome = play(seed as u64, &loads, 1_000, 20_000);
+        for kind in InputKind::ALL.into_iter().filter(|kind| *kind != flood) {
+            let answered = outcome.answered[&kind];
+            assert!(answered > 450, "{flood:?} starves {kind:?}: {answered} of some 600");
+        }
+        assert!(outcome.oldest < REPORT_AGE_MS.0, "{}", outcome.oldest);
+        assert!(outcome.longest_queue <= CALLERS + 600, "{}", outcome.longest_queue);
+        assert!(outcome.dropped > 0 && outcome.answered[&flood] > 5_000, "{outcome:?}");
+    }
+    // Reports and polls both beyond what can be answered: each has its share.
+    let outcome = play(9, &[(Report, 5_000.0), (Question, 5_000.0)], 1_000, 20_000);
+    assert!(outcome.answered[&Question] > 7_000 && outcome.answered[&Report] > 7_000);
+}
+
+/// Once a flood is over its inputs are gone within their callers' patience, and all are answered again.
+#[test]
+fn nothing_lasts_after_a_flood() {
+    let mut inbox = Inbox::new(CALLERS);
+    for n in 0..10_000 {
+        inbox.push(Mono(0), InputKind::Question, false, n);
+    }
+    assert_eq!(inbox.len(), CALLERS);
+    let later = Mono(QUESTION_AGE_MS.0);
+    inbox.push(later, InputKind::Question, false, 77);
+    let mut returns: BTreeMap<Option<u32>, u32> = BTreeMap::new();
+    loop {
+        match inbox.pop(later) {
+            Some(Admitted::Drop(_, retry_after_s)) => {
+                *returns.entry(retry_after_s).or_default() += 1
+            }
+            Some(Admitted::Take(item)) => break assert_eq!(item, 77),
+            None => panic!("the new one is answered"),
+        }
+    }
+    // They come back over several seconds, and not in step.
+    assert_eq!(returns.len(), RETRY_SPREAD_S as usize);
+    assert!(returns.values().all(|count| *count < 2 * CALLERS as u32 / RETRY_SPREAD_S));
+    assert!(inbox.is_empty() && inbox.take_dropped() == 10_000);
+}
+
+/// A worker that was not answered hears nothing, and a peer's question is dropped once the peer has given up.
+#[test]
+fn workers_wait_and_peers_are_gone() {
+    let mut inbox = Inbox::new(CALLERS);
+    inbox.push(Mono(0), InputKind::Report, false, 1);
+    inbox.push(Mono(0), InputKind::Question, true, 2);
+    let now = Mono(FORWARDED_AGE_MS.0);
+    assert_eq!(inbox.pop(now), Some(Admitted::Take(1)));
+    assert!(matches!(inbox.pop(now), Some(Admitted::Drop(2, Some(_)))));
+    inbox.push(now, InputKind::IdleReport, false, 3);
+    let late = now.plus(REPORT_AGE_MS);
+    assert_eq!(inbox.pop(late), Some(Admitted::Drop(3, None)));
+    assert!(FORWARDED_AGE_MS < ASK_TIMEOUT_MS && REPORT_AGE_MS < REPORT_DROP_MS);
+}
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -7,6 +7,7 @@
 pub mod constants;
 pub mod controller;
 pub mod estimate;
+pub mod inbox;
 pub mod jobs;
 pub mod leadership;
 pub mod mesh;
--- a/crates/core/src/parked.rs
+++ b/crates/core/src/parked.rs
@@ -2,7 +2,7 @@
 //! answer to a report, so a machine that has just reported hears of its next task a whole report
 //! period later; one whose report is still open hears of it at once.
 
-use crate::constants::{PARKED_AT_ONCE, PARKED_SWEEP_MS, PARK_MS};
+use crate::constants::{PARK_MS, PARKED_AT_ONCE, PARKED_SWEEP_MS};
 use crate::reply::ConnId;
 use oatloom_protocol::ids::{HostId, Mono, Shift, Tally};
 use oatloom_protocol::wire::Report;
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -151,6 +151,8 @@
     /// What this pass has started on machines.
     given: BTreeMap<&'a HostId, Room>,
     searches: usize,
+    /// The tasks on machines, once a search has asked for them.
+    lodgers: Option<room::Lodgers<'a>>,
     /// Searches for work that could make room where an image is.
     image_searches: usize,
     plan: Plan,
@@ -171,6 +173,7 @@
         started: BTreeMap::new(),
         given: BTreeMap::new(),
         searches: 0,
+        lodgers: None,
         image_searches: 0,
         plan: Plan::default(),
     };
--- a/crates/core/src/placement/room.rs
+++ b/crates/core/src/placement/room.rs
@@ -1,6 +1,23 @@
 //! Room made for a job that may not wait for a boot, where least work is lost.
 
 use super::*;
+use std::sync::Arc;
+
+/// A task on a machine as a search for room sees it. Each search looks at all of them, so that what they are is looked up
+/// once in a pass: by name in the book it was a quarter of what a leader of 4,000 machines did.
+#[derive(Debug)]
+pub(super) struct Lodger<'m> {
+    task: &'m TaskId,
+    room: &'m Room,
+    spec: Arc<JobSpec>,
+    /// Whether it is being stopped already.
+    stopping: bool,
+    /// What work its end would lose, in core-seconds.
+    loss: f64,
+}
+
+/// The tasks on each machine, in the machines' order.
+pub(super) type Lodgers<'m> = Vec<Vec<Lodger<'m>>>;
 
 /// Room for one task that a machine could give, and at what loss.
 pub(super) struct Offer<'m> {
@@ -9,6 +26,20 @@
     victims: Vec<TaskId>,
 }
 
+/// What every search for room has to know of the tasks on machines.
+fn lodgers<'m>(fleet: &'m Fleet, book: &Book, now: Mono) -> Lodgers<'m> {
+    let lodger = |(task, room): (&'m TaskId, &'m Room)| {
+        let job = book.get(&task.job)?;
+        let hold = job.hold(task.index)?;
+        let ran = hold.running_since.map_or(0.0, |t| now.since(t).secs());
+        let lost = if job.spec.checkpoint_s > 0.0 { job.spec.save_s } else { ran };
+        let loss = lost * room.cpus.max(0.1);
+        let (spec, stopping) = (job.spec.clone(), hold.stop.is_some());
+        Some(Lodger { task, room, spec, stopping, loss })
+    };
+    fleet.machines.values().map(|m| m.held.iter().filter_map(lodger).collect()).collect()
+}
+
 impl Pass<'_> {
     /// Whether a machine that has to boot first would come in time for the job's aim.
     pub(super) fn can_wait(&self, job: &Job) -> bool {
@@ -108,24 +139,27 @@
     ) -> bool {
         let job = need.job;
         let count = if job.spec.shape == Shape::Gang { job.spec.tasks as usize } else { 1 };
+        let lodgers = self.lodgers.take().unwrap_or_else(|| lodgers(self.fleet, book, self.now));
         let started: BTreeSet<&HostId> = self.plan.starts.iter().map(|(_, _, h)| h).collect();
+        let reserved: BTreeSet<&HostId> = self.plan.reserve.iter().map(|(h, _)| h).collect();
+        let borrowing = owed.then(|| self.borrowing(book));
         let mut offers: Vec<Offer> = Vec::new();
-        for m in self.fleet.machines.values() {
-            let taken =
-                m.kept_for(self.now).is_some() || self.plan.reserve.iter().any(|(h, _)| *h == m.id);
-            if !usable(self.fleet, m, self.now)
-                || !which(m)
-                || taken
+        for (m, lodgers) in self.fleet.machines.values().zip(&lodgers) {
+            if !which(m)
+                || m.kept_for(self.now).is_some()
+                || !need.allows(&m.flavor, &m.zone, m.spot)
+                || !usable(self.fleet, m, self.now)
+                || reserved.contains(&m.id)
                 || count > 1 && started.contains(&m.id)
                 || job.avoids(&m.id)
-                || !need.allows(&m.flavor, &m.zone, m.spot)
                 || !need.zone_open(&m.zone, &job.zones)
                 || !self.fleet.room_of(m).fits(&need.room)
             {
                 continue;
             }
-            self.offers(m, need, book, owed, count, &mut offers);
+            self.offers(m, lodgers, need, borrowing.as_ref(), count, &mut offers);
         }
+        self.lodgers = Some(lodgers);
         offers.sort_by(|a, b| a.cost.total_cmp(&b.cost));
         let mut best: Option<(f64, Vec<&Offer>)> = None;
         for site in sites {
@@ -161,9 +195,9 @@
     pub(super) fn offers<'m>(
         &self,
         m: &'m Machine,
+        lodgers: &[Lodger<'m>],
         need: &Need,
-        book: &Book,
-        owed: bool,
+        borrowing: Option<&BTreeSet<&str>>,
         most: usize,
         offers: &mut Vec<Offer<'m>>,
     ) {
@@ -174,28 +208,21 @@
             free.take(given);
         }
         let mut candidates: Vec<(f64, &TaskId, &Room)> = Vec::new();
-        for (task, room) in &m.held {
-            let Some(victim) = book.get(&task.job) else {
-                continue;
-            };
-            let Some(hold) = victim.hold(task.index) else {
-                continue;
-            };
-            let lower = victim.spec.rank < need.job.spec.rank;
-            let borrowed = owed
-                && victim.spec.team != need.job.spec.team
-                && self.borrows(&victim.spec.team, book)
-                && victim.spec.shape != Shape::Service;
-            if !(lower || borrowed) || victim.spec.tasks > 1 && victim.spec.shape == Shape::Gang {
+        for Lodger { task, room, spec, stopping, loss } in lodgers {
+            let lower = spec.rank < need.job.spec.rank;
+            let borrowed = spec.shape != Shape::Service
+                && spec.team != need.job.spec.team
+                && borrowing.is_some_and(|teams| {
+                    teams.contains(&*spec.team) || self.settings.team(&spec.team).is_none()
+                });
+            if !(lower || borrowed) || spec.tasks > 1 && spec.shape == Shape::Gang {
                 continue;
             }
-            if hold.stop.is_some() {
+            if *stopping {
                 free.add(room);
                 continue;
             }
-            let ran = hold.running_since.map_or(0.0, |t| self.now.since(t).secs());
-            let lost = if victim.spec.checkpoint_s > 0.0 { victim.spec.save_s } else { ran };
-            candidates.push((lost * room.cpus.max(0.1), task, room));
+            candidates.push((*loss, task, room));
         }
         candidates.sort_by(|a, b| a.0.total_cmp(&b.0));
         let mut candidates = candidates.into_iter();
@@ -217,6 +244,12 @@
         }
     }
 
+    /// Known teams that use more than their guarantee.
+    fn borrowing(&self, book: &Book) -> BTreeSet<&str> {
+        let teams = self.settings.facts.teams.iter().map(|team| &*team.name);
+        teams.filter(|team| self.borrows(team, book)).collect()
+    }
+
     /// Whether a team uses more than its guarantee.
     pub(super) fn borrows(&self, team: &str, book: &Book) -> bool {
         let Some(facts) = self.settings.team(team) else {
--- a/crates/core/src/reign/mod.rs
+++ b/crates/core/src/reign/mod.rs
@@ -206,19 +206,24 @@
     /// all the rest.
     pub fn notes(&mut self, now: Mono) -> Notes {
         let after = (Bound::Excluded(self.noted.clone()), Bound::Unbounded);
-        let images: Vec<(HostId, Vec<(String, f64)>)> = self
-            .fleet
-            .machines
-            .range(after)
-            .map(|(_, m)| m)
+        let most = self.fleet.machines.len().div_ceil(NOTES_ROUND).max(NOTES_MACHINES);
+        let mut bytes = 0;
+        let machines = self.fleet.machines.range(after).map(|(_, m)| m);
+        let images: Vec<(HostId, Vec<(String, f64)>)> = machines
             .filter(|m| m.images.iter().any(|i| i.ready))
-            .take(NOTES_MACHINES)
+            .take(most)
             .map(|m| {
                 let ready = m.images.iter().filter(|i| i.ready);
                 (m.id.clone(), ready.map(|i| (i.name.clone(), i.gb)).collect())
             })
+            .take_while(|(_, images): &(HostId, Vec<(String, f64)>)| {
+                let size = |(name, _): &(String, f64)| name.len() + NOTES_IMAGE_BYTES;
+                let former = bytes;
+                bytes += NOTES_MACHINE_BYTES + images.iter().map(size).sum::<usize>();
+                former == 0 || bytes <= NOTES_BYTES
+            })
             .collect();
-        let next = images.last().filter(|_| images.len() == NOTES_MACHINES);
+        let next = images.last().filter(|_| images.len() == most || bytes > NOTES_BYTES);
         self.noted = next.map_or_else(|| HostId::new(""), |(host, _)| host.clone());
         let mut arrivals: BTreeMap<&str, (JobSpec, Vec<u64>)> = BTreeMap::new();
         for (at, spec) in &self.book.arrivals {
--- a/crates/web/src/constants.rs
+++ b/crates/web/src/constants.rs
@@ -14,11 +14,14 @@
 pub const IDLE_CONNECTION_MS: Millis = Millis(120_000);
 /// A connection that is slow to send a request or to take its answer is closed after this long.
 pub const SLOW_REQUEST_MS: Millis = Millis(15_000);
+/// A connection whose request is given no answer is closed after this long, if its caller has not closed it: the longest that
+/// callers wait is 5 s (protocol), and a request is left alone when most of that is over.
+pub const ABANDONED_MS: Millis = Millis(2_500);
 /// Stack of this program's own threads: none recurses, and a controller may have 100 MB.
 pub const THREAD_STACK_BYTES: usize = 256 * 1024;
-/// Answers that may wait for the server's thread beyond one for each connection: those to callers that
-/// are gone meanwhile.
-pub const ANSWERS_BEYOND: usize = 2_000;
+/// Answers that may wait for the server's thread for each connection: its own, and one to a caller that is gone meanwhile. Who
+/// answers waits while there are more, so that no number of machines outgrows it.
+pub const ANSWERS_EACH: usize = 2;
 /// Rest after the system failed to wait for sockets, so that the log does not fill.
 pub const POLL_REST_MS: Millis = Millis(50);
 /// How long an address that is in use is waited for: a process that is killed lets go of its sockets within this, and an
@@ -33,5 +36,7 @@
 /// A connection that has lain idle for this long gives its place to a newcomer when there is none left: longer than
 /// anybody takes who opens one in order to ask.
 pub const GIVES_WAY_MS: Millis = Millis(2_000);
+/// How long it is remembered that none gives way: a tenth of the time in which one could come to lie idle for long enough.
+pub const NONE_IDLE_MS: Millis = Millis(200);
 /// How many give way at once: looking through all of them costs more than closing some.
 pub const GIVE_WAY_AT_ONCE: usize = 32;
--- a/crates/web/src/server.rs
+++ b/crates/web/src/server.rs
@@ -29,11 +29,21 @@
     pub request: R,
 }
 
+/// What becomes of a request.
+#[derive(Debug)]
+enum Answer {
+    Reply(HttpReply),
+    /// Its connection is closed.
+    Close,
+    /// It gets no answer, and its connection waits for its caller to close it.
+    Abandon,
+}
+
 /// Takes the core's answers to the server's thread.
 ///
 /// The server ends when this is dropped.
 pub struct Answers {
-    queue: Option<Sender<(Caller, Option<HttpReply>)>>,
+    queue: Option<Sender<(Caller, Answer)>>,
     waker: Waker,
     address: SocketAddr,
     /// Whether the thread has been woken and has not looked yet.
@@ -43,12 +53,18 @@
 impl Answers {
     /// Hands over an answer; one to a connection that is gone meanwhile is dropped.
     pub fn send(&self, caller: Caller, reply: HttpReply) {
-        self.hand(caller, Some(reply));
+        self.hand(caller, Answer::Reply(reply));
     }
 
     /// Closes a connection without an answer.
     pub fn close(&self, caller: Caller) {
-        self.hand(caller, None);
+        self.hand(caller, Answer::Close);
+    }
+
+    /// Leaves a request without an answer: its connection stays open, so that its caller does not come back at once, and is
+    /// closed when the caller gives up.
+    pub fn abandon(&self, caller: Caller) {
+        self.hand(caller, Answer::Abandon);
     }
 
     /// Where the server listens: its port is known even if any was asked for.
@@ -56,8 +72,8 @@
         self.address
     }
 
-    fn hand(&self, caller: Caller, reply: Option<HttpReply>) {
-        let taken = self.queue.as_ref().is_some_and(|queue| queue.send((caller, reply)).is_ok());
+    fn hand(&self, caller: Caller, answer: Answer) {
+        let taken = self.queue.as_ref().is_some_and(|queue| queue.send((caller, answer)).is_ok());
         if taken && !self.woken.swap(true, Ordering::AcqRel) {
             self.wake();
         }
@@ -88,6 +104,8 @@
     Reading,
     /// The core has the request.
     Waiting,
+    /// The request is given no answer: its caller closes the connection once it has waited long enough.
+    Abandoned,
     /// The answer is being written.
     Writing,
 }
@@ -170,6 +188,10 @@
     connections: HashMap<usize, Connection>,
     next: usize,
     crowd: Crowd,
+    /// Whether connections wait to be accepted until there is room for them.
+    held_back: bool,
+    /// When it was last seen that no connection gives way.
+    none_idle: Option<Instant>,
     read: Read,
     deliver: Deliver,
     scratch: Box<[u8]>,
@@ -203,8 +225,7 @@
     let address = listener.local_addr()?;
     poll.registry().register(&mut listener, LISTENER, Interest::READABLE)?;
     let waker = Waker::new(poll.registry(), WAKER)?;
-    // Every connection has one answer under way at most.
-    let (queue, answers) = bounded(most + ANSWERS_BEYOND);
+    let (queue, answers) = bounded(most.max(1) * ANSWERS_EACH);
     let woken = Arc::new(AtomicBool::new(false));
     let mut server = Server {
         poll,
@@ -212,6 +233,8 @@
         connections: HashMap::new(),
         next: FIRST_CONNECTION,
         crowd: Crowd::new(most),
+        held_back: false,
+        none_idle: None,
         read,
         deliver,
         scratch: vec![0; READ_BYTES].into_boxed_slice(),
@@ -226,7 +249,7 @@
     Read: Fn(&str, &str, &[u8]) -> Result<R, HttpReply>,
     Deliver: Fn(Incoming<R>) -> bool,
 {
-    fn serve(&mut self, answers: &Receiver<(Caller, Option<HttpReply>)>, woken: &AtomicBool) {
+    fn serve(&mut self, answers: &Receiver<(Caller, Answer)>, woken: &AtomicBool) {
         let mut events = Events::with_capacity(256);
         let sweep = Duration::from_millis(SOCKET_SWEEP_MS.0);
         let mut swept = Instant::now();
@@ -247,8 +270,9 @@
             woken.store(false, Ordering::Release);
             loop {
                 match answers.try_recv() {
-                    Ok((Caller(key), Some(reply))) => self.answer(key, &reply),
-                    Ok((Caller(key), None)) => drop(self.connections.remove(&key)),
+                    Ok((Caller(key), Answer::Reply(reply))) => self.answer(key, &reply),
+                    Ok((Caller(key), Answer::Close)) => drop(self.connections.remove(&key)),
+                    Ok((Caller(key), Answer::Abandon)) => self.abandon(key),
                     Err(TryRecvError::Empty) => break,
                     Err(TryRecvError::Disconnected) => return,
                 }
@@ -259,12 +283,20 @@
                 // A failed accept raises no further event: look again.
                 self.accept();
             }
+            if self.held_back {
+                self.accept();
+            }
         }
     }
 
-    /// Takes all that wait. One that fails, or finds no room, costs only itself.
+    /// Takes all that wait and find room. The others wait with the system, where they cost nothing: a caller whose connection
+    /// is closed at once comes again a second later, and so costs more than one that is answered a little later.
     fn accept(&mut self) {
         loop {
+            self.held_back = !self.has_room();
+            if self.held_back {
+                return;
+            }
             match self.listener.accept() {
                 Ok((stream, _)) => self.register(stream),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
@@ -278,10 +310,6 @@
     }
 
     fn register(&mut self, mut stream: TcpStream) {
-        if self.crowd.count(self.connections.len()) == Level::Full && !self.make_room() {
-            log::debug!("http: no connection is idle; a further one is closed");
-            return;
-        }
         let _ = stream.set_nodelay(true);
         let key = self.next;
         let interest = Interest::READABLE | Interest::WRITABLE;
@@ -295,6 +323,21 @@
         self.connections.insert(key, connection);
     }
 
+    /// Whether a further connection may be taken. That none lies idle is remembered for a moment: looking through all of them
+    /// for each that waits cost more than answering them.
+    fn has_room(&mut self) -> bool {
+        if self.crowd.count(self.connections.len()) != Level::Full {
+            return true;
+        }
+        let rest = Duration::from_millis(NONE_IDLE_MS.0);
+        if self.none_idle.is_some_and(|at| at.elapsed() < rest) {
+            return false;
+        }
+        let room = self.make_room();
+        self.none_idle = (!room).then(Instant::now);
+        room
+    }
+
     /// Closes connections that lie idle in favour of one that has come; none of them was being asked anything.
     fn make_room(&mut self) -> bool {
         let now = Instant::now();
@@ -342,7 +385,8 @@
                         return Next::Close;
                     }
                 }
-                Phase::Waiting => return Next::Keep,
+                Phase::Abandoned if connection.ended => return Next::Close,
+                Phase::Waiting | Phase::Abandoned => return Next::Keep,
                 Phase::Reading => {
                     let parsed = match connection.wire.parse(&self.read) {
                         Parsed::More if connection.ended => return Next::Close,
@@ -350,6 +394,10 @@
                         Parsed::Bad(reply) => Err(reply),
                         Parsed::Request(parsed) => *parsed,
                     };
+                    // Beyond the crowd's bound connections wait to be accepted, and their callers may have given up since.
+                    if connection.ended && closes {
+                        return Next::Close;
+                    }
                     connection.enter(Phase::Waiting);
                     let refusal = match parsed {
                         Err(reply) => Some(reply),
@@ -383,6 +431,16 @@
         }
     }
 
+    fn abandon(&mut self, key: usize) {
+        let Some(connection) = self.connections.get_mut(&key) else { return };
+        if connection.phase == Phase::Waiting {
+            connection.enter(Phase::Abandoned);
+            if connection.ended {
+                self.connections.remove(&key);
+            }
+        }
+    }
+
     /// Closes connections on which nothing has happened for long.
     fn sweep(&mut self) {
         let old = |since: Instant, most: Millis| since.elapsed().as_millis() as u64 > most.0;
@@ -390,6 +448,7 @@
             Phase::Reading if c.wire.begun() => !old(c.since, SLOW_REQUEST_MS),
             Phase::Reading => !old(c.since, IDLE_CONNECTION_MS),
             Phase::Waiting => true,
+            Phase::Abandoned => !c.ended && !old(c.since, ABANDONED_MS),
             Phase::Writing => !old(c.since, SLOW_REQUEST_MS),
         });
     }
--- a/src/constants.rs
+++ b/src/constants.rs
@@ -2,13 +2,15 @@
 
 use oatloom_protocol::ids::Millis;
 
-/// What may wait for the core thread before callers are told to come back.
-pub const INPUT_QUEUE: usize = 2_000;
+/// Answers of services and peers that wait for the core thread, which takes them before all else; whoever brings one waits.
+pub const EVENT_QUEUE: usize = 256;
+/// Dropped inputs that are answered before the core thread looks at what else has come.
+pub const DROPPED_AT_ONCE: usize = 64;
 /// Longest sleep of the core thread; the grain of its timers.
 pub const CORE_WAKE_MS: Millis = Millis(50);
 /// Largest answer read from a service: a page is 512 KiB, a watch has no limit of its own.
 pub const ANSWER_BYTES: u64 = 16 * 1024 * 1024;
-/// Calls that may wait for a client thread.
+/// Calls that may wait for a client thread. They do not grow with machines: what may be under way at once is bounded by the core.
 pub const CALL_QUEUE: usize = 256;
 /// Connections from peers at once.
 pub const MESH_CONNECTIONS: usize = 64;
--- a/src/edge/clients.rs
+++ b/src/edge/clients.rs
@@ -1,6 +1,6 @@
 //! HTTP clients of the state service and the cloud. Every call ends, by an answer or a time-out.
 
-use super::{EdgeError, Input, spawn};
+use super::{EdgeError, spawn};
 use crate::constants::*;
 use crossbeam::channel::{Receiver, Sender, bounded};
 use oatloom_core::cloud::{CloudOp, CloudReply};
@@ -23,19 +23,19 @@
 }
 
 impl Clients {
-    pub fn start(endpoints: &Endpoints, inputs: &Sender<Input>) -> Result<Self, EdgeError> {
+    pub fn start(endpoints: &Endpoints, events: &Sender<Event>) -> Result<Self, EdgeError> {
         let hold = Millis(FOLLOW_HOLD_MS.0 + STORE_TIMEOUT_MS.0);
         let state = &endpoints.state;
         let store =
-            |name, threads, timeout| pool(name, threads, state, timeout, inputs, call_store);
+            |name, threads, timeout| pool(name, threads, state, timeout, events, call_store);
         Ok(Self {
             vital: store("lease", VITAL_INFLIGHT, RENEW_TIMEOUT_MS)?,
             // Of the seat, of jobs, and one of an earlier term that is still open.
             watch: store("watch", 3, hold)?,
             plain: store("store", STORE_INFLIGHT + 1, STORE_TIMEOUT_MS)?,
-            cloud: pool("cloud", 3, &endpoints.cloud, CLOUD_TIMEOUT_MS, inputs, call_cloud)?,
+            cloud: pool("cloud", 3, &endpoints.cloud, CLOUD_TIMEOUT_MS, events, call_cloud)?,
             // Each command names its worker's address.
-            workers: pool("do", COMMAND_THREADS, "", COMMAND_TIMEOUT_MS, inputs, call_worker)?,
+            workers: pool("do", COMMAND_THREADS, "", COMMAND_TIMEOUT_MS, events, call_worker)?,
         })
     }
 
@@ -76,16 +76,16 @@
     threads: usize,
     address: &str,
     timeout: Millis,
-    inputs: &Sender<Input>,
+    events: &Sender<Event>,
     call: fn(&Caller, Id, Op) -> Event,
 ) -> Result<Sender<(Id, Op)>, EdgeError> {
     let (sender, queue): (_, Receiver<(Id, Op)>) = bounded(CALL_QUEUE);
     for _ in 0..threads {
-        let (queue, inputs) = (queue.clone(), inputs.clone());
+        let (queue, events) = (queue.clone(), events.clone());
         let caller = Caller::new(address, timeout, ANSWER_BYTES);
         spawn(name, move || {
             while let Ok((id, op)) = queue.recv() {
-                if inputs.send(Input::Event(call(&caller, id, op))).is_err() {
+                if events.send(call(&caller, id, op)).is_err() {
                     return;
                 }
             }
--- a/src/edge/mesh_io.rs
+++ b/src/edge/mesh_io.rs
@@ -1,7 +1,7 @@
 //! Connections between controllers.
 
 use super::frames::{read_frame, write_frame};
-use super::{EdgeError, Input};
+use super::{EdgeError, Incoming};
 use crate::constants::*;
 use crossbeam::channel::{Receiver, Sender, bounded};
 use oatloom_core::api::Request;
@@ -37,7 +37,7 @@
     }
 }
 
-pub(crate) fn serve(address: &str, inputs: Sender<Input>) -> Result<(), EdgeError> {
+pub(crate) fn serve(address: &str, inputs: Sender<Incoming>) -> Result<(), EdgeError> {
     let listener = bind_patiently(address, || TcpListener::bind(address))?;
     let count = Arc::new(AtomicUsize::new(0));
     spawn("mesh", move || {
@@ -66,7 +66,7 @@
     Ok(())
 }
 
-fn listen(mut stream: TcpStream, inputs: &Sender<Input>) -> std::io::Result<()> {
+fn listen(mut stream: TcpStream, inputs: &Sender<Incoming>) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     stream.set_read_timeout(Some(Duration::from_millis(MESH_IDLE_MS.0)))?;
     stream.set_write_timeout(Some(Duration::from_millis(MESH_WRITE_MS.0)))?;
@@ -74,9 +74,9 @@
     loop {
         let Asked { id, question } = read_frame(&mut stream)?;
         let answerer = Answerer { id, stream: answers.clone() };
-        let asked = Input::Mesh(Question { request: question.into(), answerer });
+        let asked = Incoming::Mesh(Question { request: question.into(), answerer });
         if let Err(full) = inputs.try_send(asked)
-            && let Input::Mesh(question) = full.into_inner()
+            && let Incoming::Mesh(question) = full.into_inner()
         {
             question.answerer.answer(HttpReply::later("busy"));
         }
@@ -89,13 +89,18 @@
     broken: Arc<AtomicBool>,
 }
 
-pub(crate) fn dial(address: String, inputs: Sender<Input>) -> Result<Sender<Asked>, EdgeError> {
-    let (sender, queue) = bounded::<Asked>(CALL_QUEUE);
-    spawn("mesh-out", move || ask(&address, &queue, &inputs))?;
+/// A thread that asks a peer; `most` questions may wait for it, one of each connection.
+pub(crate) fn dial(
+    address: String,
+    most: usize,
+    events: Sender<Event>,
+) -> Result<Sender<Asked>, EdgeError> {
+    let (sender, queue) = bounded::<Asked>(most.max(CALL_QUEUE));
+    spawn("mesh-out", move || ask(&address, &queue, &events))?;
     Ok(sender)
 }
 
-fn ask(address: &str, queue: &Receiver<Asked>, inputs: &Sender<Input>) {
+fn ask(address: &str, queue: &Receiver<Asked>, events: &Sender<Event>) {
     let mut line: Option<Line> = None;
     let mut retry = Instant::now();
     while let Ok(asked) = queue.recv() {
@@ -104,7 +109,7 @@
         }
         if line.is_none() && Instant::now() >= retry {
             line =
-                connect(address, inputs).inspect_err(|e| log::debug!("mesh: {address}: {e}")).ok();
+                connect(address, events).inspect_err(|e| log::debug!("mesh: {address}: {e}")).ok();
             if line.is_none() {
                 retry = Instant::now() + Duration::from_millis(MESH_RETRY_MS.0);
             }
@@ -115,14 +120,14 @@
                 let _ = old.stream.shutdown(std::net::Shutdown::Both);
             }
             let told = Event::Told { id: asked.id, reply: None };
-            if inputs.send(Input::Event(told)).is_err() {
+            if events.send(told).is_err() {
                 return;
             }
         }
     }
 }
 
-fn connect(address: &str, inputs: &Sender<Input>) -> std::io::Result<Line> {
+fn connect(address: &str, events: &Sender<Event>) -> std::io::Result<Line> {
     let target: SocketAddr = address.parse().map_err(std::io::Error::other)?;
     let stream = TcpStream::connect_timeout(&target, Duration::from_millis(MESH_CONNECT_MS.0))?;
     stream.set_nodelay(true)?;
@@ -130,11 +135,11 @@
     let mut reader = stream.try_clone()?;
     reader.set_read_timeout(Some(Duration::from_millis(MESH_IDLE_MS.0)))?;
     let broken = Arc::new(AtomicBool::new(false));
-    let (mark, inputs) = (broken.clone(), inputs.clone());
+    let (mark, events) = (broken.clone(), events.clone());
     spawn("mesh-told", move || {
         while let Ok(Told { id, reply }) = read_frame(&mut reader) {
             let told = Event::Told { id, reply: Some(reply) };
-            if inputs.send(Input::Event(told)).is_err() {
+            if events.send(told).is_err() {
                 break;
             }
         }
--- a/src/edge/mod.rs
+++ b/src/edge/mod.rs
@@ -5,10 +5,11 @@
 mod mesh_io;
 
 use crate::constants::*;
-use crossbeam::channel::{Receiver, RecvTimeoutError, Sender, bounded};
+use crossbeam::channel::{Receiver, Select, Sender, bounded};
 use oatloom_core::api::{self, Request};
 use oatloom_core::constants::*;
 use oatloom_core::controller::{Action, Controller, Event};
+use oatloom_core::inbox::{Admitted, Inbox, InputKind};
 use oatloom_core::operators::Operators;
 use oatloom_core::reply::ConnId;
 use oatloom_protocol::ids::{Member, Mono, Now};
@@ -28,13 +29,22 @@
     Thread(#[from] std::io::Error),
 }
 
-/// What reaches the core thread.
-pub(crate) enum Input {
-    Event(Event),
+/// A request that reaches the core thread. Answers of services and peers have a way of their own: leases are renewed by them,
+/// however many requests wait.
+pub(crate) enum Incoming {
     Http(server::Incoming<Request>),
     Mesh(mesh_io::Question),
 }
 
+impl Incoming {
+    fn request(&self) -> &Request {
+        match self {
+            Self::Http(incoming) => &incoming.request,
+            Self::Mesh(question) => &question.request,
+        }
+    }
+}
+
 /// Whom an answer goes to.
 enum Responder {
     Http(server::Caller),
@@ -58,6 +68,7 @@
 /// The outer half of a controller: performs actions, and holds those who wait for answers.
 struct Runtime {
     controller: Controller,
+    inbox: Inbox<Incoming>,
     clock: Clock,
     waiting: HashMap<ConnId, Responder>,
     next_conn: u64,
@@ -68,22 +79,26 @@
 
 /// Runs a controller until the process is killed.
 pub fn run(settings: Settings, ops: Operators) -> Result<(), EdgeError> {
-    let (inputs, events) = bounded(INPUT_QUEUE);
     let most = settings.facts.limits.connections();
-    let http = inputs.clone();
-    let deliver = move |incoming| http.try_send(Input::Http(incoming)).is_ok();
+    let (event_sender, events) = bounded(EVENT_QUEUE);
+    // What may wait between the threads that read requests and the core thread, which sorts them whenever it looks: one of each
+    // connection, and as many of each peer, who asks for the users that visit it.
+    let (request_sender, requests) = bounded(most * (settings.peers.len() + 1));
+    let http = request_sender.clone();
+    let deliver = move |incoming| http.try_send(Incoming::Http(incoming)).is_ok();
     let answers = server::start(&settings.listen, most, api::parse, deliver)?;
-    mesh_io::serve(&settings.mesh_listen, inputs.clone())?;
+    mesh_io::serve(&settings.mesh_listen, request_sender)?;
     let mut mesh = HashMap::new();
     for peer in &settings.peers {
-        let sender = mesh_io::dial(peer.addr.clone(), inputs.clone())?;
+        let sender = mesh_io::dial(peer.addr.clone(), most, event_sender.clone())?;
         mesh.insert(peer.member.clone(), sender);
     }
-    let clients = clients::Clients::start(&settings.endpoints, &inputs)?;
+    let clients = clients::Clients::start(&settings.endpoints, &event_sender)?;
     log::info!("{} serves on {}", settings.member, settings.listen);
     let seed = ChaCha8Rng::from_os_rng().random::<u64>();
     let mut runtime = Runtime {
         controller: Controller::new(settings, ops, seed),
+        inbox: Inbox::new(most),
         clock: Clock { start: Instant::now() },
         waiting: HashMap::new(),
         next_conn: 0,
@@ -91,37 +106,88 @@
         clients,
         mesh,
     };
-    runtime.serve(&events);
+    runtime.serve(&events, &requests);
     Ok(())
 }
 
 impl Runtime {
-    fn serve(&mut self, events: &Receiver<Input>) {
+    fn serve(&mut self, events: &Receiver<Event>, requests: &Receiver<Incoming>) {
+        let mut select = Select::new();
+        select.recv(events);
+        select.recv(requests);
         loop {
-            let event = match events.recv_timeout(Duration::from_millis(CORE_WAKE_MS.0)) {
-                Ok(Input::Event(event)) => Some(event),
-                Ok(Input::Http(incoming)) => {
-                    let conn = self.register(Responder::Http(incoming.caller));
-                    let request = incoming.request;
-                    Some(Event::Request { conn, request, forwarded: false })
-                }
-                Ok(Input::Mesh(question)) => {
-                    let conn = self.register(Responder::Mesh(question.answerer));
-                    Some(Event::Request { conn, request: question.request, forwarded: true })
-                }
-                Err(RecvTimeoutError::Timeout) => Some(Event::Tick),
-                Err(RecvTimeoutError::Disconnected) => return,
-            };
-            if let Some(event) = event {
-                let mut actions = self.controller.handle(self.clock.now(), event);
-                while !actions.is_empty() {
-                    let failed: Vec<Event> =
-                        actions.drain(..).filter_map(|action| self.perform(action)).collect();
-                    for event in failed {
-                        actions.extend(self.controller.handle(self.clock.now(), event));
-                    }
-                }
+            if let Ok(event) = events.try_recv() {
+                self.handle(event);
+                continue;
+            }
+            self.sort_in(requests);
+            if let Some(event) = self.next_request() {
+                self.handle(event);
+            } else if select.ready_timeout(Duration::from_millis(CORE_WAKE_MS.0)).is_err() {
+                self.handle(Event::Tick);
+            }
+        }
+    }
+
+    /// Has an event handled, and performs what follows from it.
+    fn handle(&mut self, event: Event) {
+        let mut actions = self.controller.handle(self.clock.now(), event);
+        while !actions.is_empty() {
+            let failed: Vec<Event> =
+                actions.drain(..).filter_map(|action| self.perform(action)).collect();
+            for event in failed {
+                actions.extend(self.controller.handle(self.clock.now(), event));
+            }
+        }
+    }
+
+    /// Sorts the requests that have come by kind.
+    fn sort_in(&mut self, requests: &Receiver<Incoming>) {
+        if requests.is_empty() {
+            return;
+        }
+        let now = self.clock.now().mono;
+        while let Ok(incoming) = requests.try_recv() {
+            let kind = InputKind::of(incoming.request());
+            let forwarded = matches!(incoming, Incoming::Mesh(_));
+            if let Some(Admitted::Drop(oldest, retry)) =
+                self.inbox.push(now, kind, forwarded, incoming)
+            {
+                self.turn_away(oldest, retry);
+            }
+        }
+    }
+
+    /// The next request that is worth an answer; those before it that are not are turned away.
+    fn next_request(&mut self) -> Option<Event> {
+        let now = self.clock.now().mono;
+        for _ in 0..DROPPED_AT_ONCE {
+            match self.inbox.pop(now)? {
+                Admitted::Drop(incoming, retry) => self.turn_away(incoming, retry),
+                Admitted::Take(incoming) => return Some(self.take_up(incoming)),
+            }
+        }
+        // Leases and what else has come are looked at before more is dropped.
+        Some(Event::Tick)
+    }
+
+    fn take_up(&mut self, incoming: Incoming) -> Event {
+        let forwarded = matches!(incoming, Incoming::Mesh(_));
+        let (responder, request) = match incoming {
+            Incoming::Http(incoming) => (Responder::Http(incoming.caller), incoming.request),
+            Incoming::Mesh(question) => (Responder::Mesh(question.answerer), question.request),
+        };
+        Event::Request { conn: self.register(responder), request, forwarded }
+    }
+
+    /// Tells a caller to come back, or closes its connection; a peer has given up by itself.
+    fn turn_away(&self, incoming: Incoming, retry_after_s: Option<u32>) {
+        let Incoming::Http(server::Incoming { caller, .. }) = incoming else { return };
+        match retry_after_s {
+            Some(_) => {
+                self.answers.send(caller, HttpReply { retry_after_s, ..HttpReply::later("busy") });
             }
+            None => self.answers.abandon(caller),
         }
     }
 
