--- a/crates/core/src/constants.rs
+++ b/crates/core/src/constants.rs
@@ -155,7 +155,8 @@
 pub const ASK_TIMEOUT_MS: Millis = Millis(700);
 /// After this long a waiting user request is answered 503; users wait 2 s for most answers.
 pub const REQUEST_PATIENCE_MS: Millis = Millis(1_700);
-/// Final states remembered by each controller, so that polls need no read; about 4 MB.
+/// Final states remembered by each controller, so that polls need no read; about 4 MB. At 6,000 machines, on which some 12 jobs
+/// end a second, those of the last half hour.
 pub const OVER_CACHE: usize = 20_000;
 /// Requests from users under way at once, as a share of the connections, and at least; beyond it they are told to come back.
 /// With the leader away each waits for [`ASK_TIMEOUT_MS`]: at 6,000 machines 1,250 polls a second are 875 at once.
@@ -212,13 +213,16 @@
 /// How often all parked reports are looked at, whether or not anything is known to have changed for them: one look costs well
 /// under a microsecond, so that 6,000 cost about a hundredth of a processor.
 pub const PARKED_SWEEP_MS: Millis = Millis(500);
+/// So many parked reports are all looked at with every event: some 50 µs, as much as a report costs.
+pub const PARKED_FEW: usize = 64;
 /// How often those are looked at that wait for a write or a stop.
 pub const PARKED_LOOK_MS: Millis = Millis(50);
 /// Answers wait where users want a class started within this many report periods: else starts are
 /// not what is late.
 pub const EAGER_REPORTS: f64 = 1.75;
 /// Direct commands under way at once, and threads that send them: enough for the tasks of a few
-/// gangs; each costs a socket and, while it waits, a small stack.
+/// gangs; each costs a socket and, while it waits, a small stack. They need not grow with machines: a command that is answered
+/// takes some milliseconds, so that six threads send a thousand a second; and reports carry the same stops.
 pub const COMMANDS_MOST: usize = 24;
 pub const COMMAND_THREADS: usize = 6;
 /// Of these, how many may be taken by machines that do not report: half of the threads, so that their time-outs keep
@@ -250,7 +254,7 @@
 /// How long such a worker's reports are passed on before it is sent to the leader again.
 pub const RELAY_MS: Millis = Millis(15_000);
 /// Workers whose reports are passed on at their first visit: a few need it at once, a fleet that
-/// comes by after an outage does not.
+/// comes by after an outage does not. Those that come back are passed on however many they are.
 pub const RELAY_AT_ONCE: usize = 40;
 /// How long a leader that refused a report, or could not be reached, is not asked again.
 pub const LINE_PAUSE_MS: Millis = Millis(1_000);
@@ -362,9 +366,10 @@
 pub const NO_CAPACITY_PAUSE_MS: Millis = Millis(15_000);
 /// Pause after 429, 503 or no answer from the cloud.
 pub const CLOUD_PAUSE_MS: Millis = Millis(1_000);
-/// Machines hired by one request (protocol: 50).
+/// Machines hired by one request (protocol: 50). One request after another, each answered in some 0.2 s, hires 6,000 machines
+/// in 24 s, less than a boot; the cloud's rate mostly allows no more.
 pub const HIRE_MOST: u32 = 50;
-/// Machines released by one request (protocol: 100).
+/// Machines released by one request (protocol: 100): 6,000 in a quarter of a minute at 4 requests a second.
 pub const RELEASE_MOST: usize = 100;
 /// A machine that is not up after this many times its usual boot time is returned.
 pub const BOOT_PATIENCE: f64 = 4.0;
--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -254,6 +254,8 @@
     parked: ParkedReports,
     /// Whether something may have changed for parked reports, and when those that are watched are looked at next.
     parked_changed: bool,
+    /// How long the request that is handled next has waited.
+    lag: Millis,
     next_parked_look: Mono,
     /// Direct commands under way.
     commands: usize,
@@ -308,6 +310,7 @@
             relays: Relays::default(),
             parked: ParkedReports::default(),
             parked_changed: false,
+            lag: Millis(0),
             next_parked_look: Mono(0),
             commands: 0,
             traffic: Traffic::default(),
@@ -376,6 +379,11 @@
         self.leadership.token().is_some()
     }
 
+    /// The next event is a request that has waited so long for its turn.
+    pub fn lags(&mut self, lag: Millis) {
+        self.lag = lag;
+    }
+
     /// The one entrance: takes up an event and returns what is to be done.
     pub fn handle(&mut self, now: Now, event: Event) -> Vec<Action> {
         if let Some(account) = self.reign.as_mut().and_then(|r| r.book.account.as_mut()) {
@@ -394,6 +402,7 @@
             Event::Told { id, reply } => self.on_told(now, id, reply),
             Event::Obeyed { report } => self.on_obeyed(now.mono, report),
         }
+        self.lag = Millis(0);
         self.turn(now);
         std::mem::take(&mut self.out)
     }
--- a/crates/core/src/controller/reports.rs
+++ b/crates/core/src/controller/reports.rs
@@ -75,7 +75,9 @@
         self.leave(&report.host);
         self.traffic.parked += 1;
         let (shift, tally) = (report.shift, report.tally);
-        self.parked.park(report.host.clone(), conn, shift, tally, now, unread);
+        // Its worker has waited as long already.
+        let until = now.plus(Millis(PARK_MS.0.saturating_sub(self.lag.0)));
+        self.parked.park(report.host.clone(), conn, shift, tally, until, unread);
         if self.reign.as_ref().is_some_and(|reign| reign.has_unsent(&report.host)) {
             self.parked.watch(&report.host);
         }
--- a/crates/core/src/inbox.rs
+++ b/crates/core/src/inbox.rs
@@ -83,6 +83,7 @@
 #[derive(Debug)]
 struct Waiting<T> {
     item: T,
+    since: Mono,
     /// When it is no longer worth an answer.
     until: Mono,
 }
@@ -90,8 +91,8 @@
 /// What becomes of an input.
 #[derive(Debug, PartialEq)]
 pub enum Admitted<T> {
-    /// It is its turn.
-    Take(T),
+    /// It is its turn; how long it has waited.
+    Take(T, Millis),
     /// It waited too long: `Retry-After` in seconds for its caller, if that is told anything.
     Drop(T, Option<u32>),
 }
@@ -132,7 +133,8 @@
     ) -> Option<Admitted<T>> {
         let queue = &mut self.queues[kind as usize];
         let oldest = (queue.len() >= self.most).then(|| queue.pop_front()).flatten();
-        queue.push_back(Waiting { item, until: now.plus(kind.patience(forwarded)) });
+        let until = now.plus(kind.patience(forwarded));
+        queue.push_back(Waiting { item, since: now, until });
         oldest.map(|oldest| self.drop_one(kind, oldest.item))
     }
 
@@ -144,7 +146,7 @@
             return Some(self.drop_one(kind, waiting.item));
         }
         self.credits[kind as usize] -= 1;
-        Some(Admitted::Take(waiting.item))
+        Some(Admitted::Take(waiting.item, now.since(waiting.since)))
     }
 
     /// The most important kind that waits and has credit left in this round; a new round begins when none has.
--- a/crates/core/src/parked.rs
+++ b/crates/core/src/parked.rs
@@ -2,7 +2,7 @@
 //! answer to a report, so a machine that has just reported hears of its next task a whole report
 //! period later; one whose report is still open hears of it at once.
 
-use crate::constants::{PARK_MS, PARKED_AT_ONCE, PARKED_SWEEP_MS};
+use crate::constants::{PARKED_AT_ONCE, PARKED_FEW, PARKED_SWEEP_MS};
 use crate::reply::ConnId;
 use oatloom_protocol::ids::{HostId, Mono, Shift, Tally};
 use oatloom_protocol::wire::Report;
@@ -43,17 +43,17 @@
 }
 
 impl ParkedReports {
+    /// `until`: when it is answered at the latest.
     pub fn park(
         &mut self,
         host: HostId,
         conn: ConnId,
         shift: Shift,
         tally: Tally,
-        now: Mono,
+        until: Mono,
         unread: Option<Box<Report>>,
     ) {
         self.take(&host);
-        let until = now.plus(PARK_MS);
         if unread.is_some() {
             self.watched.insert(host.clone());
         }
@@ -103,13 +103,18 @@
     }
 
     /// Those whose time is up, and of those looked at the ones for which `ready` holds; no more than can be answered at
-    /// once. All are looked at now and then, whatever is asked for.
+    /// once. All are looked at now and then, whatever is asked for, and always where they are few.
     pub fn due(
         &mut self,
         now: Mono,
         look: Look,
         ready: impl Fn(&HostId, &Parked) -> bool,
     ) -> Vec<HostId> {
+        if self.waiting.len() <= PARKED_FEW {
+            self.looks += self.waiting.len() as u64;
+            let due = |(host, p): &(&HostId, &Parked)| now >= p.until || ready(host, p);
+            return self.waiting.iter().filter(due).map(|(host, _)| host.clone()).collect();
+        }
         let passed = self.by_deadline.iter().take_while(|(until, _)| now >= *until);
         let mut due: Vec<HostId> =
             passed.take(PARKED_AT_ONCE).map(|(_, host)| host.clone()).collect();
--- a/crates/state/src/constants.rs
+++ b/crates/state/src/constants.rs
@@ -55,9 +55,10 @@
 
 // --- Sizes -----------------------------------------------------------------------
 
-/// Requests that may wait for the service's thread before callers are told to come back.
+/// Requests that may wait for the service's thread before callers are told to come back: four for each connection.
 pub const EVENT_QUEUE: usize = 4_096;
-/// Connections served at once, by default.
+/// Connections served at once, by default. They do not grow with machines: a controller calls over 14, and keeps as many open
+/// for a while; what is left serves operators' tools.
 pub const CONNECTIONS: usize = 1_000;
 /// Size of a value, in KiB, and changes of a transaction, by default: the larger of the limits that the
 /// controllers' settings name.
--- a/crates/web/src/constants.rs
+++ b/crates/web/src/constants.rs
@@ -36,6 +36,12 @@
 /// A connection that has lain idle for this long gives its place to a newcomer when there is none left: longer than
 /// anybody takes who opens one in order to ask.
 pub const GIVES_WAY_MS: Millis = Millis(2_000);
+/// Share of the connections that may wait with the system to be accepted, and how many at least and at most: they count as
+/// sockets of the process, and what is left of those is needed for its own calls. Where few are allowed in all, a burst of
+/// callers still finds the least.
+pub const BACKLOG_PART: usize = 16;
+pub const BACKLOG_LEAST: usize = 32;
+pub const BACKLOG_MOST: usize = 128;
 /// How long it is remembered that none gives way: a tenth of the time in which one could come to lie idle for long enough.
 pub const NONE_IDLE_MS: Millis = Millis(200);
 /// How many give way at once: looking through all of them costs more than closing some.
--- a/crates/web/src/server.rs
+++ b/crates/web/src/server.rs
@@ -11,6 +11,7 @@
 use mio::{Events, Interest, Poll, Token, Waker};
 use oatloom_protocol::ids::Millis;
 use oatloom_protocol::reply::HttpReply;
+use socket2::{Domain, Protocol, Socket, Type};
 use std::collections::HashMap;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, ToSocketAddrs};
@@ -197,6 +198,16 @@
     scratch: Box<[u8]>,
 }
 
+/// Listens with a bound on the connections that wait to be accepted.
+fn listen(address: SocketAddr, backlog: usize) -> std::io::Result<TcpListener> {
+    let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
+    socket.set_reuse_address(true)?;
+    socket.set_nonblocking(true)?;
+    socket.bind(&address.into())?;
+    socket.listen(backlog as i32)?;
+    Ok(TcpListener::from_std(socket.into()))
+}
+
 /// Starts serving on a thread of its own, with no more than `most` connections. `read` turns method, path
 /// and body into a request, or into the answer to a malformed one; `deliver` takes it to whoever answers
 /// it, and says whether there was room: if not, the caller is told at once to come back.
@@ -221,7 +232,9 @@
         .next()
         .ok_or_else(|| failed("no address".into()))?;
     let poll = Poll::new()?;
-    let mut listener = bind_patiently(address, || TcpListener::bind(socket))?;
+    let backlog = (most / BACKLOG_PART).clamp(BACKLOG_LEAST, BACKLOG_MOST);
+    let accepted = most - backlog.min(most / BACKLOG_PART);
+    let mut listener = bind_patiently(address, || listen(socket, backlog))?;
     let address = listener.local_addr()?;
     poll.registry().register(&mut listener, LISTENER, Interest::READABLE)?;
     let waker = Waker::new(poll.registry(), WAKER)?;
@@ -232,7 +245,7 @@
         listener,
         connections: HashMap::new(),
         next: FIRST_CONNECTION,
-        crowd: Crowd::new(most),
+        crowd: Crowd::new(accepted),
         held_back: false,
         none_idle: None,
         read,
--- a/src/edge/mod.rs
+++ b/src/edge/mod.rs
@@ -164,7 +164,10 @@
         for _ in 0..DROPPED_AT_ONCE {
             match self.inbox.pop(now)? {
                 Admitted::Drop(incoming, retry) => self.turn_away(incoming, retry),
-                Admitted::Take(incoming) => return Some(self.take_up(incoming)),
+                Admitted::Take(incoming, age) => {
+                    self.controller.lags(age);
+                    return Some(self.take_up(incoming));
+                }
             }
         }
         // Leases and what else has come are looked at before more is dropped.
