--- a/crates/core/src/constants.rs
+++ b/crates/core/src/constants.rs
@@ -162,13 +162,27 @@
 /// Tasks whose assignments share one key: 96 of them stay under 5 KiB as rows, and packed under 1.5 KiB.
 pub const CHUNK_TASKS: u32 = 96;
 
+// --- Admission --------------------------------------------------------------
+
+/// How long an input may wait for the core's thread and still be worth an answer: within its caller's time-out, less what
+/// the answer itself may take. A load balancer's probe is given up after 1 s, a poll after 2 s, a report after 4 s, a
+/// submission after 5 s (protocol); a peer waits for [`ASK_TIMEOUT_MS`].
+pub const CONTROL_AGE_MS: Millis = Millis(900);
+pub const QUESTION_AGE_MS: Millis = Millis(1_500);
+pub const REPORT_AGE_MS: Millis = Millis(3_000);
+pub const SUBMISSION_AGE_MS: Millis = Millis(2_500);
+pub const FORWARDED_AGE_MS: Millis = Millis(600);
+/// Over how many seconds those are spread who are told to come back: as long as polls are apart.
+pub const RETRY_SPREAD_S: u32 = 5;
+
 // --- Users ------------------------------------------------------------------
 
 /// How long a question may wait for the leader before the store is read instead.
 pub const ASK_TIMEOUT_MS: Millis = Millis(700);
 /// After this long a waiting user request is answered 503; users wait 2 s for most answers.
 pub const REQUEST_PATIENCE_MS: Millis = Millis(1_700);
-/// Final states remembered by each controller, so that polls need no read; about 4 MB.
+/// Final states remembered by each controller, so that polls need no read; about 4 MB. At 6,000 machines, on which some 12 jobs
+/// end a second, those of the last half hour.
 pub const OVER_CACHE: usize = 20_000;
 /// Dependencies that a record holds as their ids; more are kept in the short form.
 pub const DEPENDENCIES_AS_TEXT: usize = 16;
@@ -184,8 +198,10 @@
 /// When a dependency's final record that was not there is read again. Its job is open, and is known here once its
 /// acceptance has come by the watch.
 pub const DEPENDENCY_RETRY_MS: Millis = Millis(1_000);
-/// Requests from users under way at once; beyond it they are told to come back.
-pub const USER_INFLIGHT: usize = 600;
+/// Requests from users under way at once, as a share of the connections, and at least; beyond it they are told to come back.
+/// With the leader away each waits for [`ASK_TIMEOUT_MS`]: at 6,000 machines 1,250 polls a second are 875 at once.
+pub const USER_INFLIGHT_SHARE: f64 = 0.5;
+pub const USER_INFLIGHT_LEAST: usize = 600;
 /// A node whose store calls all failed for this long says so at `/up` if a peer is better off.
 pub const UP_STORE_SILENCE_MS: Millis = Millis(6_000);
 
@@ -204,10 +220,19 @@
 
 /// Period of the leader's notes to its peers.
 pub const NOTES_EVERY_MS: Millis = Millis(3_000);
-/// Machines whose images one note tells of: some 15 KB of a frame.
+/// Machines whose images one note tells of, at least.
 pub const NOTES_MACHINES: usize = 150;
-/// Machines of which a follower keeps what it was told; a few hundred bytes each.
-pub const NOTES_MACHINES_KEPT: usize = 4_000;
+/// Notes in which the whole fleet is told of: half of [`NOTES_OLD_MS`], so that one note may be lost for each that comes.
+pub const NOTES_ROUND: usize = 10;
+/// Bytes of images in one note, at most, as they are in a frame: half of the largest frame that any version reads, 256 KiB. At
+/// 6,000 machines a note tells of 600, and so of five images of 40 bytes each before it is cut short.
+pub const NOTES_BYTES: usize = 128 * 1024;
+/// Bytes that a machine's name and an image take in a frame, beyond the image's name.
+pub const NOTES_MACHINE_BYTES: usize = 24;
+pub const NOTES_IMAGE_BYTES: usize = 16;
+/// Machines of which a follower keeps what it was told, a few hundred bytes each: 6,000 at once, and as many that came in their
+/// places during the leader's term.
+pub const NOTES_MACHINES_KEPT: usize = 12_000;
 /// Notes older than this are of no use to a new leader.
 pub const NOTES_OLD_MS: Millis = Millis(60_000);
 /// How fresh a leader's answer must be to show that only this node is refused.
@@ -222,11 +247,22 @@
 /// How long the answer to a report may wait for something to say: with what is lost on the way and
 /// on a slow processor it still comes well before its worker gives up.
 pub const PARK_MS: Millis = Millis(2_800);
+/// Parked reports that are answered by one event at most: a new leader has thousands to answer once its book is read, and its
+/// lease is renewed between events. At some 50 µs each it is 10 ms of a whole processor.
+pub const PARKED_AT_ONCE: usize = 200;
+/// How often all parked reports are looked at, whether or not anything is known to have changed for them: one look costs well
+/// under a microsecond, so that 6,000 cost about a hundredth of a processor.
+pub const PARKED_SWEEP_MS: Millis = Millis(500);
+/// So many parked reports are all looked at with every event: some 50 µs, as much as a report costs.
+pub const PARKED_FEW: usize = 64;
+/// How often those are looked at that wait for a write or a stop.
+pub const PARKED_LOOK_MS: Millis = Millis(50);
 /// Answers wait where users want a class started within this many report periods: else starts are
 /// not what is late.
 pub const EAGER_REPORTS: f64 = 1.75;
 /// Direct commands under way at once, and threads that send them: enough for the tasks of a few
-/// gangs; each costs a socket and, while it waits, a small stack.
+/// gangs; each costs a socket and, while it waits, a small stack. They need not grow with machines: a command that is answered
+/// takes some milliseconds, so that six threads send a thousand a second; and reports carry the same stops.
 pub const COMMANDS_MOST: usize = 24;
 pub const COMMAND_THREADS: usize = 6;
 /// Of these, how many may be taken by machines that do not report: half of the threads, so that their time-outs keep
@@ -258,7 +294,7 @@
 /// How long such a worker's reports are passed on before it is sent to the leader again.
 pub const RELAY_MS: Millis = Millis(15_000);
 /// Workers whose reports are passed on at their first visit: a few need it at once, a fleet that
-/// comes by after an outage does not.
+/// comes by after an outage does not. Those that come back are passed on however many they are.
 pub const RELAY_AT_ONCE: usize = 40;
 /// How long a leader that refused a report, or could not be reached, is not asked again.
 pub const LINE_PAUSE_MS: Millis = Millis(1_000);
@@ -370,9 +406,10 @@
 pub const NO_CAPACITY_PAUSE_MS: Millis = Millis(15_000);
 /// Pause after 429, 503 or no answer from the cloud.
 pub const CLOUD_PAUSE_MS: Millis = Millis(1_000);
-/// Machines hired by one request (protocol: 50).
+/// Machines hired by one request (protocol: 50). One request after another, each answered in some 0.2 s, hires 6,000 machines
+/// in 24 s, less than a boot; the cloud's rate mostly allows no more.
 pub const HIRE_MOST: u32 = 50;
-/// Machines released by one request (protocol: 100).
+/// Machines released by one request (protocol: 100): 6,000 in a quarter of a minute at 4 requests a second.
 pub const RELEASE_MOST: usize = 100;
 /// A machine that is not up after this many times its usual boot time is returned.
 pub const BOOT_PATIENCE: f64 = 4.0;
--- a/crates/core/src/controller/dependencies.rs
+++ b/crates/core/src/controller/dependencies.rs
@@ -104,7 +104,7 @@
         record: DependencyRecord,
         reply: StoreReply,
     ) {
-        if !self.open.contains_key(&check.conn) {
+        if !self.open.contains(check.conn) {
             return;
         }
         match reply {
--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -19,6 +19,7 @@
 use crate::leadership::{Ask, LEAD_KEY, Leadership, Turn};
 use crate::mesh::Question;
 use crate::notes::Notes;
+use crate::open::OpenRequests;
 use crate::operators::Operators;
 use crate::parked::ParkedReports;
 use crate::placement;
@@ -266,11 +267,16 @@
     over: OverCache,
     accepted: AcceptedJobs,
     dependency_reads: dependencies::DependencyReads,
-    open: BTreeMap<ConnId, Mono>,
+    open: OpenRequests,
     waiting_end: BTreeMap<JobId, Vec<ConnId>>,
     asks: BTreeMap<u64, (ConnId, Question, Mono)>,
     relays: Relays,
     parked: ParkedReports,
+    /// Whether something may have changed for parked reports, and when those that are watched are looked at next.
+    parked_changed: bool,
+    /// How long the request that is handled next has waited.
+    lag: Millis,
+    next_parked_look: Mono,
     /// Direct commands under way.
     commands: usize,
     cloud_ops: BTreeMap<u64, (CloudOp, Token)>,
@@ -326,11 +332,14 @@
             over: OverCache::default(),
             accepted: AcceptedJobs::new(ACCEPTED_CACHE),
             dependency_reads: dependencies::DependencyReads::default(),
-            open: BTreeMap::new(),
+            open: OpenRequests::default(),
             waiting_end: BTreeMap::new(),
             asks: BTreeMap::new(),
             relays: Relays::default(),
             parked: ParkedReports::default(),
+            parked_changed: false,
+            lag: Millis(0),
+            next_parked_look: Mono(0),
             commands: 0,
             traffic: Traffic::default(),
             next_line: Mono(0),
@@ -387,6 +396,11 @@
         }
     }
 
+    /// How many parked reports have been looked at, for tests: what must not grow with events times reports.
+    pub fn parked_looks(&self) -> u64 {
+        self.parked.looks()
+    }
+
     pub fn valid(&self, now: Mono) -> Option<Token> {
         self.leadership.valid(now)
     }
@@ -396,6 +410,11 @@
         self.leadership.token().is_some()
     }
 
+    /// The next event is a request that has waited so long for its turn.
+    pub fn lags(&mut self, lag: Millis) {
+        self.lag = lag;
+    }
+
     /// The one entrance: takes up an event and returns what is to be done.
     pub fn handle(&mut self, now: Now, event: Event) -> Vec<Action> {
         if let Some(account) = self.reign.as_mut().and_then(|r| r.book.account.as_mut()) {
@@ -414,6 +433,7 @@
             Event::Told { id, reply } => self.on_told(now, id, reply),
             Event::Obeyed { report } => self.on_obeyed(now.mono, report),
         }
+        self.lag = Millis(0);
         self.turn(now);
         std::mem::take(&mut self.out)
     }
@@ -501,7 +521,7 @@
     }
 
     fn reply(&mut self, conn: ConnId, reply: HttpReply) {
-        if self.open.remove(&conn).is_some() {
+        if self.open.remove(conn) {
             self.out.push(Action::Reply { conn, reply });
         }
     }
@@ -511,22 +531,13 @@
         for id in self.store.expired(now.mono) {
             self.on_store(now, id, StoreReply::Unsent);
         }
-        let late: Vec<u64> = self
-            .asks
-            .iter()
-            .filter(|(_, (_, _, until))| now.mono >= *until)
-            .map(|(id, _)| *id)
-            .collect();
+        // All questions wait equally long, so that the first ones asked are the first that are late.
+        let late = self.asks.iter().take_while(|(_, (_, _, until))| now.mono >= *until);
+        let late: Vec<u64> = late.map(|(id, _)| *id).collect();
         for id in late {
             self.on_told(now, id, None);
         }
-        let late: Vec<ConnId> = self
-            .open
-            .iter()
-            .filter(|(_, until)| now.mono >= **until)
-            .map(|(conn, _)| *conn)
-            .collect();
-        for conn in late {
+        for conn in self.open.expired(now.mono) {
             self.reply(conn, HttpReply::later("took too long"));
         }
     }
@@ -551,7 +562,10 @@
             }
             Purpose::Load { token, after, first } => self.on_load(now, token, after, first, reply),
             Purpose::Watch { token, after } => self.on_watch(now, token, after, reply),
-            Purpose::Write { token, written } => self.on_written(now.mono, token, written, reply),
+            Purpose::Write { token, written } => {
+                self.parked_changed = true;
+                self.on_written(now.mono, token, written, reply);
+            }
             Purpose::Resolve { token, item } => self.on_resolved(now.mono, token, item, reply),
             Purpose::Accept { conn, record, forwarded, term } => {
                 self.on_accepted(now, conn, *record, (forwarded, term), reply);
--- a/crates/web/src/server.rs
+++ b/crates/web/src/server.rs
@@ -11,6 +11,7 @@
 use mio::{Events, Interest, Poll, Token, Waker};
 use oatloom_protocol::ids::Millis;
 use oatloom_protocol::reply::HttpReply;
+use socket2::{Domain, Protocol, Socket, Type};
 use std::collections::HashMap;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, ToSocketAddrs};
@@ -29,11 +30,19 @@
     pub request: R,
 }
 
+/// What becomes of a request.
+#[derive(Debug)]
+enum Answer {
+    Reply(HttpReply),
+    /// Its connection is closed.
+    Close,
+}
+
 /// Takes the core's answers to the server's thread.
 ///
 /// The server ends when this is dropped.
 pub struct Answers {
-    queue: Option<Sender<(Caller, Option<HttpReply>)>>,
+    queue: Option<Sender<(Caller, Answer)>>,
     waker: Waker,
     address: SocketAddr,
     /// Whether the thread has been woken and has not looked yet.
@@ -43,12 +52,12 @@
 impl Answers {
     /// Hands over an answer; one to a connection that is gone meanwhile is dropped.
     pub fn send(&self, caller: Caller, reply: HttpReply) {
-        self.hand(caller, Some(reply));
+        self.hand(caller, Answer::Reply(reply));
     }
 
     /// Closes a connection without an answer.
     pub fn close(&self, caller: Caller) {
-        self.hand(caller, None);
+        self.hand(caller, Answer::Close);
     }
 
     /// Where the server listens: its port is known even if any was asked for.
@@ -56,8 +65,8 @@
         self.address
     }
 
-    fn hand(&self, caller: Caller, reply: Option<HttpReply>) {
-        let taken = self.queue.as_ref().is_some_and(|queue| queue.send((caller, reply)).is_ok());
+    fn hand(&self, caller: Caller, answer: Answer) {
+        let taken = self.queue.as_ref().is_some_and(|queue| queue.send((caller, answer)).is_ok());
         if taken && !self.woken.swap(true, Ordering::AcqRel) {
             self.wake();
         }
@@ -170,11 +179,25 @@
     connections: HashMap<usize, Connection>,
     next: usize,
     crowd: Crowd,
+    /// Whether connections wait to be accepted until there is room for them.
+    held_back: bool,
+    /// When it was last seen that no connection gives way.
+    none_idle: Option<Instant>,
     read: Read,
     deliver: Deliver,
     scratch: Box<[u8]>,
 }
 
+/// Listens with a bound on the connections that wait to be accepted.
+fn listen(address: SocketAddr, backlog: usize) -> std::io::Result<TcpListener> {
+    let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
+    socket.set_reuse_address(true)?;
+    socket.set_nonblocking(true)?;
+    socket.bind(&address.into())?;
+    socket.listen(backlog as i32)?;
+    Ok(TcpListener::from_std(socket.into()))
+}
+
 /// Starts serving on a thread of its own, with no more than `most` connections. `read` turns method, path
 /// and body into a request, or into the answer to a malformed one; `deliver` takes it to whoever answers
 /// it, and says whether there was room: if not, the caller is told at once to come back.
@@ -199,19 +222,22 @@
         .next()
         .ok_or_else(|| failed("no address".into()))?;
     let poll = Poll::new()?;
-    let mut listener = bind_patiently(address, || TcpListener::bind(socket))?;
+    let backlog = (most / BACKLOG_PART).clamp(BACKLOG_LEAST, BACKLOG_MOST);
+    let accepted = most - backlog.min(most / BACKLOG_PART);
+    let mut listener = bind_patiently(address, || listen(socket, backlog))?;
     let address = listener.local_addr()?;
     poll.registry().register(&mut listener, LISTENER, Interest::READABLE)?;
     let waker = Waker::new(poll.registry(), WAKER)?;
-    // Every connection has one answer under way at most.
-    let (queue, answers) = bounded(most + ANSWERS_BEYOND);
+    let (queue, answers) = bounded(most.max(1) * ANSWERS_EACH);
     let woken = Arc::new(AtomicBool::new(false));
     let mut server = Server {
         poll,
         listener,
         connections: HashMap::new(),
         next: FIRST_CONNECTION,
-        crowd: Crowd::new(most),
+        crowd: Crowd::new(accepted),
+        held_back: false,
+        none_idle: None,
         read,
         deliver,
         scratch: vec![0; READ_BYTES].into_boxed_slice(),
@@ -226,7 +252,7 @@
     Read: Fn(&str, &str, &[u8]) -> Result<R, HttpReply>,
     Deliver: Fn(Incoming<R>) -> bool,
 {
-    fn serve(&mut self, answers: &Receiver<(Caller, Option<HttpReply>)>, woken: &AtomicBool) {
+    fn serve(&mut self, answers: &Receiver<(Caller, Answer)>, woken: &AtomicBool) {
         let mut events = Events::with_capacity(256);
         let sweep = Duration::from_millis(SOCKET_SWEEP_MS.0);
         let mut swept = Instant::now();
@@ -247,8 +273,8 @@
             woken.store(false, Ordering::Release);
             loop {
                 match answers.try_recv() {
-                    Ok((Caller(key), Some(reply))) => self.answer(key, &reply),
-                    Ok((Caller(key), None)) => drop(self.connections.remove(&key)),
+                    Ok((Caller(key), Answer::Reply(reply))) => self.answer(key, &reply),
+                    Ok((Caller(key), Answer::Close)) => drop(self.connections.remove(&key)),
                     Err(TryRecvError::Empty) => break,
                     Err(TryRecvError::Disconnected) => return,
                 }
@@ -259,12 +285,20 @@
                 // A failed accept raises no further event: look again.
                 self.accept();
             }
+            if self.held_back {
+                self.accept();
+            }
         }
     }
 
-    /// Takes all that wait. One that fails, or finds no room, costs only itself.
+    /// Takes all that wait and find room. The others wait with the system, where they cost nothing: a caller whose connection
+    /// is closed at once comes again a second later, and so costs more than one that is answered a little later.
     fn accept(&mut self) {
         loop {
+            self.held_back = !self.has_room();
+            if self.held_back {
+                return;
+            }
             match self.listener.accept() {
                 Ok((stream, _)) => self.register(stream),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
@@ -278,10 +312,6 @@
     }
 
     fn register(&mut self, mut stream: TcpStream) {
-        if self.crowd.count(self.connections.len()) == Level::Full && !self.make_room() {
-            log::debug!("http: no connection is idle; a further one is closed");
-            return;
-        }
         let _ = stream.set_nodelay(true);
         let key = self.next;
         let interest = Interest::READABLE | Interest::WRITABLE;
@@ -295,6 +325,21 @@
         self.connections.insert(key, connection);
     }
 
+    /// Whether a further connection may be taken. That none lies idle is remembered for a moment: looking through all of them
+    /// for each that waits cost more than answering them.
+    fn has_room(&mut self) -> bool {
+        if self.crowd.count(self.connections.len()) != Level::Full {
+            return true;
+        }
+        let rest = Duration::from_millis(NONE_IDLE_MS.0);
+        if self.none_idle.is_some_and(|at| at.elapsed() < rest) {
+            return false;
+        }
+        let room = self.make_room();
+        self.none_idle = (!room).then(Instant::now);
+        room
+    }
+
     /// Closes connections that lie idle in favour of one that has come; none of them was being asked anything.
     fn make_room(&mut self) -> bool {
         let now = Instant::now();
@@ -350,6 +395,10 @@
                         Parsed::Bad(reply) => Err(reply),
                         Parsed::Request(parsed) => *parsed,
                     };
+                    // Beyond the crowd's bound connections wait to be accepted, and their callers may have given up since.
+                    if connection.ended && closes {
+                        return Next::Close;
+                    }
                     connection.enter(Phase::Waiting);
                     let refusal = match parsed {
                         Err(reply) => Some(reply),
