--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -370,6 +370,11 @@
         self.parked.looks()
     }
 
+    /// Token of whoever leads, as far as it is known.
+    pub fn leader_token(&self) -> Option<Token> {
+        self.leadership.leader_token()
+    }
+
     pub fn valid(&self, now: Mono) -> Option<Token> {
         self.leadership.valid(now)
     }
--- a/crates/core/src/inbox.rs
+++ b/crates/core/src/inbox.rs
@@ -6,7 +6,7 @@
 
 use crate::api::Request;
 use crate::constants::*;
-use oatloom_protocol::ids::{Millis, Mono};
+use oatloom_protocol::ids::{Millis, Mono, Token};
 use std::collections::VecDeque;
 
 /// What an input is about, by importance.
@@ -14,8 +14,11 @@
 pub enum InputKind {
     /// Health probes, and what peers say of themselves: few, cheap, and what traffic is steered by.
     Control,
-    /// The report of a machine that has tasks: unanswered for a lease, they are killed.
+    /// The report of a machine that has tasks and has not heard the present leader: unanswered for a lease, its tasks are
+    /// killed, and much of that lease may be over.
     Report,
+    /// The same of a machine that has heard the present leader.
+    KnownReport,
     /// A question about a job, or its cancellation: mostly answered from memory.
     Question,
     /// The submission of a job.
@@ -27,20 +30,22 @@
 }
 
 impl InputKind {
-    pub const ALL: [Self; 6] = [
+    pub const ALL: [Self; 7] = [
         Self::Control,
         Self::Report,
+        Self::KnownReport,
         Self::Question,
         Self::Submission,
         Self::IdleReport,
         Self::Other,
     ];
 
-    /// What kind of input a request is.
-    pub fn of(request: &Request) -> Self {
+    /// What kind of input a request is. `leader`: the token of whoever leads, as far as it is known.
+    pub fn of(request: &Request, leader: Option<Token>) -> Self {
         match request {
             Request::Up | Request::Notes(_) | Request::Greet(_) => Self::Control,
             Request::Report(report) if report.tasks.is_empty() => Self::IdleReport,
+            Request::Report(report) if Some(report.token) == leader => Self::KnownReport,
             Request::Report(_) => Self::Report,
             Request::View(_) | Request::Abort(_) => Self::Question,
             Request::Submit(_) => Self::Submission,
@@ -54,6 +59,7 @@
         match self {
             Self::Control => 8,
             Self::Report => 8,
+            Self::KnownReport => 8,
             Self::Question => 6,
             Self::Submission => 3,
             Self::IdleReport => 2,
@@ -66,7 +72,7 @@
         match self {
             Self::Control => CONTROL_AGE_MS,
             _ if forwarded => FORWARDED_AGE_MS,
-            Self::Report | Self::IdleReport => REPORT_AGE_MS,
+            Self::Report | Self::KnownReport | Self::IdleReport => REPORT_AGE_MS,
             Self::Question => QUESTION_AGE_MS,
             Self::Submission | Self::Other => SUBMISSION_AGE_MS,
         }
@@ -75,7 +81,7 @@
     /// Whether a caller whose input is dropped is told to come back. A worker is not: it would try the next controller a
     /// second later, which sends it here again, while one that hears nothing waits for the rest of its time-out.
     pub fn tells(self) -> bool {
-        !matches!(self, Self::Report | Self::IdleReport)
+        !matches!(self, Self::Report | Self::KnownReport | Self::IdleReport)
     }
 }
 
--- a/crates/core/src/parked.rs
+++ b/crates/core/src/parked.rs
@@ -28,7 +28,6 @@
     Deadlines,
     /// These, and those of machines that are watched.
     Watched,
-    All,
 }
 
 #[derive(Debug, Default)]
@@ -124,7 +123,6 @@
         }
         let looked_at: Box<dyn Iterator<Item = &HostId>> = match look {
             _ if sweep => Box::new(self.waiting.keys()),
-            Look::All => Box::new(self.waiting.keys()),
             Look::Watched => Box::new(self.watched.iter()),
             Look::Deadlines => return due,
         };
--- a/crates/core/src/parked/tests.rs
+++ b/crates/core/src/parked/tests.rs
@@ -7,8 +7,8 @@
     let mut parked = ParkedReports::default();
     let host = HostId::new("i-1");
     parked.park(host.clone(), ConnId(1), Shift(1), Tally(4), Mono(1_000).plus(PARK_MS), None);
-    assert!(parked.due(Mono(1_001), Look::All, |_, _| false).is_empty());
-    assert_eq!(parked.due(Mono(1_001), Look::All, |h, _| *h == host).len(), 1);
+    assert!(parked.due(Mono(1_001), Look::Watched, |_, _| false).is_empty());
+    assert_eq!(parked.due(Mono(1_001), Look::Watched, |h, _| *h == host).len(), 1);
     let late = Mono(1_000).plus(Millis(REPORT_DROP_MS.0 * 4 / 5));
     assert_eq!(parked.due(late, Look::Deadlines, |_, _| false).len(), 1);
     // A newer report replaces it: an order must not go with the answer to an older one.
--- a/src/edge/mod.rs
+++ b/src/edge/mod.rs
@@ -148,7 +148,7 @@
         }
         let now = self.clock.now().mono;
         while let Ok(incoming) = requests.try_recv() {
-            let kind = InputKind::of(incoming.request());
+            let kind = InputKind::of(incoming.request(), self.controller.leader_token());
             let forwarded = matches!(incoming, Incoming::Mesh(_));
             if let Some(Admitted::Drop(oldest, retry)) =
                 self.inbox.push(now, kind, forwarded, incoming)
