--- a/crates/core/src/controller/versions.rs
+++ b/crates/core/src/controller/versions.rs
@@ -77,6 +77,10 @@
 
     /// Once a turn: asks for the members' versions until all are known to have this one.
     pub(super) fn learn_versions(&mut self, now: Mono) {
+        if self.versions.next == Mono(0) {
+            // A process that begins asks for the seat first.
+            self.versions.next = now.plus(VERSIONS_EVERY_MS);
+        }
         let versions = &self.versions;
         if self.all_upgraded() || versions.awaited || now < versions.next {
             return;
