--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -3,10 +3,13 @@
 #[allow(dead_code)]
 mod world;
 
-use oatloom_core::controller::Event;
+use oatloom_core::api::{Request, Submission};
+use oatloom_core::controller::{Controller, Event};
+use oatloom_core::jobs::ChunkRecord;
+use oatloom_core::operators::Operators;
 use oatloom_core::store::{StoreOp, StoreReply};
-use oatloom_protocol::ids::Revision;
-use oatloom_protocol::wire::Change;
+use oatloom_protocol::ids::*;
+use oatloom_protocol::wire::{Change, Report, TaskPhase, TaskReport};
 use world::solo::Solo;
 
 fn announce(solo: &mut Solo, member: &str, version: u64) -> Revision {
@@ -69,3 +72,182 @@
         |change: &&oatloom_protocol::wire::Logged| change.put.as_deref() == Some("version/n-0");
     assert_eq!(again.state.history().iter().filter(own).count(), 1);
 }
+
+// --- The limits fall ----------------------------------------------------------------------------------
+
+/// Announced limits to come, which hold from the start of each test here: two changes fewer than a full transaction.
+const NEXT: &str =
+    "txn_ops = 16\nnext = { rps = 60.0, write_rps = 18.0, value_kb = 2.0, txn_ops = 5 }\n";
+
+/// What the service refuses with 400 once its limits have fallen.
+fn too_large(op: &StoreOp) -> bool {
+    let StoreOp::Txn(txn) = op else { return false };
+    let long = |change: &Change| match change {
+        Change::Put { value, .. } => value.to_string().len() > 2 * 1_024,
+        Change::Delete { .. } => false,
+    };
+    txn.changes.len() > 5 || txn.changes.iter().any(long)
+}
+
+/// The same where the service holds to less than it announced.
+fn too_large_for_two(op: &StoreOp) -> bool {
+    matches!(op, StoreOp::Txn(txn) if txn.changes.len() > 2) || too_large(op)
+}
+
+fn host(n: u64) -> String {
+    format!("i-{n:06}")
+}
+
+/// One controller that leads, whose service refuses what is too large by then.
+struct Fallen {
+    solo: Solo,
+    refused: Vec<StoreOp>,
+    tally: u64,
+}
+
+impl Fallen {
+    fn new(refuses: fn(&StoreOp) -> bool, upgraded: bool) -> Self {
+        let settings = world::settings(&world::SETTINGS.replace("txn_ops = 16\n", NEXT), 0);
+        let core = Controller::new(settings, Operators::default(), 7);
+        let mut solo = Solo::new();
+        (solo.core, solo.hold) = (core, refuses);
+        for member in ["n-1", "n-2"].iter().filter(|_| upgraded) {
+            announce(&mut solo, member, 2);
+        }
+        solo.pass(6_000);
+        assert!(solo.core.leads() && solo.core.all_upgraded() == upgraded);
+        Self { solo, refused: Vec::new(), tally: 0 }
+    }
+
+    /// Lets time pass, with a report of each machine every three seconds; what runs there is what was ordered.
+    fn pass(&mut self, machines: u64, seconds: u64) {
+        for step in 0..seconds * 4 {
+            if step % 12 == 0 {
+                self.tally += 1;
+                let assigned = self.assigned();
+                (0..machines).for_each(|n| self.report(n, &assigned));
+            }
+            self.solo.pass(250);
+            for (id, op, _) in std::mem::take(&mut self.solo.held) {
+                self.refused.push(op);
+                let reply = StoreReply::Malformed("400 over the limit".into());
+                self.solo.event(Event::Store { id, reply });
+            }
+        }
+    }
+
+    /// Assignments that are durable: job, and the rest.
+    fn assigned(&self) -> Vec<(JobId, u32, Attempt, HostId)> {
+        let mut assigned = Vec::new();
+        for row in self.solo.state.rows("asg/") {
+            let (job, _) = oatloom_core::jobs::parse_chunk_key(&row.key).unwrap();
+            let record: ChunkRecord = serde_json::from_value(row.value).unwrap();
+            let held = record.held.into_iter();
+            assigned
+                .extend(held.map(|(task, attempt, host, ..)| (job.clone(), task, attempt, host)));
+        }
+        assigned
+    }
+
+    fn report(&mut self, machine: u64, assigned: &[(JobId, u32, Attempt, HostId)]) {
+        let host = HostId::new(&host(machine));
+        let running = assigned.iter().filter(|(.., on)| *on == host);
+        let running = running.map(|(job, task, attempt, _)| TaskReport {
+            task: format!("{job}/{task}"),
+            attempt: *attempt,
+            status: TaskPhase::Running,
+            cause: None,
+            stored: false,
+            ran_ms: None,
+        });
+        let token = self.solo.core.valid(self.solo.clock().mono).unwrap_or_default();
+        let report = Report {
+            host: host.clone(),
+            addr: "10.0.0.9:1".into(),
+            flavor: "g4".into(),
+            zone: Zone::new("a"),
+            spot: false,
+            shift: Shift(1),
+            tally: Tally(self.tally),
+            token,
+            notice_s: None,
+            tasks: running.collect(),
+        };
+        self.solo.ask(Request::Report(Box::new(report)));
+    }
+
+    fn submit(&mut self, id: &str, tasks: u32) -> u16 {
+        let mut spec = world::small_array(id, 10);
+        spec.tasks = tasks;
+        spec.team = "blue".into();
+        let conn = self.solo.ask(Request::Submit(Submission::Spec(Box::new(spec))));
+        self.pass(0, 1);
+        self.solo.reply(conn).map_or(0, |reply| reply.status)
+    }
+
+    fn durable(&self) -> usize {
+        self.assigned().len()
+    }
+
+    /// Refused transactions that were refused once more just as they were.
+    fn repeated(&self) -> usize {
+        self.refused.windows(2).filter(|two| two[0] == two[1]).count()
+    }
+}
+
+/// Guards against a leader that repeats what the lowered limits refuse, once or twice a second for ever: nothing became
+/// durable any more, and what users had been told was lost.
+#[test]
+fn jobs_start_and_end_once_the_limits_have_fallen() {
+    let mut fallen = Fallen::new(too_large, true);
+    for n in 0..12 {
+        assert_eq!(fallen.submit(&format!("req-{n}"), 40), 201);
+    }
+    fallen.pass(96, 30);
+    assert!(fallen.durable() >= 96, "{} assignments are durable", fallen.durable());
+    assert!(fallen.refused.is_empty(), "{} were refused", fallen.refused.len());
+    let abort = fallen.solo.ask(Request::Abort(JobId::new("req-3")));
+    fallen.pass(96, 3);
+    assert_eq!(fallen.solo.reply(abort).map(|reply| reply.status), Some(200));
+    assert_eq!(fallen.solo.state.rows("over/").len(), 1);
+}
+
+/// Less than was announced is found by cutting: nothing is repeated as it was, and everything gets through.
+#[test]
+fn limits_lower_than_announced_are_found_by_cutting() {
+    let mut fallen = Fallen::new(too_large_for_two, true);
+    for n in 0..12 {
+        assert_eq!(fallen.submit(&format!("req-{n}"), 40), 201);
+    }
+    fallen.pass(96, 40);
+    assert!(fallen.durable() >= 96, "{} assignments are durable", fallen.durable());
+    assert!(!fallen.refused.is_empty() && fallen.repeated() == 0, "{} twice", fallen.repeated());
+    for n in 0..12 {
+        fallen.solo.ask(Request::Abort(JobId::new(&format!("req-{n}"))));
+    }
+    fallen.pass(96, 20);
+    assert_eq!(fallen.solo.state.rows("over/").len(), 12);
+    // A try at more, once in several transactions that were taken.
+    assert!(fallen.refused.len() < 40, "{} were refused", fallen.refused.len());
+}
+
+/// Until all members are known to run this version, records are those that the earlier one reads; then they are packed.
+#[test]
+fn records_are_packed_only_once_every_member_reads_them() {
+    let packed = |fallen: &Fallen| {
+        let rows = fallen.solo.state.rows("asg/");
+        assert!(!rows.is_empty());
+        rows.iter().filter(|row| row.value.get("p").is_some()).count()
+    };
+    let mut mixed = Fallen::new(|_| false, false);
+    assert_eq!(mixed.submit("req-1", 40), 201);
+    mixed.pass(40, 10);
+    assert!(mixed.durable() > 0);
+    assert_eq!(packed(&mixed), 0, "a member may be of the earlier version");
+    announce(&mut mixed.solo, "n-1", 2);
+    announce(&mut mixed.solo, "n-2", 2);
+    mixed.pass(40, 3);
+    assert_eq!(mixed.submit("req-2", 40), 201);
+    mixed.pass(40, 10);
+    assert!(packed(&mixed) > 0);
+}
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -388,7 +388,7 @@
     Event::Obeyed { report: report.map(Box::new) }
 }
 
-fn settings(text: &str, node: usize) -> Settings {
+pub fn settings(text: &str, node: usize) -> Settings {
     let mut settings = oatloom::settings::platform(text).expect("sound settings");
     let member = |n: usize| Member::new(&format!("n-{n}"));
     settings.member = member(node);
