--- a/crates/core/src/inbox.rs
+++ b/crates/core/src/inbox.rs
@@ -6,8 +6,8 @@
 
 use crate::api::Request;
 use crate::constants::*;
-use oatloom_protocol::ids::{Millis, Mono, Token};
-use std::collections::VecDeque;
+use oatloom_protocol::ids::{HostId, Millis, Mono, Token};
+use std::collections::{BTreeSet, VecDeque};
 
 /// What an input is about, by importance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -79,6 +79,41 @@
     }
 }
 
+/// Machines whose last report was dropped. Their next one goes before those of machines that were answered: guards against a
+/// lease that runs out since a report meets a full queue again and again.
+#[derive(Debug, Default)]
+pub struct DroppedReports {
+    machines: BTreeSet<HostId>,
+}
+
+impl DroppedReports {
+    /// What kind of input a request is, given what became of its machine's last report.
+    pub fn kind_of(&self, request: &Request, leader: Option<Token>) -> InputKind {
+        match (InputKind::of(request, leader), request) {
+            (InputKind::KnownReport, Request::Report(report))
+                if self.machines.contains(&report.host) =>
+            {
+                InputKind::Report
+            }
+            (kind, _) => kind,
+        }
+    }
+
+    /// A request was dropped.
+    pub fn dropped(&mut self, request: &Request) {
+        if let Request::Report(report) = request {
+            self.machines.insert(report.host.clone());
+        }
+    }
+
+    /// A request is being handled.
+    pub fn taken(&mut self, request: &Request) {
+        if let Request::Report(report) = request {
+            self.machines.remove(&report.host);
+        }
+    }
+}
+
 /// An input that waits.
 #[derive(Debug)]
 struct Waiting<T> {
--- a/crates/core/src/inbox/tests.rs
+++ b/crates/core/src/inbox/tests.rs
@@ -117,3 +117,23 @@
     assert!(matches!(inbox.pop(late), Some(Admitted::Drop(3, 1..=RETRY_SPREAD_S))));
     assert!(FORWARDED_AGE_MS < ASK_TIMEOUT_MS && REPORT_AGE_MS < REPORT_DROP_MS);
 }
+
+/// The report of a machine whose last one was dropped goes before those of machines that were answered, until it is taken.
+#[test]
+fn a_dropped_report_comes_first_the_next_time() {
+    let report = |host: &str| {
+        let text = format!(
+            r#"{{"host":"{host}","addr":"a","flavor":"f","yard":"z","loaners":false,"shift":1,"tally":1,"baton":7,
+                "shards":[{{"shard":"req-1/0","try":1,"status":"running"}}]}}"#
+        );
+        Request::Report(Box::new(serde_json::from_str(&text).unwrap()))
+    };
+    let leader = Some(Token(7));
+    let mut dropped = DroppedReports::default();
+    assert_eq!(dropped.kind_of(&report("i-1"), leader), InputKind::KnownReport);
+    dropped.dropped(&report("i-1"));
+    assert_eq!(dropped.kind_of(&report("i-1"), leader), InputKind::Report);
+    assert_eq!(dropped.kind_of(&report("i-2"), leader), InputKind::KnownReport);
+    dropped.taken(&report("i-1"));
+    assert_eq!(dropped.kind_of(&report("i-1"), leader), InputKind::KnownReport);
+}
--- a/src/edge/mod.rs
+++ b/src/edge/mod.rs
@@ -9,7 +9,7 @@
 use oatloom_core::api::{self, Request};
 use oatloom_core::constants::*;
 use oatloom_core::controller::{Action, Controller, Event};
-use oatloom_core::inbox::{Admitted, Inbox, InputKind};
+use oatloom_core::inbox::{Admitted, DroppedReports, Inbox};
 use oatloom_core::operators::Operators;
 use oatloom_core::reply::ConnId;
 use oatloom_protocol::ids::{Member, Mono, Now};
@@ -69,6 +69,7 @@
 struct Runtime {
     controller: Controller,
     inbox: Inbox<Incoming>,
+    dropped_reports: DroppedReports,
     clock: Clock,
     waiting: HashMap<ConnId, Responder>,
     next_conn: u64,
@@ -99,6 +100,7 @@
     let mut runtime = Runtime {
         controller: Controller::new(settings, ops, seed),
         inbox: Inbox::new(most),
+        dropped_reports: DroppedReports::default(),
         clock: Clock { start: Instant::now() },
         waiting: HashMap::new(),
         next_conn: 0,
@@ -148,7 +150,8 @@
         }
         let now = self.clock.now().mono;
         while let Ok(incoming) = requests.try_recv() {
-            let kind = InputKind::of(incoming.request(), self.controller.leader_token());
+            let leader = self.controller.leader_token();
+            let kind = self.dropped_reports.kind_of(incoming.request(), leader);
             let forwarded = matches!(incoming, Incoming::Mesh(_));
             if let Some(Admitted::Drop(oldest, retry)) =
                 self.inbox.push(now, kind, forwarded, incoming)
@@ -165,6 +168,7 @@
             match self.inbox.pop(now)? {
                 Admitted::Drop(incoming, retry) => self.turn_away(incoming, retry),
                 Admitted::Take(incoming, age) => {
+                    self.dropped_reports.taken(incoming.request());
                     self.controller.lags(age);
                     return Some(self.take_up(incoming));
                 }
@@ -184,7 +188,8 @@
     }
 
     /// Tells a caller at once to come back; a peer has given up by itself.
-    fn turn_away(&self, incoming: Incoming, retry_after_s: u32) {
+    fn turn_away(&mut self, incoming: Incoming, retry_after_s: u32) {
+        self.dropped_reports.dropped(incoming.request());
         let Incoming::Http(server::Incoming { caller, .. }) = incoming else { return };
         let reply = HttpReply { retry_after_s: Some(retry_after_s), ..HttpReply::later("busy") };
         self.answers.send(caller, reply);
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -9,7 +9,7 @@
 use oatloom_core::cloud::{CloudOp, CloudReply};
 use oatloom_core::constants::*;
 use oatloom_core::controller::{Action, Controller, Event};
-use oatloom_core::inbox::{Admitted, Inbox, InputKind};
+use oatloom_core::inbox::{Admitted, DroppedReports, Inbox};
 use oatloom_core::jobs::{self, ChunkRecord, LiveRecord};
 use oatloom_core::operators::Operators;
 use oatloom_core::reply::ConnId;
@@ -131,6 +131,7 @@
     core: Controller,
     state: State,
     inbox: Inbox<(From, Request)>,
+    dropped_reports: DroppedReports,
     plain: VecDeque<(From, Request)>,
     planted: Planted,
     costs: Costs,
@@ -169,6 +170,7 @@
         checkpoint_s: 0.0,
         save_s: 0.0,
         deadline_s: None,
+        dependencies: Vec::new(),
     }
 }
 
@@ -286,6 +288,7 @@
             core: Controller::new(settings, Operators::default(), rng.random()),
             state,
             inbox: Inbox::new(connections),
+            dropped_reports: DroppedReports::default(),
             plain: VecDeque::new(),
             planted,
             costs,
@@ -317,16 +320,17 @@
         if self.planted == Planted::QueueWithoutAge {
             return self.plain.push_back((from, request));
         }
-        let kind = InputKind::of(&request, self.core.leader_token());
-        if let Some(Admitted::Drop((from, _), retry)) =
+        let kind = self.dropped_reports.kind_of(&request, self.core.leader_token());
+        if let Some(Admitted::Drop((from, request), retry)) =
             self.inbox.push(Mono(self.now), kind, false, (from, request))
         {
-            self.turn_away(from, retry);
+            self.turn_away(from, &request, retry);
         }
     }
 
     /// A caller is told at once to come back.
-    fn turn_away(&mut self, from: From, retry_after_s: u32) {
+    fn turn_away(&mut self, from: From, request: &Request, retry_after_s: u32) {
+        self.dropped_reports.dropped(request);
         self.budget_us -= if self.planted == Planted::DearRefusals {
             self.costs.report
         } else {
@@ -480,10 +484,11 @@
         loop {
             match self.inbox.pop(Mono(self.now))? {
                 Admitted::Take(next, age) => {
+                    self.dropped_reports.taken(&next.1);
                     self.core.lags(age);
                     return Some(next);
                 }
-                Admitted::Drop((from, _), retry) => self.turn_away(from, retry),
+                Admitted::Drop((from, request), retry) => self.turn_away(from, &request, retry),
             }
         }
     }
