--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -7,12 +7,14 @@
 use oatloom_core::store::{StoreOp, StoreReply};
 use oatloom_emulator::checker::{Checker, Limit, OnMachine, Place};
 use oatloom_protocol::ids::{JobId, LeaseId};
+use oatloom_protocol::reply::HttpReply;
 use oatloom_protocol::settings::StateFacts;
 use oatloom_protocol::wire::{Change, JobSpec, JobStatus, Shape, Txn};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde_json::json;
 use world::limits::{NEGLECTED_MS, Terms, site};
+use world::looks::Look;
 use world::pipelines::Draw;
 use world::state::State;
 use world::state::limits::StateLimits;
@@ -181,6 +183,30 @@
     assert_eq!(broken(&[end("done"), assignment("req-3", &[0])]), 1, "its own dependency counts");
 }
 
+/// Ends that are told before any record shows them, and refusals of what may be submitted.
+#[test]
+fn answers_that_no_record_bears_out_are_caught() {
+    let rule = |records: &[(&str, &str)], job: &str, status: u16, said: &str| {
+        let mut world = without_controllers();
+        for (job, end) in records {
+            world.write(&put(&format!("over/{job}"), json!({"s": end, "n": 1})));
+        }
+        let reply = HttpReply { status, ..HttpReply::json(200, &json!({"status": said})) };
+        world.look_at_answer(job, &reply, status != 200);
+        let broken = world.region.checker.broken.first().cloned().unwrap_or_default();
+        broken.split([' ', ':']).nth(2).unwrap_or_default().to_owned()
+    };
+    assert_eq!(rule(&[], "req-3", 200, "queued"), "");
+    assert_eq!(rule(&[], "req-3", 200, "cancelled"), "not_durable");
+    assert_eq!(rule(&[("req-1", "cancelled")], "req-3", 200, "cancelled"), "");
+    assert_eq!(rule(&[("req-1", "done")], "req-3", 200, "cancelled"), "not_durable");
+    assert_eq!(rule(&[("req-1", "cancelled")], "req-3", 200, "done"), "not_durable");
+    assert_eq!(rule(&[("req-3", "done")], "req-3", 200, "done"), "");
+    assert_eq!(rule(&[("req-3", "cancelled")], "req-3", 200, "done"), "not_durable");
+    assert_eq!(rule(&[], "req-3", 422, ""), "refused");
+    assert_eq!(rule(&[], "req-1", 422, ""), "", "it names no others");
+}
+
 /// A job that waits for others is not neglected, and one whose dependencies are durably done is.
 #[test]
 fn only_waiting_jobs_may_wait_beside_room() {
@@ -438,6 +464,33 @@
     }
 }
 
+/// Every node is asked for the jobs behind while the cancellation of their head is decided and written, slowly, and the
+/// leader may end meanwhile. Guards against a cascade that is told before it follows from a record.
+#[test]
+fn nothing_is_told_of_a_cascade_before_its_head_is_durable() {
+    let mut looks = 0;
+    for seed in 0..8 + more_days() {
+        let mut world = long_head(seed, Site::default());
+        let head = job(0);
+        world.play_to(CANCELLED_AT_MS);
+        world.strike(Fault::StoreSlow(4_000, 4 + (seed % 4) as u32 * 4));
+        world.look(head.as_str(), (seed % 3) as usize, Look::Abort, 0);
+        for after in (20..1_500).step_by(40) {
+            let behind = job(1 + after as u32 % BEHIND);
+            (0..3).for_each(|node| world.look(behind.as_str(), node, Look::View, after));
+        }
+        if seed % 2 == 1 {
+            let at = world.now + 50 + 60 * seed;
+            world.trouble([(at, Fault::Leader(Upon::Crash))]);
+        }
+        world.play_finely_to(world.now + 3_000);
+        world.play();
+        finished(&world, &format!("seed {seed}"));
+        looks += world.looks.sent;
+    }
+    assert!(looks > 500, "{looks}");
+}
+
 // --- Users who look closely -----------------------------------------------------------------------
 
 /// What changes hands, or is lost, while users look.
@@ -531,7 +584,7 @@
         for (n, node) in [(first, 0), (rng.random_range(first + 1..6), 1)] {
             if world.is_accepted(job(n).as_str()) {
                 let after = rng.random_range(0..40);
-                world.look(job(n).as_str(), node, world::looks::Look::Abort, after);
+                world.look(job(n).as_str(), node, Look::Abort, after);
             }
         }
         world.play_finely_to(45_000);
@@ -729,3 +782,16 @@
     finished(&world, "a long chain");
     assert_eq!(world.told(JobStatus::Cancelled), 150);
 }
+
+/// Jobs that one names, so many that their ids are longer than a value may be from the fall of the limits on.
+const NAMED: u32 = 250;
+
+/// Guards against a submission that is refused because what it names does not fit one value.
+#[test]
+fn a_job_that_names_more_than_a_value_holds_ends() {
+    let mut jobs: Vec<JobSpec> = (1..=NAMED).map(|n| short(n, Vec::new())).collect();
+    jobs.push(short(0, (1..=NAMED).map(job).collect()));
+    let world = play_many(site_with_next_limits(), jobs);
+    finished(&world, "one behind many");
+    assert_eq!(world.told(JobStatus::Done), NAMED as usize + 1);
+}
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -987,7 +987,7 @@
                 if reply.status != 599 {
                     let checker = &mut self.region.checker;
                     checker.answered(now, asked, &job, reply.status, &reply.body, submission);
-                    self.look_at_answer(&job, reply.status, submission);
+                    self.look_at_answer(&job, &reply, submission);
                 }
                 let Some(user) = self.users.iter_mut().find(|u| u.spec.id.as_str() == job) else {
                     return;
--- a/tests/world/pipelines.rs
+++ b/tests/world/pipelines.rs
@@ -6,11 +6,12 @@
 };
 use oatloom_core::store::{StoreOp, StoreReply};
 use oatloom_protocol::ids::JobId;
+use oatloom_protocol::reply::HttpReply;
 use oatloom_protocol::wire::{Change, JobSpec, JobStatus, Order, Rank, Shape, Txn};
 use rand::seq::{IndexedRandom, SliceRandom};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 
 /// How long users try to submit a job, in milliseconds (protocol).
 const SUBMIT_FOR_MS: u64 = 60_000;
@@ -202,11 +203,15 @@
         }
     }
 
+    /// The end of a job that stands in the state service.
+    fn durable_end(&self, id: &JobId) -> Option<JobStatus> {
+        let value = self.state.value(&over_key(id))?.clone();
+        Some(serde_json::from_value::<OverRecord>(value).ok()?.status)
+    }
+
     /// Whether a job's end as done stands in the state service.
     pub fn is_durably_done(&self, id: &JobId) -> bool {
-        let record = self.state.value(&over_key(id)).cloned();
-        let record = record.and_then(|value| serde_json::from_value::<OverRecord>(value).ok());
-        record.is_some_and(|record| record.status == JobStatus::Done)
+        self.durable_end(id) == Some(JobStatus::Done)
     }
 
     /// A job that another one needs and whose end as done does not stand in the state service.
@@ -238,14 +243,42 @@
         }
     }
 
-    /// A submission was answered: one that names accepted jobs is never refused for good.
-    pub(super) fn look_at_answer(&mut self, job: &str, status: u16, submission: bool) {
-        let spec = self.region.outside.specs.get(job);
-        let dependent = spec.is_some_and(|spec| !spec.dependencies.is_empty());
-        if submission && dependent && matches!(status, 400 | 422) {
-            let text = format!("{job} got {status}, all jobs that it names were accepted");
-            self.region.checker.fail(self.now, "refused", text);
+    /// A user was answered: a submission that names accepted jobs is never refused for good, and no end is told of a job
+    /// before it is durable, or that of a job before it from which it follows.
+    pub fn look_at_answer(&mut self, job: &str, reply: &HttpReply, submission: bool) {
+        let Some(spec) = self.region.outside.specs.get(job) else { return };
+        if submission && !spec.dependencies.is_empty() && matches!(reply.status, 400 | 422) {
+            let text = format!("{job} got {}, all jobs that it names were accepted", reply.status);
+            return self.region.checker.fail(self.now, "refused", text);
+        }
+        if !matches!(reply.status, 200 | 201) {
+            return;
+        }
+        let body: serde_json::Value = serde_json::from_str(&reply.body).unwrap_or_default();
+        let Ok(said) = serde_json::from_value::<JobStatus>(body["status"].clone()) else { return };
+        if said.is_final() && !self.follows_from_records(&spec.id, said) {
+            let text = format!("{job} is told to be {said:?}, no record says so");
+            self.region.checker.fail(self.now, "not_durable", text);
+        }
+    }
+
+    /// Whether a job's end follows from what stands in the state service.
+    fn follows_from_records(&self, id: &JobId, end: JobStatus) -> bool {
+        if let Some(stored) = self.durable_end(id) {
+            return stored == end;
+        }
+        let mut seen: BTreeSet<&str> = BTreeSet::new();
+        let mut open = vec![id.as_str()];
+        while let Some(id) = open.pop() {
+            let ended = self.durable_end(&JobId::new(id));
+            if ended.is_some_and(|stored| stored != JobStatus::Done) {
+                return end == JobStatus::Cancelled;
+            }
+            let Some(spec) = self.region.outside.specs.get(id) else { continue };
+            let needs = spec.dependencies.iter().map(|need| need.as_str());
+            open.extend(needs.filter(|need| seen.insert(need)));
         }
+        false
     }
 
     /// A controller wrote something, or tried to.
