--- a/crates/core/src/reign/dispatch.rs
+++ b/crates/core/src/reign/dispatch.rs
@@ -122,6 +122,7 @@
                 machine.reserved = None;
             }
         }
+        self.changed_machines.push(host.clone());
         log::debug!("task {id}/{index}: assigned to {host}");
     }
 }
