--- a/tests/upgrade_days.rs
+++ b/tests/upgrade_days.rs
@@ -5,6 +5,7 @@
 mod world;
 
 use oatloom_core::store::StoreOp;
+use oatloom_emulator::worker::Broken;
 use oatloom_protocol::ids::JobId;
 use oatloom_protocol::wire::{Change, JobSpec, JobStatus, Shape, Txn};
 use rand::{Rng, SeedableRng};
@@ -227,6 +228,8 @@
 
 // --- Limits of the state service that fall ----------------------------------------------------------
 
+/// Longest value that the state service takes from then on, in bytes.
+const LOWERED_VALUE_BYTES: usize = 2 * 1024;
 /// When the limits fall at the earliest, after the upgrade.
 const FALL_MS: u64 = 75_000;
 
@@ -298,3 +301,24 @@
         play(&mut world, &format!("wide jobs, seed {seed}"));
     }
 }
+
+/// Arrays of as many tasks as a record holds, which fail again and again on many machines, with an account of usage: what
+/// their records would hold in full is more than the lower limit. Cancelled, they end as well.
+#[test]
+fn records_full_of_detail_fit_lowered_limits() {
+    let mut largest = 0;
+    for seed in 15_000..15_004 + more_days() {
+        let mut world = day(seed, fall(seed, []));
+        world.limit("((ledger . #t) (classes (default (repeats 1000))))");
+        for n in 0..3 {
+            let id = format!("req-00000{n}");
+            let wide = JobSpec { tasks: 96, gpus: 0.1, cpus: 0.1, ..small_array(&id, 2) };
+            world.add_job_at(wide, 5_000 + n * 2_000);
+            world.call_off(&id, 150_000 + n * 3_000);
+            world.region.outside.broken.insert(id, Broken::Often(0.8));
+        }
+        play(&mut world, &format!("full records, seed {seed}"));
+        largest = largest.max(world.largest_value());
+    }
+    assert!(largest > LOWERED_VALUE_BYTES, "{largest} bytes at most, before the fall");
+}
--- a/tests/world/pipelines.rs
+++ b/tests/world/pipelines.rs
@@ -165,11 +165,18 @@
             // Two of one pipeline at once, as often as one.
             let jobs = rng.random_range(1..3);
             for id in ids.choose_multiple(rng, jobs) {
-                self.cancel(id.as_str(), cancelled_at);
+                self.call_off(id.as_str(), cancelled_at);
             }
         }
     }
 
+    /// A job's user, who comes as before, cancels it at that moment.
+    pub fn call_off(&mut self, job: &str, at: u64) {
+        if let Some(user) = self.users.iter_mut().find(|user| user.spec.id.as_str() == job) {
+            user.abort_at = Some(at);
+        }
+    }
+
     /// The last user that was added submits its job when all jobs that it needs are over.
     pub fn submit_last_once_over(&mut self) {
         if let Some(user) = self.users.last_mut().filter(|u| !u.spec.dependencies.is_empty()) {
