--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -783,6 +783,9 @@
     assert_eq!(world.told(JobStatus::Cancelled), 150);
 }
 
+/// Refusals for the rate that may come after the first seconds: three controllers share it without a word to each other.
+const THROTTLED_MOST: u32 = 10;
+
 /// Jobs that one names, so many that their ids are longer than a value may be from the fall of the limits on.
 const NAMED: u32 = 250;
 
@@ -795,3 +798,23 @@
     finished(&world, "one behind many");
     assert_eq!(world.told(JobStatus::Done), NAMED as usize + 1);
 }
+
+/// More is to be written than the lowered rate allows: the pace is that rate's soon after the fall.
+#[test]
+fn a_rate_that_falls_is_kept_to_within_seconds() {
+    for seed in 0..3 {
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
+        let mut world = World::deployed(site_with_next_limits(), &mut rng, 240_000);
+        world.quiet = true;
+        (0..300).for_each(|n| world.add_job_at(short(n, Vec::new()), 2_000));
+        world.play_to(10_000);
+        world.strike(Fault::LimitsFall);
+        world.play_to(13_000);
+        let at_first = world.refusals().throttled;
+        world.play();
+        finished(&world, &format!("seed {seed}"));
+        let later = world.refusals().throttled - at_first;
+        println!("seed {seed}: {at_first} refused within 3 s of the fall, {later} later");
+        assert!(later <= THROTTLED_MOST, "seed {seed}: {later}");
+    }
+}
