--- a/crates/core/src/controller/users.rs
+++ b/crates/core/src/controller/users.rs
@@ -472,9 +472,11 @@
         match why {
             // It may be cancelled with a job that it needs, which only the leader knows before that is written.
             Why::Submit(_) if waits => self.ask_for_view(now.mono, conn, id),
-            // That it is accepted, and not over, was true when the key was read. Guards against jobs of which nothing can be
-            // heard while the leader cannot be reached or does not keep up.
-            Why::Submit(_) | Why::View if !waits && !self.holds(&id) => {
+            // That it is accepted, and not over, was true when the key was read.
+            Why::Submit(_) => self.reply(conn, HttpReply::json(200, &JobView::queued(id))),
+            // The same. Guards against jobs of which nothing can be heard while the leader cannot be reached or does not
+            // keep up.
+            Why::View if !waits && !self.holds(&id) => {
                 self.reply(conn, HttpReply::json(200, &JobView::queued(id)));
             }
             _ => self.reply(conn, HttpReply::later("no leader can be reached")),
--- a/tests/looks.rs
+++ b/tests/looks.rs
@@ -654,3 +654,19 @@
         assert!(reply.status == 200 && reply.body.contains(r#""status":"done""#), "{reply:?}");
     }
 }
+
+/// A repeated submission of an accepted job is answered 200 also while a new leader reads its assignments: that the job is
+/// open was true when its key was read.
+#[test]
+fn a_repeated_submission_is_known_while_a_new_leader_reads() {
+    let mut solo = Solo::new();
+    let spec = one_task("req-1", 9);
+    let live = LiveRecord { spec: spec.clone(), wall_ms: 1, part: None };
+    solo.write(vec![Change::put("live/req-1".into(), json!(live))]);
+    solo.hold = |op| matches!(op, StoreOp::List { prefix, .. } if prefix == "asg/");
+    solo.pass(3_000);
+    assert!(solo.core.leads() && !solo.held.is_empty(), "it reads assignments");
+    let conn = solo.ask(Request::Submit(Submission::Spec(Box::new(spec))));
+    solo.pass(100);
+    assert_eq!(solo.reply(conn).map(|reply| reply.status), Some(200));
+}
