--- a/crates/core/src/controller/dependencies.rs
+++ b/crates/core/src/controller/dependencies.rs
@@ -80,7 +80,7 @@
         if self.over.get(id).is_some() {
             return Some(AcceptedKind::Finite);
         }
-        self.accepted.get(id)
+        self.accepted.get(id).copied()
     }
 
     fn read_named(&mut self, now: Now, check: DependencyCheck, record: DependencyRecord) {
--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -15,7 +15,7 @@
 use crate::api::{Request, Submission};
 use crate::cloud::{CloudDesk, CloudOp, CloudReply, Kind, News};
 use crate::constants::*;
-use crate::jobs::{self, AcceptedJobs, Item, JobState, LiveRecord, OverCache, OverRecord, Written};
+use crate::jobs::{self, AcceptedKind, Item, JobMemory, JobState, LiveRecord, OverRecord, Written};
 use crate::leadership::{Ask, LEAD_KEY, Leadership, Turn};
 use crate::mesh::Question;
 use crate::notes::Notes;
@@ -264,8 +264,10 @@
     /// Machines and catalogue between reigns; the catalogue serves followers too.
     fleet: Fleet,
     reign: Option<Reign>,
-    over: OverCache,
-    accepted: AcceptedJobs,
+    /// Final states, so that polls need no read.
+    over: JobMemory<OverRecord>,
+    /// Jobs whose acceptance was seen to be durable, so that submissions that name them need no read.
+    accepted: JobMemory<AcceptedKind>,
     dependency_reads: dependencies::DependencyReads,
     open: OpenRequests,
     waiting_end: BTreeMap<JobId, Vec<ConnId>>,
@@ -329,8 +331,8 @@
             ops,
             fleet: Fleet::default(),
             reign: None,
-            over: OverCache::default(),
-            accepted: AcceptedJobs::new(ACCEPTED_CACHE),
+            over: JobMemory::new(OVER_CACHE),
+            accepted: JobMemory::new(ACCEPTED_CACHE),
             dependency_reads: dependencies::DependencyReads::default(),
             open: OpenRequests::default(),
             waiting_end: BTreeMap::new(),
--- a/crates/core/src/controller/users.rs
+++ b/crates/core/src/controller/users.rs
@@ -356,22 +356,26 @@
                 }
                 _ => self.lookup(now.mono, conn, id, Why::View),
             },
-            Question::Abort(id) if reign.book.view(&id).is_some_and(|v| v.status.is_final()) => {
-                if let Some(view) = reign.book.view(&id) {
-                    self.reply(conn, HttpReply::json(200, &view));
-                }
-            }
-            Question::Abort(id) => match reign.book.get(&id).map(|j| j.state) {
-                None | Some(JobState::Over) => self.lookup(now.mono, conn, id, Why::Abort),
-                Some(_) => {
-                    reign.end_job(&id, JobStatus::Cancelled, "cancelled by its user", now.mono);
-                    if now.mono < self.write_after {
-                        self.reply(conn, HttpReply::later("the state service cannot be reached"));
-                    } else {
-                        self.waiting_end.entry(id).or_default().push(conn);
+            Question::Abort(id) => {
+                let ended = reign.book.view(&id).filter(|view| view.status.is_final());
+                match (ended, reign.book.get(&id).map(|j| j.state)) {
+                    (Some(view), _) => self.reply(conn, HttpReply::json(200, &view)),
+                    (None, None | Some(JobState::Over)) => {
+                        self.lookup(now.mono, conn, id, Why::Abort)
+                    }
+                    (None, Some(_)) => {
+                        reign.end_job(&id, JobStatus::Cancelled, "cancelled by its user", now.mono);
+                        if now.mono < self.write_after {
+                            self.reply(
+                                conn,
+                                HttpReply::later("the state service cannot be reached"),
+                            );
+                        } else {
+                            self.waiting_end.entry(id).or_default().push(conn);
+                        }
                     }
                 }
-            },
+            }
         }
     }
 
--- a/crates/core/src/jobs/dependencies.rs
+++ b/crates/core/src/jobs/dependencies.rs
@@ -10,7 +10,7 @@
 use oatloom_protocol::wire::{JobStatus, Rank};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a job is lent by the jobs that need it.
+/// What a job inherits from the jobs that need it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Inherited {
     /// The highest rank of any open job that needs it.
@@ -195,7 +195,7 @@
             let (rank, latest_start, unmet) = (job.rank(), latest_start(job), job.unmet.clone());
             for dependency in unmet {
                 if let Some(job) = self.jobs.get_mut(&dependency) {
-                    job.inherited.lend(rank, latest_start);
+                    job.inherited.raise(rank, latest_start);
                 }
             }
         }
@@ -203,7 +203,7 @@
 }
 
 impl Inherited {
-    fn lend(&mut self, rank: Rank, latest_end: Option<Mono>) {
+    fn raise(&mut self, rank: Rank, latest_end: Option<Mono>) {
         self.rank = self.rank.max(Some(rank));
         self.latest_end = match (self.latest_end, latest_end) {
             (Some(known), Some(new)) => Some(known.min(new)),
--- a/crates/core/src/jobs/job.rs
+++ b/crates/core/src/jobs/job.rs
@@ -113,7 +113,7 @@
     pub unmet: BTreeSet<JobId>,
     /// The cancelled job that it needs, if there is one: it is cancelled too, whether or not that is written yet.
     pub cancelled_by: Option<JobId>,
-    /// What it is lent by jobs that need it.
+    /// What it inherits from jobs that need it.
     pub inherited: Inherited,
     pub(super) live_stamp: Revision,
     pub state: JobState,
@@ -337,13 +337,14 @@
     /// What may be said of a job that is open. Of one whose end is being written nothing may: the
     /// write may have been applied, and another controller may have read it and told a user.
     pub(super) fn view(&self) -> Option<JobView> {
-        let running = self.running();
-        let status = match self.state {
-            JobState::Waiting => JobStatus::Queued,
-            JobState::Open | JobState::Failing(_) if running > 0 => JobStatus::Running,
-            JobState::Open | JobState::Failing(_) => JobStatus::Queued,
+        let (status, running) = match self.state {
+            JobState::Waiting => (JobStatus::Queued, 0),
+            JobState::Open | JobState::Failing(_) => match self.running() {
+                0 => (JobStatus::Queued, 0),
+                running => (JobStatus::Running, running),
+            },
             JobState::Ending(JobStatus::Cancelled) if self.cancelled_by.is_some() => {
-                JobStatus::Cancelled
+                (JobStatus::Cancelled, 0)
             }
             JobState::Ending(_) | JobState::Over => return None,
         };
--- a/crates/core/src/jobs/accepted.rs
+++ b/crates/core/src/jobs/memory.rs
@@ -1,4 +1,4 @@
-//! Jobs that are known to be accepted, so that a submission which names them needs no read.
+//! A bounded memory of facts about jobs that never change, so that answers need no read.
 
 use oatloom_protocol::ids::JobId;
 // Looked up and never walked through, so that its order does not matter.
@@ -15,35 +15,35 @@
     Service,
 }
 
-/// A bounded memory of jobs whose acceptance was seen to be durable. That a job is not in it proves nothing.
+/// Facts by job, of which the oldest are forgotten beyond the capacity. That a job is not in it proves nothing.
 #[allow(clippy::disallowed_types)]
 #[derive(Debug)]
-pub struct AcceptedJobs {
-    kinds: HashMap<JobId, AcceptedKind>,
+pub struct JobMemory<T> {
+    facts: HashMap<JobId, T>,
     order: VecDeque<JobId>,
     capacity: usize,
 }
 
-impl AcceptedJobs {
+impl<T> JobMemory<T> {
     /// A memory of at most so many jobs.
     pub fn new(capacity: usize) -> Self {
-        Self { kinds: Default::default(), order: VecDeque::new(), capacity }
+        Self { facts: Default::default(), order: VecDeque::new(), capacity }
     }
 
-    /// Remembers a job; beyond the capacity the oldest one is forgotten.
-    pub fn insert(&mut self, id: JobId, kind: AcceptedKind) {
-        if self.kinds.insert(id.clone(), kind).is_none() {
+    /// Remembers a fact; beyond the capacity the oldest one is forgotten.
+    pub fn insert(&mut self, id: JobId, fact: T) {
+        if self.facts.insert(id.clone(), fact).is_none() {
             self.order.push_back(id);
         }
         if self.order.len() > self.capacity
             && let Some(oldest) = self.order.pop_front()
         {
-            self.kinds.remove(&oldest);
+            self.facts.remove(&oldest);
         }
     }
 
-    /// What is known of a job, if its acceptance was seen.
-    pub fn get(&self, id: &JobId) -> Option<AcceptedKind> {
-        self.kinds.get(id).copied()
+    /// What is known of a job, if it is remembered.
+    pub fn get(&self, id: &JobId) -> Option<&T> {
+        self.facts.get(id)
     }
 }
--- a/crates/core/src/jobs/mod.rs
+++ b/crates/core/src/jobs/mod.rs
@@ -4,23 +4,21 @@
 //! [`CHUNK_TASKS`] tasks, `over/{id}` the final state. `live/` and `over/` change in one
 //! transaction, so a job is always under exactly one of them.
 
-mod accepted;
 mod dependencies;
 mod dependency_list;
 mod fitting;
 mod job;
-mod over;
+mod memory;
 mod packed;
 mod records;
 mod usage;
 mod writing;
 
-pub use accepted::{AcceptedJobs, AcceptedKind};
 use dependencies::Dependencies;
 pub use dependencies::Inherited;
 pub use fitting::RecordLimits;
 pub use job::*;
-pub use over::OverCache;
+pub use memory::{AcceptedKind, JobMemory};
 pub use records::*;
 pub use usage::Account;
 use writing::Haste;
--- a/crates/core/src/placement/aims.rs
+++ b/crates/core/src/placement/aims.rs
@@ -56,12 +56,6 @@
     Some(Mono(latest_end.0.saturating_sub(takes.0)))
 }
 
-/// Whether a deadline that is shared with other jobs binds it: each stage's wait adds to that of all others.
-pub fn in_pipeline(job: &Job) -> bool {
-    let bound = job.spec.deadline_s.is_some() && !job.spec.dependencies.is_empty();
-    bound || job.inherited.latest_end.is_some()
-}
-
 /// By when the job has to be placed to meet the next of its aims that can still be met. A job that
 /// can meet none any more comes after those that can.
 pub(super) fn start_by(settings: &Settings, job: &Job, overhead_s: f64, now: Mono) -> Mono {
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -14,7 +14,7 @@
 use crate::constants::*;
 use crate::jobs::{Book, Gang, Hold, Job, JobState, StopWhy, Usage};
 use crate::workers::{Fleet, Life, Machine, Room};
-pub use aims::{any_eager, due, eager, guaranteed, in_pipeline, latest_release, objective};
+pub use aims::{any_eager, due, eager, guaranteed, latest_release, objective};
 use aims::{start_by, work_left};
 pub use limits::{Headroom, in_order};
 use oatloom_protocol::ids::*;
--- a/crates/web/src/server.rs
+++ b/crates/web/src/server.rs
@@ -291,8 +291,7 @@
         }
     }
 
-    /// Takes all that wait and find room. The others wait with the system, where they cost nothing: a caller whose connection
-    /// is closed at once comes again a second later, and so costs more than one that is answered a little later.
+    /// Accepts connections while there is room for them. The others wait in the listener's bounded queue.
     fn accept(&mut self) {
         loop {
             self.held_back = !self.has_room();
