--- a/crates/membership/src/constants.rs
+++ b/crates/membership/src/constants.rs
@@ -1,24 +1,29 @@
-//! Every constant of membership, with its unit and the reason for its value.
+//! Constants of the membership protocol.
 
 use oatloom_protocol::ids::Millis;
 
-/// Version of what controllers say of each other; others are not taken up.
+/// Version of the gossip messages; messages of other versions are rejected.
 pub const VERSION: u32 = 1;
-/// A peer to which nothing was said for so long is greeted: twice within the time below, so that one lost word does no
-/// harm. A leader's notes come less often and count as well.
-pub const GREET_MS: Millis = Millis(2_000);
-/// The same for a peer that is taken to be gone: it says by itself when it is back.
-pub const GREET_GONE_MS: Millis = Millis(10_000);
-/// Silence on all paths after which a peer is suspected: above the period of a leader's notes and their way.
-pub const SUSPECT_MS: Millis = Millis(4_500);
-/// Silence on all paths after which it is taken to be gone: above the restart of a process, so that one that restarts is
-/// mostly not, and below a worker's lease.
-pub const GONE_MS: Millis = Millis(20_000);
-/// A controller whose own turns are so far apart did not hear what was said meanwhile, and suspects nobody for it.
-pub const FROZEN_MS: Millis = Millis(1_500);
-/// Words older than this when they arrive were held back on the way. Above twice the bound on the time of day.
-pub const LATE_MS: Millis = Millis(6_000);
-/// How far ahead of this controller's time of day another one's may be before its words are void.
-pub const FUTURE_MS: Millis = Millis(6_000);
-/// Members of whom one controller's words tell, at most: some 60 bytes each.
-pub const WORDS_MOST: usize = 16;
+/// Idle time after which a peer is sent a greeting. Two greetings fit into [`SUSPECT_AFTER_MS`], so
+/// that one lost message does no harm. The leader's periodic messages to its peers are less
+/// frequent and count as well.
+pub const GREETING_INTERVAL_MS: Millis = Millis(2_000);
+/// Greeting interval for a peer that is considered gone: once it is back, it announces itself.
+pub const GREETING_INTERVAL_GONE_MS: Millis = Millis(10_000);
+/// Silence on all routes after which a peer is suspected: longer than the interval between the
+/// leader's messages plus their delivery time.
+pub const SUSPECT_AFTER_MS: Millis = Millis(4_500);
+/// Silence on all routes after which a peer is considered gone: longer than most process restarts
+/// and shorter than a worker's lease.
+pub const GONE_AFTER_MS: Millis = Millis(20_000);
+/// A controller whose own ticks are this far apart may have missed messages, and doesn't suspect
+/// its peers for that silence.
+pub const FREEZE_THRESHOLD_MS: Millis = Millis(1_500);
+/// Maximum age of a gossip message on arrival; older ones were delayed in the network. More than
+/// twice the bound on the error of the wall clock.
+pub const MAX_MESSAGE_AGE_MS: Millis = Millis(6_000);
+/// How far a sender's wall clock may be ahead of this controller's; messages from further ahead are
+/// rejected.
+pub const MAX_CLOCK_AHEAD_MS: Millis = Millis(6_000);
+/// Maximum number of peer reports in one gossip message, about 60 bytes each.
+pub const MAX_REPORTED_PEERS: usize = 16;
--- a/crates/membership/src/gossip.rs
+++ b/crates/membership/src/gossip.rs
@@ -1,45 +1,47 @@
-//! What a controller says of itself and of the others.
+//! Gossip messages: what a controller reports about itself and its peers.
 
-use crate::constants::{VERSION, WORDS_MOST};
+use crate::constants::{MAX_REPORTED_PEERS, VERSION};
 use oatloom_protocol::ids::{Member, Token};
 use serde::{Deserialize, Serialize};
 
-/// One life of a controller's process. Of two lives the one that began later is the newer one.
+/// Identifies one run of a controller's process. The incarnation with the later start is the newer
+/// one.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Incarnation {
-    /// Time of day at its start, ms.
+    /// Wall-clock time of the process start, ms.
     pub started_ms: u64,
-    /// Tells lives apart that began at the same time by two clocks.
+    /// Distinguishes incarnations with equal start times.
     pub nonce: u64,
 }
 
-/// What a controller knows of another one.
+/// What a controller reports about one of its peers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Word {
+pub struct PeerReport {
     pub member: Member,
     pub incarnation: Incarnation,
-    /// How long ago the other one's own words came, ms.
+    /// Time since the reporting controller last received a message from the peer itself, ms.
     pub heard_ms: u64,
 }
 
-/// What a controller says of itself and of the others. It goes along with notes, and alone to those to whom nothing
-/// else was said for a while.
+/// What a controller reports about itself and its peers. It is attached to the leader's messages to
+/// its peers, and sent alone to peers that were sent nothing else for a while.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Gossip {
     pub version: u32,
     pub from: Member,
     pub incarnation: Incarnation,
-    /// Time of day when it was said, ms: tells words that were held back from fresh ones.
+    /// Wall-clock time of sending, ms; identifies messages that were delayed in the network.
     pub at_ms: u64,
-    /// Whether it can take requests.
+    /// Whether the sender can serve requests.
     pub ready: bool,
-    /// How long ago the state service last served it, ms; `None`: never.
+    /// Time since the state service last served the sender, ms; `None` if it never did.
     pub store_ms: Option<u64>,
-    /// Who leads, as far as it knows.
+    /// The leader known to the sender, with its fencing token.
     pub leader: Option<(Member, Token)>,
-    pub words: Vec<Word>,
+    #[serde(rename = "words")]
+    pub words: Vec<PeerReport>,
 }
 
 impl Gossip {
@@ -57,14 +59,14 @@
         }
     }
 
-    pub(crate) fn tell(&mut self, word: Word) {
-        if self.words.len() < WORDS_MOST {
-            self.words.push(word);
+    pub(crate) fn add_report(&mut self, report: PeerReport) {
+        if self.words.len() < MAX_REPORTED_PEERS {
+            self.words.push(report);
         }
     }
 }
 
-/// What a controller knows of itself when it speaks.
+/// A controller's own state, as it goes into its gossip.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Own {
     pub ready: bool,
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,12 +1,13 @@
-//! Which controllers there are, as far as it shows: what they say themselves, what third ones say of them, and whether
-//! their keys stand in the state service. `(word, now) -> presence`. Nothing here is ever a proof: who may lead or order
-//! workers about is settled by leases of the state service alone.
+//! Failure detection among the controllers by gossip: from the peers' own messages, the reports of
+//! third controllers, and the presence of the peers' keys in the state service. Deterministic: it
+//! does no I/O and takes the time as an argument. The result is only an estimate: who may lead or
+//! give orders to workers is decided by leases of the state service alone.
 
 pub mod constants;
 mod gossip;
 mod peer;
 
-pub use gossip::{Gossip, Incarnation, Own, Word};
+pub use gossip::{Gossip, Incarnation, Own, PeerReport};
 pub use peer::{Line, Presence};
 
 use constants::*;
@@ -14,152 +15,162 @@
 use peer::Peer;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Why words were not taken up.
+/// Why a gossip message was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
-pub enum Ignored {
-    #[error("it is no member")]
-    Stranger,
-    #[error("another process has this controller's name")]
-    MyName,
-    #[error("it speaks another version")]
-    Version,
-    #[error("it was said by an earlier life of its process, or before something newer")]
-    Past,
-    #[error("it comes from the future")]
-    Future,
-    #[error("it was held back on the way")]
-    Late,
+pub enum RejectReason {
+    #[error("the sender is not a member")]
+    UnknownMember,
+    #[error("another process uses the name of this controller")]
+    DuplicateName,
+    #[error("it has another protocol version")]
+    VersionMismatch,
+    #[error("it is older than the last message, or of an earlier incarnation")]
+    Stale,
+    #[error("its time of sending lies in the future")]
+    ClockAhead,
+    #[error("it was delayed in the network")]
+    Delayed,
 }
 
-/// What one controller knows of the others.
+/// What one controller knows about the others.
 #[derive(Debug)]
 pub struct Membership {
     me: Member,
     incarnation: Incarnation,
     peers: BTreeMap<Member, Peer>,
-    /// Silence counts from here at the earliest.
-    awake: Mono,
-    turned: Mono,
-    ignored: BTreeMap<Ignored, u64>,
+    /// Silence before this time doesn't count: this controller was not running, or was frozen.
+    listening_since: Mono,
+    last_active: Mono,
+    rejected: BTreeMap<RejectReason, u64>,
 }
 
 impl Membership {
-    /// Begins to listen. Of an own life, all that matters is that it has not been before.
+    /// Creates the state of a controller that starts now. `nonce` distinguishes its incarnation
+    /// from those before.
     pub fn new(me: Member, peers: impl IntoIterator<Item = Member>, nonce: u64, now: Now) -> Self {
         let incarnation = Incarnation { started_ms: now.wall_ms, nonce };
         let peers =
             peers.into_iter().filter(|peer| *peer != me).map(|peer| (peer, Peer::default()));
         let peers = peers.collect();
-        let (awake, turned) = (now.mono, now.mono);
-        Self { me, incarnation, peers, awake, turned, ignored: BTreeMap::new() }
+        let (listening_since, last_active) = (now.mono, now.mono);
+        Self { me, incarnation, peers, listening_since, last_active, rejected: BTreeMap::new() }
     }
 
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Takes up what another controller said.
-    pub fn take(&mut self, gossip: &Gossip, now: Now) -> Result<(), Ignored> {
-        let taken = self.sort_in(gossip, now);
-        if let Err(why) = taken {
-            let count = self.ignored.entry(why).or_default();
+    /// Processes a gossip message of another controller.
+    pub fn take(&mut self, gossip: &Gossip, now: Now) -> Result<(), RejectReason> {
+        let result = self.apply(gossip, now);
+        if let Err(reason) = result {
+            let count = self.rejected.entry(reason).or_default();
             *count += 1;
-            // Once: whatever is wrong goes on for as long as it is said.
+            // Logged once per reason, since a persistent cause would repeat it with each message.
             if *count == 1 {
-                log::warn!("membership: words of {} are not taken up: {why}", gossip.from);
+                log::warn!("membership: rejected a gossip message of {}: {reason}", gossip.from);
             }
         }
-        taken
+        result
     }
 
-    fn sort_in(&mut self, gossip: &Gossip, now: Now) -> Result<(), Ignored> {
-        self.turn(now.mono);
+    fn apply(&mut self, gossip: &Gossip, now: Now) -> Result<(), RejectReason> {
+        self.detect_freeze(now.mono);
         if gossip.from == self.me {
-            return Err(Ignored::MyName);
+            return Err(RejectReason::DuplicateName);
         }
         if !self.peers.contains_key(&gossip.from) {
-            return Err(Ignored::Stranger);
+            return Err(RejectReason::UnknownMember);
         }
         if gossip.version != VERSION {
-            return Err(Ignored::Version);
+            return Err(RejectReason::VersionMismatch);
         }
-        let ahead = now.wall_ms.saturating_add(FUTURE_MS.0);
-        if gossip.at_ms > ahead || gossip.incarnation.started_ms > ahead {
-            return Err(Ignored::Future);
+        let latest_valid_ms = now.wall_ms.saturating_add(MAX_CLOCK_AHEAD_MS.0);
+        if gossip.at_ms > latest_valid_ms || gossip.incarnation.started_ms > latest_valid_ms {
+            return Err(RejectReason::ClockAhead);
         }
         let age_ms = now.wall_ms.saturating_sub(gossip.at_ms);
-        if age_ms > LATE_MS.0 {
-            return Err(Ignored::Late);
+        if age_ms > MAX_MESSAGE_AGE_MS.0 {
+            return Err(RejectReason::Delayed);
         }
-        let awake = self.awake;
-        let Some(peer) = self.peers.get_mut(&gossip.from) else { return Err(Ignored::Stranger) };
-        if !peer.newer(gossip, awake, now.mono) {
-            return Err(Ignored::Past);
+        let listening_since = self.listening_since;
+        let Some(peer) = self.peers.get_mut(&gossip.from) else {
+            return Err(RejectReason::UnknownMember);
+        };
+        if !peer.is_newer(gossip, listening_since, now.mono) {
+            return Err(RejectReason::Stale);
         }
-        peer.heard(gossip, now.mono);
-        for word in gossip.words.iter().take(WORDS_MOST) {
-            // Its age on the way is not known but for a second or two: it cannot have been heard later than this.
-            let at = Mono(now.mono.0.saturating_sub(word.heard_ms));
-            if let Some(other) = self.peers.get_mut(&word.member) {
-                other.told_of(&gossip.from, word.incarnation, at);
+        peer.on_gossip(gossip, now.mono);
+        for report in gossip.words.iter().take(MAX_REPORTED_PEERS) {
+            // The delivery delay of the report is unknown, up to a second or two; the peer can't
+            // have been heard later than this.
+            let heard_at = Mono(now.mono.0.saturating_sub(report.heard_ms));
+            if let Some(other) = self.peers.get_mut(&report.member) {
+                other.on_peer_report(&gossip.from, report.incarnation, heard_at);
             }
         }
-        self.look(now.mono);
+        self.update_presence(now.mono);
         Ok(())
     }
 
-    /// A message could not be brought to a peer, or nothing came back. It may be cut off from here alone.
+    /// Records that a message to a peer was not delivered or not answered. The fault may lie on
+    /// this link alone.
     pub fn unreachable(&mut self, peer: &Member, now: Mono) {
-        self.turn(now);
+        self.detect_freeze(now);
         if let Some(peer) = self.peers.get_mut(peer) {
-            peer.line_enter(Line::Cut { since: now });
+            peer.set_link(Line::Cut { since: now });
         }
-        self.look(now);
+        self.update_presence(now);
     }
 
-    /// A peer's key, which stands under its lease, was there when the state service was read.
+    /// Records that a read of the state service showed the peer's key, which exists under the
+    /// peer's lease.
     pub fn key(&mut self, peer: &Member, now: Mono) {
-        self.turn(now);
+        self.detect_freeze(now);
         if let Some(peer) = self.peers.get_mut(peer) {
-            peer.key = Some(now);
+            peer.key_seen = Some(now);
         }
-        self.look(now);
+        self.update_presence(now);
     }
 
-    /// Has to be called at least every half second. Returns whom to greet.
+    /// Updates the presence of all peers and returns those that are due a greeting. To be called at
+    /// least every 500 ms.
     pub fn tick(&mut self, now: Mono) -> Vec<Member> {
-        self.turn(now);
-        self.look(now);
-        let due = |(_, peer): &(&Member, &Peer)| peer.greet_due(now);
-        self.peers.iter().filter(due).map(|(member, _)| member.clone()).collect()
-    }
-
-    fn turn(&mut self, now: Mono) {
-        if now.since(self.turned) > FROZEN_MS {
-            log::info!("membership: stood still for {} ms", now.since(self.turned).0);
-            self.awake = now;
+        self.detect_freeze(now);
+        self.update_presence(now);
+        let is_due = |(_, peer): &(&Member, &Peer)| peer.is_greeting_due(now);
+        self.peers.iter().filter(is_due).map(|(member, _)| member.clone()).collect()
+    }
+
+    fn detect_freeze(&mut self, now: Mono) {
+        if now.since(self.last_active) > FREEZE_THRESHOLD_MS {
+            log::info!(
+                "membership: this controller was frozen for {} ms",
+                now.since(self.last_active).0
+            );
+            self.listening_since = now;
         }
-        self.turned = self.turned.max(now);
+        self.last_active = self.last_active.max(now);
     }
 
-    fn look(&mut self, now: Mono) {
+    fn update_presence(&mut self, now: Mono) {
         for (member, peer) in &mut self.peers {
-            peer.look(member, self.awake, now);
+            peer.update_presence(member, self.listening_since, now);
         }
     }
 
-    /// What this controller says of itself and the others to `to`.
+    /// Builds the gossip message for `to`.
     pub fn say(&mut self, to: &Member, own: Own, now: Now) -> Gossip {
         if let Some(peer) = self.peers.get_mut(to) {
-            peer.spoken = Some(now.mono);
+            peer.last_sent = Some(now.mono);
         }
         let mut gossip = Gossip::new(self.me.clone(), self.incarnation, now.wall_ms, own);
         for (member, peer) in &self.peers {
-            if let (Some(incarnation), Some(heard)) = (peer.incarnation, peer.heard_at())
+            if let (Some(incarnation), Some(heard)) = (peer.incarnation, peer.last_received_at())
                 && member != to
             {
                 let heard_ms = now.mono.since(heard).0;
-                gossip.tell(Word { member: member.clone(), incarnation, heard_ms });
+                gossip.add_report(PeerReport { member: member.clone(), incarnation, heard_ms });
             }
         }
         gossip
@@ -169,30 +180,32 @@
         self.peers.get(peer).map_or(Presence::Unknown, |peer| peer.presence)
     }
 
-    pub fn life_of(&self, peer: &Member) -> Option<Incarnation> {
+    pub fn incarnation_of(&self, peer: &Member) -> Option<Incarnation> {
         self.peers.get(peer)?.incarnation
     }
 
-    /// Whether messages reach the peer, as far as the last one shows.
+    /// State of the link to the peer, as of the last message.
     pub fn line(&self, peer: &Member) -> Line {
         self.peers.get(peer).map_or(Line::Untried, |peer| peer.line)
     }
 
-    /// When the state service served any peer last, by the peers' own fresh words.
+    /// When the state service last served any peer, by the peers' own recent messages.
     pub fn store_served_at(&self, now: Mono) -> Option<Mono> {
         let served_at = |peer: &Peer| {
-            let heard = peer.heard_at().filter(|at| now.since(*at) <= SUSPECT_MS)?;
+            let heard = peer.last_received_at().filter(|at| now.since(*at) <= SUSPECT_AFTER_MS)?;
             Some(Mono(heard.0.saturating_sub(peer.store_ms?)))
         };
         self.peers.values().filter_map(served_at).max()
     }
 
-    /// Whether any peer was served by the state service within the last `fresh_ms`, by its own fresh words.
+    /// Whether the state service served any peer within the last `fresh_ms`, by the peers' own
+    /// recent messages.
     pub fn store_serves(&self, fresh_ms: u64, now: Mono) -> bool {
         self.store_served_at(now).is_some_and(|at| now.since(at).0 <= fresh_ms)
     }
 
-    /// Whether all others have fallen silent, each of whom was heard before; `false` where there are none.
+    /// Whether all peers are suspected or gone; `false` if there are none, or if one was never
+    /// heard of.
     pub fn all_silent(&self) -> bool {
         let silent = |peer: &Peer| {
             matches!(peer.presence, Presence::Suspected { .. } | Presence::Gone { .. })
@@ -200,31 +213,32 @@
         !self.peers.is_empty() && self.peers.values().all(silent)
     }
 
-    /// A peer that serves, is reached from here, and hears `whom`: what cannot go straight may go through it.
-    pub fn through(&self, whom: &Member, now: Mono) -> Option<&Member> {
-        let fresh = |at: &Mono| now.since(*at) <= SUSPECT_MS;
-        let hears = |who: &Member| {
-            let of = self.peers.get(whom).and_then(|peer| peer.thirds.get(who));
-            of.is_some_and(fresh)
+    /// A peer that is alive, reachable from here and has recently heard `target`: messages to
+    /// `target` can be relayed by it.
+    pub fn through(&self, target: &Member, now: Mono) -> Option<&Member> {
+        let is_recent = |at: &Mono| now.since(*at) <= SUSPECT_AFTER_MS;
+        let is_heard_by = |member: &Member| {
+            let last_heard = self.peers.get(target).and_then(|peer| peer.heard_by.get(member));
+            last_heard.is_some_and(is_recent)
         };
-        let open = |(member, peer): &(&Member, &Peer)| {
-            *member != whom
+        let usable = |(member, peer): &(&Member, &Peer)| {
+            *member != target
                 && peer.presence == Presence::Alive
                 && !matches!(peer.line, Line::Cut { .. })
-                && hears(member)
+                && is_heard_by(member)
         };
-        self.peers.iter().find(open).map(|(member, _)| member)
+        self.peers.iter().find(usable).map(|(member, _)| member)
     }
 
-    /// Peers that are not taken to be gone.
-    pub fn there(&self) -> BTreeSet<&Member> {
-        let there =
+    /// Peers that are alive or restarting.
+    pub fn present(&self) -> BTreeSet<&Member> {
+        let present =
             |peer: &Peer| matches!(peer.presence, Presence::Alive | Presence::Restarted { .. });
-        self.peers.iter().filter(|(_, peer)| there(peer)).map(|(member, _)| member).collect()
+        self.peers.iter().filter(|(_, peer)| present(peer)).map(|(member, _)| member).collect()
     }
 
-    /// How often words were not taken up, and why.
-    pub fn ignored(&self) -> &BTreeMap<Ignored, u64> {
-        &self.ignored
+    /// Number of rejected messages by reason.
+    pub fn rejected(&self) -> &BTreeMap<RejectReason, u64> {
+        &self.rejected
     }
 }
--- a/crates/membership/src/peer.rs
+++ b/crates/membership/src/peer.rs
@@ -1,38 +1,38 @@
-//! One other controller.
+//! State of one peer.
 
 use crate::constants::*;
 use crate::gossip::{Gossip, Incarnation};
 use oatloom_protocol::ids::{Member, Mono};
 use std::collections::BTreeMap;
 
-/// Where another controller stands.
+/// Presence of a peer, as estimated by this controller.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Presence {
-    /// Nothing was ever heard of it.
+    /// No message or report of it has arrived yet.
     #[default]
     Unknown,
     Alive,
-    /// Its process began anew and cannot take requests yet.
+    /// Its process restarted and can't serve requests yet.
     Restarted {
         since: Mono,
     },
-    /// Silent on all paths.
+    /// Silent on all routes for [`SUSPECT_AFTER_MS`].
     Suspected {
         since: Mono,
     },
-    /// Silent for so long that it is not reckoned with.
+    /// Silent for [`GONE_AFTER_MS`]; it is no longer relied on.
     Gone {
         since: Mono,
     },
 }
 
-/// Whether messages reach it from here.
+/// State of the link from this controller to a peer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Line {
     #[default]
     Untried,
     Good,
-    /// The last one did not arrive, or was not answered.
+    /// The last message was not delivered or not answered.
     Cut {
         since: Mono,
     },
@@ -43,118 +43,133 @@
     pub presence: Presence,
     pub line: Line,
     pub incarnation: Option<Incarnation>,
-    /// When its own words came last, and when it had said them by its time of day.
-    heard: Option<(Mono, u64)>,
+    /// When the last message of the peer itself arrived, and its wall-clock time of sending, ms.
+    last_received: Option<(Mono, u64)>,
     pub store_ms: Option<u64>,
-    /// When third ones had heard this life of it last.
-    pub thirds: BTreeMap<Member, Mono>,
+    /// When other controllers last heard the peer's present incarnation.
+    pub heard_by: BTreeMap<Member, Mono>,
     /// When its key was last seen in the state service.
-    pub key: Option<Mono>,
-    /// When it was last spoken to.
-    pub spoken: Option<Mono>,
+    pub key_seen: Option<Mono>,
+    /// When a message was last sent to it.
+    pub last_sent: Option<Mono>,
 }
 
 impl Peer {
-    /// The one place where the presence changes.
-    fn enter(&mut self, member: &Member, presence: Presence, why: &str) {
-        log::info!("member {member}: {:?} -> {presence:?} ({why})", self.presence);
+    /// The only place where the presence changes.
+    fn set_presence(&mut self, member: &Member, presence: Presence, reason: &str) {
+        log::info!("member {member}: {:?} -> {presence:?} ({reason})", self.presence);
         self.presence = presence;
     }
 
-    /// The one place where the line's state changes.
-    pub fn line_enter(&mut self, line: Line) {
-        // A cut lasts from its first failure on.
+    /// The only place where the link state changes.
+    pub fn set_link(&mut self, line: Line) {
+        // A failure that persists keeps the time of its first occurrence.
         if !matches!((self.line, line), (Line::Cut { .. }, Line::Cut { .. })) {
             self.line = line;
         }
     }
 
-    pub fn heard_at(&self) -> Option<Mono> {
-        self.heard.map(|(at, _)| at)
+    pub fn last_received_at(&self) -> Option<Mono> {
+        self.last_received.map(|(at, _)| at)
     }
 
-    /// Whether words are news: of this life or a newer one, and later than the last. The time of day is bounded, not
-    /// exact: a life that seems to be older, and goes on speaking when the newer one has fallen silent, is the newer one.
-    pub fn newer(&self, gossip: &Gossip, awake: Mono, now: Mono) -> bool {
+    /// Whether a message is newer than what is known: of the same incarnation and sent later, or of
+    /// a newer incarnation. Start times are compared across clocks that are only roughly in step:
+    /// if the incarnation with the earlier start still sends after the other has fallen silent, it
+    /// is taken to be the newer one.
+    pub fn is_newer(&self, gossip: &Gossip, listening_since: Mono, now: Mono) -> bool {
         let Some(known) = self.incarnation else { return true };
-        let (heard, said_ms) = self.heard.unwrap_or_default();
+        let (received_at, sent_ms) = self.last_received.unwrap_or_default();
         if gossip.incarnation == known {
-            return self.heard.is_none() || gossip.at_ms > said_ms;
+            return self.last_received.is_none() || gossip.at_ms > sent_ms;
         }
-        gossip.incarnation > known || now.since(heard.max(awake)) > SUSPECT_MS
+        gossip.incarnation > known || now.since(received_at.max(listening_since)) > SUSPECT_AFTER_MS
     }
 
-    /// Its own words came.
-    pub fn heard(&mut self, gossip: &Gossip, now: Mono) {
+    /// Processes a message of the peer itself.
+    pub fn on_gossip(&mut self, gossip: &Gossip, now: Mono) {
         let known = self.incarnation.replace(gossip.incarnation);
-        let anew = known.is_some_and(|known| known != gossip.incarnation);
-        if anew {
-            // What was known of the life before says nothing of this one.
-            self.thirds.clear();
-            self.key = None;
+        let restarted = known.is_some_and(|known| known != gossip.incarnation);
+        if restarted {
+            // Sightings of the previous incarnation don't apply to the new one.
+            self.heard_by.clear();
+            self.key_seen = None;
         }
-        self.heard = Some((now, gossip.at_ms));
+        self.last_received = Some((now, gossip.at_ms));
         self.store_ms = gossip.store_ms;
-        self.line_enter(Line::Good);
+        self.set_link(Line::Good);
         let next = match (gossip.ready, self.presence) {
             (true, _) => Presence::Alive,
-            (false, Presence::Alive) if !anew => Presence::Alive,
-            (false, Presence::Restarted { since }) if !anew => Presence::Restarted { since },
+            (false, Presence::Alive) if !restarted => Presence::Alive,
+            (false, Presence::Restarted { since }) if !restarted => Presence::Restarted { since },
             (false, _) => Presence::Restarted { since: now },
         };
         if next != self.presence {
-            let why = if anew { "a new life of its process" } else { "its own words" };
-            self.enter(&gossip.from, next, why);
+            let reason = if restarted { "its process restarted" } else { "it sent a message" };
+            self.set_presence(&gossip.from, next, reason);
         }
     }
 
-    /// A third one had heard it at `at`. Of another life of it that says nothing.
-    pub fn told_of(&mut self, by: &Member, incarnation: Incarnation, at: Mono) {
+    /// Processes the report of another controller that it heard the peer at `at`. Reports on older
+    /// incarnations are ignored.
+    pub fn on_peer_report(&mut self, reporter: &Member, incarnation: Incarnation, at: Mono) {
         if self.incarnation.is_none_or(|known| incarnation > known) {
             self.incarnation = Some(incarnation);
-            self.heard = None;
-            self.thirds.clear();
+            self.last_received = None;
+            self.heard_by.clear();
         }
         if self.incarnation == Some(incarnation) {
-            let known = self.thirds.entry(by.clone()).or_default();
+            let known = self.heard_by.entry(reporter.clone()).or_default();
             *known = (*known).max(at);
         }
     }
 
-    /// The latest sign of life on any path.
-    fn sign(&self) -> Option<Mono> {
-        self.heard_at().into_iter().chain(self.thirds.values().copied()).chain(self.key).max()
+    /// The latest sign of life on any route.
+    fn last_sign_of_life(&self) -> Option<Mono> {
+        self.last_received_at()
+            .into_iter()
+            .chain(self.heard_by.values().copied())
+            .chain(self.key_seen)
+            .max()
     }
 
-    /// What silence has come to mean.
-    pub fn look(&mut self, member: &Member, awake: Mono, now: Mono) {
-        let Some(sign) = self.sign() else { return };
-        let silent = now.since(sign.max(awake));
+    /// Updates the presence from the time since the last sign of life.
+    pub fn update_presence(&mut self, member: &Member, listening_since: Mono, now: Mono) {
+        let Some(last_sign) = self.last_sign_of_life() else { return };
+        let silence = now.since(last_sign.max(listening_since));
         match self.presence {
-            // Only third ones have heard of it so far.
-            Presence::Unknown if silent <= SUSPECT_MS => {
-                self.enter(member, Presence::Alive, "a third one hears it");
+            // Known only from reports of other controllers so far.
+            Presence::Unknown if silence <= SUSPECT_AFTER_MS => {
+                self.set_presence(member, Presence::Alive, "another controller hears it");
             }
-            Presence::Alive | Presence::Restarted { .. } if silent > SUSPECT_MS => {
-                self.enter(member, Presence::Suspected { since: now }, "silent on all paths");
+            Presence::Alive | Presence::Restarted { .. } if silence > SUSPECT_AFTER_MS => {
+                self.set_presence(
+                    member,
+                    Presence::Suspected { since: now },
+                    "silent on all routes",
+                );
             }
             Presence::Suspected { .. } | Presence::Gone { .. }
-                if silent <= SUSPECT_MS && sign > awake =>
+                if silence <= SUSPECT_AFTER_MS && last_sign > listening_since =>
             {
-                self.enter(member, Presence::Alive, "a sign of life");
+                self.set_presence(member, Presence::Alive, "a sign of life arrived");
             }
-            Presence::Suspected { .. } if silent > GONE_MS => {
-                self.enter(member, Presence::Gone { since: now }, "silent for too long");
+            Presence::Suspected { .. } if silence > GONE_AFTER_MS => {
+                self.set_presence(member, Presence::Gone { since: now }, "silent past the limit");
             }
             _ => {}
         }
     }
 
-    pub fn greet_due(&self, now: Mono) -> bool {
-        let every =
-            if matches!(self.presence, Presence::Gone { .. }) { GREET_GONE_MS } else { GREET_MS };
-        // One that never spoke may not know how to: a third one has to have heard it.
-        let speaks = self.heard.is_some() || !self.thirds.is_empty();
-        speaks && self.spoken.is_none_or(|at| now.since(at) >= every)
+    pub fn is_greeting_due(&self, now: Mono) -> bool {
+        let interval = if matches!(self.presence, Presence::Gone { .. }) {
+            GREETING_INTERVAL_GONE_MS
+        } else {
+            GREETING_INTERVAL_MS
+        };
+        // A peer that never sent gossip may run a version without it, unless another controller has
+        // heard gossip from it.
+        let sends_gossip = self.last_received.is_some() || !self.heard_by.is_empty();
+        sends_gossip && self.last_sent.is_none_or(|at| now.since(at) >= interval)
     }
 }
--- a/crates/membership/tests/world.rs
+++ b/crates/membership/tests/world.rs
@@ -1,6 +1,7 @@
-//! Seeded worlds of one to seven controllers that crash, freeze, are cut off from each other and come back, with words
-//! lost, late and held back for minutes. After each step: nobody who can be heard is taken to be gone, who ended is
-//! found, a new life is known as one, and what is said stays bounded.
+//! Seeded simulations of one to seven controllers with crashes, freezes and partitions, and with
+//! messages that are lost, late or delayed for minutes. After each step: connected peers are never
+//! considered gone, crashed ones are suspected in time, new incarnations are recognized, and
+//! messages stay within their size limit.
 
 use oatloom_membership::constants::*;
 use oatloom_membership::{Gossip, Incarnation, Membership, Own, Presence};
@@ -10,21 +11,21 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 const STEP_MS: u64 = 100;
-const SETTLE_MS: u64 = SUSPECT_MS.0 + 2 * GREET_MS.0 + 1_000;
+const SETTLE_MS: u64 = SUSPECT_AFTER_MS.0 + 2 * GREETING_INTERVAL_MS.0 + 1_000;
 
 struct Node {
-    core: Option<Membership>,
-    /// Until when it is down, or stands still.
-    down: u64,
-    /// When it ended last.
-    ended: u64,
-    frozen: u64,
-    /// Since when it has been up without standing still.
-    sound: u64,
-    /// By how much its time of day is off, ms.
-    off: i64,
-    /// Time of its steady clock when the world began.
-    clock: u64,
+    membership: Option<Membership>,
+    /// The process is down until this time.
+    down_until: u64,
+    /// When it last crashed.
+    last_crash: u64,
+    frozen_until: u64,
+    /// Running without a freeze since this time.
+    running_since: u64,
+    /// Error of its wall clock, ms.
+    clock_offset_ms: i64,
+    /// Reading of its monotonic clock at the start of the simulation.
+    clock_start: u64,
 }
 
 struct World {
@@ -32,21 +33,22 @@
     now: u64,
     rng: ChaCha8Rng,
     nodes: Vec<Node>,
-    /// Pairs that cannot reach each other, until when, and whether what they say is held back rather than lost.
-    cuts: BTreeMap<(usize, usize), (u64, bool)>,
-    /// Since when a pair can reach each other.
-    joined: BTreeMap<(usize, usize), u64>,
-    flight: Vec<(u64, usize, usize, Gossip)>,
+    /// Partitioned pairs: the end of the partition, and whether messages are delayed until then or
+    /// lost.
+    partitions: BTreeMap<(usize, usize), (u64, bool)>,
+    /// Since when a pair is not partitioned.
+    connected: BTreeMap<(usize, usize), u64>,
+    in_flight: Vec<(u64, usize, usize, Gossip)>,
     suspected: u64,
-    longest: usize,
-    held_back: u64,
+    max_message_bytes: usize,
+    delayed: u64,
 }
 
-fn name(n: usize) -> Member {
+fn member_name(n: usize) -> Member {
     Member::new(&format!("n-{n}"))
 }
 
-fn pair(a: usize, b: usize) -> (usize, usize) {
+fn unordered_pair(a: usize, b: usize) -> (usize, usize) {
     (a.min(b), a.max(b))
 }
 
@@ -54,13 +56,13 @@
     fn new(seed: u64, count: usize) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let node = |rng: &mut ChaCha8Rng| Node {
-            core: None,
-            down: 0,
-            ended: 0,
-            frozen: 0,
-            sound: 0,
-            off: rng.random_range(-1_000..=1_000),
-            clock: rng.random_range(0..5_000_000),
+            membership: None,
+            down_until: 0,
+            last_crash: 0,
+            frozen_until: 0,
+            running_since: 0,
+            clock_offset_ms: rng.random_range(-1_000..=1_000),
+            clock_start: rng.random_range(0..5_000_000),
         };
         let nodes = (0..count).map(|_| node(&mut rng)).collect();
         Self {
@@ -68,118 +70,125 @@
             now: 0,
             rng,
             nodes,
-            cuts: BTreeMap::new(),
-            joined: BTreeMap::new(),
-            flight: Vec::new(),
+            partitions: BTreeMap::new(),
+            connected: BTreeMap::new(),
+            in_flight: Vec::new(),
             suspected: 0,
-            longest: 0,
-            held_back: 0,
+            max_message_bytes: 0,
+            delayed: 0,
         }
     }
 
     fn clocks(&self, n: usize) -> Now {
         let node = &self.nodes[n];
-        let wall = (1_000_000_000 + self.now) as i64 + node.off;
-        Now { mono: Mono(node.clock + self.now), wall_ms: wall as u64 }
+        let wall = (1_000_000_000 + self.now) as i64 + node.clock_offset_ms;
+        Now { mono: Mono(node.clock_start + self.now), wall_ms: wall as u64 }
     }
 
-    fn cut(&self, a: usize, b: usize) -> Option<(u64, bool)> {
-        self.cuts.get(&pair(a, b)).copied().filter(|(until, _)| self.now < *until)
+    fn partition(&self, a: usize, b: usize) -> Option<(u64, bool)> {
+        self.partitions.get(&unordered_pair(a, b)).copied().filter(|(until, _)| self.now < *until)
     }
 
-    fn say(&mut self, from: usize, to: usize) {
+    fn send(&mut self, from: usize, to: usize) {
         let now = self.clocks(from);
-        let ready = self.now > self.nodes[from].sound + 1_000;
-        let own = Own { ready, store_ms: Some(10), leader: None };
-        let Some(core) = self.nodes[from].core.as_mut() else { return };
-        let gossip = core.say(&name(to), own, now);
+        let ready = self.now > self.nodes[from].running_since + 1_000;
+        let status = Own { ready, store_ms: Some(10), leader: None };
+        let Some(membership) = self.nodes[from].membership.as_mut() else { return };
+        let gossip = membership.say(&member_name(to), status, now);
         let mut bytes = Vec::new();
         ciborium::into_writer(&gossip, &mut bytes).expect("plain data");
-        self.longest = self.longest.max(bytes.len());
-        let arrives = match self.cut(from, to) {
+        self.max_message_bytes = self.max_message_bytes.max(bytes.len());
+        let arrives = match self.partition(from, to) {
             Some((until, true)) => {
-                self.held_back += 1;
+                self.delayed += 1;
                 until + 5
             }
             Some((_, false)) => return,
             None if self.rng.random_bool(0.01) => return,
             None => self.now + self.rng.random_range(1..80),
         };
-        self.flight.push((arrives, from, to, gossip));
+        self.in_flight.push((arrives, from, to, gossip));
     }
 
-    fn strike(&mut self) {
+    fn inject_fault(&mut self) {
         let count = self.nodes.len();
         let n = self.rng.random_range(0..count);
         let span = self.rng.random_range(1_000..60_000);
         match self.rng.random_range(0..6) {
             0 | 1 => self.crash(n),
             2 => (0..count).for_each(|n| self.crash(n)),
-            3 => self.nodes[n].frozen = self.now + span.min(30_000),
+            3 => self.nodes[n].frozen_until = self.now + span.min(30_000),
             _ if count > 1 => {
                 let other = (n + self.rng.random_range(1..count)) % count;
-                let held = self.rng.random_bool(0.5);
-                self.cuts.insert(pair(n, other), (self.now + span, held));
+                let delays_messages = self.rng.random_bool(0.5);
+                self.partitions
+                    .insert(unordered_pair(n, other), (self.now + span, delays_messages));
             }
             _ => {}
         }
     }
 
     fn crash(&mut self, n: usize) {
-        if self.nodes[n].core.take().is_some() {
-            self.nodes[n].ended = self.now;
+        if self.nodes[n].membership.take().is_some() {
+            self.nodes[n].last_crash = self.now;
         }
-        self.nodes[n].down = self.now + self.rng.random_range(500..12_000);
+        self.nodes[n].down_until = self.now + self.rng.random_range(500..12_000);
     }
 
     fn step(&mut self) {
         self.now += STEP_MS;
         for n in 0..self.nodes.len() {
-            if self.nodes[n].core.is_none() && self.now >= self.nodes[n].down {
-                let peers: Vec<Member> = (0..self.nodes.len()).map(name).collect();
+            if self.nodes[n].membership.is_none() && self.now >= self.nodes[n].down_until {
+                let peers: Vec<Member> = (0..self.nodes.len()).map(member_name).collect();
                 let nonce = self.rng.random();
-                let core = Membership::new(name(n), peers, nonce, self.clocks(n));
-                self.nodes[n].core = Some(core);
-                self.nodes[n].sound = self.now;
+                let membership = Membership::new(member_name(n), peers, nonce, self.clocks(n));
+                self.nodes[n].membership = Some(membership);
+                self.nodes[n].running_since = self.now;
             }
-            if self.now < self.nodes[n].frozen {
-                self.nodes[n].sound = self.now;
+            if self.now < self.nodes[n].frozen_until {
+                self.nodes[n].running_since = self.now;
                 continue;
             }
             let now = self.clocks(n).mono;
-            let greet = self.nodes[n].core.as_mut().map(|core| core.tick(now)).unwrap_or_default();
+            let greet = self.nodes[n]
+                .membership
+                .as_mut()
+                .map(|membership| membership.tick(now))
+                .unwrap_or_default();
             for to in greet {
-                let to = (0..self.nodes.len()).find(|n| name(*n) == to).expect("a member");
-                self.say(n, to);
+                let to = (0..self.nodes.len()).find(|n| member_name(*n) == to).expect("a member");
+                self.send(n, to);
             }
         }
-        // Somebody has to speak first: a leader's notes do.
-        let up = |n: &Node| n.core.is_some() && self.now >= n.frozen;
+        // Some controller has to send first; in service that is the leader.
+        let up = |n: &Node| n.membership.is_some() && self.now >= n.frozen_until;
         let leader = self.nodes.iter().position(up);
         if let Some(leader) = leader.filter(|_| self.now.is_multiple_of(3_000)) {
-            (0..self.nodes.len()).filter(|to| *to != leader).for_each(|to| self.say(leader, to));
+            (0..self.nodes.len()).filter(|to| *to != leader).for_each(|to| self.send(leader, to));
         }
-        let (due, later) = std::mem::take(&mut self.flight)
-            .into_iter()
-            .partition(|(at, _, to, _)| *at <= self.now && self.now >= self.nodes[*to].frozen);
-        self.flight = later;
+        let (due, later) =
+            std::mem::take(&mut self.in_flight).into_iter().partition(|(at, _, to, _)| {
+                *at <= self.now && self.now >= self.nodes[*to].frozen_until
+            });
+        self.in_flight = later;
         for (_, _, to, gossip) in due {
             let now = self.clocks(to);
-            if let Some(core) = self.nodes[to].core.as_mut() {
-                let _ = core.take(&gossip, now);
+            if let Some(membership) = self.nodes[to].membership.as_mut() {
+                let _ = membership.take(&gossip, now);
             }
         }
         self.check();
     }
 
-    /// Since when two can hear each other without a break, if they can.
-    fn together(&mut self, a: usize, b: usize) -> Option<u64> {
-        if self.cut(a, b).is_some() {
-            self.joined.insert(pair(a, b), self.now);
+    /// Since when two controllers have been able to exchange messages without a break, if they are
+    /// at present.
+    fn connected_since(&mut self, a: usize, b: usize) -> Option<u64> {
+        if self.partition(a, b).is_some() {
+            self.connected.insert(unordered_pair(a, b), self.now);
         }
-        let up = |n: &Node| n.core.is_some() && self.now >= n.frozen;
-        let since = self.joined.get(&pair(a, b)).copied().unwrap_or(0);
-        let since = since.max(self.nodes[a].sound).max(self.nodes[b].sound);
+        let up = |n: &Node| n.membership.is_some() && self.now >= n.frozen_until;
+        let since = self.connected.get(&unordered_pair(a, b)).copied().unwrap_or(0);
+        let since = since.max(self.nodes[a].running_since).max(self.nodes[b].running_since);
         (up(&self.nodes[a]) && up(&self.nodes[b])).then_some(since)
     }
 
@@ -187,35 +196,46 @@
         let (seed, at) = (self.seed, self.now);
         for a in 0..self.nodes.len() {
             for b in (0..self.nodes.len()).filter(|b| *b != a) {
-                let together = self.together(a, b);
-                let Some(core) = self.nodes[a].core.as_ref() else { continue };
-                let presence = core.presence(&name(b));
+                let connected_since = self.connected_since(a, b);
+                let Some(membership) = self.nodes[a].membership.as_ref() else { continue };
+                let presence = membership.presence(&member_name(b));
                 let silent = matches!(presence, Presence::Suspected { .. } | Presence::Gone { .. });
-                if let Some(since) = together
-                    && at > since + SETTLE_MS + GREET_GONE_MS.0
+                if let Some(since) = connected_since
+                    && at > since + SETTLE_MS + GREETING_INTERVAL_GONE_MS.0
                 {
                     let gone = matches!(presence, Presence::Gone { .. });
-                    assert!(!gone, "seed {seed}, {at}: n-{a} takes n-{b} to be gone");
+                    assert!(!gone, "seed {seed}, {at}: n-{a} considers n-{b} gone");
                     self.suspected += u64::from(silent);
-                    let life: Option<Incarnation> =
-                        self.nodes[b].core.as_ref().map(Membership::incarnation);
-                    assert_eq!(core.life_of(&name(b)), life, "seed {seed}, {at}: n-{a} of n-{b}");
+                    let incarnation: Option<Incarnation> =
+                        self.nodes[b].membership.as_ref().map(Membership::incarnation);
+                    assert_eq!(
+                        membership.incarnation_of(&member_name(b)),
+                        incarnation,
+                        "seed {seed}, {at}: n-{a} of n-{b}"
+                    );
                 }
-                let sound = at.saturating_sub(self.nodes[a].sound) > SETTLE_MS;
-                let ended = self.nodes[b].ended + SETTLE_MS < at;
-                if self.nodes[b].core.is_none() && sound && ended && presence != Presence::Unknown {
-                    assert!(silent, "seed {seed}, {at}: n-{a} does not miss n-{b}: {presence:?}");
+                let settled = at.saturating_sub(self.nodes[a].running_since) > SETTLE_MS;
+                let crash_settled = self.nodes[b].last_crash + SETTLE_MS < at;
+                if self.nodes[b].membership.is_none()
+                    && settled
+                    && crash_settled
+                    && presence != Presence::Unknown
+                {
+                    assert!(
+                        silent,
+                        "seed {seed}, {at}: n-{a} does not suspect n-{b}: {presence:?}"
+                    );
                 }
             }
         }
     }
 }
 
-fn play(seed: u64, count: usize) -> World {
+fn run_world(seed: u64, count: usize) -> World {
     let mut world = World::new(seed, count);
     for step in 0..4_000 {
         if step % 100 == 50 && world.rng.random_bool(0.3) {
-            world.strike();
+            world.inject_fault();
         }
         world.step();
     }
@@ -223,98 +243,104 @@
 }
 
 #[test]
-fn who_speaks_is_heard_and_who_ended_is_missed() {
-    let (mut suspected, mut longest, mut held_back) = (0, 0, 0);
+fn reachable_peers_are_alive_and_crashed_peers_are_suspected() {
+    let (mut suspected, mut max_message_bytes, mut delayed) = (0, 0, 0);
     for count in [1, 2, 3, 5, 7] {
         for seed in 0..12 {
-            let world = play(seed * 10 + count as u64, count);
+            let world = run_world(seed * 10 + count as u64, count);
             suspected += world.suspected;
-            longest = longest.max(world.longest);
-            held_back += world.held_back;
+            max_message_bytes = max_message_bytes.max(world.max_message_bytes);
+            delayed += world.delayed;
         }
     }
-    assert!(held_back > 100, "the worlds held back too little");
-    // Two greetings lost in a row, and no third one in reach.
+    assert!(delayed > 100, "too few messages were delayed");
+    // Two consecutive greetings were lost, and no third controller reported the peer.
     assert!(suspected < 400, "{suspected} steps of false suspicion");
-    assert!(longest < 800, "{longest} bytes");
+    assert!(max_message_bytes < 800, "{max_message_bytes} bytes");
 }
 
-/// What is odd is not taken up, counted, and changes nothing.
+/// Invalid messages are rejected, counted, and leave the state unchanged.
 #[test]
-fn odd_words_change_nothing() {
-    use oatloom_membership::Ignored;
+fn invalid_gossip_is_rejected_and_changes_nothing() {
+    use oatloom_membership::RejectReason;
     let now = Now { mono: Mono(50_000), wall_ms: 1_000_000 };
-    let mut core = Membership::new(name(0), (0..3).map(name), 1, now);
-    let own = || Own { ready: true, ..Own::default() };
-    let mut other = Membership::new(name(1), (0..3).map(name), 2, now);
-    let good = other.say(&name(0), own(), now);
+    let mut membership = Membership::new(member_name(0), (0..3).map(member_name), 1, now);
+    let status = || Own { ready: true, ..Own::default() };
+    let mut other = Membership::new(member_name(1), (0..3).map(member_name), 2, now);
+    let good = other.say(&member_name(0), status(), now);
     let later = Now { mono: Mono(50_100), wall_ms: 1_000_100 };
-    let mut odd = Vec::new();
-    odd.push((Gossip { version: VERSION + 1, ..good.clone() }, Ignored::Version));
-    odd.push((Gossip { from: Member::new("x"), ..good.clone() }, Ignored::Stranger));
-    odd.push((Gossip { from: name(0), ..good.clone() }, Ignored::MyName));
-    let ahead = later.wall_ms + FUTURE_MS.0 + 1;
-    odd.push((Gossip { at_ms: ahead, ..good.clone() }, Ignored::Future));
-    let unborn = Incarnation { started_ms: ahead, nonce: 1 };
-    odd.push((Gossip { incarnation: unborn, ..good.clone() }, Ignored::Future));
-    let held = later.wall_ms - LATE_MS.0 - 1;
-    odd.push((Gossip { at_ms: held, ..good.clone() }, Ignored::Late));
-    for (gossip, why) in &odd {
-        assert_eq!(core.take(gossip, later), Err(*why));
-        assert_eq!(core.presence(&name(1)), Presence::Unknown);
+    let mut invalid = Vec::new();
+    invalid.push((Gossip { version: VERSION + 1, ..good.clone() }, RejectReason::VersionMismatch));
+    invalid.push((Gossip { from: Member::new("x"), ..good.clone() }, RejectReason::UnknownMember));
+    invalid.push((Gossip { from: member_name(0), ..good.clone() }, RejectReason::DuplicateName));
+    let ahead = later.wall_ms + MAX_CLOCK_AHEAD_MS.0 + 1;
+    invalid.push((Gossip { at_ms: ahead, ..good.clone() }, RejectReason::ClockAhead));
+    let future_start = Incarnation { started_ms: ahead, nonce: 1 };
+    invalid.push((Gossip { incarnation: future_start, ..good.clone() }, RejectReason::ClockAhead));
+    let sent_too_early = later.wall_ms - MAX_MESSAGE_AGE_MS.0 - 1;
+    invalid.push((Gossip { at_ms: sent_too_early, ..good.clone() }, RejectReason::Delayed));
+    for (gossip, reason) in &invalid {
+        assert_eq!(membership.take(gossip, later), Err(*reason));
+        assert_eq!(membership.presence(&member_name(1)), Presence::Unknown);
     }
-    assert_eq!(core.take(&good, later), Ok(()));
-    assert_eq!(core.take(&good, later), Err(Ignored::Past), "said twice");
+    assert_eq!(membership.take(&good, later), Ok(()));
+    assert_eq!(membership.take(&good, later), Err(RejectReason::Stale), "a duplicate");
     let before = Incarnation { started_ms: 999_000, nonce: 9 };
     let earlier = Gossip { incarnation: before, at_ms: 1_000_050, ..good };
-    assert_eq!(core.take(&earlier, later), Err(Ignored::Past), "an earlier life");
-    assert_eq!(core.presence(&name(1)), Presence::Alive);
-    assert_eq!(core.ignored().values().sum::<u64>(), odd.len() as u64 + 2);
+    assert_eq!(
+        membership.take(&earlier, later),
+        Err(RejectReason::Stale),
+        "an earlier incarnation"
+    );
+    assert_eq!(membership.presence(&member_name(1)), Presence::Alive);
+    assert_eq!(membership.rejected().values().sum::<u64>(), invalid.len() as u64 + 2);
 }
 
-/// A refused connection proves nothing: a third one's words count as much, and show a way.
+/// A refused connection doesn't prove that a peer is gone: reports of a third controller count as
+/// much, and show that it can relay.
 #[test]
-fn one_that_cannot_be_reached_is_not_gone() {
+fn an_unreachable_peer_that_others_hear_is_not_gone() {
     let start = Now { mono: Mono(50_000), wall_ms: 1_000_000 };
     let at = |ms: u64| Now { mono: Mono(50_000 + ms), wall_ms: 1_000_000 + ms };
-    let mut nodes: Vec<Membership> =
-        (0..3).map(|n| Membership::new(name(n), (0..3).map(name), n as u64, start)).collect();
-    let own = || Own { ready: true, store_ms: Some(5), leader: None };
+    let mut nodes: Vec<Membership> = (0..3)
+        .map(|n| Membership::new(member_name(n), (0..3).map(member_name), n as u64, start))
+        .collect();
+    let status = || Own { ready: true, store_ms: Some(5), leader: None };
     for ms in (100..30_000).step_by(100) {
         for (from, to) in [(0, 2), (1, 2), (2, 0), (2, 1)] {
             if ms % 2_000 == 0 {
-                let gossip = nodes[from].say(&name(to), own(), at(ms));
+                let gossip = nodes[from].say(&member_name(to), status(), at(ms));
                 assert_eq!(nodes[to].take(&gossip, at(ms)), Ok(()));
             }
         }
         for node in &mut nodes {
             node.tick(Mono(50_000 + ms));
         }
-        nodes[0].unreachable(&name(1), Mono(50_000 + ms));
+        nodes[0].unreachable(&member_name(1), Mono(50_000 + ms));
     }
-    let there: BTreeSet<&Member> = nodes[0].there();
-    assert_eq!(there.len(), 2, "n-1 is heard by n-2");
-    assert_eq!(nodes[0].through(&name(1), Mono(79_900)), Some(&name(2)));
+    let present: BTreeSet<&Member> = nodes[0].present();
+    assert_eq!(present.len(), 2, "n-1 is heard by n-2");
+    assert_eq!(nodes[0].through(&member_name(1), Mono(79_900)), Some(&member_name(2)));
     assert!(nodes[0].store_serves(5_000, Mono(79_900)));
-    // Without the third one nothing is left that shows it.
+    // Without reports of the third controller there is no sign of life left.
     for ms in (30_000..70_000).step_by(100) {
         nodes[0].tick(Mono(50_000 + ms));
     }
-    assert!(matches!(nodes[0].presence(&name(1)), Presence::Gone { .. }));
+    assert!(matches!(nodes[0].presence(&member_name(1)), Presence::Gone { .. }));
 }
 
-/// One that stood still for half a minute suspects nobody for not having listened.
+/// A controller that was frozen for half a minute doesn't suspect peers whose messages it missed.
 #[test]
-fn who_was_frozen_suspects_nobody_for_it() {
+fn a_frozen_controller_does_not_suspect_peers_for_missed_messages() {
     let start = Now { mono: Mono(50_000), wall_ms: 1_000_000 };
-    let mut core = Membership::new(name(0), (0..3).map(name), 1, start);
-    let mut other = Membership::new(name(1), (0..3).map(name), 2, start);
-    let gossip = other.say(&name(0), Own { ready: true, ..Own::default() }, start);
-    core.take(&gossip, start).unwrap();
-    core.tick(Mono(80_000));
-    assert_eq!(core.presence(&name(1)), Presence::Alive);
+    let mut membership = Membership::new(member_name(0), (0..3).map(member_name), 1, start);
+    let mut other = Membership::new(member_name(1), (0..3).map(member_name), 2, start);
+    let gossip = other.say(&member_name(0), Own { ready: true, ..Own::default() }, start);
+    membership.take(&gossip, start).unwrap();
+    membership.tick(Mono(80_000));
+    assert_eq!(membership.presence(&member_name(1)), Presence::Alive);
     for ms in (80_000..90_000).step_by(500) {
-        core.tick(Mono(ms));
+        membership.tick(Mono(ms));
     }
-    assert!(matches!(core.presence(&name(1)), Presence::Suspected { .. }));
+    assert!(matches!(membership.presence(&member_name(1)), Presence::Suspected { .. }));
 }
