--- a/crates/core/src/owners.rs
+++ b/crates/core/src/owners.rs
@@ -59,6 +59,7 @@
     Offer { to: Member, share: ShareId, token: Token, map_version: MapVersion },
 }
 
+/// Share ownership as seen and held by this controller.
 #[derive(Debug)]
 pub struct ShareOwners {
     me: MemberIndex,
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -186,7 +186,7 @@
 
     /// State of the link to the peer, as of the last message.
     pub fn line(&self, peer: &Member) -> Line {
-        self.peers.get(peer).map_or(Line::Untried, |peer| peer.line)
+        self.peers.get(peer).map_or(Line::Untried, |peer| peer.link)
     }
 
     /// When the state service last served any peer, by the peers' own recent messages.
@@ -224,7 +224,7 @@
         let usable = |(member, peer): &(&Member, &Peer)| {
             *member != target
                 && peer.presence == Presence::Alive
-                && !matches!(peer.line, Line::Cut { .. })
+                && !matches!(peer.link, Line::Cut { .. })
                 && is_heard_by(member)
         };
         self.peers.iter().find(usable).map(|(member, _)| member)
--- a/crates/membership/src/peer.rs
+++ b/crates/membership/src/peer.rs
@@ -41,7 +41,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Peer {
     pub presence: Presence,
-    pub line: Line,
+    pub link: Line,
     pub incarnation: Option<Incarnation>,
     /// When the last message of the peer itself arrived, and its wall-clock time of sending, ms.
     last_received: Option<(Mono, u64)>,
@@ -62,10 +62,10 @@
     }
 
     /// The only place where the link state changes.
-    pub fn set_link(&mut self, line: Line) {
+    pub fn set_link(&mut self, link: Line) {
         // A failure that persists keeps the time of its first occurrence.
-        if !matches!((self.line, line), (Line::Cut { .. }, Line::Cut { .. })) {
-            self.line = line;
+        if !matches!((self.link, link), (Line::Cut { .. }, Line::Cut { .. })) {
+            self.link = link;
         }
     }
 
