--- a/crates/core/src/api.rs
+++ b/crates/core/src/api.rs
@@ -1,4 +1,4 @@
-//! The HTTP face: requests parsed before the core sees them, and answers as the core gives them.
+//! The HTTP API: parses requests before the core processes them.
 
 use crate::notes::Notes;
 use oatloom_graph::constants::ANSWER_NODES;
@@ -13,11 +13,12 @@
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
-/// A submission as far as it could be read.
+/// A parsed submission.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Submission {
     Spec(Box<JobSpec>),
-    /// Malformed; with the id if that much could be read, since a known job is known all the same.
+    /// A malformed submission, with its id if that could be read, since a job that is already known
+    /// is reported as such.
     Bad {
         id: Option<JobId>,
         text: String,
@@ -29,11 +30,11 @@
     Submit(Submission),
     View(JobId),
     Abort(JobId),
-    /// A page of the account of usage.
+    /// A page of usage.
     Usage(Box<Query>),
     Up,
     Report(Box<Report>),
-    /// What a client of graphs asks.
+    /// A request from a client of graphs.
     Graph(Box<Ask>),
     /// From the leader, over the mesh only.
     Notes(Box<Notes>),
@@ -60,7 +61,7 @@
     }
 }
 
-/// Reads what clients of graphs ask; `None`: it is nothing of theirs.
+/// Parses requests of graph clients; `None` if the path belongs to no graph request.
 fn graph_ask(
     method: &str,
     path: &str,
@@ -113,7 +114,7 @@
     Some(ask)
 }
 
-/// Reads a request; what no slice needs to see is answered here.
+/// Parses a request; errors that need no controller state are replied to here.
 pub fn parse(method: &str, path: &str, body: &[u8]) -> Result<Request, HttpReply> {
     let (path, question) = path.split_once('?').unwrap_or((path, ""));
     let wrong = || HttpReply::error(405, "method not allowed");
@@ -201,8 +202,8 @@
         }
     }
 
-    /// Reports with further fields, or without those that may be null, are read; what cannot be a report gets 400, and
-    /// nothing of it reaches a leader.
+    /// Reports with unknown fields, or without nullable ones, are accepted. What cannot be a report
+    /// gets status 400 and does not reach the leader.
     #[test]
     fn bad_reports_are_refused() {
         let good = r#"{"host":"i-000231","addr":"10.1.0.232:9000","flavor":"g8","yard":"a","loaners":true,"shift":1,
--- a/crates/core/src/controller/dependencies.rs
+++ b/crates/core/src/controller/dependencies.rs
@@ -1,5 +1,5 @@
-//! Dependencies of jobs at a controller: whether those that a submission names were accepted, and, at the leader, how
-//! those ended that it does not have in memory.
+//! Dependencies of jobs: any controller checks whether the jobs that a submission depends on were
+//! accepted; the leader also reads the final states of those that it does not have in memory.
 
 use super::leading::live_record;
 use super::{Controller, Purpose, Why};
@@ -15,13 +15,13 @@
 use oatloom_protocol::wire::{JobSpec, Shape};
 use std::collections::BTreeMap;
 
-/// A submission whose dependencies are being looked up.
+/// A submission whose dependencies are being checked.
 #[derive(Debug)]
 pub(super) struct DependencyCheck {
     conn: ConnId,
     spec: JobSpec,
     forwarded: bool,
-    /// Dependencies of which it is not known yet whether they were accepted.
+    /// Dependencies that are not yet known to be accepted.
     unknown: Vec<JobId>,
 }
 
@@ -32,17 +32,17 @@
     Over,
 }
 
-/// Reads of final records for jobs that wait.
+/// Reads of final records for waiting jobs.
 #[derive(Debug, Default)]
 pub(super) struct DependencyReads {
-    /// Jobs whose records are being read, or were not found, and when they may be read again.
+    /// Jobs whose records are being read or were not found, and when they may be read again.
     not_before: BTreeMap<JobId, Mono>,
     in_flight: usize,
     next_look: Mono,
 }
 
 impl Controller {
-    /// Accepts a submission that names dependencies, once it is known that all of them were accepted.
+    /// Accepts a submission with dependencies once all of them are known to be accepted.
     pub(super) fn accept_dependent(
         &mut self,
         now: Now,
@@ -50,7 +50,7 @@
         spec: JobSpec,
         forwarded: bool,
     ) {
-        // An earlier version takes up the job without its dependencies and would start it.
+        // An earlier version would load the job without its dependencies and start it.
         if !self.all_upgraded() {
             return self
                 .reply(conn, HttpReply::later("not every controller runs this version yet"));
@@ -75,7 +75,7 @@
         self.accept(now, check.conn, check.spec, check.forwarded);
     }
 
-    /// What this controller knows for certain of a job that was accepted.
+    /// What this controller knows for certain about a job that was accepted.
     fn accepted_kind(&self, id: &JobId) -> Option<AcceptedKind> {
         if self.over.get(id).is_some() {
             return Some(AcceptedKind::Finite);
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Takes up a record of a job that a submission names.
+    /// Processes a record of a job that a submission depends on.
     pub(super) fn on_named_dependency(
         &mut self,
         now: Now,
@@ -134,18 +134,20 @@
         }
     }
 
-    /// Refuses a submission for what it names, unless it was accepted before: a repeated one gets what it got.
+    /// Rejects a submission because of its dependencies, unless it was accepted before: a retry
+    /// gets the original result.
     fn refuse_dependent(&mut self, now: Now, check: DependencyCheck, reply: HttpReply) {
         self.lookup(now.mono, check.conn, check.spec.id, Why::Submit(reply));
     }
 
-    /// Notes that a job was accepted, as its durable record shows.
+    /// Records that a job was accepted, as its durable record shows.
     pub(super) fn note_accepted(&mut self, record: &LiveRecord) {
         self.accepted.insert(record.spec.id.clone(), kind_of(record));
     }
 
-    /// Settles dependencies of waiting jobs that are not open in the leader's memory: by the final states that this
-    /// controller remembers, else by reading a few records at a time, each once for all jobs that need it.
+    /// Resolves dependencies of waiting jobs that are not open in the leader's memory: from the
+    /// cached final states, otherwise by reading a few records at a time, each once for all jobs
+    /// that need it.
     pub(super) fn resolve_dependencies(&mut self, now: Mono) {
         if now < self.dependency_reads.next_look {
             return;
@@ -173,19 +175,20 @@
             let unanswered = now.plus(DEPENDENCY_RETRY_MS);
             self.dependency_reads.not_before.insert(id.clone(), unanswered);
             let op = StoreOp::Get { key: jobs::over_key(&id) };
-            // Through the lane that is never full.
+            // This lane is never full.
             let _ = self.submit(now, Lane::Write, op, Purpose::Dependency { token, id });
         }
     }
 
-    /// Takes up the final record of a job that others wait for.
+    /// Processes the final record of a job that others depend on.
     pub(super) fn on_dependency(&mut self, now: Mono, token: Token, id: JobId, reply: StoreReply) {
         let reads = &mut self.dependency_reads;
         reads.in_flight = reads.in_flight.saturating_sub(1);
         reads.next_look = now;
         let record = match reply {
             StoreReply::Found(row) => serde_json::from_value::<OverRecord>(row.value),
-            // Accepted a moment ago elsewhere: its own record is on its way here.
+            // Another controller accepted it a moment ago: its live record will arrive through the
+            // watch.
             StoreReply::Missing(_) => return,
             _ => {
                 reads.not_before.insert(id, now.plus(STORE_PAUSE_MS));
@@ -209,7 +212,7 @@
         }
     }
 
-    /// A new term begins with nothing asked for.
+    /// Discards the state of the reads when a new term begins.
     pub(super) fn forget_dependency_reads(&mut self) {
         self.dependency_reads = DependencyReads::default();
     }
--- a/crates/core/src/controller/graphs.rs
+++ b/crates/core/src/controller/graphs.rs
@@ -1,5 +1,5 @@
-//! Task graphs: requests of their clients, what a new leader reads of them, and their writes, which take turns with
-//! those of the book.
+//! Task graphs: clients' requests, what a new leader reads of them, and their writes, which
+//! alternate with those of the job table.
 
 use super::*;
 use oatloom_graph::desk::{Around, Desk, Effect, Ended, Launch, Read, Verdict};
@@ -10,15 +10,15 @@
 use oatloom_graph::{answers, desk};
 use serde_json::Value;
 
-/// A look into the store for a graph that is not open.
+/// A read of a finished graph from the state service.
 #[derive(Clone, Debug)]
 pub(super) enum OverStep {
     Answer,
-    /// Its nodes, page by page.
+    /// The final states of its nodes, page by page.
     Nodes(Box<records::OverRecord>),
 }
 
-/// Graph writes whose fate is open, and what was read so far of the first of them.
+/// Graph writes whose outcome is unknown, and the rows read back so far for the last of them.
 #[derive(Debug, Default, PartialEq)]
 pub(super) struct Unsure {
     items: Vec<desk::Wrote>,
@@ -36,7 +36,7 @@
     (jobs::live_key(launch.id()), jobs::over_key(launch.id()), value)
 }
 
-/// The nodes that a job's record, or its final state, says it runs.
+/// The nodes that a job runs, according to its live or final record.
 fn nodes_of(value: &Value) -> Option<Runs> {
     serde_json::from_value(value.get("g")?.get("n")?.clone()).ok()
 }
@@ -63,7 +63,7 @@
                 None => self.look_graph(now.mono, conn, ask),
             };
         }
-        // Taken out for a moment, since what surrounds it is asked meanwhile.
+        // Moved out of the leader term during the call, since the closures borrow the controller.
         let desk = self.reign.as_mut().and_then(|reign| reign.graphs.take());
         let Some(mut desk) = desk else {
             return self.reply(conn, HttpReply::later("graphs are being read"));
@@ -91,7 +91,7 @@
         self.graph_effects(now);
     }
 
-    /// Reads the final answer of a graph that is not open here.
+    /// Reads the final answer of a graph that is not open on this controller.
     pub(super) fn look_graph(&mut self, now: Mono, conn: ConnId, ask: Ask) {
         let Some(id) = ask.graph() else {
             return self.reply(conn, HttpReply::later("no leader can be reached"));
@@ -114,15 +114,15 @@
         let damaged = || HttpReply::later("its record cannot be read");
         match (step, reply) {
             (OverStep::Answer, StoreReply::Missing(_)) => {
-                // Only a leader that has read all graphs knows whether it is open. Guards against one that had not
-                // and called a graph unknown that it was about to go on with.
+                // Only a leader that has loaded all graphs knows whether a graph is open; one that
+                // has not could call a graph unknown that it is about to continue.
                 let leads = self.leadership.valid(now).is_some();
                 let known = self.reign.as_ref().and_then(|reign| reign.graphs.as_ref());
                 let id = ask.graph();
                 let closed = known.is_some_and(|desk| {
                     desk.ready() && id.is_none_or(|id| desk.graph(id).is_none())
                 });
-                // Guards against an end that became durable while its key was being read.
+                // The end may have become durable while its key was being read.
                 let over = id.and_then(|id| Some((id, known?.over(id)?)));
                 let reply = if let Some((id, record)) = over.filter(|_| leads) {
                     Desk::over_reply(id, &ask, record)
@@ -179,7 +179,7 @@
 
     // --- Effects ------------------------------------------------------------------
 
-    /// Carries out what graphs have decided.
+    /// Applies the decisions of the graphs.
     pub(super) fn graph_effects(&mut self, now: Now) {
         loop {
             let effects = self.desk().map(Desk::take_effects).unwrap_or_default();
@@ -203,7 +203,7 @@
         }
     }
 
-    /// A job's end is durable: its graph has to know, if it has one.
+    /// Notifies a job's graph, if it has one, that the job's end is durable.
     pub(super) fn graph_job_over(&mut self, id: &JobId, record: &OverRecord) {
         let Some(part) = &record.part else { return };
         if let Some(desk) = self.desk() {
@@ -211,7 +211,8 @@
         }
     }
 
-    /// Once a turn: lets time pass for graphs, and tells them what the book has made durable.
+    /// Runs after every event: advances the graphs' timers, and passes on the task completions that
+    /// the job table has made durable.
     pub(super) fn turn_graphs(&mut self, now: Now) {
         let valid = self.was_valid;
         let Some(reign) = self.reign.as_mut().filter(|r| r.stage == Stage::Ruling) else { return };
@@ -255,7 +256,8 @@
     pub(super) fn on_graphs(&mut self, now: Now, token: Token, read: Read, reply: StoreReply) {
         self.graphs_out = false;
         let Some(reign) = self.reign.as_mut().filter(|r| r.token == token) else { return };
-        // Taken out for a moment, since the reign is asked for the jobs of graphs meanwhile.
+        // Moved out of the leader term during the call, since the leader term is queried for the
+        // jobs of graphs.
         let Some(mut desk) = reign.graphs.take() else { return };
         let same = desk.next_read().as_ref() == Some(&read);
         match (read, reply) {
@@ -280,7 +282,7 @@
                 let ended = ended.collect();
                 desk.read_ended(ended, last, &|graph| reign.open_jobs(graph), now.mono);
             }
-            // Asked again after a pause.
+            // Retried after a pause.
             _ => self.graphs_after = now.mono.plus(GRAPHS_PAUSE_MS),
         }
         if let Some(reign) = self.reign.as_mut() {
@@ -291,7 +293,7 @@
 
     // --- Writing -----------------------------------------------------------------
 
-    /// The next transaction of graphs, if there is one.
+    /// Submits the next transaction of graphs; returns whether there was one.
     pub(super) fn write_graphs(&mut self, now: Now) -> bool {
         let (Some(token), Some(fence)) = (self.leadership.token(), self.leadership.fence()) else {
             return false;
@@ -344,7 +346,8 @@
         self.graph_effects(now);
     }
 
-    /// The service has refused a transaction for what it is: it is not written as it was again.
+    /// Handles a transaction that the service refused as invalid: it is not written again
+    /// unchanged.
     fn graphs_write_refused(&mut self, now: Mono, mut written: Vec<desk::Wrote>, text: &str) {
         if !self.write_refused(text) {
             let items: Vec<_> = written.iter().map(|wrote| wrote.item.clone()).collect();
@@ -358,7 +361,7 @@
         }
     }
 
-    /// Reads the keys of writes whose fate is open, one after the other.
+    /// Reads the keys of writes with an unknown outcome, one after another.
     fn resolve_graphs(&mut self, now: Now, token: Token, mut unsure: Unsure) {
         let live = |id: &JobId| jobs::live_key(id);
         let over = |id: &JobId| jobs::over_key(id);
@@ -395,7 +398,7 @@
         match reply {
             StoreReply::Found(row) => unsure.rows.push(Some(row)),
             StoreReply::Missing(_) => unsure.rows.push(None),
-            // Asked again.
+            // The read is retried.
             _ => {}
         }
         self.resolve_graphs(now, token, unsure);
@@ -403,7 +406,7 @@
     }
 }
 
-/// Where listing the pages of a graph that is over goes on.
+/// The key after which the listing of a finished graph's pages continues.
 fn over_after(id: GraphId, look: &Look) -> String {
     let page =
         look.after.strip_prefix("over.").filter(|page| page.bytes().all(|b| b.is_ascii_digit()));
--- a/crates/core/src/controller/health.rs
+++ b/crates/core/src/controller/health.rs
@@ -1,4 +1,4 @@
-//! Whether this controller can take requests, as it answers at `/up` and tells its peers.
+//! Whether this controller can take requests, as it reports at `/up` and to its peers.
 
 use super::Controller;
 use crate::constants::{APART_FRESH_MS, APART_MS, LEADER_TTL_MS, UP_STORE_SILENCE_MS, UP_TOLD_MS};
@@ -8,15 +8,15 @@
 /// Whether requests can be taken, and if not, why.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum Health {
-    /// The machine types are not known, or the state service was not reached yet.
+    /// The machine types are not known, or the state service has not responded yet.
     #[default]
     Starting,
     Up,
-    /// The state service serves others, and has not served this controller for a while.
+    /// The state service serves other controllers, but has not served this one for a while.
     RefusedAlone,
-    /// Neither the state service nor any other controller is heard of.
+    /// Neither the state service nor any other controller responds.
     CutOff,
-    /// The state service serves, and the leader does not answer.
+    /// The state service responds, but the leader does not.
     LeaderApart,
 }
 
@@ -32,7 +32,7 @@
 }
 
 impl Controller {
-    /// The answer to a probe.
+    /// Replies to a health probe.
     pub(super) fn up(&mut self, now: Mono) -> HttpReply {
         let health = self.health(now);
         self.note_health(health, now);
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Says what has changed, and by which evidence.
+    /// Logs a change of the health with the evidence for it.
     fn note_health(&mut self, health: Health, now: Mono) {
         if health == self.health {
             return;
@@ -61,7 +61,7 @@
         self.health = health;
     }
 
-    /// Whether this controller can take requests.
+    /// Returns whether this controller can take requests.
     pub(super) fn health(&self, now: Mono) -> Health {
         if self.catalog().is_none() || self.store.last_good() == Mono(0) {
             return Health::Starting;
@@ -70,8 +70,8 @@
             if self.refused_alone(now) {
                 return Health::RefusedAlone;
             }
-            // Guards against users who stay with a controller that has lost the state service and all others, since their
-            // connections are open, and get no answer about their jobs for as long as it lasts.
+            // Users' open connections would otherwise stay with a controller that has lost the
+            // state service and all peers, and get no answer about their jobs for the whole outage.
             if self.membership.as_ref().is_some_and(|members| members.all_silent()) {
                 return Health::CutOff;
             }
@@ -79,20 +79,22 @@
         if self.leader_apart(now) { Health::LeaderApart } else { Health::Up }
     }
 
-    /// How long the state service has not answered properly.
+    /// Time since the state service last served a request of this controller.
     fn store_silence(&self, now: Mono) -> Millis {
         now.since(self.store.last_good())
     }
 
-    /// When the state service served another controller last, by that one's own words.
+    /// When the state service last served another controller, as that one reported.
     fn peer_served_at(&self, now: Mono) -> Option<Mono> {
         self.membership.as_ref().and_then(|members| members.store_served_at(now))
     }
 
-    /// Whether the state service serves another controller lately that it has not served for long: by that one's own words,
-    /// or by an answer that it gave as leader, for which it had renewed its lease. In an outage all are refused, and none is
-    /// better than another. Guards against a controller that takes the beginning of an outage for a refusal of its own,
-    /// since it had asked last some seconds before the others.
+    /// Whether the state service recently served another controller while it has not served this
+    /// one for a while. The evidence is the peer's own report, or a reply that it gave as leader,
+    /// for which it must have renewed its lease. In an outage all controllers are refused, and no
+    /// other controller serves better. The difference between the two times matters: at the
+    /// beginning of an outage, this controller's last request may only have been some seconds
+    /// before the others'.
     fn refused_alone(&self, now: Mono) -> bool {
         let said = self.peer_served_at(now).filter(|at| now.since(*at) <= UP_STORE_SILENCE_MS);
         let told = now.since(self.last_told) < UP_TOLD_MS;
@@ -101,8 +103,9 @@
         said.max(renewed).is_some_and(|served| served.since(last_good) > UP_STORE_SILENCE_MS)
     }
 
-    /// Whether the leader, who alone may speak of open jobs, has answered nothing for long. Guards against users who stay
-    /// with a controller that the state service serves and that cannot reach the leader.
+    /// Whether the leader, which alone may report on open jobs, has not responded for long.
+    /// Otherwise users would stay with a controller that the state service serves but that cannot
+    /// reach the leader.
     fn leader_apart(&self, now: Mono) -> bool {
         let lasts = |(since, last): (Mono, Mono)| {
             last.since(since) >= APART_MS && now.since(last) < APART_FRESH_MS
--- a/crates/core/src/controller/leading.rs
+++ b/crates/core/src/controller/leading.rs
@@ -1,4 +1,4 @@
-//! Taking the lead, reading the book, and watching for what is accepted elsewhere.
+//! Becoming the leader: loading the job table, and watching for jobs that other controllers accept.
 
 use super::*;
 
@@ -52,8 +52,8 @@
             return;
         };
         let op = StoreOp::List { prefix: prefix.to_owned(), after: after.clone() };
-        // Through the writer's lane, which is idle while loading: it is neither queued behind
-        // users' requests nor given up.
+        // The writer's lane is idle while the job table is loaded, so the read is neither queued
+        // behind users' requests nor dropped.
         let _ = self.submit(now, Lane::Write, op, Purpose::Load { token, after, first });
     }
 
@@ -71,8 +71,9 @@
         let live = reign.stage == Stage::LoadingLive;
         let prefix = if live { jobs::LIVE } else { jobs::ASSIGNED };
         let StoreReply::Page(page) = reply else {
-            // The same page again. What was read stands: assignments are written by the leader alone, which this one
-            // is and has not done yet, and jobs accepted since the first page come by the watch.
+            // Retries the page. The pages read before stay valid: only the leader writes
+            // assignments, and this one has not written any yet; jobs accepted since the first page
+            // arrive through the watch.
             self.load(now.mono, prefix, after, first);
             return;
         };
@@ -122,7 +123,7 @@
         let (Some(token), Some(after)) = (self.leadership.token(), self.watch_live) else {
             return;
         };
-        // That of an earlier term may stay open for long, and shows this one nothing.
+        // A watch of an earlier term may stay open for long, and its changes are ignored.
         if self.watch_out == Some(token) {
             return;
         }
@@ -131,7 +132,7 @@
         let _ = self.submit(now, Lane::Watch, op, Purpose::Watch { token, after });
     }
 
-    /// Jobs that other controllers have accepted.
+    /// Processes jobs that other controllers have accepted.
     pub(super) fn on_watch(&mut self, now: Now, token: Token, after: Revision, reply: StoreReply) {
         if self.leadership.token() != Some(token) {
             return;
@@ -151,8 +152,9 @@
             }
             StoreReply::TooOld => {
                 log::warn!("store: the watch fell behind; the jobs are read in a new term");
-                // Guards against reading the book anew under the same token: a write still under way would be applied
-                // after it was read, and its answer make durable what the new book never wrote.
+                // The job table is not reloaded under the same fencing token: a write still in
+                // flight could be applied after the load, and its response would mark changes
+                // durable that the new table never wrote.
                 self.leadership.fenced_off();
                 self.follow_turns(now);
             }
@@ -160,7 +162,8 @@
         }
     }
 
-    /// Takes up a job that is known to be accepted, as what was asked in that term shows.
+    /// Adds a job that is known to be accepted to the job table. `read_under` is the fencing token
+    /// under which the operation that showed it was sent.
     pub(super) fn admit(
         &mut self,
         now: Now,
@@ -168,9 +171,9 @@
         stamp: Revision,
         term: Option<Token>,
     ) {
-        // Guards against old news: a job whose end this controller has written must not live again; nor one whose end
-        // another one has written, between a question that was put before this term and its late answer. The book's
-        // reading and the watch show every job that is open.
+        // Ignores stale records: a job whose end this controller has written must not become live
+        // again, nor one whose end another controller wrote between a read sent before this term
+        // and its late response. The load of the job table and the watch show every open job.
         if self.over.get(&record.spec.id).is_some() || term != self.leadership.token() {
             return;
         }
--- a/crates/core/src/controller/limits.rs
+++ b/crates/core/src/controller/limits.rs
@@ -1,23 +1,23 @@
-//! The limits of the state service as the controller acts by them: the present ones, those to come, and whether these
-//! are known to hold already.
+//! The limits of the state service that the controller applies: the current ones, the announced
+//! ones, and whether the announced ones are known to be in force.
 
 use super::*;
 use crate::jobs::{RecordForm, RecordLimits};
 use oatloom_protocol::settings::StateFacts;
 
-/// Whether the limits to come hold already, as far as the service's answers show.
+/// Which limits are in force, as far as the service's responses show.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Seen {
     #[default]
     Present,
-    /// The service has refused what the present limits allow. Limits do not rise again.
+    /// The service has refused what the current limits allow. Limits do not rise again.
     Fallen,
 }
 
 #[derive(Debug)]
 pub(super) struct Limits {
     present: StateFacts,
-    /// The smaller of each limit as it is and as it will be.
+    /// The smaller of the current and the announced value of each limit.
     strictest: StateFacts,
     seen: Seen,
 }
@@ -27,12 +27,13 @@
         Self { present: present.clone(), strictest: present.strictest(), seen: Seen::Present }
     }
 
-    /// Changes of one transaction: from the start within the limits to come, since nothing depends on larger ones.
+    /// Maximum number of changes in a transaction. It respects the announced limits from the start,
+    /// since nothing depends on larger transactions.
     pub fn changes(&self) -> usize {
         self.strictest.txn_ops
     }
 
-    /// Longest value that a submission may make.
+    /// Maximum length of the value that a submission may create, in bytes.
     pub fn submission(&self) -> usize {
         (self.strictest.value_kb * 1024.0) as usize
     }
@@ -46,7 +47,8 @@
         RecordLimits { form, value: bytes(&self.strictest), most: bytes(most) }
     }
 
-    /// The one place where it is taken to be known that the limits have fallen; whether that is news.
+    /// Sets which limits are in force; the only place that does. Returns whether this changes any
+    /// limit.
     fn enter(&mut self, seen: Seen, why: &str) -> bool {
         let news = self.seen != seen;
         if news {
@@ -58,7 +60,7 @@
 }
 
 impl Controller {
-    /// Once a turn: the leader's book writes what all controllers read.
+    /// Runs after every event: the leader writes only records that all controllers can read.
     pub(super) fn follow_limits(&mut self) {
         let form = if self.all_upgraded() { RecordForm::Packed } else { RecordForm::Rows };
         let limits = self.limits.records(form);
@@ -67,7 +69,8 @@
         }
     }
 
-    /// The service has refused a write for what it is; whether what is written is other than before from here on.
+    /// Handles a write that the service refused as invalid; returns whether writes are limited more
+    /// strictly from now on.
     pub(super) fn write_refused(&mut self, text: &str) -> bool {
         log::warn!("store: a write was refused: {text}");
         let news = self.limits.enter(Seen::Fallen, "a write was refused");
@@ -76,7 +79,7 @@
         news
     }
 
-    /// The service has refused something for being too much at once.
+    /// Handles a request that the service refused because of its rate limit.
     pub(super) fn throttled(&mut self) {
         if self.all_upgraded() {
             self.store.keep_to(&self.limits.strictest);
--- a/crates/core/src/controller/members.rs
+++ b/crates/core/src/controller/members.rs
@@ -1,18 +1,18 @@
-//! Words between controllers on who of them is there, and what follows from them for the others' slices.
+//! Gossip between controllers about which of them are alive, and how the other modules use it.
 
 use super::health::Health;
 use super::*;
 use oatloom_membership::{Gossip, Line, Own, Presence};
 
 impl Controller {
-    /// What this controller knows of the others; it begins to listen at its first event.
+    /// The membership view, created at the first event.
     pub(super) fn members(&mut self, now: Now) -> &mut Membership {
         let (me, rng) = (&self.settings.member, &mut self.rng);
         let peers = self.settings.peers.iter().map(|peer| peer.member.clone());
         self.membership.get_or_insert_with(|| Membership::new(me.clone(), peers, rng.random(), now))
     }
 
-    /// What this controller says to a peer of itself and the others.
+    /// Builds the gossip message for a peer.
     fn gossip(&mut self, now: Now, to: &Member) -> Gossip {
         let ready = self.health(now.mono) == Health::Up;
         let served = self.store.last_good();
@@ -28,13 +28,14 @@
         self.members(now).say(to, own, now)
     }
 
-    /// Says something to those who have heard nothing for a while. What is said here is never waited for by others.
+    /// Sends gossip to the peers that have received nothing for a while. No request waits for it.
     pub(super) fn greet(&mut self, now: Now) {
         if now.mono < self.next_greet {
             return;
         }
         self.next_greet = now.mono.plus(GREET_LOOK_MS);
-        // What is answered later than this is not waited for, and is no sign of a cut: its peer may be slow.
+        // A response later than this is not awaited and does not count as a broken link: the peer
+        // may be slow.
         self.said.retain(|_, (_, until)| now.mono < *until);
         for to in self.members(now).tick(now.mono) {
             let gossip = self.gossip(now, &to);
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Tells the other controllers what they would miss as leader.
+    /// Sends the leader's hints to the other controllers, for the next leader.
     pub(super) fn pass_notes(&mut self, now: Now) {
         let mono = now.mono;
         let ruling = self.reign.as_ref().is_some_and(|r| r.stage == Stage::Ruling);
@@ -66,7 +67,8 @@
         self.out.push(Action::Ask { to, id: self.next_id, question });
     }
 
-    /// Whether an answer was to something that was only said; `None`: none came.
+    /// Processes the response to a one-way message (`None`: none arrived). Returns false if the id
+    /// belongs to no such message.
     pub(super) fn on_said(&mut self, now: Now, id: u64, reply: Option<&HttpReply>) -> bool {
         let Some((peer, _)) = self.said.remove(&id) else { return false };
         if self.leadership.other_leader() == Some(&peer) {
@@ -74,7 +76,7 @@
         }
         match reply {
             None => self.members(now).unreachable(&peer, now.mono),
-            // An earlier version answers with nothing of use.
+            // An earlier version responds with a body without gossip.
             Some(reply) => {
                 if let Ok(gossip) = serde_json::from_str::<Gossip>(&reply.body) {
                     self.on_gossip(now, &gossip);
@@ -84,7 +86,7 @@
         true
     }
 
-    /// Takes up what a peer says; what is said back.
+    /// Processes gossip from a peer and returns this controller's gossip as the response.
     pub(super) fn on_greeted(&mut self, now: Now, gossip: &Gossip) -> HttpReply {
         self.on_gossip(now, gossip);
         let back = self.gossip(now, &gossip.from);
@@ -95,27 +97,28 @@
         if self.members(now).take(gossip, now).is_ok()
             && let Some((leader, token)) = &gossip.leader
         {
-            // That it led with this token was true when it was said, whoever says it.
+            // That the leader held this fencing token was true when the message was sent, whoever
+            // relays it.
             self.leadership.heard(leader, *token);
             self.follow_turns(now);
         }
     }
 
-    /// The leader's key is there: a path of its own by which its holder shows.
+    /// The leader key exists, which shows by a route of its own that its holder is alive.
     pub(super) fn saw_seat(&mut self, now: Now) {
         if let Some(leader) = self.leadership.other_leader().cloned() {
             self.members(now).key(&leader, now.mono);
         }
     }
 
-    /// Whether questions reach the peer at present, as far as the last one shows.
+    /// Whether requests reach the peer at present, as far as the last one shows.
     pub(super) fn reaches(&self, peer: &Member, now: Mono) -> bool {
         let line = self.membership.as_ref().map(|members| members.line(peer));
         !matches!(line, Some(Line::Cut { since }) if now.since(since) < CUT_PAUSE_MS)
     }
 
-    /// The controller through which a leader can be reached that neither a worker nor this controller reaches; the
-    /// first other one where nothing is known.
+    /// Returns the controller through which to reach a leader that neither a worker nor this
+    /// controller reaches; if none is known, the first other one that is not gone.
     pub(super) fn way_round(&self, leader: &Member, now: Mono) -> Option<Member> {
         let known = self.membership.as_ref().and_then(|members| members.through(leader, now));
         let others = || self.settings.peers.iter().map(|p| &p.member).filter(|m| *m != leader);
--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -1,5 +1,5 @@
-//! One controller: turns events into actions, deterministically. Every answer that only a leader
-//! may give passes through a check of its validity here.
+//! The controller state machine: a deterministic mapping from events to actions. Every reply that
+//! only a leader may give is preceded by a check that its leadership is still valid.
 
 mod dependencies;
 mod graphs;
@@ -50,7 +50,7 @@
 #[derive(Debug)]
 pub enum Event {
     Tick,
-    /// A request; `forwarded` if a peer sent it on, which must not be sent on again.
+    /// A request. `forwarded` is set if a peer relayed it; such a request is not relayed again.
     Request {
         conn: ConnId,
         request: Request,
@@ -64,11 +64,11 @@
         id: u64,
         reply: CloudReply,
     },
-    /// A worker's answer to a direct command; `None`: it could not be reached.
+    /// A worker's response to a direct command; `None` if the worker could not be reached.
     Obeyed {
         report: Option<Box<Report>>,
     },
-    /// A peer's answer to a question; `None`: it could not be reached.
+    /// A peer's response to a request; `None` if the peer could not be reached.
     Told {
         id: u64,
         reply: Option<HttpReply>,
@@ -95,23 +95,24 @@
         id: u64,
         question: Question,
     },
-    /// Orders for a worker that do not wait for its next report.
+    /// Orders sent to a worker at once instead of with the reply to its next report.
     Command {
         addr: String,
         command: Command,
     },
 }
 
-/// What becomes of a look into the store for one job.
+/// Why the records of a job are read from the state service.
 #[derive(Clone, Debug)]
 enum Why {
     View,
     Abort,
-    /// A submission whose fate or merit is open: known, or else this answer.
+    /// A submission that may be known already or may be invalid: if no record of the job exists, it
+    /// gets this reply.
     Submit(HttpReply),
 }
 
-/// What an answer of the state service is for.
+/// The operation that a response of the state service belongs to.
 #[derive(Debug)]
 enum Purpose {
     Lead {
@@ -120,7 +121,7 @@
     },
     Load {
         token: Token,
-        /// Where the page begins, and the revision at which the first one was read.
+        /// Key after which the page starts, and the revision at which the first page was read.
         after: String,
         first: Option<Revision>,
     },
@@ -140,7 +141,7 @@
         conn: ConnId,
         record: Box<LiveRecord>,
         forwarded: bool,
-        /// The term in which it was sent, if this controller led.
+        /// Fencing token under which the request was sent, if this controller was the leader.
         term: Option<Token>,
     },
     Lookup {
@@ -148,25 +149,25 @@
         id: JobId,
         why: Why,
         over: bool,
-        /// As above.
+        /// Fencing token under which the request was sent, if this controller was the leader.
         term: Option<Token>,
     },
-    /// Whether a job that a submission names was accepted.
+    /// Checks whether a job that a submission depends on was accepted.
     NamedDependency {
         check: Box<dependencies::DependencyCheck>,
         record: dependencies::DependencyRecord,
     },
-    /// How a job ended that others wait for.
+    /// Reads the final state of a job that other jobs depend on.
     Dependency {
         token: Token,
         id: JobId,
     },
-    /// What a new leader has to know before it counts usage.
+    /// Reads what a new leader needs before it accounts usage.
     Account {
         token: Token,
         step: usage::Step,
     },
-    /// What a new leader reads of graphs.
+    /// Reads what a new leader needs of the graphs.
     Graphs {
         token: Token,
         read: Read,
@@ -178,17 +179,17 @@
     ResolveGraphs {
         token: Token,
     },
-    /// The final answer of a graph that is not open here.
+    /// Reads the final answer of a graph that is not open on this controller.
     GraphOver {
         conn: ConnId,
         ask: Box<GraphAsk>,
         step: graphs::OverStep,
     },
-    /// Which versions the members run.
+    /// Reads or writes the members' version keys.
     Versions {
         step: versions::Step,
     },
-    /// A page of usage that an operator asked for.
+    /// Reads a page of usage for an operator.
     Usage {
         conn: ConnId,
         query: Box<Query>,
@@ -196,18 +197,18 @@
     },
 }
 
-/// Where the leader's one writer stands.
+/// State of the leader's single writer.
 #[derive(Debug, PartialEq)]
 enum Writer {
     Idle,
     Writing,
-    /// The fate of a transaction is open: its keys are being read again.
+    /// The outcome of a transaction is unknown; its keys are being read back.
     Resolving(Vec<Item>),
-    /// The same of a transaction of graphs.
+    /// As `Resolving`, for a transaction of graphs.
     ResolvingGraphs(graphs::Unsure),
 }
 
-/// What came in since the last line of the log that told of it.
+/// Counts since the last traffic log line.
 #[derive(Debug, Default)]
 struct Traffic {
     answered: u32,
@@ -217,29 +218,29 @@
     refused: u32,
     users: u32,
     probes: u32,
-    /// Puts and deletes that the leader's writer asked for.
+    /// Puts and deletes submitted by the leader's writer.
     changes: usize,
 }
 
-/// How much waits in a controller: what an outage must not grow without bound.
+/// Sizes of a controller's queues, which must stay bounded during an outage.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
-    /// Requests of users and workers without an answer.
+    /// Requests of users and workers without a reply.
     pub open: usize,
-    /// Operations for the state service, waiting or under way.
+    /// Operations for the state service, queued or in flight.
     pub store: usize,
-    /// Calls to the cloud under way, and wishes for machines.
+    /// Cloud calls in flight, and requested machines.
     pub cloud: usize,
-    /// Questions to peers under way.
+    /// Requests to peers in flight.
     pub asks: usize,
-    /// Reports whose answers wait.
+    /// Parked reports, whose replies are held back.
     pub parked: usize,
-    /// Changes of the book that are not written.
+    /// Changes of the job table that are not yet durable.
     pub unwritten: usize,
 }
 
 impl Load {
-    /// The larger of each.
+    /// Returns the maximum of each field.
     pub fn larger(self, other: Self) -> Self {
         Self {
             open: self.open.max(other.open),
@@ -262,12 +263,13 @@
     leadership: Leadership,
     store: StoreClient<Purpose>,
     desk: CloudDesk,
-    /// Machines and catalogue between reigns; the catalogue serves followers too.
+    /// Machines and catalog while no leader term is active; followers use the catalog too.
     fleet: Fleet,
     reign: Option<Reign>,
-    /// Final states, so that polls need no read.
+    /// Final states, cached so that polling needs no read.
     over: JobMemory<OverRecord>,
-    /// Jobs whose acceptance was seen to be durable, so that submissions that name them need no read.
+    /// Jobs that are known to be accepted durably, so that submissions that depend on them need no
+    /// read.
     accepted: JobMemory<AcceptedKind>,
     dependency_reads: dependencies::DependencyReads,
     open: OpenRequests,
@@ -275,48 +277,48 @@
     asks: BTreeMap<u64, (ConnId, Question, Mono)>,
     relays: Relays,
     parked: ParkedReports,
-    /// Whether something may have changed for parked reports, and when those that are watched are looked at next.
+    /// Whether a parked report may have become due, and when the watched ones are checked next.
     parked_changed: bool,
-    /// How long the request that is handled next has waited.
+    /// How long the request of the next event has waited in the queue.
     lag: Millis,
     next_parked_look: Mono,
-    /// Direct commands under way.
+    /// Direct commands in flight.
     commands: usize,
     cloud_ops: BTreeMap<u64, (CloudOp, Token)>,
     next_id: u64,
     writer: Writer,
     write_after: Mono,
     watch_live: Option<Revision>,
-    /// The term whose watch of jobs is open.
+    /// Fencing token of the leader term whose watch of the live jobs is open.
     watch_out: Option<Token>,
     was_valid: bool,
-    /// Whether an answer about the account is awaited, and when it may be asked for next.
+    /// Whether a read for usage accounting is in flight, and when the next may be sent.
     account_out: bool,
-    /// Where reading all final states goes on: those after the revision count.
+    /// Where the scan of all final states continues: only those after the revision are counted.
     account_scan: Option<(Revision, String)>,
     account_after: Mono,
-    /// Whether an answer about graphs is awaited, and when they may be asked for next.
+    /// Whether a read of graphs is in flight, and when the next may be sent.
     graphs_out: bool,
     graphs_after: Mono,
-    /// Whether the writer's next turn is that of graphs.
+    /// Whether the writer serves graphs next.
     graphs_turn: bool,
-    /// The last notes of a leader, and when they came.
+    /// The latest hints from a leader, and when they arrived.
     notes: Option<(Mono, Notes)>,
     next_notes: Mono,
-    /// When a leader last answered a question of this node.
+    /// When a leader last replied to a request of this controller.
     last_told: Mono,
-    /// Since when nothing was brought to the leader and back, and when that last failed.
+    /// First and latest failure of the requests to the leader since its last reply.
     unanswered: Option<(Mono, Mono)>,
-    /// What was last said of whether this controller takes requests.
+    /// The health that was logged last.
     health: health::Health,
     membership: Option<Membership>,
-    /// What was only said to peers: to whom, and until when an answer is waited for.
+    /// One-way messages to peers: the recipient, and until when the response is awaited.
     said: BTreeMap<u64, (Member, Mono)>,
     next_greet: Mono,
-    /// Which versions the members are known to run.
+    /// The versions that the members are known to run.
     versions: versions::Versions,
     limits: limits::Limits,
-    /// Writes of graphs that the service refused.
+    /// Writes of graphs that the state service refused.
     graph_refusals: Refusals<oatloom_graph::desk::Item>,
     out: Vec<Action>,
 }
@@ -376,18 +378,18 @@
         }
     }
 
-    /// The reign, for tests and logs.
+    /// The current leader term, for tests and logs.
     pub fn reign(&self) -> Option<&Reign> {
         self.reign.as_ref()
     }
 
-    /// Entries of the account since the last call, as far as they are kept; for tests.
+    /// Usage entries since the last call, as far as they are retained; for tests.
     pub fn take_entries(&mut self) -> Vec<Entry> {
         let account = self.reign.as_mut().and_then(|reign| reign.book.account.as_mut());
         account.map(|account| account.latest.drain(..).collect()).unwrap_or_default()
     }
 
-    /// How much waits.
+    /// Returns the sizes of the queues.
     pub fn waiting(&self) -> Load {
         Load {
             open: self.open.len(),
@@ -402,12 +404,12 @@
         }
     }
 
-    /// How many parked reports have been looked at, for tests: what must not grow with events times reports.
+    /// Number of checks of parked reports, for tests: it must not grow with events times reports.
     pub fn parked_looks(&self) -> u64 {
         self.parked.looks()
     }
 
-    /// Token of whoever leads, as far as it is known.
+    /// Fencing token of the current leader, as far as it is known.
     pub fn leader_token(&self) -> Option<Token> {
         self.leadership.leader_token()
     }
@@ -416,23 +418,23 @@
         self.leadership.valid(now)
     }
 
-    /// Whether it has the seat as far as it knows, valid at present or not.
+    /// Whether this controller holds the leader key as far as it knows, with a valid lease or not.
     pub fn leads(&self) -> bool {
         self.leadership.token().is_some()
     }
 
-    /// The next event is a request that has waited so long for its turn.
+    /// Sets how long the request of the next event has waited in the queue.
     pub fn lags(&mut self, lag: Millis) {
         self.lag = lag;
     }
 
-    /// The one entrance: takes up an event and returns what is to be done.
+    /// Processes one event and returns the resulting actions. This is the only entry point.
     pub fn handle(&mut self, now: Now, event: Event) -> Vec<Action> {
         if let Some(account) = self.reign.as_mut().and_then(|r| r.book.account.as_mut()) {
             account.wall_ms = now.wall_ms;
         }
-        // Before anything else: guards against one that stood still and then says what was true before, to those who
-        // have long asked others.
+        // Runs before the event is processed. Otherwise a process that was suspended would answer
+        // with stale state to clients that have long retried elsewhere.
         self.expire(now);
         match event {
             Event::Tick => {}
@@ -449,7 +451,7 @@
         std::mem::take(&mut self.out)
     }
 
-    /// What has to happen whatever the event was.
+    /// Runs the work that is due after every event.
     fn turn(&mut self, now: Now) {
         let mono = now.mono;
         let asks = self.leadership.tick(mono);
@@ -466,7 +468,8 @@
         self.follow_limits();
         if let Some(reign) = self.reign.as_mut() {
             if valid && !self.was_valid {
-                // Workers were turned away meanwhile; they need time to come back.
+                // Reports were rejected while the leadership was not valid; workers need time to
+                // return.
                 reign.heard_from = mono;
                 if let Some(desk) = reign.graphs.as_mut() {
                     desk.deaf_until(mono);
@@ -480,7 +483,8 @@
         self.was_valid = valid;
         if mono >= self.next_line {
             self.next_line = mono.plus(TRAFFIC_EVERY_MS);
-            // Taken whatever the level: the counts must not grow on for want of a reader.
+            // The counters are reset whatever the log level, so that they do not grow without
+            // bound.
             let traffic = std::mem::take(&mut self.traffic);
             log::debug!("traffic: {traffic:?}, {} waiting", self.open.len());
         }
@@ -537,12 +541,12 @@
         }
     }
 
-    /// Requests that waited too long are told to come back.
+    /// Replies to requests that have waited too long with a retryable error.
     fn expire(&mut self, now: Now) {
         for id in self.store.expired(now.mono) {
             self.on_store(now, id, StoreReply::Unsent);
         }
-        // All questions wait equally long, so that the first ones asked are the first that are late.
+        // All requests to peers have the same timeout, so the oldest ones expire first.
         let late = self.asks.iter().take_while(|(_, (_, _, until))| now.mono >= *until);
         let late: Vec<u64> = late.map(|(id, _)| *id).collect();
         for id in late {
--- a/crates/core/src/controller/reports.rs
+++ b/crates/core/src/controller/reports.rs
@@ -1,13 +1,13 @@
-//! Workers' reports, answers that wait for a start, and direct commands.
+//! Workers' reports, parked replies, and direct commands.
 
 use super::*;
 use crate::parked::{Look, Parked};
 
-/// What a report is told that is older than another, or whose machine is gone.
+/// Reply to a report that is older than another one, or whose machine was released.
 const OUTDATED: &str = "an older report, or a machine that was returned";
 
 impl Controller {
-    /// Answers a report, or passes it on to a leader that its worker cannot reach.
+    /// Answers a report, or relays it to a leader that its worker cannot reach.
     pub(super) fn on_report(
         &mut self,
         now: Mono,
@@ -20,13 +20,14 @@
             if report.token > token {
                 self.leadership.outranked(report.token);
             } else if reign.stage != Stage::Ruling {
-                // Whoever answers a report keeps the tasks on its machine alive, and has to know first which of them
-                // were cancelled. It waits for the book, and is taken up as it came; whoever passed it on does not wait so
-                // long.
+                // The reply to a report extends the lease of its machine's tasks, so it must be
+                // known first which of them were cancelled. The report is parked unprocessed until
+                // the job table is loaded; a relayed one is refused, since its relay does not wait
+                // that long.
                 if forwarded {
                     return Some(HttpReply::error(503, "the book is being read"));
                 }
-                // Guards against an old report that takes the place of its worker's open one.
+                // An old report must not replace the open one of its worker.
                 if self.parked.has_newer(report) {
                     return Some(HttpReply::error(409, OUTDATED));
                 }
@@ -47,7 +48,7 @@
                 self.leave(&report.host);
                 return Some(HttpReply::json(200, &answer));
             }
-            // Not 503, which would tell a controller that passed it on that this one cannot lead.
+            // Not 503, which would tell a relaying controller that this one cannot lead.
             return Some(HttpReply::error(409, OUTDATED));
         }
         let leader = self.leadership.other_leader().filter(|_| !forwarded).cloned();
@@ -70,12 +71,12 @@
         }
     }
 
-    /// Leaves a report open until there is something to say.
+    /// Parks a report until there are orders for its worker.
     fn wait(&mut self, report: &Report, conn: ConnId, now: Mono, unread: Option<Box<Report>>) {
         self.leave(&report.host);
         self.traffic.parked += 1;
         let (shift, tally) = (report.shift, report.tally);
-        // Its worker has waited as long already.
+        // The worker has already waited for the time that the request was queued.
         let until = now.plus(Millis(PARK_MS.0.saturating_sub(self.lag.0)));
         self.parked.park(report.host.clone(), conn, shift, tally, until, unread);
         if self.reign.as_ref().is_some_and(|reign| reign.has_unsent(&report.host)) {
@@ -84,14 +85,15 @@
         self.open.insert(conn, now.plus(REPORT_DROP_MS));
     }
 
-    /// A worker has one report under way: it has given up on an older one.
+    /// Drops the parked report of a worker. A worker has one report in flight, so it has given up
+    /// on an older one.
     fn leave(&mut self, host: &HostId) {
         if let Some(old) = self.parked.take(host) {
             self.reply(old.conn, HttpReply::error(409, "a newer report has come"));
         }
     }
 
-    /// Answers parked reports for which there is something to say by now, or whose time is up.
+    /// Replies to parked reports that have orders by now or have timed out.
     pub(super) fn answer_parked(&mut self, now: Mono) {
         let valid = self.leadership.valid(now).is_some();
         let Some(reign) = self.reign.as_mut().filter(|_| valid) else {
@@ -113,7 +115,7 @@
         let ready =
             |host: &HostId, p: &Parked| ruling && (p.unread.is_some() || reign.has_orders(host));
         let due = self.parked.due(now, look, ready);
-        // Guards against the rest of a fleet that waits for the next look.
+        // Reports beyond this batch must not wait for the next periodic check.
         self.parked_changed = due.len() >= PARKED_AT_ONCE;
         for host in due {
             let (Some(reign), Some(parked)) = (self.reign.as_mut(), self.parked.take(&host)) else {
@@ -141,7 +143,8 @@
         }
     }
 
-    /// Sends stops directly, so many at once that machines that cannot be reached cost little.
+    /// Sends stops directly to workers. The number in flight limits the cost of unreachable
+    /// machines.
     pub(super) fn send_commands(&mut self, now: Mono) {
         if self.leadership.valid(now).is_none() {
             return;
@@ -154,8 +157,8 @@
             self.commands += 1;
             self.out.push(Action::Command { addr, command });
         }
-        // Few at once: machines that do not report mostly cannot be reached either, and what is urgent must not wait for
-        // their time-outs.
+        // Fewer in flight here: machines that do not report are mostly unreachable too, and urgent
+        // commands must not wait for their timeouts.
         while self.commands < OVERDUE_COMMANDS_MOST
             && let Some((host, addr, command)) = reign.next_overdue(now)
         {
--- a/crates/core/src/controller/usage.rs
+++ b/crates/core/src/controller/usage.rs
@@ -1,17 +1,18 @@
-//! The account of usage: what a new leader reads before it counts, and pages for operators, which every controller
-//! reads from the store.
+//! Usage accounting: what a new leader reads before it counts, and the pages for operators, which
+//! every controller reads from the state service.
 
 use super::*;
 use oatloom_ledger::query::UsagePage;
 use oatloom_ledger::rollup::{CURSOR, Knowledge, ROLLUPS, Rollup};
 
-/// What is being read.
+/// What is read next.
 #[derive(Clone, Debug)]
 pub(super) enum Step {
     Cursor,
     /// Final states after a revision.
     Changes(Revision),
-    /// All final states after a key, where the service does not keep so many changes; those after the revision count.
+    /// All final states after a key, if the service does not retain enough changes; only those
+    /// after the revision are counted.
     Scan(Revision, String),
 }
 
@@ -36,7 +37,7 @@
         let Some(account) = &reign.book.account else { return };
         let step = match account.rollups.knowledge() {
             Knowledge::None => Step::Cursor,
-            // A page at a time: users and workers are not to notice.
+            // One page at a time, so that requests of users and workers are not delayed.
             Knowledge::After(from) => match self.account_scan.take() {
                 Some((after, at)) if after == from => Step::Scan(after, at),
                 _ => Step::Changes(from),
@@ -65,7 +66,7 @@
         let begin = reign.begin;
         let Some(account) = reign.book.account.as_mut() else { return };
         match (step, reply) {
-            // An answer to what a reading of the book asked that was then begun anew.
+            // A response to a read of an earlier load, which has been restarted since.
             (Step::Changes(_) | Step::Scan(..), _)
                 if !matches!(account.rollups.knowledge(), Knowledge::After(_)) => {}
             (Step::Cursor, StoreReply::Missing(_)) => {
@@ -78,7 +79,7 @@
                     account.rollups.enter(Knowledge::After(cursor.through));
                 }
                 Err(e) => {
-                    // Nothing may be counted twice: it begins anew from here.
+                    // Nothing may be counted twice, so counting restarts here.
                     log::error!(
                         "ledger: the cursor is damaged, what was not counted is left out: {e}"
                     );
@@ -103,7 +104,7 @@
                 reign.book.catch_up(read, next.is_none());
                 self.account_scan = next.map(|next| (after, next));
             }
-            // Asked again after the pause; a scan goes on where it was.
+            // Retried after the pause; a scan continues where it was.
             (Step::Scan(after, at), _) => self.account_scan = Some((after, at)),
             _ => {}
         }
--- a/crates/core/src/controller/users.rs
+++ b/crates/core/src/controller/users.rs
@@ -1,4 +1,4 @@
-//! Requests of users, and the questions controllers put to each other for them.
+//! Requests of users, and the requests between controllers that serve them.
 
 use super::leading::live_record;
 use super::*;
@@ -15,7 +15,7 @@
             }
             Request::Report(report) => {
                 let reply = self.on_report(now.mono, conn, &report, forwarded);
-                // One without an answer yet was counted where it waits.
+                // A report without a reply yet is counted where it is parked or relayed.
                 if let Some(reply) = reply {
                     *match reply.status {
                         200 => &mut self.traffic.answered,
@@ -42,7 +42,8 @@
                 let reply = self.on_greeted(now, &gossip);
                 self.reply(conn, reply);
             }
-            // Reports that wait are bounded by the machines there are.
+            // The number of parked reports is bounded by the number of machines, so they are not
+            // counted.
             _ if self.open.len().saturating_sub(self.parked.len()) > self.user_inflight() => {
                 self.traffic.users += 1;
                 self.reply(conn, HttpReply::later("too many requests at once"));
@@ -67,15 +68,16 @@
         }
     }
 
-    /// Requests of users that may be under way at once.
+    /// Maximum number of users' requests in flight.
     fn user_inflight(&self) -> usize {
         let share = self.settings.facts.limits.connections() as f64 * USER_INFLIGHT_SHARE;
         (share as usize).max(USER_INFLIGHT_LEAST)
     }
 
-    /// Whether a question to the leader came back with any answer: one that may not say anything at present was reached.
+    /// Records whether a request to the leader got any response. An error response counts as
+    /// contact too, also from a leader that may not answer at present.
     pub(super) fn reached(&mut self, came_back: bool, now: Mono) {
-        // Guards against two failures far apart, with nothing asked between, that count as all the time between them.
+        // Two failures far apart with no request in between do not count as one long outage.
         let lasting = self.unanswered.filter(|(_, last)| now.since(*last) <= APART_GAP_MS);
         let since = lasting.map_or(now, |(since, _)| since);
         self.unanswered = (!came_back).then_some((since, now));
@@ -88,7 +90,7 @@
         self.out.push(Action::Ask { to, id: self.next_id, question });
     }
 
-    /// What this controller may say of a job without asking anyone.
+    /// Returns what this controller may report of a job without a request to another.
     pub(super) fn known(&self, now: Mono, id: &JobId) -> Option<JobView> {
         if let Some(record) = self.over.get(id) {
             return Some(record.view(id));
@@ -123,7 +125,8 @@
             (None, Submission::Spec(spec), _) => {
                 self.accept_dependent(now, conn, *spec, forwarded);
             }
-            // A job accepted earlier is known, whatever its text is worth now.
+            // A job accepted earlier is reported as known, even if its description is no longer
+            // valid.
             (Some(reply), _, Some(id)) if reply.status != 503 => {
                 self.lookup(now.mono, conn, id, Why::Submit(reply));
             }
@@ -132,12 +135,12 @@
         }
     }
 
-    /// Whether only jobs of graphs may have the id.
+    /// Whether the id is reserved for jobs of graphs.
     fn reserved(&self, id: &JobId) -> bool {
         self.terms.graphs.is_some() && GraphId::reserved(id)
     }
 
-    /// Why a submission cannot be accepted, if so.
+    /// Returns the reply that rejects a submission, if it cannot be accepted.
     pub(super) fn verdict(&self, spec: &JobSpec) -> Option<HttpReply> {
         let Some(catalog) = self.catalog() else {
             return Some(HttpReply::later("the machine types are not known yet"));
@@ -164,10 +167,11 @@
         None
     }
 
-    /// Accepts by creating the job's key, which any controller may do.
+    /// Accepts a job by creating its key, which any controller may do.
     pub(super) fn accept(&mut self, now: Now, conn: ConnId, spec: JobSpec, forwarded: bool) {
-        // Guards against submissions that wait for each other at one follower, to which the load balancer sends nearly all
-        // while others are down or busy, and whose share of the changes is small, while the leader's lies idle.
+        // Submissions are forwarded when changes queue up here. While other controllers are down or
+        // busy, the load balancer sends nearly all submissions to one follower, whose share of the
+        // write rate is small, while the leader's share is unused.
         let led = |leader: &Member| {
             self.store.change_waits(now.mono) > HAND_ON_AFTER_MS && self.reaches(leader, now.mono)
         };
@@ -184,7 +188,7 @@
             Err(e) => return self.reply(conn, HttpReply::error(400, &e.to_string())),
         };
         if value.to_string().len() > self.limits.submission() {
-            // The job may be known by another text.
+            // The job may already be known with another description.
             let reply = HttpReply::error(400, "the description is too long to keep");
             return self.lookup(now.mono, conn, id.clone(), Why::Submit(reply));
         }
@@ -199,8 +203,8 @@
         }
     }
 
-    /// Has the leader accept what the state service does not take from this controller, which it may
-    /// refuse alone; whether so.
+    /// Forwards a submission to the leader if the state service does not accept it from this
+    /// controller, which it may refuse individually. Returns whether it was forwarded.
     pub(super) fn hand_on(
         &mut self,
         now: Mono,
@@ -230,7 +234,7 @@
                 self.admit(now, record, stamp, term);
                 self.reply(conn, HttpReply::json(201, &JobView::queued(id)));
             }
-            // It is known: under which key, and so in what state, is read afresh.
+            // The job exists: reading its keys again shows in which state.
             StoreReply::Conflict(_) | StoreReply::Lost => {
                 let later = HttpReply::later("not known whether it was accepted");
                 self.lookup(now.mono, conn, id, Why::Submit(later));
@@ -269,7 +273,7 @@
             return self.ask(now.mono, conn, leader, question);
         }
         if forwarded {
-            // The asking peer reads the store itself.
+            // The peer that forwarded the request reads the state service itself.
             return self.reply(conn, HttpReply::later("not the leader"));
         }
         self.look(now.mono, conn, question);
@@ -284,7 +288,7 @@
             Question::Submit(_) => {
                 self.reply(conn, HttpReply::later("the state service cannot be reached"));
             }
-            // The worker tries the next node in a second.
+            // The worker tries the next controller after a second.
             Question::Report(_) => self.reply(conn, HttpReply::error(503, "no leader answers")),
         }
     }
@@ -296,7 +300,7 @@
         let Some((conn, question, until)) = self.asks.remove(&id) else {
             return;
         };
-        // One that is late is slow as likely as cut off.
+        // A late response may come from a slow peer and is no sign of a broken link.
         if reply.is_none()
             && now.mono < until
             && let Some(leader) = self.leadership.other_leader().cloned()
@@ -316,7 +320,7 @@
         }
     }
 
-    /// Answers from the book; a job that is not in it is looked up.
+    /// Answers from the job table; a job that is not in it is read from the state service.
     pub(super) fn answer_as_leader(&mut self, now: Now, conn: ConnId, question: Question) {
         let Some(reign) = self.reign.as_mut() else {
             return;
@@ -354,7 +358,7 @@
         }
     }
 
-    /// Reads both prefixes: `live/` first, since jobs only move from there to `over/`.
+    /// Reads both prefixes, `live/` first, since jobs only move from there to `over/`.
     pub(super) fn lookup(&mut self, now: Mono, conn: ConnId, id: JobId, why: Why) {
         self.lookup_step(now, conn, id, why, false);
     }
@@ -402,7 +406,8 @@
         }
     }
 
-    /// Has the leader say how an open job stands, if another controller leads and can be reached.
+    /// Requests the view of an open job from the leader, if another controller leads and is
+    /// reachable.
     fn ask_for_view(&mut self, now: Mono, conn: ConnId, id: JobId) {
         match self.leadership.other_leader().cloned() {
             Some(leader) if self.reaches(&leader, now) => {
@@ -412,7 +417,8 @@
         }
     }
 
-    /// Whether this controller leads and has the job in its book, where its end may be being written.
+    /// Whether this controller leads and has the job in its job table, where its end may be being
+    /// written.
     fn holds(&self, id: &JobId) -> bool {
         self.reign.as_ref().is_some_and(|reign| reign.book.get(id).is_some())
     }
@@ -433,8 +439,8 @@
         }
         if let Some(view) = self.known(now.mono, &id) {
             match why {
-                // One whose end another look has read meanwhile needs no leader, which this controller may not be: guards
-                // against an abort that nobody answers.
+                // A job whose final state was read meanwhile by another request needs no leader.
+                // This controller may not be the leader, and then the abort would get no reply.
                 Why::Abort if !view.status.is_final() => {
                     self.answer_as_leader(now, conn, Question::Abort(id));
                 }
@@ -449,12 +455,13 @@
             return self.answer_as_leader(now, conn, Question::Abort(id));
         }
         match why {
-            // It may be cancelled with a job that it needs, which only the leader knows before that is written.
+            // The job may be cancelled together with a dependency, which only the leader knows
+            // until it is written.
             Why::Submit(_) if waits => self.ask_for_view(now.mono, conn, id),
-            // That it is accepted, and not over, was true when the key was read.
+            // That the job was accepted and not in a final state was true when the key was read.
             Why::Submit(_) => self.reply(conn, HttpReply::json(200, &JobView::queued(id))),
-            // The same. Guards against jobs of which nothing can be heard while the leader cannot be reached or does not
-            // keep up.
+            // As above. Otherwise open jobs could not be viewed while the leader is unreachable or
+            // overloaded.
             Why::View if !waits && !self.holds(&id) => {
                 self.reply(conn, HttpReply::json(200, &JobView::queued(id)));
             }
--- a/crates/core/src/controller/versions.rs
+++ b/crates/core/src/controller/versions.rs
@@ -1,15 +1,16 @@
-//! Which version each controller runs, so that a new form of a record, or a new message, is used only once no process
-//! that does not know it can exist.
+//! The version of each controller, so that a new record form or message is used only once no
+//! process exists that does not know it.
 //!
-//! Each controller of this version makes `version/{member}` durable once after its start. A member that has run this
-//! version is not started with an earlier one again, and a member has one process at a time. So once every member of
-//! the settings has such a key, no earlier process exists, nor will one. Keys are never removed: what they show holds for
-//! good, and for every later leader. Earlier versions read no key under this prefix.
+//! Each controller of this version writes `version/{member}` durably once after its start. A member
+//! that has run this version is not started with an earlier one again, and a member has one process
+//! at a time. So once every member in the settings has such a key, no earlier process exists or
+//! will exist. Keys are never removed, so the result holds permanently and for every later leader.
+//! Earlier versions read no key under this prefix.
 
 use super::*;
 use serde::{Deserialize, Serialize};
 
-/// Prefix of the keys that say which version a member runs.
+/// Prefix of the keys that record which version a member runs.
 pub const VERSIONS: &str = "version/";
 
 /// Value of a version key.
@@ -20,12 +21,12 @@
     pub version: u32,
 }
 
-/// What was asked of the state service.
+/// Which operation of the version check is in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Step {
-    /// The keys of all members.
+    /// Reads the keys of all members.
     Read,
-    /// This controller's own key is written.
+    /// Writes this controller's own key.
     Announce,
 }
 
@@ -35,30 +36,30 @@
     /// Some member may run an earlier version.
     #[default]
     Mixed,
-    /// No member does, nor will again.
+    /// No member runs an earlier version, nor will again.
     Upgraded,
 }
 
-/// What this controller knows of the members' versions.
+/// What this controller knows about the members' versions.
 #[derive(Debug, Default)]
 pub(super) struct Versions {
     progress: Progress,
-    /// Whether this controller stands in for one of the previous version, which announces nothing.
+    /// Whether this controller emulates the previous version, which writes no version key.
     previous: bool,
-    /// Whether an answer of the state service is awaited.
+    /// Whether an operation is in flight.
     awaited: bool,
     next: Mono,
 }
 
 impl Versions {
-    /// The one place where the progress changes; it never goes back.
+    /// Sets the progress; the only place that does. It never goes back.
     fn enter(&mut self, progress: Progress) {
         log::info!("versions: {:?} -> {progress:?}", self.progress);
         self.progress = progress;
     }
 }
 
-/// The key that says which version a member runs.
+/// Returns the key that records which version a member runs.
 pub fn version_key(member: &Member) -> String {
     format!("{VERSIONS}{member}")
 }
@@ -72,8 +73,9 @@
 }
 
 impl Controller {
-    /// A stand-in for a controller of the previous version, for simulated upgrades: it knows no limits to come, announces
-    /// no version and never learns of those of others, so it keeps to the earlier forms for good.
+    /// Creates a controller that behaves as the previous version, for simulated upgrades: it
+    /// ignores announced limits, writes no version key and never learns the members' versions, so
+    /// it keeps the earlier record forms.
     #[doc(hidden)]
     pub fn new_previous_version(mut settings: Settings, operators: Operators, seed: u64) -> Self {
         settings.facts.state.next = None;
@@ -82,15 +84,16 @@
         controller
     }
 
-    /// Whether every controller is known to run this version, for good: no process of an earlier version exists.
+    /// Whether every controller is known to run this version: no process of an earlier one exists,
+    /// nor will again.
     pub fn all_upgraded(&self) -> bool {
         self.versions.progress == Progress::Upgraded
     }
 
-    /// Once a turn: asks for the members' versions until all are known to have this one.
+    /// Runs after every event: reads the members' versions until all are known to have this one.
     pub(super) fn learn_versions(&mut self, now: Mono) {
         if self.versions.next == Mono(0) {
-            // A process that begins asks for the seat first.
+            // A starting process reads the leader key first.
             self.versions.next = now.plus(VERSIONS_EVERY_MS);
         }
         let versions = &self.versions;
@@ -107,7 +110,8 @@
         self.versions.awaited = asked.is_ok();
     }
 
-    /// Takes up an answer. What was refused, or has no answer, is asked for again after the pause.
+    /// Processes a response. An operation that was refused or got no response is retried after the
+    /// pause.
     pub(super) fn on_versions(&mut self, now: Mono, step: Step, reply: StoreReply) {
         self.versions.awaited = false;
         match (step, reply) {
@@ -131,7 +135,7 @@
         }
     }
 
-    /// Writes this controller's own key on condition that it is as it was read.
+    /// Writes this controller's own key, provided that it is unchanged since it was read.
     fn announce_version(&mut self, now: Mono, rows: &[Row]) {
         let key = version_key(&self.settings.member);
         let found = rows.iter().find(|row| row.key == key);
--- a/crates/core/src/controller/writing.rs
+++ b/crates/core/src/controller/writing.rs
@@ -1,4 +1,4 @@
-//! The leader's one writer: what it sends, and how the fate of a lost answer is settled.
+//! The leader's single writer: which transactions it sends, and how an unknown outcome is resolved.
 
 use super::*;
 
@@ -7,7 +7,7 @@
         if self.writer != Writer::Idle || now.mono < self.write_after {
             return;
         }
-        // The book and graphs take turns.
+        // The job table and the graphs alternate.
         let first = std::mem::replace(&mut self.graphs_turn, false);
         if first && self.write_graphs(now) {
             return;
@@ -19,7 +19,7 @@
         }
     }
 
-    /// The book's next transaction; whether there was one.
+    /// Submits the next transaction of the job table; returns whether there was one.
     fn write_book(&mut self, now: Mono) -> bool {
         let (Some(token), Some(fence)) = (self.leadership.token(), self.leadership.fence()) else {
             return false;
@@ -60,8 +60,9 @@
             reply @ (StoreReply::Conflict(_) | StoreReply::Lost) => {
                 log::warn!("store: a write's fate is open; reading {} keys", written.len());
                 let mut items: Vec<Item> = written.iter().map(|w| w.item().clone()).collect();
-                // Guards against a record that can never be written, and with it nothing else, since its job is over
-                // and this book does not know it.
+                // A live key that conflicts may belong to a job that has ended and that this job
+                // table does not know. Unless its record is read, the transaction could never be
+                // written, and nothing after it.
                 if let StoreReply::Conflict(failed) = &reply {
                     let live = |key: &String| JobId::parse(key.strip_prefix(jobs::LIVE)?);
                     items.extend(failed.iter().filter_map(live).map(Item::End));
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Those who wait for a job's end to become durable are told at once when that takes longer.
+    /// Replies to requests that wait for a job's end to become durable, when the write is delayed.
     pub(super) fn turn_waiters_away(&mut self) {
         let waiting = std::mem::take(&mut self.waiting_end);
         let waiting: Vec<ConnId> = waiting.into_values().flatten().collect();
@@ -129,7 +130,7 @@
         self.resolve(now, token, items);
     }
 
-    /// Ends that have become durable may be told.
+    /// Publishes ends of jobs that have become durable.
     pub(super) fn ended(&mut self, over: impl IntoIterator<Item = (JobId, OverRecord)>) {
         for (id, record) in over {
             self.over.insert(id.clone(), record.clone());
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,6 +1,6 @@
-//! Everything about oatloom that is deterministic: [`controller::Controller`] turns `(event, now)`
-//! into actions. This package depends on no library with sockets, threads or clocks, and its
-//! `clippy.toml` refuses those of the standard library.
+//! The deterministic core of oatloom: [`controller::Controller`] turns `(event, now)` into actions.
+//! This package depends on no library with sockets, threads or clocks, and its `clippy.toml` denies
+//! those of the standard library.
 
 pub mod api;
 pub mod cloud;
--- a/crates/core/src/mesh.rs
+++ b/crates/core/src/mesh.rs
@@ -1,5 +1,5 @@
-//! What controllers say to each other: a question about a job or a worker's report for the leader,
-//! and its answer.
+//! Messages between controllers: a request about a job or a worker's report for the leader, a
+//! one-way message, and the response.
 
 use crate::api::{Request, Submission};
 use crate::notes::Notes;
@@ -14,16 +14,17 @@
 pub enum Question {
     View(JobId),
     Abort(JobId),
-    /// A submission that the state service does not take from the controller which it reached.
+    /// A submission that the state service refused from the controller that received it.
     Submit(Box<JobSpec>),
-    /// A worker's report that could not reach the leader directly.
+    /// A report of a worker that cannot reach the leader directly.
     Report(Box<Report>),
-    /// Not a question: what the leader has learnt and the next one would miss.
+    /// One-way: hints from the leader that the next leader would otherwise lack.
     Notes(Box<Notes>),
-    /// What a client of graphs asks.
+    /// A request from a client of graphs.
     Graph(Box<Ask>),
-    /// Not a question either: who is there, said to those who have heard nothing for a while. Only to those who speak
-    /// so themselves: earlier versions would not understand it.
+    /// One-way: gossip about which controllers are alive, for peers that have received nothing for
+    /// a while. Sent only to peers that send it themselves, since earlier versions cannot decode
+    /// it.
     Greet(Box<Gossip>),
 }
 
--- a/crates/core/src/notes.rs
+++ b/crates/core/src/notes.rs
@@ -1,4 +1,4 @@
-//! What a leader tells its peers so that the next one knows it too.
+//! Hints that a leader sends to its peers for the next leader.
 
 use crate::constants::NOTES_MACHINES_KEPT;
 use oatloom_membership::Gossip;
@@ -8,30 +8,30 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// What a leader knows beyond the store. Losing it costs time, never a rule.
+/// What a leader knows beyond the durable state. Losing it costs time but breaks no guarantee.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Notes {
     pub token: Token,
-    /// Who leads with that token.
+    /// The leader that holds this fencing token.
     #[serde(default)]
     pub leader: Option<Member>,
-    /// Images that machines have, with their sizes.
+    /// Images present on machines, with their sizes.
     pub images: Vec<(HostId, Vec<(String, f64)>)>,
-    /// By how much each class's run times are misjudged.
+    /// For each class, the factor by which its run times are misestimated.
     pub shown: Vec<(String, f64)>,
-    /// For each class its latest job, and how long ago (ms) its jobs came.
+    /// For each class its latest job, and how long ago (ms) its jobs arrived.
     pub arrivals: Vec<(JobSpec, Vec<u64>)>,
-    /// What the leader says of itself and the other controllers.
+    /// Gossip of the leader about itself and the other controllers.
     #[serde(default)]
     pub gossip: Option<Gossip>,
-    /// Zones that are lost, or were lately.
+    /// Zones that are lost or were lost recently.
     #[serde(default)]
     pub zones: Vec<Told>,
 }
 
 impl Notes {
-    /// News, with what the same leader told of other machines before. It tells of a part of the
-    /// fleet at a time, so that a note's size does not grow with the fleet.
+    /// Merges new hints into earlier ones of the same leader. Each message covers a part of the
+    /// fleet, so that its size does not grow with the fleet.
     pub fn joined(told: Option<Self>, mut news: Self) -> Self {
         let Some(mut told) = told.filter(|told| told.token == news.token) else { return news };
         let known: BTreeSet<HostId> = news.images.iter().map(|(host, _)| host.clone()).collect();
@@ -47,8 +47,8 @@
 mod tests {
     use super::*;
 
-    /// Notes of parts of a fleet add up, within a bound, and a new leader's replace them: the
-    /// whole fleet in one note outgrew a frame.
+    /// Hints about parts of a fleet accumulate up to a bound, and a new leader's replace them.
+    /// Hints about the whole fleet in one message exceeded the frame size.
     #[test]
     fn notes_of_parts_add_up_to_a_bound() {
         let note = |token, hosts: std::ops::Range<usize>| Notes {
--- a/crates/core/src/reply.rs
+++ b/crates/core/src/reply.rs
@@ -1,5 +1,5 @@
-//! Who waits for an answer.
+//! Identifies the recipient of a reply.
 
-/// Who waits for an answer: a connection of the HTTP server, or a peer's question.
+/// The recipient of a reply: a connection of the HTTP server, or a peer's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ConnId(pub u64);
