--- a/crates/core/src/controller/dependencies.rs
+++ b/crates/core/src/controller/dependencies.rs
@@ -1,8 +1,8 @@
 //! Dependencies of jobs: any controller checks whether the jobs that a submission depends on were
 //! accepted; the leader also reads the final states of those that it does not have in memory.
 
-use super::leading::live_record;
-use super::{Controller, Purpose, Why};
+use super::leading::parse_live_record;
+use super::{Controller, LookupReason, Purpose};
 use crate::constants::{
     DEPENDENCY_LOOK_MS, DEPENDENCY_READS_MOST, DEPENDENCY_RETRY_MS, STORE_PAUSE_MS,
 };
@@ -29,7 +29,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum DependencyRecord {
     Live,
-    Over,
+    Final,
 }
 
 /// Reads of final records for waiting jobs.
@@ -38,12 +38,12 @@
     /// Jobs whose records are being read or were not found, and when they may be read again.
     not_before: BTreeMap<JobId, Mono>,
     in_flight: usize,
-    next_look: Mono,
+    next_scan: Mono,
 }
 
 impl Controller {
     /// Accepts a submission with dependencies once all of them are known to be accepted.
-    pub(super) fn accept_dependent(
+    pub(super) fn accept_with_dependencies(
         &mut self,
         now: Now,
         conn: ConnId,
@@ -67,9 +67,9 @@
                 }
                 Some(AcceptedKind::Service) => {
                     let reply = HttpReply::error(422, "awaits names a service, which never ends");
-                    return self.refuse_dependent(now, check, reply);
+                    return self.reject_dependencies(now, check, reply);
                 }
-                None => return self.read_named(now, check, DependencyRecord::Live),
+                None => return self.read_dependency(now, check, DependencyRecord::Live),
             }
         }
         self.accept(now, check.conn, check.spec, check.forwarded);
@@ -77,56 +77,56 @@
 
     /// What this controller knows for certain about a job that was accepted.
     fn accepted_kind(&self, id: &JobId) -> Option<AcceptedKind> {
-        if self.over.get(id).is_some() {
+        if self.finished_jobs.get(id).is_some() {
             return Some(AcceptedKind::Finite);
         }
-        self.accepted.get(id).copied()
+        self.accepted_jobs.get(id).copied()
     }
 
-    fn read_named(&mut self, now: Now, check: DependencyCheck, record: DependencyRecord) {
+    fn read_dependency(&mut self, now: Now, check: DependencyCheck, record: DependencyRecord) {
         let Some(id) = check.unknown.last() else { return };
         let key = match record {
             DependencyRecord::Live => jobs::live_key(id),
-            DependencyRecord::Over => jobs::over_key(id),
+            DependencyRecord::Final => jobs::over_key(id),
         };
         let conn = check.conn;
-        let purpose = Purpose::NamedDependency { check: Box::new(check), record };
+        let purpose = Purpose::CheckDependency { check: Box::new(check), record };
         if self.submit(now.mono, Lane::Open, StoreOp::Get { key }, purpose).is_err() {
             self.reply(conn, HttpReply::later("the state service is busy"));
         }
     }
 
     /// Processes a record of a job that a submission depends on.
-    pub(super) fn on_named_dependency(
+    pub(super) fn on_dependency_check(
         &mut self,
         now: Now,
         check: DependencyCheck,
         record: DependencyRecord,
         reply: StoreReply,
     ) {
-        if !self.open.contains(check.conn) {
+        if !self.open_requests.contains(check.conn) {
             return;
         }
         match reply {
             StoreReply::Found(row) => {
-                let kind = match live_record(&row) {
-                    Some(record) => kind_of(&record),
+                let kind = match parse_live_record(&row) {
+                    Some(record) => accepted_kind_of(&record),
                     None => AcceptedKind::Finite,
                 };
                 if let Some(id) = check.unknown.last() {
-                    self.accepted.insert(id.clone(), kind);
+                    self.accepted_jobs.insert(id.clone(), kind);
                 }
                 self.check_dependencies(now, check);
             }
             StoreReply::Missing(_) if record == DependencyRecord::Live => {
-                self.read_named(now, check, DependencyRecord::Over);
+                self.read_dependency(now, check, DependencyRecord::Final);
             }
             StoreReply::Missing(_) => {
                 let text = "awaits names a job that was never accepted";
-                self.refuse_dependent(now, check, HttpReply::error(422, text));
+                self.reject_dependencies(now, check, HttpReply::error(422, text));
             }
             _ => {
-                if !self.hand_on(now.mono, check.conn, &check.spec, check.forwarded) {
+                if !self.forward_to_leader(now.mono, check.conn, &check.spec, check.forwarded) {
                     let reply = HttpReply::later("the state service cannot be reached");
                     self.reply(check.conn, reply);
                 }
@@ -136,32 +136,34 @@
 
     /// Rejects a submission because of its dependencies, unless it was accepted before: a retry
     /// gets the original result.
-    fn refuse_dependent(&mut self, now: Now, check: DependencyCheck, reply: HttpReply) {
-        self.lookup(now.mono, check.conn, check.spec.id, Why::Submit(reply));
+    fn reject_dependencies(&mut self, now: Now, check: DependencyCheck, reply: HttpReply) {
+        self.lookup(now.mono, check.conn, check.spec.id, LookupReason::Submit(reply));
     }
 
     /// Records that a job was accepted, as its durable record shows.
-    pub(super) fn note_accepted(&mut self, record: &LiveRecord) {
-        self.accepted.insert(record.spec.id.clone(), kind_of(record));
+    pub(super) fn record_accepted(&mut self, record: &LiveRecord) {
+        self.accepted_jobs.insert(record.spec.id.clone(), accepted_kind_of(record));
     }
 
     /// Resolves dependencies of waiting jobs that are not open in the leader's memory: from the
     /// cached final states, otherwise by reading a few records at a time, each once for all jobs
     /// that need it.
     pub(super) fn resolve_dependencies(&mut self, now: Mono) {
-        if now < self.dependency_reads.next_look {
+        if now < self.dependency_reads.next_scan {
             return;
         }
-        let Some(reign) = self.reign.as_mut().filter(|reign| reign.stage == Stage::Ruling) else {
+        let Some(leader_term) =
+            self.leader_term.as_mut().filter(|leader_term| leader_term.stage == Stage::Ruling)
+        else {
             return;
         };
-        self.dependency_reads.next_look = now.plus(DEPENDENCY_LOOK_MS);
-        let unresolved: Vec<JobId> = reign.book.unresolved_dependencies().cloned().collect();
-        let token = reign.token;
+        self.dependency_reads.next_scan = now.plus(DEPENDENCY_LOOK_MS);
+        let unresolved: Vec<JobId> = leader_term.book.unresolved_dependencies().cloned().collect();
+        let token = leader_term.token;
         let mut to_read = Vec::new();
         for id in unresolved {
-            if let Some(record) = self.over.get(&id) {
-                reign.book.dependency_ended(&id, record.status, now);
+            if let Some(record) = self.finished_jobs.get(&id) {
+                leader_term.book.dependency_ended(&id, record.status, now);
                 self.dependency_reads.not_before.remove(&id);
             } else if self.dependency_reads.not_before.get(&id).is_none_or(|at| now >= *at) {
                 to_read.push(id);
@@ -172,11 +174,11 @@
                 break;
             }
             self.dependency_reads.in_flight += 1;
-            let unanswered = now.plus(DEPENDENCY_RETRY_MS);
-            self.dependency_reads.not_before.insert(id.clone(), unanswered);
+            let retry_at = now.plus(DEPENDENCY_RETRY_MS);
+            self.dependency_reads.not_before.insert(id.clone(), retry_at);
             let op = StoreOp::Get { key: jobs::over_key(&id) };
             // This lane is never full.
-            let _ = self.submit(now, Lane::Write, op, Purpose::Dependency { token, id });
+            let _ = self.submit(now, Lane::Write, op, Purpose::ResolveDependency { token, id });
         }
     }
 
@@ -184,7 +186,7 @@
     pub(super) fn on_dependency(&mut self, now: Mono, token: Token, id: JobId, reply: StoreReply) {
         let reads = &mut self.dependency_reads;
         reads.in_flight = reads.in_flight.saturating_sub(1);
-        reads.next_look = now;
+        reads.next_scan = now;
         let record = match reply {
             StoreReply::Found(row) => serde_json::from_value::<OverRecord>(row.value),
             // Another controller accepted it a moment ago: its live record will arrive through the
@@ -196,17 +198,21 @@
             }
         };
         reads.not_before.remove(&id);
-        let book = self.reign.as_mut().filter(|reign| reign.token == token).map(|r| &mut r.book);
-        match (record, book) {
-            (Ok(record), book) => {
-                if let Some(book) = book {
-                    book.dependency_ended(&id, record.status, now);
+        let job_table = self
+            .leader_term
+            .as_mut()
+            .filter(|leader_term| leader_term.token == token)
+            .map(|r| &mut r.book);
+        match (record, job_table) {
+            (Ok(record), job_table) => {
+                if let Some(job_table) = job_table {
+                    job_table.dependency_ended(&id, record.status, now);
                 }
-                self.over.insert(id, record);
+                self.finished_jobs.insert(id, record);
             }
-            (Err(error), Some(book)) => {
-                log::error!("store: {} cannot be read: {error}", jobs::over_key(&id));
-                book.dependency_unreadable(&id);
+            (Err(error), Some(job_table)) => {
+                log::error!("state service: {} cannot be decoded: {error}", jobs::over_key(&id));
+                job_table.dependency_unreadable(&id);
             }
             (Err(_), None) => {}
         }
@@ -218,7 +224,7 @@
     }
 }
 
-fn kind_of(record: &LiveRecord) -> AcceptedKind {
+fn accepted_kind_of(record: &LiveRecord) -> AcceptedKind {
     match record.spec.shape {
         Shape::Service => AcceptedKind::Service,
         Shape::Array | Shape::Gang => AcceptedKind::Finite,
--- a/crates/core/src/controller/graphs.rs
+++ b/crates/core/src/controller/graphs.rs
@@ -12,7 +12,7 @@
 
 /// A read of a finished graph from the state service.
 #[derive(Clone, Debug)]
-pub(super) enum OverStep {
+pub(super) enum FinalReadStep {
     Answer,
     /// The final states of its nodes, page by page.
     Nodes(Box<records::OverRecord>),
@@ -20,19 +20,19 @@
 
 /// Graph writes whose outcome is unknown, and the rows read back so far for the last of them.
 #[derive(Debug, Default, PartialEq)]
-pub(super) struct Unsure {
+pub(super) struct UnresolvedWrites {
     items: Vec<desk::Wrote>,
     keys: Vec<String>,
     rows: Vec<Option<Row>>,
 }
 
-fn record_of(launch: Launch) -> LiveRecord {
+fn live_record_of(launch: Launch) -> LiveRecord {
     let Launch { spec, wall_ms, part, .. } = launch;
     LiveRecord { spec, wall_ms, part: Some(part.into()) }
 }
 
-fn live_of(launch: &Launch) -> (String, String, Value) {
-    let value = serde_json::to_value(record_of(launch.clone())).unwrap_or(Value::Null);
+fn launch_record(launch: &Launch) -> (String, String, Value) {
+    let value = serde_json::to_value(live_record_of(launch.clone())).unwrap_or(Value::Null);
     (jobs::live_key(launch.id()), jobs::over_key(launch.id()), value)
 }
 
@@ -42,130 +42,142 @@
 }
 
 impl Controller {
-    fn desk(&mut self) -> Option<&mut Desk> {
-        self.reign.as_mut()?.graphs.as_mut()
+    fn open_graphs(&mut self) -> Option<&mut Desk> {
+        self.leader_term.as_mut()?.graphs.as_mut()
     }
 
     // --- Requests --------------------------------------------------------------
 
-    pub(super) fn on_graph(&mut self, now: Now, conn: ConnId, ask: Ask, forwarded: bool) {
-        if self.terms.graphs.is_none() {
+    pub(super) fn on_graph_request(
+        &mut self,
+        now: Now,
+        conn: ConnId,
+        request: Ask,
+        forwarded: bool,
+    ) {
+        if self.leader_config.graphs.is_none() {
             return self.reply(conn, HttpReply::error(404, "no such path"));
         }
-        let ruling = self.leadership.valid(now.mono).is_some()
-            && self.reign.as_ref().is_some_and(|r| r.stage == Stage::Ruling);
-        if !ruling {
+        let active = self.leadership.valid(now.mono).is_some()
+            && self.leader_term.as_ref().is_some_and(|r| r.stage == Stage::Ruling);
+        if !active {
             let leader = self.leadership.other_leader().filter(|_| !forwarded).cloned();
             return match leader.filter(|_| self.leadership.token().is_none()) {
                 Some(leader) => {
-                    self.ask(now.mono, conn, leader, Question::Graph(Box::new(ask)));
+                    self.ask_peer(now.mono, conn, leader, Question::Graph(Box::new(request)));
                 }
-                None => self.look_graph(now.mono, conn, ask),
+                None => self.read_graph(now.mono, conn, request),
             };
         }
         // Moved out of the leader term during the call, since the closures borrow the controller.
-        let desk = self.reign.as_mut().and_then(|reign| reign.graphs.take());
-        let Some(mut desk) = desk else {
+        let graphs = self.leader_term.as_mut().and_then(|leader_term| leader_term.graphs.take());
+        let Some(mut graphs) = graphs else {
             return self.reply(conn, HttpReply::later("graphs are being read"));
         };
-        let unfit = |spec: &JobSpec| self.verdict(spec);
+        let unfit = |spec: &JobSpec| self.rejection(spec);
         let team = |name: &str| self.settings.team(name).is_some();
         let around = Around { unfit: &unfit, team: &team };
-        let verdict = desk.ask(now, conn.0, &ask, &around);
-        if let Some(reign) = self.reign.as_mut() {
-            reign.graphs = Some(desk);
+        let verdict = graphs.ask(now, conn.0, &request, &around);
+        if let Some(leader_term) = self.leader_term.as_mut() {
+            leader_term.graphs = Some(graphs);
         }
         match verdict {
             Verdict::Reply(reply) => self.reply(conn, reply),
             Verdict::Later => {}
             Verdict::Job(id, nodes) => {
-                let job = self.reign.as_ref().and_then(|reign| reign.book.get(&id));
+                let job =
+                    self.leader_term.as_ref().and_then(|leader_term| leader_term.book.get(&id));
                 let reply = match job {
                     Some(job) => HttpReply::json(200, &nodes.with(&job.spec)),
                     None => HttpReply::error(404, "no such job of a graph is open"),
                 };
                 self.reply(conn, reply);
             }
-            Verdict::NotOpen => self.look_graph(now.mono, conn, ask),
+            Verdict::NotOpen => self.read_graph(now.mono, conn, request),
         }
-        self.graph_effects(now);
+        self.apply_graph_effects(now);
     }
 
     /// Reads the final answer of a graph that is not open on this controller.
-    pub(super) fn look_graph(&mut self, now: Mono, conn: ConnId, ask: Ask) {
-        let Some(id) = ask.graph() else {
+    pub(super) fn read_graph(&mut self, now: Mono, conn: ConnId, request: Ask) {
+        let Some(id) = request.graph() else {
             return self.reply(conn, HttpReply::later("no leader can be reached"));
         };
         let op = StoreOp::Get { key: records::over_key(id) };
-        let purpose = Purpose::GraphOver { conn, ask: Box::new(ask), step: OverStep::Answer };
+        let purpose = Purpose::FinishedGraph {
+            conn,
+            request: Box::new(request),
+            step: FinalReadStep::Answer,
+        };
         if self.submit(now, Lane::Open, op, purpose).is_err() {
             self.reply(conn, HttpReply::later("the state service is busy"));
         }
     }
 
-    pub(super) fn on_graph_over(
+    pub(super) fn on_finished_graph(
         &mut self,
         now: Mono,
         conn: ConnId,
-        ask: Box<Ask>,
-        step: OverStep,
+        request: Box<Ask>,
+        step: FinalReadStep,
         reply: StoreReply,
     ) {
-        let damaged = || HttpReply::later("its record cannot be read");
+        let unreadable = || HttpReply::later("its record cannot be read");
         match (step, reply) {
-            (OverStep::Answer, StoreReply::Missing(_)) => {
+            (FinalReadStep::Answer, StoreReply::Missing(_)) => {
                 // Only a leader that has loaded all graphs knows whether a graph is open; one that
                 // has not could call a graph unknown that it is about to continue.
                 let leads = self.leadership.valid(now).is_some();
-                let known = self.reign.as_ref().and_then(|reign| reign.graphs.as_ref());
-                let id = ask.graph();
-                let closed = known.is_some_and(|desk| {
-                    desk.ready() && id.is_none_or(|id| desk.graph(id).is_none())
+                let graphs =
+                    self.leader_term.as_ref().and_then(|leader_term| leader_term.graphs.as_ref());
+                let id = request.graph();
+                let not_open = graphs.is_some_and(|graphs| {
+                    graphs.ready() && id.is_none_or(|id| graphs.graph(id).is_none())
                 });
                 // The end may have become durable while its key was being read.
-                let over = id.and_then(|id| Some((id, known?.over(id)?)));
-                let reply = if let Some((id, record)) = over.filter(|_| leads) {
-                    Desk::over_reply(id, &ask, record)
-                } else if leads && closed {
-                    Desk::missing_reply(&ask)
+                let finished = id.and_then(|id| Some((id, graphs?.over(id)?)));
+                let reply = if let Some((id, record)) = finished.filter(|_| leads) {
+                    Desk::over_reply(id, &request, record)
+                } else if leads && not_open {
+                    Desk::missing_reply(&request)
                 } else {
                     HttpReply::later("no leader can be reached")
                 };
                 self.reply(conn, reply);
             }
-            (OverStep::Answer, StoreReply::Found(row)) => {
+            (FinalReadStep::Answer, StoreReply::Found(row)) => {
                 let Ok(record) = serde_json::from_value::<records::OverRecord>(row.value) else {
-                    return self.reply(conn, damaged());
+                    return self.reply(conn, unreadable());
                 };
                 let id = row.key.strip_prefix(records::OVER).and_then(GraphId::of_digits);
-                let Some(id) = id else { return self.reply(conn, damaged()) };
-                match &*ask {
-                    Ask::Look(_, look) if look.most > 0 && record.pages > 0 => {
-                        let after = over_after(id, look);
+                let Some(id) = id else { return self.reply(conn, unreadable()) };
+                match &*request {
+                    Ask::Look(_, range) if range.most > 0 && record.pages > 0 => {
+                        let after = final_pages_after(id, range);
                         let prefix = format!("{}/", records::over_key(id));
                         let op = StoreOp::List { prefix, after };
-                        let step = OverStep::Nodes(Box::new(record));
-                        let purpose = Purpose::GraphOver { conn, ask, step };
+                        let step = FinalReadStep::Nodes(Box::new(record));
+                        let purpose = Purpose::FinishedGraph { conn, request, step };
                         if self.submit(now, Lane::Open, op, purpose).is_err() {
                             self.reply(conn, HttpReply::later("the state service is busy"));
                         }
                     }
-                    ask => self.reply(conn, Desk::over_reply(id, ask, &record)),
+                    request => self.reply(conn, Desk::over_reply(id, request, &record)),
                 }
             }
-            (OverStep::Nodes(record), StoreReply::Page(page)) => {
-                let Ask::Look(id, look) = &*ask else { return self.reply(conn, damaged()) };
+            (FinalReadStep::Nodes(record), StoreReply::Page(page)) => {
+                let Ask::Look(id, range) = &*request else { return self.reply(conn, unreadable()) };
                 let mut view = answers::GraphView::of_over(*id, &record);
-                let mut last = look.after.clone();
+                let mut last = range.after.clone();
                 let mut more = page.more;
                 for row in page.rows {
-                    if view.changed.len() >= look.most {
+                    if view.changed.len() >= range.most {
                         more = true;
                         break;
                     }
                     let number = row.key.rsplit_once('/').map(|(_, n)| n.to_owned());
                     let Ok(page) = serde_json::from_value::<OverPage>(row.value) else {
-                        return self.reply(conn, damaged());
+                        return self.reply(conn, unreadable());
                     };
                     view.changed.extend(answers::over_nodes(*id, page));
                     last = format!("over.{}", number.unwrap_or_default());
@@ -180,9 +192,9 @@
     // --- Effects ------------------------------------------------------------------
 
     /// Applies the decisions of the graphs.
-    pub(super) fn graph_effects(&mut self, now: Now) {
+    pub(super) fn apply_graph_effects(&mut self, now: Now) {
         loop {
-            let effects = self.desk().map(Desk::take_effects).unwrap_or_default();
+            let effects = self.open_graphs().map(Desk::take_effects).unwrap_or_default();
             if effects.is_empty() {
                 return;
             }
@@ -190,12 +202,17 @@
                 match effect {
                     Effect::Reply { ticket, reply } => self.reply(ConnId(ticket), reply),
                     Effect::Admit(launch, stamp) => {
-                        let term = self.leadership.token();
-                        self.admit(now, record_of(*launch), stamp, term);
+                        let sent_under = self.leadership.token();
+                        self.admit(now, live_record_of(*launch), stamp, sent_under);
                     }
                     Effect::Cancel(id) => {
-                        if let Some(reign) = self.reign.as_mut() {
-                            reign.end_job(&id, JobStatus::Cancelled, "its graph ends", now.mono);
+                        if let Some(leader_term) = self.leader_term.as_mut() {
+                            leader_term.end_job(
+                                &id,
+                                JobStatus::Cancelled,
+                                "its graph ends",
+                                now.mono,
+                            );
                         }
                     }
                 }
@@ -204,38 +221,41 @@
     }
 
     /// Notifies a job's graph, if it has one, that the job's end is durable.
-    pub(super) fn graph_job_over(&mut self, id: &JobId, record: &OverRecord) {
+    pub(super) fn graph_job_finished(&mut self, id: &JobId, record: &OverRecord) {
         let Some(part) = &record.part else { return };
-        if let Some(desk) = self.desk() {
-            desk.job_over(id, part, record.status, record.failure.as_ref());
+        if let Some(graphs) = self.open_graphs() {
+            graphs.job_over(id, part, record.status, record.failure.as_ref());
         }
     }
 
     /// Runs after every event: advances the graphs' timers, and passes on the task completions that
     /// the job table has made durable.
-    pub(super) fn turn_graphs(&mut self, now: Now) {
+    pub(super) fn advance_graphs(&mut self, now: Now) {
         let valid = self.was_valid;
-        let Some(reign) = self.reign.as_mut().filter(|r| r.stage == Stage::Ruling) else { return };
-        let progress = std::mem::take(&mut reign.book.progress);
-        let Some(desk) = reign.graphs.as_mut() else { return };
+        let Some(leader_term) = self.leader_term.as_mut().filter(|r| r.stage == Stage::Ruling)
+        else {
+            return;
+        };
+        let progress = std::mem::take(&mut leader_term.book.progress);
+        let Some(graphs) = leader_term.graphs.as_mut() else { return };
         for (id, done) in progress {
-            desk.tasks_done(&id, &done);
+            graphs.tasks_done(&id, &done);
         }
         if valid {
-            desk.tick(now.mono);
+            graphs.tick(now.mono);
         }
         self.read_graphs(now.mono);
-        self.graph_effects(now);
+        self.apply_graph_effects(now);
     }
 
     // --- Reading ------------------------------------------------------------------
 
     fn read_graphs(&mut self, now: Mono) {
-        if self.graphs_out || now < self.graphs_after || self.writer != Writer::Idle {
+        if self.graph_read_in_flight || now < self.next_graph_read || self.writer != Writer::Idle {
             return;
         }
         let Some(token) = self.leadership.token() else { return };
-        let Some(read) = self.desk().and_then(|desk| desk.next_read()) else { return };
+        let Some(read) = self.open_graphs().and_then(|graphs| graphs.next_read()) else { return };
         let op = match &read {
             Read::Key(key) => StoreOp::Get { key: key.clone() },
             Read::List { prefix, after } => {
@@ -247,25 +267,27 @@
             },
         };
         let purpose = Purpose::Graphs { token, read };
-        self.graphs_out = self.submit(now, Lane::Open, op, purpose).is_ok();
-        if !self.graphs_out {
-            self.graphs_after = now.plus(GRAPHS_PAUSE_MS);
+        self.graph_read_in_flight = self.submit(now, Lane::Open, op, purpose).is_ok();
+        if !self.graph_read_in_flight {
+            self.next_graph_read = now.plus(GRAPHS_PAUSE_MS);
         }
     }
 
-    pub(super) fn on_graphs(&mut self, now: Now, token: Token, read: Read, reply: StoreReply) {
-        self.graphs_out = false;
-        let Some(reign) = self.reign.as_mut().filter(|r| r.token == token) else { return };
+    pub(super) fn on_graph_rows(&mut self, now: Now, token: Token, read: Read, reply: StoreReply) {
+        self.graph_read_in_flight = false;
+        let Some(leader_term) = self.leader_term.as_mut().filter(|r| r.token == token) else {
+            return;
+        };
         // Moved out of the leader term during the call, since the leader term is queried for the
         // jobs of graphs.
-        let Some(mut desk) = reign.graphs.take() else { return };
-        let same = desk.next_read().as_ref() == Some(&read);
+        let Some(mut graphs) = leader_term.graphs.take() else { return };
+        let expected = graphs.next_read().as_ref() == Some(&read);
         match (read, reply) {
-            _ if !same => {}
-            (Read::Key(_), StoreReply::Missing(_)) => desk.read_count(Revision(0)),
-            (Read::Key(_), StoreReply::Found(row)) => desk.read_count(row.version),
+            _ if !expected => {}
+            (Read::Key(_), StoreReply::Missing(_)) => graphs.read_count(Revision(0)),
+            (Read::Key(_), StoreReply::Found(row)) => graphs.read_count(row.version),
             (Read::List { .. }, StoreReply::Page(page)) => {
-                desk.read_rows(page.rows, page.more, now)
+                graphs.read_rows(page.rows, page.more, now)
             }
             (Read::Ended { .. }, StoreReply::Page(page)) => {
                 let id = |row: &Row| JobId::parse(row.key.strip_prefix(jobs::OVER)?);
@@ -273,22 +295,24 @@
                 let ended = page.rows.iter().filter_map(|row| {
                     let read = serde_json::from_value::<OverRecord>(row.value.clone());
                     let record = read
-                        .map_err(|e| log::error!("store: {} cannot be read: {e}", row.key))
+                        .map_err(|e| {
+                            log::error!("state service: {} cannot be decoded: {e}", row.key)
+                        })
                         .ok()?;
                     let end = (*record.part?).clone();
                     let (status, failure) = (record.status, record.failure);
                     Some(Ended { id: id(row)?, end, status, failure })
                 });
                 let ended = ended.collect();
-                desk.read_ended(ended, last, &|graph| reign.open_jobs(graph), now.mono);
+                graphs.read_ended(ended, last, &|graph| leader_term.open_jobs(graph), now.mono);
             }
             // Retried after a pause.
-            _ => self.graphs_after = now.mono.plus(GRAPHS_PAUSE_MS),
+            _ => self.next_graph_read = now.mono.plus(GRAPHS_PAUSE_MS),
         }
-        if let Some(reign) = self.reign.as_mut() {
-            reign.graphs = Some(desk);
+        if let Some(leader_term) = self.leader_term.as_mut() {
+            leader_term.graphs = Some(graphs);
         }
-        self.graph_effects(now);
+        self.apply_graph_effects(now);
     }
 
     // --- Writing -----------------------------------------------------------------
@@ -300,11 +324,13 @@
         };
         let ops = self.limits.changes();
         let retried = self.graph_refusals.take_due(now.mono);
-        let most = if retried.is_some() { 1 } else { self.graph_refusals.most() };
-        let Some(desk) = self.desk() else { return false };
-        desk.items_most = most;
-        retried.into_iter().for_each(|item| desk.retry(item));
-        let Some((txn, written)) = desk.next_txn(fence, ops, now, &live_of) else { return false };
+        let max_items = if retried.is_some() { 1 } else { self.graph_refusals.most() };
+        let Some(graphs) = self.open_graphs() else { return false };
+        graphs.items_most = max_items;
+        retried.into_iter().for_each(|item| graphs.retry(item));
+        let Some((txn, written)) = graphs.next_txn(fence, ops, now, &launch_record) else {
+            return false;
+        };
         self.writer = Writer::Writing;
         self.traffic.changes += txn.changes.len();
         let purpose = Purpose::WriteGraphs { token, written };
@@ -319,96 +345,104 @@
         written: Vec<desk::Wrote>,
         reply: StoreReply,
     ) {
-        if self.reign.as_ref().is_none_or(|r| r.token != token) {
+        if self.leader_term.as_ref().is_none_or(|r| r.token != token) {
             return;
         }
         self.writer = Writer::Idle;
-        let Some(desk) = self.desk() else { return };
+        let Some(graphs) = self.open_graphs() else { return };
         match reply {
             StoreReply::Committed(revision) => {
-                desk.committed(&written, revision);
+                graphs.committed(&written, revision);
                 self.graph_refusals.taken(written.iter().map(|wrote| &wrote.item));
             }
             StoreReply::Conflict(failed) if failed.iter().any(|k| k == LEAD_KEY) => {
-                desk.refused(written);
+                graphs.refused(written);
                 self.leadership.fenced_off();
             }
             StoreReply::Conflict(_) | StoreReply::Lost => {
-                log::warn!("store: a write of graphs' fate is open; reading its keys");
-                self.resolve_graphs(now, token, Unsure { items: written, ..Unsure::default() });
+                log::warn!(
+                    "state service: the outcome of a graph write is unknown; reading back its keys"
+                );
+                self.resolve_graphs(
+                    now,
+                    token,
+                    UnresolvedWrites { items: written, ..UnresolvedWrites::default() },
+                );
             }
-            StoreReply::Malformed(text) => self.graphs_write_refused(now.mono, written, &text),
+            StoreReply::Malformed(text) => self.on_graphs_write_refused(now.mono, written, &text),
             _ => {
-                desk.refused(written);
-                self.write_after = now.mono.plus(STORE_PAUSE_MS);
+                graphs.refused(written);
+                self.next_write = now.mono.plus(STORE_PAUSE_MS);
             }
         }
-        self.graph_effects(now);
+        self.apply_graph_effects(now);
     }
 
     /// Handles a transaction that the service refused as invalid: it is not written again
     /// unchanged.
-    fn graphs_write_refused(&mut self, now: Mono, mut written: Vec<desk::Wrote>, text: &str) {
-        if !self.write_refused(text) {
+    fn on_graphs_write_refused(&mut self, now: Mono, mut written: Vec<desk::Wrote>, text: &str) {
+        if !self.on_write_refused(text) {
             let items: Vec<_> = written.iter().map(|wrote| wrote.item.clone()).collect();
             if let Some(Refusal::SetAside(item, pause)) = self.graph_refusals.refused(&items, now) {
-                log::error!("store: of graphs, {item:?} is refused alone; again in {pause:?}");
+                log::error!(
+                    "state service: refused the graph write {item:?} on its own; retrying in {pause:?}"
+                );
                 written.retain(|wrote| wrote.item != item);
             }
         }
-        if let Some(desk) = self.desk() {
-            desk.refused(written);
+        if let Some(graphs) = self.open_graphs() {
+            graphs.refused(written);
         }
     }
 
     /// Reads the keys of writes with an unknown outcome, one after another.
-    fn resolve_graphs(&mut self, now: Now, token: Token, mut unsure: Unsure) {
-        let live = |id: &JobId| jobs::live_key(id);
-        let over = |id: &JobId| jobs::over_key(id);
+    fn resolve_graphs(&mut self, now: Now, token: Token, mut unresolved: UnresolvedWrites) {
+        let live_key = |id: &JobId| jobs::live_key(id);
+        let final_key = |id: &JobId| jobs::over_key(id);
         loop {
-            let Some(item) = unsure.items.last().cloned() else {
+            let Some(item) = unresolved.items.last().cloned() else {
                 self.writer = Writer::Idle;
                 return;
             };
-            let Some(desk) = self.desk() else { return };
-            if unsure.rows.is_empty() {
-                unsure.keys = desk.keys_of(&item, &live, &over);
+            let Some(graphs) = self.open_graphs() else { return };
+            if unresolved.rows.is_empty() {
+                unresolved.keys = graphs.keys_of(&item, &live_key, &final_key);
             }
-            if let Some(key) = unsure.keys.get(unsure.rows.len()).cloned() {
-                self.writer = Writer::ResolvingGraphs(unsure);
+            if let Some(key) = unresolved.keys.get(unresolved.rows.len()).cloned() {
+                self.writer = Writer::ResolvingGraphs(unresolved);
                 let op = StoreOp::Get { key };
                 let _ = self.submit(now.mono, Lane::Write, op, Purpose::ResolveGraphs { token });
                 return;
             }
-            let rows = std::mem::take(&mut unsure.rows);
-            unsure.items.pop();
-            desk.resolved(item, &rows, &nodes_of);
+            let rows = std::mem::take(&mut unresolved.rows);
+            unresolved.items.pop();
+            graphs.resolved(item, &rows, &nodes_of);
         }
     }
 
     pub(super) fn on_graphs_resolved(&mut self, now: Now, token: Token, reply: StoreReply) {
-        if self.reign.as_ref().is_none_or(|r| r.token != token) {
+        if self.leader_term.as_ref().is_none_or(|r| r.token != token) {
             return;
         }
         let writer = std::mem::replace(&mut self.writer, Writer::Idle);
-        let Writer::ResolvingGraphs(mut unsure) = writer else {
+        let Writer::ResolvingGraphs(mut unresolved) = writer else {
             self.writer = writer;
             return;
         };
         match reply {
-            StoreReply::Found(row) => unsure.rows.push(Some(row)),
-            StoreReply::Missing(_) => unsure.rows.push(None),
+            StoreReply::Found(row) => unresolved.rows.push(Some(row)),
+            StoreReply::Missing(_) => unresolved.rows.push(None),
             // The read is retried.
             _ => {}
         }
-        self.resolve_graphs(now, token, unsure);
-        self.graph_effects(now);
+        self.resolve_graphs(now, token, unresolved);
+        self.apply_graph_effects(now);
     }
 }
 
 /// The key after which the listing of a finished graph's pages continues.
-fn over_after(id: GraphId, look: &Look) -> String {
+fn final_pages_after(id: GraphId, range: &Look) -> String {
     let page =
-        look.after.strip_prefix("over.").filter(|page| page.bytes().all(|b| b.is_ascii_digit()));
+        range.after.strip_prefix("over.").filter(|page| page.bytes().all(|b| b.is_ascii_digit()));
     page.map(|page| format!("{}/{page}", records::over_key(id))).unwrap_or_default()
 }
--- a/crates/core/src/controller/health.rs
+++ b/crates/core/src/controller/health.rs
@@ -13,52 +13,52 @@
     Starting,
     Up,
     /// The state service serves other controllers, but has not served this one for a while.
-    RefusedAlone,
+    RefusedByStore,
     /// Neither the state service nor any other controller responds.
-    CutOff,
+    Isolated,
     /// The state service responds, but the leader does not.
-    LeaderApart,
+    LeaderUnreachable,
 }
 
 impl Health {
-    fn why(self) -> &'static str {
+    fn description(self) -> &'static str {
         match self {
             Self::Up => "up",
             Self::Starting => "starting",
-            Self::RefusedAlone | Self::CutOff => "the state service refuses this node",
-            Self::LeaderApart => "the leader cannot be reached from here",
+            Self::RefusedByStore | Self::Isolated => "the state service refuses this node",
+            Self::LeaderUnreachable => "the leader cannot be reached from here",
         }
     }
 }
 
 impl Controller {
     /// Replies to a health probe.
-    pub(super) fn up(&mut self, now: Mono) -> HttpReply {
+    pub(super) fn health_reply(&mut self, now: Mono) -> HttpReply {
         let health = self.health(now);
-        self.note_health(health, now);
+        self.log_health_change(health, now);
         match health {
             Health::Up => {
-                let store = self.store_silence(now) <= UP_STORE_SILENCE_MS;
-                HttpReply::json(200, &serde_json::json!({ "up": true, "store": store }))
+                let store_served = self.store_silence(now) <= UP_STORE_SILENCE_MS;
+                HttpReply::json(200, &serde_json::json!({ "up": true, "store": store_served }))
             }
-            other => HttpReply::later(other.why()),
+            other => HttpReply::later(other.description()),
         }
     }
 
     /// Logs a change of the health with the evidence for it.
-    fn note_health(&mut self, health: Health, now: Mono) {
-        if health == self.health {
+    fn log_health_change(&mut self, health: Health, now: Mono) {
+        if health == self.logged_health {
             return;
         }
         log::info!(
-            "health: {:?} -> {health:?} (state service {} ms ago, a peer's {:?} ms, a leader's answer {} ms, none since {:?} ms)",
-            self.health,
+            "health: {:?} -> {health:?} (served by the state service {} ms ago, a peer {:?} ms ago; leader replied {} ms ago, requests to it failing for {:?} ms)",
+            self.logged_health,
             self.store_silence(now).0,
             self.peer_served_at(now).map(|at| now.since(at).0),
-            now.since(self.last_told).0,
-            self.unanswered.map(|(since, _)| now.since(since).0),
+            now.since(self.last_leader_reply).0,
+            self.leader_failures.map(|(since, _)| now.since(since).0),
         );
-        self.health = health;
+        self.logged_health = health;
     }
 
     /// Returns whether this controller can take requests.
@@ -67,16 +67,16 @@
             return Health::Starting;
         }
         if self.store_silence(now) > UP_STORE_SILENCE_MS {
-            if self.refused_alone(now) {
-                return Health::RefusedAlone;
+            if self.refused_by_store(now) {
+                return Health::RefusedByStore;
             }
             // Users' open connections would otherwise stay with a controller that has lost the
             // state service and all peers, and get no answer about their jobs for the whole outage.
             if self.membership.as_ref().is_some_and(|members| members.all_silent()) {
-                return Health::CutOff;
+                return Health::Isolated;
             }
         }
-        if self.leader_apart(now) { Health::LeaderApart } else { Health::Up }
+        if self.leader_unreachable(now) { Health::LeaderUnreachable } else { Health::Up }
     }
 
     /// Time since the state service last served a request of this controller.
@@ -95,21 +95,22 @@
     /// other controller serves better. The difference between the two times matters: at the
     /// beginning of an outage, this controller's last request may only have been some seconds
     /// before the others'.
-    fn refused_alone(&self, now: Mono) -> bool {
-        let said = self.peer_served_at(now).filter(|at| now.since(*at) <= UP_STORE_SILENCE_MS);
-        let told = now.since(self.last_told) < UP_TOLD_MS;
-        let renewed = told.then(|| Mono(self.last_told.0.saturating_sub(LEADER_TTL_MS.0)));
+    fn refused_by_store(&self, now: Mono) -> bool {
+        let reported = self.peer_served_at(now).filter(|at| now.since(*at) <= UP_STORE_SILENCE_MS);
+        let leader_replied = now.since(self.last_leader_reply) < UP_TOLD_MS;
+        let renewed =
+            leader_replied.then(|| Mono(self.last_leader_reply.0.saturating_sub(LEADER_TTL_MS.0)));
         let last_good = self.store.last_good();
-        said.max(renewed).is_some_and(|served| served.since(last_good) > UP_STORE_SILENCE_MS)
+        reported.max(renewed).is_some_and(|served| served.since(last_good) > UP_STORE_SILENCE_MS)
     }
 
     /// Whether the leader, which alone may report on open jobs, has not responded for long.
     /// Otherwise users would stay with a controller that the state service serves but that cannot
     /// reach the leader.
-    fn leader_apart(&self, now: Mono) -> bool {
-        let lasts = |(since, last): (Mono, Mono)| {
+    fn leader_unreachable(&self, now: Mono) -> bool {
+        let ongoing = |(since, last): (Mono, Mono)| {
             last.since(since) >= APART_MS && now.since(last) < APART_FRESH_MS
         };
-        self.leadership.other_leader().is_some() && self.unanswered.is_some_and(lasts)
+        self.leadership.other_leader().is_some() && self.leader_failures.is_some_and(ongoing)
     }
 }
--- a/crates/core/src/controller/limits.rs
+++ b/crates/core/src/controller/limits.rs
@@ -7,24 +7,28 @@
 
 /// Which limits are in force, as far as the service's responses show.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum Seen {
+enum LimitsInForce {
     #[default]
-    Present,
+    Current,
     /// The service has refused what the current limits allow. Limits do not rise again.
-    Fallen,
+    Announced,
 }
 
 #[derive(Debug)]
 pub(super) struct Limits {
-    present: StateFacts,
+    current: StateFacts,
     /// The smaller of the current and the announced value of each limit.
     strictest: StateFacts,
-    seen: Seen,
+    in_force: LimitsInForce,
 }
 
 impl Limits {
-    pub fn new(present: &StateFacts) -> Self {
-        Self { present: present.clone(), strictest: present.strictest(), seen: Seen::Present }
+    pub fn new(current: &StateFacts) -> Self {
+        Self {
+            current: current.clone(),
+            strictest: current.strictest(),
+            in_force: LimitsInForce::Current,
+        }
     }
 
     /// Maximum number of changes in a transaction. It respects the announced limits from the start,
@@ -40,47 +44,47 @@
 
     pub fn records(&self, form: RecordForm) -> RecordLimits {
         let bytes = |facts: &StateFacts| (facts.value_kb * 1024.0 * VALUE_SHARE) as usize;
-        let most = match self.seen {
-            Seen::Present => &self.present,
-            Seen::Fallen => &self.strictest,
+        let facts_in_force = match self.in_force {
+            LimitsInForce::Current => &self.current,
+            LimitsInForce::Announced => &self.strictest,
         };
-        RecordLimits { form, value: bytes(&self.strictest), most: bytes(most) }
+        RecordLimits { form, value: bytes(&self.strictest), most: bytes(facts_in_force) }
     }
 
     /// Sets which limits are in force; the only place that does. Returns whether this changes any
     /// limit.
-    fn enter(&mut self, seen: Seen, why: &str) -> bool {
-        let news = self.seen != seen;
-        if news {
-            log::info!("limits: {:?} -> {seen:?} ({why})", self.seen);
-            self.seen = seen;
+    fn enter(&mut self, in_force: LimitsInForce, reason: &str) -> bool {
+        let changed = self.in_force != in_force;
+        if changed {
+            log::info!("limits: {:?} -> {in_force:?} ({reason})", self.in_force);
+            self.in_force = in_force;
         }
-        news && self.present != self.strictest
+        changed && self.current != self.strictest
     }
 }
 
 impl Controller {
     /// Runs after every event: the leader writes only records that all controllers can read.
-    pub(super) fn follow_limits(&mut self) {
+    pub(super) fn update_record_limits(&mut self) {
         let form = if self.all_upgraded() { RecordForm::Packed } else { RecordForm::Rows };
         let limits = self.limits.records(form);
-        if let Some(reign) = self.reign.as_mut() {
-            reign.book.limits = limits;
+        if let Some(leader_term) = self.leader_term.as_mut() {
+            leader_term.book.limits = limits;
         }
     }
 
     /// Handles a write that the service refused as invalid; returns whether writes are limited more
     /// strictly from now on.
-    pub(super) fn write_refused(&mut self, text: &str) -> bool {
-        log::warn!("store: a write was refused: {text}");
-        let news = self.limits.enter(Seen::Fallen, "a write was refused");
+    pub(super) fn on_write_refused(&mut self, text: &str) -> bool {
+        log::warn!("state service: refused a write: {text}");
+        let changed = self.limits.enter(LimitsInForce::Announced, "a write was refused");
         self.store.keep_to(&self.limits.strictest);
-        self.follow_limits();
-        news
+        self.update_record_limits();
+        changed
     }
 
     /// Handles a request that the service refused because of its rate limit.
-    pub(super) fn throttled(&mut self) {
+    pub(super) fn on_throttled(&mut self) {
         if self.all_upgraded() {
             self.store.keep_to(&self.limits.strictest);
         }
--- a/crates/core/src/controller/members.rs
+++ b/crates/core/src/controller/members.rs
@@ -15,64 +15,72 @@
     /// Builds the gossip message for a peer.
     fn gossip(&mut self, now: Now, to: &Member) -> Gossip {
         let ready = self.health(now.mono) == Health::Up;
-        let served = self.store.last_good();
+        let store_served_at = self.store.last_good();
         let leading =
             self.leadership.valid(now.mono).map(|token| (self.settings.member.clone(), token));
-        let known =
+        let known_leader =
             || Some((self.leadership.other_leader()?.clone(), self.leadership.leader_token()?));
-        let own = Own {
+        let own_state = Own {
             ready,
-            store_ms: (served > Mono(0)).then(|| now.mono.since(served).0),
-            leader: leading.or_else(known),
+            store_ms: (store_served_at > Mono(0)).then(|| now.mono.since(store_served_at).0),
+            leader: leading.or_else(known_leader),
         };
-        self.members(now).say(to, own, now)
+        self.members(now).say(to, own_state, now)
     }
 
     /// Sends gossip to the peers that have received nothing for a while. No request waits for it.
-    pub(super) fn greet(&mut self, now: Now) {
-        if now.mono < self.next_greet {
+    pub(super) fn send_gossip(&mut self, now: Now) {
+        if now.mono < self.next_gossip {
             return;
         }
-        self.next_greet = now.mono.plus(GREET_LOOK_MS);
+        self.next_gossip = now.mono.plus(GREET_LOOK_MS);
         // A response later than this is not awaited and does not count as a broken link: the peer
         // may be slow.
-        self.said.retain(|_, (_, until)| now.mono < *until);
+        self.one_way_in_flight.retain(|_, (_, until)| now.mono < *until);
         for to in self.members(now).tick(now.mono) {
             let gossip = self.gossip(now, &to);
-            self.tell(now.mono, to, Question::Greet(Box::new(gossip)));
+            self.send_one_way(now.mono, to, Question::Greet(Box::new(gossip)));
         }
     }
 
     /// Sends the leader's hints to the other controllers, for the next leader.
-    pub(super) fn pass_notes(&mut self, now: Now) {
+    pub(super) fn send_leader_hints(&mut self, now: Now) {
         let mono = now.mono;
-        let ruling = self.reign.as_ref().is_some_and(|r| r.stage == Stage::Ruling);
-        if !ruling || !self.was_valid || mono < self.next_notes {
+        let active = self.leader_term.as_ref().is_some_and(|r| r.stage == Stage::Ruling);
+        if !active || !self.was_valid || mono < self.next_leader_hints {
             return;
         }
-        self.next_notes = mono.plus(NOTES_EVERY_MS);
-        let Some(notes) = self.reign.as_mut().map(|reign| reign.notes(mono)) else { return };
+        self.next_leader_hints = mono.plus(NOTES_EVERY_MS);
+        let Some(hints) = self.leader_term.as_mut().map(|leader_term| leader_term.notes(mono))
+        else {
+            return;
+        };
         let leader = Some(self.settings.member.clone());
         let peers: Vec<Member> = self.settings.peers.iter().map(|p| p.member.clone()).collect();
         for to in peers {
             let gossip = Some(self.gossip(now, &to));
-            let notes = Notes { leader: leader.clone(), gossip, ..notes.clone() };
-            self.tell(mono, to, Question::Notes(Box::new(notes)));
+            let hints = Notes { leader: leader.clone(), gossip, ..hints.clone() };
+            self.send_one_way(mono, to, Question::Notes(Box::new(hints)));
         }
     }
 
-    fn tell(&mut self, now: Mono, to: Member, question: Question) {
+    fn send_one_way(&mut self, now: Mono, to: Member, peer_request: Question) {
         self.next_id += 1;
-        self.said.insert(self.next_id, (to.clone(), now.plus(TOLD_PATIENCE_MS)));
-        self.out.push(Action::Ask { to, id: self.next_id, question });
+        self.one_way_in_flight.insert(self.next_id, (to.clone(), now.plus(TOLD_PATIENCE_MS)));
+        self.actions.push(Action::Ask { to, id: self.next_id, question: peer_request });
     }
 
     /// Processes the response to a one-way message (`None`: none arrived). Returns false if the id
     /// belongs to no such message.
-    pub(super) fn on_said(&mut self, now: Now, id: u64, reply: Option<&HttpReply>) -> bool {
-        let Some((peer, _)) = self.said.remove(&id) else { return false };
+    pub(super) fn on_one_way_reply(
+        &mut self,
+        now: Now,
+        id: u64,
+        reply: Option<&HttpReply>,
+    ) -> bool {
+        let Some((peer, _)) = self.one_way_in_flight.remove(&id) else { return false };
         if self.leadership.other_leader() == Some(&peer) {
-            self.reached(reply.is_some(), now.mono);
+            self.record_leader_contact(reply.is_some(), now.mono);
         }
         match reply {
             None => self.members(now).unreachable(&peer, now.mono),
@@ -87,10 +95,10 @@
     }
 
     /// Processes gossip from a peer and returns this controller's gossip as the response.
-    pub(super) fn on_greeted(&mut self, now: Now, gossip: &Gossip) -> HttpReply {
+    pub(super) fn answer_gossip(&mut self, now: Now, gossip: &Gossip) -> HttpReply {
         self.on_gossip(now, gossip);
-        let back = self.gossip(now, &gossip.from);
-        HttpReply::json(200, &back)
+        let response = self.gossip(now, &gossip.from);
+        HttpReply::json(200, &response)
     }
 
     fn on_gossip(&mut self, now: Now, gossip: &Gossip) {
@@ -100,32 +108,32 @@
             // That the leader held this fencing token was true when the message was sent, whoever
             // relays it.
             self.leadership.heard(leader, *token);
-            self.follow_turns(now);
+            self.follow_leadership(now);
         }
     }
 
     /// The leader key exists, which shows by a route of its own that its holder is alive.
-    pub(super) fn saw_seat(&mut self, now: Now) {
+    pub(super) fn saw_leader_key(&mut self, now: Now) {
         if let Some(leader) = self.leadership.other_leader().cloned() {
             self.members(now).key(&leader, now.mono);
         }
     }
 
     /// Whether requests reach the peer at present, as far as the last one shows.
-    pub(super) fn reaches(&self, peer: &Member, now: Mono) -> bool {
-        let line = self.membership.as_ref().map(|members| members.line(peer));
-        !matches!(line, Some(Line::Cut { since }) if now.since(since) < CUT_PAUSE_MS)
+    pub(super) fn can_reach(&self, peer: &Member, now: Mono) -> bool {
+        let link = self.membership.as_ref().map(|members| members.line(peer));
+        !matches!(link, Some(Line::Cut { since }) if now.since(since) < CUT_PAUSE_MS)
     }
 
     /// Returns the controller through which to reach a leader that neither a worker nor this
     /// controller reaches; if none is known, the first other one that is not gone.
-    pub(super) fn way_round(&self, leader: &Member, now: Mono) -> Option<Member> {
-        let known = self.membership.as_ref().and_then(|members| members.through(leader, now));
+    pub(super) fn route_around(&self, leader: &Member, now: Mono) -> Option<Member> {
+        let route = self.membership.as_ref().and_then(|members| members.through(leader, now));
         let others = || self.settings.peers.iter().map(|p| &p.member).filter(|m| *m != leader);
-        let gone = |peer: &&Member| {
+        let is_gone = |peer: &&Member| {
             let members = self.membership.as_ref();
             members.is_some_and(|m| matches!(m.presence(peer), Presence::Gone { .. }))
         };
-        known.or_else(|| others().find(|peer| !gone(peer))).or_else(|| others().next()).cloned()
+        route.or_else(|| others().find(|peer| !is_gone(peer))).or_else(|| others().next()).cloned()
     }
 }
--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -104,7 +104,7 @@
 
 /// Why the records of a job are read from the state service.
 #[derive(Clone, Debug)]
-enum Why {
+enum LookupReason {
     View,
     Abort,
     /// A submission that may be known already or may be invalid: if no record of the job exists, it
@@ -115,15 +115,15 @@
 /// The operation that a response of the state service belongs to.
 #[derive(Debug)]
 enum Purpose {
-    Lead {
-        ask: Ask,
+    Leadership {
+        request: Ask,
         sent: Mono,
     },
-    Load {
+    LoadPage {
         token: Token,
         /// Key after which the page starts, and the revision at which the first page was read.
         after: String,
-        first: Option<Revision>,
+        first_revision: Option<Revision>,
     },
     Watch {
         token: Token,
@@ -142,30 +142,30 @@
         record: Box<LiveRecord>,
         forwarded: bool,
         /// Fencing token under which the request was sent, if this controller was the leader.
-        term: Option<Token>,
+        sent_under: Option<Token>,
     },
     Lookup {
         conn: ConnId,
         id: JobId,
-        why: Why,
-        over: bool,
+        reason: LookupReason,
+        final_record: bool,
         /// Fencing token under which the request was sent, if this controller was the leader.
-        term: Option<Token>,
+        sent_under: Option<Token>,
     },
     /// Checks whether a job that a submission depends on was accepted.
-    NamedDependency {
+    CheckDependency {
         check: Box<dependencies::DependencyCheck>,
         record: dependencies::DependencyRecord,
     },
     /// Reads the final state of a job that other jobs depend on.
-    Dependency {
+    ResolveDependency {
         token: Token,
         id: JobId,
     },
     /// Reads what a new leader needs before it accounts usage.
-    Account {
+    UsageState {
         token: Token,
-        step: usage::Step,
+        step: usage::ReadStep,
     },
     /// Reads what a new leader needs of the graphs.
     Graphs {
@@ -180,14 +180,14 @@
         token: Token,
     },
     /// Reads the final answer of a graph that is not open on this controller.
-    GraphOver {
+    FinishedGraph {
         conn: ConnId,
-        ask: Box<GraphAsk>,
-        step: graphs::OverStep,
+        request: Box<GraphAsk>,
+        step: graphs::FinalReadStep,
     },
     /// Reads or writes the members' version keys.
     Versions {
-        step: versions::Step,
+        operation: versions::Operation,
     },
     /// Reads a page of usage for an operator.
     Usage {
@@ -205,7 +205,7 @@
     /// The outcome of a transaction is unknown; its keys are being read back.
     Resolving(Vec<Item>),
     /// As `Resolving`, for a transaction of graphs.
-    ResolvingGraphs(graphs::Unsure),
+    ResolvingGraphs(graphs::UnresolvedWrites),
 }
 
 /// Counts since the last traffic log line.
@@ -213,10 +213,10 @@
 struct Traffic {
     answered: u32,
     parked: u32,
-    passed_on: u32,
-    sent_on: u32,
-    refused: u32,
-    users: u32,
+    relayed: u32,
+    redirected: u32,
+    rejected: u32,
+    user_requests: u32,
     probes: u32,
     /// Puts and deletes submitted by the leader's writer.
     changes: usize,
@@ -255,72 +255,72 @@
 
 pub struct Controller {
     traffic: Traffic,
-    next_line: Mono,
+    next_traffic_log: Mono,
     settings: Settings,
-    ops: Operators,
-    terms: Terms,
+    operators: Operators,
+    leader_config: Terms,
     rng: ChaCha8Rng,
     leadership: Leadership,
     store: StoreClient<Purpose>,
-    desk: CloudDesk,
+    cloud_client: CloudDesk,
     /// Machines and catalog while no leader term is active; followers use the catalog too.
     fleet: Fleet,
-    reign: Option<Reign>,
+    leader_term: Option<Reign>,
     /// Final states, cached so that polling needs no read.
-    over: JobMemory<OverRecord>,
+    finished_jobs: JobMemory<OverRecord>,
     /// Jobs that are known to be accepted durably, so that submissions that depend on them need no
     /// read.
-    accepted: JobMemory<AcceptedKind>,
+    accepted_jobs: JobMemory<AcceptedKind>,
     dependency_reads: dependencies::DependencyReads,
-    open: OpenRequests,
-    waiting_end: BTreeMap<JobId, Vec<ConnId>>,
-    asks: BTreeMap<u64, (ConnId, Question, Mono)>,
+    open_requests: OpenRequests,
+    end_waiters: BTreeMap<JobId, Vec<ConnId>>,
+    peer_requests: BTreeMap<u64, (ConnId, Question, Mono)>,
     relays: Relays,
     parked: ParkedReports,
     /// Whether a parked report may have become due, and when the watched ones are checked next.
-    parked_changed: bool,
+    parked_may_be_due: bool,
     /// How long the request of the next event has waited in the queue.
-    lag: Millis,
-    next_parked_look: Mono,
+    queue_delay: Millis,
+    next_parked_check: Mono,
     /// Direct commands in flight.
-    commands: usize,
+    commands_in_flight: usize,
     cloud_ops: BTreeMap<u64, (CloudOp, Token)>,
     next_id: u64,
     writer: Writer,
-    write_after: Mono,
-    watch_live: Option<Revision>,
+    next_write: Mono,
+    watch_revision: Option<Revision>,
     /// Fencing token of the leader term whose watch of the live jobs is open.
-    watch_out: Option<Token>,
+    watch_token: Option<Token>,
     was_valid: bool,
     /// Whether a read for usage accounting is in flight, and when the next may be sent.
-    account_out: bool,
+    usage_read_in_flight: bool,
     /// Where the scan of all final states continues: only those after the revision are counted.
-    account_scan: Option<(Revision, String)>,
-    account_after: Mono,
+    final_state_scan: Option<(Revision, String)>,
+    next_usage_read: Mono,
     /// Whether a read of graphs is in flight, and when the next may be sent.
-    graphs_out: bool,
-    graphs_after: Mono,
+    graph_read_in_flight: bool,
+    next_graph_read: Mono,
     /// Whether the writer serves graphs next.
-    graphs_turn: bool,
+    graphs_write_next: bool,
     /// The latest hints from a leader, and when they arrived.
-    notes: Option<(Mono, Notes)>,
-    next_notes: Mono,
+    leader_hints: Option<(Mono, Notes)>,
+    next_leader_hints: Mono,
     /// When a leader last replied to a request of this controller.
-    last_told: Mono,
+    last_leader_reply: Mono,
     /// First and latest failure of the requests to the leader since its last reply.
-    unanswered: Option<(Mono, Mono)>,
+    leader_failures: Option<(Mono, Mono)>,
     /// The health that was logged last.
-    health: health::Health,
+    logged_health: health::Health,
     membership: Option<Membership>,
     /// One-way messages to peers: the recipient, and until when the response is awaited.
-    said: BTreeMap<u64, (Member, Mono)>,
-    next_greet: Mono,
+    one_way_in_flight: BTreeMap<u64, (Member, Mono)>,
+    next_gossip: Mono,
     /// The versions that the members are known to run.
     versions: versions::Versions,
     limits: limits::Limits,
     /// Writes of graphs that the state service refused.
     graph_refusals: Refusals<oatloom_graph::desk::Item>,
-    out: Vec<Action>,
+    actions: Vec<Action>,
 }
 
 impl Controller {
@@ -329,77 +329,78 @@
         Self {
             leadership: Leadership::new(settings.member.clone(), settings.bound_alone()),
             store: StoreClient::new(&settings.facts.state, settings.peers.len() + 1),
-            desk: CloudDesk::new(&settings.facts.cloud),
+            cloud_client: CloudDesk::new(&settings.facts.cloud),
             rng: ChaCha8Rng::seed_from_u64(seed),
-            terms: Terms::new(&settings, &ops),
+            leader_config: Terms::new(&settings, &ops),
             settings,
-            ops,
+            operators: ops,
             fleet: Fleet::default(),
-            reign: None,
-            over: JobMemory::new(OVER_CACHE),
-            accepted: JobMemory::new(ACCEPTED_CACHE),
+            leader_term: None,
+            finished_jobs: JobMemory::new(OVER_CACHE),
+            accepted_jobs: JobMemory::new(ACCEPTED_CACHE),
             dependency_reads: dependencies::DependencyReads::default(),
-            open: OpenRequests::default(),
-            waiting_end: BTreeMap::new(),
-            asks: BTreeMap::new(),
+            open_requests: OpenRequests::default(),
+            end_waiters: BTreeMap::new(),
+            peer_requests: BTreeMap::new(),
             relays: Relays::default(),
             parked: ParkedReports::default(),
-            parked_changed: false,
-            lag: Millis(0),
-            next_parked_look: Mono(0),
-            commands: 0,
+            parked_may_be_due: false,
+            queue_delay: Millis(0),
+            next_parked_check: Mono(0),
+            commands_in_flight: 0,
             traffic: Traffic::default(),
-            next_line: Mono(0),
+            next_traffic_log: Mono(0),
             cloud_ops: BTreeMap::new(),
             next_id: 0,
             writer: Writer::Idle,
-            write_after: Mono(0),
-            watch_live: None,
-            watch_out: None,
+            next_write: Mono(0),
+            watch_revision: None,
+            watch_token: None,
             was_valid: false,
-            account_out: false,
-            account_scan: None,
-            account_after: Mono(0),
-            graphs_out: false,
-            graphs_after: Mono(0),
-            graphs_turn: false,
-            notes: None,
-            next_notes: Mono(0),
-            last_told: Mono(0),
-            unanswered: None,
-            health: health::Health::default(),
+            usage_read_in_flight: false,
+            final_state_scan: None,
+            next_usage_read: Mono(0),
+            graph_read_in_flight: false,
+            next_graph_read: Mono(0),
+            graphs_write_next: false,
+            leader_hints: None,
+            next_leader_hints: Mono(0),
+            last_leader_reply: Mono(0),
+            leader_failures: None,
+            logged_health: health::Health::default(),
             membership: None,
-            said: BTreeMap::new(),
-            next_greet: Mono(0),
+            one_way_in_flight: BTreeMap::new(),
+            next_gossip: Mono(0),
             versions: versions::Versions::default(),
             limits,
             graph_refusals: Refusals::default(),
-            out: Vec::new(),
+            actions: Vec::new(),
         }
     }
 
     /// The current leader term, for tests and logs.
     pub fn reign(&self) -> Option<&Reign> {
-        self.reign.as_ref()
+        self.leader_term.as_ref()
     }
 
     /// Usage entries since the last call, as far as they are retained; for tests.
     pub fn take_entries(&mut self) -> Vec<Entry> {
-        let account = self.reign.as_mut().and_then(|reign| reign.book.account.as_mut());
-        account.map(|account| account.latest.drain(..).collect()).unwrap_or_default()
+        let usage =
+            self.leader_term.as_mut().and_then(|leader_term| leader_term.book.account.as_mut());
+        usage.map(|usage| usage.latest.drain(..).collect()).unwrap_or_default()
     }
 
     /// Returns the sizes of the queues.
     pub fn waiting(&self) -> Load {
         Load {
-            open: self.open.len(),
+            open: self.open_requests.len(),
             store: self.store.len(),
-            cloud: self.cloud_ops.len() + self.desk.awaited().count(),
-            asks: self.asks.len() + self.said.len(),
+            cloud: self.cloud_ops.len() + self.cloud_client.awaited().count(),
+            asks: self.peer_requests.len() + self.one_way_in_flight.len(),
             parked: self.parked.len(),
-            unwritten: self.reign.as_ref().map_or(0, |reign| {
-                let graphs = reign.graphs.as_ref().map_or(0, |desk| desk.sizes().2);
-                reign.book.unwritten() + graphs
+            unwritten: self.leader_term.as_ref().map_or(0, |leader_term| {
+                let graphs = leader_term.graphs.as_ref().map_or(0, |graphs| graphs.sizes().2);
+                leader_term.book.unwritten() + graphs
             }),
         }
     }
@@ -425,13 +426,13 @@
 
     /// Sets how long the request of the next event has waited in the queue.
     pub fn lags(&mut self, lag: Millis) {
-        self.lag = lag;
+        self.queue_delay = lag;
     }
 
     /// Processes one event and returns the resulting actions. This is the only entry point.
     pub fn handle(&mut self, now: Now, event: Event) -> Vec<Action> {
-        if let Some(account) = self.reign.as_mut().and_then(|r| r.book.account.as_mut()) {
-            account.wall_ms = now.wall_ms;
+        if let Some(usage) = self.leader_term.as_mut().and_then(|r| r.book.account.as_mut()) {
+            usage.wall_ms = now.wall_ms;
         }
         // Runs before the event is processed. Otherwise a process that was suspended would answer
         // with stale state to clients that have long retried elsewhere.
@@ -443,82 +444,82 @@
             }
             Event::Store { id, reply } => self.on_store(now, id, reply),
             Event::Cloud { id, reply } => self.on_cloud(now.mono, id, reply),
-            Event::Told { id, reply } => self.on_told(now, id, reply),
-            Event::Obeyed { report } => self.on_obeyed(now.mono, report),
+            Event::Told { id, reply } => self.on_peer_reply(now, id, reply),
+            Event::Obeyed { report } => self.on_command_reply(now.mono, report),
         }
-        self.lag = Millis(0);
-        self.turn(now);
-        std::mem::take(&mut self.out)
+        self.queue_delay = Millis(0);
+        self.advance(now);
+        std::mem::take(&mut self.actions)
     }
 
     /// Runs the work that is due after every event.
-    fn turn(&mut self, now: Now) {
+    fn advance(&mut self, now: Now) {
         let mono = now.mono;
-        let asks = self.leadership.tick(mono);
-        self.lead_asks(mono, asks);
-        self.follow_turns(now);
+        let requests = self.leadership.tick(mono);
+        self.send_leadership_requests(mono, requests);
+        self.follow_leadership(now);
         let valid = self.leadership.valid(mono).is_some();
-        let led = self.leadership.other_leader().is_some_and(|leader| {
-            let line = self.membership.as_ref().map(|members| members.line(leader));
-            !matches!(line, Some(oatloom_membership::Line::Cut { .. }))
+        let leader_reachable = self.leadership.other_leader().is_some_and(|leader| {
+            let link = self.membership.as_ref().map(|members| members.line(leader));
+            !matches!(link, Some(oatloom_membership::Line::Cut { .. }))
         });
         if !self.store.throttled_lately(mono) {
-            self.store.leaderless(!led && self.leadership.token().is_none());
+            self.store.leaderless(!leader_reachable && self.leadership.token().is_none());
         }
-        self.follow_limits();
-        if let Some(reign) = self.reign.as_mut() {
+        self.update_record_limits();
+        if let Some(leader_term) = self.leader_term.as_mut() {
             if valid && !self.was_valid {
                 // Reports were rejected while the leadership was not valid; workers need time to
                 // return.
-                reign.heard_from = mono;
-                if let Some(desk) = reign.graphs.as_mut() {
-                    desk.deaf_until(mono);
+                leader_term.heard_from = mono;
+                if let Some(graphs) = leader_term.graphs.as_mut() {
+                    graphs.deaf_until(mono);
                 }
-                reign.wake();
+                leader_term.wake();
             }
             if valid {
-                reign.tick(&self.settings, &self.ops, &mut self.desk, mono);
+                leader_term.tick(&self.settings, &self.operators, &mut self.cloud_client, mono);
             }
         }
         self.was_valid = valid;
-        if mono >= self.next_line {
-            self.next_line = mono.plus(TRAFFIC_EVERY_MS);
+        if mono >= self.next_traffic_log {
+            self.next_traffic_log = mono.plus(TRAFFIC_EVERY_MS);
             // The counters are reset whatever the log level, so that they do not grow without
             // bound.
             let traffic = std::mem::take(&mut self.traffic);
-            log::debug!("traffic: {traffic:?}, {} waiting", self.open.len());
+            log::debug!("traffic: {traffic:?}, {} requests open", self.open_requests.len());
         }
-        self.pass_notes(now);
-        self.greet(now);
-        self.learn_account(mono);
-        self.learn_versions(mono);
-        self.turn_graphs(now);
+        self.send_leader_hints(now);
+        self.send_gossip(now);
+        self.read_usage_state(mono);
+        self.check_versions(mono);
+        self.advance_graphs(now);
         self.resolve_dependencies(mono);
         self.write(now);
         self.answer_parked(mono);
         self.send_commands(mono);
         self.watch(mono);
-        for op in self.desk.tick(mono, valid, self.catalog().is_some()) {
+        for op in self.cloud_client.tick(mono, valid, self.catalog().is_some()) {
             self.next_id += 1;
             let token = self.leadership.token().unwrap_or_default();
             self.cloud_ops.insert(self.next_id, (op.clone(), token));
-            self.out.push(Action::Cloud { id: self.next_id, op });
+            self.actions.push(Action::Cloud { id: self.next_id, op });
         }
-        let mut sends = Vec::new();
-        self.store.pump(mono, &mut sends);
-        self.send(sends);
+        let mut operations = Vec::new();
+        self.store.pump(mono, &mut operations);
+        self.send(operations);
     }
 
     fn catalog(&self) -> Option<&oatloom_protocol::wire::Catalog> {
-        match &self.reign {
-            Some(reign) => reign.fleet.catalog.as_ref(),
+        match &self.leader_term {
+            Some(leader_term) => leader_term.fleet.catalog.as_ref(),
             None => self.fleet.catalog.as_ref(),
         }
     }
 
-    fn send(&mut self, sends: Vec<(OpId, Lane, StoreOp)>) {
-        for (id, lane, op) in sends {
-            self.out.push(Action::Store { id, lane, op });
+    fn send(&mut self, operations: Vec<(OpId, Lane, StoreOp)>) {
+        for (id, lane, op) in operations {
+            self.actions.push(Action::Store { id, lane, op });
         }
     }
 
@@ -529,15 +530,15 @@
         op: StoreOp,
         purpose: Purpose,
     ) -> Result<(), Purpose> {
-        let mut sends = Vec::new();
-        let result = self.store.submit(now, lane, op, purpose, &mut sends);
-        self.send(sends);
+        let mut operations = Vec::new();
+        let result = self.store.submit(now, lane, op, purpose, &mut operations);
+        self.send(operations);
         result.map(|_| ()).map_err(|(_, purpose)| purpose)
     }
 
     fn reply(&mut self, conn: ConnId, reply: HttpReply) {
-        if self.open.remove(conn) {
-            self.out.push(Action::Reply { conn, reply });
+        if self.open_requests.remove(conn) {
+            self.actions.push(Action::Reply { conn, reply });
         }
     }
 
@@ -547,12 +548,12 @@
             self.on_store(now, id, StoreReply::Unsent);
         }
         // All requests to peers have the same timeout, so the oldest ones expire first.
-        let late = self.asks.iter().take_while(|(_, (_, _, until))| now.mono >= *until);
-        let late: Vec<u64> = late.map(|(id, _)| *id).collect();
-        for id in late {
-            self.on_told(now, id, None);
+        let expired = self.peer_requests.iter().take_while(|(_, (_, _, until))| now.mono >= *until);
+        let expired: Vec<u64> = expired.map(|(id, _)| *id).collect();
+        for id in expired {
+            self.on_peer_reply(now, id, None);
         }
-        for conn in self.open.expired(now.mono) {
+        for conn in self.open_requests.expired(now.mono) {
             self.reply(conn, HttpReply::later("took too long"));
         }
     }
@@ -563,47 +564,51 @@
             return;
         };
         if reply == StoreReply::Throttled {
-            self.throttled();
+            self.on_throttled();
         }
         match purpose {
-            Purpose::Lead { ask, sent } => {
+            Purpose::Leadership { request, sent } => {
                 let random = self.rng.random::<u64>() >> 12;
-                let asks = self.leadership.answered(now.mono, &ask, sent, &reply, random);
-                if matches!((&ask, &reply), (Ask::Read, StoreReply::Found(_))) {
-                    self.saw_seat(now);
+                let requests = self.leadership.answered(now.mono, &request, sent, &reply, random);
+                if matches!((&request, &reply), (Ask::Read, StoreReply::Found(_))) {
+                    self.saw_leader_key(now);
                 }
-                self.follow_turns(now);
-                self.lead_asks(now.mono, asks);
+                self.follow_leadership(now);
+                self.send_leadership_requests(now.mono, requests);
+            }
+            Purpose::LoadPage { token, after, first_revision } => {
+                self.on_load(now, token, after, first_revision, reply)
             }
-            Purpose::Load { token, after, first } => self.on_load(now, token, after, first, reply),
             Purpose::Watch { token, after } => self.on_watch(now, token, after, reply),
             Purpose::Write { token, written } => {
-                self.parked_changed = true;
+                self.parked_may_be_due = true;
                 self.on_written(now.mono, token, written, reply);
             }
             Purpose::Resolve { token, item } => self.on_resolved(now.mono, token, item, reply),
-            Purpose::Accept { conn, record, forwarded, term } => {
-                self.on_accepted(now, conn, *record, (forwarded, term), reply);
+            Purpose::Accept { conn, record, forwarded, sent_under } => {
+                self.on_accepted(now, conn, *record, (forwarded, sent_under), reply);
+            }
+            Purpose::CheckDependency { check, record } => {
+                self.on_dependency_check(now, *check, record, reply);
             }
-            Purpose::NamedDependency { check, record } => {
-                self.on_named_dependency(now, *check, record, reply);
+            Purpose::ResolveDependency { token, id } => {
+                self.on_dependency(now.mono, token, id, reply)
             }
-            Purpose::Dependency { token, id } => self.on_dependency(now.mono, token, id, reply),
-            Purpose::Graphs { token, read } => self.on_graphs(now, token, read, reply),
+            Purpose::Graphs { token, read } => self.on_graph_rows(now, token, read, reply),
             Purpose::WriteGraphs { token, written } => {
                 self.on_graphs_written(now, token, written, reply);
             }
             Purpose::ResolveGraphs { token } => self.on_graphs_resolved(now, token, reply),
-            Purpose::GraphOver { conn, ask, step } => {
-                self.on_graph_over(now.mono, conn, ask, step, reply);
+            Purpose::FinishedGraph { conn, request, step } => {
+                self.on_finished_graph(now.mono, conn, request, step, reply);
             }
-            Purpose::Versions { step } => self.on_versions(now.mono, step, reply),
-            Purpose::Account { token, step } => self.on_account(token, step, reply),
+            Purpose::Versions { operation } => self.on_versions(now.mono, operation, reply),
+            Purpose::UsageState { token, step } => self.on_usage_state(token, step, reply),
             Purpose::Usage { conn, query, cursor } => {
-                self.on_usage(now.mono, conn, query, cursor, reply);
+                self.on_usage_page(now.mono, conn, query, cursor, reply);
             }
-            Purpose::Lookup { conn, id, why, over, term } => {
-                self.on_lookup(now, conn, id, why, (over, term), reply);
+            Purpose::Lookup { conn, id, reason, final_record, sent_under } => {
+                self.on_lookup(now, conn, id, reason, (final_record, sent_under), reply);
             }
         }
     }
@@ -612,30 +617,33 @@
         let Some((op, token)) = self.cloud_ops.remove(&id) else {
             return;
         };
-        let mine = self.leadership.token() == Some(token);
-        let news = if mine || matches!(op, CloudOp::Catalog) || self.leadership.token().is_none() {
-            self.desk.answered(now, &op, reply)
+        let current_term = self.leadership.token() == Some(token);
+        let update = if current_term
+            || matches!(op, CloudOp::Catalog)
+            || self.leadership.token().is_none()
+        {
+            self.cloud_client.answered(now, &op, reply)
         } else {
             News::Nothing
         };
-        if let News::Catalog(catalog) = news {
-            let fleet = match self.reign.as_mut() {
-                Some(reign) => &mut reign.fleet,
+        if let News::Catalog(catalog) = update {
+            let fleet = match self.leader_term.as_mut() {
+                Some(leader_term) => &mut leader_term.fleet,
                 None => &mut self.fleet,
             };
             fleet.catalog = Some(catalog);
             return;
         }
-        let Some(reign) = self.reign.as_mut().filter(|_| mine) else {
+        let Some(leader_term) = self.leader_term.as_mut().filter(|_| current_term) else {
             return;
         };
-        match news {
+        match update {
             News::Listing(rows, _) => {
-                let lag = self.settings.facts.cloud.list_lag_s;
-                reign.listing(&rows, lag, &mut self.desk, now);
+                let list_lag = self.settings.facts.cloud.list_lag_s;
+                leader_term.listing(&rows, list_lag, &mut self.cloud_client, now);
             }
-            News::Hired(hire, hosts) => reign.hired(&Kind::from(&hire), &hosts, now),
-            News::Released(hosts) => reign.released(&hosts, now),
+            News::Hired(hire, hosts) => leader_term.hired(&Kind::from(&hire), &hosts, now),
+            News::Released(hosts) => leader_term.released(&hosts, now),
             News::Catalog(_) | News::Nothing => {}
         }
     }
--- a/crates/core/src/controller/reports.rs
+++ b/crates/core/src/controller/reports.rs
@@ -16,10 +16,10 @@
         forwarded: bool,
     ) -> Option<HttpReply> {
         let token = self.leadership.valid(now);
-        if let (Some(token), Some(reign)) = (token, self.reign.as_mut()) {
+        if let (Some(token), Some(leader_term)) = (token, self.leader_term.as_mut()) {
             if report.token > token {
                 self.leadership.outranked(report.token);
-            } else if reign.stage != Stage::Ruling {
+            } else if leader_term.stage != Stage::Ruling {
                 // The reply to a report extends the lease of its machine's tasks, so it must be
                 // known first which of them were cancelled. The report is parked unprocessed until
                 // the job table is loaded; a relayed one is refused, since its relay does not wait
@@ -31,21 +31,21 @@
                 if self.parked.has_newer(report) {
                     return Some(HttpReply::error(409, OUTDATED));
                 }
-                self.wait(report, conn, now, Some(Box::new(report.clone())));
+                self.park_report(report, conn, now, Some(Box::new(report.clone())));
                 return None;
-            } else if let Some(answer) = reign.on_report(report, now) {
-                let waits = answer.orders.is_empty()
+            } else if let Some(answer) = leader_term.on_report(report, now) {
+                let may_park = answer.orders.is_empty()
                     && report.token == token
                     && !forwarded
-                    && reign.may_wait(&self.settings, &report.host, now);
-                if !waits {
-                    reign.answered(&report.host, now);
+                    && leader_term.may_wait(&self.settings, &report.host, now);
+                if !may_park {
+                    leader_term.answered(&report.host, now);
                 }
-                if waits {
-                    self.wait(report, conn, now, None);
+                if may_park {
+                    self.park_report(report, conn, now, None);
                     return None;
                 }
-                self.leave(&report.host);
+                self.drop_parked(&report.host);
                 return Some(HttpReply::json(200, &answer));
             }
             // Not 503, which would tell a relaying controller that this one cannot lead.
@@ -55,16 +55,16 @@
         let Some(leader) = leader else {
             return Some(HttpReply::error(503, "no leader is known"));
         };
-        let obeyed = self.leadership.leader_token() == Some(report.token);
-        match self.relays.way(&report.host, obeyed, now) {
+        let acknowledged = self.leadership.leader_token() == Some(report.token);
+        match self.relays.way(&report.host, acknowledged, now) {
             Way::PassOn => {
-                self.traffic.passed_on += 1;
-                self.ask(now, conn, leader, Question::Report(Box::new(report.clone())));
+                self.traffic.relayed += 1;
+                self.ask_peer(now, conn, leader, Question::Report(Box::new(report.clone())));
                 None
             }
             Way::SendOn => Some(HttpReply::json(421, &Redirect { leader: Some(leader) })),
             Way::Elsewhere => {
-                let leader = self.way_round(&leader, now);
+                let leader = self.route_around(&leader, now);
                 Some(HttpReply::json(421, &Redirect { leader }))
             }
             Way::Wait => Some(HttpReply::error(503, "the leader takes no reports at present")),
@@ -72,22 +72,29 @@
     }
 
     /// Parks a report until there are orders for its worker.
-    fn wait(&mut self, report: &Report, conn: ConnId, now: Mono, unread: Option<Box<Report>>) {
-        self.leave(&report.host);
+    fn park_report(
+        &mut self,
+        report: &Report,
+        conn: ConnId,
+        now: Mono,
+        unprocessed: Option<Box<Report>>,
+    ) {
+        self.drop_parked(&report.host);
         self.traffic.parked += 1;
-        let (shift, tally) = (report.shift, report.tally);
+        let (session, sequence) = (report.shift, report.tally);
         // The worker has already waited for the time that the request was queued.
-        let until = now.plus(Millis(PARK_MS.0.saturating_sub(self.lag.0)));
-        self.parked.park(report.host.clone(), conn, shift, tally, until, unread);
-        if self.reign.as_ref().is_some_and(|reign| reign.has_unsent(&report.host)) {
+        let until = now.plus(Millis(PARK_MS.0.saturating_sub(self.queue_delay.0)));
+        self.parked.park(report.host.clone(), conn, session, sequence, until, unprocessed);
+        if self.leader_term.as_ref().is_some_and(|leader_term| leader_term.has_unsent(&report.host))
+        {
             self.parked.watch(&report.host);
         }
-        self.open.insert(conn, now.plus(REPORT_DROP_MS));
+        self.open_requests.insert(conn, now.plus(REPORT_DROP_MS));
     }
 
     /// Drops the parked report of a worker. A worker has one report in flight, so it has given up
     /// on an older one.
-    fn leave(&mut self, host: &HostId) {
+    fn drop_parked(&mut self, host: &HostId) {
         if let Some(old) = self.parked.take(host) {
             self.reply(old.conn, HttpReply::error(409, "a newer report has come"));
         }
@@ -96,41 +103,44 @@
     /// Replies to parked reports that have orders by now or have timed out.
     pub(super) fn answer_parked(&mut self, now: Mono) {
         let valid = self.leadership.valid(now).is_some();
-        let Some(reign) = self.reign.as_mut().filter(|_| valid) else {
+        let Some(leader_term) = self.leader_term.as_mut().filter(|_| valid) else {
             for (_, parked) in self.parked.take_all() {
                 self.reply(parked.conn, HttpReply::error(503, "no leader any more"));
             }
             return;
         };
-        let ruling = reign.stage == Stage::Ruling;
-        for host in reign.take_changed_machines() {
-            self.parked_changed = true;
+        let active = leader_term.stage == Stage::Ruling;
+        for host in leader_term.take_changed_machines() {
+            self.parked_may_be_due = true;
             self.parked.watch(&host);
         }
-        let changed = std::mem::take(&mut self.parked_changed) || now >= self.next_parked_look;
-        let look = if ruling && changed { Look::Watched } else { Look::Deadlines };
-        if look == Look::Watched {
-            self.next_parked_look = now.plus(PARKED_LOOK_MS);
+        let changed = std::mem::take(&mut self.parked_may_be_due) || now >= self.next_parked_check;
+        let check = if active && changed { Look::Watched } else { Look::Deadlines };
+        if check == Look::Watched {
+            self.next_parked_check = now.plus(PARKED_LOOK_MS);
         }
-        let ready =
-            |host: &HostId, p: &Parked| ruling && (p.unread.is_some() || reign.has_orders(host));
-        let due = self.parked.due(now, look, ready);
+        let ready = |host: &HostId, p: &Parked| {
+            active && (p.unread.is_some() || leader_term.has_orders(host))
+        };
+        let due = self.parked.due(now, check, ready);
         // Reports beyond this batch must not wait for the next periodic check.
-        self.parked_changed = due.len() >= PARKED_AT_ONCE;
+        self.parked_may_be_due = due.len() >= PARKED_AT_ONCE;
         for host in due {
-            let (Some(reign), Some(parked)) = (self.reign.as_mut(), self.parked.take(&host)) else {
+            let (Some(leader_term), Some(parked)) =
+                (self.leader_term.as_mut(), self.parked.take(&host))
+            else {
                 continue;
             };
             let answer = match &parked.unread {
-                None => reign.answer_late(&host, parked.shift, parked.tally, now),
-                Some(_) if !ruling => {
+                None => leader_term.answer_late(&host, parked.shift, parked.tally, now),
+                Some(_) if !active => {
                     self.reply(parked.conn, HttpReply::error(503, "the book is being read"));
                     continue;
                 }
                 Some(report) => {
-                    let answer = reign.on_report(report, now);
+                    let answer = leader_term.on_report(report, now);
                     if answer.is_some() {
-                        reign.answered(&host, now);
+                        leader_term.answered(&host, now);
                     }
                     answer
                 }
@@ -149,30 +159,37 @@
         if self.leadership.valid(now).is_none() {
             return;
         }
-        let Some(reign) = self.reign.as_mut() else { return };
-        while self.commands < COMMANDS_MOST
-            && let Some((host, addr, command)) = reign.next_command()
+        let Some(leader_term) = self.leader_term.as_mut() else { return };
+        while self.commands_in_flight < COMMANDS_MOST
+            && let Some((host, addr, command)) = leader_term.next_command()
         {
-            log::debug!("machine {host}: told directly, {} orders", command.orders.len());
-            self.commands += 1;
-            self.out.push(Action::Command { addr, command });
+            log::debug!(
+                "machine {host}: sent a direct command with {} orders",
+                command.orders.len()
+            );
+            self.commands_in_flight += 1;
+            self.actions.push(Action::Command { addr, command });
         }
         // Fewer in flight here: machines that do not report are mostly unreachable too, and urgent
         // commands must not wait for their timeouts.
-        while self.commands < OVERDUE_COMMANDS_MOST
-            && let Some((host, addr, command)) = reign.next_overdue(now)
+        while self.commands_in_flight < OVERDUE_COMMANDS_MOST
+            && let Some((host, addr, command)) = leader_term.next_overdue(now)
         {
-            log::debug!("machine {host}: does not report, told directly to stop what is over");
-            self.commands += 1;
-            self.out.push(Action::Command { addr, command });
+            log::debug!(
+                "machine {host}: does not report; sent a direct command to stop finished tasks"
+            );
+            self.commands_in_flight += 1;
+            self.actions.push(Action::Command { addr, command });
         }
     }
 
-    pub(super) fn on_obeyed(&mut self, now: Mono, report: Option<Box<Report>>) {
-        self.commands = self.commands.saturating_sub(1);
+    pub(super) fn on_command_reply(&mut self, now: Mono, report: Option<Box<Report>>) {
+        self.commands_in_flight = self.commands_in_flight.saturating_sub(1);
         let valid = self.leadership.valid(now).is_some();
-        if let (Some(report), Some(reign)) = (report, self.reign.as_mut().filter(|_| valid)) {
-            reign.on_obeyed(&report, now);
+        if let (Some(report), Some(leader_term)) =
+            (report, self.leader_term.as_mut().filter(|_| valid))
+        {
+            leader_term.on_obeyed(&report, now);
         }
     }
 }
--- a/crates/core/src/controller/usage.rs
+++ b/crates/core/src/controller/usage.rs
@@ -7,7 +7,7 @@
 
 /// What is read next.
 #[derive(Clone, Debug)]
-pub(super) enum Step {
+pub(super) enum ReadStep {
     Cursor,
     /// Final states after a revision.
     Changes(Revision),
@@ -16,102 +16,109 @@
     Scan(Revision, String),
 }
 
-fn over_row(
+fn parse_final_row(
     key: &str,
     value: serde_json::Value,
     stamp: Revision,
 ) -> Option<(JobId, OverRecord, Revision)> {
     let id = JobId::parse(key.strip_prefix(jobs::OVER)?)?;
     let read = serde_json::from_value(value);
-    let record = read.map_err(|e| log::error!("store: {key} cannot be read: {e}")).ok()?;
+    let record =
+        read.map_err(|e| log::error!("state service: {key} cannot be decoded: {e}")).ok()?;
     Some((id, record, stamp))
 }
 
 impl Controller {
     /// Reads what is missing, one step at a time.
-    pub(super) fn learn_account(&mut self, now: Mono) {
-        if self.account_out || now < self.account_after || !self.was_valid {
+    pub(super) fn read_usage_state(&mut self, now: Mono) {
+        if self.usage_read_in_flight || now < self.next_usage_read || !self.was_valid {
             return;
         }
-        let Some(reign) = self.reign.as_ref().filter(|r| r.stage == Stage::Ruling) else { return };
-        let Some(account) = &reign.book.account else { return };
-        let step = match account.rollups.knowledge() {
-            Knowledge::None => Step::Cursor,
+        let Some(leader_term) = self.leader_term.as_ref().filter(|r| r.stage == Stage::Ruling)
+        else {
+            return;
+        };
+        let Some(usage) = &leader_term.book.account else { return };
+        let step = match usage.rollups.knowledge() {
+            Knowledge::None => ReadStep::Cursor,
             // One page at a time, so that requests of users and workers are not delayed.
-            Knowledge::After(from) => match self.account_scan.take() {
-                Some((after, at)) if after == from => Step::Scan(after, at),
-                _ => Step::Changes(from),
+            Knowledge::After(from) => match self.final_state_scan.take() {
+                Some((after, at)) if after == from => ReadStep::Scan(after, at),
+                _ => ReadStep::Changes(from),
             },
             Knowledge::All => return,
         };
-        self.ask_account(now, step);
+        self.submit_usage_read(now, step);
     }
 
-    fn ask_account(&mut self, now: Mono, step: Step) {
+    fn submit_usage_read(&mut self, now: Mono, step: ReadStep) {
         let Some(token) = self.leadership.token() else { return };
         let prefix = jobs::OVER.to_owned();
         let op = match &step {
-            Step::Cursor => StoreOp::Get { key: CURSOR.to_owned() },
-            Step::Changes(after) => StoreOp::Changes { prefix, after: *after },
-            Step::Scan(_, after) => StoreOp::List { prefix, after: after.clone() },
+            ReadStep::Cursor => StoreOp::Get { key: CURSOR.to_owned() },
+            ReadStep::Changes(after) => StoreOp::Changes { prefix, after: *after },
+            ReadStep::Scan(_, after) => StoreOp::List { prefix, after: after.clone() },
         };
-        self.account_out =
-            self.submit(now, Lane::Open, op, Purpose::Account { token, step }).is_ok();
-        self.account_after = now.plus(ACCOUNT_PAUSE_MS);
+        self.usage_read_in_flight =
+            self.submit(now, Lane::Open, op, Purpose::UsageState { token, step }).is_ok();
+        self.next_usage_read = now.plus(ACCOUNT_PAUSE_MS);
     }
 
-    pub(super) fn on_account(&mut self, token: Token, step: Step, reply: StoreReply) {
-        self.account_out = false;
-        let Some(reign) = self.reign.as_mut().filter(|r| r.token == token) else { return };
-        let begin = reign.begin;
-        let Some(account) = reign.book.account.as_mut() else { return };
+    pub(super) fn on_usage_state(&mut self, token: Token, step: ReadStep, reply: StoreReply) {
+        self.usage_read_in_flight = false;
+        let Some(leader_term) = self.leader_term.as_mut().filter(|r| r.token == token) else {
+            return;
+        };
+        let begin = leader_term.begin;
+        let Some(usage) = leader_term.book.account.as_mut() else { return };
         match (step, reply) {
             // A response to a read of an earlier load, which has been restarted since.
-            (Step::Changes(_) | Step::Scan(..), _)
-                if !matches!(account.rollups.knowledge(), Knowledge::After(_)) => {}
-            (Step::Cursor, StoreReply::Missing(_)) => {
-                account.set_cursor(None, begin);
-                account.rollups.enter(Knowledge::All);
+            (ReadStep::Changes(_) | ReadStep::Scan(..), _)
+                if !matches!(usage.rollups.knowledge(), Knowledge::After(_)) => {}
+            (ReadStep::Cursor, StoreReply::Missing(_)) => {
+                usage.set_cursor(None, begin);
+                usage.rollups.enter(Knowledge::All);
             }
-            (Step::Cursor, StoreReply::Found(row)) => match serde_json::from_value(row.value) {
+            (ReadStep::Cursor, StoreReply::Found(row)) => match serde_json::from_value(row.value) {
                 Ok(cursor) => {
-                    account.set_cursor(Some((cursor, row.version)), begin);
-                    account.rollups.enter(Knowledge::After(cursor.through));
+                    usage.set_cursor(Some((cursor, row.version)), begin);
+                    usage.rollups.enter(Knowledge::After(cursor.through));
                 }
                 Err(e) => {
                     // Nothing may be counted twice, so counting restarts here.
                     log::error!(
-                        "ledger: the cursor is damaged, what was not counted is left out: {e}"
+                        "ledger: the cursor cannot be decoded; final states not counted yet are skipped: {e}"
                     );
-                    let anew = Cursor { through: begin, closed_before: 0 };
-                    account.set_cursor(Some((anew, row.version)), begin);
-                    account.rollups.enter(Knowledge::After(begin));
+                    let restarted = Cursor { through: begin, closed_before: 0 };
+                    usage.set_cursor(Some((restarted, row.version)), begin);
+                    usage.rollups.enter(Knowledge::After(begin));
                 }
             },
-            (Step::Changes(_), StoreReply::Changes(Changes { log, .. })) => {
-                let read = log.into_iter().filter_map(|c| over_row(&c.put?, c.value, c.version));
-                reign.book.catch_up(read, true);
+            (ReadStep::Changes(_), StoreReply::Changes(Changes { log, .. })) => {
+                let read =
+                    log.into_iter().filter_map(|c| parse_final_row(&c.put?, c.value, c.version));
+                leader_term.book.catch_up(read, true);
             }
-            (Step::Changes(after), StoreReply::TooOld) => {
-                log::warn!("ledger: reading all final states");
-                self.account_scan = Some((after, String::new()));
+            (ReadStep::Changes(after), StoreReply::TooOld) => {
+                log::warn!("ledger: the changes are no longer retained; reading all final states");
+                self.final_state_scan = Some((after, String::new()));
             }
-            (Step::Scan(after, _), StoreReply::Page(page)) => {
+            (ReadStep::Scan(after, _), StoreReply::Page(page)) => {
                 let last = page.rows.last().map(|row| row.key.clone());
                 let read = page.rows.into_iter().filter(|row| row.version > after);
-                let read = read.filter_map(|row| over_row(&row.key, row.value, row.version));
+                let read = read.filter_map(|row| parse_final_row(&row.key, row.value, row.version));
                 let next = last.filter(|_| page.more);
-                reign.book.catch_up(read, next.is_none());
-                self.account_scan = next.map(|next| (after, next));
+                leader_term.book.catch_up(read, next.is_none());
+                self.final_state_scan = next.map(|next| (after, next));
             }
             // Retried after the pause; a scan continues where it was.
-            (Step::Scan(after, at), _) => self.account_scan = Some((after, at)),
+            (ReadStep::Scan(after, at), _) => self.final_state_scan = Some((after, at)),
             _ => {}
         }
     }
 
-    pub(super) fn on_usage_asked(&mut self, now: Mono, conn: ConnId, query: Box<Query>) {
-        if self.terms.accounted.is_none() {
+    pub(super) fn on_usage_request(&mut self, now: Mono, conn: ConnId, query: Box<Query>) {
+        if self.leader_config.accounted.is_none() {
             return self.reply(conn, HttpReply::error(404, "no account of usage is kept here"));
         }
         let op = StoreOp::Get { key: CURSOR.to_owned() };
@@ -121,7 +128,7 @@
         }
     }
 
-    pub(super) fn on_usage(
+    pub(super) fn on_usage_page(
         &mut self,
         now: Mono,
         conn: ConnId,
--- a/crates/core/src/controller/versions.rs
+++ b/crates/core/src/controller/versions.rs
@@ -23,7 +23,7 @@
 
 /// Which operation of the version check is in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Step {
+pub(super) enum Operation {
     /// Reads the keys of all members.
     Read,
     /// Writes this controller's own key.
@@ -45,10 +45,10 @@
 pub(super) struct Versions {
     progress: Progress,
     /// Whether this controller emulates the previous version, which writes no version key.
-    previous: bool,
+    emulates_previous: bool,
     /// Whether an operation is in flight.
-    awaited: bool,
-    next: Mono,
+    in_flight: bool,
+    next_check: Mono,
 }
 
 impl Versions {
@@ -80,7 +80,7 @@
     pub fn new_previous_version(mut settings: Settings, operators: Operators, seed: u64) -> Self {
         settings.facts.state.next = None;
         let mut controller = Self::new(settings, operators, seed);
-        controller.versions.previous = true;
+        controller.versions.emulates_previous = true;
         controller
     }
 
@@ -91,34 +91,38 @@
     }
 
     /// Runs after every event: reads the members' versions until all are known to have this one.
-    pub(super) fn learn_versions(&mut self, now: Mono) {
-        if self.versions.next == Mono(0) {
+    pub(super) fn check_versions(&mut self, now: Mono) {
+        if self.versions.next_check == Mono(0) {
             // A starting process reads the leader key first.
-            self.versions.next = now.plus(VERSIONS_EVERY_MS);
+            self.versions.next_check = now.plus(VERSIONS_EVERY_MS);
         }
         let versions = &self.versions;
-        if versions.previous || self.all_upgraded() || versions.awaited || now < versions.next {
+        if versions.emulates_previous
+            || self.all_upgraded()
+            || versions.in_flight
+            || now < versions.next_check
+        {
             return;
         }
         let op = StoreOp::List { prefix: VERSIONS.to_owned(), after: String::new() };
-        self.ask_versions(now, op, Step::Read);
+        self.submit_version_operation(now, op, Operation::Read);
     }
 
-    fn ask_versions(&mut self, now: Mono, op: StoreOp, step: Step) {
-        self.versions.next = now.plus(VERSIONS_EVERY_MS);
-        let asked = self.submit(now, Lane::Open, op, Purpose::Versions { step });
-        self.versions.awaited = asked.is_ok();
+    fn submit_version_operation(&mut self, now: Mono, op: StoreOp, operation: Operation) {
+        self.versions.next_check = now.plus(VERSIONS_EVERY_MS);
+        let submitted = self.submit(now, Lane::Open, op, Purpose::Versions { operation });
+        self.versions.in_flight = submitted.is_ok();
     }
 
     /// Processes a response. An operation that was refused or got no response is retried after the
     /// pause.
-    pub(super) fn on_versions(&mut self, now: Mono, step: Step, reply: StoreReply) {
-        self.versions.awaited = false;
-        match (step, reply) {
-            (Step::Read, StoreReply::Page(page)) => self.on_version_rows(now, &page.rows),
-            (Step::Announce, StoreReply::Committed(_)) => self.versions.next = now,
-            (step, StoreReply::Malformed(text)) => {
-                log::error!("versions: {step:?} was refused: {text}");
+    pub(super) fn on_versions(&mut self, now: Mono, operation: Operation, reply: StoreReply) {
+        self.versions.in_flight = false;
+        match (operation, reply) {
+            (Operation::Read, StoreReply::Page(page)) => self.on_version_rows(now, &page.rows),
+            (Operation::Announce, StoreReply::Committed(_)) => self.versions.next_check = now,
+            (operation, StoreReply::Malformed(text)) => {
+                log::error!("versions: {operation:?} was refused: {text}");
             }
             _ => {}
         }
@@ -126,11 +130,11 @@
 
     fn on_version_rows(&mut self, now: Mono, rows: &[Row]) {
         let me = self.settings.member.clone();
-        let has = |member: &Member| upgraded_members(rows).any(|name| name == member.as_str());
-        if !has(&me) {
+        let has_key = |member: &Member| upgraded_members(rows).any(|name| name == member.as_str());
+        if !has_key(&me) {
             return self.announce_version(now, rows);
         }
-        if self.settings.peers.iter().all(|peer| has(&peer.member)) {
+        if self.settings.peers.iter().all(|peer| has_key(&peer.member)) {
             self.versions.enter(Progress::Upgraded);
         }
     }
@@ -145,6 +149,6 @@
             conditions: vec![Condition { key: key.clone(), version }],
             changes: vec![Change::put(key, value)],
         };
-        self.ask_versions(now, StoreOp::Txn(txn), Step::Announce);
+        self.submit_version_operation(now, StoreOp::Txn(txn), Operation::Announce);
     }
 }
--- a/crates/core/src/controller/writing.rs
+++ b/crates/core/src/controller/writing.rs
@@ -4,31 +4,32 @@
 
 impl Controller {
     pub(super) fn write(&mut self, now: Now) {
-        if self.writer != Writer::Idle || now.mono < self.write_after {
+        if self.writer != Writer::Idle || now.mono < self.next_write {
             return;
         }
         // The job table and the graphs alternate.
-        let first = std::mem::replace(&mut self.graphs_turn, false);
-        if first && self.write_graphs(now) {
+        let graphs_first = std::mem::replace(&mut self.graphs_write_next, false);
+        if graphs_first && self.write_graphs(now) {
             return;
         }
-        if self.write_book(now.mono) {
-            self.graphs_turn = true;
-        } else if !first {
+        if self.write_job_table(now.mono) {
+            self.graphs_write_next = true;
+        } else if !graphs_first {
             self.write_graphs(now);
         }
     }
 
     /// Submits the next transaction of the job table; returns whether there was one.
-    fn write_book(&mut self, now: Mono) -> bool {
+    fn write_job_table(&mut self, now: Mono) -> bool {
         let (Some(token), Some(fence)) = (self.leadership.token(), self.leadership.fence()) else {
             return false;
         };
-        let Some(reign) = self.reign.as_mut().filter(|r| r.stage == Stage::Ruling) else {
+        let Some(leader_term) = self.leader_term.as_mut().filter(|r| r.stage == Stage::Ruling)
+        else {
             return false;
         };
         let ops = self.limits.changes();
-        let Some((txn, written)) = reign.book.next_txn(fence, ops, now) else {
+        let Some((txn, written)) = leader_term.book.next_txn(fence, ops, now) else {
             return false;
         };
         self.writer = Writer::Writing;
@@ -44,21 +45,24 @@
         written: Vec<Written>,
         reply: StoreReply,
     ) {
-        let Some(reign) = self.reign.as_mut().filter(|r| r.token == token) else {
+        let Some(leader_term) = self.leader_term.as_mut().filter(|r| r.token == token) else {
             return;
         };
         self.writer = Writer::Idle;
         match reply {
             StoreReply::Committed(revision) => {
-                let over = reign.book.committed(&written, revision);
-                self.ended(over);
+                let ended = leader_term.book.committed(&written, revision);
+                self.publish_ends(ended);
             }
             StoreReply::Conflict(failed) if failed.iter().any(|k| k == LEAD_KEY) => {
-                reign.book.requeue(written);
+                leader_term.book.requeue(written);
                 self.leadership.fenced_off();
             }
             reply @ (StoreReply::Conflict(_) | StoreReply::Lost) => {
-                log::warn!("store: a write's fate is open; reading {} keys", written.len());
+                log::warn!(
+                    "state service: the outcome of a write is unknown; reading back {} keys",
+                    written.len()
+                );
                 let mut items: Vec<Item> = written.iter().map(|w| w.item().clone()).collect();
                 // A live key that conflicts may belong to a job that has ended and that this job
                 // table does not know. Unless its record is read, the transaction could never be
@@ -69,31 +73,31 @@
                     items.sort();
                     items.dedup();
                 }
-                reign.book.requeue(written);
+                leader_term.book.requeue(written);
                 self.resolve(now, token, items);
-                self.turn_waiters_away();
+                self.reject_end_waiters();
             }
             StoreReply::Malformed(text) => {
-                let other = self.write_refused(&text);
-                let Some(reign) = self.reign.as_mut() else { return };
-                if other {
-                    reign.book.requeue(written);
+                let stricter = self.on_write_refused(&text);
+                let Some(leader_term) = self.leader_term.as_mut() else { return };
+                if stricter {
+                    leader_term.book.requeue(written);
                 } else {
-                    reign.book.refused(written, now);
+                    leader_term.book.refused(written, now);
                 }
-                self.turn_waiters_away();
+                self.reject_end_waiters();
             }
             _ => {
-                reign.book.requeue(written);
-                self.write_after = now.plus(STORE_PAUSE_MS);
-                self.turn_waiters_away();
+                leader_term.book.requeue(written);
+                self.next_write = now.plus(STORE_PAUSE_MS);
+                self.reject_end_waiters();
             }
         }
     }
 
     /// Replies to requests that wait for a job's end to become durable, when the write is delayed.
-    pub(super) fn turn_waiters_away(&mut self) {
-        let waiting = std::mem::take(&mut self.waiting_end);
+    pub(super) fn reject_end_waiters(&mut self) {
+        let waiting = std::mem::take(&mut self.end_waiters);
         let waiting: Vec<ConnId> = waiting.into_values().flatten().collect();
         for conn in waiting {
             self.reply(conn, HttpReply::later("the end could not be written yet"));
@@ -111,7 +115,7 @@
     }
 
     pub(super) fn on_resolved(&mut self, now: Mono, token: Token, item: Item, reply: StoreReply) {
-        let Some(reign) = self.reign.as_mut().filter(|r| r.token == token) else {
+        let Some(leader_term) = self.leader_term.as_mut().filter(|r| r.token == token) else {
             return;
         };
         let Writer::Resolving(mut items) = std::mem::replace(&mut self.writer, Writer::Idle) else {
@@ -123,19 +127,19 @@
             _ => None,
         };
         if let Some(found) = found {
-            let over = reign.book.resolved(&item, found);
+            let ended = leader_term.book.resolved(&item, found);
             items.pop();
-            self.ended(over);
+            self.publish_ends(ended);
         }
         self.resolve(now, token, items);
     }
 
     /// Publishes ends of jobs that have become durable.
-    pub(super) fn ended(&mut self, over: impl IntoIterator<Item = (JobId, OverRecord)>) {
-        for (id, record) in over {
-            self.over.insert(id.clone(), record.clone());
-            self.graph_job_over(&id, &record);
-            for conn in self.waiting_end.remove(&id).unwrap_or_default() {
+    pub(super) fn publish_ends(&mut self, ended: impl IntoIterator<Item = (JobId, OverRecord)>) {
+        for (id, record) in ended {
+            self.finished_jobs.insert(id.clone(), record.clone());
+            self.graph_job_finished(&id, &record);
+            for conn in self.end_waiters.remove(&id).unwrap_or_default() {
                 self.reply(conn, HttpReply::json(200, &record.view(&id)));
             }
         }
