--- a/crates/core/src/api.rs
+++ b/crates/core/src/api.rs
@@ -25,14 +25,19 @@
     },
 }
 
+/// A parsed request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Request {
     Submit(Submission),
+    /// Reads the state of a job.
     View(JobId),
+    /// Cancels a job.
     Abort(JobId),
     /// A page of usage.
     Usage(Box<Query>),
+    /// A health probe.
     Up,
+    /// A worker's report.
     Report(Box<Report>),
     /// A request from a client of graphs.
     Graph(Box<Ask>),
@@ -42,65 +47,65 @@
     Greet(Box<Gossip>),
 }
 
-fn submission(body: &[u8]) -> Submission {
-    let bad = |id: Option<JobId>, text: String| Submission::Bad { id, text };
+fn parse_submission(body: &[u8]) -> Submission {
+    let invalid = |id: Option<JobId>, text: String| Submission::Bad { id, text };
     let value: Value = match serde_json::from_slice(body) {
         Ok(value) => value,
-        Err(e) => return bad(None, format!("not JSON: {e}")),
+        Err(e) => return invalid(None, format!("not JSON: {e}")),
     };
     let Value::Object(fields) = &value else {
-        return bad(None, "not an object".into());
+        return invalid(None, "not an object".into());
     };
     let id = fields.get("nameId").and_then(Value::as_str).and_then(JobId::parse);
     match serde_json::from_value::<JobSpec>(value) {
-        Err(e) => bad(id, e.to_string()),
+        Err(e) => invalid(id, e.to_string()),
         Ok(spec) => match spec.check() {
-            Err(text) => bad(id, text),
+            Err(text) => invalid(id, text),
             Ok(()) => Submission::Spec(Box::new(spec)),
         },
     }
 }
 
 /// Parses requests of graph clients; `None` if the path belongs to no graph request.
-fn graph_ask(
+fn parse_graph_request(
     method: &str,
     path: &str,
-    question: &str,
+    query: &str,
     body: &[u8],
 ) -> Option<Result<Ask, HttpReply>> {
-    fn read<T: DeserializeOwned>(body: &[u8]) -> Result<T, HttpReply> {
+    fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, HttpReply> {
         serde_json::from_slice(body).map_err(|e| HttpReply::error(400, &e.to_string()))
     }
     let rest = path.strip_prefix("/v2/")?;
     let parts: Vec<&str> = rest.split('/').collect();
     let graph = |id: &str| GraphId::parse(id).ok_or_else(|| HttpReply::error(404, "no such graph"));
-    let given = |name: &str| {
-        let mut pairs = question.split('&').filter_map(|pair| pair.split_once('='));
+    let parameter = |name: &str| {
+        let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
         pairs.find(|(known, _)| *known == name).map(|(_, value)| value)
     };
-    let ask = match (method, parts.as_slice()) {
-        ("POST", ["sessions"]) => read(body).map(Ask::Open),
+    let request = match (method, parts.as_slice()) {
+        ("POST", ["sessions"]) => decode(body).map(Ask::Open),
         ("POST", ["sessions", name, "beat"]) => {
-            read(body).map(|keyed| Ask::Beat((*name).to_owned(), keyed))
+            decode(body).map(|keyed| Ask::Beat((*name).to_owned(), keyed))
         }
         ("POST", ["sessions", name, "close"]) => {
-            read(body).map(|keyed| Ask::Close((*name).to_owned(), keyed))
+            decode(body).map(|keyed| Ask::Close((*name).to_owned(), keyed))
         }
-        ("POST", ["graphs"]) => read(body).map(Ask::Create),
+        ("POST", ["graphs"]) => decode(body).map(Ask::Create),
         ("POST", ["graphs", id, "nodes"]) => {
-            graph(id).and_then(|id| read(body).map(|add| Ask::Add(id, add)))
+            graph(id).and_then(|id| decode(body).map(|add| Ask::Add(id, add)))
         }
         ("POST", ["graphs", id, "cancel"]) => {
-            graph(id).and_then(|id| read(body).map(|keyed| Ask::Cancel(id, keyed)))
+            graph(id).and_then(|id| decode(body).map(|keyed| Ask::Cancel(id, keyed)))
         }
         ("GET", ["graphs", id]) => graph(id).map(|id| {
-            let after = given("after").unwrap_or_default().to_owned();
-            let most = given("most").and_then(|n| n.parse().ok()).unwrap_or(ANSWER_NODES);
-            Ask::Look(id, Look { after, most: most.min(ANSWER_NODES) })
+            let after = parameter("after").unwrap_or_default().to_owned();
+            let limit = parameter("most").and_then(|n| n.parse().ok()).unwrap_or(ANSWER_NODES);
+            Ask::Look(id, Look { after, most: limit.min(ANSWER_NODES) })
         }),
         ("GET", ["runs", id, "nodes"]) => match JobId::parse(id) {
             Some(id) => {
-                let after = given("after").and_then(|n| n.parse().ok()).unwrap_or(0);
+                let after = parameter("after").and_then(|n| n.parse().ok()).unwrap_or(0);
                 Ok(Ask::Job(id, after))
             }
             None => Err(HttpReply::error(404, "no such job")),
@@ -111,18 +116,18 @@
         }
         _ => return None,
     };
-    Some(ask)
+    Some(request)
 }
 
 /// Parses a request; errors that need no controller state are replied to here.
 pub fn parse(method: &str, path: &str, body: &[u8]) -> Result<Request, HttpReply> {
-    let (path, question) = path.split_once('?').unwrap_or((path, ""));
-    let wrong = || HttpReply::error(405, "method not allowed");
+    let (path, query) = path.split_once('?').unwrap_or((path, ""));
+    let method_not_allowed = || HttpReply::error(405, "method not allowed");
     if body.len() > BODY_BYTES {
         return Err(HttpReply::error(413, "the body is over 64 KiB"));
     }
     match path {
-        "/v2/runs" if method == "POST" => return Ok(Request::Submit(submission(body))),
+        "/v2/runs" if method == "POST" => return Ok(Request::Submit(parse_submission(body))),
         "/up" if method == "GET" || method == "HEAD" => return Ok(Request::Up),
         "/v1/report" if method == "POST" => {
             return serde_json::from_slice(body)
@@ -130,15 +135,15 @@
                 .map_err(|e| HttpReply::error(400, &format!("report: {e}")));
         }
         "/v2/usage" if method == "GET" => {
-            return Query::parse(question)
-                .map(|query| Request::Usage(Box::new(query)))
+            return Query::parse(query)
+                .map(|usage_query| Request::Usage(Box::new(usage_query)))
                 .map_err(|e| HttpReply::error(400, &e.to_string()));
         }
-        "/v2/runs" | "/up" | "/v1/report" | "/v2/usage" => return Err(wrong()),
+        "/v2/runs" | "/up" | "/v1/report" | "/v2/usage" => return Err(method_not_allowed()),
         _ => {}
     }
-    if let Some(ask) = graph_ask(method, path, question, body) {
-        return ask.map(|ask| Request::Graph(Box::new(ask)));
+    if let Some(request) = parse_graph_request(method, path, query, body) {
+        return request.map(|request| Request::Graph(Box::new(request)));
     }
     let Some(rest) = path.strip_prefix("/v2/runs/") else {
         return Err(HttpReply::error(404, "no such path"));
@@ -152,7 +157,7 @@
     match (method, abort) {
         ("GET" | "HEAD", false) => Ok(Request::View(id)),
         ("POST", true) => Ok(Request::Abort(id)),
-        _ => Err(wrong()),
+        _ => Err(method_not_allowed()),
     }
 }
 
@@ -160,7 +165,7 @@
 mod tests {
     use super::*;
 
-    const GOOD: &str = r#"{"nameId":"req-000412","jobclass":"train","owner":"vision","shape":"group",
+    const VALID_SUBMISSION: &str = r#"{"nameId":"req-000412","jobclass":"train","owner":"vision","shape":"group",
         "rank":"high","shards":16,"cpus":8.0,"gpus":1.0,"memoryGb":64.0,"bundle":"img-07","pullGb":6.2,
         "flavors":["g8"],"yard":null,"samePlace":true,"spread":false,"loaners":true,"expectS":240.0,
         "snapshotS":30.0,"flushS":4.0,"dueS":900.0,"novel":{"ignored":1}}"#;
@@ -170,33 +175,35 @@
     }
 
     #[test]
-    fn a_good_submission_is_read_whole() {
+    fn valid_submission_is_parsed_completely() {
         let Ok(Request::Submit(Submission::Spec(spec))) =
-            parse("POST", "/v2/runs", GOOD.as_bytes())
+            parse("POST", "/v2/runs", VALID_SUBMISSION.as_bytes())
         else {
-            panic!("not read");
+            panic!("not parsed");
         };
         assert_eq!((spec.tasks, spec.deadline_s, spec.zone), (16, Some(900.0), None));
     }
 
     #[test]
-    fn bad_submissions_are_told_apart() {
+    fn invalid_submissions_keep_a_readable_id() {
         let id = Some(JobId::new("req-000412"));
         let cases = [
             ("", None),
             ("[]", None),
             ("{}", None),
-            (&*GOOD.replace("16", "0"), id.clone()),
-            (&*GOOD.replace("16", "100001"), id.clone()),
-            (&*GOOD.replace("\"cpus\":8.0", "\"cpus\":-1"), id.clone()),
-            (&*GOOD.replace("\"cpus\":8.0", "\"cpus\":1e999"), None),
-            (&*GOOD.replace("\"cpus\":8.0,", ""), id.clone()),
-            (&*GOOD.replace("\"group\"", "\"choir\""), id.clone()),
-            (&*GOOD.replace("req-000412", "job-1"), None),
+            (&*VALID_SUBMISSION.replace("16", "0"), id.clone()),
+            (&*VALID_SUBMISSION.replace("16", "100001"), id.clone()),
+            (&*VALID_SUBMISSION.replace("\"cpus\":8.0", "\"cpus\":-1"), id.clone()),
+            (&*VALID_SUBMISSION.replace("\"cpus\":8.0", "\"cpus\":1e999"), None),
+            (&*VALID_SUBMISSION.replace("\"cpus\":8.0,", ""), id.clone()),
+            (&*VALID_SUBMISSION.replace("\"group\"", "\"choir\""), id.clone()),
+            (&*VALID_SUBMISSION.replace("req-000412", "job-1"), None),
         ];
-        for (body, known) in cases {
+        for (body, expected_id) in cases {
             match parse("POST", "/v2/runs", body.as_bytes()) {
-                Ok(Request::Submit(Submission::Bad { id, .. })) => assert_eq!(id, known, "{body}"),
+                Ok(Request::Submit(Submission::Bad { id, .. })) => {
+                    assert_eq!(id, expected_id, "{body}")
+                }
                 other => panic!("{body}: {other:?}"),
             }
         }
@@ -205,15 +212,15 @@
     /// Reports with unknown fields, or without nullable ones, are accepted. What cannot be a report
     /// gets status 400 and does not reach the leader.
     #[test]
-    fn bad_reports_are_refused() {
-        let good = r#"{"host":"i-000231","addr":"10.1.0.232:9000","flavor":"g8","yard":"a","loaners":true,"shift":1,
+    fn invalid_reports_are_rejected() {
+        let valid = r#"{"host":"i-000231","addr":"10.1.0.232:9000","flavor":"g8","yard":"a","loaners":true,"shift":1,
             "tally":88,"baton":41,"warningS":null,"shards":[{"shard":"req-000412/3","try":2,"status":"running"}],
             "novel":[1]}"#;
         let report = |body: &str| status("POST", "/v1/report", body);
-        assert_eq!(report(good), 0);
-        assert_eq!(report(&good.replace("\"warningS\":null,", "")), 0);
+        assert_eq!(report(valid), 0);
+        assert_eq!(report(&valid.replace("\"warningS\":null,", "")), 0);
         assert_eq!(
-            report(&good.replace("\"status\":\"running\"", "\"status\":\"running\",\"new\":{}")),
+            report(&valid.replace("\"status\":\"running\"", "\"status\":\"running\",\"new\":{}")),
             0
         );
         for (from, to) in [
@@ -226,12 +233,12 @@
             ("\"baton\":41", "\"baton\":4.5"),
             ("[{", "{"),
         ] {
-            assert_eq!(report(&good.replace(from, to)), 400, "{to} for {from}");
+            assert_eq!(report(&valid.replace(from, to)), 400, "{to} for {from}");
         }
     }
 
     #[test]
-    fn unknown_paths_and_methods_are_refused() {
+    fn unknown_paths_and_methods_are_rejected() {
         assert_eq!(status("GET", "/nowhere", ""), 404);
         assert_eq!(status("GET", "/v2/runs/req-x", ""), 404);
         assert_eq!(status("DELETE", "/v2/runs/req-1", ""), 405);
--- a/crates/core/src/controller/graphs.rs
+++ b/crates/core/src/controller/graphs.rs
@@ -322,7 +322,7 @@
         let (Some(token), Some(fence)) = (self.leadership.token(), self.leadership.fence()) else {
             return false;
         };
-        let ops = self.limits.changes();
+        let ops = self.limits.max_changes();
         let retried = self.graph_refusals.take_due(now.mono);
         let max_items = if retried.is_some() { 1 } else { self.graph_refusals.most() };
         let Some(graphs) = self.open_graphs() else { return false };
--- a/crates/core/src/controller/limits.rs
+++ b/crates/core/src/controller/limits.rs
@@ -33,16 +33,16 @@
 
     /// Maximum number of changes in a transaction. It respects the announced limits from the start,
     /// since nothing depends on larger transactions.
-    pub fn changes(&self) -> usize {
+    pub fn max_changes(&self) -> usize {
         self.strictest.txn_ops
     }
 
     /// Maximum length of the value that a submission may create, in bytes.
-    pub fn submission(&self) -> usize {
+    pub fn max_submission_bytes(&self) -> usize {
         (self.strictest.value_kb * 1024.0) as usize
     }
 
-    pub fn records(&self, form: RecordForm) -> RecordLimits {
+    pub fn record_limits(&self, form: RecordForm) -> RecordLimits {
         let bytes = |facts: &StateFacts| (facts.value_kb * 1024.0 * VALUE_SHARE) as usize;
         let facts_in_force = match self.in_force {
             LimitsInForce::Current => &self.current,
@@ -67,7 +67,7 @@
     /// Runs after every event: the leader writes only records that all controllers can read.
     pub(super) fn update_record_limits(&mut self) {
         let form = if self.all_upgraded() { RecordForm::Packed } else { RecordForm::Rows };
-        let limits = self.limits.records(form);
+        let limits = self.limits.record_limits(form);
         if let Some(leader_term) = self.leader_term.as_mut() {
             leader_term.book.limits = limits;
         }
--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -47,34 +47,24 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
 
+/// An input of the controller.
 #[derive(Debug)]
 pub enum Event {
+    /// Time has passed.
     Tick,
     /// A request. `forwarded` is set if a peer relayed it; such a request is not relayed again.
-    Request {
-        conn: ConnId,
-        request: Request,
-        forwarded: bool,
-    },
-    Store {
-        id: OpId,
-        reply: StoreReply,
-    },
-    Cloud {
-        id: u64,
-        reply: CloudReply,
-    },
+    Request { conn: ConnId, request: Request, forwarded: bool },
+    /// A response of the state service.
+    Store { id: OpId, reply: StoreReply },
+    /// A response of the cloud API.
+    Cloud { id: u64, reply: CloudReply },
     /// A worker's response to a direct command; `None` if the worker could not be reached.
-    Obeyed {
-        report: Option<Box<Report>>,
-    },
+    Obeyed { report: Option<Box<Report>> },
     /// A peer's response to a request; `None` if the peer could not be reached.
-    Told {
-        id: u64,
-        reply: Option<HttpReply>,
-    },
+    Told { id: u64, reply: Option<HttpReply> },
 }
 
+/// An output of the controller, to be carried out by its caller.
 #[derive(Debug, PartialEq)]
 pub enum Action {
     Reply {
@@ -90,6 +80,7 @@
         id: u64,
         op: CloudOp,
     },
+    /// A message to a peer.
     Ask {
         to: Member,
         id: u64,
@@ -253,6 +244,7 @@
     }
 }
 
+/// State of one controller, leader or follower.
 pub struct Controller {
     traffic: Traffic,
     next_traffic_log: Mono,
@@ -324,16 +316,17 @@
 }
 
 impl Controller {
-    pub fn new(settings: Settings, ops: Operators, seed: u64) -> Self {
+    /// Creates a controller; `seed` initializes its random numbers.
+    pub fn new(settings: Settings, operators: Operators, seed: u64) -> Self {
         let limits = limits::Limits::new(&settings.facts.state);
         Self {
             leadership: Leadership::new(settings.member.clone(), settings.bound_alone()),
             store: StoreClient::new(&settings.facts.state, settings.peers.len() + 1),
             cloud_client: CloudDesk::new(&settings.facts.cloud),
             rng: ChaCha8Rng::seed_from_u64(seed),
-            leader_config: Terms::new(&settings, &ops),
+            leader_config: Terms::new(&settings, &operators),
             settings,
-            operators: ops,
+            operators,
             fleet: Fleet::default(),
             leader_term: None,
             finished_jobs: JobMemory::new(OVER_CACHE),
@@ -415,6 +408,7 @@
         self.leadership.leader_token()
     }
 
+    /// Fencing token of this controller, if it leads and its lease is valid.
     pub fn valid(&self, now: Mono) -> Option<Token> {
         self.leadership.valid(now)
     }
@@ -425,8 +419,8 @@
     }
 
     /// Sets how long the request of the next event has waited in the queue.
-    pub fn lags(&mut self, lag: Millis) {
-        self.queue_delay = lag;
+    pub fn lags(&mut self, delay: Millis) {
+        self.queue_delay = delay;
     }
 
     /// Processes one event and returns the resulting actions. This is the only entry point.
--- a/crates/core/src/controller/users.rs
+++ b/crates/core/src/controller/users.rs
@@ -194,7 +194,7 @@
             Ok(value) => value,
             Err(e) => return self.reply(conn, HttpReply::error(400, &e.to_string())),
         };
-        if value.to_string().len() > self.limits.submission() {
+        if value.to_string().len() > self.limits.max_submission_bytes() {
             // The job may already be known with another description.
             let reply = HttpReply::error(400, "the description is too long to keep");
             return self.lookup(now.mono, conn, id.clone(), LookupReason::Submit(reply));
--- a/crates/core/src/controller/versions.rs
+++ b/crates/core/src/controller/versions.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Prefix of the keys that record which version a member runs.
-pub const VERSIONS: &str = "version/";
+pub const VERSION_PREFIX: &str = "version/";
 
 /// Value of a version key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -61,14 +61,14 @@
 
 /// Returns the key that records which version a member runs.
 pub fn version_key(member: &Member) -> String {
-    format!("{VERSIONS}{member}")
+    format!("{VERSION_PREFIX}{member}")
 }
 
 /// The members whose key shows this version or a later one.
 fn upgraded_members(rows: &[Row]) -> impl Iterator<Item = &str> {
     rows.iter().filter_map(|row| {
         let record = serde_json::from_value::<VersionRecord>(row.value.clone()).ok()?;
-        (record.version >= VERSION_RECORD).then(|| row.key.strip_prefix(VERSIONS)).flatten()
+        (record.version >= VERSION_RECORD).then(|| row.key.strip_prefix(VERSION_PREFIX)).flatten()
     })
 }
 
@@ -104,7 +104,7 @@
         {
             return;
         }
-        let op = StoreOp::List { prefix: VERSIONS.to_owned(), after: String::new() };
+        let op = StoreOp::List { prefix: VERSION_PREFIX.to_owned(), after: String::new() };
         self.submit_version_operation(now, op, Operation::Read);
     }
 
--- a/crates/core/src/controller/writing.rs
+++ b/crates/core/src/controller/writing.rs
@@ -28,7 +28,7 @@
         else {
             return false;
         };
-        let ops = self.limits.changes();
+        let ops = self.limits.max_changes();
         let Some((txn, written)) = leader_term.book.next_txn(fence, ops, now) else {
             return false;
         };
--- a/crates/core/src/mesh.rs
+++ b/crates/core/src/mesh.rs
@@ -10,44 +10,52 @@
 use oatloom_protocol::wire::{JobSpec, Report};
 use serde::{Deserialize, Serialize};
 
+/// A message from one controller to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Question {
+    /// Reads the state of a job.
     View(JobId),
+    /// Cancels a job.
     Abort(JobId),
     /// A submission that the state service refused from the controller that received it.
     Submit(Box<JobSpec>),
     /// A report of a worker that cannot reach the leader directly.
     Report(Box<Report>),
     /// One-way: hints from the leader that the next leader would otherwise lack.
+    #[serde(rename = "Notes")]
     Notes(Box<Notes>),
     /// A request from a client of graphs.
     Graph(Box<Ask>),
     /// One-way: gossip about which controllers are alive, for peers that have received nothing for
     /// a while. Sent only to peers that send it themselves, since earlier versions cannot decode
     /// it.
+    #[serde(rename = "Greet")]
     Greet(Box<Gossip>),
 }
 
 impl From<Question> for Request {
-    fn from(question: Question) -> Self {
-        match question {
+    fn from(request: Question) -> Self {
+        match request {
             Question::View(job) => Self::View(job),
             Question::Abort(job) => Self::Abort(job),
             Question::Submit(spec) => Self::Submit(Submission::Spec(spec)),
             Question::Report(report) => Self::Report(report),
-            Question::Notes(notes) => Self::Notes(notes),
-            Question::Graph(ask) => Self::Graph(ask),
+            Question::Notes(hints) => Self::Notes(hints),
+            Question::Graph(request) => Self::Graph(request),
             Question::Greet(gossip) => Self::Greet(gossip),
         }
     }
 }
 
+/// A message with the id that its response carries.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Asked {
     pub id: u64,
+    #[serde(rename = "question")]
     pub question: Question,
 }
 
+/// The response to the message with the same id.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Told {
     pub id: u64,
