--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -299,7 +299,7 @@
     next_leader_hints: Mono,
     /// When a leader last replied to a request of this controller.
     last_leader_reply: Mono,
-    /// First and latest failure of the requests to the leader since its last reply.
+    /// First and latest failure in the current series of failed requests to the leader.
     leader_failures: Option<(Mono, Mono)>,
     /// The health that was logged last.
     logged_health: health::Health,
