--- a/crates/core/src/controller/users.rs
+++ b/crates/core/src/controller/users.rs
@@ -72,9 +72,8 @@
 
     /// Maximum number of users' requests in flight.
     fn user_inflight(&self) -> usize {
-        let user_connections =
-            self.settings.facts.limits.connections() as f64 * USER_INFLIGHT_SHARE;
-        (user_connections as usize).max(USER_INFLIGHT_LEAST)
+        let max_requests = self.settings.facts.limits.connections() as f64 * USER_INFLIGHT_SHARE;
+        (max_requests as usize).max(USER_INFLIGHT_LEAST)
     }
 
     /// Records whether a request to the leader got any response. An error response counts as
