--- a/crates/core/src/controller/versions.rs
+++ b/crates/core/src/controller/versions.rs
@@ -1,16 +1,17 @@
-//! Which version each controller runs, so that a new form of a record, or a new message, is used only once no process
-//! that does not know it can exist.
+//! The version of each controller, so that a new record form or message is used only once no
+//! process exists that does not know it.
 //!
-//! Each controller of this version makes `version/{member}` durable once after its start. A member that has run this
-//! version is not started with an earlier one again, and a member has one process at a time. So once every member of
-//! the settings has such a key, no earlier process exists, nor will one. Keys are never removed: what they show holds for
-//! good, and for every later leader. Earlier versions read no key under this prefix.
+//! Each controller of this version writes `version/{member}` durably once after its start. A member
+//! that has run this version is not started with an earlier one again, and a member has one process
+//! at a time. So once every member in the settings has such a key, no earlier process exists or
+//! will exist. Keys are never removed, so the result holds permanently and for every later leader.
+//! Earlier versions read no key under this prefix.
 
 use super::*;
 use serde::{Deserialize, Serialize};
 
-/// Prefix of the keys that say which version a member runs.
-pub const VERSIONS: &str = "version/";
+/// Prefix of the keys that record which version a member runs.
+pub const VERSION_PREFIX: &str = "version/";
 
 /// Value of a version key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -20,12 +21,12 @@
     pub version: u32,
 }
 
-/// What was asked of the state service.
+/// Which operation of the version check is in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Step {
-    /// The keys of all members.
+pub(super) enum Operation {
+    /// Reads the keys of all members.
     Read,
-    /// This controller's own key is written.
+    /// Writes this controller's own key.
     Announce,
 }
 
@@ -35,86 +36,93 @@
     /// Some member may run an earlier version.
     #[default]
     Mixed,
-    /// No member does, nor will again.
+    /// No member runs an earlier version, nor will again.
     Upgraded,
 }
 
-/// What this controller knows of the members' versions.
+/// What this controller knows about the members' versions.
 #[derive(Debug, Default)]
 pub(super) struct Versions {
     progress: Progress,
-    /// Whether this controller stands in for one of the previous version, which announces nothing.
-    previous: bool,
-    /// Whether an answer of the state service is awaited.
-    awaited: bool,
-    next: Mono,
+    /// Whether this controller emulates the previous version, which writes no version key.
+    emulates_previous: bool,
+    /// Whether an operation is in flight.
+    in_flight: bool,
+    next_check: Mono,
 }
 
 impl Versions {
-    /// The one place where the progress changes; it never goes back.
+    /// Sets the progress; the only place that does. It never goes back.
     fn enter(&mut self, progress: Progress) {
         log::info!("versions: {:?} -> {progress:?}", self.progress);
         self.progress = progress;
     }
 }
 
-/// The key that says which version a member runs.
+/// Returns the key that records which version a member runs.
 pub fn version_key(member: &Member) -> String {
-    format!("{VERSIONS}{member}")
+    format!("{VERSION_PREFIX}{member}")
 }
 
 /// The members whose key shows this version or a later one.
 fn upgraded_members(rows: &[Row]) -> impl Iterator<Item = &str> {
     rows.iter().filter_map(|row| {
         let record = serde_json::from_value::<VersionRecord>(row.value.clone()).ok()?;
-        (record.version >= VERSION_RECORD).then(|| row.key.strip_prefix(VERSIONS)).flatten()
+        (record.version >= VERSION_RECORD).then(|| row.key.strip_prefix(VERSION_PREFIX)).flatten()
     })
 }
 
 impl Controller {
-    /// A stand-in for a controller of the previous version, for simulated upgrades: it knows no limits to come, announces
-    /// no version and never learns of those of others, so it keeps to the earlier forms for good.
+    /// Creates a controller that behaves as the previous version, for simulated upgrades: it
+    /// ignores announced limits, writes no version key and never learns the members' versions, so
+    /// it keeps the earlier record forms.
     #[doc(hidden)]
     pub fn new_previous_version(mut settings: Settings, operators: Operators, seed: u64) -> Self {
         settings.facts.state.next = None;
         let mut controller = Self::new(settings, operators, seed);
-        controller.versions.previous = true;
+        controller.versions.emulates_previous = true;
         controller
     }
 
-    /// Whether every controller is known to run this version, for good: no process of an earlier version exists.
+    /// Whether every controller is known to run this version: no process of an earlier one exists,
+    /// nor will again.
     pub fn all_upgraded(&self) -> bool {
         self.versions.progress == Progress::Upgraded
     }
 
-    /// Once a turn: asks for the members' versions until all are known to have this one.
-    pub(super) fn learn_versions(&mut self, now: Mono) {
-        if self.versions.next == Mono(0) {
-            // A process that begins asks for the seat first.
-            self.versions.next = now.plus(VERSIONS_EVERY_MS);
+    /// Runs after every event: reads the members' versions until all are known to have this one.
+    pub(super) fn check_versions(&mut self, now: Mono) {
+        if self.versions.next_check == Mono(0) {
+            // A starting process reads the leader key first.
+            self.versions.next_check = now.plus(VERSIONS_EVERY_MS);
         }
         let versions = &self.versions;
-        if versions.previous || self.all_upgraded() || versions.awaited || now < versions.next {
+        if versions.emulates_previous
+            || self.all_upgraded()
+            || versions.in_flight
+            || now < versions.next_check
+        {
             return;
         }
-        let op = StoreOp::List { prefix: VERSIONS.to_owned(), after: String::new() };
-        self.ask_versions(now, op, Step::Read);
+        let op = StoreOp::List { prefix: VERSION_PREFIX.to_owned(), after: String::new() };
+        self.submit_version_operation(now, op, Operation::Read);
     }
 
-    fn ask_versions(&mut self, now: Mono, op: StoreOp, step: Step) {
-        self.versions.next = now.plus(VERSIONS_EVERY_MS);
-        let asked = self.submit(now, Lane::Open, op, Purpose::Versions { step });
-        self.versions.awaited = asked.is_ok();
+    fn submit_version_operation(&mut self, now: Mono, op: StoreOp, operation: Operation) {
+        self.versions.next_check = now.plus(VERSIONS_EVERY_MS);
+        let submitted = self.submit(now, Lane::Open, op, Purpose::Versions { operation });
+        self.versions.in_flight = submitted.is_ok();
     }
 
-    /// Takes up an answer. What was refused, or has no answer, is asked for again after the pause.
-    pub(super) fn on_versions(&mut self, now: Mono, step: Step, reply: StoreReply) {
-        self.versions.awaited = false;
-        match (step, reply) {
-            (Step::Read, StoreReply::Page(page)) => self.on_version_rows(now, &page.rows),
-            (Step::Announce, StoreReply::Committed(_)) => self.versions.next = now,
-            (step, StoreReply::Malformed(text)) => {
-                log::error!("versions: {step:?} was refused: {text}");
+    /// Processes a response. An operation that was refused or got no response is retried after the
+    /// pause.
+    pub(super) fn on_versions(&mut self, now: Mono, operation: Operation, reply: StoreReply) {
+        self.versions.in_flight = false;
+        match (operation, reply) {
+            (Operation::Read, StoreReply::Page(page)) => self.on_version_rows(now, &page.rows),
+            (Operation::Announce, StoreReply::Committed(_)) => self.versions.next_check = now,
+            (operation, StoreReply::Malformed(text)) => {
+                log::error!("versions: {operation:?} was refused: {text}");
             }
             _ => {}
         }
@@ -122,16 +130,16 @@
 
     fn on_version_rows(&mut self, now: Mono, rows: &[Row]) {
         let me = self.settings.member.clone();
-        let has = |member: &Member| upgraded_members(rows).any(|name| name == member.as_str());
-        if !has(&me) {
+        let has_key = |member: &Member| upgraded_members(rows).any(|name| name == member.as_str());
+        if !has_key(&me) {
             return self.announce_version(now, rows);
         }
-        if self.settings.peers.iter().all(|peer| has(&peer.member)) {
+        if self.settings.peers.iter().all(|peer| has_key(&peer.member)) {
             self.versions.enter(Progress::Upgraded);
         }
     }
 
-    /// Writes this controller's own key on condition that it is as it was read.
+    /// Writes this controller's own key, provided that it is unchanged since it was read.
     fn announce_version(&mut self, now: Mono, rows: &[Row]) {
         let key = version_key(&self.settings.member);
         let found = rows.iter().find(|row| row.key == key);
@@ -141,6 +149,6 @@
             conditions: vec![Condition { key: key.clone(), version }],
             changes: vec![Change::put(key, value)],
         };
-        self.ask_versions(now, StoreOp::Txn(txn), Step::Announce);
+        self.submit_version_operation(now, StoreOp::Txn(txn), Operation::Announce);
     }
 }
