--- a/crates/core/src/inbox.rs
+++ b/crates/core/src/inbox.rs
@@ -1,31 +1,31 @@
-//! Admission control: which of the inputs that wait for a controller's one thread is taken next, and which are dropped since
-//! their callers have given up, or will have before an answer reaches them.
+//! Admission control: which of the inputs queued for a controller's single thread is handled next, and which are dropped
+//! because their callers have timed out, or will have before an answer reaches them.
 //!
-//! A queue without age collapses: once it is longer than its callers' patience every answer comes too late, the callers come
-//! again, and the work for answers that nobody hears leaves no time for others.
+//! Without an age limit an overloaded queue collapses: once inputs wait longer than their callers' timeout, every answer comes
+//! too late, the callers retry, and the work on answers that nobody receives leaves no time for others.
 
 use crate::api::Request;
 use crate::constants::*;
 use oatloom_protocol::ids::{HostId, Millis, Mono, Token};
 use std::collections::{BTreeSet, VecDeque};
 
-/// What an input is about, by importance.
+/// Kind of an input, the most important first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum InputKind {
-    /// Health probes, and what peers say of themselves: few, cheap, and what traffic is steered by.
+    /// Health probes and peer messages: few and cheap, and traffic is routed by them.
     Control,
-    /// The report of a machine that has tasks and has not heard the present leader: unanswered for a lease, its tasks are
-    /// killed, and much of that lease may be over.
+    /// The report of a machine that has tasks and has not acknowledged the current leader: its tasks are killed if it gets no
+    /// answer for the length of a lease, and much of that lease may have passed.
     Report,
-    /// The same of a machine that has heard the present leader.
+    /// The same of a machine that has acknowledged the current leader.
     KnownReport,
-    /// A question about a job, or its cancellation: mostly answered from memory.
+    /// A query about a job, or its cancellation: mostly answered from memory.
     Question,
     /// The submission of a job.
     Submission,
-    /// The report of a machine without tasks: nothing is lost if it comes later.
+    /// The report of a machine without tasks: nothing is lost by a delay.
     IdleReport,
-    /// Graphs and the account of usage.
+    /// Requests on graphs and on usage accounting.
     Other,
 }
 
@@ -40,7 +40,7 @@
         Self::Other,
     ];
 
-    /// What kind of input a request is. `leader`: the token of whoever leads, as far as it is known.
+    /// Classifies a request. `leader`: token of the current leader, if known.
     pub fn of(request: &Request, leader: Option<Token>) -> Self {
         match request {
             Request::Up | Request::Notes(_) | Request::Greet(_) => Self::Control,
@@ -53,8 +53,8 @@
         }
     }
 
-    /// How many of a kind are taken in a round while all kinds wait. Whoever polls has a share that no number of reports
-    /// takes, and the other way round.
+    /// How many inputs of a kind are taken per round while all kinds wait. No number of reports can take the share of queries,
+    /// nor the other way round.
     fn weight(self) -> u32 {
         match self {
             Self::Control => 8,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// How long an input may wait and still be worth an answer. `forwarded`: it came from a peer, which waits less long.
+    /// How long an input may wait and still be worth an answer. `forwarded`: it came from a peer, whose timeout is shorter.
     pub fn patience(self, forwarded: bool) -> Millis {
         match self {
             Self::Control => CONTROL_AGE_MS,
@@ -79,15 +79,15 @@
     }
 }
 
-/// Machines whose last report was dropped. Their next one goes before those of machines that were answered: guards against a
-/// lease that runs out since a report meets a full queue again and again.
+/// Machines whose last report was dropped. Their next report has priority over those of machines that were answered;
+/// otherwise a lease could expire because a machine's reports meet a full queue again and again.
 #[derive(Debug, Default)]
 pub struct DroppedReports {
     machines: BTreeSet<HostId>,
 }
 
 impl DroppedReports {
-    /// What kind of input a request is, given what became of its machine's last report.
+    /// Classifies a request, taking into account whether its machine's last report was dropped.
     pub fn kind_of(&self, request: &Request, leader: Option<Token>) -> InputKind {
         match (InputKind::of(request, leader), request) {
             (InputKind::KnownReport, Request::Report(report))
@@ -99,14 +99,14 @@
         }
     }
 
-    /// A request was dropped.
+    /// Records that a request was dropped.
     pub fn dropped(&mut self, request: &Request) {
         if let Request::Report(report) = request {
             self.machines.insert(report.host.clone());
         }
     }
 
-    /// A request is being handled.
+    /// Records that a request is being handled.
     pub fn taken(&mut self, request: &Request) {
         if let Request::Report(report) = request {
             self.machines.remove(&report.host);
@@ -114,40 +114,40 @@
     }
 }
 
-/// An input that waits.
+/// A queued input.
 #[derive(Debug)]
 struct Waiting<T> {
     item: T,
     since: Mono,
-    /// When it is no longer worth an answer.
+    /// From when on it is no longer worth an answer.
     until: Mono,
 }
 
-/// What becomes of an input.
+/// What to do with an input.
 #[derive(Debug, PartialEq)]
 pub enum Admitted<T> {
-    /// It is its turn; how long it has waited.
+    /// Handle it; with the time it has waited.
     Take(T, Millis),
-    /// It waited too long: its caller is told at once to come back after so many seconds (`Retry-After`).
+    /// It waited too long: ask its caller to retry after this many seconds (`Retry-After`).
     Drop(T, u32),
 }
 
-/// Inputs that wait, by kind.
+/// Queued inputs by kind.
 #[derive(Debug)]
 pub struct Inbox<T> {
     queues: [VecDeque<Waiting<T>>; InputKind::ALL.len()],
-    /// What is left to each kind in this round.
+    /// How many inputs of each kind may still be taken in this round.
     credits: [u32; InputKind::ALL.len()],
-    /// Most inputs of a kind that wait.
+    /// Maximum number of queued inputs of one kind.
     most: usize,
     /// How many were dropped since the last call of [`Inbox::take_dropped`].
     dropped: u32,
-    /// How many were ever dropped: spreads the return of their callers.
+    /// How many inputs were dropped in total: spreads the retries of their callers over time.
     spread: u32,
 }
 
 impl<T> Inbox<T> {
-    /// `most`: how many callers there can be.
+    /// `most`: maximum number of callers.
     pub fn new(most: usize) -> Self {
         Self {
             queues: InputKind::ALL.map(|_| VecDeque::new()),
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Adds an input; the oldest of its kind has to go if there is no room, since its caller is gone most likely.
+    /// Queues an input; if the queue is full, the oldest of its kind is dropped, whose caller has most likely timed out.
     pub fn push(
         &mut self,
         now: Mono,
@@ -173,7 +173,7 @@
         oldest.map(|oldest| self.drop_one(oldest.item))
     }
 
-    /// The next input, and whether it is worth an answer; `None`: nothing waits.
+    /// Returns the next input and whether it is still worth an answer; `None` if nothing is queued.
     pub fn pop(&mut self, now: Mono) -> Option<Admitted<T>> {
         let kind = self.next_kind()?;
         let waiting = self.queues[kind as usize].pop_front()?;
@@ -184,7 +184,7 @@
         Some(Admitted::Take(waiting.item, now.since(waiting.since)))
     }
 
-    /// The most important kind that waits and has credit left in this round; a new round begins when none has.
+    /// The most important queued kind with credit left in this round; a new round begins when none has any.
     fn next_kind(&mut self) -> Option<InputKind> {
         let waits = |kind: &InputKind| !self.queues[*kind as usize].is_empty();
         let first = InputKind::ALL.into_iter().find(waits)?;
--- a/crates/core/src/inbox/tests.rs
+++ b/crates/core/src/inbox/tests.rs
@@ -3,22 +3,22 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
 
-/// Most callers of the machine that these tests think of.
+/// Maximum number of callers in these tests.
 const CALLERS: usize = 2_400;
 
-/// What came of a spell of load.
+/// Result of a simulated load.
 #[derive(Debug, Default)]
 struct Outcome {
-    /// Answers in time and dropped inputs, by kind.
+    /// Inputs answered in time, by kind.
     answered: BTreeMap<InputKind, u32>,
     dropped: u32,
-    /// The oldest input that was taken, in milliseconds.
+    /// Longest wait of an input that was taken, in milliseconds.
     oldest: u64,
     longest_queue: usize,
 }
 
-/// Plays so many inputs of each kind a second against a thread that takes `cost_us` for each that it takes and a tenth for
-/// each that it drops.
+/// Simulates inputs of each kind at the given rates per second, handled by a thread that needs `cost_us` for each input that
+/// it takes and a tenth of that for each that it drops.
 fn play(seed: u64, loads: &[(InputKind, f64)], cost_us: u64, span_ms: u64) -> Outcome {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut inbox = Inbox::new(CALLERS);
@@ -55,12 +55,12 @@
     outcome
 }
 
-/// In any flood each kind keeps its share, nothing is taken that is too old, and what waits is bounded.
+/// Under overload by any kind, the other kinds keep their share, no expired input is taken, and the queue is bounded.
 #[test]
-fn each_kind_keeps_its_share_in_any_flood() {
+fn each_kind_keeps_its_share_under_overload() {
     use InputKind::*;
     for (seed, flood) in InputKind::ALL.into_iter().enumerate() {
-        // 1,000 a second can be answered; one kind asks for twenty times that.
+        // The thread can answer 1,000 inputs a second; one kind sends twenty times that.
         let loads = InputKind::ALL.map(|kind| (kind, if kind == flood { 20_000.0 } else { 30.0 }));
         let outcome = play(seed as u64, &loads, 1_000, 20_000);
         for kind in InputKind::ALL.into_iter().filter(|kind| *kind != flood) {
@@ -71,14 +71,14 @@
         assert!(outcome.longest_queue <= CALLERS + 600, "{}", outcome.longest_queue);
         assert!(outcome.dropped > 0 && outcome.answered[&flood] > 5_000, "{outcome:?}");
     }
-    // Reports and polls both beyond what can be answered: each has its share.
+    // Reports and queries both exceed the capacity: each keeps its share.
     let outcome = play(9, &[(Report, 5_000.0), (Question, 5_000.0)], 1_000, 20_000);
     assert!(outcome.answered[&Question] > 7_000 && outcome.answered[&Report] > 7_000);
 }
 
-/// Once a flood is over its inputs are gone within their callers' patience, and all are answered again.
+/// After an overload its inputs are dropped as soon as they expire, and new ones are answered again.
 #[test]
-fn nothing_lasts_after_a_flood() {
+fn an_overloaded_inbox_recovers() {
     let mut inbox = Inbox::new(CALLERS);
     for n in 0..10_000 {
         inbox.push(Mono(0), InputKind::Question, false, n);
@@ -93,19 +93,19 @@
                 *returns.entry(retry_after_s).or_default() += 1
             }
             Some(Admitted::Take(item, _)) => break assert_eq!(item, 77),
-            None => panic!("the new one is answered"),
+            None => panic!("the new input is answered"),
         }
     }
-    // They come back over several seconds, and not in step.
+    // The retries are spread evenly over several seconds.
     assert_eq!(returns.len(), RETRY_SPREAD_S as usize);
     assert!(returns.values().all(|count| *count < 2 * CALLERS as u32 / RETRY_SPREAD_S));
     assert!(inbox.is_empty() && inbox.take_dropped() == 10_000);
 }
 
-/// A report that waited too long is answered at once like any other request, never left open; a peer's question is dropped
-/// once the peer has given up.
+/// An expired report is answered with a retry time at once, like any other request, and never left open; a query forwarded
+/// by a peer is dropped once the peer has timed out.
 #[test]
-fn late_reports_are_told_to_come_back_and_peers_are_gone() {
+fn expired_reports_and_forwarded_queries_are_dropped_with_a_retry_time() {
     let mut inbox = Inbox::new(CALLERS);
     inbox.push(Mono(0), InputKind::Report, false, 1);
     inbox.push(Mono(0), InputKind::Question, true, 2);
@@ -118,9 +118,9 @@
     assert!(FORWARDED_AGE_MS < ASK_TIMEOUT_MS && REPORT_AGE_MS < REPORT_DROP_MS);
 }
 
-/// The report of a machine whose last one was dropped goes before those of machines that were answered, until it is taken.
+/// A machine whose last report was dropped has priority over machines that were answered, until its report is taken.
 #[test]
-fn a_dropped_report_comes_first_the_next_time() {
+fn a_machine_with_a_dropped_report_has_priority() {
     let report = |host: &str| {
         let text = format!(
             r#"{{"host":"{host}","addr":"a","flavor":"f","yard":"z","loaners":false,"shift":1,"tally":1,"baton":7,
--- a/crates/core/src/leadership.rs
+++ b/crates/core/src/leadership.rs
@@ -1,6 +1,7 @@
-//! Who leads. The leader holds the key `lead` under a lease of the state service; the revision at
-//! which the key was created is the fencing token. Every answer that only a leader may give asks
-//! [`Leadership::valid`] first, whose end counts from the *sending* of the last good renewal.
+//! Leader election. The leader holds the key `lead` under a lease of the state service; the revision
+//! at which the key was created is the fencing token. Every answer that only a leader may give is
+//! checked with [`Leadership::valid`] first, which counts from the *sending* of the last successful
+//! renewal.
 
 use crate::constants::*;
 use crate::store::StoreReply;
@@ -8,15 +9,16 @@
 use oatloom_protocol::wire::{Change, Condition, Row, Txn};
 use serde::{Deserialize, Serialize};
 
+/// Key in the state service that the leader holds.
 pub const LEAD_KEY: &str = "lead";
 
 /// Content of the leader key.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 struct Seat {
     member: Member,
-    /// Tells this claim from an earlier one of the same member.
+    /// Distinguishes this claim from earlier claims of the same member.
     nonce: u64,
-    /// Address that the claiming process has bound and nobody else can; earlier versions say none.
+    /// Address bound exclusively by the claiming process; earlier versions write none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     at: Option<String>,
 }
@@ -25,16 +27,16 @@
 pub enum Role {
     /// Another controller leads, or nobody.
     Follower,
-    /// A lease has been asked for.
+    /// A lease has been requested.
     Granting,
-    /// The claim is under way, or its answer was lost.
+    /// The claim has been sent, or its reply was lost.
     Claiming { lease: LeaseId, until: Mono, nonce: u64 },
-    /// The key is this controller's; answers are allowed while `until` lies ahead. Past it the
-    /// leader is suspended: it keeps its state, since an outage gives leases their full time back.
+    /// This controller holds the key and may act as leader before `until`. After it the leader is
+    /// suspended but keeps its state, since the state service extends leases in full after an outage.
     Leader { lease: LeaseId, until: Mono, token: Token },
 }
 
-/// What the slice wants from the state service.
+/// A request to the state service.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Ask {
     Read,
@@ -45,48 +47,49 @@
     Revoke(LeaseId),
 }
 
-/// What the rest of the controller has to know.
+/// A change of leadership that the rest of the controller has to handle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Turn {
     Elected(Token),
     Deposed,
 }
 
+/// Election state of this controller.
 #[derive(Debug)]
 pub struct Leadership {
     me: Member,
-    /// Address that this process has bound and no other can meanwhile, if it is such a one.
+    /// Address bound exclusively by this process, if there is one.
     bound: Option<String>,
-    /// The last content of the key that could not be read, so that it is said once, and how many there were.
+    /// Token of the last unreadable leader record, so that each is logged once, and their number.
     unreadable: (Token, u64),
-    /// A former life's lease that was asked to end.
+    /// Lease of an earlier incarnation whose revocation was requested.
     ended: Option<LeaseId>,
     role: Role,
     leader: Option<(Member, Token)>,
-    /// The highest token known of; what is heard of older ones is no news.
+    /// Highest token known; messages about older ones are ignored.
     seen: Token,
-    /// Set once the key was seen to be free.
+    /// Whether the key was last seen to be free.
     vacant: bool,
     next_read: Mono,
     next_claim: Mono,
     next_touch: Mono,
     watching: bool,
-    /// When the read was sent that is waited for.
+    /// When the pending read was sent.
     reading: Option<Mono>,
-    /// Reads sent before this show nothing new: a later one was answered, or a claim was begun since.
+    /// Replies to reads sent before this are outdated: a later read was answered, or a claim was begun since.
     read_from: Mono,
     turn: Option<Turn>,
 }
 
-/// Until when a lease may be relied on whose last good renewal was sent at `sent`.
+/// End of validity of a lease whose last successful renewal was sent at `sent`.
 pub(crate) fn lease_end(sent: Mono) -> Mono {
     let ttl = LEADER_TTL_MS.0 as f64 * (1.0 - DRIFT);
     sent.plus(Millis(ttl as u64 - VALIDITY_MARGIN_MS.0))
 }
 
 impl Leadership {
-    /// `bound`: the address that this process holds and no other process can hold at the same time; `None` where
-    /// another machine may have the same.
+    /// `bound`: the address that this process has bound exclusively; `None` if another machine may have bound the
+    /// same address.
     pub fn new(me: Member, bound: Option<String>) -> Self {
         Self {
             me,
@@ -107,7 +110,7 @@
         }
     }
 
-    /// The token, while this controller may act as leader.
+    /// This controller's token, while it may act as leader.
     pub fn valid(&self, now: Mono) -> Option<Token> {
         match self.role {
             Role::Leader { until, token, .. } if now < until => Some(token),
@@ -115,6 +118,7 @@
         }
     }
 
+    /// This controller's token while it holds the key, even if its lease may have expired.
     pub fn token(&self) -> Option<Token> {
         match self.role {
             Role::Leader { token, .. } => Some(token),
@@ -127,17 +131,17 @@
         self.token().map(|token| Condition { key: LEAD_KEY.into(), version: Revision(token.0) })
     }
 
-    /// The other controller that leads, as far as this one knows.
+    /// The leader, as far as known, if it is another controller.
     pub fn other_leader(&self) -> Option<&Member> {
         self.leader.as_ref().map(|(member, _)| member).filter(|member| **member != self.me)
     }
 
-    /// Token of the leader, whoever it is.
+    /// Token of the leader, as far as known.
     pub fn leader_token(&self) -> Option<Token> {
         self.leader.as_ref().map(|(_, token)| *token)
     }
 
-    /// The one place where the role changes.
+    /// Changes the role; all role changes go through here.
     fn enter(&mut self, role: Role, why: &str) {
         let was_leader = matches!(self.role, Role::Leader { .. });
         match &role {
@@ -158,17 +162,18 @@
         self.role = role;
     }
 
-    /// What changed since the last call.
+    /// The change of leadership since the last call, if any.
     pub fn take_turn(&mut self) -> Option<Turn> {
         self.turn.take()
     }
 
+    /// Returns the requests that are due now.
     pub fn tick(&mut self, now: Mono) -> Vec<Ask> {
         let mut asks = Vec::new();
         match self.role.clone() {
             Role::Follower => {
                 if self.vacant && now >= self.next_claim {
-                    self.enter(Role::Granting, "the seat is free");
+                    self.enter(Role::Granting, "the leader key is free");
                     self.read_from = now;
                     asks.push(Ask::Grant);
                 } else if self.read_due(now) {
@@ -178,8 +183,8 @@
                 }
             }
             Role::Claiming { until, lease, .. } if now >= until => {
-                // The key may still be created late under this lease, so the lease goes first.
-                self.enter(Role::Follower, "the claim took too long");
+                // The claim may still be applied late under this lease, so the lease is revoked first.
+                self.enter(Role::Follower, "the claim timed out");
                 asks.push(Ask::Revoke(lease));
             }
             Role::Leader { lease, .. } if now >= self.next_touch => {
@@ -191,8 +196,8 @@
         asks
     }
 
-    /// Whether the key is to be read now: regularly, and again soon where no answer comes. Guards against a controller that
-    /// asks nothing else, and takes two lost answers for a state service that refuses it.
+    /// Whether the key is to be read now: regularly, and again soon if no reply comes. Without the early retry a controller
+    /// that sends no other requests would take two lost replies for a state service that refuses it.
     fn read_due(&self, now: Mono) -> bool {
         match self.reading {
             Some(sent) => now.since(sent) >= READ_AGAIN_MS,
@@ -200,17 +205,17 @@
         }
     }
 
-    /// Another leader's token was shown by a worker: this one's time is over.
+    /// Steps down if a worker has shown a higher token of another leader.
     pub fn outranked(&mut self, token: Token) {
         if self.token().is_some_and(|mine| token > mine) {
-            self.enter(Role::Follower, "a worker has seen a higher token");
+            self.enter(Role::Follower, "a worker reported a higher token");
             self.next_read = Mono(0);
         }
     }
 
-    /// A peer says that it leads. Guards against a controller that the state service alone refuses:
-    /// it took itself for the leader for as long as that lasted, and sent users and workers away
-    /// who could have been served through the new one.
+    /// Handles a peer's message that it leads. A controller that only the state service refuses would
+    /// otherwise take itself for the leader for as long as that lasts, and turn away users and workers
+    /// that the new leader could serve.
     pub fn heard(&mut self, leader: &Member, token: Token) {
         if token <= self.seen || *leader == self.me {
             return;
@@ -221,21 +226,21 @@
             self.next_read = Mono(0);
         }
         if self.role == Role::Follower {
-            log::info!("leadership: {leader} leads with token {token}, as it says");
+            log::info!("leadership: {leader} reports that it leads with token {token}");
             self.vacant = false;
             self.leader = Some((leader.clone(), token));
         }
     }
 
-    /// A fenced write failed on the leader key.
+    /// Steps down because a fenced write failed on the leader key.
     pub fn fenced_off(&mut self) {
         if matches!(self.role, Role::Leader { .. }) {
-            self.enter(Role::Follower, "a write was fenced off");
+            self.enter(Role::Follower, "a fenced write was rejected");
             self.next_read = Mono(0);
         }
     }
 
-    /// Takes up an answer to `ask`, which was sent at `sent`. `random` is for the claim.
+    /// Handles the reply to `ask`, which was sent at `sent`. `random` becomes the nonce of a claim.
     pub fn answered(
         &mut self,
         now: Mono,
@@ -301,12 +306,12 @@
                 self.unreadable = (token, self.unreadable.1 + 1);
                 let count = self.unreadable.1;
                 log::error!(
-                    "leadership: the leader key cannot be read (revision {token}, number {count})"
+                    "leadership: the leader record cannot be decoded (revision {token}, number {count})"
                 );
             }
-            // Whoever wrote it, this one's key is gone, and with it the fence of its writes.
+            // Whoever wrote it, this controller no longer holds the key that fences its writes.
             if self.token().is_some_and(|mine| mine != token) {
-                self.enter(Role::Follower, "the key is a stranger's");
+                self.enter(Role::Follower, "the leader key was overwritten");
             }
             return Vec::new();
         };
@@ -315,7 +320,7 @@
                 if seat.member == self.me && seat.nonce == nonce {
                     self.enter(
                         Role::Leader { lease, until, token },
-                        "the lost claim had succeeded",
+                        "the claim whose reply was lost had succeeded",
                     );
                     return Vec::new();
                 }
@@ -345,16 +350,16 @@
         }
     }
 
-    /// Ends the lease of this process's own former life, which still holds the seat, rather than wait it out. That life
-    /// has ended: it had bound the address that this one holds now. What it had under way is fenced by its key, which
-    /// goes with the lease, as after any other end of it. The others, who know more of the fleet, may claim first.
+    /// Revokes the lease of an earlier incarnation of this controller that still holds the leader key, instead of waiting for it
+    /// to expire. That process has ended: it had bound the address that this one has bound now. Its pending writes are fenced by
+    /// the key, which is deleted with the lease. The other controllers, which know more of the fleet, may claim first.
     fn end_former(&mut self, now: Mono, seat: &Seat, row: &Row) -> Vec<Ask> {
         let own = seat.member == self.me && self.bound.is_some() && seat.at == self.bound;
         let Some(lease) = row.lease.filter(|lease| own && self.ended != Some(*lease)) else {
             return Vec::new();
         };
         log::info!(
-            "leadership: the seat is a former life's of this controller; its lease is ended"
+            "leadership: an earlier incarnation of this controller holds the key; revoking its lease"
         );
         self.ended = Some(lease);
         self.next_claim = now.plus(CLAIM_PAUSE_MS);
@@ -370,7 +375,7 @@
             StoreReply::Changes(changes) => {
                 for change in &changes.log {
                     if change.delete.as_deref() == Some(LEAD_KEY) {
-                        log::info!("leadership: the seat fell free");
+                        log::info!("leadership: the leader key was deleted");
                         self.leader = None;
                         self.vacant = true;
                     } else if change.put.as_deref() == Some(LEAD_KEY) {
@@ -427,7 +432,7 @@
                 self.next_touch = now;
                 self.tick(now)
             }
-            // Unresolved: only the key can tell. The claim's own end bounds the wait.
+            // The outcome is unknown until the key is read. The claim's timeout bounds the wait.
             StoreReply::Lost => {
                 self.reading = Some(now);
                 vec![Ask::Read]
@@ -481,10 +486,10 @@
         slice
     }
 
-    /// A controller that the state service alone refuses learns from its peer who leads now; what is
-    /// said late of an earlier leader is no news.
+    /// A leader that only the state service refuses steps down when a peer reports a higher token; late
+    /// messages about an earlier leader are ignored.
     #[test]
-    fn a_peer_with_a_higher_token_ends_a_reign() {
+    fn a_peer_with_a_higher_token_ends_a_leader_term() {
         let mut slice = elected();
         slice.take_turn();
         let peer = Member::new("b");
@@ -497,7 +502,7 @@
         assert_eq!(slice.other_leader(), Some(&peer));
     }
 
-    /// Validity counts from the sending of the grant, not from its answer.
+    /// Validity counts from the sending of the grant, not from its reply.
     #[test]
     fn validity_counts_from_the_sending() {
         let mut slice = elected();
@@ -506,7 +511,7 @@
         assert!(end < Mono(10).plus(LEADER_TTL_MS));
         assert_eq!(slice.valid(Mono(end.0 - 1)), Some(Token(9)));
         assert_eq!(slice.valid(end), None);
-        // Renewed late, as after an outage: the same token is valid again.
+        // After a late renewal, as after an outage, the same token is valid again.
         slice.answered(Mono(9_000), &Ask::Touch(LeaseId(3)), Mono(8_990), &StoreReply::Touched, 0);
         assert_eq!(slice.valid(Mono(9_000)), Some(Token(9)));
     }
@@ -525,10 +530,10 @@
         assert_eq!(slice.take_turn(), Some(Turn::Deposed));
     }
 
-    /// A new life ends the lease of its former one at once, and nobody else's: not another member's, not that of a
-    /// process of the same name elsewhere, not an earlier version's, and none twice.
+    /// A restarted controller revokes the lease of its earlier incarnation once, and no other lease: not another member's,
+    /// not that of a process of the same name at another address, and not one written by an earlier version.
     #[test]
-    fn a_former_lifes_lease_is_ended_and_no_other() {
+    fn only_the_lease_of_an_earlier_incarnation_is_revoked() {
         let row = |member: &str, at: Option<&str>, lease| Row {
             key: LEAD_KEY.into(),
             value: serde_json::json!({"member": member, "nonce": 7, "at": at}),
@@ -554,16 +559,16 @@
                 assert_eq!(revokes, *ends && bound.is_some(), "{row:?}");
                 let again = slice.answered(Mono(2), &Ask::Read, Mono(1), &found, 7);
                 assert!(!again.contains(&Ask::Revoke(LeaseId(5))));
-                // Nor does it lead before it has a claim of its own.
+                // It does not lead before its own claim has succeeded.
                 assert_eq!(slice.valid(Mono(3)), None);
             }
         }
     }
 
-    /// Content of another version, or a stranger's: nobody leads by it, it is counted once, and a leader whose key it has
-    /// taken leads no longer.
+    /// A leader record that cannot be decoded names no leader and is counted once; a leader whose key it has replaced steps
+    /// down.
     #[test]
-    fn a_key_that_cannot_be_read_is_not_acted_on() {
+    fn an_undecodable_leader_record_names_no_leader() {
         let row = |version| Row {
             key: LEAD_KEY.into(),
             value: serde_json::json!({"member": 7, "of": "the future"}),
@@ -576,13 +581,13 @@
                 slice.answered(Mono(80), &Ask::Read, Mono(79), &StoreReply::Found(row(version)), 7);
             assert!(asks.is_empty() && slice.token().is_none() && slice.other_leader().is_none());
             assert_eq!(slice.unreadable, (Token(version), count));
-            assert!(!slice.tick(Mono(81)).contains(&Ask::Grant), "it is not free either");
+            assert!(!slice.tick(Mono(81)).contains(&Ask::Grant), "the key is not free either");
         }
     }
 
-    /// A claim whose answer was lost is settled by reading the key, by nonce and not by name.
+    /// A claim whose reply was lost is resolved by reading the key: the nonce decides, not the member name.
     #[test]
-    fn a_lost_claim_is_settled_by_the_key() {
+    fn a_claim_with_a_lost_reply_is_resolved_by_reading_the_key() {
         for (nonce, wins) in [(7, true), (8, false)] {
             let mut slice = Leadership::new(Member::new("a"), Some("10.0.0.1:80".into()));
             slice.tick(Mono(0));
--- a/crates/core/src/open.rs
+++ b/crates/core/src/open.rs
@@ -1,11 +1,11 @@
-//! Requests without an answer, by the deadline at which they are answered in any case.
+//! Unanswered requests, indexed by the deadline at which they are answered in any case.
 
 use crate::reply::ConnId;
 use oatloom_protocol::ids::Mono;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Open requests, indexed by deadline: looking for expired ones costs nothing while there are none, however many are
-/// open. It is done before every event.
+/// Open requests, indexed by deadline. Expired ones are searched for before every event, which costs nothing while there
+/// are none, however many requests are open.
 #[derive(Debug, Default)]
 pub struct OpenRequests {
     deadlines: BTreeMap<ConnId, Mono>,
@@ -21,19 +21,19 @@
         self.by_deadline.insert((deadline, conn));
     }
 
-    /// Removes a request that is being answered; whether it was open.
+    /// Removes a request that is being answered; returns whether it was open.
     pub fn remove(&mut self, conn: ConnId) -> bool {
         let Some(deadline) = self.deadlines.remove(&conn) else { return false };
         self.by_deadline.remove(&(deadline, conn));
         true
     }
 
-    /// Whether a request is still without an answer.
+    /// Whether a request is still unanswered.
     pub fn contains(&self, conn: ConnId) -> bool {
         self.deadlines.contains_key(&conn)
     }
 
-    /// The requests whose deadline has passed, the earliest first; they stay open until they are removed.
+    /// The requests whose deadline has passed, earliest first; they stay open until they are removed.
     pub fn expired(&self, now: Mono) -> Vec<ConnId> {
         let passed = self.by_deadline.iter().take_while(|(deadline, _)| now >= *deadline);
         passed.map(|(_, conn)| *conn).collect()
--- a/crates/core/src/open/tests.rs
+++ b/crates/core/src/open/tests.rs
@@ -2,7 +2,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// The index says the same as looking through all requests, in any order of insertions, moves and removals.
+/// The index agrees with a search through all requests after any sequence of insertions, moves and removals.
 #[test]
 fn the_index_agrees_with_a_full_search() {
     let mut rng = ChaCha8Rng::seed_from_u64(45);
--- a/crates/core/src/parked.rs
+++ b/crates/core/src/parked.rs
@@ -1,6 +1,6 @@
-//! Reports whose answers wait a moment for something to say. A start command goes only with the
-//! answer to a report, so a machine that has just reported hears of its next task a whole report
-//! period later; one whose report is still open hears of it at once.
+//! Parked reports: their answers are delayed until there are orders or a deadline passes. Start
+//! orders are sent only with the answer to a report, so a machine that has just been answered would
+//! get its next task a whole report period later; one whose report is still open gets it at once.
 
 use crate::constants::{PARKED_AT_ONCE, PARKED_FEW, PARKED_SWEEP_MS};
 use crate::reply::ConnId;
@@ -8,41 +8,42 @@
 use oatloom_protocol::wire::Report;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A report that has been taken up and not been answered.
+/// A report that has not been answered yet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Parked {
     pub conn: ConnId,
     pub shift: Shift,
     pub tally: Tally,
-    /// When it is answered at the latest, well before its worker gives up.
+    /// Latest time of its answer, well before its worker times out.
     pub until: Mono,
-    /// The report itself, if it has not been taken up yet.
+    /// The report itself, if it has not been applied yet.
     pub unread: Option<Box<Report>>,
 }
 
-/// Which parked reports are looked at. Looking at all of them at every event cost a leader of thousands of machines more than
-/// its reports did, the more the more of them waited.
+/// Which parked reports are checked. Checking all of them at every event cost a leader of thousands of machines more than
+/// handling its reports, growing with the number of parked reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Look {
-    /// Those whose time is up.
+    /// Only those whose deadline has passed.
     Deadlines,
-    /// These, and those of machines that are watched.
+    /// Also those of watched machines.
     Watched,
 }
 
+/// Parked reports by machine and by deadline.
 #[derive(Debug, Default)]
 pub struct ParkedReports {
     waiting: BTreeMap<HostId, Parked>,
     by_deadline: BTreeSet<(Mono, HostId)>,
-    /// Machines for which there may be something to say before their time is up.
+    /// Machines for which there may be orders before their deadline.
     watched: BTreeSet<HostId>,
     next_sweep: Mono,
-    /// Reports looked at so far, for tests.
+    /// Number of reports checked so far, for tests.
     looks: u64,
 }
 
 impl ParkedReports {
-    /// `until`: when it is answered at the latest.
+    /// Parks a report, to be answered by `until` at the latest.
     pub fn park(
         &mut self,
         host: HostId,
@@ -60,14 +61,14 @@
         self.waiting.insert(host, Parked { conn, shift, tally, until, unread });
     }
 
-    /// There may be something to say to a machine by now, or soon.
+    /// Watches a machine for which there may be orders now or soon.
     pub fn watch(&mut self, host: &HostId) {
         if self.waiting.contains_key(host) {
             self.watched.insert(host.clone());
         }
     }
 
-    /// How many reports have been looked at.
+    /// Number of reports checked so far.
     pub fn looks(&self) -> u64 {
         self.looks
     }
@@ -80,13 +81,13 @@
         self.waiting.is_empty()
     }
 
-    /// Whether a report of the same machine waits that is no older.
+    /// Whether the same machine has a parked report that is at least as new.
     pub fn has_newer(&self, report: &Report) -> bool {
         let waiting = self.waiting.get(&report.host);
         waiting.is_some_and(|p| (p.shift, p.tally) >= (report.shift, report.tally))
     }
 
-    /// Takes out what is parked of a machine: a newer report has come, or it is being answered.
+    /// Removes a machine's parked report: a newer one has come, or it is being answered.
     pub fn take(&mut self, host: &HostId) -> Option<Parked> {
         let parked = self.waiting.remove(host)?;
         self.by_deadline.remove(&(parked.until, host.clone()));
@@ -94,15 +95,15 @@
         Some(parked)
     }
 
-    /// All of them, to be answered since this controller may no longer say anything.
+    /// Removes all parked reports, to be answered because this controller no longer leads.
     pub fn take_all(&mut self) -> BTreeMap<HostId, Parked> {
         self.by_deadline.clear();
         self.watched.clear();
         std::mem::take(&mut self.waiting)
     }
 
-    /// Those whose time is up, and of those looked at the ones for which `ready` holds; no more than can be answered at
-    /// once. All are looked at now and then, whatever is asked for, and always where they are few.
+    /// Returns the machines whose deadline has passed, and of those checked the ones for which `ready` holds; no more than can
+    /// be answered at once. All are checked periodically, whatever `look` says, and always if there are few.
     pub fn due(
         &mut self,
         now: Mono,
--- a/crates/core/src/reign/capacity.rs
+++ b/crates/core/src/reign/capacity.rs
@@ -1,24 +1,24 @@
-//! The control loop: rates, the target N*, and the hires and returns that follow it.
+//! The capacity control loop: service rates, the target core count N*, and the machines hired and released to follow it.
 
 use super::*;
 use placement::Headroom;
 
-/// What a job asks of the loop.
+/// Capacity that a job requests from the control loop.
 struct Want<'a> {
     job: &'a Job,
     /// Core equivalents of a task.
     eq: f64,
-    /// Tasks left that may run now.
+    /// Remaining tasks that may run now.
     left: u32,
-    /// In cores.
+    /// Requested service rate in cores.
     rate: f64,
-    /// Whether it is part of the floor: it is not served by rate.
+    /// Whether the job counts towards the floor instead of being served at a rate.
     fixed: bool,
 }
 
-/// Cuts what jobs ask for to what their teams' limits let run at once, in the order in which they would run; says what the
-/// limits leave. Guards against machines for work that may not run on them: the document sums s = r/d of all jobs, and has
-/// no limits.
+/// Cuts the demands of jobs to what their teams' limits allow to run at once, in the order in which they would run; returns
+/// the remaining headroom. Without it, machines would be hired for work that may not run: the Dithen paper (Doyle et al.,
+/// IC2E 2016) sums s = r/d of all jobs and has no team limits.
 fn limit_wants<'s>(
     settings: &'s Settings,
     book: &Book,
@@ -37,7 +37,7 @@
         let asked = (want.rate / want.eq).ceil() as u32;
         let more = asked.saturating_sub(want.job.held);
         let granted = match spec.shape {
-            // Whole or not at all.
+            // A gang runs as a whole or not at all.
             Shape::Gang if most < more => 0,
             _ => more.min(most),
         };
@@ -50,8 +50,8 @@
 }
 
 impl Reign {
-    /// Cores of a machine that a task stands for: by what binds first, so that a task that takes a
-    /// quarter of the GPUs counts as a quarter of the cores.
+    /// Cores that a task counts as, by its dominant resource: a task that takes a quarter of a
+    /// machine's GPUs counts as a quarter of its cores.
     pub(super) fn core_equivalents(&self, spec: &JobSpec) -> f64 {
         let need = Room::from(spec);
         self.fleet
@@ -69,8 +69,8 @@
         self.shown.get(&spec.class).copied().unwrap_or_default()
     }
 
-    /// What a task of the job is taken to cost: what the job itself has shown, else the owner's
-    /// estimate corrected by what its class has shown.
+    /// Expected cost of a task: as measured on the job itself, else the owner's estimate corrected by
+    /// the bias of its class.
     pub(super) fn expected_cost(&self, job: &Job, eq: f64) -> Option<f64> {
         job.cost.cost().or_else(|| {
             let bias = self.bias(&job.spec);
@@ -78,7 +78,7 @@
         })
     }
 
-    /// The rate that an array is to be served at.
+    /// Service rate of an array job, in cores.
     pub(super) fn array_rate(
         &self,
         settings: &Settings,
@@ -95,8 +95,8 @@
         };
         let due = placement::due(settings, job);
         let left_s = (due.0 as f64 - now.0 as f64) / 1000.0 - self.overhead_s(settings, &job.spec);
-        // Tasks are whole: time in which no whole task fits any more is of no use. Nor is the end of
-        // it, in which the longest run on: what starts then is late as often as not.
+        // Only time in which whole tasks fit counts. The end of it, in which the longest tasks still
+        // run, does not: a task that starts then often finishes late.
         let task_s = b / eq;
         let longest_s = self.bias(&job.spec).longest * job.spec.estimate_s;
         let tail_s = TAIL_WEIGHT * (longest_s - task_s).max(0.0);
@@ -104,14 +104,14 @@
         Demand { work: left * b, left_s: waves * task_s, most }.rate(tick_s)
     }
 
-    /// What passes around a task's run: a boot, reports before and after it, and the image's fetch.
+    /// Time that a task needs besides its run: a boot, reports before and after it, and the image fetch.
     pub(super) fn overhead_s(&self, settings: &Settings, spec: &JobSpec) -> f64 {
         let boot_s = self.fleet.least_boot_s().unwrap_or(0.0);
         self.stage_overhead_s(settings, spec) + boot_s
     }
 
-    /// Jobs that others need inherit their ranks and, less what those take by what their classes have shown, their
-    /// deadlines: the filter and the loop see a pipeline as work with one deadline.
+    /// Passes ranks and deadlines from jobs to their dependencies, deadlines less the run times expected with the class bias:
+    /// the filter and the control loop treat a pipeline as work with one deadline.
     fn inherit_urgency(&mut self, settings: &Settings) {
         let mut book = std::mem::take(&mut self.book);
         book.inherit(|job| {
@@ -122,8 +122,8 @@
         self.book = book;
     }
 
-    /// What passes around the run of a job that is released while machines are there: a report before and after it, and
-    /// the image's fetch.
+    /// Time that a job needs besides its run if machines are up when it is released: a report before and after it, and the
+    /// image fetch.
     fn stage_overhead_s(&self, settings: &Settings, spec: &JobSpec) -> f64 {
         2.0 * settings.facts.workers.report_s + self.fetch_s(spec)
     }
@@ -134,7 +134,8 @@
         if fetch > 0.0 { spec.image_gb / fetch } else { 0.0 }
     }
 
-    /// Rates of all jobs, the target N*, the floor of services, gangs and guarantees, and what teams' limits leave beside them.
+    /// Returns the target N*, the floor of services, gangs and guarantees, the claims of arrays, and the headroom that team
+/// limits leave.
     pub(super) fn demand<'s>(
         &mut self,
         settings: &'s Settings,
@@ -151,7 +152,7 @@
         let mut wants: BTreeMap<&JobId, Want> = BTreeMap::new();
         for (id, job) in self.book.jobs.iter().filter(|(_, j)| j.state == JobState::Open) {
             let eq = self.core_equivalents(&job.spec).max(1e-3);
-            // What waits for its next try takes no room from others meanwhile.
+            // Tasks that wait for a retry claim no capacity.
             let left = match job.spec.shape {
                 Shape::Array => job.held + job.startable(now),
                 _ => job.spec.tasks - job.done,
@@ -175,7 +176,7 @@
                 claims.push((id.clone(), claim));
             }
         }
-        // Room that is kept ready belongs to the floor, and so to the target.
+        // Capacity kept ready for expected jobs is part of the floor and so of the target.
         for (job, count) in &self.expected {
             let ready = self.core_equivalents(&job.spec) * f64::from(job.spec.tasks * count);
             floor += ready;
@@ -184,7 +185,7 @@
         (target, floor, claims, headroom)
     }
 
-    /// Whether a machine is empty and cannot be reached, since its zone is lost.
+    /// Whether a machine is empty and unreachable because its zone is lost.
     fn out_of_reach(&self, m: &Machine) -> bool {
         m.life == Life::Silent && m.empty() && self.fleet.zones.lost(&m.zone)
     }
@@ -194,7 +195,7 @@
         machines.filter_map(|m| self.fleet.flavor(&m.flavor)).map(|f| f.cpus).sum()
     }
 
-    /// Rented cores that can do some of the work which the loop serves.
+    /// Rented cores that can run work.
     pub(super) fn rented(&self) -> f64 {
         self.cores(|m| m.life != Life::Releasing && !self.out_of_reach(m))
     }
@@ -226,11 +227,11 @@
         self.paced = ids.into_iter().zip(claims.iter().zip(shares).map(tasks)).collect();
         let bounds =
             Bounds { min: floor, max: if ops.max_cores > 0.0 { ops.max_cores } else { f64::MAX } };
-        // Machines are larger than a step: what the loop has added or cut, but no machine yet
-        // stands for, is carried from tick to tick, though not beyond the target.
+        // Machines are larger than a step: the part of earlier steps that no whole machine covers yet
+        // is carried from tick to tick, but not beyond the target.
         let carried =
             if rented <= target { self.planned.max(rented) } else { self.planned.min(rented) };
-        // β holds per cut period, spread evenly over its ticks.
+        // β is the factor per cut period, spread evenly over its ticks.
         let beta = ops.beta.powf(ops.tick().secs() / CUT_PERIOD_MS.secs());
         let next = scaling::step(carried, target, bounds, beta);
         self.planned = if rented <= target { next } else { next.max(target.min(rented)) };
@@ -251,7 +252,7 @@
         self.hire(plan, rented, bounds.max - lost, desk);
     }
 
-    /// One line on where the rented room is, and one on each team that has a limit.
+    /// Logs one line on the capacity of the fleet, and one for each team that has a limit.
     pub(super) fn log_fleet(&self, settings: &Settings, plan: &Plan) {
         let mut lives: BTreeMap<String, (u32, f64, f64)> = BTreeMap::new();
         for m in self.fleet.machines.values() {
@@ -260,7 +261,7 @@
             let entry = lives.entry(format!("{:?} {kind}", m.life)).or_default();
             *entry = (entry.0 + 1, entry.1 + room.cpus, entry.2 + room.gpus);
         }
-        // Why a job of such a team waits though there is room.
+        // Shows why a job of such a team waits although machines have room.
         for team in settings.facts.teams.iter().filter(|t| t.cpus_max > 0.0 || t.gpus_max > 0.0) {
             let used = self.book.usage.get(&team.name).copied().unwrap_or_default();
             let waits =
@@ -277,14 +278,14 @@
         }
         let expected: u32 = self.expected.iter().map(|(job, n)| job.spec.tasks * n).sum();
         log::debug!(
-            "fleet: machines, free cores and GPUs {lives:?}; ready for {expected} on {}; wished {}",
+            "fleet: machines, free cores and GPUs {lives:?}; ready for {expected} on {}; requested {}",
             plan.ready.len(),
             plan.hires.len()
         );
     }
 
-    /// Hires what the pass wished for: services, gangs and guarantees under the floor, arrays as
-    /// far as the loop has grown.
+    /// Hires the machines that the placement pass requested: those for services, gangs and guarantees
+    /// in any case, those for arrays up to the planned cores.
     pub(super) fn hire(&mut self, plan: Plan, rented: f64, most: f64, desk: &mut CloudDesk) {
         let mut cores = rented;
         let mut counts: BTreeMap<Kind, u32> = BTreeMap::new();
@@ -308,7 +309,7 @@
         }
     }
 
-    /// Returns machines that have been idle, the dearest first, while more is rented than planned.
+    /// Releases idle machines, the most expensive first, while more cores are rented than planned.
     pub(super) fn return_idle(
         &mut self,
         plan: &Plan,
@@ -344,8 +345,8 @@
         }
     }
 
-    /// While more is rented than planned and no machine stands idle, empties the one with least on
-    /// it: replicas move one at a time, other tasks end by themselves.
+    /// While more cores are rented than planned, empties the least used machine: replicas of services
+    /// are moved one at a time, other tasks run to their end.
     pub(super) fn consolidate(
         &mut self,
         settings: &Settings,
@@ -390,7 +391,7 @@
             .map(|m| (m.used.share_of(&self.fleet.room_of(m)), m.id.clone()))
             .collect();
         least.sort_by(|a, b| a.0.total_cmp(&b.0));
-        // Each question looks at the whole fleet, so it is asked of a few only.
+        // Each check scans the whole fleet, so only a few machines are checked.
         let least =
             least.into_iter().map(|(_, host)| host).take(EMPTY_TRIES).find(|host| roomy(host));
         let mover = closing
@@ -407,7 +408,7 @@
             })
             .cloned();
         if let Some(m) = least.and_then(|host| self.fleet.machines.get_mut(&host)) {
-            m.enter(Life::Closing, "more is rented than planned");
+            m.enter(Life::Closing, "more cores are rented than planned");
         }
         if let Some(task) = mover {
             self.last_move = now;
--- a/crates/core/src/reign/dispatch.rs
+++ b/crates/core/src/reign/dispatch.rs
@@ -1,9 +1,9 @@
-//! Placement passes, and the assignments, stops and kept machines that they decide.
+//! Placement passes, and the assignments, stops and machine reservations that they decide.
 
 use super::*;
 
 impl Reign {
-    /// One placement pass; starts and stops are taken up, hires are left to the caller.
+    /// Runs one placement pass; applies its starts and stops and leaves the hires to the caller.
     pub(super) fn place(&mut self, settings: &Settings, desk: &CloudDesk, now: Mono) -> Plan {
         self.place_dirty = false;
         let coming = self.coming(settings, desk, now);
@@ -24,7 +24,7 @@
             expected: &self.expected,
             refused: &refused,
         });
-        // A pass that costs more comes less often, so that it starves nothing else.
+        // Expensive passes run less often, so that they do not starve other work.
         let took_s = plan.steps as f64 * STEP_NS * 1e-9;
         let share = PLACE_SHARE * settings.facts.limits.cpu_share.clamp(0.01, 1.0);
         self.next_place = now.plus(Millis::from_secs(took_s / share).max(PLACE_EVERY_MS));
@@ -41,7 +41,7 @@
             gangs.insert(id.clone(), attempt);
             self.assign(settings, &id, index, &host, attempt, now);
         }
-        // What was kept for a gang is free again once it has its places.
+        // Reservations for a gang end once it has been placed.
         if plan.placed_kept {
             for m in self.fleet.machines.values_mut() {
                 if m.reserved.as_ref().is_some_and(|(job, _)| gangs.contains_key(job)) {
@@ -58,14 +58,14 @@
         }
         for (host, job) in &plan.reserve {
             if let Some(m) = self.fleet.machines.get_mut(host) {
-                log::debug!("machine {host}: kept for {job}");
+                log::debug!("machine {host}: reserved for {job}");
                 m.reserved = Some((job.clone(), now.plus(RESERVE_MS)));
             }
         }
         plan
     }
 
-    /// A gang of which a task was asked to stop will not go on.
+    /// Clears a gang after one of its tasks was stopped, since it cannot continue.
     pub(super) fn clear_if_gang(&mut self, task: &TaskId) {
         if let Some(job) = self.book.jobs.get_mut(&task.job)
             && let Gang::Gathering(attempt) | Gang::Running(attempt) = job.gang
@@ -75,6 +75,7 @@
         }
     }
 
+    /// Assigns a task to a machine, unless the placement rules forbid it.
     pub(super) fn assign(
         &mut self,
         settings: &Settings,
@@ -87,7 +88,7 @@
         let Some(job) = self.book.get(id) else { return };
         let Some(machine) = self.fleet.machines.get(host) else { return };
         if !placement::permitted(settings, &self.book, job, machine) {
-            log::error!("task {id}/{index}: may not go to {host}; the plan is wrong");
+            log::error!("task {id}/{index}: placement rules forbid {host}; invalid plan");
             self.wrong_plans += 1;
             return;
         }
@@ -115,7 +116,7 @@
             if machine.life == Life::Closing {
                 machine.enter(Life::Live, "needed again");
             }
-            // Its room was made for this very task; kept on, it would keep the next replica waiting.
+            // The room was reserved for this task; a longer reservation would delay the next replica.
             if spec.shape == Shape::Service
                 && machine.reserved.as_ref().is_some_and(|(job, _)| job == id)
             {
--- a/crates/core/src/reign/graphs.rs
+++ b/crates/core/src/reign/graphs.rs
@@ -1,19 +1,20 @@
-//! Task graphs beside the book: what nodes were seen to take, and what of the book their graphs have to know.
+//! Connects task graphs with the job table: measured costs of nodes, and the open jobs that belong to a graph.
 
 use super::*;
 use oatloom_graph::desk::OpenJob;
 use oatloom_graph::ids::GraphId;
 
-/// What nodes of each kind of each graph take, by DESIGN's filter, with what the current tick has measured.
+/// Run time of each kind of node in each graph: the Kalman filter of the Dithen paper (Doyle et al., IC2E 2016), and the
+/// measurements of the current tick.
 pub(super) type Kinds = BTreeMap<(GraphId, u16), (Kalman, Measurement)>;
 
-/// The desk for a reign, where graphs are served.
+/// The task graphs of a new leader term; `None` if graphs are not served.
 pub(super) fn desk(terms: &Terms, token: Token, now: Mono) -> Option<Desk> {
     let (limits, room) = terms.graphs.clone()?;
     Some(Desk::new(limits, token, room, now))
 }
 
-/// What the state service's limits, those to come included, leave for the records of one addition.
+/// Space for the records of one addition under the state service's limits, announced ones included.
 pub(super) fn room(settings: &Settings) -> RecordRoom {
     let state = settings.facts.state.strictest();
     let value = (state.value_kb * 1024.0) as usize;
@@ -21,7 +22,7 @@
 }
 
 impl Reign {
-    /// A task of a graph's job has run for so long.
+    /// Records the run time of a task that belongs to a graph.
     pub(super) fn measure_node(&mut self, id: &JobId, ran_s: f64) {
         let part = self.book.get(id).and_then(|job| job.part.clone());
         let kind = part.and_then(|part| self.graphs.as_ref()?.kind_of(id, &part));
@@ -30,7 +31,7 @@
         }
     }
 
-    /// Once a tick: what was measured goes into the filters, and what they say to the graphs.
+    /// Feeds the tick's measurements into the filters and passes their estimates to the graphs. Called once per tick.
     pub(super) fn learn_nodes(&mut self) {
         let Some(desk) = self.graphs.as_mut() else { return };
         self.kinds.retain(|(graph, _), _| desk.graph(*graph).is_some());
@@ -47,7 +48,7 @@
         }
     }
 
-    /// The jobs of a graph that are open, with those of their tasks whose being done is durable.
+    /// The unfinished jobs of a graph, with their tasks that are durably done.
     pub fn open_jobs(&self, graph: GraphId) -> Vec<OpenJob> {
         let jobs = self.book.jobs.range(graph.first_job()..=graph.last_job());
         let open = jobs.filter(|(_, job)| job.state != JobState::Over);
--- a/crates/core/src/reign/machines.rs
+++ b/crates/core/src/reign/machines.rs
@@ -1,9 +1,9 @@
-//! Machines that come, fall silent, are drained, and go.
+//! Machine lifecycle: hires, silence, expired leases, draining and release.
 
 use super::*;
 
 impl Reign {
-    /// Everything on a machine is gone for certain.
+    /// Removes a machine that is provably gone, with everything on it.
     pub(super) fn machine_gone(&mut self, host: &HostId, why: &str, now: Mono) {
         for (id, index) in self.held_on(host, |_| true) {
             self.lost(&id, index, now);
@@ -11,7 +11,7 @@
         if self.fleet.remove(host, now).is_some() {
             log::info!("machine {host}: gone ({why})");
         }
-        // A job held to machines that failed it is not held to one that is gone.
+        // A job confined to the machines on which it failed must not wait for one that is gone.
         for job in self.book.jobs.values_mut().filter(|job| job.confined) {
             job.error_hosts.remove(host);
         }
@@ -28,7 +28,7 @@
         for host in hosts {
             if !self.fleet.gone.contains_key(host) {
                 let m = self.fleet.adopt(host, &kind.flavor, &kind.zone, kind.spot, now, now);
-                // A hire's answer may come after the machine's first report; what it says agrees.
+                // The answer to a hire may arrive after the machine's first report; they agree.
                 m.flavor.clone_from(&kind.flavor);
                 m.attested = true;
             }
@@ -36,12 +36,12 @@
         self.place_dirty = true;
     }
 
-    /// Takes up a whole machine list. It may be older than the one before: absence proves nothing.
+    /// Applies a complete machine list. It may be older than the previous one, so a missing machine proves nothing.
     pub fn listing(&mut self, rows: &[Listed], lag_s: f64, desk: &mut CloudDesk, now: Mono) {
         self.listed = true;
         for row in rows {
             if let Some(at) = self.fleet.gone.get(&row.host) {
-                // Listed long after its release: a late rental, or the release was for naught.
+                // Listed long after its release: the hire took effect late, or the release had no effect.
                 if now.since(*at).secs() > 3.0 * lag_s + 40.0 {
                     desk.release(&row.host);
                 }
@@ -63,20 +63,20 @@
                 machine.listed_up.get_or_insert(now);
             }
             if row.status == MachineStatus::Failed {
-                machine.enter(Life::Releasing, "failed by itself");
+                machine.enter(Life::Releasing, "the cloud lists it as failed");
                 desk.release(&row.host);
             }
         }
     }
 
-    /// Whether enough is known of the machines that are there to hire others. Guards against hires, as a term begins, beside
-    /// machines that are there already, and in zones of which the list shows that their machines ought to be heard.
+    /// Whether enough is known of the existing machines to hire more. At the start of a term this avoids duplicates of machines
+    /// that exist already, and hires in zones whose listed machines should be reporting but do not.
     pub(super) fn may_hire(&self, now: Mono) -> bool {
         self.listed || now.since(self.since) > FIRST_LIST_MS
     }
 
-    /// Settles, once the machines are known, of which zones nothing is known: of all, where no earlier leader has told
-    /// anything and has left machines.
+    /// Initializes the zone states once the machine list is known: if no earlier leader sent hints but machines were left
+    /// behind, nothing is known of any zone.
     pub(super) fn begin_zones(&mut self) {
         let Some(catalog) = &self.fleet.catalog else { return };
         if self.zones_begun || !self.listed {
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Silence, leases that have run out, drains, and machines that never came up.
+    /// Handles silent machines, expired leases, drained machines, and machines that never came up.
     pub(super) fn watch_machines(
         &mut self,
         settings: &Settings,
@@ -118,14 +118,14 @@
             if now > horizon && !m.held.is_empty() {
                 expired.push(m.id.clone());
             }
-            // Only where nobody could answer it for so long: silence of its own has a patience of its own.
+            // Only if no controller could answer it until its lease ran out; a machine silent by itself is handled below.
             m.lapsed = horizon < self.heard_from && m.last_report.is_some_and(|at| at <= horizon);
             if m.life == Life::Releasing {
                 continue;
             }
             let over = now > horizon;
-            // One is left to report the moment its zone is back, the others for as long as it would take to have them
-            // again: a boot, and the fetch of their images.
+            // One machine is kept so that it reports as soon as its zone is back, the others for as long as their
+            // replacement would take: a boot and the fetch of their images.
             let mut kept_in_lost_zone = |m: &Machine| {
                 let sentinel = self.fleet.zones.keeps_sentinel(&m.zone, now);
                 m.taken_at.is_none()
@@ -138,8 +138,8 @@
                 let boot_s = flavor.map_or(30.0, |f| f.boot_s);
                 let patience = Millis::from_secs(boot_s * BOOT_PATIENCE + facts.lease_s);
                 let since_lead = now.since(self.heard_from) > silent_after;
-                // Guards against the return of machines that were up before this leader began, as if they had never come
-                // up: nobody in their zone is heard yet, and their tasks may run on until their leases end.
+                // Machines that were up before this term began are not released as never booted while no machine of
+                // their zone reports yet: their tasks may run on until their leases end.
                 let unheard = seen.get(&m.zone).is_some_and(Seen::nobody_heard);
                 let waits = m.was_up() && unheard && (!over || kept_in_lost_zone(m));
                 if now.since(m.born) > patience && since_lead && !waits {
@@ -148,14 +148,14 @@
                 }
                 continue;
             }
-            // A machine that was to be taken and has fallen silent needs no patience.
+            // A machine that the cloud had announced to take back is gone once it is silent.
             let taken = m.taken_at.is_some() && silence(m) > taken_after && now > found_by;
             let silent = taken || silence(m) > silent_after && now > found_by.plus(silent_after);
             if silent && matches!(m.life, Life::Live | Life::Closing) {
                 m.enter(Life::Silent, "no reports");
             }
-            // Guards against taking a cut between zones for the loss of all their machines: they
-            // are left alone until their leases have run out in any case.
+            // A network partition between zones must not pass for the loss of all their machines: they
+            // are kept until their leases have run out.
             let cut = seen.get(&m.zone).is_some_and(Seen::cut);
             let kept = silent && kept_in_lost_zone(m);
             if silent && (!cut || over) && !kept {
@@ -168,14 +168,14 @@
         }
         for host in expired {
             for (id, index) in self.held_on(&host, |_| true) {
-                log::info!("task {id}/{index}: gone, the lease of {host} has run out");
+                log::info!("task {id}/{index}: gone, the lease of {host} has expired");
                 self.lost(&id, index, now);
             }
         }
     }
 
-    /// Notes which machines do not report and have tasks of jobs that are over, those told longest ago last; also those whose
-    /// return was asked for and may never be answered.
+    /// Collects the machines that do not report and still hold tasks of finished jobs, the least recently contacted last. Machines
+    /// being released are included, since their release may never be confirmed.
     pub(super) fn find_overdue(&mut self, settings: &Settings, now: Mono) {
         let report_s = settings.facts.workers.report_s;
         let (again, late) =
@@ -194,9 +194,9 @@
         self.overdue = found.into_iter().map(|(_, host)| host).collect();
     }
 
-    /// The next machine that does not report, with its address, and the stops of what it has of jobs that are over. Said
-    /// once in a report period, until it is known to have ended. Guards against cancelled work that goes on for the rest of
-    /// a lease, and counts in its team's limit as long, on machines that reach no controller and can be reached.
+    /// Returns the next machine that does not report, with its address and stops for its tasks of finished jobs. Repeated once
+    /// per report period until the tasks are known to have ended. Otherwise, on machines that reach no controller but can be
+    /// reached, cancelled work would run on for the rest of a lease and count against its team's limit.
     pub fn next_overdue(&mut self, now: Mono) -> Option<(HostId, String, Command)> {
         loop {
             let host = self.overdue.pop()?;
@@ -220,20 +220,20 @@
         }
     }
 
-    /// What shows of each zone's machines: those that are silent for longer than `early`, counted from `found_by` at the
-    /// earliest, ought to have reported. Guards against a zone that is taken for lost for the silence of machines that were
-    /// returned long ago, of which old reports came.
+    /// Summarizes the reports of each zone's machines: one silent for longer than `early`, counted from `found_by` at the
+    /// earliest, should have reported. Only attested machines that are not being released count: old reports of machines
+    /// released long ago would make their zone appear lost.
     fn seen(&self, early: Millis, found_by: Mono, now: Mono) -> BTreeMap<Zone, Seen> {
         let mut zones: BTreeMap<Zone, Seen> = BTreeMap::new();
         let counts = |m: &&Machine| m.attested && m.life != Life::Releasing;
         for m in self.fleet.machines.values().filter(counts) {
             let seen = zones.entry(m.zone.clone()).or_default();
-            // By the records its tasks were there when this leader began, whatever the list has shown since.
+            // The stored assignments show that it was up when this term began, whatever the machine list says.
             let expected = m.listed_up.or((!m.held.is_empty()).then_some(self.since));
             let overdue = |at: Mono| u32::from(now.since(at.max(found_by)) > early);
             if let Some(at) = m.last_report {
                 seen.known += 1;
-                // Those cut off together fall silent within a report period of each other.
+                // Machines cut off together fall silent within one report period of each other.
                 seen.silent += overdue(at);
                 seen.heard += u32::from(now.since(at) <= early);
                 seen.latest = seen.latest.max(Some(at));
@@ -245,7 +245,7 @@
         zones
     }
 
-    /// Zones in which a machine was hired lately that has not reported: it may be on its way, or up and cut off.
+    /// Zones with a recently hired machine that has not reported: it may be booting, or up and cut off.
     pub(super) fn coming(
         &self,
         settings: &Settings,
@@ -261,28 +261,28 @@
         hired.chain(desk.awaited().map(|(kind, _)| kind.zone)).collect()
     }
 
-    /// Whether work waits that may run in this zone and nowhere else.
+    /// Whether work is waiting that may run in this zone only.
     fn waited_for(&self, zone: &Zone, now: Mono) -> bool {
         let flavors = self.fleet.catalog.as_ref().map_or(&[][..], |c| &c.flavors);
         let waits = |j: &Job| j.state == JobState::Open && j.startable(now) > 0;
         self.book.jobs.values().any(|j| waits(j) && placement::needs_zone(&j.spec, flavors, zone))
     }
 
-    /// In a zone that is lost nothing is hired as needed. What was wished for there and not asked for yet is let go;
-    /// now and then one machine is hired to see whether the zone lives, if none is on its way there. One that is silent
-    /// tells nothing: it may be dead, and work that may run nowhere else waited five minutes for it. While one that boots is
-    /// waited for, or all kinds are refused, the hire is put off, not left out.
+    /// Hires one machine in a lost zone now and then to probe whether the zone is back, unless one is booting there; hire
+    /// requests for lost zones that were not sent yet are dropped. A silent machine does not replace the probe: it may be
+    /// dead, and work that could run only there waited five minutes for it. The probe is postponed, not skipped, while a
+    /// machine boots or all kinds are refused.
     pub(super) fn probe_zones(&mut self, settings: &Settings, desk: &mut CloudDesk, now: Mono) {
         for zone in self.fleet.zones.all_lost() {
             desk.unwish(zone);
         }
         let due = self.fleet.zones.due_probes(now, |zone| self.waited_for(zone, now));
-        // Hired lately, and not what is known by records alone, or never comes up: that kept work which may run nowhere else
-        // waiting for two minutes.
+        // Only recent hires count: machines known from records alone, or that never come up, delayed work bound to the zone by
+        // two minutes.
         let coming =
             if due.is_empty() { BTreeSet::new() } else { self.coming(settings, desk, now) };
         for zone in due {
-            // What is live there on the zone's way back shows by its own reports whether it lasts.
+            // While the zone recovers, the reports of its live machines show whether it stays up; no probe is needed.
             let returning = !self.fleet.zones.lost(&zone);
             let live = |m: &Machine| m.zone == zone && m.life == Life::Live;
             if coming.contains(&zone) || returning && self.fleet.machines.values().any(live) {
@@ -299,14 +299,14 @@
                 .filter(|(_, kind)| !desk.refused(kind, now))
                 .min_by(|a, b| a.0.total_cmp(&b.0));
             if let Some((_, kind)) = cheapest {
-                log::info!("zone {zone}: one machine is hired to see whether it lives");
+                log::info!("zone {zone}: hiring one machine to probe whether the zone is back");
                 desk.hire(&kind, 1);
                 self.fleet.zones.probed(&zone, now);
             }
         }
     }
 
-    /// Tasks on machines that are to be emptied are asked to save and go.
+    /// Stops the tasks on draining machines, with time to save their progress.
     pub(super) fn drain(&mut self, now: Mono) {
         let mut stops = Vec::new();
         for m in self.fleet.machines.values() {
@@ -321,8 +321,8 @@
                 let Some(hold) = job.hold(task.index) else {
                     continue;
                 };
-                // Before the cloud takes a machine, work that cannot be saved runs on if it may be
-                // done in time; else it starts again elsewhere at once.
+                // Before the cloud takes a machine, a task that cannot save its progress runs on if it
+                // may finish in time; otherwise it is stopped at once and starts again elsewhere.
                 let ran_s = hold.running_since.map_or(0.0, |t| now.since(t).secs());
                 let to_go_s = spec.estimate_s - ran_s;
                 let hopeless = m.taken_at.is_some_and(|at| {
@@ -339,7 +339,7 @@
             if matches!(self.book.get(&task.job).map(|j| j.gang), Some(Gang::Running(_))) {
                 self.stop_gang(&task.job, StopWhy::Draining, now);
             } else if self.book.held(&task).is_some_and(|hold| hold.stop.is_none()) {
-                // Else it was stopped along with another task of its gang.
+                // Otherwise it was stopped along with another task of its gang.
                 self.stop(&task, StopWhy::Draining, grace, now);
             }
         }
--- a/crates/core/src/reign/mod.rs
+++ b/crates/core/src/reign/mod.rs
@@ -1,6 +1,6 @@
-//! What a leader does while it leads: compares reports with the book, places tasks, scales.
-//! Holds no sockets and no leadership of its own; [`crate::controller`] calls it only while the
-//! token is valid.
+//! State and actions of one leader term: reconciles reports with the job table, places tasks and
+//! scales the fleet. It owns no sockets and no lease; [`crate::controller`] calls it only while the
+//! fencing token is valid.
 
 mod capacity;
 mod dispatch;
@@ -35,7 +35,7 @@
 use std::ops::Bound;
 use std::sync::Arc;
 
-/// Where a new leader stands.
+/// How far a new leader has come in loading the stored state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
     LoadingLive,
@@ -43,12 +43,12 @@
     Ruling,
 }
 
-/// By how much the owners of a class misjudge their tasks' run times.
+/// Error of the owners' run time estimates for one job class.
 #[derive(Clone, Copy, Debug)]
 struct ClassBias {
-    /// Actual over estimated time, a running mean.
+    /// Running mean of actual over estimated time.
     mean: f64,
-    /// The longest lately; an array is done when its longest task is.
+    /// Decaying maximum of the same ratio: an array is done only when its longest task is.
     longest: f64,
 }
 
@@ -70,18 +70,18 @@
     }
 }
 
-/// What operators have set for all reigns.
+/// Operator configuration that applies to every leader term.
 #[derive(Clone, Debug, Default)]
 pub struct Terms {
-    /// How often tasks of each class may fail.
+    /// Retry allowances by job class.
     pub classes: Arc<Classes>,
-    /// Classes that the account of usage tells apart, if one is kept.
+    /// Classes that usage accounting reports separately; `None` if accounting is off.
     pub accounted: Option<Arc<BTreeSet<String>>>,
-    /// How often what ended is added to its sums.
+    /// How often finished attempts are added to the stored usage totals.
     pub account_every: Millis,
-    /// How much of graphs is taken on, where they are served, and what their records may take.
+    /// Limits on task graphs and on the size of their records; `None` if graphs are not served.
     pub graphs: Option<(Limits, RecordRoom)>,
-    /// What a value may take at most, now and later, in bytes.
+    /// Maximum size of a stored value in bytes, under the current and any announced limits.
     pub value_bytes: usize,
 }
 
@@ -107,19 +107,19 @@
 pub struct Reign {
     pub token: Token,
     pub since: Mono,
-    /// Start of leading, or the latest moment at which validity came back after a lapse; silence
-    /// counts from here at the earliest.
+    /// Start of the term, or the latest moment at which the lease became valid again after a lapse.
+    /// The silence of machines is counted from here at the earliest.
     pub heard_from: Mono,
     pub stage: Stage,
-    /// Whether the cloud's list of machines was read in this term.
+    /// Whether the cloud's machine list has been read in this term.
     listed: bool,
-    /// Whether an earlier leader's notes were taken up.
+    /// Whether an earlier leader's hints have been applied.
     informed: bool,
-    /// Whether it was settled which zones nothing is known of.
+    /// Whether the state of the zones has been initialized.
     zones_begun: bool,
-    /// The revision of the store at which the book was read.
+    /// Store revision at which the job table was read.
     pub begin: Revision,
-    /// Starts that a plan had and that may not be: a fault of this program, for tests.
+    /// Number of planned assignments that the placement rules forbid. Each is a bug in the planner; tests check it.
     pub wrong_plans: u32,
     pub book: Book,
     pub fleet: Fleet,
@@ -127,29 +127,29 @@
     planned: f64,
     paced: BTreeMap<JobId, u32>,
     shown: BTreeMap<String, ClassBias>,
-    /// Images that an earlier leader knew to be on machines that have not reported yet.
+    /// Cached images, by an earlier leader's hints, of machines that have not reported yet.
     recalled: BTreeMap<HostId, Vec<Image>>,
-    /// The last machine whose images the peers were told of.
+    /// The last machine whose images went into a leader hint; the next hint continues after it.
     noted: HostId,
     last_move: Mono,
     expected: Vec<(Job, u32)>,
-    /// Whose fault failures were, where they are limited.
+    /// Evidence on whether jobs or machines caused failures, used where retries are limited.
     evidence: Evidence,
-    /// Machines that were found faulty, until they are gone.
+    /// Machines that were found faulty, kept until they are gone.
     condemned: BTreeSet<HostId>,
-    /// Tasks that may not fail again and wait until it is known whose fault their failures were, and since when.
+    /// Tasks without retries left that wait for evidence on what caused their failures, with the start of the wait.
     trials: BTreeMap<TaskId, Mono>,
-    /// Stops that do not wait for their machine's next report.
+    /// Stop orders that are sent directly instead of with the answer to the machine's next report.
     hasty: BTreeMap<HostId, Vec<Order>>,
     /// Machines for which a task was assigned or stopped since the last call of [`Reign::take_changed_machines`].
     changed_machines: Vec<HostId>,
-    /// Machines that do not report and have something of jobs that are over, the one told longest ago last.
+    /// Machines that do not report and still hold tasks of finished jobs, the least recently contacted one last.
     overdue: Vec<HostId>,
-    /// Task graphs, where they are served.
+    /// Task graphs, if they are served.
     pub graphs: Option<Desk>,
     kinds: graphs::Kinds,
     place_dirty: bool,
-    /// When the next placement pass may be: the last one's cost decides.
+    /// Earliest time of the next placement pass, derived from the cost of the last one.
     next_place: Mono,
     next_tick: Mono,
 }
@@ -193,10 +193,10 @@
         }
     }
 
-    /// The one place where the stage changes.
+    /// Changes the stage; all stage changes go through here.
     pub fn enter(&mut self, stage: Stage) {
         log::info!(
-            "reign {}: {:?} -> {:?}, {} jobs",
+            "leader term {}: {:?} -> {:?}, {} jobs",
             self.token,
             self.stage,
             stage,
@@ -205,19 +205,19 @@
         self.stage = stage;
         self.place_dirty = true;
         if stage == Stage::Ruling {
-            // Guards against a leader that ended between writing the last task and the job's end.
+            // An earlier leader may have stopped between writing the last task and the end of the job.
             let complete =
                 |(_, j): &(&JobId, &Job)| j.state == JobState::Open && j.done == j.spec.tasks;
             let ids: Vec<JobId> =
                 self.book.jobs.iter().filter(complete).map(|(id, _)| id.clone()).collect();
             for id in ids {
-                self.book.end(&id, JobStatus::Done, "all tasks were done");
+                self.book.end(&id, JobStatus::Done, "all tasks were already done");
             }
         }
     }
 
-    /// What the next leader would have to learn anew: the images of the next few machines, and
-    /// all the rest.
+    /// Builds a hint with the state that is not stored and that a new leader would have to learn again:
+    /// the images of the next few machines, and class biases, arrivals and zone states in full.
     pub fn notes(&mut self, now: Mono) -> Notes {
         let after = (Bound::Excluded(self.noted.clone()), Bound::Unbounded);
         let most = self.fleet.machines.len().div_ceil(NOTES_ROUND).max(NOTES_MACHINES);
@@ -256,7 +256,7 @@
         }
     }
 
-    /// Takes up what an earlier leader noted at `noted`.
+    /// Applies the hints that an earlier leader sent at `noted`.
     pub fn recall(&mut self, notes: Notes, noted: Mono) {
         self.informed = true;
         self.fleet.zones.recall(&notes.zones, noted);
@@ -267,7 +267,7 @@
         for (class, factor) in notes.shown {
             self.shown.insert(class, ClassBias::new(factor));
         }
-        // Of the jobs that came before the notes, the book knows only those still open.
+        // The job table lacks jobs that arrived before the hints were sent and have finished since.
         let mut arrivals: Vec<(Mono, Arc<JobSpec>)> =
             self.book.arrivals.drain(..).filter(|(at, _)| *at > noted).collect();
         for (spec, ages) in notes.arrivals {
@@ -283,13 +283,13 @@
         self.place_dirty = true;
     }
 
-    /// An attempt number that no leader ever used: tokens only grow, and so does the counter.
+    /// Returns an attempt number that no leader has used: tokens and the counter only grow.
     fn new_attempt(&mut self) -> Attempt {
         self.attempts += 1;
         Attempt((self.token.0 << 20) + self.attempts)
     }
 
-    /// Takes up an assignment record from the store.
+    /// Loads an assignment record from the store.
     pub fn load_chunk(
         &mut self,
         id: &JobId,
@@ -308,10 +308,10 @@
             let Some(zone) = zones.get(&host) else {
                 continue;
             };
-            // Its type shows in the list or in its report.
+            // The machine list or the machine's report supplies the flavor.
             let machine = self.fleet.adopt(&host, "", zone, false, now, now);
             machine.attested = true;
-            // A report of an earlier session is an old one, and what is said directly names the session.
+            // Marks reports of earlier sessions as stale; direct commands also have to name the session.
             machine.shift = machine.shift.max(shift);
             machine.hold(
                 TaskId::new(id, index),
@@ -323,14 +323,14 @@
         }
     }
 
-    /// A held task is proven gone from its machine.
+    /// Releases the assignment of a task that has provably left its machine.
     fn free(&mut self, id: &JobId, index: u32, done: bool, now: Mono) {
         if let Some(host) = self.book.get(id).and_then(|j| j.hold(index)).map(|h| h.host.clone())
             && let Some(machine) = self.fleet.machines.get_mut(&host)
         {
             machine.free(&TaskId::new(id, index), now);
         }
-        // A gang of which a task is done has completed, however the others end.
+        // A gang has completed as soon as one of its tasks is done, however the others end.
         let completed = |job: &Job| {
             job.spec.shape == Shape::Gang && job.done > 0 && job.state == JobState::Open
         };
@@ -345,7 +345,7 @@
         self.end_failed(id);
     }
 
-    /// A gang's attempt cannot go on: what is left of it has to go.
+    /// Abandons a gang's current attempt and stops its remaining tasks.
     fn clear_gang(&mut self, id: &JobId, why: &str, now: Mono) {
         let Some(job) = self.book.jobs.get_mut(id) else {
             return;
@@ -361,7 +361,7 @@
         self.stop_all(id, StopWhy::GangFailed, 0.0, now);
     }
 
-    /// Wants a held task to end. One whose start was never sent is gone at once.
+    /// Requests the end of an assigned task. One whose start order was never sent is released at once.
     fn stop(&mut self, task: &TaskId, why: StopWhy, grace_s: f64, now: Mono) {
         let Some(job) = self.book.jobs.get_mut(&task.job) else {
             return;
@@ -373,7 +373,7 @@
             self.free(&task.job, task.index, false, now);
             return;
         }
-        // A later stop may only shorten the grace.
+        // A later stop may only shorten the grace period.
         let grace_s = hold.stop.as_ref().map_or(grace_s, |s| s.grace_s.min(grace_s));
         if hold.stop.is_none() {
             log::debug!("task {task}: stopping ({why:?}, grace {grace_s} s)");
@@ -390,7 +390,7 @@
         }
     }
 
-    /// Wants all held tasks of a job to end.
+    /// Requests the end of all assigned tasks of a job.
     fn stop_all(&mut self, id: &JobId, why: StopWhy, grace_s: f64, now: Mono) {
         let Some(job) = self.book.get(id) else { return };
         let held: Vec<u32> = job.holds().map(|(i, _)| i).collect();
@@ -399,24 +399,24 @@
         }
     }
 
-    /// Stops a running gang so that its progress is saved: all its tasks must hear of it within
-    /// `gang_peer_s`, with the grace to save. What has not ended yet is not told a second time with
-    /// less, as it would be if the gang were taken to have failed.
+    /// Stops a running gang so that its progress is saved: all its tasks must receive the stop within
+    /// `gang_peer_s`, with a grace period long enough to save. Clearing the gang here avoids a second
+    /// stop without grace, which a failed gang gets.
     fn stop_gang(&mut self, id: &JobId, why: StopWhy, now: Mono) {
         let Some(job) = self.book.jobs.get_mut(id) else { return };
         let Gang::Running(attempt) = job.gang else { return };
-        job.gang_enter(Gang::Clearing(attempt), "stopped in order");
+        job.gang_enter(Gang::Clearing(attempt), "stopped to save its progress");
         let grace_s = job.spec.save_s;
         self.stop_all(id, why, grace_s, now);
     }
 
-    /// A job was ended: none of its tasks may start, and those on machines have to go.
+    /// Ends a job: none of its tasks may start any more, and those on machines are stopped.
     pub fn end_job(&mut self, id: &JobId, status: JobStatus, why: &str, now: Mono) {
         self.book.end(id, status, why);
         self.stop_all(id, StopWhy::JobOver, 0.0, now);
     }
 
-    /// Called at every turn while the token is valid.
+    /// Runs the periodic work; called for every event while the token is valid.
     pub fn tick(&mut self, settings: &Settings, ops: &Operators, desk: &mut CloudDesk, now: Mono) {
         if self.stage != Stage::Ruling {
             return;
--- a/crates/core/src/reign/repeats.rs
+++ b/crates/core/src/reign/repeats.rs
@@ -1,5 +1,5 @@
-//! Allowed repeats: what counts against a task, machines that are found faulty, and jobs that have failed too often.
-//! How often is enough, and whose fault it was, `oatloom-policy` says; here it is carried out.
+//! Retry limits: failures charged to tasks, faulty machines, and jobs that have used up their retries. The limits and the
+//! attribution of failures are decided in `oatloom-policy`; this module applies them.
 
 use super::*;
 use oatloom_policy::backoff;
@@ -8,7 +8,7 @@
 use oatloom_policy::constants::{CONFINED_MS, FAULTY, SETTLED_MS};
 use oatloom_protocol::wire::{Failure, FailureCause};
 
-/// An attempt that ended by an error.
+/// An attempt that ended with an error.
 pub(super) struct Failed {
     pub attempt: Attempt,
     pub ran: Millis,
@@ -24,14 +24,14 @@
 }
 
 impl Reign {
-    /// A task ended by an error where failures are limited. The charge goes into the same record as the end of
-    /// its assignment, so that it is counted if and only if that is.
+    /// Charges a failed attempt to its task, where retries are limited. The charge is written in the same record as the
+    /// end of the assignment, so that either both are stored or neither.
     pub(super) fn charge(&mut self, task: &TaskId, failed: &Failed, host: &HostId, now: Mono) {
         let (id, index) = (&task.job, task.index);
         let Some(job) = self.book.jobs.get_mut(id) else { return };
-        // Whether it had been told to stop does not matter: a task that a stop has ended says so. Guards against
-        // a gang whose failing task was told to stop because another had been heard first, and that so failed for
-        // nothing, for ever.
+        // A stop sent to the task does not matter: a task ended by a stop reports that cause. If such failures were not
+        // counted, a gang whose failing task is stopped because another task's end was reported first could fail without
+        // limit.
         if job.state != JobState::Open {
             return;
         }
@@ -49,7 +49,7 @@
             return;
         }
         if self.condemned.contains(host) {
-            // Guards against a failure on a machine that was found faulty before: nobody would give it back.
+            // The machine is already known to be faulty, so nothing would excuse this failure later.
             job.charges.excuse(host);
         }
         job.burnt += usize::from(job.error_hosts.insert(host.clone()));
@@ -66,7 +66,7 @@
             self.evidence.known_sound(id);
         }
         if let Some(machine) = self.fleet.machines.get_mut(host) {
-            // Guards against a machine that fails everything at once and so always has room.
+            // A machine on which everything fails at once always has room and would attract all tasks.
             machine.paused_until = now.plus(pause);
         }
         self.book.charged(id, index);
@@ -74,7 +74,7 @@
         self.stand(id, index, now);
     }
 
-    /// A task ended well: that speaks for its job, and for its machine.
+    /// Records a successful task as evidence in favour of its job and its machine.
     pub(super) fn ended_well(&mut self, id: &JobId, host: &HostId, now: Mono) {
         if let Some(job) = self.book.jobs.get_mut(id) {
             job.confined = false;
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Machines of which it is now believed that they are faulty.
+    /// Marks machines that the evidence now shows to be faulty.
     fn judge_machines(&mut self, now: Mono) {
         let found = self.evidence.faulty().filter(|host| !self.condemned.contains(*host));
         for host in found.cloned().collect::<Vec<_>>() {
@@ -92,16 +92,16 @@
         }
     }
 
-    /// A machine is found faulty: it is emptied and returned, and what it made fail is given back.
+    /// Marks a machine as faulty: it is drained and released, and the failures on it are excused.
     fn condemn(&mut self, host: &HostId, now: Mono) {
-        log::warn!("machine {host}: found faulty, belief {:.2}", self.evidence.machine(host));
+        log::warn!("machine {host}: found faulty, probability {:.2}", self.evidence.machine(host));
         self.condemned.insert(host.clone());
         if let Some(machine) = self.fleet.machines.get_mut(host) {
-            machine.enter(Life::Draining, "unlike jobs fail on it");
+            machine.enter(Life::Draining, "jobs of different kinds fail on it");
         }
         let mut given_back = Vec::new();
         for (id, job) in &mut self.book.jobs {
-            // It did not burn this one.
+            // This machine no longer counts as one on which the job failed.
             job.burnt -= usize::from(job.error_hosts.remove(host)).min(job.burnt);
             let tasks = job.charges.excuse(host);
             given_back.extend(tasks.into_iter().map(|task| (id.clone(), task)));
@@ -123,7 +123,7 @@
         self.place_dirty = true;
     }
 
-    /// Decides whether a task may be tried again, is to wait for evidence, or has failed too often.
+    /// Decides whether a task may be retried, has to wait for evidence, or has used up its retries.
     fn stand(&mut self, id: &JobId, index: u32, now: Mono) {
         let Some(job) = self.book.jobs.get_mut(id) else { return };
         let Some(allowance) = job.allowance.filter(|_| job.state == JobState::Open) else { return };
@@ -133,13 +133,13 @@
         match job.charges.standing(id, judged, allowance, &self.evidence, waited) {
             Standing::Allowed => {
                 if self.trials.remove(&key).is_some() {
-                    log::info!("task {key}: may be tried again");
+                    log::info!("task {key}: may be retried");
                     job.withheld.remove(&index);
                     self.place_dirty = true;
                 }
             }
             Standing::OnTrial if waited_enough(waited) => {
-                // No more evidence came, and what there is speaks against the machines.
+                // No further evidence came, and the existing evidence points to the machines.
                 let accused: Vec<HostId> =
                     job.charges.causes(judged).into_iter().filter_map(|(host, _)| host).collect();
                 for host in accused {
@@ -151,9 +151,9 @@
             }
             Standing::OnTrial => {
                 job.withheld.insert(index, Mono(u64::MAX));
-                // Guards against a wait that begins anew with every look.
+                // A repeated check must not restart the wait.
                 self.trials.entry(key.clone()).or_insert_with(|| {
-                    log::info!("task {key}: waits until it is known whose fault it was");
+                    log::info!("task {key}: waits for evidence on what caused its failures");
                     now
                 });
             }
@@ -164,11 +164,11 @@
         }
     }
 
-    /// A task has used up its repeats.
+    /// Fails a job, one of whose tasks has used up its retries.
     fn exhaust(&mut self, id: &JobId, index: u32, now: Mono) {
         let Some(job) = self.book.get(id) else { return };
         let Some(allowance) = job.allowance else { return };
-        // A gang fails as a whole, and replicas never end: there is no rest that could finish.
+        // A gang fails as a whole and replicas never end, so there are no other tasks to finish.
         let how = match job.spec.shape {
             Shape::Array => allowance.on_exhausted,
             Shape::Gang | Shape::Service => OnExhausted::FailJob,
@@ -187,7 +187,7 @@
         match how {
             OnExhausted::FailJob => self.stop_all(id, StopWhy::JobOver, 0.0, now),
             OnExhausted::FinishRest => {
-                // What was never told to start is free at once.
+                // Tasks that were never sent a start order are released at once.
                 let unsent =
                     |(index, hold): (u32, &Hold)| (hold.run == RunSent::No).then_some(index);
                 let unsent: Vec<u32> =
@@ -200,15 +200,15 @@
         self.end_failed(id);
     }
 
-    /// A failing job ends once nothing of it can be on a machine.
+    /// Ends a failing job once none of its tasks can be on a machine.
     pub(super) fn end_failed(&mut self, id: &JobId) {
         let gone = |job: &Job| matches!(job.state, JobState::Failing(_)) && job.held == 0;
         if self.book.get(id).is_some_and(gone) {
-            self.book.end(id, JobStatus::Failed, "nothing of it is on a machine");
+            self.book.end(id, JobStatus::Failed, "none of its tasks is on a machine");
         }
     }
 
-    /// Tasks that wait for evidence, and those whose pause is over.
+    /// Re-evaluates tasks that wait for evidence, and retries those whose backoff is over.
     pub(super) fn try_again(&mut self, now: Mono) {
         if !self.book.limited {
             return;
@@ -220,15 +220,15 @@
             let before = job.withheld.len();
             job.withheld.retain(|_, until| now < *until);
             self.place_dirty |= job.withheld.len() < before;
-            // Guards against a job that is held for ever to machines on which its gang, or the zones it is to be
-            // spread over, find no place.
+            // Otherwise a job could stay confined for ever to machines on which its gang, or its spread over zones,
+            // cannot be placed.
             let stuck = job.confined && job.held == 0 && now.since(job.failed_at) >= CONFINED_MS;
             if stuck && job.withheld.is_empty() {
                 job.confined = false;
                 self.place_dirty = true;
             }
         }
-        // Guards against using what an earlier leader found faulty, or what was silent when it was found so.
+        // Drains machines that an earlier leader found faulty, or that were silent when they were found so.
         for host in &self.condemned {
             if let Some(machine) = self.fleet.machines.get_mut(host)
                 && matches!(machine.life, Life::Live | Life::Closing)
@@ -241,7 +241,7 @@
             .retain(|host| fleet.machines.contains_key(host) || evidence.machine(host) >= FAULTY);
     }
 
-    /// Takes up what stands against the tasks of all jobs, as earlier leaders wrote it.
+    /// Applies the failures that earlier leaders stored for the tasks of all jobs.
     pub fn recall_charges(&mut self, now: Mono) {
         if !self.book.limited {
             return;
--- a/crates/core/src/reign/reports.rs
+++ b/crates/core/src/reign/reports.rs
@@ -1,17 +1,17 @@
-//! What workers say, in reports and in answers to direct commands, compared with the book; and what
-//! they are told.
+//! Reconciles worker reports and answers to direct commands with the job table, and builds the
+//! orders for workers.
 
 use super::repeats::Failed;
 use super::*;
 use oatloom_ledger::entry::End;
 
-/// Why a gang that gathers begins anew. Guards against one attempt that a machine is given twice: direct answers are not ordered
-/// among the reports, and one that shows the refusal would end what has started since.
+/// Reason for restarting a gathering gang under a new attempt number. Answers to direct commands are not ordered among the
+/// reports: with the old number, a late answer that shows the refusal would end a task that has started since.
 const REFUSED: &str = "a task was refused";
 
 impl Reign {
-    /// Stops to be sent to a machine directly, with its address. They are harmless however late
-    /// they arrive, and go with the answers to its reports as well. Start commands never go here.
+    /// Returns stop orders to send to a machine directly, with its address. Stops are harmless however
+    /// late they arrive, and are repeated in answers to reports. Start orders are never sent this way.
     pub fn next_command(&mut self) -> Option<(HostId, String, Command)> {
         loop {
             let (host, orders) = self.hasty.pop_first()?;
@@ -23,9 +23,9 @@
         }
     }
 
-    /// Takes up what a worker said to a direct command. It may have been said before the answer to
-    /// the worker's open report arrived: what it does not list proves nothing, and it is not
-    /// ordered among the reports. What it shows as ended has ended.
+    /// Applies a worker's answer to a direct command. It is not ordered among the reports and may
+    /// precede the answer to the worker's open report, so a task missing from it proves nothing. A task
+    /// that it shows as ended has ended.
     pub fn on_obeyed(&mut self, report: &Report, now: Mono) {
         let known = self.fleet.machines.get(&report.host).is_some_and(|m| m.shift == report.shift);
         if !known || report.token != self.token || self.stage != Stage::Ruling {
@@ -39,9 +39,9 @@
         }
     }
 
-    /// Takes up a report and answers it; `None` if it deserves no 200.
+    /// Applies a report and returns its answer; `None` if it must not be answered with 200.
     pub fn on_report(&mut self, report: &Report, now: Mono) -> Option<ReportAnswer> {
-        // Guards against a late report of a machine whose release was confirmed.
+        // A late report of a machine whose release was confirmed.
         if self.fleet.gone.contains_key(&report.host) {
             return None;
         }
@@ -72,9 +72,9 @@
         Some(ReportAnswer { token: self.token, orders })
     }
 
-    /// A report shows whether the answer to the one before was heard. What was not started on a machine that hears nothing
-    /// goes elsewhere, and nothing new comes for a while. Guards against tasks that wait for a machine whose reports
-    /// arrive while the answers to it are lost, for as long as that lasts.
+    /// Counts consecutive reports that show that the previous answer was lost. A machine that receives no answers gets no new
+    /// tasks for a while, and those not started on it are released. Otherwise tasks would wait for as long as its reports
+    /// arrive but the answers are lost.
     fn mind_deafness(&mut self, host: &HostId, missed: bool, now: Mono) {
         let Some(machine) = self.fleet.machines.get_mut(host) else { return };
         machine.unheard = if missed { machine.unheard + 1 } else { 0 };
@@ -82,7 +82,7 @@
             return;
         }
         if machine.unheard == UNHEARD_MOST {
-            log::info!("machine {host}: hears no answers");
+            log::info!("machine {host}: receives no answers to its reports");
         }
         machine.paused_until = machine.paused_until.max(now.plus(UNHEARD_PAUSE_MS));
         for (id, index) in self.held_on(host, |hold| hold.run == RunSent::No) {
@@ -90,8 +90,8 @@
         }
     }
 
-    /// Whether the answer to a machine's report may wait for something to say: it is kept for a
-    /// job, or has room for one that must start soon, and nothing on it is likely to end meanwhile.
+    /// Whether the answer to a machine's report may be delayed until there are orders: the machine is
+    /// reserved for a job, or has room for one that must start soon and nothing on it is likely to end.
     pub fn may_wait(&self, settings: &Settings, host: &HostId, now: Mono) -> bool {
         if self.stage != Stage::Ruling || !placement::any_eager(settings) {
             return false;
@@ -118,7 +118,7 @@
         kept || awaiting() || m.held.keys().all(calm) && roomy()
     }
 
-    /// Whether a machine is to be told to start or stop something.
+    /// Whether there are start or stop orders that can be sent to a machine now.
     pub fn has_orders(&self, host: &HostId) -> bool {
         let Some(machine) = self.fleet.machines.get(host) else { return true };
         machine.life != Life::Live
@@ -139,7 +139,7 @@
         std::mem::take(&mut self.changed_machines)
     }
 
-    /// Whether a machine has something that it is to be told, now or once it is durable.
+    /// Whether a machine has tasks to start or stop, now or once their assignment is durable.
     pub fn has_unsent(&self, host: &HostId) -> bool {
         let unsent = |hold: &Hold| hold.run == RunSent::No || hold.stop.is_some();
         self.fleet.machines.get(host).is_some_and(|machine| {
@@ -147,14 +147,14 @@
         })
     }
 
-    /// A report is being answered with 200.
+    /// Records that a report is being answered with 200.
     pub fn answered(&mut self, host: &HostId, now: Mono) {
         if let Some(machine) = self.fleet.machines.get_mut(host) {
             machine.last_answer = Some(now);
         }
     }
 
-    /// The answer to a report that was parked, unless a newer one has come or its machine is gone.
+    /// Returns the answer to a parked report, unless a newer report has arrived or the machine is gone.
     pub fn answer_late(
         &mut self,
         host: &HostId,
@@ -180,15 +180,15 @@
         Some(ReportAnswer { token: self.token, orders })
     }
 
-    /// A newer shift proves that everything of older ones is gone.
+    /// Releases the tasks of older worker sessions: a newer session proves that they are gone.
     pub(super) fn end_old_shift(&mut self, report: &Report, now: Mono) {
         for (id, index) in self.held_on(&report.host, |hold| hold.shift < report.shift) {
-            log::info!("task {id}/{index}: gone, {} has a new shift", report.host);
+            log::info!("task {id}/{index}: gone, {} has a new worker session", report.host);
             self.lost(&id, index, now);
         }
     }
 
-    /// Whether the book holds this attempt of a task on the machine that reports it.
+    /// Whether the job table assigns this attempt of a task to the worker session that reports it.
     fn held_here(&self, task: &TaskId, attempt: Attempt, report: &Report) -> bool {
         self.book.held(task).is_some_and(|h| {
             h.host == report.host && h.attempt == attempt && h.shift == report.shift
@@ -213,7 +213,7 @@
             .collect()
     }
 
-    /// A task is proven gone without having ended in order.
+    /// Releases a task that is provably gone and whose end was not reported.
     pub(super) fn lost(&mut self, id: &JobId, index: u32, now: Mono) {
         self.account(id, index, End::Unseen, (false, None), now);
         if let Some(job) = self.book.jobs.get_mut(id) {
@@ -225,7 +225,7 @@
         }
     }
 
-    /// Compares what a worker lists with what the book holds there; whether a start command was lost on its way.
+    /// Reconciles the tasks that a worker lists with its assignments; returns whether a start order was lost in transit.
     pub(super) fn compare(
         &mut self,
         report: &Report,
@@ -237,7 +237,7 @@
         let confirmed = fresh == Freshness::Confirmed;
         let mut strays = BTreeMap::new();
         let mut listed = Vec::new();
-        // After the stops: guards against an answer full of these that keeps alive what it does not stop.
+        // Added after the stops, which must not be crowded out of a full answer.
         let mut forgets = Vec::new();
         for row in &report.tasks {
             let Some(task) = TaskId::parse(&row.task) else {
@@ -256,7 +256,7 @@
             if !exited {
                 let need =
                     self.book.get(&task.job).map(|j| Room::from(&*j.spec)).unwrap_or_default();
-                log::warn!("machine {host}: {task} try {} does not belong there", row.attempt);
+                log::warn!("machine {host}: {task} try {} is not assigned there", row.attempt);
                 strays.insert((task, row.attempt), need);
                 self.push(
                     orders,
@@ -267,7 +267,7 @@
             if row.cause == Some(Cause::Done) {
                 self.done_elsewhere(&task, now);
             }
-            // Forgotten only once what it says is durable.
+            // The worker may forget the result only once it is durable.
             if self.book.get(&task.job).is_none_or(|j| j.settled(task.index)) {
                 forgets.push(Order::Forget { task: row.task.clone(), attempt: row.attempt });
             }
@@ -286,7 +286,7 @@
         }
     }
 
-    /// A result that was kept by a machine whose assignment had been given up.
+    /// Counts a result kept by a worker whose assignment had been given up.
     pub(super) fn done_elsewhere(&mut self, task: &TaskId, now: Mono) {
         let pending = self.book.get(&task.job).is_some_and(|j| {
             j.state == JobState::Open
@@ -298,9 +298,9 @@
         }
     }
 
-    /// A task is done; the tasks of a gang complete together. Guards against a gang some of whose
-    /// tasks are done, which could never start again. Those that were not seen to run with it are only on their way, and it
-    /// has told a result that was kept: they are done too, and count where they are until they are proven gone.
+    /// Marks a task as done. The tasks of a gang complete together: a gang with only some tasks done could never start again.
+    /// Gang tasks that were not seen running in the same attempt are done too, but stay assigned until they are provably gone:
+    /// the result was one kept from an earlier attempt, and theirs may still be starting.
     pub(super) fn done(&mut self, id: &JobId, index: u32, ran_ms: Option<u64>, now: Mono) {
         let Some(job) = self.book.get(id) else { return };
         let rest: Vec<u32> = match job.spec.shape {
@@ -323,13 +323,13 @@
             self.stop(&TaskId::new(id, other), StopWhy::JobOver, 0.0, now);
         }
         for other in rest {
-            // They began with it, and ended with it.
+            // These started and ended together with the reported task.
             self.account(id, other, End::Seen(Cause::Done), (false, ran_ms), now);
             self.free(id, other, true, now);
         }
     }
 
-    /// A held task is on its machine in some phase.
+    /// Records the phase of an assigned task that its worker reports as present.
     pub(super) fn saw(
         &mut self,
         task: &TaskId,
@@ -364,7 +364,7 @@
             hold.phase = Some(phase);
         }
         if hold.run == RunSent::No {
-            // An earlier leader's start command had arrived after all.
+            // A start order of an earlier leader did arrive.
             hold.run = RunSent::Inherited;
         }
         if phase == TaskPhase::Running && hold.running_since.is_none() {
@@ -385,14 +385,14 @@
         }
     }
 
-    /// Notes that all tasks of a job run at once, if they do.
+    /// Marks a job as fully up once all of its tasks run at the same time.
     fn all_run(&mut self, id: &JobId) {
         let Some(job) = self.book.jobs.get_mut(id) else { return };
         let running = |(_, hold): (u32, &Hold)| hold.phase == Some(TaskPhase::Running);
         job.up |= job.held == job.spec.tasks && job.holds().all(running);
     }
 
-    /// A held task has ended, as a report later than its start shows.
+    /// Handles the reported end of an assigned task.
     pub(super) fn exited(&mut self, task: &TaskId, row: &TaskReport, host: &HostId, now: Mono) {
         let cause = row.cause.unwrap_or(Cause::Error);
         log::debug!("task {task}: ended on {host}, {cause:?}");
@@ -415,7 +415,7 @@
                 self.done(id, index, row.ran_ms, now);
             }
             Cause::Stopped => {
-                // A gang that has not started waits for a replacement of what a drain took.
+                // A gang that has not started waits for a replacement of a task stopped by a drain.
                 let replaced = self.book.get(id).is_some_and(|j| {
                     let drained = |h: &Hold| h.stop.is_some_and(|s| s.why == StopWhy::Draining);
                     matches!(j.gang, Gang::Gathering(_)) && j.hold(index).is_some_and(drained)
@@ -460,7 +460,7 @@
         }
     }
 
-    /// An error: mostly the machine's fault, unless the job fails elsewhere too.
+    /// Handles a task error: the machine is blamed, unless the job has failed on other machines too.
     pub(super) fn failed(&mut self, id: &JobId, host: &HostId, now: Mono) {
         let Some(job) = self.book.jobs.get_mut(id) else {
             return;
@@ -474,7 +474,7 @@
         let hosts: Vec<HostId> = job.error_hosts.iter().cloned().collect();
         log::info!("job {id}: error number {} on {host}, next try in {pause} ms", job.errors);
         if own_fault {
-            // Guards against one broken job spoiling every machine.
+            // Keeps one broken job from marking every machine as faulty.
             for host in hosts {
                 if let Some(machine) = self.fleet.machines.get_mut(&host) {
                     machine.faults.remove(id);
@@ -491,7 +491,7 @@
         }
     }
 
-    /// A job is done where it did not fail: the machines on which it failed are at fault.
+    /// Blames the machines on which a job failed once it has succeeded on another machine.
     pub(super) fn blame(&mut self, id: &JobId) {
         let Some(job) = self.book.get(id) else { return };
         if job.error_hosts.len() >= OWN_FAULT_HOSTS {
@@ -499,12 +499,12 @@
         }
         for host in &job.error_hosts {
             if let Some(machine) = self.fleet.machines.get_mut(host) {
-                machine.enter(Life::Draining, "what fails on it is done elsewhere");
+                machine.enter(Life::Draining, "jobs that fail on it succeed on other machines");
             }
         }
     }
 
-    /// Notes a completed task's cost, in core equivalents times seconds.
+    /// Records a completed task's cost in core-equivalent seconds.
     pub(super) fn measure(&mut self, task: &TaskId, now: Mono) {
         let eq = self.book.get(&task.job).map_or(0.0, |j| self.core_equivalents(&j.spec));
         let Some(job) = self.book.jobs.get_mut(&task.job) else {
@@ -524,7 +524,7 @@
         }
     }
 
-    /// Held tasks that a confirmed report does not list; whether the start command of any was lost on its way.
+    /// Handles assigned tasks that a confirmed report does not list; returns whether a start order was lost in transit.
     pub(super) fn missing(&mut self, report: &Report, listed: &[TaskId], now: Mono) -> bool {
         let mut lost_start = false;
         for (id, index) in self.held_on(&report.host, |h| h.shift == report.shift) {
@@ -560,7 +560,7 @@
                 log::info!("task {task}: gone from {}", report.host);
                 self.lost(&id, index, now);
             } else {
-                // The start command was lost on its way: the same attempt may be sent again.
+                // The start order was lost in transit: the same attempt may be sent again.
                 lost_start |= matches!(hold.run, RunSent::At(_));
                 hold.run = RunSent::No;
             }
@@ -568,7 +568,7 @@
         lost_start
     }
 
-    /// Start commands for what is assigned here and durable.
+    /// Adds start orders for tasks whose assignment to this machine is durable.
     pub(super) fn start_held(
         &mut self,
         host: &HostId,
--- a/crates/core/src/reign/usage.rs
+++ b/crates/core/src/reign/usage.rs
@@ -1,11 +1,11 @@
-//! Entries of the account: what is known of an attempt when it is proven gone.
+//! Usage accounting: builds the entry of an attempt that is provably gone.
 
 use super::*;
 use oatloom_ledger::entry::{End, Entry};
 
 impl Reign {
-    /// A held task is about to be freed: its attempt is accounted, if it can have been on its machine. `ran_ms`: what
-    /// its worker told with the end.
+    /// Records the usage of an attempt that is about to be released, if it may have been on its machine. `ran_ms`: run time
+    /// reported by the worker with the end.
     pub(super) fn account(
         &mut self,
         id: &JobId,
@@ -20,16 +20,16 @@
         let Some(hold) = job.hold(index).filter(|hold| hold.run != RunSent::No) else { return };
         let spec = &job.spec;
         let machine = self.fleet.machines.get(&hold.host);
-        // Of an assignment that an earlier leader made, nothing is known but that it is no older than its job.
+        // An assignment made by an earlier leader is only known to be no older than its job.
         let since = match hold.run {
-            // A job that is over is known by its records alone, which do not say when it came.
+            // A finished job is known from its records alone, which lack the submission time.
             RunSent::Inherited if job.submitted > Mono(0) => job.submitted,
             _ => hold.since,
         };
         let seen_ms = hold.running_since.map_or(0, |since| now.since(since).0);
         let seen_ms = if end == End::Unseen { 0 } else { seen_ms };
         let ran_ms = ran_ms.or(hold.told_ms).unwrap_or(seen_ms);
-        // A report is as old as its way was long: nothing bounds what it ran after it but the proof that it is gone.
+        // Reports may arrive late, so only the proof that the task is gone bounds how long it ran after the last one.
         let unseen_ms =
             if end == End::Unseen { now.since(since).0.saturating_sub(ran_ms) } else { 0 };
         let flavor = machine.and_then(|m| self.fleet.flavor(&m.flavor));
--- a/crates/core/src/relay.rs
+++ b/crates/core/src/relay.rs
@@ -1,5 +1,5 @@
-//! Reports that reach a controller which does not lead: whether their workers are sent on to the
-//! leader, or their reports passed on for them, or neither is of use at present.
+//! Routing of reports that reach a follower: the worker is redirected to the leader, its report is
+//! forwarded, or it has to try again later or at another controller.
 
 use crate::constants::*;
 use oatloom_protocol::ids::{HostId, Mono};
@@ -8,34 +8,35 @@
 /// What to do with a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Way {
-    /// Its worker is told who leads.
+    /// Redirect the worker to the leader.
     SendOn,
-    /// It is passed on to the leader.
+    /// Forward the report to the leader.
     PassOn,
-    /// Neither its worker nor this controller reaches the leader: another one may.
+    /// Send the worker to another controller: neither it nor this controller can reach the leader.
     Elsewhere,
-    /// The leader takes no reports at present: the worker tries again in a second.
+    /// The leader accepts no reports at present: the worker retries in a second.
     Wait,
 }
 
-/// How the leader took the last report that was passed on.
+/// State of the link to the leader, by the result of the last forwarded report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Line {
     Good,
-    /// It may not answer reports itself, until then most likely.
+    /// The leader refused a report and is assumed to refuse others until the given time.
     Refused(Mono),
-    /// It cannot be reached from here, until then most likely.
+    /// The leader was unreachable and is assumed to be so until the given time.
     Cut(Mono),
 }
 
-/// A worker that was sent on to the leader.
+/// A worker that was redirected to the leader, or whose reports are forwarded.
 #[derive(Debug)]
 struct Known {
-    /// Since when its reports are passed on, if they are.
+    /// Since when its reports are forwarded, if they are.
     since: Option<Mono>,
     until: Mono,
 }
 
+/// Workers that lately reported to this follower, and the link to the leader.
 #[derive(Debug)]
 pub struct Relays {
     known: BTreeMap<HostId, Known>,
@@ -51,15 +52,15 @@
 }
 
 impl Relays {
-    /// The one place where the line's state changes.
+    /// Changes the state of the link; all its changes go through here.
     fn enter(&mut self, line: Line) {
         if std::mem::discriminant(&self.line) != std::mem::discriminant(&line) {
-            log::debug!("relay: the line to the leader: {:?} -> {line:?}", self.line);
+            log::debug!("relay: link to the leader: {:?} -> {line:?}", self.line);
         }
         self.line = line;
     }
 
-    /// The leader answered a report that was passed on, or, `None`, it could not be reached.
+    /// Records the leader's status for a forwarded report; `None` if the leader was unreachable.
     pub fn told(&mut self, status: Option<u16>, now: Mono) {
         let until = now.plus(LINE_PAUSE_MS);
         self.enter(match status {
@@ -69,16 +70,16 @@
         });
     }
 
-    /// Guards against a cut between the leader's zone and the worker's, which a third zone can
-    /// bridge: a worker that comes back soon after it was sent to the leader could not reach it,
-    /// and one that `obeyed` this very leader before would still be there if it could. Of the
-    /// latter only some are passed on at once: after an outage all workers of a fleet come by,
-    /// and passing on what they can say to the leader themselves used up both processors.
+    /// Decides what to do with a worker's report. Forwarding bridges a partition between the zones of
+    /// the leader and the worker: a worker that returns soon after a redirect could not reach the
+    /// leader, and one that had acknowledged this leader's token would still report to it if it could.
+    /// Of the latter only a limited number is forwarded at once: after an outage all workers of a
+    /// fleet arrive here, and forwarding what they could report themselves used up both processors.
     pub fn way(&mut self, host: &HostId, obeyed: bool, now: Mono) -> Way {
         self.sweep(now);
         match self.line {
-            // Guards against a storm: workers that were sent to and fro between followers came
-            // back twice a second, for a leader that could not take them.
+            // Prevents a retry storm: workers redirected back and forth between followers returned
+            // twice a second while the leader accepted no reports.
             Line::Refused(until) if now < until => return Way::Wait,
             Line::Cut(until) if now < until => {
                 let until = now.plus(COME_BACK_MS);
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Forgets those that have stayed away, once a second.
+    /// Forgets workers that have not returned; runs once a second.
     fn sweep(&mut self, now: Mono) {
         if now.since(self.swept) >= RELAY_SWEEP_MS {
             self.swept = now;
@@ -130,24 +131,24 @@
         HostId::new(&format!("i-{n:06}"))
     }
 
-    /// After an outage a whole fleet comes by: most are sent on, at no cost to the leader.
+    /// After an outage a whole fleet reports to a follower: most workers are redirected instead of forwarded.
     #[test]
-    fn only_some_of_a_fleet_are_passed_on_at_once() {
+    fn only_a_limited_number_of_workers_is_forwarded_at_once() {
         let mut relays = Relays::default();
         let now = Mono(10_000);
         let passed = (0..1_000).filter(|n| relays.way(&host(*n), true, now) == Way::PassOn).count();
         assert_eq!(passed, RELAY_AT_ONCE);
-        // Those that come back could not reach the leader.
+        // Workers that return could not reach the leader.
         assert_eq!(relays.way(&host(999), true, Mono(14_000)), Way::PassOn);
-        // Now and then they are to try themselves.
+        // After a while they are redirected again, to try the leader themselves.
         let later = Mono(14_000 + RELAY_MS.0);
         relays.way(&host(999), true, Mono(20_000));
         assert_eq!(relays.way(&host(999), true, later), Way::SendOn);
     }
 
-    /// A leader that may not answer is not asked again for every worker.
+    /// After the leader refuses a report, no report of any worker is forwarded for a while.
     #[test]
-    fn a_refusal_holds_for_all_for_a_moment() {
+    fn a_refusal_by_the_leader_pauses_all_forwarding() {
         let mut relays = Relays::default();
         assert_eq!(relays.way(&host(1), true, Mono(10_000)), Way::PassOn);
         relays.told(Some(503), Mono(10_010));
