--- a/crates/core/src/reign/capacity.rs
+++ b/crates/core/src/reign/capacity.rs
@@ -4,46 +4,46 @@
 use placement::Headroom;
 
 /// Capacity that a job requests from the control loop.
-struct Want<'a> {
+struct JobDemand<'a> {
     job: &'a Job,
     /// Core equivalents of a task.
-    eq: f64,
+    task_cores: f64,
     /// Remaining tasks that may run now.
-    left: u32,
+    tasks_left: u32,
     /// Requested service rate in cores.
     rate: f64,
     /// Whether the job counts towards the floor instead of being served at a rate.
-    fixed: bool,
+    in_floor: bool,
 }
 
 /// Cuts the demands of jobs to what their teams' limits allow to run at once, in the order in which they would run; returns
 /// the remaining headroom. Without it, machines would be hired for work that may not run: the Dithen paper (Doyle et al.,
 /// IC2E 2016) sums s = r/d of all jobs and has no team limits.
-fn limit_wants<'s>(
+fn apply_team_limits<'s>(
     settings: &'s Settings,
     book: &Book,
-    owed: &BTreeMap<JobId, ()>,
-    wants: &mut BTreeMap<&JobId, Want>,
+    guaranteed: &BTreeMap<JobId, ()>,
+    demands: &mut BTreeMap<&JobId, JobDemand>,
     now: Mono,
 ) -> Headroom<'s> {
     let mut headroom = Headroom::new(settings, book);
     if headroom.boundless() {
         return headroom;
     }
-    for (id, _) in placement::in_order(settings, book, owed, now) {
-        let Some(want) = wants.get_mut(&id) else { continue };
-        let spec = &want.job.spec;
-        let Some(most) = headroom.tasks(spec) else { continue };
-        let asked = (want.rate / want.eq).ceil() as u32;
-        let more = asked.saturating_sub(want.job.held);
+    for (id, _) in placement::in_order(settings, book, guaranteed, now) {
+        let Some(demand) = demands.get_mut(&id) else { continue };
+        let spec = &demand.job.spec;
+        let Some(max_tasks) = headroom.tasks(spec) else { continue };
+        let requested_tasks = (demand.rate / demand.task_cores).ceil() as u32;
+        let additional = requested_tasks.saturating_sub(demand.job.held);
         let granted = match spec.shape {
             // A gang runs as a whole or not at all.
-            Shape::Gang if most < more => 0,
-            _ => more.min(most),
+            Shape::Gang if max_tasks < additional => 0,
+            _ => additional.min(max_tasks),
         };
         headroom.take(spec, granted);
-        if granted < more {
-            want.rate = want.eq * f64::from(want.job.held + granted);
+        if granted < additional {
+            demand.rate = demand.task_cores * f64::from(demand.job.held + granted);
         }
     }
     headroom
@@ -65,16 +65,16 @@
             .unwrap_or(spec.cpus)
     }
 
-    pub(super) fn bias(&self, spec: &JobSpec) -> ClassBias {
-        self.shown.get(&spec.class).copied().unwrap_or_default()
+    pub(super) fn class_bias(&self, spec: &JobSpec) -> ClassBias {
+        self.class_biases.get(&spec.class).copied().unwrap_or_default()
     }
 
     /// Expected cost of a task: as measured on the job itself, else the owner's estimate corrected by
     /// the bias of its class.
-    pub(super) fn expected_cost(&self, job: &Job, eq: f64) -> Option<f64> {
+    pub(super) fn expected_cost(&self, job: &Job, task_cores: f64) -> Option<f64> {
         job.cost.cost().or_else(|| {
-            let bias = self.bias(&job.spec);
-            (job.spec.estimate_s > 0.0).then(|| eq * job.spec.estimate_s * bias.mean)
+            let bias = self.class_bias(&job.spec);
+            (job.spec.estimate_s > 0.0).then(|| task_cores * job.spec.estimate_s * bias.mean)
         })
     }
 
@@ -84,24 +84,25 @@
         settings: &Settings,
         job: &Job,
         left: u32,
-        eq: f64,
+        task_cores: f64,
         tick_s: f64,
         now: Mono,
     ) -> f64 {
         let left = f64::from(left);
-        let most = eq * left;
-        let Some(b) = self.expected_cost(job, eq) else {
+        let most = task_cores * left;
+        let Some(task_cost) = self.expected_cost(job, task_cores) else {
             return UNMEASURED_CAP_CORES.min(most);
         };
-        let due = placement::due(settings, job);
-        let left_s = (due.0 as f64 - now.0 as f64) / 1000.0 - self.overhead_s(settings, &job.spec);
+        let deadline = placement::due(settings, job);
+        let left_s =
+            (deadline.0 as f64 - now.0 as f64) / 1000.0 - self.overhead_s(settings, &job.spec);
         // Only time in which whole tasks fit counts. The end of it, in which the longest tasks still
         // run, does not: a task that starts then often finishes late.
-        let task_s = b / eq;
-        let longest_s = self.bias(&job.spec).longest * job.spec.estimate_s;
+        let task_s = task_cost / task_cores;
+        let longest_s = self.class_bias(&job.spec).recent_max * job.spec.estimate_s;
         let tail_s = TAIL_WEIGHT * (longest_s - task_s).max(0.0);
-        let waves = ((left_s - tail_s) / task_s).floor().max(1.0);
-        Demand { work: left * b, left_s: waves * task_s, most }.rate(tick_s)
+        let whole_runs = ((left_s - tail_s) / task_s).floor().max(1.0);
+        Demand { work: left * task_cost, left_s: whole_runs * task_s, most }.rate(tick_s)
     }
 
     /// Time that a task needs besides its run: a boot, reports before and after it, and the image fetch.
@@ -115,7 +116,7 @@
     fn inherit_urgency(&mut self, settings: &Settings) {
         let mut book = std::mem::take(&mut self.book);
         book.inherit(|job| {
-            let bias = self.bias(&job.spec).longest;
+            let bias = self.class_bias(&job.spec).recent_max;
             let overhead_s = self.stage_overhead_s(settings, &job.spec);
             placement::latest_release(job, bias, overhead_s)
         });
@@ -135,7 +136,7 @@
     }
 
     /// Returns the target N*, the floor of services, gangs and guarantees, the claims of arrays, and the headroom that team
-/// limits leave.
+    /// limits leave.
     pub(super) fn demand<'s>(
         &mut self,
         settings: &'s Settings,
@@ -143,41 +144,48 @@
         now: Mono,
     ) -> (f64, f64, Vec<(JobId, Claim)>, Headroom<'s>) {
         self.inherit_urgency(settings);
-        let owed = placement::guaranteed(settings, &self.book);
+        let guaranteed = placement::guaranteed(settings, &self.book);
         for job in self.book.jobs.values_mut() {
             if let Some(measured) = job.measured.take() {
                 job.cost.update(measured);
             }
         }
-        let mut wants: BTreeMap<&JobId, Want> = BTreeMap::new();
+        let mut demands: BTreeMap<&JobId, JobDemand> = BTreeMap::new();
         for (id, job) in self.book.jobs.iter().filter(|(_, j)| j.state == JobState::Open) {
-            let eq = self.core_equivalents(&job.spec).max(1e-3);
+            let task_cores = self.core_equivalents(&job.spec).max(1e-3);
             // Tasks that wait for a retry claim no capacity.
-            let left = match job.spec.shape {
+            let tasks_left = match job.spec.shape {
                 Shape::Array => job.held + job.startable(now),
                 _ => job.spec.tasks - job.done,
             };
-            let full = eq * f64::from(left);
-            let fixed = job.spec.shape != Shape::Array || owed.contains_key(id);
-            let rate =
-                if fixed { full } else { self.array_rate(settings, job, left, eq, tick_s, now) };
-            wants.insert(id, Want { job, eq, left, rate, fixed });
+            let full = task_cores * f64::from(tasks_left);
+            let in_floor = job.spec.shape != Shape::Array || guaranteed.contains_key(id);
+            let rate = if in_floor {
+                full
+            } else {
+                self.array_rate(settings, job, tasks_left, task_cores, tick_s, now)
+            };
+            demands.insert(id, JobDemand { job, task_cores, tasks_left, rate, in_floor });
         }
-        let headroom = limit_wants(settings, &self.book, &owed, &mut wants, now);
+        let headroom = apply_team_limits(settings, &self.book, &guaranteed, &mut demands, now);
         let (mut target, mut floor) = (0.0, 0.0);
         let mut claims = Vec::new();
-        for (id, want) in wants {
-            target += want.rate;
-            if want.fixed {
-                floor += want.rate;
+        for (id, demand) in demands {
+            target += demand.rate;
+            if demand.in_floor {
+                floor += demand.rate;
             }
-            if want.job.spec.shape == Shape::Array {
-                let claim = Claim { rate: want.rate, task_cores: want.eq, left: want.left };
+            if demand.job.spec.shape == Shape::Array {
+                let claim = Claim {
+                    rate: demand.rate,
+                    task_cores: demand.task_cores,
+                    left: demand.tasks_left,
+                };
                 claims.push((id.clone(), claim));
             }
         }
         // Capacity kept ready for expected jobs is part of the floor and so of the target.
-        for (job, count) in &self.expected {
+        for (job, count) in &self.expected_jobs {
             let ready = self.core_equivalents(&job.spec) * f64::from(job.spec.tasks * count);
             floor += ready;
             target += ready;
@@ -186,18 +194,18 @@
     }
 
     /// Whether a machine is empty and unreachable because its zone is lost.
-    fn out_of_reach(&self, m: &Machine) -> bool {
+    fn is_empty_and_unreachable(&self, m: &Machine) -> bool {
         m.life == Life::Silent && m.empty() && self.fleet.zones.lost(&m.zone)
     }
 
-    fn cores(&self, which: impl Fn(&Machine) -> bool) -> f64 {
-        let machines = self.fleet.machines.values().filter(|m| which(m));
+    fn cores_where(&self, predicate: impl Fn(&Machine) -> bool) -> f64 {
+        let machines = self.fleet.machines.values().filter(|m| predicate(m));
         machines.filter_map(|m| self.fleet.flavor(&m.flavor)).map(|f| f.cpus).sum()
     }
 
     /// Rented cores that can run work.
-    pub(super) fn rented(&self) -> f64 {
-        self.cores(|m| m.life != Life::Releasing && !self.out_of_reach(m))
+    pub(super) fn rented_cores(&self) -> f64 {
+        self.cores_where(|m| m.life != Life::Releasing && !self.is_empty_and_unreachable(m))
     }
 
     /// One period of the control loop.
@@ -205,60 +213,63 @@
         &mut self,
         settings: &Settings,
         ops: &Operators,
-        desk: &mut CloudDesk,
+        cloud: &mut CloudDesk,
         now: Mono,
     ) {
         let (target, floor, claims, headroom) = self.demand(settings, ops.tick().secs(), now);
-        self.expected = {
-            let known = self.book.arrivals.iter().map(|(at, _)| *at).min();
-            let since = known.unwrap_or(self.since).min(self.since);
+        self.expected_jobs = {
+            let first_arrival = self.book.arrivals.iter().map(|(at, _)| *at).min();
+            let since = first_arrival.unwrap_or(self.since).min(self.since);
             placement::expected(settings, &self.book, &self.fleet, now, since, &headroom)
         };
-        let awaited: f64 = desk
+        let awaited: f64 = cloud
             .awaited()
             .filter_map(|(k, n)| Some(self.fleet.flavor(&k.flavor)?.cpus * f64::from(n)))
             .sum();
-        let rented = self.rented() + awaited;
+        let rented = self.rented_cores() + awaited;
         let factor = scaling::rate_factor(target, rented, ops.beta);
         let (ids, claims): (Vec<JobId>, Vec<Claim>) = claims.into_iter().unzip();
         let tasks =
             |(claim, share): (&Claim, f64)| (share / claim.task_cores).ceil().max(1.0) as u32;
         let shares = scaling::shares(&claims, factor);
-        self.paced = ids.into_iter().zip(claims.iter().zip(shares).map(tasks)).collect();
+        self.task_limits = ids.into_iter().zip(claims.iter().zip(shares).map(tasks)).collect();
         let bounds =
             Bounds { min: floor, max: if ops.max_cores > 0.0 { ops.max_cores } else { f64::MAX } };
         // Machines are larger than a step: the part of earlier steps that no whole machine covers yet
         // is carried from tick to tick, but not beyond the target.
-        let carried =
-            if rented <= target { self.planned.max(rented) } else { self.planned.min(rented) };
+        let carried = if rented <= target {
+            self.planned_cores.max(rented)
+        } else {
+            self.planned_cores.min(rented)
+        };
         // β is the factor per cut period, spread evenly over its ticks.
         let beta = ops.beta.powf(ops.tick().secs() / CUT_PERIOD_MS.secs());
         let next = scaling::step(carried, target, bounds, beta);
-        self.planned = if rented <= target { next } else { next.max(target.min(rented)) };
+        self.planned_cores = if rented <= target { next } else { next.max(target.min(rented)) };
         log::debug!(
             "scaling: N* {target:.0}, floor {floor:.0}, rented {rented:.0}, planned {:.0}",
-            self.planned
+            self.planned_cores
         );
-        let plan = self.place(settings, desk, now);
+        let plan = self.run_placement(settings, cloud, now);
         if log::log_enabled!(log::Level::Debug) {
             self.log_fleet(settings, &plan);
         }
-        self.return_idle(&plan, ops, desk, now);
-        self.consolidate(settings, &plan, desk, now);
+        self.release_idle(&plan, ops, cloud, now);
+        self.consolidate(settings, &plan, cloud, now);
         if !self.may_hire(now) {
             return;
         }
-        let lost = self.cores(|m| self.out_of_reach(m));
-        self.hire(plan, rented, bounds.max - lost, desk);
+        let unreachable = self.cores_where(|m| self.is_empty_and_unreachable(m));
+        self.hire(plan, rented, bounds.max - unreachable, cloud);
     }
 
     /// Logs one line on the capacity of the fleet, and one for each team that has a limit.
     pub(super) fn log_fleet(&self, settings: &Settings, plan: &Plan) {
-        let mut lives: BTreeMap<String, (u32, f64, f64)> = BTreeMap::new();
+        let mut by_state: BTreeMap<String, (u32, f64, f64)> = BTreeMap::new();
         for m in self.fleet.machines.values() {
             let room = self.fleet.free_room(m);
             let kind = if m.spot { "spot" } else { "ordinary" };
-            let entry = lives.entry(format!("{:?} {kind}", m.life)).or_default();
+            let entry = by_state.entry(format!("{:?} {kind}", m.life)).or_default();
             *entry = (entry.0 + 1, entry.1 + room.cpus, entry.2 + room.gpus);
         }
         // Shows why a job of such a team waits although machines have room.
@@ -276,9 +287,9 @@
                 team.gpus_max
             );
         }
-        let expected: u32 = self.expected.iter().map(|(job, n)| job.spec.tasks * n).sum();
+        let expected: u32 = self.expected_jobs.iter().map(|(job, n)| job.spec.tasks * n).sum();
         log::debug!(
-            "fleet: machines, free cores and GPUs {lives:?}; ready for {expected} on {}; requested {}",
+            "fleet: machines, free cores and GPUs {by_state:?}; ready for {expected} on {}; requested {}",
             plan.ready.len(),
             plan.hires.len()
         );
@@ -286,39 +297,39 @@
 
     /// Hires the machines that the placement pass requested: those for services, gangs and guarantees
     /// in any case, those for arrays up to the planned cores.
-    pub(super) fn hire(&mut self, plan: Plan, rented: f64, most: f64, desk: &mut CloudDesk) {
+    pub(super) fn hire(&mut self, plan: Plan, rented: f64, max_cores: f64, cloud: &mut CloudDesk) {
         let mut cores = rented;
         let mut counts: BTreeMap<Kind, u32> = BTreeMap::new();
         for (kind, urgent) in plan.hires {
             let Some(flavor) = self.fleet.flavor(&kind.flavor) else {
                 continue;
             };
-            let allowed = urgent || self.planned >= cores + flavor.cpus / 2.0;
-            if allowed && cores + flavor.cpus <= most.max(flavor.cpus) {
+            let allowed = urgent || self.planned_cores >= cores + flavor.cpus / 2.0;
+            if allowed && cores + flavor.cpus <= max_cores.max(flavor.cpus) {
                 cores += flavor.cpus;
                 *counts.entry(kind).or_default() += 1;
             }
         }
-        let mut single: BTreeSet<Zone> = BTreeSet::new();
+        let mut probed_zones: BTreeSet<Zone> = BTreeSet::new();
         for (kind, number) in counts {
             match self.fleet.zones.hires(&kind.zone) {
-                Hires::OneAtATime if single.insert(kind.zone.clone()) => desk.hire(&kind, 1),
+                Hires::OneAtATime if probed_zones.insert(kind.zone.clone()) => cloud.hire(&kind, 1),
                 Hires::OneAtATime => {}
-                _ => desk.hire(&kind, number),
+                _ => cloud.hire(&kind, number),
             }
         }
     }
 
     /// Releases idle machines, the most expensive first, while more cores are rented than planned.
-    pub(super) fn return_idle(
+    pub(super) fn release_idle(
         &mut self,
         plan: &Plan,
         ops: &Operators,
-        desk: &mut CloudDesk,
+        cloud: &mut CloudDesk,
         now: Mono,
     ) {
         let keep = Millis(ops.idle_keep_ms);
-        let mut rented = self.rented();
+        let mut rented = self.rented_cores();
         let mut idle: Vec<(f64, f64, HostId)> = self
             .fleet
             .machines
@@ -334,13 +345,13 @@
             .collect();
         idle.sort_by(|a, b| b.0.total_cmp(&a.0));
         for (_, cpus, host) in idle {
-            if rented - cpus < self.planned {
+            if rented - cpus < self.planned_cores {
                 continue;
             }
             rented -= cpus;
             if let Some(m) = self.fleet.machines.get_mut(&host) {
                 m.enter(Life::Releasing, "idle");
-                desk.release(&host);
+                cloud.release(&host);
             }
         }
     }
@@ -351,7 +362,7 @@
         &mut self,
         settings: &Settings,
         plan: &Plan,
-        desk: &mut CloudDesk,
+        cloud: &mut CloudDesk,
         now: Mono,
     ) {
         for host in &plan.ready {
@@ -369,35 +380,38 @@
             .collect();
         let closing_cpus: f64 =
             closing.iter().filter_map(|h| self.fleet.machines.get(h)).map(cpus).sum();
-        let kept = self.rented() - closing_cpus;
-        if kept < self.planned {
+        let remaining_cores = self.rented_cores() - closing_cpus;
+        if remaining_cores < self.planned_cores {
             if let Some(m) = closing.first().and_then(|h| self.fleet.machines.get_mut(h)) {
                 m.enter(Life::Live, "needed again");
-                self.place_dirty = true;
+                self.placement_needed = true;
             }
             return;
         }
-        let roomy =
+        let has_room_elsewhere =
             |host: &HostId| placement::room_elsewhere(now, settings, &self.book, &self.fleet, host);
-        let mut least: Vec<(f64, HostId)> = self
+        let mut least_used: Vec<(f64, HostId)> = self
             .fleet
             .machines
             .values()
             .filter(|m| m.life == Life::Live && !m.empty() && m.strays.is_empty())
             .filter(|m| !plan.ready.contains(&m.id))
             .filter(|m| m.kept_for(now).is_none())
-            .filter(|m| kept - cpus(m) >= self.planned)
+            .filter(|m| remaining_cores - cpus(m) >= self.planned_cores)
             .filter(|_| closing.len() < CLOSING_MOST)
             .map(|m| (m.used.share_of(&self.fleet.room_of(m)), m.id.clone()))
             .collect();
-        least.sort_by(|a, b| a.0.total_cmp(&b.0));
+        least_used.sort_by(|a, b| a.0.total_cmp(&b.0));
         // Each check scans the whole fleet, so only a few machines are checked.
-        let least =
-            least.into_iter().map(|(_, host)| host).take(EMPTY_TRIES).find(|host| roomy(host));
-        let mover = closing
+        let least_used = least_used
+            .into_iter()
+            .map(|(_, host)| host)
+            .take(EMPTY_TRIES)
+            .find(|host| has_room_elsewhere(host));
+        let task_to_move = closing
             .iter()
-            .filter(|_| now.since(self.last_move) >= MOVE_EVERY_MS)
-            .filter(|host| roomy(host))
+            .filter(|_| now.since(self.last_service_move) >= MOVE_EVERY_MS)
+            .filter(|host| has_room_elsewhere(host))
             .flat_map(|host| self.fleet.machines[host].held.keys())
             .find(|task| {
                 self.book.get(&task.job).is_some_and(|j| {
@@ -407,17 +421,17 @@
                 })
             })
             .cloned();
-        if let Some(m) = least.and_then(|host| self.fleet.machines.get_mut(&host)) {
+        if let Some(m) = least_used.and_then(|host| self.fleet.machines.get_mut(&host)) {
             m.enter(Life::Closing, "more cores are rented than planned");
         }
-        if let Some(task) = mover {
-            self.last_move = now;
+        if let Some(task) = task_to_move {
+            self.last_service_move = now;
             self.stop(&task, StopWhy::Moved, 0.0, now);
         }
         for host in closing {
             if let Some(m) = self.fleet.machines.get_mut(&host).filter(|m| m.empty()) {
                 m.enter(Life::Releasing, "emptied");
-                desk.release(&host);
+                cloud.release(&host);
             }
         }
     }
--- a/crates/core/src/reign/dispatch.rs
+++ b/crates/core/src/reign/dispatch.rs
@@ -4,54 +4,59 @@
 
 impl Reign {
     /// Runs one placement pass; applies its starts and stops and leaves the hires to the caller.
-    pub(super) fn place(&mut self, settings: &Settings, desk: &CloudDesk, now: Mono) -> Plan {
-        self.place_dirty = false;
-        let coming = self.coming(settings, desk, now);
+    pub(super) fn run_placement(
+        &mut self,
+        settings: &Settings,
+        cloud: &CloudDesk,
+        now: Mono,
+    ) -> Plan {
+        self.placement_needed = false;
+        let awaiting_machine = self.zones_awaiting_machine(settings, cloud, now);
         let zones = &self.fleet.zones;
         let closed = |zone: &Zone| match zones.hires(zone) {
             Hires::AsNeeded => false,
-            Hires::OneAtATime => coming.contains(zone),
+            Hires::OneAtATime => awaiting_machine.contains(zone),
             Hires::None => true,
         };
-        let refused = |kind: &Kind| desk.refused(kind, now) || closed(&kind.zone);
+        let refused = |kind: &Kind| cloud.refused(kind, now) || closed(&kind.zone);
         let mut plan = placement::plan(Inputs {
             now,
             settings,
             book: &mut self.book,
             fleet: &self.fleet,
-            paced: &self.paced,
-            awaited: desk.awaited().collect(),
-            expected: &self.expected,
+            paced: &self.task_limits,
+            awaited: cloud.awaited().collect(),
+            expected: &self.expected_jobs,
             refused: &refused,
         });
         // Expensive passes run less often, so that they do not starve other work.
-        let took_s = plan.steps as f64 * STEP_NS * 1e-9;
+        let cost_s = plan.steps as f64 * STEP_NS * 1e-9;
         let share = PLACE_SHARE * settings.facts.limits.cpu_share.clamp(0.01, 1.0);
-        self.next_place = now.plus(Millis::from_secs(took_s / share).max(PLACE_EVERY_MS));
-        let mut gangs: BTreeMap<JobId, Attempt> = BTreeMap::new();
+        self.next_placement = now.plus(Millis::from_secs(cost_s / share).max(PLACE_EVERY_MS));
+        let mut gang_attempts: BTreeMap<JobId, Attempt> = BTreeMap::new();
         for (id, index, host) in plan.starts.split_off(0) {
             let attempt = match self.book.get(&id).map(|j| (j.spec.shape, j.gang)) {
                 Some((Shape::Gang, Gang::Gathering(attempt))) => attempt,
-                Some((Shape::Gang, _)) => match gangs.get(&id) {
+                Some((Shape::Gang, _)) => match gang_attempts.get(&id) {
                     Some(attempt) => *attempt,
                     None => self.new_attempt(),
                 },
                 _ => self.new_attempt(),
             };
-            gangs.insert(id.clone(), attempt);
+            gang_attempts.insert(id.clone(), attempt);
             self.assign(settings, &id, index, &host, attempt, now);
         }
         // Reservations for a gang end once it has been placed.
         if plan.placed_kept {
             for m in self.fleet.machines.values_mut() {
-                if m.reserved.as_ref().is_some_and(|(job, _)| gangs.contains_key(job)) {
+                if m.reserved.as_ref().is_some_and(|(job, _)| gang_attempts.contains_key(job)) {
                     m.reserved = None;
                 }
             }
         }
         for (task, why, grace) in &plan.stops {
             self.stop(task, *why, *grace, now);
-            self.clear_if_gang(task);
+            self.clear_stopped_gang(task);
         }
         for id in &plan.moves {
             self.stop_gang(id, StopWhy::Moved, now);
@@ -66,7 +71,7 @@
     }
 
     /// Clears a gang after one of its tasks was stopped, since it cannot continue.
-    pub(super) fn clear_if_gang(&mut self, task: &TaskId) {
+    pub(super) fn clear_stopped_gang(&mut self, task: &TaskId) {
         if let Some(job) = self.book.jobs.get_mut(&task.job)
             && let Gang::Gathering(attempt) | Gang::Running(attempt) = job.gang
             && job.held > 0
--- a/crates/core/src/reign/graphs.rs
+++ b/crates/core/src/reign/graphs.rs
@@ -6,16 +6,16 @@
 
 /// Run time of each kind of node in each graph: the Kalman filter of the Dithen paper (Doyle et al., IC2E 2016), and the
 /// measurements of the current tick.
-pub(super) type Kinds = BTreeMap<(GraphId, u16), (Kalman, Measurement)>;
+pub(super) type NodeCosts = BTreeMap<(GraphId, u16), (Kalman, Measurement)>;
 
 /// The task graphs of a new leader term; `None` if graphs are not served.
 pub(super) fn desk(terms: &Terms, token: Token, now: Mono) -> Option<Desk> {
-    let (limits, room) = terms.graphs.clone()?;
-    Some(Desk::new(limits, token, room, now))
+    let (limits, record_space) = terms.graphs.clone()?;
+    Some(Desk::new(limits, token, record_space, now))
 }
 
 /// Space for the records of one addition under the state service's limits, announced ones included.
-pub(super) fn room(settings: &Settings) -> RecordRoom {
+pub(super) fn record_space(settings: &Settings) -> RecordRoom {
     let state = settings.facts.state.strictest();
     let value = (state.value_kb * 1024.0) as usize;
     RecordRoom { value, values: state.txn_ops.saturating_sub(GRAPH_OPS_KEPT).max(1) }
@@ -23,19 +23,19 @@
 
 impl Reign {
     /// Records the run time of a task that belongs to a graph.
-    pub(super) fn measure_node(&mut self, id: &JobId, ran_s: f64) {
-        let part = self.book.get(id).and_then(|job| job.part.clone());
-        let kind = part.and_then(|part| self.graphs.as_ref()?.kind_of(id, &part));
+    pub(super) fn record_node_time(&mut self, id: &JobId, ran_s: f64) {
+        let graph_part = self.book.get(id).and_then(|job| job.part.clone());
+        let kind = graph_part.and_then(|graph_part| self.graphs.as_ref()?.kind_of(id, &graph_part));
         if let Some(kind) = kind {
-            self.kinds.entry(kind).or_default().1.add(ran_s);
+            self.node_costs.entry(kind).or_default().1.add(ran_s);
         }
     }
 
     /// Feeds the tick's measurements into the filters and passes their estimates to the graphs. Called once per tick.
-    pub(super) fn learn_nodes(&mut self) {
+    pub(super) fn update_node_costs(&mut self) {
         let Some(desk) = self.graphs.as_mut() else { return };
-        self.kinds.retain(|(graph, _), _| desk.graph(*graph).is_some());
-        for ((graph, kind), (filter, measured)) in &mut self.kinds {
+        self.node_costs.retain(|(graph, _), _| desk.graph(*graph).is_some());
+        for ((graph, kind), (filter, measured)) in &mut self.node_costs {
             if let Some(seconds) = measured.take() {
                 filter.update(seconds);
                 desk.learn(*graph, *kind, filter.cost().unwrap_or(seconds));
@@ -43,7 +43,7 @@
         }
         for class in desk.classes() {
             let allowed = self.book.classes.of(&class).map(|allowance| allowance.repeats);
-            let bias = self.shown.get(&class).copied().unwrap_or_default().mean;
+            let bias = self.class_biases.get(&class).copied().unwrap_or_default().mean;
             desk.learn_class(&class, allowed, bias);
         }
     }
--- a/crates/core/src/reign/machines.rs
+++ b/crates/core/src/reign/machines.rs
@@ -5,8 +5,8 @@
 impl Reign {
     /// Removes a machine that is provably gone, with everything on it.
     pub(super) fn machine_gone(&mut self, host: &HostId, why: &str, now: Mono) {
-        for (id, index) in self.held_on(host, |_| true) {
-            self.lost(&id, index, now);
+        for (id, index) in self.tasks_assigned_to(host, |_| true) {
+            self.task_lost(&id, index, now);
         }
         if self.fleet.remove(host, now).is_some() {
             log::info!("machine {host}: gone ({why})");
@@ -15,7 +15,7 @@
         for job in self.book.jobs.values_mut().filter(|job| job.confined) {
             job.error_hosts.remove(host);
         }
-        self.place_dirty = true;
+        self.placement_needed = true;
     }
 
     pub fn released(&mut self, hosts: &[HostId], now: Mono) {
@@ -33,17 +33,17 @@
                 m.attested = true;
             }
         }
-        self.place_dirty = true;
+        self.placement_needed = true;
     }
 
     /// Applies a complete machine list. It may be older than the previous one, so a missing machine proves nothing.
-    pub fn listing(&mut self, rows: &[Listed], lag_s: f64, desk: &mut CloudDesk, now: Mono) {
-        self.listed = true;
+    pub fn listing(&mut self, rows: &[Listed], lag_s: f64, cloud: &mut CloudDesk, now: Mono) {
+        self.machines_listed = true;
         for row in rows {
             if let Some(at) = self.fleet.gone.get(&row.host) {
                 // Listed long after its release: the hire took effect late, or the release had no effect.
                 if now.since(*at).secs() > 3.0 * lag_s + 40.0 {
-                    desk.release(&row.host);
+                    cloud.release(&row.host);
                 }
                 continue;
             }
@@ -57,14 +57,14 @@
             if machine.flavor.is_empty() {
                 machine.flavor.clone_from(&row.flavor);
                 machine.spot = row.spot;
-                self.place_dirty = true;
+                self.placement_needed = true;
             }
             if row.status == MachineStatus::Running {
                 machine.listed_up.get_or_insert(now);
             }
             if row.status == MachineStatus::Failed {
                 machine.enter(Life::Releasing, "the cloud lists it as failed");
-                desk.release(&row.host);
+                cloud.release(&row.host);
             }
         }
     }
@@ -72,19 +72,19 @@
     /// Whether enough is known of the existing machines to hire more. At the start of a term this avoids duplicates of machines
     /// that exist already, and hires in zones whose listed machines should be reporting but do not.
     pub(super) fn may_hire(&self, now: Mono) -> bool {
-        self.listed || now.since(self.since) > FIRST_LIST_MS
+        self.machines_listed || now.since(self.since) > FIRST_LIST_MS
     }
 
     /// Initializes the zone states once the machine list is known: if no earlier leader sent hints but machines were left
     /// behind, nothing is known of any zone.
-    pub(super) fn begin_zones(&mut self) {
+    pub(super) fn initialize_zones(&mut self) {
         let Some(catalog) = &self.fleet.catalog else { return };
-        if self.zones_begun || !self.listed {
+        if self.zones_initialized || !self.machines_listed {
             return;
         }
-        self.zones_begun = true;
+        self.zones_initialized = true;
         let inherited = |m: &Machine| m.was_up() || m.born < self.since;
-        if !self.informed && self.fleet.machines.values().any(inherited) {
+        if !self.hints_applied && self.fleet.machines.values().any(inherited) {
             let zones: BTreeSet<&Zone> =
                 catalog.flavors.iter().flat_map(|flavor| &flavor.zones).collect();
             self.fleet.zones.begin_unheard(zones);
@@ -92,29 +92,29 @@
     }
 
     /// Handles silent machines, expired leases, drained machines, and machines that never came up.
-    pub(super) fn watch_machines(
+    pub(super) fn check_machines(
         &mut self,
         settings: &Settings,
         ops: &Operators,
-        desk: &mut CloudDesk,
+        cloud: &mut CloudDesk,
         now: Mono,
     ) {
-        let facts = &settings.facts.workers;
-        let silent_after = Millis::from_secs(facts.report_s * ops.silent_reports);
-        let early = Millis::from_secs(silent_after.secs() * EARLY_SILENCE);
-        let taken_after = Millis::from_secs(facts.report_s * TAKEN_REPORTS);
-        let found_by = self.heard_from.plus(Millis::from_secs(REDIRECT_S));
+        let workers = &settings.facts.workers;
+        let silent_after = Millis::from_secs(workers.report_s * ops.silent_reports);
+        let early_silence = Millis::from_secs(silent_after.secs() * EARLY_SILENCE);
+        let taken_after = Millis::from_secs(workers.report_s * TAKEN_REPORTS);
+        let leader_known_by = self.heard_from.plus(Millis::from_secs(REDIRECT_S));
         let silence = |m: &Machine| {
-            let from = m.last_report.unwrap_or(m.born).max(found_by.min(now));
+            let from = m.last_report.unwrap_or(m.born).max(leader_known_by.min(now));
             now.since(from)
         };
-        let seen = self.seen(early, found_by.min(now), now);
-        self.fleet.zones.observe(&seen, now);
+        let observations = self.zone_observations(early_silence, leader_known_by.min(now), now);
+        self.fleet.zones.observe(&observations, now);
         let mut sentinels: BTreeSet<Zone> = BTreeSet::new();
         let mut expired = Vec::new();
         let catalog = self.fleet.catalog.as_ref();
         for m in self.fleet.machines.values_mut() {
-            let horizon = Fleet::horizon(m, self.since, facts.lease_s);
+            let horizon = Fleet::horizon(m, self.since, workers.lease_s);
             if now > horizon && !m.held.is_empty() {
                 expired.push(m.id.clone());
             }
@@ -123,7 +123,7 @@
             if m.life == Life::Releasing {
                 continue;
             }
-            let over = now > horizon;
+            let lease_expired = now > horizon;
             // One machine is kept so that it reports as soon as its zone is back, the others for as long as their
             // replacement would take: a boot and the fetch of their images.
             let mut kept_in_lost_zone = |m: &Machine| {
@@ -136,62 +136,66 @@
             if m.last_report.is_none() {
                 let flavor = catalog.and_then(|c| c.flavor(&m.flavor));
                 let boot_s = flavor.map_or(30.0, |f| f.boot_s);
-                let patience = Millis::from_secs(boot_s * BOOT_PATIENCE + facts.lease_s);
-                let since_lead = now.since(self.heard_from) > silent_after;
+                let boot_timeout = Millis::from_secs(boot_s * BOOT_PATIENCE + workers.lease_s);
+                let had_time_to_report = now.since(self.heard_from) > silent_after;
                 // Machines that were up before this term began are not released as never booted while no machine of
                 // their zone reports yet: their tasks may run on until their leases end.
-                let unheard = seen.get(&m.zone).is_some_and(Seen::nobody_heard);
-                let waits = m.was_up() && unheard && (!over || kept_in_lost_zone(m));
-                if now.since(m.born) > patience && since_lead && !waits {
+                let none_reports = observations.get(&m.zone).is_some_and(Seen::nobody_heard);
+                let may_be_up =
+                    m.was_up() && none_reports && (!lease_expired || kept_in_lost_zone(m));
+                if now.since(m.born) > boot_timeout && had_time_to_report && !may_be_up {
                     m.enter(Life::Releasing, "never reported");
-                    desk.release(&m.id);
+                    cloud.release(&m.id);
                 }
                 continue;
             }
             // A machine that the cloud had announced to take back is gone once it is silent.
-            let taken = m.taken_at.is_some() && silence(m) > taken_after && now > found_by;
-            let silent = taken || silence(m) > silent_after && now > found_by.plus(silent_after);
+            let taken_back =
+                m.taken_at.is_some() && silence(m) > taken_after && now > leader_known_by;
+            let silent =
+                taken_back || silence(m) > silent_after && now > leader_known_by.plus(silent_after);
             if silent && matches!(m.life, Life::Live | Life::Closing) {
                 m.enter(Life::Silent, "no reports");
             }
             // A network partition between zones must not pass for the loss of all their machines: they
             // are kept until their leases have run out.
-            let cut = seen.get(&m.zone).is_some_and(Seen::cut);
-            let kept = silent && kept_in_lost_zone(m);
-            if silent && (!cut || over) && !kept {
+            let partitioned = observations.get(&m.zone).is_some_and(Seen::cut);
+            let keep = silent && kept_in_lost_zone(m);
+            if silent && (!partitioned || lease_expired) && !keep {
                 m.enter(Life::Releasing, "silent for too long");
-                desk.release(&m.id);
+                cloud.release(&m.id);
             } else if m.life == Life::Draining && m.empty() && m.taken_at.is_none() {
                 m.enter(Life::Releasing, "drained");
-                desk.release(&m.id);
+                cloud.release(&m.id);
             }
         }
         for host in expired {
-            for (id, index) in self.held_on(&host, |_| true) {
+            for (id, index) in self.tasks_assigned_to(&host, |_| true) {
                 log::info!("task {id}/{index}: gone, the lease of {host} has expired");
-                self.lost(&id, index, now);
+                self.task_lost(&id, index, now);
             }
         }
     }
 
     /// Collects the machines that do not report and still hold tasks of finished jobs, the least recently contacted last. Machines
     /// being released are included, since their release may never be confirmed.
-    pub(super) fn find_overdue(&mut self, settings: &Settings, now: Mono) {
+    pub(super) fn collect_overdue_machines(&mut self, settings: &Settings, now: Mono) {
         let report_s = settings.facts.workers.report_s;
-        let (again, late) =
+        let (repeat_after, overdue_after) =
             (Millis::from_secs(report_s), Millis::from_secs(report_s * OVERDUE_REPORTS));
-        let over = |task: &TaskId| self.book.get(&task.job).is_some_and(|job| !job.goes_on());
-        let due = |m: &&Machine| {
-            let heard = m.last_report.unwrap_or(self.heard_from).max(self.heard_from);
+        let of_finished_job =
+            |task: &TaskId| self.book.get(&task.job).is_some_and(|job| !job.goes_on());
+        let overdue = |m: &&Machine| {
+            let last_heard = m.last_report.unwrap_or(self.heard_from).max(self.heard_from);
             !m.addr.is_empty()
-                && now.since(heard) > late
-                && now.since(m.told_at) >= again
-                && m.held.keys().any(over)
+                && now.since(last_heard) > overdue_after
+                && now.since(m.told_at) >= repeat_after
+                && m.held.keys().any(of_finished_job)
         };
-        let machines = self.fleet.machines.values().filter(due);
+        let machines = self.fleet.machines.values().filter(overdue);
         let mut found: Vec<(Mono, HostId)> = machines.map(|m| (m.told_at, m.id.clone())).collect();
         found.sort_unstable_by(|a, b| b.cmp(a));
-        self.overdue = found.into_iter().map(|(_, host)| host).collect();
+        self.overdue_machines = found.into_iter().map(|(_, host)| host).collect();
     }
 
     /// Returns the next machine that does not report, with its address and stops for its tasks of finished jobs. Repeated once
@@ -199,9 +203,10 @@
     /// reached, cancelled work would run on for the rest of a lease and count against its team's limit.
     pub fn next_overdue(&mut self, now: Mono) -> Option<(HostId, String, Command)> {
         loop {
-            let host = self.overdue.pop()?;
-            let over = |(id, _): &(JobId, u32)| self.book.get(id).is_some_and(|job| !job.goes_on());
-            let tasks = self.held_on(&host, |_| true).into_iter().filter(over);
+            let host = self.overdue_machines.pop()?;
+            let of_finished_job =
+                |(id, _): &(JobId, u32)| self.book.get(id).is_some_and(|job| !job.goes_on());
+            let tasks = self.tasks_assigned_to(&host, |_| true).into_iter().filter(of_finished_job);
             let stop = |(id, index): (JobId, u32)| {
                 let attempt = self.book.get(&id)?.hold(index)?.attempt;
                 Some(Order::Stop {
@@ -220,49 +225,54 @@
         }
     }
 
-    /// Summarizes the reports of each zone's machines: one silent for longer than `early`, counted from `found_by` at the
-    /// earliest, should have reported. Only attested machines that are not being released count: old reports of machines
-    /// released long ago would make their zone appear lost.
-    fn seen(&self, early: Millis, found_by: Mono, now: Mono) -> BTreeMap<Zone, Seen> {
+    /// Summarizes the reports of each zone's machines: one silent for longer than `early_silence`, counted from
+    /// `leader_known_by` at the earliest, should have reported. Only attested machines that are not being released count:
+    /// old reports of machines released long ago would make their zone appear lost.
+    fn zone_observations(
+        &self,
+        early_silence: Millis,
+        leader_known_by: Mono,
+        now: Mono,
+    ) -> BTreeMap<Zone, Seen> {
         let mut zones: BTreeMap<Zone, Seen> = BTreeMap::new();
         let counts = |m: &&Machine| m.attested && m.life != Life::Releasing;
         for m in self.fleet.machines.values().filter(counts) {
-            let seen = zones.entry(m.zone.clone()).or_default();
+            let observation = zones.entry(m.zone.clone()).or_default();
             // The stored assignments show that it was up when this term began, whatever the machine list says.
             let expected = m.listed_up.or((!m.held.is_empty()).then_some(self.since));
-            let overdue = |at: Mono| u32::from(now.since(at.max(found_by)) > early);
+            let overdue = |at: Mono| u32::from(now.since(at.max(leader_known_by)) > early_silence);
             if let Some(at) = m.last_report {
-                seen.known += 1;
+                observation.known += 1;
                 // Machines cut off together fall silent within one report period of each other.
-                seen.silent += overdue(at);
-                seen.heard += u32::from(now.since(at) <= early);
-                seen.latest = seen.latest.max(Some(at));
+                observation.silent += overdue(at);
+                observation.heard += u32::from(now.since(at) <= early_silence);
+                observation.latest = observation.latest.max(Some(at));
             } else if let Some(at) = expected {
-                seen.expected += 1;
-                seen.unheard += overdue(at);
+                observation.expected += 1;
+                observation.unheard += overdue(at);
             }
         }
         zones
     }
 
     /// Zones with a recently hired machine that has not reported: it may be booting, or up and cut off.
-    pub(super) fn coming(
+    pub(super) fn zones_awaiting_machine(
         &self,
         settings: &Settings,
-        desk: &CloudDesk,
+        cloud: &CloudDesk,
         now: Mono,
     ) -> BTreeSet<Zone> {
         let lease_s = settings.facts.workers.lease_s;
-        let lately = |m: &&Machine| {
+        let recently_hired = |m: &&Machine| {
             let boot_s = self.fleet.flavor(&m.flavor).map_or(0.0, |f| f.boot_s);
             m.life == Life::Booting && now.since(m.born).secs() < boot_s * BOOT_SPREAD + lease_s
         };
-        let hired = self.fleet.machines.values().filter(lately).map(|m| m.zone.clone());
-        hired.chain(desk.awaited().map(|(kind, _)| kind.zone)).collect()
+        let hired = self.fleet.machines.values().filter(recently_hired).map(|m| m.zone.clone());
+        hired.chain(cloud.awaited().map(|(kind, _)| kind.zone)).collect()
     }
 
     /// Whether work is waiting that may run in this zone only.
-    fn waited_for(&self, zone: &Zone, now: Mono) -> bool {
+    fn has_work_only_for_zone(&self, zone: &Zone, now: Mono) -> bool {
         let flavors = self.fleet.catalog.as_ref().map_or(&[][..], |c| &c.flavors);
         let waits = |j: &Job| j.state == JobState::Open && j.startable(now) > 0;
         self.book.jobs.values().any(|j| waits(j) && placement::needs_zone(&j.spec, flavors, zone))
@@ -272,42 +282,48 @@
     /// requests for lost zones that were not sent yet are dropped. A silent machine does not replace the probe: it may be
     /// dead, and work that could run only there waited five minutes for it. The probe is postponed, not skipped, while a
     /// machine boots or all kinds are refused.
-    pub(super) fn probe_zones(&mut self, settings: &Settings, desk: &mut CloudDesk, now: Mono) {
+    pub(super) fn probe_zones(&mut self, settings: &Settings, cloud: &mut CloudDesk, now: Mono) {
         for zone in self.fleet.zones.all_lost() {
-            desk.unwish(zone);
+            cloud.unwish(zone);
         }
-        let due = self.fleet.zones.due_probes(now, |zone| self.waited_for(zone, now));
+        let due_zones =
+            self.fleet.zones.due_probes(now, |zone| self.has_work_only_for_zone(zone, now));
         // Only recent hires count: machines known from records alone, or that never come up, delayed work bound to the zone by
         // two minutes.
-        let coming =
-            if due.is_empty() { BTreeSet::new() } else { self.coming(settings, desk, now) };
-        for zone in due {
+        let awaiting_machine = if due_zones.is_empty() {
+            BTreeSet::new()
+        } else {
+            self.zones_awaiting_machine(settings, cloud, now)
+        };
+        for zone in due_zones {
             // While the zone recovers, the reports of its live machines show whether it stays up; no probe is needed.
             let returning = !self.fleet.zones.lost(&zone);
             let live = |m: &Machine| m.zone == zone && m.life == Life::Live;
-            if coming.contains(&zone) || returning && self.fleet.machines.values().any(live) {
+            if awaiting_machine.contains(&zone)
+                || returning && self.fleet.machines.values().any(live)
+            {
                 continue;
             }
             let flavors = self.fleet.catalog.iter().flat_map(|c| &c.flavors);
-            let here = flavors.filter(|f| f.zones.contains(&zone));
-            let kinds = here.flat_map(|f| [true, false].map(|spot| (f, spot)));
-            let open = kinds.map(|(f, spot)| {
+            let flavors_here = flavors.filter(|f| f.zones.contains(&zone));
+            let kinds = flavors_here.flat_map(|f| [true, false].map(|spot| (f, spot)));
+            let priced_kinds = kinds.map(|(f, spot)| {
                 let kind = Kind { flavor: f.label.clone(), zone: zone.clone(), spot };
                 (f.price_as(spot), kind)
             });
-            let cheapest = open
-                .filter(|(_, kind)| !desk.refused(kind, now))
+            let cheapest = priced_kinds
+                .filter(|(_, kind)| !cloud.refused(kind, now))
                 .min_by(|a, b| a.0.total_cmp(&b.0));
             if let Some((_, kind)) = cheapest {
                 log::info!("zone {zone}: hiring one machine to probe whether the zone is back");
-                desk.hire(&kind, 1);
+                cloud.hire(&kind, 1);
                 self.fleet.zones.probed(&zone, now);
             }
         }
     }
 
     /// Stops the tasks on draining machines, with time to save their progress.
-    pub(super) fn drain(&mut self, now: Mono) {
+    pub(super) fn stop_draining_tasks(&mut self, now: Mono) {
         let mut stops = Vec::new();
         for m in self.fleet.machines.values() {
             if m.life != Life::Draining {
@@ -324,13 +340,13 @@
                 // Before the cloud takes a machine, a task that cannot save its progress runs on if it
                 // may finish in time; otherwise it is stopped at once and starts again elsewhere.
                 let ran_s = hold.running_since.map_or(0.0, |t| now.since(t).secs());
-                let to_go_s = spec.estimate_s - ran_s;
-                let hopeless = m.taken_at.is_some_and(|at| {
+                let remaining_s = spec.estimate_s - ran_s;
+                let may_finish_in_time = m.taken_at.is_some_and(|at| {
                     spec.checkpoint_s <= 0.0
                         && spec.shape != Shape::Service
-                        && to_go_s < at.since(now).secs()
+                        && remaining_s < at.since(now).secs()
                 });
-                if hold.stop.is_none() && !(hopeless && hold.run != RunSent::No) {
+                if hold.stop.is_none() && !(may_finish_in_time && hold.run != RunSent::No) {
                     stops.push((task.clone(), spec.save_s));
                 }
             }
--- a/crates/core/src/reign/mod.rs
+++ b/crates/core/src/reign/mod.rs
@@ -49,7 +49,7 @@
     /// Running mean of actual over estimated time.
     mean: f64,
     /// Decaying maximum of the same ratio: an array is done only when its longest task is.
-    longest: f64,
+    recent_max: f64,
 }
 
 impl Default for ClassBias {
@@ -60,13 +60,13 @@
 
 impl ClassBias {
     fn new(mean: f64) -> Self {
-        Self { mean, longest: mean }
+        Self { mean, recent_max: mean }
     }
 
-    fn saw(&mut self, ratio: f64) {
+    fn observe(&mut self, ratio: f64) {
         let ratio = ratio.clamp(0.1, 10.0);
         self.mean += BIAS_GAIN * (ratio - self.mean);
-        self.longest = (self.longest * LONGEST_KEPT).max(ratio);
+        self.recent_max = (self.recent_max * LONGEST_KEPT).max(ratio);
     }
 }
 
@@ -87,17 +87,18 @@
 
 impl Terms {
     pub fn new(settings: &Settings, ops: &Operators) -> Self {
-        let named = settings.facts.objectives.iter().filter_map(|o| o.class.clone());
-        let limited = ops.classes.names().map(str::to_owned);
-        let accounted = ops.ledger.then(|| Arc::new(named.chain(limited).collect()));
+        let objective_classes = settings.facts.objectives.iter().filter_map(|o| o.class.clone());
+        let limited_classes = ops.classes.names().map(str::to_owned);
+        let accounted =
+            ops.ledger.then(|| Arc::new(objective_classes.chain(limited_classes).collect()));
         let account_every = Millis(ops.ledger_every_ms);
-        let graphs = ops.graphs.then(|| (ops.graph_limits.clone(), graphs::room(settings)));
+        let graphs = ops.graphs.then(|| (ops.graph_limits.clone(), graphs::record_space(settings)));
         let value_bytes = (settings.facts.state.strictest().value_kb * 1024.0) as usize;
         let classes = Arc::new(ops.classes.clone());
         Self { classes, accounted, account_every, graphs, value_bytes }
     }
 
-    fn account(&self) -> Option<Account> {
+    fn usage_accounting(&self) -> Option<Account> {
         let classes = self.accounted.clone()?;
         Some(Account::new(classes, self.account_every).within(self.value_bytes))
     }
@@ -112,45 +113,45 @@
     pub heard_from: Mono,
     pub stage: Stage,
     /// Whether the cloud's machine list has been read in this term.
-    listed: bool,
+    machines_listed: bool,
     /// Whether an earlier leader's hints have been applied.
-    informed: bool,
+    hints_applied: bool,
     /// Whether the state of the zones has been initialized.
-    zones_begun: bool,
+    zones_initialized: bool,
     /// Store revision at which the job table was read.
     pub begin: Revision,
     /// Number of planned assignments that the placement rules forbid. Each is a bug in the planner; tests check it.
     pub wrong_plans: u32,
     pub book: Book,
     pub fleet: Fleet,
-    attempts: u64,
-    planned: f64,
-    paced: BTreeMap<JobId, u32>,
-    shown: BTreeMap<String, ClassBias>,
+    attempt_count: u64,
+    planned_cores: f64,
+    task_limits: BTreeMap<JobId, u32>,
+    class_biases: BTreeMap<String, ClassBias>,
     /// Cached images, by an earlier leader's hints, of machines that have not reported yet.
-    recalled: BTreeMap<HostId, Vec<Image>>,
+    inherited_images: BTreeMap<HostId, Vec<Image>>,
     /// The last machine whose images went into a leader hint; the next hint continues after it.
-    noted: HostId,
-    last_move: Mono,
-    expected: Vec<(Job, u32)>,
+    last_hinted_machine: HostId,
+    last_service_move: Mono,
+    expected_jobs: Vec<(Job, u32)>,
     /// Evidence on whether jobs or machines caused failures, used where retries are limited.
     evidence: Evidence,
     /// Machines that were found faulty, kept until they are gone.
-    condemned: BTreeSet<HostId>,
+    faulty_machines: BTreeSet<HostId>,
     /// Tasks without retries left that wait for evidence on what caused their failures, with the start of the wait.
-    trials: BTreeMap<TaskId, Mono>,
+    awaiting_evidence: BTreeMap<TaskId, Mono>,
     /// Stop orders that are sent directly instead of with the answer to the machine's next report.
-    hasty: BTreeMap<HostId, Vec<Order>>,
+    direct_stops: BTreeMap<HostId, Vec<Order>>,
     /// Machines for which a task was assigned or stopped since the last call of [`Reign::take_changed_machines`].
     changed_machines: Vec<HostId>,
     /// Machines that do not report and still hold tasks of finished jobs, the least recently contacted one last.
-    overdue: Vec<HostId>,
+    overdue_machines: Vec<HostId>,
     /// Task graphs, if they are served.
     pub graphs: Option<Desk>,
-    kinds: graphs::Kinds,
-    place_dirty: bool,
+    node_costs: graphs::NodeCosts,
+    placement_needed: bool,
     /// Earliest time of the next placement pass, derived from the cost of the last one.
-    next_place: Mono,
+    next_placement: Mono,
     next_tick: Mono,
 }
 
@@ -164,31 +165,35 @@
             since: now,
             heard_from: now,
             stage: Stage::LoadingLive,
-            listed: false,
-            informed: false,
-            zones_begun: false,
+            machines_listed: false,
+            hints_applied: false,
+            zones_initialized: false,
             begin: Revision(0),
             wrong_plans: 0,
-            book: Book::new(terms.classes.clone(), terms.account(), terms.graphs.is_some()),
+            book: Book::new(
+                terms.classes.clone(),
+                terms.usage_accounting(),
+                terms.graphs.is_some(),
+            ),
             fleet,
-            attempts: 0,
-            planned: 0.0,
-            paced: BTreeMap::new(),
-            shown: BTreeMap::new(),
-            recalled: BTreeMap::new(),
-            noted: HostId::new(""),
-            last_move: Mono(0),
-            expected: Vec::new(),
+            attempt_count: 0,
+            planned_cores: 0.0,
+            task_limits: BTreeMap::new(),
+            class_biases: BTreeMap::new(),
+            inherited_images: BTreeMap::new(),
+            last_hinted_machine: HostId::new(""),
+            last_service_move: Mono(0),
+            expected_jobs: Vec::new(),
             evidence: Evidence::default(),
-            condemned: BTreeSet::new(),
-            trials: BTreeMap::new(),
-            hasty: BTreeMap::new(),
+            faulty_machines: BTreeSet::new(),
+            awaiting_evidence: BTreeMap::new(),
+            direct_stops: BTreeMap::new(),
             changed_machines: Vec::new(),
-            overdue: Vec::new(),
+            overdue_machines: Vec::new(),
             graphs: graphs::desk(terms, token, now),
-            kinds: graphs::Kinds::new(),
-            place_dirty: true,
-            next_place: Mono(0),
+            node_costs: graphs::NodeCosts::new(),
+            placement_needed: true,
+            next_placement: Mono(0),
             next_tick: now,
         }
     }
@@ -203,7 +208,7 @@
             self.book.jobs.len()
         );
         self.stage = stage;
-        self.place_dirty = true;
+        self.placement_needed = true;
         if stage == Stage::Ruling {
             // An earlier leader may have stopped between writing the last task and the end of the job.
             let complete =
@@ -219,60 +224,66 @@
     /// Builds a hint with the state that is not stored and that a new leader would have to learn again:
     /// the images of the next few machines, and class biases, arrivals and zone states in full.
     pub fn notes(&mut self, now: Mono) -> Notes {
-        let after = (Bound::Excluded(self.noted.clone()), Bound::Unbounded);
-        let most = self.fleet.machines.len().div_ceil(NOTES_ROUND).max(NOTES_MACHINES);
+        let after = (Bound::Excluded(self.last_hinted_machine.clone()), Bound::Unbounded);
+        let max_machines = self.fleet.machines.len().div_ceil(NOTES_ROUND).max(NOTES_MACHINES);
         let mut bytes = 0;
         let machines = self.fleet.machines.range(after).map(|(_, m)| m);
         let images: Vec<(HostId, Vec<(String, f64)>)> = machines
             .filter(|m| m.images.iter().any(|i| i.ready))
-            .take(most)
+            .take(max_machines)
             .map(|m| {
                 let ready = m.images.iter().filter(|i| i.ready);
                 (m.id.clone(), ready.map(|i| (i.name.clone(), i.gb)).collect())
             })
             .take_while(|(_, images): &(HostId, Vec<(String, f64)>)| {
                 let size = |(name, _): &(String, f64)| name.len() + NOTES_IMAGE_BYTES;
-                let former = bytes;
+                let bytes_before = bytes;
                 bytes += NOTES_MACHINE_BYTES + images.iter().map(size).sum::<usize>();
-                former == 0 || bytes <= NOTES_BYTES
+                bytes_before == 0 || bytes <= NOTES_BYTES
             })
             .collect();
-        let next = images.last().filter(|_| images.len() == most || bytes > NOTES_BYTES);
-        self.noted = next.map_or_else(|| HostId::new(""), |(host, _)| host.clone());
+        let last_included =
+            images.last().filter(|_| images.len() == max_machines || bytes > NOTES_BYTES);
+        self.last_hinted_machine =
+            last_included.map_or_else(|| HostId::new(""), |(host, _)| host.clone());
         let mut arrivals: BTreeMap<&str, (JobSpec, Vec<u64>)> = BTreeMap::new();
-        for (at, spec) in &self.book.arrivals {
+        for (arrived_at, spec) in &self.book.arrivals {
             let entry =
                 arrivals.entry(&spec.class).or_insert_with(|| ((**spec).clone(), Vec::new()));
-            entry.1.push(now.since(*at).0);
+            entry.1.push(now.since(*arrived_at).0);
         }
         Notes {
             token: self.token,
             leader: None,
             images,
-            shown: self.shown.iter().map(|(class, bias)| (class.clone(), bias.mean)).collect(),
+            shown: self
+                .class_biases
+                .iter()
+                .map(|(class, bias)| (class.clone(), bias.mean))
+                .collect(),
             arrivals: arrivals.into_values().collect(),
             gossip: None,
             zones: self.fleet.zones.told(now),
         }
     }
 
-    /// Applies the hints that an earlier leader sent at `noted`.
-    pub fn recall(&mut self, notes: Notes, noted: Mono) {
-        self.informed = true;
-        self.fleet.zones.recall(&notes.zones, noted);
-        for (host, images) in notes.images {
+    /// Applies the hints that an earlier leader sent at `hinted_at`.
+    pub fn recall(&mut self, hints: Notes, hinted_at: Mono) {
+        self.hints_applied = true;
+        self.fleet.zones.recall(&hints.zones, hinted_at);
+        for (host, images) in hints.images {
             let ready = |(name, gb)| Image { name, gb, ready: true };
-            self.recalled.insert(host, images.into_iter().map(ready).collect());
+            self.inherited_images.insert(host, images.into_iter().map(ready).collect());
         }
-        for (class, factor) in notes.shown {
-            self.shown.insert(class, ClassBias::new(factor));
+        for (class, factor) in hints.shown {
+            self.class_biases.insert(class, ClassBias::new(factor));
         }
         // The job table lacks jobs that arrived before the hints were sent and have finished since.
         let mut arrivals: Vec<(Mono, Arc<JobSpec>)> =
-            self.book.arrivals.drain(..).filter(|(at, _)| *at > noted).collect();
-        for (spec, ages) in notes.arrivals {
+            self.book.arrivals.drain(..).filter(|(at, _)| *at > hinted_at).collect();
+        for (spec, ages) in hints.arrivals {
             let spec = Arc::new(spec);
-            let at = |age: u64| Mono(noted.0.saturating_sub(age));
+            let at = |age: u64| Mono(hinted_at.0.saturating_sub(age));
             arrivals.extend(ages.into_iter().map(|age| (at(age), spec.clone())));
         }
         arrivals.sort_by_key(|(at, _)| *at);
@@ -280,13 +291,13 @@
     }
 
     pub fn wake(&mut self) {
-        self.place_dirty = true;
+        self.placement_needed = true;
     }
 
     /// Returns an attempt number that no leader has used: tokens and the counter only grow.
     fn new_attempt(&mut self) -> Attempt {
-        self.attempts += 1;
-        Attempt((self.token.0 << 20) + self.attempts)
+        self.attempt_count += 1;
+        Attempt((self.token.0 << 20) + self.attempt_count)
     }
 
     /// Loads an assignment record from the store.
@@ -336,13 +347,13 @@
         };
         let done = done || self.book.get(id).is_some_and(completed);
         self.book.free(id, index, done);
-        self.place_dirty = true;
+        self.placement_needed = true;
         let complete =
             self.book.get(id).is_some_and(|j| j.state == JobState::Open && j.done == j.spec.tasks);
         if complete {
             self.book.end(id, JobStatus::Done, "all tasks are done");
         }
-        self.end_failed(id);
+        self.end_if_failed(id);
     }
 
     /// Abandons a gang's current attempt and stops its remaining tasks.
@@ -383,7 +394,7 @@
         self.changed_machines.push(hold.host.clone());
         if matches!(why, StopWhy::Preempted | StopWhy::Draining | StopWhy::Moved) {
             let (host, attempt) = (hold.host.clone(), hold.attempt);
-            let orders = self.hasty.entry(host).or_default();
+            let orders = self.direct_stops.entry(host).or_default();
             if orders.len() < MAX_ORDERS {
                 orders.push(Order::Stop { task: task.to_string(), attempt, grace_s });
             }
@@ -417,28 +428,30 @@
     }
 
     /// Runs the periodic work; called for every event while the token is valid.
-    pub fn tick(&mut self, settings: &Settings, ops: &Operators, desk: &mut CloudDesk, now: Mono) {
+    pub fn tick(&mut self, settings: &Settings, ops: &Operators, cloud: &mut CloudDesk, now: Mono) {
         if self.stage != Stage::Ruling {
             return;
         }
-        self.place_dirty |= self.book.take_released();
-        if now >= self.next_tick && now >= self.next_place.min(self.next_tick.plus(ops.tick())) {
+        self.placement_needed |= self.book.take_released();
+        if now >= self.next_tick && now >= self.next_placement.min(self.next_tick.plus(ops.tick()))
+        {
             self.next_tick = now.plus(ops.tick());
-            self.begin_zones();
-            self.watch_machines(settings, ops, desk, now);
-            self.find_overdue(settings, now);
-            self.probe_zones(settings, desk, now);
-            self.drain(now);
-            self.try_again(now);
-            self.learn_nodes();
-            self.scale(settings, ops, desk, now);
+            self.initialize_zones();
+            self.check_machines(settings, ops, cloud, now);
+            self.collect_overdue_machines(settings, now);
+            self.probe_zones(settings, cloud, now);
+            self.stop_draining_tasks(now);
+            self.review_retries(now);
+            self.update_node_costs();
+            self.scale(settings, ops, cloud, now);
             self.fleet.forget_old(now);
-            let old = Millis::from_secs(ARRIVAL_WINDOW_S);
-            while self.book.arrivals.front().is_some_and(|(at, _)| now.since(*at) > old) {
+            let arrival_window = Millis::from_secs(ARRIVAL_WINDOW_S);
+            while self.book.arrivals.front().is_some_and(|(at, _)| now.since(*at) > arrival_window)
+            {
                 self.book.arrivals.pop_front();
             }
-        } else if self.place_dirty && now >= self.next_place {
-            self.place(settings, desk, now);
+        } else if self.placement_needed && now >= self.next_placement {
+            self.run_placement(settings, cloud, now);
         }
     }
 }
--- a/crates/core/src/reign/repeats.rs
+++ b/crates/core/src/reign/repeats.rs
@@ -9,12 +9,12 @@
 use oatloom_protocol::wire::{Failure, FailureCause};
 
 /// An attempt that ended with an error.
-pub(super) struct Failed {
+pub(super) struct FailedAttempt {
     pub attempt: Attempt,
     pub ran: Millis,
 }
 
-impl Failed {
+impl FailedAttempt {
     pub fn of(hold: &Hold, now: Mono) -> Self {
         Self {
             attempt: hold.attempt,
@@ -26,7 +26,13 @@
 impl Reign {
     /// Charges a failed attempt to its task, where retries are limited. The charge is written in the same record as the
     /// end of the assignment, so that either both are stored or neither.
-    pub(super) fn charge(&mut self, task: &TaskId, failed: &Failed, host: &HostId, now: Mono) {
+    pub(super) fn charge_failure(
+        &mut self,
+        task: &TaskId,
+        failed: &FailedAttempt,
+        host: &HostId,
+        now: Mono,
+    ) {
         let (id, index) = (&task.job, task.index);
         let Some(job) = self.book.jobs.get_mut(id) else { return };
         // A stop sent to the task does not matter: a task ended by a stop reports that cause. If such failures were not
@@ -48,7 +54,7 @@
         if !counted {
             return;
         }
-        if self.condemned.contains(host) {
+        if self.faulty_machines.contains(host) {
             // The machine is already known to be faulty, so nothing would excuse this failure later.
             job.charges.excuse(host);
         }
@@ -58,55 +64,59 @@
         job.confined = !sound;
         job.failed_at = now;
         let failures = job.charges.failures(job.judged(index)).max(1);
-        let pause = backoff::pause(failures, failed.attempt);
-        job.withheld.insert(index, now.plus(pause));
-        log::info!("task {task}: failure number {failures} on {host}, not before {} ms", pause.0);
+        let retry_delay = backoff::pause(failures, failed.attempt);
+        job.withheld.insert(index, now.plus(retry_delay));
+        log::info!(
+            "task {task}: failure number {failures} on {host}, not before {} ms",
+            retry_delay.0
+        );
         self.evidence.failed(id, index, host, now);
         if sound {
             self.evidence.known_sound(id);
         }
         if let Some(machine) = self.fleet.machines.get_mut(host) {
             // A machine on which everything fails at once always has room and would attract all tasks.
-            machine.paused_until = now.plus(pause);
+            machine.paused_until = now.plus(retry_delay);
         }
         self.book.charged(id, index);
-        self.judge_machines(now);
-        self.stand(id, index, now);
+        self.mark_faulty_machines(now);
+        self.decide_retry(id, index, now);
     }
 
     /// Records a successful task as evidence in favour of its job and its machine.
-    pub(super) fn ended_well(&mut self, id: &JobId, host: &HostId, now: Mono) {
+    pub(super) fn task_succeeded(&mut self, id: &JobId, host: &HostId, now: Mono) {
         if let Some(job) = self.book.jobs.get_mut(id) {
             job.confined = false;
         }
         if self.evidence.ended_well(id, host, now) {
-            self.judge_machines(now);
+            self.mark_faulty_machines(now);
         }
     }
 
     /// Marks machines that the evidence now shows to be faulty.
-    fn judge_machines(&mut self, now: Mono) {
-        let found = self.evidence.faulty().filter(|host| !self.condemned.contains(*host));
-        for host in found.cloned().collect::<Vec<_>>() {
-            self.condemn(&host, now);
+    fn mark_faulty_machines(&mut self, now: Mono) {
+        let newly_faulty =
+            self.evidence.faulty().filter(|host| !self.faulty_machines.contains(*host));
+        for host in newly_faulty.cloned().collect::<Vec<_>>() {
+            self.mark_faulty(&host, now);
         }
     }
 
     /// Marks a machine as faulty: it is drained and released, and the failures on it are excused.
-    fn condemn(&mut self, host: &HostId, now: Mono) {
+    fn mark_faulty(&mut self, host: &HostId, now: Mono) {
         log::warn!("machine {host}: found faulty, probability {:.2}", self.evidence.machine(host));
-        self.condemned.insert(host.clone());
+        self.faulty_machines.insert(host.clone());
         if let Some(machine) = self.fleet.machines.get_mut(host) {
             machine.enter(Life::Draining, "jobs of different kinds fail on it");
         }
-        let mut given_back = Vec::new();
+        let mut excused_tasks = Vec::new();
         for (id, job) in &mut self.book.jobs {
             // This machine no longer counts as one on which the job failed.
             job.burnt -= usize::from(job.error_hosts.remove(host)).min(job.burnt);
             let tasks = job.charges.excuse(host);
-            given_back.extend(tasks.into_iter().map(|task| (id.clone(), task)));
+            excused_tasks.extend(tasks.into_iter().map(|task| (id.clone(), task)));
         }
-        for (id, index) in given_back {
+        for (id, index) in excused_tasks {
             log::info!("task {id}/{index}: its failures on {host} do not count");
             if let Some(job) = self.book.jobs.get_mut(&id) {
                 job.withheld.remove(&index);
@@ -118,58 +128,59 @@
                 }
             }
             self.book.charged(&id, index);
-            self.stand(&id, index, now);
+            self.decide_retry(&id, index, now);
         }
-        self.place_dirty = true;
+        self.placement_needed = true;
     }
 
     /// Decides whether a task may be retried, has to wait for evidence, or has used up its retries.
-    fn stand(&mut self, id: &JobId, index: u32, now: Mono) {
+    fn decide_retry(&mut self, id: &JobId, index: u32, now: Mono) {
         let Some(job) = self.book.jobs.get_mut(id) else { return };
         let Some(allowance) = job.allowance.filter(|_| job.state == JobState::Open) else { return };
-        let key = TaskId::new(id, index);
-        let waited = self.trials.get(&key).map_or(Millis(0), |since| now.since(*since));
+        let task = TaskId::new(id, index);
+        let waited = self.awaiting_evidence.get(&task).map_or(Millis(0), |since| now.since(*since));
         let judged = job.judged(index);
         match job.charges.standing(id, judged, allowance, &self.evidence, waited) {
             Standing::Allowed => {
-                if self.trials.remove(&key).is_some() {
-                    log::info!("task {key}: may be retried");
+                if self.awaiting_evidence.remove(&task).is_some() {
+                    log::info!("task {task}: may be retried");
                     job.withheld.remove(&index);
-                    self.place_dirty = true;
+                    self.placement_needed = true;
                 }
             }
             Standing::OnTrial if waited_enough(waited) => {
                 // No further evidence came, and the existing evidence points to the machines.
-                let accused: Vec<HostId> =
+                let hosts: Vec<HostId> =
                     job.charges.causes(judged).into_iter().filter_map(|(host, _)| host).collect();
-                for host in accused {
-                    let suspect = self.evidence.machines_fault(id, &host) >= certain_below(waited);
-                    if suspect && !self.condemned.contains(&host) {
-                        self.condemn(&host, now);
+                for host in hosts {
+                    let is_suspect =
+                        self.evidence.machines_fault(id, &host) >= certain_below(waited);
+                    if is_suspect && !self.faulty_machines.contains(&host) {
+                        self.mark_faulty(&host, now);
                     }
                 }
             }
             Standing::OnTrial => {
                 job.withheld.insert(index, Mono(u64::MAX));
                 // A repeated check must not restart the wait.
-                self.trials.entry(key.clone()).or_insert_with(|| {
-                    log::info!("task {key}: waits for evidence on what caused its failures");
+                self.awaiting_evidence.entry(task.clone()).or_insert_with(|| {
+                    log::info!("task {task}: waits for evidence on what caused its failures");
                     now
                 });
             }
             Standing::Exhausted => {
-                self.trials.remove(&key);
-                self.exhaust(id, index, now);
+                self.awaiting_evidence.remove(&task);
+                self.fail_exhausted(id, index, now);
             }
         }
     }
 
     /// Fails a job, one of whose tasks has used up its retries.
-    fn exhaust(&mut self, id: &JobId, index: u32, now: Mono) {
+    fn fail_exhausted(&mut self, id: &JobId, index: u32, now: Mono) {
         let Some(job) = self.book.get(id) else { return };
         let Some(allowance) = job.allowance else { return };
         // A gang fails as a whole and replicas never end, so there are no other tasks to finish.
-        let how = match job.spec.shape {
+        let on_exhausted = match job.spec.shape {
             Shape::Array => allowance.on_exhausted,
             Shape::Gang | Shape::Service => OnExhausted::FailJob,
         };
@@ -182,9 +193,9 @@
             repeats: allowance.repeats,
             causes: job.charges.causes(judged).into_iter().take(CAUSES_MOST).map(cause).collect(),
         };
-        self.book.fail(id, how, failure);
-        self.trials.retain(|task, _| task.job != *id);
-        match how {
+        self.book.fail(id, on_exhausted, failure);
+        self.awaiting_evidence.retain(|task, _| task.job != *id);
+        match on_exhausted {
             OnExhausted::FailJob => self.stop_all(id, StopWhy::JobOver, 0.0, now),
             OnExhausted::FinishRest => {
                 // Tasks that were never sent a start order are released at once.
@@ -197,39 +208,40 @@
                 }
             }
         }
-        self.end_failed(id);
+        self.end_if_failed(id);
     }
 
     /// Ends a failing job once none of its tasks can be on a machine.
-    pub(super) fn end_failed(&mut self, id: &JobId) {
-        let gone = |job: &Job| matches!(job.state, JobState::Failing(_)) && job.held == 0;
-        if self.book.get(id).is_some_and(gone) {
+    pub(super) fn end_if_failed(&mut self, id: &JobId) {
+        let none_assigned = |job: &Job| matches!(job.state, JobState::Failing(_)) && job.held == 0;
+        if self.book.get(id).is_some_and(none_assigned) {
             self.book.end(id, JobStatus::Failed, "none of its tasks is on a machine");
         }
     }
 
     /// Re-evaluates tasks that wait for evidence, and retries those whose backoff is over.
-    pub(super) fn try_again(&mut self, now: Mono) {
+    pub(super) fn review_retries(&mut self, now: Mono) {
         if !self.book.limited {
             return;
         }
-        for task in self.trials.keys().cloned().collect::<Vec<_>>() {
-            self.stand(&task.job, task.index, now);
+        for task in self.awaiting_evidence.keys().cloned().collect::<Vec<_>>() {
+            self.decide_retry(&task.job, task.index, now);
         }
         for job in self.book.jobs.values_mut().filter(|job| !job.charges.is_empty()) {
-            let before = job.withheld.len();
+            let withheld_before = job.withheld.len();
             job.withheld.retain(|_, until| now < *until);
-            self.place_dirty |= job.withheld.len() < before;
+            self.placement_needed |= job.withheld.len() < withheld_before;
             // Otherwise a job could stay confined for ever to machines on which its gang, or its spread over zones,
             // cannot be placed.
-            let stuck = job.confined && job.held == 0 && now.since(job.failed_at) >= CONFINED_MS;
-            if stuck && job.withheld.is_empty() {
+            let unplaceable =
+                job.confined && job.held == 0 && now.since(job.failed_at) >= CONFINED_MS;
+            if unplaceable && job.withheld.is_empty() {
                 job.confined = false;
-                self.place_dirty = true;
+                self.placement_needed = true;
             }
         }
         // Drains machines that an earlier leader found faulty, or that were silent when they were found so.
-        for host in &self.condemned {
+        for host in &self.faulty_machines {
             if let Some(machine) = self.fleet.machines.get_mut(host)
                 && matches!(machine.life, Life::Live | Life::Closing)
             {
@@ -237,7 +249,7 @@
             }
         }
         let (fleet, evidence) = (&self.fleet, &self.evidence);
-        self.condemned
+        self.faulty_machines
             .retain(|host| fleet.machines.contains_key(host) || evidence.machine(host) >= FAULTY);
     }
 
@@ -250,7 +262,7 @@
         for (id, job) in self.book.jobs.iter_mut().filter(|(_, job)| !job.charges.is_empty()) {
             for (task, host, excused) in job.charges.hosts() {
                 if excused {
-                    self.condemned.insert(host.clone());
+                    self.faulty_machines.insert(host.clone());
                 } else {
                     self.evidence.failed(id, task, host, now);
                     job.burnt += usize::from(job.error_hosts.insert(host.clone()));
@@ -263,9 +275,9 @@
             }
             charged.extend(job.charges.tasks().map(|task| (id.clone(), task)));
         }
-        self.judge_machines(now);
+        self.mark_faulty_machines(now);
         for (id, index) in charged {
-            self.stand(&id, index, now);
+            self.decide_retry(&id, index, now);
         }
     }
 }
--- a/crates/core/src/reign/reports.rs
+++ b/crates/core/src/reign/reports.rs
@@ -1,20 +1,20 @@
 //! Reconciles worker reports and answers to direct commands with the job table, and builds the
 //! orders for workers.
 
-use super::repeats::Failed;
+use super::repeats::FailedAttempt;
 use super::*;
 use oatloom_ledger::entry::End;
 
 /// Reason for restarting a gathering gang under a new attempt number. Answers to direct commands are not ordered among the
 /// reports: with the old number, a late answer that shows the refusal would end a task that has started since.
-const REFUSED: &str = "a task was refused";
+const TASK_REFUSED: &str = "a task was refused";
 
 impl Reign {
     /// Returns stop orders to send to a machine directly, with its address. Stops are harmless however
     /// late they arrive, and are repeated in answers to reports. Start orders are never sent this way.
     pub fn next_command(&mut self) -> Option<(HostId, String, Command)> {
         loop {
-            let (host, orders) = self.hasty.pop_first()?;
+            let (host, orders) = self.direct_stops.pop_first()?;
             let Some(m) = self.fleet.machines.get(&host) else { continue };
             if matches!(m.life, Life::Live | Life::Closing | Life::Draining) && !m.addr.is_empty() {
                 let command = Command { token: self.token, shift: m.shift, orders };
@@ -27,14 +27,15 @@
     /// precede the answer to the worker's open report, so a task missing from it proves nothing. A task
     /// that it shows as ended has ended.
     pub fn on_obeyed(&mut self, report: &Report, now: Mono) {
-        let known = self.fleet.machines.get(&report.host).is_some_and(|m| m.shift == report.shift);
-        if !known || report.token != self.token || self.stage != Stage::Ruling {
+        let same_session =
+            self.fleet.machines.get(&report.host).is_some_and(|m| m.shift == report.shift);
+        if !same_session || report.token != self.token || self.stage != Stage::Ruling {
             return;
         }
         for row in report.tasks.iter().filter(|row| row.status == TaskPhase::Exited) {
             let Some(task) = TaskId::parse(&row.task) else { continue };
-            if self.held_here(&task, row.attempt, report) {
-                self.exited(&task, row, &report.host, now);
+            if self.is_assigned_here(&task, row.attempt, report) {
+                self.task_exited(&task, row, &report.host, now);
             }
         }
     }
@@ -47,26 +48,26 @@
         }
         let before = self.fleet.machines.get(&report.host);
         let answered = before.is_some_and(|m| m.last_answer.is_some());
-        let fresh = self.fleet.take_report(report, self.token, now);
-        if fresh == Freshness::Stale {
+        let freshness = self.fleet.take_report(report, self.token, now);
+        if freshness == Freshness::Stale {
             return None;
         }
-        if let Some(images) = self.recalled.remove(&report.host)
+        if let Some(images) = self.inherited_images.remove(&report.host)
             && let Some(machine) = self.fleet.machines.get_mut(&report.host)
         {
             machine.recall(images);
         }
         let mut orders = Vec::new();
         if self.stage == Stage::Ruling {
-            self.end_old_shift(report, now);
-            let lost = self.compare(report, fresh, &mut orders, now);
-            self.mind_deafness(
+            self.release_old_sessions(report, now);
+            let lost = self.reconcile(report, freshness, &mut orders, now);
+            self.count_lost_answers(
                 &report.host,
-                lost || answered && fresh != Freshness::Confirmed,
+                lost || answered && freshness != Freshness::Confirmed,
                 now,
             );
-            if fresh == Freshness::Confirmed {
-                self.start_held(&report.host, report.shift, report.tally, &mut orders);
+            if freshness == Freshness::Confirmed {
+                self.add_start_orders(&report.host, report.shift, report.tally, &mut orders);
             }
         }
         Some(ReportAnswer { token: self.token, orders })
@@ -75,7 +76,7 @@
     /// Counts consecutive reports that show that the previous answer was lost. A machine that receives no answers gets no new
     /// tasks for a while, and those not started on it are released. Otherwise tasks would wait for as long as its reports
     /// arrive but the answers are lost.
-    fn mind_deafness(&mut self, host: &HostId, missed: bool, now: Mono) {
+    fn count_lost_answers(&mut self, host: &HostId, missed: bool, now: Mono) {
         let Some(machine) = self.fleet.machines.get_mut(host) else { return };
         machine.unheard = if missed { machine.unheard + 1 } else { 0 };
         if machine.unheard < UNHEARD_MOST {
@@ -85,7 +86,7 @@
             log::info!("machine {host}: receives no answers to its reports");
         }
         machine.paused_until = machine.paused_until.max(now.plus(UNHEARD_PAUSE_MS));
-        for (id, index) in self.held_on(host, |hold| hold.run == RunSent::No) {
+        for (id, index) in self.tasks_assigned_to(host, |hold| hold.run == RunSent::No) {
             self.free(&id, index, false, now);
         }
     }
@@ -100,22 +101,23 @@
         if m.life != Life::Live || !m.strays.is_empty() || m.paused_until > now {
             return false;
         }
-        let kept = m.kept_for(now).is_some();
-        let unsent = |hold: &Hold| hold.run == RunSent::No;
-        let calm = |task: &TaskId| {
+        let reserved = m.kept_for(now).is_some();
+        let start_unsent = |hold: &Hold| hold.run == RunSent::No;
+        let unlikely_to_end = |task: &TaskId| {
             self.book.get(&task.job).is_some_and(|j| {
-                let steady = |hold: &Hold| hold.phase == Some(TaskPhase::Running);
+                let is_running = |hold: &Hold| hold.phase == Some(TaskPhase::Running);
                 j.spec.shape != Shape::Array
                     && j.hold(task.index)
-                        .is_some_and(|h| h.stop.is_none() && (unsent(h) || steady(h)))
+                        .is_some_and(|h| h.stop.is_none() && (start_unsent(h) || is_running(h)))
             })
         };
-        let roomy = || {
+        let has_room = || {
             let free = self.fleet.free_room(m);
-            self.expected.iter().any(|(job, _)| free.fits(&Room::from(&*job.spec)))
+            self.expected_jobs.iter().any(|(job, _)| free.fits(&Room::from(&*job.spec)))
         };
-        let awaiting = || m.held.keys().any(|task| self.book.held(task).is_some_and(unsent));
-        kept || awaiting() || m.held.keys().all(calm) && roomy()
+        let has_unsent_start =
+            || m.held.keys().any(|task| self.book.held(task).is_some_and(start_unsent));
+        reserved || has_unsent_start() || m.held.keys().all(unlikely_to_end) && has_room()
     }
 
     /// Whether there are start or stop orders that can be sent to a machine now.
@@ -141,9 +143,9 @@
 
     /// Whether a machine has tasks to start or stop, now or once their assignment is durable.
     pub fn has_unsent(&self, host: &HostId) -> bool {
-        let unsent = |hold: &Hold| hold.run == RunSent::No || hold.stop.is_some();
+        let order_pending = |hold: &Hold| hold.run == RunSent::No || hold.stop.is_some();
         self.fleet.machines.get(host).is_some_and(|machine| {
-            machine.held.keys().any(|task| self.book.held(task).is_some_and(unsent))
+            machine.held.keys().any(|task| self.book.held(task).is_some_and(order_pending))
         })
     }
 
@@ -168,37 +170,41 @@
         }
         machine.last_answer = Some(now);
         let mut orders = Vec::new();
-        for (id, index) in self.held_on(host, |hold| hold.stop.is_some() && hold.run != RunSent::No)
+        for (id, index) in
+            self.tasks_assigned_to(host, |hold| hold.stop.is_some() && hold.run != RunSent::No)
         {
             let task = TaskId::new(&id, index);
-            let told = self.book.held(&task).and_then(|h| Some((h.stop?.grace_s, h.attempt)));
-            if let Some((grace_s, attempt)) = told {
-                self.push(&mut orders, Order::Stop { task: task.to_string(), attempt, grace_s });
+            let stop = self.book.held(&task).and_then(|h| Some((h.stop?.grace_s, h.attempt)));
+            if let Some((grace_s, attempt)) = stop {
+                self.push_order(
+                    &mut orders,
+                    Order::Stop { task: task.to_string(), attempt, grace_s },
+                );
             }
         }
-        self.start_held(host, shift, tally, &mut orders);
+        self.add_start_orders(host, shift, tally, &mut orders);
         Some(ReportAnswer { token: self.token, orders })
     }
 
     /// Releases the tasks of older worker sessions: a newer session proves that they are gone.
-    pub(super) fn end_old_shift(&mut self, report: &Report, now: Mono) {
-        for (id, index) in self.held_on(&report.host, |hold| hold.shift < report.shift) {
+    pub(super) fn release_old_sessions(&mut self, report: &Report, now: Mono) {
+        for (id, index) in self.tasks_assigned_to(&report.host, |hold| hold.shift < report.shift) {
             log::info!("task {id}/{index}: gone, {} has a new worker session", report.host);
-            self.lost(&id, index, now);
+            self.task_lost(&id, index, now);
         }
     }
 
     /// Whether the job table assigns this attempt of a task to the worker session that reports it.
-    fn held_here(&self, task: &TaskId, attempt: Attempt, report: &Report) -> bool {
+    fn is_assigned_here(&self, task: &TaskId, attempt: Attempt, report: &Report) -> bool {
         self.book.held(task).is_some_and(|h| {
             h.host == report.host && h.attempt == attempt && h.shift == report.shift
         })
     }
 
-    pub(super) fn held_on(
+    pub(super) fn tasks_assigned_to(
         &self,
         host: &HostId,
-        which: impl Fn(&Hold) -> bool,
+        predicate: impl Fn(&Hold) -> bool,
     ) -> Vec<(JobId, u32)> {
         let Some(machine) = self.fleet.machines.get(host) else {
             return Vec::new();
@@ -207,15 +213,15 @@
             .held
             .keys()
             .filter(|task| {
-                self.book.held(task).is_some_and(|hold| hold.host == *host && which(hold))
+                self.book.held(task).is_some_and(|hold| hold.host == *host && predicate(hold))
             })
             .map(|task| (task.job.clone(), task.index))
             .collect()
     }
 
     /// Releases a task that is provably gone and whose end was not reported.
-    pub(super) fn lost(&mut self, id: &JobId, index: u32, now: Mono) {
-        self.account(id, index, End::Unseen, (false, None), now);
+    pub(super) fn task_lost(&mut self, id: &JobId, index: u32, now: Mono) {
+        self.record_usage(id, index, End::Unseen, (false, None), now);
         if let Some(job) = self.book.jobs.get_mut(id) {
             job.lost_at = now;
         }
@@ -226,15 +232,15 @@
     }
 
     /// Reconciles the tasks that a worker lists with its assignments; returns whether a start order was lost in transit.
-    pub(super) fn compare(
+    pub(super) fn reconcile(
         &mut self,
         report: &Report,
-        fresh: Freshness,
+        freshness: Freshness,
         orders: &mut Vec<Order>,
         now: Mono,
     ) -> bool {
         let host = &report.host;
-        let confirmed = fresh == Freshness::Confirmed;
+        let confirmed = freshness == Freshness::Confirmed;
         let mut strays = BTreeMap::new();
         let mut listed = Vec::new();
         // Added after the stops, which must not be crowded out of a full answer.
@@ -244,12 +250,12 @@
                 continue;
             };
             let exited = row.status == TaskPhase::Exited;
-            if self.held_here(&task, row.attempt, report) {
+            if self.is_assigned_here(&task, row.attempt, report) {
                 listed.push(task.clone());
                 if !exited {
-                    self.saw(&task, row, report, orders, now);
+                    self.task_present(&task, row, report, orders, now);
                 } else if confirmed {
-                    self.exited(&task, row, host, now);
+                    self.task_exited(&task, row, host, now);
                 }
                 continue;
             }
@@ -258,14 +264,14 @@
                     self.book.get(&task.job).map(|j| Room::from(&*j.spec)).unwrap_or_default();
                 log::warn!("machine {host}: {task} try {} is not assigned there", row.attempt);
                 strays.insert((task, row.attempt), need);
-                self.push(
+                self.push_order(
                     orders,
                     Order::Stop { task: row.task.clone(), attempt: row.attempt, grace_s: 0.0 },
                 );
                 continue;
             }
             if row.cause == Some(Cause::Done) {
-                self.done_elsewhere(&task, now);
+                self.task_done_elsewhere(&task, now);
             }
             // The worker may forget the result only once it is durable.
             if self.book.get(&task.job).is_none_or(|j| j.settled(task.index)) {
@@ -277,60 +283,61 @@
         if let Some(machine) = self.fleet.machines.get_mut(host) {
             machine.strays = strays;
         }
-        confirmed && self.missing(report, &listed, now)
+        confirmed && self.reconcile_missing(report, &listed, now)
     }
 
-    pub(super) fn push(&self, orders: &mut Vec<Order>, order: Order) {
+    pub(super) fn push_order(&self, orders: &mut Vec<Order>, order: Order) {
         if orders.len() < MAX_ORDERS {
             orders.push(order);
         }
     }
 
     /// Counts a result kept by a worker whose assignment had been given up.
-    pub(super) fn done_elsewhere(&mut self, task: &TaskId, now: Mono) {
+    pub(super) fn task_done_elsewhere(&mut self, task: &TaskId, now: Mono) {
         let pending = self.book.get(&task.job).is_some_and(|j| {
             j.state == JobState::Open
                 && j.spec.shape != Shape::Service
                 && j.tasks.get(task.index as usize) == Some(&Task::Pending)
         });
         if pending {
-            self.done(&task.job, task.index, None, now);
+            self.task_done(&task.job, task.index, None, now);
         }
     }
 
     /// Marks a task as done. The tasks of a gang complete together: a gang with only some tasks done could never start again.
     /// Gang tasks that were not seen running in the same attempt are done too, but stay assigned until they are provably gone:
     /// the result was one kept from an earlier attempt, and theirs may still be starting.
-    pub(super) fn done(&mut self, id: &JobId, index: u32, ran_ms: Option<u64>, now: Mono) {
+    pub(super) fn task_done(&mut self, id: &JobId, index: u32, ran_ms: Option<u64>, now: Mono) {
         let Some(job) = self.book.get(id) else { return };
-        let rest: Vec<u32> = match job.spec.shape {
+        let others: Vec<u32> = match job.spec.shape {
             Shape::Gang => (0..job.spec.tasks)
                 .filter(|i| *i != index && job.tasks[*i as usize] != Task::Done)
                 .collect(),
             _ => Vec::new(),
         };
         let attempt = job.hold(index).map(|hold| hold.attempt);
-        let still_there = |i: &u32| {
+        let is_still_assigned = |i: &u32| {
             let ran = |hold: &Hold| {
                 let runs = matches!(hold.phase, Some(TaskPhase::Running | TaskPhase::Saving));
                 runs && Some(hold.attempt) == attempt
             };
             job.hold(*i).is_some_and(|hold| !ran(hold))
         };
-        let (there, rest): (Vec<u32>, Vec<u32>) = rest.into_iter().partition(still_there);
+        let (still_assigned, others): (Vec<u32>, Vec<u32>) =
+            others.into_iter().partition(is_still_assigned);
         self.free(id, index, true, now);
-        for other in there {
+        for other in still_assigned {
             self.stop(&TaskId::new(id, other), StopWhy::JobOver, 0.0, now);
         }
-        for other in rest {
+        for other in others {
             // These started and ended together with the reported task.
-            self.account(id, other, End::Seen(Cause::Done), (false, ran_ms), now);
+            self.record_usage(id, other, End::Seen(Cause::Done), (false, ran_ms), now);
             self.free(id, other, true, now);
         }
     }
 
     /// Records the phase of an assigned task that its worker reports as present.
-    pub(super) fn saw(
+    pub(super) fn task_present(
         &mut self,
         task: &TaskId,
         row: &TaskReport,
@@ -348,7 +355,7 @@
         {
             job.gang_enter(Gang::Running(attempt), "its tasks run");
         }
-        let over = !job.goes_on();
+        let job_finished = !job.goes_on();
         if phase != TaskPhase::Fetching
             && let Some(machine) = self.fleet.machines.get_mut(&report.host)
         {
@@ -358,8 +365,8 @@
             return;
         };
         hold.told_ms = row.ran_ms.or(hold.told_ms);
-        let turned = hold.phase != Some(phase);
-        if turned {
+        let phase_changed = hold.phase != Some(phase);
+        if phase_changed {
             log::debug!("task {task}: {phase:?} on {}", report.host);
             hold.phase = Some(phase);
         }
@@ -370,35 +377,41 @@
         if phase == TaskPhase::Running && hold.running_since.is_none() {
             hold.running_since = Some(now);
         }
-        if over && hold.stop.is_none() {
+        if job_finished && hold.stop.is_none() {
             hold.stop = Some(Stop { why: StopWhy::JobOver, grace_s: 0.0, since: now });
         }
         if let Some(stop) = hold.stop {
             let attempt = hold.attempt;
-            self.push(
+            self.push_order(
                 orders,
                 Order::Stop { task: task.to_string(), attempt, grace_s: stop.grace_s },
             );
         }
-        if turned && phase == TaskPhase::Running {
-            self.all_run(&task.job);
+        if phase_changed && phase == TaskPhase::Running {
+            self.mark_if_fully_running(&task.job);
         }
     }
 
     /// Marks a job as fully up once all of its tasks run at the same time.
-    fn all_run(&mut self, id: &JobId) {
+    fn mark_if_fully_running(&mut self, id: &JobId) {
         let Some(job) = self.book.jobs.get_mut(id) else { return };
         let running = |(_, hold): (u32, &Hold)| hold.phase == Some(TaskPhase::Running);
         job.up |= job.held == job.spec.tasks && job.holds().all(running);
     }
 
     /// Handles the reported end of an assigned task.
-    pub(super) fn exited(&mut self, task: &TaskId, row: &TaskReport, host: &HostId, now: Mono) {
+    pub(super) fn task_exited(
+        &mut self,
+        task: &TaskId,
+        row: &TaskReport,
+        host: &HostId,
+        now: Mono,
+    ) {
         let cause = row.cause.unwrap_or(Cause::Error);
         log::debug!("task {task}: ended on {host}, {cause:?}");
         let id = &task.job;
-        let (index, mut gang_over) = (task.index, None);
-        self.account(id, index, End::Seen(cause), (row.stored, row.ran_ms), now);
+        let (index, mut gang_failure) = (task.index, None);
+        self.record_usage(id, index, End::Seen(cause), (row.stored, row.ran_ms), now);
         match cause {
             Cause::Done => {
                 if let Some(job) = self.book.get(id)
@@ -407,12 +420,12 @@
                     machine.fetched(&job.spec.image);
                 }
                 if !self.book.limited {
-                    self.blame(id);
+                    self.blame_machines(id);
                 } else {
-                    self.ended_well(id, host, now);
+                    self.task_succeeded(id, host, now);
                 }
-                self.measure(task, now);
-                self.done(id, index, row.ran_ms, now);
+                self.record_task_cost(task, now);
+                self.task_done(id, index, row.ran_ms, now);
             }
             Cause::Stopped => {
                 // A gang that has not started waits for a replacement of a task stopped by a drain.
@@ -421,22 +434,22 @@
                     matches!(j.gang, Gang::Gathering(_)) && j.hold(index).is_some_and(drained)
                 });
                 self.free(id, index, false, now);
-                gang_over = (!replaced).then_some("a task was stopped");
+                gang_failure = (!replaced).then_some("a task was stopped");
             }
             Cause::Peers | Cause::Incomplete => {
                 self.free(id, index, false, now);
-                gang_over = Some("its tasks lost each other");
+                gang_failure = Some("its tasks lost each other");
             }
             Cause::Error => {
-                let failed = self.book.held(task).map(|hold| Failed::of(hold, now));
+                let failed = self.book.held(task).map(|hold| FailedAttempt::of(hold, now));
                 self.free(id, index, false, now);
                 match failed {
                     Some(failed) if self.book.limited => {
-                        self.charge(task, &failed, host, now);
+                        self.charge_failure(task, &failed, host, now);
                     }
-                    _ => self.failed(id, host, now),
+                    _ => self.task_failed(id, host, now),
                 }
-                gang_over = Some("a task failed");
+                gang_failure = Some("a task failed");
             }
             Cause::NoRoom => {
                 log::warn!("machine {host}: no room for {task}");
@@ -444,7 +457,7 @@
                 if let Some(machine) = self.fleet.machines.get_mut(host) {
                     machine.paused_until = now.plus(NO_ROOM_PAUSE_MS);
                 }
-                gang_over = Some(REFUSED);
+                gang_failure = Some(TASK_REFUSED);
             }
             Cause::Busy | Cause::Unknown => {
                 log::warn!("machine {host}: refused {task}, {cause:?}");
@@ -452,16 +465,16 @@
                 if let Some(job) = self.book.jobs.get_mut(id) {
                     job.paused_until = now.plus(ERROR_PAUSE_MS);
                 }
-                gang_over = Some(REFUSED);
+                gang_failure = Some(TASK_REFUSED);
             }
         }
-        if let Some(why) = gang_over {
+        if let Some(why) = gang_failure {
             self.clear_gang(id, why, now);
         }
     }
 
     /// Handles a task error: the machine is blamed, unless the job has failed on other machines too.
-    pub(super) fn failed(&mut self, id: &JobId, host: &HostId, now: Mono) {
+    pub(super) fn task_failed(&mut self, id: &JobId, host: &HostId, now: Mono) {
         let Some(job) = self.book.jobs.get_mut(id) else {
             return;
         };
@@ -492,7 +505,7 @@
     }
 
     /// Blames the machines on which a job failed once it has succeeded on another machine.
-    pub(super) fn blame(&mut self, id: &JobId) {
+    pub(super) fn blame_machines(&mut self, id: &JobId) {
         let Some(job) = self.book.get(id) else { return };
         if job.error_hosts.len() >= OWN_FAULT_HOSTS {
             return;
@@ -505,29 +518,37 @@
     }
 
     /// Records a completed task's cost in core-equivalent seconds.
-    pub(super) fn measure(&mut self, task: &TaskId, now: Mono) {
-        let eq = self.book.get(&task.job).map_or(0.0, |j| self.core_equivalents(&j.spec));
+    pub(super) fn record_task_cost(&mut self, task: &TaskId, now: Mono) {
+        let task_cores = self.book.get(&task.job).map_or(0.0, |j| self.core_equivalents(&j.spec));
         let Some(job) = self.book.jobs.get_mut(&task.job) else {
             return;
         };
-        let Some(since) = job.hold(task.index).and_then(|h| h.running_since) else {
+        let Some(running_since) = job.hold(task.index).and_then(|h| h.running_since) else {
             return;
         };
-        let ran = now.since(since).secs();
-        job.measured.add(eq * ran);
+        let ran_s = now.since(running_since).secs();
+        job.measured.add(task_cores * ran_s);
         let spec = job.spec.clone();
         if job.part.is_some() {
-            self.measure_node(&task.job, ran);
+            self.record_node_time(&task.job, ran_s);
         }
         if spec.estimate_s > 0.0 {
-            self.shown.entry(spec.class.clone()).or_default().saw(ran / spec.estimate_s);
+            self.class_biases
+                .entry(spec.class.clone())
+                .or_default()
+                .observe(ran_s / spec.estimate_s);
         }
     }
 
     /// Handles assigned tasks that a confirmed report does not list; returns whether a start order was lost in transit.
-    pub(super) fn missing(&mut self, report: &Report, listed: &[TaskId], now: Mono) -> bool {
+    pub(super) fn reconcile_missing(
+        &mut self,
+        report: &Report,
+        listed: &[TaskId],
+        now: Mono,
+    ) -> bool {
         let mut lost_start = false;
-        for (id, index) in self.held_on(&report.host, |h| h.shift == report.shift) {
+        for (id, index) in self.tasks_assigned_to(&report.host, |h| h.shift == report.shift) {
             let task = TaskId::new(&id, index);
             if listed.contains(&task) {
                 continue;
@@ -558,7 +579,7 @@
                 || !matches!(gang, Gang::Idle | Gang::Gathering(_))
             {
                 log::info!("task {task}: gone from {}", report.host);
-                self.lost(&id, index, now);
+                self.task_lost(&id, index, now);
             } else {
                 // The start order was lost in transit: the same attempt may be sent again.
                 lost_start |= matches!(hold.run, RunSent::At(_));
@@ -569,7 +590,7 @@
     }
 
     /// Adds start orders for tasks whose assignment to this machine is durable.
-    pub(super) fn start_held(
+    pub(super) fn add_start_orders(
         &mut self,
         host: &HostId,
         shift: Shift,
@@ -583,7 +604,7 @@
             return;
         }
         let strays: Vec<TaskId> = machine.strays.keys().map(|(t, _)| t.clone()).collect();
-        for (id, index) in self.held_on(host, |h| h.run == RunSent::No) {
+        for (id, index) in self.tasks_assigned_to(host, |h| h.run == RunSent::No) {
             let Some(job) = self.book.jobs.get_mut(&id) else {
                 continue;
             };
--- a/crates/core/src/reign/usage.rs
+++ b/crates/core/src/reign/usage.rs
@@ -6,7 +6,7 @@
 impl Reign {
     /// Records the usage of an attempt that is about to be released, if it may have been on its machine. `ran_ms`: run time
     /// reported by the worker with the end.
-    pub(super) fn account(
+    pub(super) fn record_usage(
         &mut self,
         id: &JobId,
         index: u32,
