--- a/crates/core/src/inbox.rs
+++ b/crates/core/src/inbox.rs
@@ -1,8 +1,8 @@
 //! Admission control: which of the inputs queued for a controller's single thread is handled next, and which are dropped
 //! because their callers have timed out, or will have before an answer reaches them.
 //!
-//! Without an age limit an overloaded queue collapses: once inputs wait longer than their callers' timeout, every answer comes
-//! too late, the callers retry, and the work on answers that nobody receives leaves no time for others.
+//! Without an age limit an overloaded queue collapses: once inputs wait longer than their callers' timeout, every
+//! answer comes too late, the callers retry, and the work on answers that nobody receives leaves no time for others.
 
 use crate::api::Request;
 use crate::constants::*;
@@ -14,8 +14,8 @@
 pub enum InputKind {
     /// Health probes and peer messages: few and cheap, and traffic is routed by them.
     Control,
-    /// The report of a machine that has tasks and has not acknowledged the current leader: its tasks are killed if it gets no
-    /// answer for the length of a lease, and much of that lease may have passed.
+    /// The report of a machine that has tasks and has not acknowledged the current leader: its tasks are killed if it
+    /// gets no answer for the length of a lease, and much of that lease may have passed.
     Report,
     /// The same of a machine that has acknowledged the current leader.
     KnownReport,
@@ -53,8 +53,8 @@
         }
     }
 
-    /// How many inputs of a kind are taken per round while all kinds wait. No number of reports can take the share of queries,
-    /// nor the other way round.
+    /// How many inputs of a kind are taken per round while all kinds wait. No number of reports can take the share of
+    /// queries, nor the other way round.
     fn weight(self) -> u32 {
         match self {
             Self::Control => 8,
@@ -67,7 +67,8 @@
         }
     }
 
-    /// How long an input may wait and still be worth an answer. `forwarded`: it came from a peer, whose timeout is shorter.
+    /// How long an input may wait and still be worth an answer. `forwarded`: it came from a peer, whose timeout is
+    /// shorter.
     pub fn patience(self, forwarded: bool) -> Millis {
         match self {
             Self::Control => CONTROL_AGE_MS,
@@ -116,11 +117,11 @@
 
 /// A queued input.
 #[derive(Debug)]
-struct Waiting<T> {
+struct QueuedInput<T> {
     item: T,
-    since: Mono,
+    queued_at: Mono,
     /// From when on it is no longer worth an answer.
-    until: Mono,
+    deadline: Mono,
 }
 
 /// What to do with an input.
@@ -135,26 +136,26 @@
 /// Queued inputs by kind.
 #[derive(Debug)]
 pub struct Inbox<T> {
-    queues: [VecDeque<Waiting<T>>; InputKind::ALL.len()],
+    queues: [VecDeque<QueuedInput<T>>; InputKind::ALL.len()],
     /// How many inputs of each kind may still be taken in this round.
     credits: [u32; InputKind::ALL.len()],
     /// Maximum number of queued inputs of one kind.
-    most: usize,
+    max_per_kind: usize,
     /// How many were dropped since the last call of [`Inbox::take_dropped`].
     dropped: u32,
     /// How many inputs were dropped in total: spreads the retries of their callers over time.
-    spread: u32,
+    dropped_in_total: u32,
 }
 
 impl<T> Inbox<T> {
-    /// `most`: maximum number of callers.
-    pub fn new(most: usize) -> Self {
+    /// `max_per_kind`: maximum number of callers.
+    pub fn new(max_per_kind: usize) -> Self {
         Self {
             queues: InputKind::ALL.map(|_| VecDeque::new()),
             credits: InputKind::ALL.map(InputKind::weight),
-            most: most.max(1),
+            max_per_kind: max_per_kind.max(1),
             dropped: 0,
-            spread: 0,
+            dropped_in_total: 0,
         }
     }
 
@@ -167,28 +168,28 @@
         item: T,
     ) -> Option<Admitted<T>> {
         let queue = &mut self.queues[kind as usize];
-        let oldest = (queue.len() >= self.most).then(|| queue.pop_front()).flatten();
-        let until = now.plus(kind.patience(forwarded));
-        queue.push_back(Waiting { item, since: now, until });
+        let oldest = (queue.len() >= self.max_per_kind).then(|| queue.pop_front()).flatten();
+        let deadline = now.plus(kind.patience(forwarded));
+        queue.push_back(QueuedInput { item, queued_at: now, deadline });
         oldest.map(|oldest| self.drop_one(oldest.item))
     }
 
     /// Returns the next input and whether it is still worth an answer; `None` if nothing is queued.
     pub fn pop(&mut self, now: Mono) -> Option<Admitted<T>> {
         let kind = self.next_kind()?;
-        let waiting = self.queues[kind as usize].pop_front()?;
-        if now >= waiting.until {
-            return Some(self.drop_one(waiting.item));
+        let input = self.queues[kind as usize].pop_front()?;
+        if now >= input.deadline {
+            return Some(self.drop_one(input.item));
         }
         self.credits[kind as usize] -= 1;
-        Some(Admitted::Take(waiting.item, now.since(waiting.since)))
+        Some(Admitted::Take(input.item, now.since(input.queued_at)))
     }
 
     /// The most important queued kind with credit left in this round; a new round begins when none has any.
     fn next_kind(&mut self) -> Option<InputKind> {
-        let waits = |kind: &InputKind| !self.queues[*kind as usize].is_empty();
-        let first = InputKind::ALL.into_iter().find(waits)?;
-        let has_credit = |kind: &InputKind| waits(kind) && self.credits[*kind as usize] > 0;
+        let is_queued = |kind: &InputKind| !self.queues[*kind as usize].is_empty();
+        let first = InputKind::ALL.into_iter().find(is_queued)?;
+        let has_credit = |kind: &InputKind| is_queued(kind) && self.credits[*kind as usize] > 0;
         let found = InputKind::ALL.into_iter().find(has_credit);
         if found.is_none() {
             self.credits = InputKind::ALL.map(InputKind::weight);
@@ -198,8 +199,8 @@
 
     fn drop_one(&mut self, item: T) -> Admitted<T> {
         self.dropped += 1;
-        self.spread = self.spread.wrapping_add(1);
-        let retry_after_s = 1 + self.spread % RETRY_SPREAD_S;
+        self.dropped_in_total = self.dropped_in_total.wrapping_add(1);
+        let retry_after_s = 1 + self.dropped_in_total % RETRY_SPREAD_S;
         Admitted::Drop(item, retry_after_s)
     }
 
--- a/crates/core/src/inbox/tests.rs
+++ b/crates/core/src/inbox/tests.rs
@@ -13,19 +13,19 @@
     answered: BTreeMap<InputKind, u32>,
     dropped: u32,
     /// Longest wait of an input that was taken, in milliseconds.
-    oldest: u64,
+    longest_wait_ms: u64,
     longest_queue: usize,
 }
 
 /// Simulates inputs of each kind at the given rates per second, handled by a thread that needs `cost_us` for each input that
 /// it takes and a tenth of that for each that it drops.
-fn play(seed: u64, loads: &[(InputKind, f64)], cost_us: u64, span_ms: u64) -> Outcome {
+fn simulate(seed: u64, rates: &[(InputKind, f64)], cost_us: u64, span_ms: u64) -> Outcome {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut inbox = Inbox::new(CALLERS);
     let mut outcome = Outcome::default();
-    let mut spare_us: i64 = 0;
+    let mut budget_us: i64 = 0;
     for now in 0..span_ms {
-        for (kind, rate) in loads {
+        for (kind, rate) in rates {
             let count =
                 (rate / 1e3).floor() as u32 + u32::from(rng.random_bool((rate / 1e3).fract()));
             for _ in 0..count {
@@ -33,19 +33,19 @@
                 outcome.dropped += u32::from(evicted.is_some());
             }
         }
-        spare_us = (spare_us + 1_000).min(1_000);
-        while spare_us > 0
+        budget_us = (budget_us + 1_000).min(1_000);
+        while budget_us > 0
             && let Some(next) = inbox.pop(Mono(now))
         {
             match next {
                 Admitted::Take((kind, at), age) => {
                     assert_eq!(age, Millis(now - at));
-                    spare_us -= cost_us as i64;
-                    outcome.oldest = outcome.oldest.max(now - at);
+                    budget_us -= cost_us as i64;
+                    outcome.longest_wait_ms = outcome.longest_wait_ms.max(now - at);
                     *outcome.answered.entry(kind).or_default() += 1;
                 }
                 Admitted::Drop(..) => {
-                    spare_us -= cost_us as i64 / 10;
+                    budget_us -= cost_us as i64 / 10;
                     outcome.dropped += 1;
                 }
             }
@@ -59,20 +59,21 @@
 #[test]
 fn each_kind_keeps_its_share_under_overload() {
     use InputKind::*;
-    for (seed, flood) in InputKind::ALL.into_iter().enumerate() {
+    for (seed, overloaded) in InputKind::ALL.into_iter().enumerate() {
         // The thread can answer 1,000 inputs a second; one kind sends twenty times that.
-        let loads = InputKind::ALL.map(|kind| (kind, if kind == flood { 20_000.0 } else { 30.0 }));
-        let outcome = play(seed as u64, &loads, 1_000, 20_000);
-        for kind in InputKind::ALL.into_iter().filter(|kind| *kind != flood) {
+        let rates =
+            InputKind::ALL.map(|kind| (kind, if kind == overloaded { 20_000.0 } else { 30.0 }));
+        let outcome = simulate(seed as u64, &rates, 1_000, 20_000);
+        for kind in InputKind::ALL.into_iter().filter(|kind| *kind != overloaded) {
             let answered = outcome.answered[&kind];
-            assert!(answered > 450, "{flood:?} starves {kind:?}: {answered} of some 600");
+            assert!(answered > 450, "{overloaded:?} starves {kind:?}: {answered} of some 600");
         }
-        assert!(outcome.oldest < REPORT_AGE_MS.0, "{}", outcome.oldest);
+        assert!(outcome.longest_wait_ms < REPORT_AGE_MS.0, "{}", outcome.longest_wait_ms);
         assert!(outcome.longest_queue <= CALLERS + 600, "{}", outcome.longest_queue);
-        assert!(outcome.dropped > 0 && outcome.answered[&flood] > 5_000, "{outcome:?}");
+        assert!(outcome.dropped > 0 && outcome.answered[&overloaded] > 5_000, "{outcome:?}");
     }
     // Reports and queries both exceed the capacity: each keeps its share.
-    let outcome = play(9, &[(Report, 5_000.0), (Question, 5_000.0)], 1_000, 20_000);
+    let outcome = simulate(9, &[(Report, 5_000.0), (Question, 5_000.0)], 1_000, 20_000);
     assert!(outcome.answered[&Question] > 7_000 && outcome.answered[&Report] > 7_000);
 }
 
@@ -86,19 +87,19 @@
     assert_eq!(inbox.len(), CALLERS);
     let later = Mono(QUESTION_AGE_MS.0);
     inbox.push(later, InputKind::Question, false, 77);
-    let mut returns: BTreeMap<u32, u32> = BTreeMap::new();
+    let mut retries_by_second: BTreeMap<u32, u32> = BTreeMap::new();
     loop {
         match inbox.pop(later) {
             Some(Admitted::Drop(_, retry_after_s)) => {
-                *returns.entry(retry_after_s).or_default() += 1
+                *retries_by_second.entry(retry_after_s).or_default() += 1
             }
             Some(Admitted::Take(item, _)) => break assert_eq!(item, 77),
             None => panic!("the new input is answered"),
         }
     }
     // The retries are spread evenly over several seconds.
-    assert_eq!(returns.len(), RETRY_SPREAD_S as usize);
-    assert!(returns.values().all(|count| *count < 2 * CALLERS as u32 / RETRY_SPREAD_S));
+    assert_eq!(retries_by_second.len(), RETRY_SPREAD_S as usize);
+    assert!(retries_by_second.values().all(|count| *count < 2 * CALLERS as u32 / RETRY_SPREAD_S));
     assert!(inbox.is_empty() && inbox.take_dropped() == 10_000);
 }
 
@@ -113,8 +114,8 @@
     assert_eq!(inbox.pop(now), Some(Admitted::Take(1, FORWARDED_AGE_MS)));
     assert!(matches!(inbox.pop(now), Some(Admitted::Drop(2, _))));
     inbox.push(now, InputKind::IdleReport, false, 3);
-    let late = now.plus(REPORT_AGE_MS);
-    assert!(matches!(inbox.pop(late), Some(Admitted::Drop(3, 1..=RETRY_SPREAD_S))));
+    let expired = now.plus(REPORT_AGE_MS);
+    assert!(matches!(inbox.pop(expired), Some(Admitted::Drop(3, 1..=RETRY_SPREAD_S))));
     assert!(FORWARDED_AGE_MS < ASK_TIMEOUT_MS && REPORT_AGE_MS < REPORT_DROP_MS);
 }
 
--- a/crates/core/src/leadership.rs
+++ b/crates/core/src/leadership.rs
@@ -14,13 +14,13 @@
 
 /// Content of the leader key.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
-struct Seat {
+struct LeaderRecord {
     member: Member,
     /// Distinguishes this claim from earlier claims of the same member.
     nonce: u64,
     /// Address bound exclusively by the claiming process; earlier versions write none.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    at: Option<String>,
+    #[serde(default, rename = "at", skip_serializing_if = "Option::is_none")]
+    address: Option<String>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -57,28 +57,28 @@
 /// Election state of this controller.
 #[derive(Debug)]
 pub struct Leadership {
-    me: Member,
+    member: Member,
     /// Address bound exclusively by this process, if there is one.
-    bound: Option<String>,
+    bound_address: Option<String>,
     /// Token of the last unreadable leader record, so that each is logged once, and their number.
-    unreadable: (Token, u64),
+    undecodable: (Token, u64),
     /// Lease of an earlier incarnation whose revocation was requested.
-    ended: Option<LeaseId>,
+    revoked_lease: Option<LeaseId>,
     role: Role,
     leader: Option<(Member, Token)>,
     /// Highest token known; messages about older ones are ignored.
-    seen: Token,
+    highest_token: Token,
     /// Whether the key was last seen to be free.
-    vacant: bool,
+    key_is_free: bool,
     next_read: Mono,
     next_claim: Mono,
-    next_touch: Mono,
+    next_renewal: Mono,
     watching: bool,
     /// When the pending read was sent.
-    reading: Option<Mono>,
+    pending_read: Option<Mono>,
     /// Replies to reads sent before this are outdated: a later read was answered, or a claim was begun since.
-    read_from: Mono,
-    turn: Option<Turn>,
+    oldest_valid_read: Mono,
+    change: Option<Turn>,
 }
 
 /// End of validity of a lease whose last successful renewal was sent at `sent`.
@@ -88,25 +88,25 @@
 }
 
 impl Leadership {
-    /// `bound`: the address that this process has bound exclusively; `None` if another machine may have bound the
+    /// `bound_address`: the address that this process has bound exclusively; `None` if another machine may have bound the
     /// same address.
-    pub fn new(me: Member, bound: Option<String>) -> Self {
+    pub fn new(member: Member, bound_address: Option<String>) -> Self {
         Self {
-            me,
-            bound,
-            unreadable: (Token(0), 0),
-            ended: None,
+            member,
+            bound_address,
+            undecodable: (Token(0), 0),
+            revoked_lease: None,
             role: Role::Follower,
             leader: None,
-            seen: Token(0),
-            vacant: false,
+            highest_token: Token(0),
+            key_is_free: false,
             next_read: Mono(0),
             next_claim: Mono(0),
-            next_touch: Mono(0),
+            next_renewal: Mono(0),
             watching: false,
-            reading: None,
-            read_from: Mono(0),
-            turn: None,
+            pending_read: None,
+            oldest_valid_read: Mono(0),
+            change: None,
         }
     }
 
@@ -133,7 +133,7 @@
 
     /// The leader, as far as known, if it is another controller.
     pub fn other_leader(&self) -> Option<&Member> {
-        self.leader.as_ref().map(|(member, _)| member).filter(|member| **member != self.me)
+        self.leader.as_ref().map(|(member, _)| member).filter(|member| **member != self.member)
     }
 
     /// Token of the leader, as far as known.
@@ -147,15 +147,15 @@
         match &role {
             Role::Leader { token, .. } if !was_leader => {
                 log::info!("leadership: leading with token {token} ({why})");
-                self.leader = Some((self.me.clone(), *token));
-                self.seen = self.seen.max(*token);
-                self.turn = Some(Turn::Elected(*token));
+                self.leader = Some((self.member.clone(), *token));
+                self.highest_token = self.highest_token.max(*token);
+                self.change = Some(Turn::Elected(*token));
             }
             Role::Leader { .. } => {}
             _ if was_leader => {
                 log::warn!("leadership: no longer leading ({why})");
                 self.leader = None;
-                self.turn = Some(Turn::Deposed);
+                self.change = Some(Turn::Deposed);
             }
             other => log::debug!("leadership: {other:?} ({why})"),
         }
@@ -164,42 +164,42 @@
 
     /// The change of leadership since the last call, if any.
     pub fn take_turn(&mut self) -> Option<Turn> {
-        self.turn.take()
+        self.change.take()
     }
 
     /// Returns the requests that are due now.
     pub fn tick(&mut self, now: Mono) -> Vec<Ask> {
-        let mut asks = Vec::new();
+        let mut requests = Vec::new();
         match self.role.clone() {
             Role::Follower => {
-                if self.vacant && now >= self.next_claim {
+                if self.key_is_free && now >= self.next_claim {
                     self.enter(Role::Granting, "the leader key is free");
-                    self.read_from = now;
-                    asks.push(Ask::Grant);
+                    self.oldest_valid_read = now;
+                    requests.push(Ask::Grant);
                 } else if self.read_due(now) {
-                    self.reading = Some(now);
+                    self.pending_read = Some(now);
                     self.next_read = now.plus(LEADER_POLL_MS);
-                    asks.push(Ask::Read);
+                    requests.push(Ask::Read);
                 }
             }
             Role::Claiming { until, lease, .. } if now >= until => {
                 // The claim may still be applied late under this lease, so the lease is revoked first.
                 self.enter(Role::Follower, "the claim timed out");
-                asks.push(Ask::Revoke(lease));
+                requests.push(Ask::Revoke(lease));
             }
-            Role::Leader { lease, .. } if now >= self.next_touch => {
-                self.next_touch = now.plus(RENEW_MS);
-                asks.push(Ask::Touch(lease));
+            Role::Leader { lease, .. } if now >= self.next_renewal => {
+                self.next_renewal = now.plus(RENEW_MS);
+                requests.push(Ask::Touch(lease));
             }
             _ => {}
         }
-        asks
+        requests
     }
 
-    /// Whether the key is to be read now: regularly, and again soon if no reply comes. Without the early retry a controller
-    /// that sends no other requests would take two lost replies for a state service that refuses it.
+    /// Whether the key is to be read now: regularly, and again soon if no reply comes. Without the early retry a
+    /// controller that sends no other requests would take two lost replies for a state service that refuses it.
     fn read_due(&self, now: Mono) -> bool {
-        match self.reading {
+        match self.pending_read {
             Some(sent) => now.since(sent) >= READ_AGAIN_MS,
             None => now >= self.next_read,
         }
@@ -217,17 +217,17 @@
     /// otherwise take itself for the leader for as long as that lasts, and turn away users and workers
     /// that the new leader could serve.
     pub fn heard(&mut self, leader: &Member, token: Token) {
-        if token <= self.seen || *leader == self.me {
+        if token <= self.highest_token || *leader == self.member {
             return;
         }
-        self.seen = token;
+        self.highest_token = token;
         if self.token().is_some() {
             self.enter(Role::Follower, "a peer leads with a higher token");
             self.next_read = Mono(0);
         }
         if self.role == Role::Follower {
             log::info!("leadership: {leader} reports that it leads with token {token}");
-            self.vacant = false;
+            self.key_is_free = false;
             self.leader = Some((leader.clone(), token));
         }
     }
@@ -254,7 +254,7 @@
             Ask::Watch(after) => self.on_watch(now, *after, reply),
             Ask::Grant => self.on_grant(now, sent, reply, random),
             Ask::Claim(_) => self.on_claim(now, reply),
-            Ask::Touch(lease) => self.on_touch(sent, *lease, reply),
+            Ask::Touch(lease) => self.on_renewal(sent, *lease, reply),
             Ask::Revoke(_) => Vec::new(),
         }
     }
@@ -269,27 +269,27 @@
 
     fn on_read(&mut self, now: Mono, sent: Mono, reply: &StoreReply) -> Vec<Ask> {
         let answered = matches!(reply, StoreReply::Found(_) | StoreReply::Missing(_));
-        if answered || self.reading.is_none_or(|latest| latest <= sent) {
-            self.reading = None;
+        if answered || self.pending_read.is_none_or(|latest| latest <= sent) {
+            self.pending_read = None;
         }
-        if sent < self.read_from {
+        if sent < self.oldest_valid_read {
             return Vec::new();
         }
         if answered {
-            self.read_from = sent;
+            self.oldest_valid_read = sent;
         }
         match reply {
             StoreReply::Found(row) => self.on_row(now, row),
             StoreReply::Missing(_) => match self.role.clone() {
                 Role::Leader { .. } => {
                     self.enter(Role::Follower, "the leader key is gone");
-                    self.vacant = true;
+                    self.key_is_free = true;
                     Vec::new()
                 }
                 Role::Claiming { .. } => Vec::new(),
                 _ => {
                     self.leader = None;
-                    self.vacant = true;
+                    self.key_is_free = true;
                     self.tick(now)
                 }
             },
@@ -298,13 +298,13 @@
     }
 
     fn on_row(&mut self, now: Mono, row: &Row) -> Vec<Ask> {
-        self.vacant = false;
+        self.key_is_free = false;
         let token = Token(row.version.0);
-        self.seen = self.seen.max(token);
-        let Ok(seat) = serde_json::from_value::<Seat>(row.value.clone()) else {
-            if self.unreadable.0 != token {
-                self.unreadable = (token, self.unreadable.1 + 1);
-                let count = self.unreadable.1;
+        self.highest_token = self.highest_token.max(token);
+        let Ok(record) = serde_json::from_value::<LeaderRecord>(row.value.clone()) else {
+            if self.undecodable.0 != token {
+                self.undecodable = (token, self.undecodable.1 + 1);
+                let count = self.undecodable.1;
                 log::error!(
                     "leadership: the leader record cannot be decoded (revision {token}, number {count})"
                 );
@@ -317,7 +317,7 @@
         };
         match self.role.clone() {
             Role::Claiming { lease, until, nonce } => {
-                if seat.member == self.me && seat.nonce == nonce {
+                if record.member == self.member && record.nonce == nonce {
                     self.enter(
                         Role::Leader { lease, until, token },
                         "the claim whose reply was lost had succeeded",
@@ -325,43 +325,47 @@
                     return Vec::new();
                 }
                 self.enter(Role::Follower, "another claim was first");
-                self.leader = Some((seat.member, token));
-                let mut asks = self.watch(row.version);
-                asks.push(Ask::Revoke(lease));
-                asks
+                self.leader = Some((record.member, token));
+                let mut requests = self.watch(row.version);
+                requests.push(Ask::Revoke(lease));
+                requests
             }
             Role::Leader { token: mine, .. } => {
                 if mine != token {
                     self.enter(Role::Follower, "another leader holds the key");
-                    self.leader = Some((seat.member, token));
+                    self.leader = Some((record.member, token));
                     return self.watch(row.version);
                 }
                 Vec::new()
             }
             _ => {
                 if self.leader.as_ref().is_none_or(|(_, known)| *known != token) {
-                    log::info!("leadership: {} leads with token {token}", seat.member);
+                    log::info!("leadership: {} leads with token {token}", record.member);
                 }
-                let mut asks = self.end_former(now, &seat, row);
-                self.leader = Some((seat.member, token));
-                asks.extend(self.watch(row.version));
-                asks
+                let mut requests = self.revoke_former_lease(now, &record, row);
+                self.leader = Some((record.member, token));
+                requests.extend(self.watch(row.version));
+                requests
             }
         }
     }
 
-    /// Revokes the lease of an earlier incarnation of this controller that still holds the leader key, instead of waiting for it
-    /// to expire. That process has ended: it had bound the address that this one has bound now. Its pending writes are fenced by
-    /// the key, which is deleted with the lease. The other controllers, which know more of the fleet, may claim first.
-    fn end_former(&mut self, now: Mono, seat: &Seat, row: &Row) -> Vec<Ask> {
-        let own = seat.member == self.me && self.bound.is_some() && seat.at == self.bound;
-        let Some(lease) = row.lease.filter(|lease| own && self.ended != Some(*lease)) else {
+    /// Revokes the lease of an earlier incarnation of this controller that still holds the leader key, instead of
+    /// waiting for it to expire. That process has ended: it had bound the address that this one has bound now. Its
+    /// pending writes are fenced by the key, which is deleted with the lease. The other controllers, which know more of
+    /// the fleet, may claim first.
+    fn revoke_former_lease(&mut self, now: Mono, record: &LeaderRecord, row: &Row) -> Vec<Ask> {
+        let own = record.member == self.member
+            && self.bound_address.is_some()
+            && record.address == self.bound_address;
+        let Some(lease) = row.lease.filter(|lease| own && self.revoked_lease != Some(*lease))
+        else {
             return Vec::new();
         };
         log::info!(
             "leadership: an earlier incarnation of this controller holds the key; revoking its lease"
         );
-        self.ended = Some(lease);
+        self.revoked_lease = Some(lease);
         self.next_claim = now.plus(CLAIM_PAUSE_MS);
         vec![Ask::Revoke(lease)]
     }
@@ -377,7 +381,7 @@
                     if change.delete.as_deref() == Some(LEAD_KEY) {
                         log::info!("leadership: the leader key was deleted");
                         self.leader = None;
-                        self.vacant = true;
+                        self.key_is_free = true;
                     } else if change.put.as_deref() == Some(LEAD_KEY) {
                         let row = Row {
                             key: LEAD_KEY.into(),
@@ -403,18 +407,22 @@
         }
         let StoreReply::Granted(lease) = *reply else {
             self.enter(Role::Follower, "no lease was granted");
-            self.vacant = false;
+            self.key_is_free = false;
             self.next_read = now.plus(CLAIM_PAUSE_MS);
             return Vec::new();
         };
         let until = lease_end(sent);
         self.enter(Role::Claiming { lease, until, nonce: random }, "lease granted");
-        let seat = Seat { member: self.me.clone(), nonce: random, at: self.bound.clone() };
+        let record = LeaderRecord {
+            member: self.member.clone(),
+            nonce: random,
+            address: self.bound_address.clone(),
+        };
         vec![Ask::Claim(Txn {
             conditions: vec![Condition { key: LEAD_KEY.into(), version: Revision(0) }],
             changes: vec![Change::Put {
                 key: LEAD_KEY.into(),
-                value: serde_json::to_value(&seat).unwrap_or_default(),
+                value: serde_json::to_value(&record).unwrap_or_default(),
                 lease: Some(lease),
             }],
         })]
@@ -428,18 +436,18 @@
             StoreReply::Committed(revision) => {
                 let token = Token(revision.0);
                 self.enter(Role::Leader { lease, until, token }, "claim committed");
-                self.vacant = false;
-                self.next_touch = now;
+                self.key_is_free = false;
+                self.next_renewal = now;
                 self.tick(now)
             }
             // The outcome is unknown until the key is read. The claim's timeout bounds the wait.
             StoreReply::Lost => {
-                self.reading = Some(now);
+                self.pending_read = Some(now);
                 vec![Ask::Read]
             }
             _ => {
                 self.enter(Role::Follower, "the claim failed");
-                self.vacant = false;
+                self.key_is_free = false;
                 self.next_read = now;
                 self.next_claim = now.plus(CLAIM_PAUSE_MS);
                 vec![Ask::Revoke(lease)]
@@ -447,11 +455,11 @@
         }
     }
 
-    fn on_touch(&mut self, sent: Mono, touched: LeaseId, reply: &StoreReply) -> Vec<Ask> {
+    fn on_renewal(&mut self, sent: Mono, renewed_lease: LeaseId, reply: &StoreReply) -> Vec<Ask> {
         let Role::Leader { lease, until, token } = self.role.clone() else {
             return Vec::new();
         };
-        if lease != touched {
+        if lease != renewed_lease {
             return Vec::new();
         }
         match reply {
@@ -474,64 +482,76 @@
     use super::*;
 
     fn elected() -> Leadership {
-        let mut slice = Leadership::new(Member::new("a"), Some("10.0.0.1:80".into()));
-        assert_eq!(slice.tick(Mono(0)), vec![Ask::Read]);
-        let asks =
-            slice.answered(Mono(1), &Ask::Read, Mono(0), &StoreReply::Missing(Revision(1)), 7);
-        assert_eq!(asks, vec![Ask::Grant]);
+        let mut leadership = Leadership::new(Member::new("a"), Some("10.0.0.1:80".into()));
+        assert_eq!(leadership.tick(Mono(0)), vec![Ask::Read]);
+        let requests =
+            leadership.answered(Mono(1), &Ask::Read, Mono(0), &StoreReply::Missing(Revision(1)), 7);
+        assert_eq!(requests, vec![Ask::Grant]);
         let granted = StoreReply::Granted(LeaseId(3));
-        let asks = slice.answered(Mono(50), &Ask::Grant, Mono(10), &granted, 7);
+        let requests = leadership.answered(Mono(50), &Ask::Grant, Mono(10), &granted, 7);
         let committed = StoreReply::Committed(Revision(9));
-        slice.answered(Mono(60), &asks[0], Mono(50), &committed, 7);
-        slice
+        leadership.answered(Mono(60), &requests[0], Mono(50), &committed, 7);
+        leadership
     }
 
     /// A leader that only the state service refuses steps down when a peer reports a higher token; late
     /// messages about an earlier leader are ignored.
     #[test]
     fn a_peer_with_a_higher_token_ends_a_leader_term() {
-        let mut slice = elected();
-        slice.take_turn();
+        let mut leadership = elected();
+        leadership.take_turn();
         let peer = Member::new("b");
-        slice.heard(&peer, Token(9));
-        assert_eq!(slice.token(), Some(Token(9)));
-        slice.heard(&peer, Token(12));
-        assert_eq!((slice.token(), slice.take_turn()), (None, Some(Turn::Deposed)));
-        assert_eq!(slice.other_leader(), Some(&peer));
-        slice.heard(&Member::new("c"), Token(11));
-        assert_eq!(slice.other_leader(), Some(&peer));
+        leadership.heard(&peer, Token(9));
+        assert_eq!(leadership.token(), Some(Token(9)));
+        leadership.heard(&peer, Token(12));
+        assert_eq!((leadership.token(), leadership.take_turn()), (None, Some(Turn::Deposed)));
+        assert_eq!(leadership.other_leader(), Some(&peer));
+        leadership.heard(&Member::new("c"), Token(11));
+        assert_eq!(leadership.other_leader(), Some(&peer));
     }
 
     /// Validity counts from the sending of the grant, not from its reply.
     #[test]
     fn validity_counts_from_the_sending() {
-        let mut slice = elected();
-        assert_eq!(slice.take_turn(), Some(Turn::Elected(Token(9))));
+        let mut leadership = elected();
+        assert_eq!(leadership.take_turn(), Some(Turn::Elected(Token(9))));
         let end = lease_end(Mono(10));
         assert!(end < Mono(10).plus(LEADER_TTL_MS));
-        assert_eq!(slice.valid(Mono(end.0 - 1)), Some(Token(9)));
-        assert_eq!(slice.valid(end), None);
+        assert_eq!(leadership.valid(Mono(end.0 - 1)), Some(Token(9)));
+        assert_eq!(leadership.valid(end), None);
         // After a late renewal, as after an outage, the same token is valid again.
-        slice.answered(Mono(9_000), &Ask::Touch(LeaseId(3)), Mono(8_990), &StoreReply::Touched, 0);
-        assert_eq!(slice.valid(Mono(9_000)), Some(Token(9)));
+        leadership.answered(
+            Mono(9_000),
+            &Ask::Touch(LeaseId(3)),
+            Mono(8_990),
+            &StoreReply::Touched,
+            0,
+        );
+        assert_eq!(leadership.valid(Mono(9_000)), Some(Token(9)));
     }
 
     #[test]
     fn an_ended_lease_or_a_higher_token_deposes() {
-        let mut slice = elected();
-        slice.take_turn();
-        slice.answered(Mono(70), &Ask::Touch(LeaseId(3)), Mono(65), &StoreReply::NoSuchLease, 0);
-        assert_eq!(slice.take_turn(), Some(Turn::Deposed));
-        let mut slice = elected();
-        slice.take_turn();
-        slice.outranked(Token(9));
-        assert_eq!(slice.take_turn(), None);
-        slice.outranked(Token(10));
-        assert_eq!(slice.take_turn(), Some(Turn::Deposed));
+        let mut leadership = elected();
+        leadership.take_turn();
+        leadership.answered(
+            Mono(70),
+            &Ask::Touch(LeaseId(3)),
+            Mono(65),
+            &StoreReply::NoSuchLease,
+            0,
+        );
+        assert_eq!(leadership.take_turn(), Some(Turn::Deposed));
+        let mut leadership = elected();
+        leadership.take_turn();
+        leadership.outranked(Token(9));
+        assert_eq!(leadership.take_turn(), None);
+        leadership.outranked(Token(10));
+        assert_eq!(leadership.take_turn(), Some(Turn::Deposed));
     }
 
-    /// A restarted controller revokes the lease of its earlier incarnation once, and no other lease: not another member's,
-    /// not that of a process of the same name at another address, and not one written by an earlier version.
+    /// A restarted controller revokes the lease of its earlier incarnation once, and no other lease: not another
+    /// member's, not that of a process of the same name at another address, and not one written by an earlier version.
     #[test]
     fn only_the_lease_of_an_earlier_incarnation_is_revoked() {
         let row = |member: &str, at: Option<&str>, lease| Row {
@@ -549,24 +569,25 @@
             (row("a", None, former), false),
             (row("b", here, former), false),
         ];
-        for bound in [here, None] {
+        for bound_address in [here, None] {
             for (row, ends) in &cases {
-                let mut slice = Leadership::new(Member::new("a"), bound.map(str::to_owned));
-                slice.tick(Mono(0));
+                let mut leadership =
+                    Leadership::new(Member::new("a"), bound_address.map(str::to_owned));
+                leadership.tick(Mono(0));
                 let found = StoreReply::Found(row.clone());
-                let asks = slice.answered(Mono(1), &Ask::Read, Mono(0), &found, 7);
-                let revokes = asks.contains(&Ask::Revoke(LeaseId(5)));
-                assert_eq!(revokes, *ends && bound.is_some(), "{row:?}");
-                let again = slice.answered(Mono(2), &Ask::Read, Mono(1), &found, 7);
+                let requests = leadership.answered(Mono(1), &Ask::Read, Mono(0), &found, 7);
+                let revokes = requests.contains(&Ask::Revoke(LeaseId(5)));
+                assert_eq!(revokes, *ends && bound_address.is_some(), "{row:?}");
+                let again = leadership.answered(Mono(2), &Ask::Read, Mono(1), &found, 7);
                 assert!(!again.contains(&Ask::Revoke(LeaseId(5))));
                 // It does not lead before its own claim has succeeded.
-                assert_eq!(slice.valid(Mono(3)), None);
+                assert_eq!(leadership.valid(Mono(3)), None);
             }
         }
     }
 
-    /// A leader record that cannot be decoded names no leader and is counted once; a leader whose key it has replaced steps
-    /// down.
+    /// A leader record that cannot be decoded names no leader and is counted once; a leader whose key it has replaced
+    /// steps down.
     #[test]
     fn an_undecodable_leader_record_names_no_leader() {
         let row = |version| Row {
@@ -575,13 +596,22 @@
             version: Revision(version),
             lease: Some(LeaseId(5)),
         };
-        let mut slice = elected();
+        let mut leadership = elected();
         for (version, count) in [(21, 1), (21, 1), (22, 2)] {
-            let asks =
-                slice.answered(Mono(80), &Ask::Read, Mono(79), &StoreReply::Found(row(version)), 7);
-            assert!(asks.is_empty() && slice.token().is_none() && slice.other_leader().is_none());
-            assert_eq!(slice.unreadable, (Token(version), count));
-            assert!(!slice.tick(Mono(81)).contains(&Ask::Grant), "the key is not free either");
+            let requests = leadership.answered(
+                Mono(80),
+                &Ask::Read,
+                Mono(79),
+                &StoreReply::Found(row(version)),
+                7,
+            );
+            assert!(
+                requests.is_empty()
+                    && leadership.token().is_none()
+                    && leadership.other_leader().is_none()
+            );
+            assert_eq!(leadership.undecodable, (Token(version), count));
+            assert!(!leadership.tick(Mono(81)).contains(&Ask::Grant), "the key is not free either");
         }
     }
 
@@ -589,21 +619,27 @@
     #[test]
     fn a_claim_with_a_lost_reply_is_resolved_by_reading_the_key() {
         for (nonce, wins) in [(7, true), (8, false)] {
-            let mut slice = Leadership::new(Member::new("a"), Some("10.0.0.1:80".into()));
-            slice.tick(Mono(0));
-            slice.answered(Mono(1), &Ask::Read, Mono(0), &StoreReply::Missing(Revision(1)), 7);
-            let asks =
-                slice.answered(Mono(2), &Ask::Grant, Mono(1), &StoreReply::Granted(LeaseId(3)), 7);
-            let asks = slice.answered(Mono(3), &asks[0], Mono(2), &StoreReply::Lost, 0);
-            assert_eq!(asks, vec![Ask::Read]);
+            let mut leadership = Leadership::new(Member::new("a"), Some("10.0.0.1:80".into()));
+            leadership.tick(Mono(0));
+            leadership.answered(Mono(1), &Ask::Read, Mono(0), &StoreReply::Missing(Revision(1)), 7);
+            let requests = leadership.answered(
+                Mono(2),
+                &Ask::Grant,
+                Mono(1),
+                &StoreReply::Granted(LeaseId(3)),
+                7,
+            );
+            let requests =
+                leadership.answered(Mono(3), &requests[0], Mono(2), &StoreReply::Lost, 0);
+            assert_eq!(requests, vec![Ask::Read]);
             let row = Row {
                 key: LEAD_KEY.into(),
                 value: serde_json::json!({"member": "a", "nonce": nonce}),
                 version: Revision(5),
                 lease: None,
             };
-            slice.answered(Mono(4), &Ask::Read, Mono(3), &StoreReply::Found(row), 0);
-            assert_eq!(slice.valid(Mono(5)).is_some(), wins);
+            leadership.answered(Mono(4), &Ask::Read, Mono(3), &StoreReply::Found(row), 0);
+            assert_eq!(leadership.valid(Mono(5)).is_some(), wins);
         }
     }
 }
--- a/crates/core/src/open/tests.rs
+++ b/crates/core/src/open/tests.rs
@@ -19,8 +19,8 @@
         }
         let mut expired = open.expired(Mono(step));
         expired.sort();
-        let late = model.iter().filter(|(_, deadline)| step >= deadline.0);
-        assert_eq!(expired, late.map(|(conn, _)| *conn).collect::<Vec<_>>());
+        let expected = model.iter().filter(|(_, deadline)| step >= deadline.0);
+        assert_eq!(expired, expected.map(|(conn, _)| *conn).collect::<Vec<_>>());
         assert_eq!(open.len(), model.len());
     }
 }
--- a/crates/core/src/parked.rs
+++ b/crates/core/src/parked.rs
@@ -15,7 +15,7 @@
     pub shift: Shift,
     pub tally: Tally,
     /// Latest time of its answer, well before its worker times out.
-    pub until: Mono,
+    pub deadline: Mono,
     /// The report itself, if it has not been applied yet.
     pub unread: Option<Box<Report>>,
 }
@@ -39,26 +39,26 @@
     watched: BTreeSet<HostId>,
     next_sweep: Mono,
     /// Number of reports checked so far, for tests.
-    looks: u64,
+    checked_reports: u64,
 }
 
 impl ParkedReports {
-    /// Parks a report, to be answered by `until` at the latest.
+    /// Parks a report, to be answered by `deadline` at the latest.
     pub fn park(
         &mut self,
         host: HostId,
         conn: ConnId,
         shift: Shift,
         tally: Tally,
-        until: Mono,
+        deadline: Mono,
         unread: Option<Box<Report>>,
     ) {
         self.take(&host);
         if unread.is_some() {
             self.watched.insert(host.clone());
         }
-        self.by_deadline.insert((until, host.clone()));
-        self.waiting.insert(host, Parked { conn, shift, tally, until, unread });
+        self.by_deadline.insert((deadline, host.clone()));
+        self.waiting.insert(host, Parked { conn, shift, tally, deadline, unread });
     }
 
     /// Watches a machine for which there may be orders now or soon.
@@ -70,7 +70,7 @@
 
     /// Number of reports checked so far.
     pub fn looks(&self) -> u64 {
-        self.looks
+        self.checked_reports
     }
 
     pub fn len(&self) -> usize {
@@ -90,7 +90,7 @@
     /// Removes a machine's parked report: a newer one has come, or it is being answered.
     pub fn take(&mut self, host: &HostId) -> Option<Parked> {
         let parked = self.waiting.remove(host)?;
-        self.by_deadline.remove(&(parked.until, host.clone()));
+        self.by_deadline.remove(&(parked.deadline, host.clone()));
         self.watched.remove(host);
         Some(parked)
     }
@@ -102,8 +102,8 @@
         std::mem::take(&mut self.waiting)
     }
 
-    /// Returns the machines whose deadline has passed, and of those checked the ones for which `ready` holds; no more than can
-    /// be answered at once. All are checked periodically, whatever `look` says, and always if there are few.
+    /// Returns the machines whose deadline has passed, and of those checked the ones for which `ready` holds; no more
+    /// than can be answered at once. All are checked periodically, whatever `look` says, and always if there are few.
     pub fn due(
         &mut self,
         now: Mono,
@@ -111,34 +111,34 @@
         ready: impl Fn(&HostId, &Parked) -> bool,
     ) -> Vec<HostId> {
         if self.waiting.len() <= PARKED_FEW {
-            self.looks += self.waiting.len() as u64;
-            let due = |(host, p): &(&HostId, &Parked)| now >= p.until || ready(host, p);
+            self.checked_reports += self.waiting.len() as u64;
+            let due = |(host, p): &(&HostId, &Parked)| now >= p.deadline || ready(host, p);
             return self.waiting.iter().filter(due).map(|(host, _)| host.clone()).collect();
         }
-        let passed = self.by_deadline.iter().take_while(|(until, _)| now >= *until);
+        let expired = self.by_deadline.iter().take_while(|(deadline, _)| now >= *deadline);
         let mut due: Vec<HostId> =
-            passed.take(PARKED_AT_ONCE).map(|(_, host)| host.clone()).collect();
-        let sweep = now >= self.next_sweep;
-        if sweep {
+            expired.take(PARKED_AT_ONCE).map(|(_, host)| host.clone()).collect();
+        let sweep_due = now >= self.next_sweep;
+        if sweep_due {
             self.next_sweep = now.plus(PARKED_SWEEP_MS);
         }
-        let looked_at: Box<dyn Iterator<Item = &HostId>> = match look {
-            _ if sweep => Box::new(self.waiting.keys()),
+        let to_check: Box<dyn Iterator<Item = &HostId>> = match look {
+            _ if sweep_due => Box::new(self.waiting.keys()),
             Look::Watched => Box::new(self.watched.iter()),
             Look::Deadlines => return due,
         };
-        let mut looks = 0;
-        for host in looked_at {
+        let mut checked = 0;
+        for host in to_check {
             if due.len() >= PARKED_AT_ONCE {
                 break;
             }
-            looks += 1;
+            checked += 1;
             let Some(parked) = self.waiting.get(host) else { continue };
-            if now < parked.until && ready(host, parked) {
+            if now < parked.deadline && ready(host, parked) {
                 due.push(host.clone());
             }
         }
-        self.looks += looks;
+        self.checked_reports += checked;
         due
     }
 }
--- a/crates/core/src/reign/capacity.rs
+++ b/crates/core/src/reign/capacity.rs
@@ -16,9 +16,9 @@
     in_floor: bool,
 }
 
-/// Cuts the demands of jobs to what their teams' limits allow to run at once, in the order in which they would run; returns
-/// the remaining headroom. Without it, machines would be hired for work that may not run: the Dithen paper (Doyle et al.,
-/// IC2E 2016) sums s = r/d of all jobs and has no team limits.
+/// Cuts the demands of jobs to what their teams' limits allow to run at once, in the order in which they would run;
+/// returns the remaining headroom. Without it, machines would be hired for work that may not run: the Dithen paper
+/// (Doyle et al., IC2E 2016) sums s = r/d of all jobs and has no team limits.
 fn apply_team_limits<'s>(
     settings: &'s Settings,
     book: &Book,
@@ -111,8 +111,8 @@
         self.stage_overhead_s(settings, spec) + boot_s
     }
 
-    /// Passes ranks and deadlines from jobs to their dependencies, deadlines less the run times expected with the class bias:
-    /// the filter and the control loop treat a pipeline as work with one deadline.
+    /// Passes ranks and deadlines from jobs to their dependencies, deadlines less the run times expected with the class
+    /// bias: the filter and the control loop treat a pipeline as work with one deadline.
     fn inherit_urgency(&mut self, settings: &Settings) {
         let mut book = std::mem::take(&mut self.book);
         book.inherit(|job| {
@@ -123,8 +123,8 @@
         self.book = book;
     }
 
-    /// Time that a job needs besides its run if machines are up when it is released: a report before and after it, and the
-    /// image fetch.
+    /// Time that a job needs besides its run if machines are up when it is released: a report before and after it, and
+    /// the image fetch.
     fn stage_overhead_s(&self, settings: &Settings, spec: &JobSpec) -> f64 {
         2.0 * settings.facts.workers.report_s + self.fetch_s(spec)
     }
@@ -135,8 +135,8 @@
         if fetch > 0.0 { spec.image_gb / fetch } else { 0.0 }
     }
 
-    /// Returns the target N*, the floor of services, gangs and guarantees, the claims of arrays, and the headroom that team
-    /// limits leave.
+    /// Returns the target N*, the floor of services, gangs and guarantees, the claims of arrays, and the headroom that
+    /// team limits leave.
     pub(super) fn demand<'s>(
         &mut self,
         settings: &'s Settings,
--- a/crates/core/src/reign/machines.rs
+++ b/crates/core/src/reign/machines.rs
@@ -69,8 +69,8 @@
         }
     }
 
-    /// Whether enough is known of the existing machines to hire more. At the start of a term this avoids duplicates of machines
-    /// that exist already, and hires in zones whose listed machines should be reporting but do not.
+    /// Whether enough is known of the existing machines to hire more. At the start of a term this avoids duplicates of
+    /// machines that exist already, and hires in zones whose listed machines should be reporting but do not.
     pub(super) fn may_hire(&self, now: Mono) -> bool {
         self.machines_listed || now.since(self.since) > FIRST_LIST_MS
     }
@@ -177,8 +177,8 @@
         }
     }
 
-    /// Collects the machines that do not report and still hold tasks of finished jobs, the least recently contacted last. Machines
-    /// being released are included, since their release may never be confirmed.
+    /// Collects the machines that do not report and still hold tasks of finished jobs, the least recently contacted
+    /// last. Machines being released are included, since their release may never be confirmed.
     pub(super) fn collect_overdue_machines(&mut self, settings: &Settings, now: Mono) {
         let report_s = settings.facts.workers.report_s;
         let (repeat_after, overdue_after) =
@@ -198,9 +198,10 @@
         self.overdue_machines = found.into_iter().map(|(_, host)| host).collect();
     }
 
-    /// Returns the next machine that does not report, with its address and stops for its tasks of finished jobs. Repeated once
-    /// per report period until the tasks are known to have ended. Otherwise, on machines that reach no controller but can be
-    /// reached, cancelled work would run on for the rest of a lease and count against its team's limit.
+    /// Returns the next machine that does not report, with its address and stops for its tasks of finished jobs.
+    /// Repeated once per report period until the tasks are known to have ended. Otherwise, on machines that reach no
+    /// controller but can be reached, cancelled work would run on for the rest of a lease and count against its team's
+    /// limit.
     pub fn next_overdue(&mut self, now: Mono) -> Option<(HostId, String, Command)> {
         loop {
             let host = self.overdue_machines.pop()?;
@@ -288,8 +289,8 @@
         }
         let due_zones =
             self.fleet.zones.due_probes(now, |zone| self.has_work_only_for_zone(zone, now));
-        // Only recent hires count: machines known from records alone, or that never come up, delayed work bound to the zone by
-        // two minutes.
+        // Only recent hires count: machines known from records alone, or that never come up, delayed work bound to the
+        // zone by two minutes.
         let awaiting_machine = if due_zones.is_empty() {
             BTreeSet::new()
         } else {
--- a/crates/core/src/reign/reports.rs
+++ b/crates/core/src/reign/reports.rs
@@ -5,8 +5,8 @@
 use super::*;
 use oatloom_ledger::entry::End;
 
-/// Reason for restarting a gathering gang under a new attempt number. Answers to direct commands are not ordered among the
-/// reports: with the old number, a late answer that shows the refusal would end a task that has started since.
+/// Reason for restarting a gathering gang under a new attempt number. Answers to direct commands are not ordered among
+/// the reports: with the old number, a late answer that shows the refusal would end a task that has started since.
 const TASK_REFUSED: &str = "a task was refused";
 
 impl Reign {
@@ -73,9 +73,9 @@
         Some(ReportAnswer { token: self.token, orders })
     }
 
-    /// Counts consecutive reports that show that the previous answer was lost. A machine that receives no answers gets no new
-    /// tasks for a while, and those not started on it are released. Otherwise tasks would wait for as long as its reports
-    /// arrive but the answers are lost.
+    /// Counts consecutive reports that show that the previous answer was lost. A machine that receives no answers gets
+    /// no new tasks for a while, and those not started on it are released. Otherwise tasks would wait for as long as
+    /// its reports arrive but the answers are lost.
     fn count_lost_answers(&mut self, host: &HostId, missed: bool, now: Mono) {
         let Some(machine) = self.fleet.machines.get_mut(host) else { return };
         machine.unheard = if missed { machine.unheard + 1 } else { 0 };
@@ -304,9 +304,9 @@
         }
     }
 
-    /// Marks a task as done. The tasks of a gang complete together: a gang with only some tasks done could never start again.
-    /// Gang tasks that were not seen running in the same attempt are done too, but stay assigned until they are provably gone:
-    /// the result was one kept from an earlier attempt, and theirs may still be starting.
+    /// Marks a task as done. The tasks of a gang complete together: a gang with only some tasks done could never start
+    /// again. Gang tasks that were not seen running in the same attempt are done too, but stay assigned until they are
+    /// provably gone: the result was one kept from an earlier attempt, and theirs may still be starting.
     pub(super) fn task_done(&mut self, id: &JobId, index: u32, ran_ms: Option<u64>, now: Mono) {
         let Some(job) = self.book.get(id) else { return };
         let others: Vec<u32> = match job.spec.shape {
--- a/crates/core/src/reign/usage.rs
+++ b/crates/core/src/reign/usage.rs
@@ -4,8 +4,8 @@
 use oatloom_ledger::entry::{End, Entry};
 
 impl Reign {
-    /// Records the usage of an attempt that is about to be released, if it may have been on its machine. `ran_ms`: run time
-    /// reported by the worker with the end.
+    /// Records the usage of an attempt that is about to be released, if it may have been on its machine. `ran_ms`: run
+    /// time reported by the worker with the end.
     pub(super) fn record_usage(
         &mut self,
         id: &JobId,
--- a/crates/core/src/relay.rs
+++ b/crates/core/src/relay.rs
@@ -20,53 +20,54 @@
 
 /// State of the link to the leader, by the result of the last forwarded report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Line {
-    Good,
+enum LinkState {
+    Up,
     /// The leader refused a report and is assumed to refuse others until the given time.
-    Refused(Mono),
+    Refusing(Mono),
     /// The leader was unreachable and is assumed to be so until the given time.
-    Cut(Mono),
+    Unreachable(Mono),
 }
 
 /// A worker that was redirected to the leader, or whose reports are forwarded.
 #[derive(Debug)]
-struct Known {
+struct RecentWorker {
     /// Since when its reports are forwarded, if they are.
-    since: Option<Mono>,
-    until: Mono,
+    forwarded_since: Option<Mono>,
+    /// When the worker is forgotten unless it reports here again.
+    expires_at: Mono,
 }
 
 /// Workers that lately reported to this follower, and the link to the leader.
 #[derive(Debug)]
 pub struct Relays {
-    known: BTreeMap<HostId, Known>,
-    passing: usize,
-    line: Line,
-    swept: Mono,
+    workers: BTreeMap<HostId, RecentWorker>,
+    forwarding: usize,
+    link: LinkState,
+    last_sweep: Mono,
 }
 
 impl Default for Relays {
     fn default() -> Self {
-        Self { known: BTreeMap::new(), passing: 0, line: Line::Good, swept: Mono(0) }
+        Self { workers: BTreeMap::new(), forwarding: 0, link: LinkState::Up, last_sweep: Mono(0) }
     }
 }
 
 impl Relays {
     /// Changes the state of the link; all its changes go through here.
-    fn enter(&mut self, line: Line) {
-        if std::mem::discriminant(&self.line) != std::mem::discriminant(&line) {
-            log::debug!("relay: link to the leader: {:?} -> {line:?}", self.line);
+    fn enter(&mut self, link: LinkState) {
+        if std::mem::discriminant(&self.link) != std::mem::discriminant(&link) {
+            log::debug!("relay: link to the leader: {:?} -> {link:?}", self.link);
         }
-        self.line = line;
+        self.link = link;
     }
 
     /// Records the leader's status for a forwarded report; `None` if the leader was unreachable.
     pub fn told(&mut self, status: Option<u16>, now: Mono) {
         let until = now.plus(LINE_PAUSE_MS);
         self.enter(match status {
-            Some(503) => Line::Refused(until),
-            Some(_) => Line::Good,
-            None => Line::Cut(until),
+            Some(503) => LinkState::Refusing(until),
+            Some(_) => LinkState::Up,
+            None => LinkState::Unreachable(until),
         });
     }
 
@@ -75,50 +76,56 @@
     /// leader, and one that had acknowledged this leader's token would still report to it if it could.
     /// Of the latter only a limited number is forwarded at once: after an outage all workers of a
     /// fleet arrive here, and forwarding what they could report themselves used up both processors.
-    pub fn way(&mut self, host: &HostId, obeyed: bool, now: Mono) -> Way {
+    pub fn way(&mut self, host: &HostId, acknowledged: bool, now: Mono) -> Way {
         self.sweep(now);
-        match self.line {
+        match self.link {
             // Prevents a retry storm: workers redirected back and forth between followers returned
             // twice a second while the leader accepted no reports.
-            Line::Refused(until) if now < until => return Way::Wait,
-            Line::Cut(until) if now < until => {
-                let until = now.plus(COME_BACK_MS);
-                let came_back = self.known.contains_key(host);
-                let known = self.known.entry(host.clone()).or_insert(Known { since: None, until });
-                known.until = until;
-                return if came_back { Way::Elsewhere } else { Way::SendOn };
+            LinkState::Refusing(until) if now < until => return Way::Wait,
+            LinkState::Unreachable(until) if now < until => {
+                let expires_at = now.plus(COME_BACK_MS);
+                let returned = self.workers.contains_key(host);
+                let worker = self
+                    .workers
+                    .entry(host.clone())
+                    .or_insert(RecentWorker { forwarded_since: None, expires_at });
+                worker.expires_at = expires_at;
+                return if returned { Way::Elsewhere } else { Way::SendOn };
             }
             _ => {}
         }
-        let until = now.plus(COME_BACK_MS);
-        match self.known.get_mut(host) {
-            Some(known) if known.since.is_some_and(|since| now.since(since) >= RELAY_MS) => {
-                *known = Known { since: None, until };
-                self.passing -= 1;
+        let expires_at = now.plus(COME_BACK_MS);
+        match self.workers.get_mut(host) {
+            Some(worker)
+                if worker.forwarded_since.is_some_and(|since| now.since(since) >= RELAY_MS) =>
+            {
+                *worker = RecentWorker { forwarded_since: None, expires_at };
+                self.forwarding -= 1;
                 Way::SendOn
             }
-            Some(known) => {
-                self.passing += usize::from(known.since.is_none());
-                known.since.get_or_insert(now);
-                known.until = until;
+            Some(worker) => {
+                self.forwarding += usize::from(worker.forwarded_since.is_none());
+                worker.forwarded_since.get_or_insert(now);
+                worker.expires_at = expires_at;
                 Way::PassOn
             }
             None => {
-                let at_once = obeyed && self.passing < RELAY_AT_ONCE;
-                self.passing += usize::from(at_once);
-                let known = Known { since: at_once.then_some(now), until };
-                self.known.insert(host.clone(), known);
-                if at_once { Way::PassOn } else { Way::SendOn }
+                let forward = acknowledged && self.forwarding < RELAY_AT_ONCE;
+                self.forwarding += usize::from(forward);
+                let worker = RecentWorker { forwarded_since: forward.then_some(now), expires_at };
+                self.workers.insert(host.clone(), worker);
+                if forward { Way::PassOn } else { Way::SendOn }
             }
         }
     }
 
     /// Forgets workers that have not returned; runs once a second.
     fn sweep(&mut self, now: Mono) {
-        if now.since(self.swept) >= RELAY_SWEEP_MS {
-            self.swept = now;
-            self.known.retain(|_, known| now < known.until);
-            self.passing = self.known.values().filter(|known| known.since.is_some()).count();
+        if now.since(self.last_sweep) >= RELAY_SWEEP_MS {
+            self.last_sweep = now;
+            self.workers.retain(|_, worker| now < worker.expires_at);
+            self.forwarding =
+                self.workers.values().filter(|worker| worker.forwarded_since.is_some()).count();
         }
     }
 }
@@ -136,8 +143,9 @@
     fn only_a_limited_number_of_workers_is_forwarded_at_once() {
         let mut relays = Relays::default();
         let now = Mono(10_000);
-        let passed = (0..1_000).filter(|n| relays.way(&host(*n), true, now) == Way::PassOn).count();
-        assert_eq!(passed, RELAY_AT_ONCE);
+        let forwarded =
+            (0..1_000).filter(|n| relays.way(&host(*n), true, now) == Way::PassOn).count();
+        assert_eq!(forwarded, RELAY_AT_ONCE);
         // Workers that return could not reach the leader.
         assert_eq!(relays.way(&host(999), true, Mono(14_000)), Way::PassOn);
         // After a while they are redirected again, to try the leader themselves.
