--- a/crates/core/src/leadership.rs
+++ b/crates/core/src/leadership.rs
@@ -23,6 +23,7 @@
     address: Option<String>,
 }
 
+/// Role of this controller in the election.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Role {
     /// Another controller leads, or nobody.
@@ -39,18 +40,26 @@
 /// A request to the state service.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Ask {
+    /// Read the leader key.
     Read,
+    /// Watch the leader key for changes after a revision.
     Watch(Revision),
+    /// Grant a lease.
     Grant,
+    /// Create the leader key if it is free.
     Claim(Txn),
+    /// Renew a lease.
     Touch(LeaseId),
+    /// Revoke a lease.
     Revoke(LeaseId),
 }
 
 /// A change of leadership that the rest of the controller has to handle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Turn {
+    /// This controller leads now, with this fencing token.
     Elected(Token),
+    /// This controller no longer leads.
     Deposed,
 }
 
--- a/crates/core/src/reign/machines.rs
+++ b/crates/core/src/reign/machines.rs
@@ -18,12 +18,14 @@
         self.placement_needed = true;
     }
 
+    /// Removes machines whose release the cloud has confirmed.
     pub fn released(&mut self, hosts: &[HostId], now: Mono) {
         for host in hosts {
             self.machine_gone(host, "released", now);
         }
     }
 
+    /// Adds machines that the cloud has hired.
     pub fn hired(&mut self, kind: &Kind, hosts: &[HostId], now: Mono) {
         for host in hosts {
             if !self.fleet.gone.contains_key(host) {
--- a/crates/core/src/reign/mod.rs
+++ b/crates/core/src/reign/mod.rs
@@ -38,8 +38,11 @@
 /// How far a new leader has come in loading the stored state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
+    /// Reads the unfinished jobs.
     LoadingLive,
+    /// Reads their assignments.
     LoadingAssigned,
+    /// Everything is loaded: the leader handles reports, places tasks and scales.
     Ruling,
 }
 
@@ -86,6 +89,7 @@
 }
 
 impl Terms {
+    /// Derives the configuration from the settings and the operators' values.
     pub fn new(settings: &Settings, ops: &Operators) -> Self {
         let objective_classes = settings.facts.objectives.iter().filter_map(|o| o.class.clone());
         let limited_classes = ops.classes.names().map(str::to_owned);
@@ -104,9 +108,12 @@
     }
 }
 
+/// State of one leader term.
 #[derive(Debug)]
 pub struct Reign {
+    /// Fencing token of the term.
     pub token: Token,
+    /// Start of the term.
     pub since: Mono,
     /// Start of the term, or the latest moment at which the lease became valid again after a lapse.
     /// The silence of machines is counted from here at the earliest.
@@ -125,7 +132,9 @@
     pub book: Book,
     pub fleet: Fleet,
     attempt_count: u64,
+    /// Core count planned by the control loop.
     planned_cores: f64,
+    /// Number of tasks that each array may run at once, by the control loop.
     task_limits: BTreeMap<JobId, u32>,
     class_biases: BTreeMap<String, ClassBias>,
     /// Cached images, by an earlier leader's hints, of machines that have not reported yet.
@@ -133,6 +142,7 @@
     /// The last machine whose images went into a leader hint; the next hint continues after it.
     last_hinted_machine: HostId,
     last_service_move: Mono,
+    /// Jobs expected to be submitted soon, for which capacity is kept ready, and how many of each.
     expected_jobs: Vec<(Job, u32)>,
     /// Evidence on whether jobs or machines caused failures, used where retries are limited.
     evidence: Evidence,
@@ -156,6 +166,7 @@
 }
 
 impl Reign {
+    /// Starts a term with an empty job table; of `fleet` only the catalog is kept.
     pub fn new(token: Token, now: Mono, mut fleet: Fleet, terms: &Terms) -> Self {
         fleet.machines.clear();
         fleet.gone.clear();
@@ -290,6 +301,7 @@
         self.book.arrivals.extend(arrivals);
     }
 
+    /// Requests a placement pass.
     pub fn wake(&mut self) {
         self.placement_needed = true;
     }
