--- a/crates/core/src/reign/mod.rs
+++ b/crates/core/src/reign/mod.rs
@@ -347,7 +347,7 @@
     }
 
     /// Releases the assignment of a task that has provably left its machine.
-    fn free(&mut self, id: &JobId, index: u32, done: bool, now: Mono) {
+    fn release_task(&mut self, id: &JobId, index: u32, done: bool, now: Mono) {
         if let Some(host) = self.book.get(id).and_then(|j| j.hold(index)).map(|h| h.host.clone())
             && let Some(machine) = self.fleet.machines.get_mut(&host)
         {
@@ -369,7 +369,7 @@
     }
 
     /// Abandons a gang's current attempt and stops its remaining tasks.
-    fn clear_gang(&mut self, id: &JobId, why: &str, now: Mono) {
+    fn abandon_gang(&mut self, id: &JobId, why: &str, now: Mono) {
         let Some(job) = self.book.jobs.get_mut(id) else {
             return;
         };
@@ -393,7 +393,7 @@
             return;
         };
         if hold.run == RunSent::No {
-            self.free(&task.job, task.index, false, now);
+            self.release_task(&task.job, task.index, false, now);
             return;
         }
         // A later stop may only shorten the grace period.
--- a/crates/core/src/reign/reports.rs
+++ b/crates/core/src/reign/reports.rs
@@ -87,7 +87,7 @@
         }
         machine.paused_until = machine.paused_until.max(now.plus(UNHEARD_PAUSE_MS));
         for (id, index) in self.tasks_assigned_to(host, |hold| hold.run == RunSent::No) {
-            self.free(&id, index, false, now);
+            self.release_task(&id, index, false, now);
         }
     }
 
@@ -225,9 +225,9 @@
         if let Some(job) = self.book.jobs.get_mut(id) {
             job.lost_at = now;
         }
-        self.free(id, index, false, now);
+        self.release_task(id, index, false, now);
         if matches!(self.book.get(id).map(|j| j.gang), Some(Gang::Running(_))) {
-            self.clear_gang(id, "a task was lost", now);
+            self.abandon_gang(id, "a task was lost", now);
         }
     }
 
@@ -325,14 +325,14 @@
         };
         let (still_assigned, others): (Vec<u32>, Vec<u32>) =
             others.into_iter().partition(is_still_assigned);
-        self.free(id, index, true, now);
+        self.release_task(id, index, true, now);
         for other in still_assigned {
             self.stop(&TaskId::new(id, other), StopWhy::JobOver, 0.0, now);
         }
         for other in others {
             // These started and ended together with the reported task.
             self.record_usage(id, other, End::Seen(Cause::Done), (false, ran_ms), now);
-            self.free(id, other, true, now);
+            self.release_task(id, other, true, now);
         }
     }
 
@@ -433,16 +433,16 @@
                     let drained = |h: &Hold| h.stop.is_some_and(|s| s.why == StopWhy::Draining);
                     matches!(j.gang, Gang::Gathering(_)) && j.hold(index).is_some_and(drained)
                 });
-                self.free(id, index, false, now);
+                self.release_task(id, index, false, now);
                 gang_failure = (!replaced).then_some("a task was stopped");
             }
             Cause::Peers | Cause::Incomplete => {
-                self.free(id, index, false, now);
+                self.release_task(id, index, false, now);
                 gang_failure = Some("its tasks lost each other");
             }
             Cause::Error => {
                 let failed = self.book.held(task).map(|hold| FailedAttempt::of(hold, now));
-                self.free(id, index, false, now);
+                self.release_task(id, index, false, now);
                 match failed {
                     Some(failed) if self.book.limited => {
                         self.charge_failure(task, &failed, host, now);
@@ -453,7 +453,7 @@
             }
             Cause::NoRoom => {
                 log::warn!("machine {host}: no room for {task}");
-                self.free(id, index, false, now);
+                self.release_task(id, index, false, now);
                 if let Some(machine) = self.fleet.machines.get_mut(host) {
                     machine.paused_until = now.plus(NO_ROOM_PAUSE_MS);
                 }
@@ -461,7 +461,7 @@
             }
             Cause::Busy | Cause::Unknown => {
                 log::warn!("machine {host}: refused {task}, {cause:?}");
-                self.free(id, index, false, now);
+                self.release_task(id, index, false, now);
                 if let Some(job) = self.book.jobs.get_mut(id) {
                     job.paused_until = now.plus(ERROR_PAUSE_MS);
                 }
@@ -469,7 +469,7 @@
             }
         }
         if let Some(why) = gang_failure {
-            self.clear_gang(id, why, now);
+            self.abandon_gang(id, why, now);
         }
     }
 
@@ -568,7 +568,7 @@
             };
             if !sent {
                 if !open {
-                    self.free(&id, index, false, now);
+                    self.release_task(&id, index, false, now);
                 }
                 continue;
             }
