--- a/crates/core/src/inbox/tests.rs
+++ b/crates/core/src/inbox/tests.rs
@@ -3,29 +3,29 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
 
-/// Most callers of the machine that these tests think of.
+/// Maximum number of callers in these tests.
 const CALLERS: usize = 2_400;
 
-/// What came of a spell of load.
+/// Result of a simulated load.
 #[derive(Debug, Default)]
 struct Outcome {
-    /// Answers in time and dropped inputs, by kind.
+    /// Inputs answered in time, by kind.
     answered: BTreeMap<InputKind, u32>,
     dropped: u32,
-    /// The oldest input that was taken, in milliseconds.
-    oldest: u64,
+    /// Longest wait of an input that was taken, in milliseconds.
+    longest_wait_ms: u64,
     longest_queue: usize,
 }
 
-/// Plays so many inputs of each kind a second against a thread that takes `cost_us` for each that it takes and a tenth for
-/// each that it drops.
-fn play(seed: u64, loads: &[(InputKind, f64)], cost_us: u64, span_ms: u64) -> Outcome {
+/// Simulates inputs of each kind at the given rates per second, handled by a thread that needs `cost_us` for each input that
+/// it takes and a tenth of that for each that it drops.
+fn simulate(seed: u64, rates: &[(InputKind, f64)], cost_us: u64, span_ms: u64) -> Outcome {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut inbox = Inbox::new(CALLERS);
     let mut outcome = Outcome::default();
-    let mut spare_us: i64 = 0;
+    let mut budget_us: i64 = 0;
     for now in 0..span_ms {
-        for (kind, rate) in loads {
+        for (kind, rate) in rates {
             let count =
                 (rate / 1e3).floor() as u32 + u32::from(rng.random_bool((rate / 1e3).fract()));
             for _ in 0..count {
@@ -33,19 +33,19 @@
                 outcome.dropped += u32::from(evicted.is_some());
             }
         }
-        spare_us = (spare_us + 1_000).min(1_000);
-        while spare_us > 0
+        budget_us = (budget_us + 1_000).min(1_000);
+        while budget_us > 0
             && let Some(next) = inbox.pop(Mono(now))
         {
             match next {
                 Admitted::Take((kind, at), age) => {
                     assert_eq!(age, Millis(now - at));
-                    spare_us -= cost_us as i64;
-                    outcome.oldest = outcome.oldest.max(now - at);
+                    budget_us -= cost_us as i64;
+                    outcome.longest_wait_ms = outcome.longest_wait_ms.max(now - at);
                     *outcome.answered.entry(kind).or_default() += 1;
                 }
                 Admitted::Drop(..) => {
-                    spare_us -= cost_us as i64 / 10;
+                    budget_us -= cost_us as i64 / 10;
                     outcome.dropped += 1;
                 }
             }
@@ -55,30 +55,31 @@
     outcome
 }
 
-/// In any flood each kind keeps its share, nothing is taken that is too old, and what waits is bounded.
+/// Under overload by any kind, the other kinds keep their share, no expired input is taken, and the queue is bounded.
 #[test]
-fn each_kind_keeps_its_share_in_any_flood() {
+fn each_kind_keeps_its_share_under_overload() {
     use InputKind::*;
-    for (seed, flood) in InputKind::ALL.into_iter().enumerate() {
-        // 1,000 a second can be answered; one kind asks for twenty times that.
-        let loads = InputKind::ALL.map(|kind| (kind, if kind == flood { 20_000.0 } else { 30.0 }));
-        let outcome = play(seed as u64, &loads, 1_000, 20_000);
-        for kind in InputKind::ALL.into_iter().filter(|kind| *kind != flood) {
+    for (seed, overloaded) in InputKind::ALL.into_iter().enumerate() {
+        // The thread can answer 1,000 inputs a second; one kind sends twenty times that.
+        let rates =
+            InputKind::ALL.map(|kind| (kind, if kind == overloaded { 20_000.0 } else { 30.0 }));
+        let outcome = simulate(seed as u64, &rates, 1_000, 20_000);
+        for kind in InputKind::ALL.into_iter().filter(|kind| *kind != overloaded) {
             let answered = outcome.answered[&kind];
-            assert!(answered > 450, "{flood:?} starves {kind:?}: {answered} of some 600");
+            assert!(answered > 450, "{overloaded:?} starves {kind:?}: {answered} of some 600");
         }
-        assert!(outcome.oldest < REPORT_AGE_MS.0, "{}", outcome.oldest);
+        assert!(outcome.longest_wait_ms < REPORT_AGE_MS.0, "{}", outcome.longest_wait_ms);
         assert!(outcome.longest_queue <= CALLERS + 600, "{}", outcome.longest_queue);
-        assert!(outcome.dropped > 0 && outcome.answered[&flood] > 5_000, "{outcome:?}");
+        assert!(outcome.dropped > 0 && outcome.answered[&overloaded] > 5_000, "{outcome:?}");
     }
-    // Reports and polls both beyond what can be answered: each has its share.
-    let outcome = play(9, &[(Report, 5_000.0), (Question, 5_000.0)], 1_000, 20_000);
+    // Reports and queries both exceed the capacity: each keeps its share.
+    let outcome = simulate(9, &[(Report, 5_000.0), (Question, 5_000.0)], 1_000, 20_000);
     assert!(outcome.answered[&Question] > 7_000 && outcome.answered[&Report] > 7_000);
 }
 
-/// Once a flood is over its inputs are gone within their callers' patience, and all are answered again.
+/// After an overload its inputs are dropped as soon as they expire, and new ones are answered again.
 #[test]
-fn nothing_lasts_after_a_flood() {
+fn an_overloaded_inbox_recovers() {
     let mut inbox = Inbox::new(CALLERS);
     for n in 0..10_000 {
         inbox.push(Mono(0), InputKind::Question, false, n);
@@ -86,26 +87,26 @@
     assert_eq!(inbox.len(), CALLERS);
     let later = Mono(QUESTION_AGE_MS.0);
     inbox.push(later, InputKind::Question, false, 77);
-    let mut returns: BTreeMap<u32, u32> = BTreeMap::new();
+    let mut retries_by_second: BTreeMap<u32, u32> = BTreeMap::new();
     loop {
         match inbox.pop(later) {
             Some(Admitted::Drop(_, retry_after_s)) => {
-                *returns.entry(retry_after_s).or_default() += 1
+                *retries_by_second.entry(retry_after_s).or_default() += 1
             }
             Some(Admitted::Take(item, _)) => break assert_eq!(item, 77),
-            None => panic!("the new one is answered"),
+            None => panic!("the new input is answered"),
         }
     }
-    // They come back over several seconds, and not in step.
-    assert_eq!(returns.len(), RETRY_SPREAD_S as usize);
-    assert!(returns.values().all(|count| *count < 2 * CALLERS as u32 / RETRY_SPREAD_S));
+    // The retries are spread evenly over several seconds.
+    assert_eq!(retries_by_second.len(), RETRY_SPREAD_S as usize);
+    assert!(retries_by_second.values().all(|count| *count < 2 * CALLERS as u32 / RETRY_SPREAD_S));
     assert!(inbox.is_empty() && inbox.take_dropped() == 10_000);
 }
 
-/// A report that waited too long is answered at once like any other request, never left open; a peer's question is dropped
-/// once the peer has given up.
+/// An expired report is answered with a retry time at once, like any other request, and never left open; a query forwarded
+/// by a peer is dropped once the peer has timed out.
 #[test]
-fn late_reports_are_told_to_come_back_and_peers_are_gone() {
+fn expired_reports_and_forwarded_queries_are_dropped_with_a_retry_time() {
     let mut inbox = Inbox::new(CALLERS);
     inbox.push(Mono(0), InputKind::Report, false, 1);
     inbox.push(Mono(0), InputKind::Question, true, 2);
@@ -113,14 +114,14 @@
     assert_eq!(inbox.pop(now), Some(Admitted::Take(1, FORWARDED_AGE_MS)));
     assert!(matches!(inbox.pop(now), Some(Admitted::Drop(2, _))));
     inbox.push(now, InputKind::IdleReport, false, 3);
-    let late = now.plus(REPORT_AGE_MS);
-    assert!(matches!(inbox.pop(late), Some(Admitted::Drop(3, 1..=RETRY_SPREAD_S))));
+    let expired = now.plus(REPORT_AGE_MS);
+    assert!(matches!(inbox.pop(expired), Some(Admitted::Drop(3, 1..=RETRY_SPREAD_S))));
     assert!(FORWARDED_AGE_MS < ASK_TIMEOUT_MS && REPORT_AGE_MS < REPORT_DROP_MS);
 }
 
-/// The report of a machine whose last one was dropped goes before those of machines that were answered, until it is taken.
+/// A machine whose last report was dropped has priority over machines that were answered, until its report is taken.
 #[test]
-fn a_dropped_report_comes_first_the_next_time() {
+fn a_machine_with_a_dropped_report_has_priority() {
     let report = |host: &str| {
         let text = format!(
             r#"{{"host":"{host}","addr":"a","flavor":"f","yard":"z","loaners":false,"shift":1,"tally":1,"baton":7,
--- a/crates/core/src/leadership.rs
+++ b/crates/core/src/leadership.rs
@@ -1,6 +1,7 @@
-//! Who leads. The leader holds the key `lead` under a lease of the state service; the revision at
-//! which the key was created is the fencing token. Every answer that only a leader may give asks
-//! [`Leadership::valid`] first, whose end counts from the *sending* of the last good renewal.
+//! Leader election. The leader holds the key `lead` under a lease of the state service; the revision
+//! at which the key was created is the fencing token. Every answer that only a leader may give is
+//! checked with [`Leadership::valid`] first, which counts from the *sending* of the last successful
+//! renewal.
 
 use crate::constants::*;
 use crate::store::StoreReply;
@@ -8,106 +9,117 @@
 use oatloom_protocol::wire::{Change, Condition, Row, Txn};
 use serde::{Deserialize, Serialize};
 
+/// Key in the state service that the leader holds.
 pub const LEAD_KEY: &str = "lead";
 
 /// Content of the leader key.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
-struct Seat {
+struct LeaderRecord {
     member: Member,
-    /// Tells this claim from an earlier one of the same member.
+    /// Distinguishes this claim from earlier claims of the same member.
     nonce: u64,
-    /// Address that the claiming process has bound and nobody else can; earlier versions say none.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    at: Option<String>,
+    /// Address bound exclusively by the claiming process; earlier versions write none.
+    #[serde(default, rename = "at", skip_serializing_if = "Option::is_none")]
+    address: Option<String>,
 }
 
+/// Role of this controller in the election.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Role {
     /// Another controller leads, or nobody.
     Follower,
-    /// A lease has been asked for.
+    /// A lease has been requested.
     Granting,
-    /// The claim is under way, or its answer was lost.
+    /// The claim has been sent, or its reply was lost.
     Claiming { lease: LeaseId, until: Mono, nonce: u64 },
-    /// The key is this controller's; answers are allowed while `until` lies ahead. Past it the
-    /// leader is suspended: it keeps its state, since an outage gives leases their full time back.
+    /// This controller holds the key and may act as leader before `until`. After it the leader is
+    /// suspended but keeps its state, since the state service extends leases in full after an outage.
     Leader { lease: LeaseId, until: Mono, token: Token },
 }
 
-/// What the slice wants from the state service.
+/// A request to the state service.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Ask {
+    /// Read the leader key.
     Read,
+    /// Watch the leader key for changes after a revision.
     Watch(Revision),
+    /// Grant a lease.
     Grant,
+    /// Create the leader key if it is free.
     Claim(Txn),
+    /// Renew a lease.
     Touch(LeaseId),
+    /// Revoke a lease.
     Revoke(LeaseId),
 }
 
-/// What the rest of the controller has to know.
+/// A change of leadership that the rest of the controller has to handle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Turn {
+    /// This controller leads now, with this fencing token.
     Elected(Token),
+    /// This controller no longer leads.
     Deposed,
 }
 
+/// Election state of this controller.
 #[derive(Debug)]
 pub struct Leadership {
-    me: Member,
-    /// Address that this process has bound and no other can meanwhile, if it is such a one.
-    bound: Option<String>,
-    /// The last content of the key that could not be read, so that it is said once, and how many there were.
-    unreadable: (Token, u64),
-    /// A former life's lease that was asked to end.
-    ended: Option<LeaseId>,
+    member: Member,
+    /// Address bound exclusively by this process, if there is one.
+    bound_address: Option<String>,
+    /// Token of the last unreadable leader record, so that each is logged once, and their number.
+    undecodable: (Token, u64),
+    /// Lease of an earlier incarnation whose revocation was requested.
+    revoked_lease: Option<LeaseId>,
     role: Role,
     leader: Option<(Member, Token)>,
-    /// The highest token known of; what is heard of older ones is no news.
-    seen: Token,
-    /// Set once the key was seen to be free.
-    vacant: bool,
+    /// Highest token known; messages about older ones are ignored.
+    highest_token: Token,
+    /// Whether the key was last seen to be free.
+    key_is_free: bool,
     next_read: Mono,
     next_claim: Mono,
-    next_touch: Mono,
+    next_renewal: Mono,
     watching: bool,
-    /// When the read was sent that is waited for.
-    reading: Option<Mono>,
-    /// Reads sent before this show nothing new: a later one was answered, or a claim was begun since.
-    read_from: Mono,
-    turn: Option<Turn>,
+    /// When the pending read was sent.
+    pending_read: Option<Mono>,
+    /// Replies to reads sent before this are outdated: a later read was answered, or a claim was begun since.
+    oldest_valid_read: Mono,
+    change: Option<Turn>,
 }
 
-/// Until when a lease may be relied on whose last good renewal was sent at `sent`.
+/// End of validity of a lease whose last successful renewal was sent at `sent`.
 pub(crate) fn lease_end(sent: Mono) -> Mono {
     let ttl = LEADER_TTL_MS.0 as f64 * (1.0 - DRIFT);
     sent.plus(Millis(ttl as u64 - VALIDITY_MARGIN_MS.0))
 }
 
 impl Leadership {
-    /// `bound`: the address that this process holds and no other process can hold at the same time; `None` where
-    /// another machine may have the same.
-    pub fn new(me: Member, bound: Option<String>) -> Self {
+    /// `bound_address`: the address that this process has bound exclusively; `None` if another machine may have bound the
+    /// same address.
+    pub fn new(member: Member, bound_address: Option<String>) -> Self {
         Self {
-            me,
-            bound,
-            unreadable: (Token(0), 0),
-            ended: None,
+            member,
+            bound_address,
+            undecodable: (Token(0), 0),
+            revoked_lease: None,
             role: Role::Follower,
             leader: None,
-            seen: Token(0),
-            vacant: false,
+            highest_token: Token(0),
+            key_is_free: false,
             next_read: Mono(0),
             next_claim: Mono(0),
-            next_touch: Mono(0),
+            next_renewal: Mono(0),
             watching: false,
-            reading: None,
-            read_from: Mono(0),
-            turn: None,
+            pending_read: None,
+            oldest_valid_read: Mono(0),
+            change: None,
         }
     }
 
-    /// The token, while this controller may act as leader.
+    /// This controller's token, while it may act as leader.
     pub fn valid(&self, now: Mono) -> Option<Token> {
         match self.role {
             Role::Leader { until, token, .. } if now < until => Some(token),
@@ -115,6 +127,7 @@
         }
     }
 
+    /// This controller's token while it holds the key, even if its lease may have expired.
     pub fn token(&self) -> Option<Token> {
         match self.role {
             Role::Leader { token, .. } => Some(token),
@@ -127,115 +140,116 @@
         self.token().map(|token| Condition { key: LEAD_KEY.into(), version: Revision(token.0) })
     }
 
-    /// The other controller that leads, as far as this one knows.
+    /// The leader, as far as known, if it is another controller.
     pub fn other_leader(&self) -> Option<&Member> {
-        self.leader.as_ref().map(|(member, _)| member).filter(|member| **member != self.me)
+        self.leader.as_ref().map(|(member, _)| member).filter(|member| **member != self.member)
     }
 
-    /// Token of the leader, whoever it is.
+    /// Token of the leader, as far as known.
     pub fn leader_token(&self) -> Option<Token> {
         self.leader.as_ref().map(|(_, token)| *token)
     }
 
-    /// The one place where the role changes.
+    /// Changes the role; all role changes go through here.
     fn enter(&mut self, role: Role, why: &str) {
         let was_leader = matches!(self.role, Role::Leader { .. });
         match &role {
             Role::Leader { token, .. } if !was_leader => {
                 log::info!("leadership: leading with token {token} ({why})");
-                self.leader = Some((self.me.clone(), *token));
-                self.seen = self.seen.max(*token);
-                self.turn = Some(Turn::Elected(*token));
+                self.leader = Some((self.member.clone(), *token));
+                self.highest_token = self.highest_token.max(*token);
+                self.change = Some(Turn::Elected(*token));
             }
             Role::Leader { .. } => {}
             _ if was_leader => {
                 log::warn!("leadership: no longer leading ({why})");
                 self.leader = None;
-                self.turn = Some(Turn::Deposed);
+                self.change = Some(Turn::Deposed);
             }
             other => log::debug!("leadership: {other:?} ({why})"),
         }
         self.role = role;
     }
 
-    /// What changed since the last call.
+    /// The change of leadership since the last call, if any.
     pub fn take_turn(&mut self) -> Option<Turn> {
-        self.turn.take()
+        self.change.take()
     }
 
+    /// Returns the requests that are due now.
     pub fn tick(&mut self, now: Mono) -> Vec<Ask> {
-        let mut asks = Vec::new();
+        let mut requests = Vec::new();
         match self.role.clone() {
             Role::Follower => {
-                if self.vacant && now >= self.next_claim {
-                    self.enter(Role::Granting, "the seat is free");
-                    self.read_from = now;
-                    asks.push(Ask::Grant);
+                if self.key_is_free && now >= self.next_claim {
+                    self.enter(Role::Granting, "the leader key is free");
+                    self.oldest_valid_read = now;
+                    requests.push(Ask::Grant);
                 } else if self.read_due(now) {
-                    self.reading = Some(now);
+                    self.pending_read = Some(now);
                     self.next_read = now.plus(LEADER_POLL_MS);
-                    asks.push(Ask::Read);
+                    requests.push(Ask::Read);
                 }
             }
             Role::Claiming { until, lease, .. } if now >= until => {
-                // The key may still be created late under this lease, so the lease goes first.
-                self.enter(Role::Follower, "the claim took too long");
-                asks.push(Ask::Revoke(lease));
+                // The claim may still be applied late under this lease, so the lease is revoked first.
+                self.enter(Role::Follower, "the claim timed out");
+                requests.push(Ask::Revoke(lease));
             }
-            Role::Leader { lease, .. } if now >= self.next_touch => {
-                self.next_touch = now.plus(RENEW_MS);
-                asks.push(Ask::Touch(lease));
+            Role::Leader { lease, .. } if now >= self.next_renewal => {
+                self.next_renewal = now.plus(RENEW_MS);
+                requests.push(Ask::Touch(lease));
             }
             _ => {}
         }
-        asks
+        requests
     }
 
-    /// Whether the key is to be read now: regularly, and again soon where no answer comes. Guards against a controller that
-    /// asks nothing else, and takes two lost answers for a state service that refuses it.
+    /// Whether the key is to be read now: regularly, and again soon if no reply comes. Without the early retry a
+    /// controller that sends no other requests would take two lost replies for a state service that refuses it.
     fn read_due(&self, now: Mono) -> bool {
-        match self.reading {
+        match self.pending_read {
             Some(sent) => now.since(sent) >= READ_AGAIN_MS,
             None => now >= self.next_read,
         }
     }
 
-    /// Another leader's token was shown by a worker: this one's time is over.
+    /// Steps down if a worker has shown a higher token of another leader.
     pub fn outranked(&mut self, token: Token) {
         if self.token().is_some_and(|mine| token > mine) {
-            self.enter(Role::Follower, "a worker has seen a higher token");
+            self.enter(Role::Follower, "a worker reported a higher token");
             self.next_read = Mono(0);
         }
     }
 
-    /// A peer says that it leads. Guards against a controller that the state service alone refuses:
-    /// it took itself for the leader for as long as that lasted, and sent users and workers away
-    /// who could have been served through the new one.
+    /// Handles a peer's message that it leads. A controller that only the state service refuses would
+    /// otherwise take itself for the leader for as long as that lasts, and turn away users and workers
+    /// that the new leader could serve.
     pub fn heard(&mut self, leader: &Member, token: Token) {
-        if token <= self.seen || *leader == self.me {
+        if token <= self.highest_token || *leader == self.member {
             return;
         }
-        self.seen = token;
+        self.highest_token = token;
         if self.token().is_some() {
             self.enter(Role::Follower, "a peer leads with a higher token");
             self.next_read = Mono(0);
         }
         if self.role == Role::Follower {
-            log::info!("leadership: {leader} leads with token {token}, as it says");
-            self.vacant = false;
+            log::info!("leadership: {leader} reports that it leads with token {token}");
+            self.key_is_free = false;
             self.leader = Some((leader.clone(), token));
         }
     }
 
-    /// A fenced write failed on the leader key.
+    /// Steps down because a fenced write failed on the leader key.
     pub fn fenced_off(&mut self) {
         if matches!(self.role, Role::Leader { .. }) {
-            self.enter(Role::Follower, "a write was fenced off");
+            self.enter(Role::Follower, "a fenced write was rejected");
             self.next_read = Mono(0);
         }
     }
 
-    /// Takes up an answer to `ask`, which was sent at `sent`. `random` is for the claim.
+    /// Handles the reply to `ask`, which was sent at `sent`. `random` becomes the nonce of a claim.
     pub fn answered(
         &mut self,
         now: Mono,
@@ -249,7 +263,7 @@
             Ask::Watch(after) => self.on_watch(now, *after, reply),
             Ask::Grant => self.on_grant(now, sent, reply, random),
             Ask::Claim(_) => self.on_claim(now, reply),
-            Ask::Touch(lease) => self.on_touch(sent, *lease, reply),
+            Ask::Touch(lease) => self.on_renewal(sent, *lease, reply),
             Ask::Revoke(_) => Vec::new(),
         }
     }
@@ -264,27 +278,27 @@
 
     fn on_read(&mut self, now: Mono, sent: Mono, reply: &StoreReply) -> Vec<Ask> {
         let answered = matches!(reply, StoreReply::Found(_) | StoreReply::Missing(_));
-        if answered || self.reading.is_none_or(|latest| latest <= sent) {
-            self.reading = None;
+        if answered || self.pending_read.is_none_or(|latest| latest <= sent) {
+            self.pending_read = None;
         }
-        if sent < self.read_from {
+        if sent < self.oldest_valid_read {
             return Vec::new();
         }
         if answered {
-            self.read_from = sent;
+            self.oldest_valid_read = sent;
         }
         match reply {
             StoreReply::Found(row) => self.on_row(now, row),
             StoreReply::Missing(_) => match self.role.clone() {
                 Role::Leader { .. } => {
                     self.enter(Role::Follower, "the leader key is gone");
-                    self.vacant = true;
+                    self.key_is_free = true;
                     Vec::new()
                 }
                 Role::Claiming { .. } => Vec::new(),
                 _ => {
                     self.leader = None;
-                    self.vacant = true;
+                    self.key_is_free = true;
                     self.tick(now)
                 }
             },
@@ -293,70 +307,74 @@
     }
 
     fn on_row(&mut self, now: Mono, row: &Row) -> Vec<Ask> {
-        self.vacant = false;
+        self.key_is_free = false;
         let token = Token(row.version.0);
-        self.seen = self.seen.max(token);
-        let Ok(seat) = serde_json::from_value::<Seat>(row.value.clone()) else {
-            if self.unreadable.0 != token {
-                self.unreadable = (token, self.unreadable.1 + 1);
-                let count = self.unreadable.1;
+        self.highest_token = self.highest_token.max(token);
+        let Ok(record) = serde_json::from_value::<LeaderRecord>(row.value.clone()) else {
+            if self.undecodable.0 != token {
+                self.undecodable = (token, self.undecodable.1 + 1);
+                let count = self.undecodable.1;
                 log::error!(
-                    "leadership: the leader key cannot be read (revision {token}, number {count})"
+                    "leadership: the leader record cannot be decoded (revision {token}, number {count})"
                 );
             }
-            // Whoever wrote it, this one's key is gone, and with it the fence of its writes.
+            // Whoever wrote it, this controller no longer holds the key that fences its writes.
             if self.token().is_some_and(|mine| mine != token) {
-                self.enter(Role::Follower, "the key is a stranger's");
+                self.enter(Role::Follower, "the leader key was overwritten");
             }
             return Vec::new();
         };
         match self.role.clone() {
             Role::Claiming { lease, until, nonce } => {
-                if seat.member == self.me && seat.nonce == nonce {
+                if record.member == self.member && record.nonce == nonce {
                     self.enter(
                         Role::Leader { lease, until, token },
-                        "the lost claim had succeeded",
+                        "the claim whose reply was lost had succeeded",
                     );
                     return Vec::new();
                 }
                 self.enter(Role::Follower, "another claim was first");
-                self.leader = Some((seat.member, token));
-                let mut asks = self.watch(row.version);
-                asks.push(Ask::Revoke(lease));
-                asks
+                self.leader = Some((record.member, token));
+                let mut requests = self.watch(row.version);
+                requests.push(Ask::Revoke(lease));
+                requests
             }
             Role::Leader { token: mine, .. } => {
                 if mine != token {
                     self.enter(Role::Follower, "another leader holds the key");
-                    self.leader = Some((seat.member, token));
+                    self.leader = Some((record.member, token));
                     return self.watch(row.version);
                 }
                 Vec::new()
             }
             _ => {
                 if self.leader.as_ref().is_none_or(|(_, known)| *known != token) {
-                    log::info!("leadership: {} leads with token {token}", seat.member);
+                    log::info!("leadership: {} leads with token {token}", record.member);
                 }
-                let mut asks = self.end_former(now, &seat, row);
-                self.leader = Some((seat.member, token));
-                asks.extend(self.watch(row.version));
-                asks
+                let mut requests = self.revoke_former_lease(now, &record, row);
+                self.leader = Some((record.member, token));
+                requests.extend(self.watch(row.version));
+                requests
             }
         }
     }
 
-    /// Ends the lease of this process's own former life, which still holds the seat, rather than wait it out. That life
-    /// has ended: it had bound the address that this one holds now. What it had under way is fenced by its key, which
-    /// goes with the lease, as after any other end of it. The others, who know more of the fleet, may claim first.
-    fn end_former(&mut self, now: Mono, seat: &Seat, row: &Row) -> Vec<Ask> {
-        let own = seat.member == self.me && self.bound.is_some() && seat.at == self.bound;
-        let Some(lease) = row.lease.filter(|lease| own && self.ended != Some(*lease)) else {
+    /// Revokes the lease of an earlier incarnation of this controller that still holds the leader key, instead of
+    /// waiting for it to expire. That process has ended: it had bound the address that this one has bound now. Its
+    /// pending writes are fenced by the key, which is deleted with the lease. The other controllers, which know more of
+    /// the fleet, may claim first.
+    fn revoke_former_lease(&mut self, now: Mono, record: &LeaderRecord, row: &Row) -> Vec<Ask> {
+        let own = record.member == self.member
+            && self.bound_address.is_some()
+            && record.address == self.bound_address;
+        let Some(lease) = row.lease.filter(|lease| own && self.revoked_lease != Some(*lease))
+        else {
             return Vec::new();
         };
         log::info!(
-            "leadership: the seat is a former life's of this controller; its lease is ended"
+            "leadership: an earlier incarnation of this controller holds the key; revoking its lease"
         );
-        self.ended = Some(lease);
+        self.revoked_lease = Some(lease);
         self.next_claim = now.plus(CLAIM_PAUSE_MS);
         vec![Ask::Revoke(lease)]
     }
@@ -370,9 +388,9 @@
             StoreReply::Changes(changes) => {
                 for change in &changes.log {
                     if change.delete.as_deref() == Some(LEAD_KEY) {
-                        log::info!("leadership: the seat fell free");
+                        log::info!("leadership: the leader key was deleted");
                         self.leader = None;
-                        self.vacant = true;
+                        self.key_is_free = true;
                     } else if change.put.as_deref() == Some(LEAD_KEY) {
                         let row = Row {
                             key: LEAD_KEY.into(),
@@ -398,18 +416,22 @@
         }
         let StoreReply::Granted(lease) = *reply else {
             self.enter(Role::Follower, "no lease was granted");
-            self.vacant = false;
+            self.key_is_free = false;
             self.next_read = now.plus(CLAIM_PAUSE_MS);
             return Vec::new();
         };
         let until = lease_end(sent);
         self.enter(Role::Claiming { lease, until, nonce: random }, "lease granted");
-        let seat = Seat { member: self.me.clone(), nonce: random, at: self.bound.clone() };
+        let record = LeaderRecord {
+            member: self.member.clone(),
+            nonce: random,
+            address: self.bound_address.clone(),
+        };
         vec![Ask::Claim(Txn {
             conditions: vec![Condition { key: LEAD_KEY.into(), version: Revision(0) }],
             changes: vec![Change::Put {
                 key: LEAD_KEY.into(),
-                value: serde_json::to_value(&seat).unwrap_or_default(),
+                value: serde_json::to_value(&record).unwrap_or_default(),
                 lease: Some(lease),
             }],
         })]
@@ -423,18 +445,18 @@
             StoreReply::Committed(revision) => {
                 let token = Token(revision.0);
                 self.enter(Role::Leader { lease, until, token }, "claim committed");
-                self.vacant = false;
-                self.next_touch = now;
+                self.key_is_free = false;
+                self.next_renewal = now;
                 self.tick(now)
             }
-            // Unresolved: only the key can tell. The claim's own end bounds the wait.
+            // The outcome is unknown until the key is read. The claim's timeout bounds the wait.
             StoreReply::Lost => {
-                self.reading = Some(now);
+                self.pending_read = Some(now);
                 vec![Ask::Read]
             }
             _ => {
                 self.enter(Role::Follower, "the claim failed");
-                self.vacant = false;
+                self.key_is_free = false;
                 self.next_read = now;
                 self.next_claim = now.plus(CLAIM_PAUSE_MS);
                 vec![Ask::Revoke(lease)]
@@ -442,11 +464,11 @@
         }
     }
 
-    fn on_touch(&mut self, sent: Mono, touched: LeaseId, reply: &StoreReply) -> Vec<Ask> {
+    fn on_renewal(&mut self, sent: Mono, renewed_lease: LeaseId, reply: &StoreReply) -> Vec<Ask> {
         let Role::Leader { lease, until, token } = self.role.clone() else {
             return Vec::new();
         };
-        if lease != touched {
+        if lease != renewed_lease {
             return Vec::new();
         }
         match reply {
@@ -469,66 +491,78 @@
     use super::*;
 
     fn elected() -> Leadership {
-        let mut slice = Leadership::new(Member::new("a"), Some("10.0.0.1:80".into()));
-        assert_eq!(slice.tick(Mono(0)), vec![Ask::Read]);
-        let asks =
-            slice.answered(Mono(1), &Ask::Read, Mono(0), &StoreReply::Missing(Revision(1)), 7);
-        assert_eq!(asks, vec![Ask::Grant]);
+        let mut leadership = Leadership::new(Member::new("a"), Some("10.0.0.1:80".into()));
+        assert_eq!(leadership.tick(Mono(0)), vec![Ask::Read]);
+        let requests =
+            leadership.answered(Mono(1), &Ask::Read, Mono(0), &StoreReply::Missing(Revision(1)), 7);
+        assert_eq!(requests, vec![Ask::Grant]);
         let granted = StoreReply::Granted(LeaseId(3));
-        let asks = slice.answered(Mono(50), &Ask::Grant, Mono(10), &granted, 7);
+        let requests = leadership.answered(Mono(50), &Ask::Grant, Mono(10), &granted, 7);
         let committed = StoreReply::Committed(Revision(9));
-        slice.answered(Mono(60), &asks[0], Mono(50), &committed, 7);
-        slice
+        leadership.answered(Mono(60), &requests[0], Mono(50), &committed, 7);
+        leadership
     }
 
-    /// A controller that the state service alone refuses learns from its peer who leads now; what is
-    /// said late of an earlier leader is no news.
+    /// A leader that only the state service refuses steps down when a peer reports a higher token; late
+    /// messages about an earlier leader are ignored.
     #[test]
-    fn a_peer_with_a_higher_token_ends_a_reign() {
-        let mut slice = elected();
-        slice.take_turn();
+    fn a_peer_with_a_higher_token_ends_a_leader_term() {
+        let mut leadership = elected();
+        leadership.take_turn();
         let peer = Member::new("b");
-        slice.heard(&peer, Token(9));
-        assert_eq!(slice.token(), Some(Token(9)));
-        slice.heard(&peer, Token(12));
-        assert_eq!((slice.token(), slice.take_turn()), (None, Some(Turn::Deposed)));
-        assert_eq!(slice.other_leader(), Some(&peer));
-        slice.heard(&Member::new("c"), Token(11));
-        assert_eq!(slice.other_leader(), Some(&peer));
+        leadership.heard(&peer, Token(9));
+        assert_eq!(leadership.token(), Some(Token(9)));
+        leadership.heard(&peer, Token(12));
+        assert_eq!((leadership.token(), leadership.take_turn()), (None, Some(Turn::Deposed)));
+        assert_eq!(leadership.other_leader(), Some(&peer));
+        leadership.heard(&Member::new("c"), Token(11));
+        assert_eq!(leadership.other_leader(), Some(&peer));
     }
 
-    /// Validity counts from the sending of the grant, not from its answer.
+    /// Validity counts from the sending of the grant, not from its reply.
     #[test]
     fn validity_counts_from_the_sending() {
-        let mut slice = elected();
-        assert_eq!(slice.take_turn(), Some(Turn::Elected(Token(9))));
+        let mut leadership = elected();
+        assert_eq!(leadership.take_turn(), Some(Turn::Elected(Token(9))));
         let end = lease_end(Mono(10));
         assert!(end < Mono(10).plus(LEADER_TTL_MS));
-        assert_eq!(slice.valid(Mono(end.0 - 1)), Some(Token(9)));
-        assert_eq!(slice.valid(end), None);
-        // Renewed late, as after an outage: the same token is valid again.
-        slice.answered(Mono(9_000), &Ask::Touch(LeaseId(3)), Mono(8_990), &StoreReply::Touched, 0);
-        assert_eq!(slice.valid(Mono(9_000)), Some(Token(9)));
+        assert_eq!(leadership.valid(Mono(end.0 - 1)), Some(Token(9)));
+        assert_eq!(leadership.valid(end), None);
+        // After a late renewal, as after an outage, the same token is valid again.
+        leadership.answered(
+            Mono(9_000),
+            &Ask::Touch(LeaseId(3)),
+            Mono(8_990),
+            &StoreReply::Touched,
+            0,
+        );
+        assert_eq!(leadership.valid(Mono(9_000)), Some(Token(9)));
     }
 
     #[test]
     fn an_ended_lease_or_a_higher_token_deposes() {
-        let mut slice = elected();
-        slice.take_turn();
-        slice.answered(Mono(70), &Ask::Touch(LeaseId(3)), Mono(65), &StoreReply::NoSuchLease, 0);
-        assert_eq!(slice.take_turn(), Some(Turn::Deposed));
-        let mut slice = elected();
-        slice.take_turn();
-        slice.outranked(Token(9));
-        assert_eq!(slice.take_turn(), None);
-        slice.outranked(Token(10));
-        assert_eq!(slice.take_turn(), Some(Turn::Deposed));
+        let mut leadership = elected();
+        leadership.take_turn();
+        leadership.answered(
+            Mono(70),
+            &Ask::Touch(LeaseId(3)),
+            Mono(65),
+            &StoreReply::NoSuchLease,
+            0,
+        );
+        assert_eq!(leadership.take_turn(), Some(Turn::Deposed));
+        let mut leadership = elected();
+        leadership.take_turn();
+        leadership.outranked(Token(9));
+        assert_eq!(leadership.take_turn(), None);
+        leadership.outranked(Token(10));
+        assert_eq!(leadership.take_turn(), Some(Turn::Deposed));
     }
 
-    /// A new life ends the lease of its former one at once, and nobody else's: not another member's, not that of a
-    /// process of the same name elsewhere, not an earlier version's, and none twice.
+    /// A restarted controller revokes the lease of its earlier incarnation once, and no other lease: not another
+    /// member's, not that of a process of the same name at another address, and not one written by an earlier version.
     #[test]
-    fn a_former_lifes_lease_is_ended_and_no_other() {
+    fn only_the_lease_of_an_earlier_incarnation_is_revoked() {
         let row = |member: &str, at: Option<&str>, lease| Row {
             key: LEAD_KEY.into(),
             value: serde_json::json!({"member": member, "nonce": 7, "at": at}),
@@ -544,61 +578,77 @@
             (row("a", None, former), false),
             (row("b", here, former), false),
         ];
-        for bound in [here, None] {
+        for bound_address in [here, None] {
             for (row, ends) in &cases {
-                let mut slice = Leadership::new(Member::new("a"), bound.map(str::to_owned));
-                slice.tick(Mono(0));
+                let mut leadership =
+                    Leadership::new(Member::new("a"), bound_address.map(str::to_owned));
+                leadership.tick(Mono(0));
                 let found = StoreReply::Found(row.clone());
-                let asks = slice.answered(Mono(1), &Ask::Read, Mono(0), &found, 7);
-                let revokes = asks.contains(&Ask::Revoke(LeaseId(5)));
-                assert_eq!(revokes, *ends && bound.is_some(), "{row:?}");
-                let again = slice.answered(Mono(2), &Ask::Read, Mono(1), &found, 7);
+                let requests = leadership.answered(Mono(1), &Ask::Read, Mono(0), &found, 7);
+                let revokes = requests.contains(&Ask::Revoke(LeaseId(5)));
+                assert_eq!(revokes, *ends && bound_address.is_some(), "{row:?}");
+                let again = leadership.answered(Mono(2), &Ask::Read, Mono(1), &found, 7);
                 assert!(!again.contains(&Ask::Revoke(LeaseId(5))));
-                // Nor does it lead before it has a claim of its own.
-                assert_eq!(slice.valid(Mono(3)), None);
+                // It does not lead before its own claim has succeeded.
+                assert_eq!(leadership.valid(Mono(3)), None);
             }
         }
     }
 
-    /// Content of another version, or a stranger's: nobody leads by it, it is counted once, and a leader whose key it has
-    /// taken leads no longer.
+    /// A leader record that cannot be decoded names no leader and is counted once; a leader whose key it has replaced
+    /// steps down.
     #[test]
-    fn a_key_that_cannot_be_read_is_not_acted_on() {
+    fn an_undecodable_leader_record_names_no_leader() {
         let row = |version| Row {
             key: LEAD_KEY.into(),
             value: serde_json::json!({"member": 7, "of": "the future"}),
             version: Revision(version),
             lease: Some(LeaseId(5)),
         };
-        let mut slice = elected();
+        let mut leadership = elected();
         for (version, count) in [(21, 1), (21, 1), (22, 2)] {
-            let asks =
-                slice.answered(Mono(80), &Ask::Read, Mono(79), &StoreReply::Found(row(version)), 7);
-            assert!(asks.is_empty() && slice.token().is_none() && slice.other_leader().is_none());
-            assert_eq!(slice.unreadable, (Token(version), count));
-            assert!(!slice.tick(Mono(81)).contains(&Ask::Grant), "it is not free either");
+            let requests = leadership.answered(
+                Mono(80),
+                &Ask::Read,
+                Mono(79),
+                &StoreReply::Found(row(version)),
+                7,
+            );
+            assert!(
+                requests.is_empty()
+                    && leadership.token().is_none()
+                    && leadership.other_leader().is_none()
+            );
+            assert_eq!(leadership.undecodable, (Token(version), count));
+            assert!(!leadership.tick(Mono(81)).contains(&Ask::Grant), "the key is not free either");
         }
     }
 
-    /// A claim whose answer was lost is settled by reading the key, by nonce and not by name.
+    /// A claim whose reply was lost is resolved by reading the key: the nonce decides, not the member name.
     #[test]
-    fn a_lost_claim_is_settled_by_the_key() {
+    fn a_claim_with_a_lost_reply_is_resolved_by_reading_the_key() {
         for (nonce, wins) in [(7, true), (8, false)] {
-            let mut slice = Leadership::new(Member::new("a"), Some("10.0.0.1:80".into()));
-            slice.tick(Mono(0));
-            slice.answered(Mono(1), &Ask::Read, Mono(0), &StoreReply::Missing(Revision(1)), 7);
-            let asks =
-                slice.answered(Mono(2), &Ask::Grant, Mono(1), &StoreReply::Granted(LeaseId(3)), 7);
-            let asks = slice.answered(Mono(3), &asks[0], Mono(2), &StoreReply::Lost, 0);
-            assert_eq!(asks, vec![Ask::Read]);
+            let mut leadership = Leadership::new(Member::new("a"), Some("10.0.0.1:80".into()));
+            leadership.tick(Mono(0));
+            leadership.answered(Mono(1), &Ask::Read, Mono(0), &StoreReply::Missing(Revision(1)), 7);
+            let requests = leadership.answered(
+                Mono(2),
+                &Ask::Grant,
+                Mono(1),
+                &StoreReply::Granted(LeaseId(3)),
+                7,
+            );
+            let requests =
+                leadership.answered(Mono(3), &requests[0], Mono(2), &StoreReply::Lost, 0);
+            assert_eq!(requests, vec![Ask::Read]);
             let row = Row {
                 key: LEAD_KEY.into(),
                 value: serde_json::json!({"member": "a", "nonce": nonce}),
                 version: Revision(5),
                 lease: None,
             };
-            slice.answered(Mono(4), &Ask::Read, Mono(3), &StoreReply::Found(row), 0);
-            assert_eq!(slice.valid(Mono(5)).is_some(), wins);
+            leadership.answered(Mono(4), &Ask::Read, Mono(3), &StoreReply::Found(row), 0);
+            assert_eq!(leadership.valid(Mono(5)).is_some(), wins);
         }
     }
 }
--- a/crates/core/src/open/tests.rs
+++ b/crates/core/src/open/tests.rs
@@ -2,7 +2,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// The index says the same as looking through all requests, in any order of insertions, moves and removals.
+/// The index agrees with a search through all requests after any sequence of insertions, moves and removals.
 #[test]
 fn the_index_agrees_with_a_full_search() {
     let mut rng = ChaCha8Rng::seed_from_u64(45);
@@ -19,8 +19,8 @@
         }
         let mut expired = open.expired(Mono(step));
         expired.sort();
-        let late = model.iter().filter(|(_, deadline)| step >= deadline.0);
-        assert_eq!(expired, late.map(|(conn, _)| *conn).collect::<Vec<_>>());
+        let expected = model.iter().filter(|(_, deadline)| step >= deadline.0);
+        assert_eq!(expired, expected.map(|(conn, _)| *conn).collect::<Vec<_>>());
         assert_eq!(open.len(), model.len());
     }
 }
--- a/crates/core/src/reign/graphs.rs
+++ b/crates/core/src/reign/graphs.rs
@@ -1,40 +1,41 @@
-//! Task graphs beside the book: what nodes were seen to take, and what of the book their graphs have to know.
+//! Connects task graphs with the job table: measured costs of nodes, and the open jobs that belong to a graph.
 
 use super::*;
 use oatloom_graph::desk::OpenJob;
 use oatloom_graph::ids::GraphId;
 
-/// What nodes of each kind of each graph take, by DESIGN's filter, with what the current tick has measured.
-pub(super) type Kinds = BTreeMap<(GraphId, u16), (Kalman, Measurement)>;
+/// Run time of each kind of node in each graph: the Kalman filter of the Dithen paper (Doyle et al., IC2E 2016), and the
+/// measurements of the current tick.
+pub(super) type NodeCosts = BTreeMap<(GraphId, u16), (Kalman, Measurement)>;
 
-/// The desk for a reign, where graphs are served.
+/// The task graphs of a new leader term; `None` if graphs are not served.
 pub(super) fn desk(terms: &Terms, token: Token, now: Mono) -> Option<Desk> {
-    let (limits, room) = terms.graphs.clone()?;
-    Some(Desk::new(limits, token, room, now))
+    let (limits, record_space) = terms.graphs.clone()?;
+    Some(Desk::new(limits, token, record_space, now))
 }
 
-/// What the state service's limits, those to come included, leave for the records of one addition.
-pub(super) fn room(settings: &Settings) -> RecordRoom {
+/// Space for the records of one addition under the state service's limits, announced ones included.
+pub(super) fn record_space(settings: &Settings) -> RecordRoom {
     let state = settings.facts.state.strictest();
     let value = (state.value_kb * 1024.0) as usize;
     RecordRoom { value, values: state.txn_ops.saturating_sub(GRAPH_OPS_KEPT).max(1) }
 }
 
 impl Reign {
-    /// A task of a graph's job has run for so long.
-    pub(super) fn measure_node(&mut self, id: &JobId, ran_s: f64) {
-        let part = self.book.get(id).and_then(|job| job.part.clone());
-        let kind = part.and_then(|part| self.graphs.as_ref()?.kind_of(id, &part));
+    /// Records the run time of a task that belongs to a graph.
+    pub(super) fn record_node_time(&mut self, id: &JobId, ran_s: f64) {
+        let graph_part = self.book.get(id).and_then(|job| job.part.clone());
+        let kind = graph_part.and_then(|graph_part| self.graphs.as_ref()?.kind_of(id, &graph_part));
         if let Some(kind) = kind {
-            self.kinds.entry(kind).or_default().1.add(ran_s);
+            self.node_costs.entry(kind).or_default().1.add(ran_s);
         }
     }
 
-    /// Once a tick: what was measured goes into the filters, and what they say to the graphs.
-    pub(super) fn learn_nodes(&mut self) {
+    /// Feeds the tick's measurements into the filters and passes their estimates to the graphs. Called once per tick.
+    pub(super) fn update_node_costs(&mut self) {
         let Some(desk) = self.graphs.as_mut() else { return };
-        self.kinds.retain(|(graph, _), _| desk.graph(*graph).is_some());
-        for ((graph, kind), (filter, measured)) in &mut self.kinds {
+        self.node_costs.retain(|(graph, _), _| desk.graph(*graph).is_some());
+        for ((graph, kind), (filter, measured)) in &mut self.node_costs {
             if let Some(seconds) = measured.take() {
                 filter.update(seconds);
                 desk.learn(*graph, *kind, filter.cost().unwrap_or(seconds));
@@ -42,12 +43,12 @@
         }
         for class in desk.classes() {
             let allowed = self.book.classes.of(&class).map(|allowance| allowance.repeats);
-            let bias = self.shown.get(&class).copied().unwrap_or_default().mean;
+            let bias = self.class_biases.get(&class).copied().unwrap_or_default().mean;
             desk.learn_class(&class, allowed, bias);
         }
     }
 
-    /// The jobs of a graph that are open, with those of their tasks whose being done is durable.
+    /// The unfinished jobs of a graph, with their tasks that are durably done.
     pub fn open_jobs(&self, graph: GraphId) -> Vec<OpenJob> {
         let jobs = self.book.jobs.range(graph.first_job()..=graph.last_job());
         let open = jobs.filter(|(_, job)| job.state != JobState::Over);
