--- a/crates/core/src/jobs/dependencies.rs
+++ b/crates/core/src/jobs/dependencies.rs
@@ -1,47 +1,47 @@
-//! Dependencies between jobs: what a job waits for, when it is released, and what is cancelled with a job that it needs.
+//! Dependencies between jobs: waiting for them, the release of a job, and cancellation along with a dependency.
 //!
-//! Everything here follows from durable records alone: a dependency has ended once its final record is known to be in the
-//! state service. A dependent of a job that was cancelled is therefore cancelled from that moment on, before its own
-//! final record is written, and each later leader derives the same again.
+//! All decisions follow from durable records alone: a dependency has ended once its final record is known to be in the
+//! state service. The dependents of a cancelled job are therefore cancelled from that moment on, before their own
+//! final records are written, and each later leader derives the same result.
 
 use super::{Book, Item, Job, JobState};
-use crate::jobs::writing::Haste;
+use crate::jobs::writing::WritePriority;
 use oatloom_protocol::ids::{JobId, Mono, Revision};
 use oatloom_protocol::wire::{JobStatus, Rank};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a job inherits from the jobs that need it.
+/// Rank and deadline that a job inherits from its dependents.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Inherited {
-    /// The highest rank of any open job that needs it.
+    /// The highest rank of its unfinished dependents.
     pub rank: Option<Rank>,
-    /// By when it has to end so that what follows it can meet its deadline.
+    /// Latest end at which its dependents can still meet their deadlines.
     pub latest_end: Option<Mono>,
 }
 
-/// What the jobs of the book need of each other.
+/// Dependencies between the jobs in the job table.
 #[derive(Debug, Default)]
 pub struct Dependencies {
-    /// Jobs that wait for a job whose end is not known here yet.
+    /// Waiting jobs by the dependency whose end is not known yet.
     dependents: BTreeMap<JobId, BTreeSet<JobId>>,
-    /// Those of the needed jobs that are not open here: their final records have to be read.
+    /// Dependencies that are not unfinished jobs in the job table: their final records have to be read.
     unresolved: BTreeSet<JobId>,
-    /// Jobs that wait, by the revision at which they were accepted: a job is accepted after all jobs that it needs.
+    /// Waiting jobs by the revision at which they were accepted: a job is accepted after all its dependencies.
     waiting: BTreeSet<(Revision, JobId)>,
-    /// Whether a job was released since that was last asked.
+    /// Whether a job was released since the last call of `take_released`.
     released: bool,
 }
 
 impl Book {
-    /// Registers what a job that was just taken up needs, and what of that is known already.
+    /// Registers the dependencies of a newly inserted job.
     pub(super) fn await_dependencies(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         if job.spec.dependencies.is_empty() {
             return;
         }
         job.unmet = job.spec.dependencies.iter().cloned().collect();
-        job.enter(JobState::Waiting, "needs other jobs done");
-        let (accepted, unmet) = (job.live_stamp, job.unmet.clone());
+        job.set_state(JobState::Waiting, "waiting for its dependencies");
+        let (accepted, unmet) = (job.live_revision, job.unmet.clone());
         self.dependencies.waiting.insert((accepted, id.clone()));
         for dependency in unmet {
             let dependents = self.dependencies.dependents.entry(dependency.clone()).or_default();
@@ -49,8 +49,8 @@
             match self.jobs.get(&dependency) {
                 Some(known) if known.cancelled_by.is_some() => self.cancel_dependents(&dependency),
                 Some(known) if known.state != JobState::Over => {
-                    if known.live_stamp >= accepted {
-                        log::error!("job {id}: needs {dependency}, which was accepted later");
+                    if known.live_revision >= accepted {
+                        log::error!("job {id}: depends on {dependency}, which was accepted later");
                     }
                 }
                 _ => {
@@ -60,22 +60,22 @@
         }
     }
 
-    /// A job was taken up: jobs that need it hear of its end here.
+    /// Notes that a dependency was inserted into the job table, so that its end is learned here without a read.
     pub(super) fn dependency_opened(&mut self, id: &JobId) {
         self.dependencies.unresolved.remove(id);
     }
 
-    /// Needed jobs whose final records have to be read.
+    /// Dependencies whose final records have to be read.
     pub fn unresolved_dependencies(&self) -> impl Iterator<Item = &JobId> {
         self.dependencies.unresolved.iter()
     }
 
-    /// The final record of a needed job is damaged: what needs it waits, until its user cancels it.
+    /// Handles a damaged final record of a dependency: the dependents wait until their users cancel them.
     pub fn dependency_unreadable(&mut self, id: &JobId) {
         self.dependencies.unresolved.remove(id);
     }
 
-    /// The end of a job is durable: what needs it goes on, or is cancelled with it.
+    /// Applies the durable end of a job to its dependents: they are released once nothing else is unmet, or cancelled.
     pub fn dependency_ended(&mut self, id: &JobId, status: JobStatus, now: Mono) {
         self.dependencies.unresolved.remove(id);
         if !self.dependencies.dependents.contains_key(id) {
@@ -89,20 +89,20 @@
             let Some(job) = self.jobs.get_mut(&dependent) else { continue };
             job.unmet.remove(id);
             if job.unmet.is_empty() {
-                self.release(&dependent, now, "all jobs that it needs are done");
+                self.release(&dependent, now, "all its dependencies are done");
             }
         }
     }
 
-    /// A waiting job may start.
-    pub(super) fn release(&mut self, id: &JobId, now: Mono, why: &str) {
+    /// Releases a waiting job, which may start from now on.
+    pub(super) fn release(&mut self, id: &JobId, now: Mono, reason: &str) {
         let Some(job) = self.jobs.get_mut(id).filter(|job| job.state == JobState::Waiting) else {
             return;
         };
         job.released = now;
         job.unmet.clear();
-        job.enter(JobState::Open, why);
-        let (accepted, spec) = (job.live_stamp, job.spec.clone());
+        job.set_state(JobState::Open, reason);
+        let (accepted, spec) = (job.live_revision, job.spec.clone());
         self.dependencies.waiting.remove(&(accepted, id.clone()));
         self.dependencies.released = true;
         self.arrivals.push_back((now, spec));
@@ -113,8 +113,8 @@
         std::mem::take(&mut self.dependencies.released)
     }
 
-    /// Cancels all jobs that need a cancelled one, directly or through others. Their ends follow from its record, so they
-    /// are told at once; their own records are written as there is room for them.
+    /// Cancels all direct and indirect dependents of a cancelled job. Their status follows from its final record, so it
+    /// is reported at once; their own final records are written as transactions have room for them.
     fn cancel_dependents(&mut self, id: &JobId) {
         let mut cancelled = vec![id.clone()];
         while let Some(dependency) = cancelled.pop() {
@@ -126,18 +126,18 @@
                 }
                 match job.state {
                     JobState::Waiting => {
-                        job.enter(
+                        job.set_state(
                             JobState::Ending(JobStatus::Cancelled),
-                            "a job that it needs was cancelled",
+                            "a dependency was cancelled",
                         );
-                        let accepted = job.live_stamp;
+                        let accepted = job.live_revision;
                         self.dependencies.waiting.remove(&(accepted, dependent.clone()));
-                        self.enqueue(Item::End(dependent.clone()), Haste::Soon);
+                        self.enqueue(Item::End(dependent.clone()), WritePriority::Immediate);
                     }
                     JobState::Ending(JobStatus::Cancelled) => {}
                     state => {
                         log::error!(
-                            "job {dependent}: {state:?}, though {dependency} was cancelled"
+                            "job {dependent}: is {state:?} although its dependency {dependency} was cancelled"
                         );
                         continue;
                     }
@@ -150,40 +150,41 @@
         }
     }
 
-    /// A job that waited ends otherwise than by a dependency.
+    /// Removes a job that ends from the waiting jobs.
     pub(super) fn stop_waiting(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get(id) {
-            let accepted = job.live_stamp;
+            let accepted = job.live_revision;
             self.dependencies.waiting.remove(&(accepted, id.clone()));
         }
     }
 
-    /// Whether it is known of everything that a waiting job needs, through any number of others, that it was not
-    /// cancelled. Until then an earlier leader may have told its user that the job itself is cancelled.
+    /// Whether all direct and indirect dependencies of a waiting job are known not to be cancelled. Until then, an
+    /// earlier leader may have reported the job itself as cancelled.
     pub(super) fn dependencies_known(&self, job: &Job) -> bool {
         if self.dependencies.unresolved.is_empty() {
             return true;
         }
-        let mut seen: BTreeSet<&JobId> = BTreeSet::new();
-        let mut open: Vec<&JobId> = job.unmet.iter().collect();
-        while let Some(id) = open.pop() {
+        let mut visited: BTreeSet<&JobId> = BTreeSet::new();
+        let mut to_visit: Vec<&JobId> = job.unmet.iter().collect();
+        while let Some(id) = to_visit.pop() {
             if self.dependencies.unresolved.contains(id) {
                 return false;
             }
-            if seen.insert(id)
+            if visited.insert(id)
                 && let Some(job) = self.jobs.get(id)
             {
-                open.extend(&job.unmet);
+                to_visit.extend(&job.unmet);
             }
         }
         true
     }
 
-    /// Passes ranks and deadlines on to the jobs that waiting ones need. `latest_start` says by when a job has to be
-    /// released, if that is bounded. The last accepted goes first, so that one pass serves chains of any length.
+    /// Passes the ranks and deadlines of waiting jobs on to their dependencies. `latest_start` gives the time by which a
+    /// job has to be released, if there is one. Jobs are visited from the last accepted to the first, so that one pass
+    /// covers chains of any length.
     pub fn inherit(&mut self, latest_start: impl Fn(&Job) -> Option<Mono>) {
-        let needed: Vec<JobId> = self.dependencies.dependents.keys().cloned().collect();
-        for id in &needed {
+        let dependencies: Vec<JobId> = self.dependencies.dependents.keys().cloned().collect();
+        for id in &dependencies {
             if let Some(job) = self.jobs.get_mut(id) {
                 job.inherited = Inherited::default();
             }
@@ -195,7 +196,7 @@
             let (rank, latest_start, unmet) = (job.rank(), latest_start(job), job.unmet.clone());
             for dependency in unmet {
                 if let Some(job) = self.jobs.get_mut(&dependency) {
-                    job.inherited.raise(rank, latest_start);
+                    job.inherited.merge(rank, latest_start);
                 }
             }
         }
@@ -203,17 +204,18 @@
 }
 
 impl Inherited {
-    fn raise(&mut self, rank: Rank, latest_end: Option<Mono>) {
+    /// Adds the rank and deadline of one dependent.
+    fn merge(&mut self, rank: Rank, latest_end: Option<Mono>) {
         self.rank = self.rank.max(Some(rank));
         self.latest_end = match (self.latest_end, latest_end) {
-            (Some(known), Some(new)) => Some(known.min(new)),
-            (known, new) => known.or(new),
+            (Some(current), Some(new)) => Some(current.min(new)),
+            (current, new) => current.or(new),
         };
     }
 }
 
 impl Job {
-    /// The rank that it is placed with: its own, or the highest of the jobs that need it.
+    /// The rank used for placement: the higher of its own and the inherited one.
     pub fn rank(&self) -> Rank {
         self.inherited.rank.map_or(self.spec.rank, |rank| rank.max(self.spec.rank))
     }
--- a/crates/core/src/jobs/dependency_list/tests.rs
+++ b/crates/core/src/jobs/dependency_list/tests.rs
@@ -1,4 +1,4 @@
-//! Long lists of dependencies as they are stored.
+//! Packed lists of dependencies.
 
 use super::*;
 use crate::jobs::LiveRecord;
@@ -18,9 +18,9 @@
     ids
 }
 
-/// Also ids of other lengths come back, and damaged text is refused rather than taken for fewer.
+/// Ids of other lengths round-trip as well, and damaged text is an error rather than a shorter list.
 #[test]
-fn lists_survive_the_trip() {
+fn packed_lists_round_trip() {
     for seed in 0..50 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let count = rng.random_range(0..400);
@@ -32,30 +32,30 @@
         let packed = pack(&list);
         assert_eq!(sorted(unpack(&packed).unwrap()), sorted(list));
     }
-    assert!(matches!(unpack("*"), Err(DependencyListError::Text(_))));
+    assert!(matches!(unpack("*"), Err(DependencyListError::Base64(_))));
     assert!(matches!(
         unpack("AAH"),
-        Err(DependencyListError::Text(_) | DependencyListError::Form(_))
+        Err(DependencyListError::Base64(_) | DependencyListError::Decode(_))
     ));
 }
 
-/// A job that needs five hundred others fits the smallest value that is known to come, 2 KiB; a short list stays as users
-/// wrote it.
+/// A job with five hundred dependencies fits the smallest announced value limit, 2 KiB; a short list is stored as the
+/// user submitted it.
 #[test]
 fn a_record_with_five_hundred_dependencies_fits_two_kib() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
-    let mut needy = spec("req-1", Shape::Array, 1);
-    needy.dependencies = ids(&mut rng, 500);
-    let record = LiveRecord { spec: needy.clone(), wall_ms: 1, part: None };
+    let mut dependent = spec("req-1", Shape::Array, 1);
+    dependent.dependencies = ids(&mut rng, 500);
+    let record = LiveRecord { spec: dependent.clone(), wall_ms: 1, part: None };
     let text = serde_json::to_string(&record).unwrap();
     assert!(text.len() < 1_950, "{} bytes", text.len());
-    let back: LiveRecord = serde_json::from_str(&text).unwrap();
-    assert_eq!(sorted(back.spec.dependencies), sorted(needy.dependencies.clone()));
-    needy.dependencies.truncate(3);
-    let record = LiveRecord { spec: needy.clone(), wall_ms: 1, part: None };
+    let decoded: LiveRecord = serde_json::from_str(&text).unwrap();
+    assert_eq!(sorted(decoded.spec.dependencies), sorted(dependent.dependencies.clone()));
+    dependent.dependencies.truncate(3);
+    let record = LiveRecord { spec: dependent.clone(), wall_ms: 1, part: None };
     let value = serde_json::to_value(&record).unwrap();
     assert_eq!(value["s"]["awaits"].as_array().map(Vec::len), Some(3));
-    // A damaged list is no job without dependencies.
+    // A record with a damaged list is an error, not a job without dependencies.
     let damaged = text.replace("\"w\":\"", "\"w\":\"*");
     assert!(serde_json::from_str::<LiveRecord>(&damaged).is_err());
 }
--- a/crates/core/src/jobs/fitting.rs
+++ b/crates/core/src/jobs/fitting.rs
@@ -1,17 +1,17 @@
-//! Makes records fit what the state service takes: what is detail goes first, and assignments never.
+//! Reduces records to the value limit of the state service: details are dropped first, assignments never.
 
 use super::*;
 use oatloom_ledger::constants::TIGHT_ROWS;
 use oatloom_protocol::wire::FailureCause;
 use serde_json::Value;
 
-/// What records may take, and their form.
+/// Size limits and form of stored records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecordLimits {
     pub form: RecordForm,
-    /// Bytes that values are made to fit: the smaller of the present limit and the one to come.
+    /// Target size of values in bytes: the smaller of the current limit and the announced one.
     pub value: usize,
-    /// Bytes that no value may exceed: the present limit, until it is known to have fallen.
+    /// Maximum size of values in bytes: the current limit, until it is known to have been lowered.
     pub most: usize,
 }
 
@@ -22,8 +22,8 @@
 }
 
 impl RecordLimits {
-    /// Bytes that an assignment record is made to fit. As rows it cannot fit a limit to come, which comes only after all
-    /// controllers write the other form.
+    /// Target size of an assignment record in bytes. As rows it cannot fit an announced lower limit, which takes effect
+    /// only after all controllers write the packed form.
     fn chunk(&self) -> usize {
         match self.form {
             RecordForm::Rows => self.most,
@@ -32,27 +32,27 @@
     }
 }
 
-/// Length of a value as it is sent.
+/// Length of a value as it is sent, in bytes.
 fn size(value: &Value) -> usize {
     value.to_string().len()
 }
 
-/// What an assignment record may lose, in this order; the sums and counts stay the same.
-const CHUNK_STEPS: [fn(&mut ChunkRecord); 4] = [
+/// Reductions of an assignment record, applied in this order until it fits; sums and counts stay the same.
+const CHUNK_REDUCTIONS: [fn(&mut ChunkRecord); 4] = [
     |_| {},
     |record| record.usage.shrink(TIGHT_ROWS),
     |record| record.usage.join_days(),
     |record| record.charges.forget_hosts(),
 ];
 
-/// The same for a final state.
-const OVER_STEPS: [fn(&mut OverRecord); 6] = [
+/// The same for a final record.
+const FINAL_RECORD_REDUCTIONS: [fn(&mut OverRecord); 6] = [
     |_| {},
     |record| shrink_spent(record, FINAL_ROWS),
     |record| shrink_spent(record, TIGHT_ROWS),
-    |record| name_causes(record, CAUSES_FEW),
+    |record| limit_causes(record, CAUSES_FEW),
     |record| join_spent_days(record),
-    |record| name_causes(record, 0),
+    |record| limit_causes(record, 0),
 ];
 
 fn shrink_spent(record: &mut OverRecord, rows: usize) {
@@ -67,23 +67,23 @@
     }
 }
 
-/// Names the first causes of a failure, and joins the rest.
-fn name_causes(record: &mut OverRecord, most: usize) {
-    let Some(failure) = record.failure.as_mut().filter(|f| f.causes.len() > most + 1) else {
+/// Keeps the first `limit` causes of a failure and merges the rest into one.
+fn limit_causes(record: &mut OverRecord, limit: usize) {
+    let Some(failure) = record.failure.as_mut().filter(|f| f.causes.len() > limit + 1) else {
         return;
     };
     let causes = &mut Arc::make_mut(failure).causes;
-    let rest = causes.split_off(most);
+    let rest = causes.split_off(limit);
     let Some(first) = rest.first() else { return };
     let count = rest.iter().fold(0u32, |sum, cause| sum.saturating_add(cause.count));
     causes.push(FailureCause { host: None, cause: first.cause, count });
 }
 
-/// The chunk's record in the form and size that the limits ask for; `None`: not even its least form fits.
+/// The stored value of a chunk's record within the limits; `None` if it exceeds the maximum even when fully reduced.
 fn fitted_chunk(mut record: ChunkRecord, first: u32, limits: &RecordLimits) -> Option<Value> {
     let mut last = None;
-    for step in CHUNK_STEPS {
-        step(&mut record);
+    for reduce in CHUNK_REDUCTIONS {
+        reduce(&mut record);
         let value = record.value(limits.form, first);
         if size(&value) <= limits.chunk() {
             return Some(value);
@@ -94,11 +94,12 @@
 }
 
 impl Book {
+    /// The stored value of an assignment record; `None` if it does not fit.
     pub(super) fn chunk_value(&self, job: &Job, chunk: u32) -> Option<Value> {
         fitted_chunk(job.record(chunk), chunk * CHUNK_TASKS, &self.limits)
     }
 
-    /// A job's final state, in the size that the limits ask for. The same whenever it is asked for.
+    /// A job's final record, reduced to the target size. Repeated calls give the same record.
     pub(super) fn over_record(
         &self,
         job: &Job,
@@ -106,8 +107,8 @@
         spent: Option<Arc<oatloom_ledger::rollup::Spent>>,
     ) -> OverRecord {
         let mut record = job.over_record(status, spent);
-        for step in OVER_STEPS {
-            step(&mut record);
+        for reduce in FINAL_RECORD_REDUCTIONS {
+            reduce(&mut record);
             if serde_json::to_string(&record).is_ok_and(|text| text.len() <= self.limits.value) {
                 break;
             }
@@ -115,23 +116,23 @@
         record
     }
 
-    /// Whether a value is within what the service takes at present.
-    pub(super) fn fits(&self, value: &Value) -> bool {
+    /// Whether a value is within the current limit of the state service.
+    pub(super) fn fits_limit(&self, value: &Value) -> bool {
         size(value) <= self.limits.most
     }
 
-    /// Whether the record of a task's chunk can take one more assignment. Guards against a record that could not be written
-    /// any more: its tasks would never start, and what has ended of them would never be known.
-    pub(super) fn has_room(&mut self, id: &JobId, index: u32, hold: &Hold) -> bool {
+    /// Whether the record of a task's chunk has room for one more assignment. Guards against a record that grows too large
+    /// to be written: its tasks would never start, and the ends of its tasks would never become durable.
+    pub(super) fn record_has_room(&mut self, id: &JobId, index: u32, hold: &Hold) -> bool {
         let Some(job) = self.jobs.get(id) else { return false };
         let chunk = index / CHUNK_TASKS;
         let limit = self.limits.chunk().saturating_sub(USAGE_RESERVE_BYTES);
         let range = job.chunk_range(chunk);
-        let at_most = |hold: &Hold| {
+        let max_bytes = |hold: &Hold| {
             2 * (hold.host.as_str().len() + hold.zone.as_str().len()) + ASSIGNMENT_BYTES_MOST
         };
-        let known: usize = range.clone().filter_map(|task| job.hold(task)).map(at_most).sum();
-        if !self.limited && known + at_most(hold) + CHUNK_HEAD_BYTES <= limit {
+        let held: usize = range.clone().filter_map(|task| job.hold(task)).map(max_bytes).sum();
+        if !self.limited && held + max_bytes(hold) + CHUNK_HEAD_BYTES <= limit {
             return true;
         }
         let mut record = job.record(chunk);
@@ -140,12 +141,12 @@
         let (host, zone) = (hold.host.clone(), hold.zone.clone());
         record.held.push((index, hold.attempt, host, hold.shift, zone));
         let fits = size(&record.value(self.limits.form, chunk * CHUNK_TASKS)) <= limit;
-        if !fits && !self.said_full {
-            self.said_full = true;
+        if !fits && !self.full_record_logged {
+            self.full_record_logged = true;
             let held = record.held.len() - 1;
             log::warn!(
-                "job {id}: no more than {held} of {} tasks with one record can be held at once, since names of \
-                 machines are long and values may have {limit} bytes; said once",
+                "job {id}: only {held} of the {} tasks that share an assignment record can be assigned at once, \
+                 since machine names are long and the record is limited to {limit} bytes; logged only once",
                 range.len()
             );
         }
--- a/crates/core/src/jobs/fitting/tests.rs
+++ b/crates/core/src/jobs/fitting/tests.rs
@@ -1,4 +1,4 @@
-//! Records fit the limits to come, whatever they hold; and nothing that is on a machine is left out.
+//! Stored records fit an announced lower value limit, and no assignment is left out.
 
 use super::*;
 use crate::jobs::tests::spec;
@@ -63,7 +63,7 @@
     }
 }
 
-/// All 96 tasks of a chunk on as many machines, some tasks with failures, and usage of two days and many types.
+/// A record with all 96 tasks of a chunk on different machines, failures, and usage of two days and many machine types.
 #[test]
 fn a_full_chunk_fits_two_kib() {
     let (mut book, id) = book(100_000, SMALL);
@@ -90,9 +90,9 @@
     assert_eq!(attempts, 40);
 }
 
-/// Names that are nothing but length: as many tasks are held as the record takes, and all of them stand in it.
+/// With long machine names, only as many tasks are assigned as fit into the record, and all of them are in it.
 #[test]
-fn no_more_is_held_than_a_record_takes() {
+fn assignments_are_limited_to_what_a_record_takes() {
     let (mut book, id) = book(96, SMALL);
     let name = |n: u32| format!("{n}-{}", "x".repeat(100));
     let held = (0..96).filter(|n| book.hold(&id, *n, hold(&name(*n), 5))).count();
@@ -102,14 +102,14 @@
     assert!(size(value) <= SMALL.value);
     book.committed(&written, Revision(9));
     assert_eq!((0..96).filter(|n| book.jobs[&id].durable(*n)).count(), held);
-    // What has ended makes room.
+    // A task that has ended makes room for another.
     book.free(&id, 0, true);
     assert!(book.hold(&id, 95, hold(&name(95), 6)));
 }
 
-/// A record that an earlier version stored larger is read, rewritten small once that is possible, and removed at the end.
+/// A larger record of an earlier version is read, rewritten within the limit once it fits, and deleted with the job's end.
 #[test]
-fn a_larger_record_is_read_and_rewritten_small() {
+fn a_larger_record_is_read_and_rewritten_smaller() {
     for long in [8, 100] {
         let name = |n: u32| format!("{n}-{}", "x".repeat(long));
         let (mut old, id) = book(96, RecordLimits { most: 16_384, ..RecordLimits::default() });
@@ -124,25 +124,25 @@
             now = now.plus(Millis(70_000));
             if let Some((txn, written)) = new.next_txn(fence(), 5, now) {
                 let Change::Put { value, .. } = &txn.changes[0] else { panic!("{txn:?}") };
-                assert!(size(value) <= SMALL.value, "never written too large");
+                assert!(size(value) <= SMALL.value, "written above the limit");
                 new.committed(&written, Revision(100 + u64::from(task)));
                 smallest = smallest.min(95 - task);
                 assert!(new.jobs[&id].settled(task));
             } else {
-                assert!(!new.jobs[&id].settled(task), "what is not written is not forgotten");
+                assert!(!new.jobs[&id].settled(task), "settled without a write");
             }
         }
         assert_eq!(smallest, 0);
         new.end(&id, JobStatus::Done, "all done");
         let (txn, written) = new.next_txn(fence(), 5, now).unwrap();
-        assert_eq!(txn.changes.len(), 3, "the end takes the record along");
+        assert_eq!(txn.changes.len(), 3, "the record is deleted with the job's end");
         assert_eq!(new.committed(&written, Revision(999)).len(), 1);
     }
 }
 
-/// An end with a long failure and much usage fits, and is the same when it is told.
+/// A final record with many failure causes and much usage fits, and the returned record equals the stored one.
 #[test]
-fn a_final_state_fits_two_kib() {
+fn a_final_record_fits_two_kib() {
     let (mut book, id) = book(10, SMALL);
     book.account = Some(Account::default());
     for n in 0..40u32 {
@@ -164,19 +164,19 @@
             causes: (0..20).map(cause).collect(),
         },
     );
-    book.end(&id, JobStatus::Failed, "used up");
+    book.end(&id, JobStatus::Failed, "retries used up");
     let (txn, written) = book.next_txn(fence(), 5, Mono(10_000)).unwrap();
     let Change::Put { value, .. } = &txn.changes[0] else { panic!("{txn:?}") };
     assert!(size(value) <= SMALL.value, "{} bytes", size(value));
-    let told = book.committed(&written, Revision(9));
-    assert_eq!(serde_json::to_value(&told[0].1).unwrap(), *value);
-    let failure = told[0].1.failure.as_ref().unwrap();
+    let finished = book.committed(&written, Revision(9));
+    assert_eq!(serde_json::to_value(&finished[0].1).unwrap(), *value);
+    let failure = finished[0].1.failure.as_ref().unwrap();
     assert_eq!(failure.causes.iter().map(|cause| cause.count).sum::<u32>(), 20);
 }
 
-/// Within what the earlier version could write, records are byte for byte its own.
+/// The row form is byte for byte what the earlier version writes.
 #[test]
-fn rows_are_written_as_they_were() {
+fn row_form_matches_the_earlier_version() {
     let (mut book, id) = book(3, RecordLimits::default());
     assert!(book.hold(&id, 1, hold("i-000231", (7 << 20) + 3)));
     let (txn, _) = book.next_txn(fence(), 16, Mono(10_000)).unwrap();
@@ -185,21 +185,22 @@
     assert_eq!(value.to_string(), text);
 }
 
-/// A transaction that the service refuses becomes smaller, and what it refuses alone holds nothing else up. Guards against
-/// the same transaction once or twice a second for ever, after which nothing was durable any more.
+/// A rejected transaction is split into smaller ones, and an item that is rejected on its own delays no other. Guards
+/// against the same transaction being repeated once or twice a second for ever, so that nothing became durable any more.
 #[test]
-fn what_is_refused_alone_holds_nothing_else_up() {
+fn an_item_rejected_on_its_own_delays_no_other() {
     let (mut book, id) = book(960, SMALL);
     for task in (0..960).step_by(96) {
         assert!(book.hold(&id, task, hold("i-000001", 5)));
     }
-    let bad = chunk_key(&id, 3);
-    let (mut refused, mut revision, mut now) = (Vec::new(), 10, Mono(10_000));
+    let rejected_key = chunk_key(&id, 3);
+    let (mut rejected_sizes, mut revision, mut now) = (Vec::new(), 10, Mono(10_000));
     for _ in 0..40 {
         now = now.plus(Millis(250));
         let Some((txn, written)) = book.next_txn(fence(), 5, now) else { continue };
-        if txn.changes.iter().any(|c| matches!(c, Change::Put { key, .. } if *key == bad)) {
-            refused.push(txn.changes.len());
+        if txn.changes.iter().any(|c| matches!(c, Change::Put { key, .. } if *key == rejected_key))
+        {
+            rejected_sizes.push(txn.changes.len());
             book.refused(written, now);
         } else {
             revision += 1;
@@ -208,9 +209,9 @@
     }
     let durable = (0..960).step_by(96).filter(|task| book.jobs[&id].durable(*task));
     assert_eq!(durable.count(), 9, "all others are durable");
-    assert_eq!(refused[..3], [4, 2, 1], "{refused:?}");
-    assert!(refused.len() <= 7, "it is not repeated again and again: {refused:?}");
-    // Once the service takes it, it is written.
+    assert_eq!(rejected_sizes[..3], [4, 2, 1], "{rejected_sizes:?}");
+    assert!(rejected_sizes.len() <= 7, "repeated too often: {rejected_sizes:?}");
+    // Once the service accepts it, it is written.
     let (txn, written) = book.next_txn(fence(), 5, now.plus(REFUSED_PAUSE_MAX_MS)).unwrap();
     assert_eq!(txn.changes.len(), 1);
     book.committed(&written, Revision(99));
--- a/crates/core/src/jobs/job.rs
+++ b/crates/core/src/jobs/job.rs
@@ -1,4 +1,4 @@
-//! One job: its tasks, where each is counted as being, and its gang.
+//! One job: its tasks, their assignments, and the state of its gang.
 
 use super::dependencies::Inherited;
 use super::records::{ChunkRecord, OverRecord, to_hex};
@@ -15,26 +15,28 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Whether and when the start command for a held task left.
+/// Whether and when the start command for an assigned task was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunSent {
     No,
-    /// In the answer to the report with this tally.
+    /// In the answer to the report with this sequence number.
     At(Tally),
-    /// By an earlier leader, perhaps.
+    /// Possibly sent by an earlier leader.
     Inherited,
 }
 
+/// Why a task is stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopWhy {
     JobOver,
     Preempted,
     Draining,
-    /// A replica that goes to another machine so that this one can be returned.
+    /// A replica that moves to another machine so that this one can be returned.
     Moved,
     GangFailed,
 }
 
+/// A stop request for a task.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Stop {
     pub why: StopWhy,
@@ -42,24 +44,26 @@
     pub since: Mono,
 }
 
-/// A task counted as on a machine until proven gone from it.
+/// Assignment of a task to a machine. It counts as running there until proven gone.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Hold {
     pub host: HostId,
     pub shift: Shift,
     pub zone: Zone,
     pub attempt: Attempt,
-    /// The chunk's version that first holds it: no `run` before that is durable.
+    /// First version of the chunk that contains the assignment. The start command is sent only once that
+    /// version is durable.
     pub version: u64,
     pub run: RunSent,
     pub phase: Option<TaskPhase>,
     pub since: Mono,
     pub running_since: Option<Mono>,
-    /// For how long it had run when its worker last told, in milliseconds.
+    /// Run time in the worker's latest report, in milliseconds.
     pub told_ms: Option<u64>,
     pub stop: Option<Stop>,
 }
 
+/// State of one task.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Task {
     Pending,
@@ -67,111 +71,117 @@
     Done,
 }
 
+/// Write state of an assignment record.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Chunk {
-    /// Version of the key in the store; 0: none.
-    pub(super) stamp: Revision,
+pub(super) struct ChunkState {
+    /// Version of the key in the state service; 0: the key does not exist.
+    pub(super) key_version: Revision,
+    /// Number of changes in memory.
     pub(super) version: u64,
+    /// The latest of these versions that is durable.
     pub(super) durable: u64,
 }
 
-/// Where a job stands.
+/// State of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobState {
-    /// Needs other jobs done first; nothing of it may start, and it takes no part in what is placed or hired.
+    /// Waits for its dependencies: none of its tasks may start, and it is ignored by placement and hiring.
     Waiting,
     Open,
-    /// A task has used up its allowed repeats: nothing more starts, and once nothing of it can be on a machine
-    /// its end as failed is written.
+    /// A task has used up its retries. The final record with status failed is written once none of its tasks can
+    /// be on a machine.
     Failing(OnExhausted),
-    /// Its end is decided and being written; nothing of it may start.
+    /// Its final status is decided and being written; none of its tasks may start.
     Ending(JobStatus),
-    /// Its end is durable; kept while tasks may still be on machines. What to say of it stands in
-    /// the store, not here.
+    /// Its final record is durable. The job stays in memory while tasks may still be on machines; its
+    /// reported status comes from the state service.
     Over,
 }
 
-/// Where a gang's current attempt stands.
+/// State of a gang's current attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Gang {
-    /// No attempt; all tasks are proven gone.
+    /// No attempt; all tasks are proven gone from their machines.
     Idle,
-    /// Its tasks are being placed or wait for each other; lost ones are replaced.
+    /// Its tasks are being placed or wait for each other; lost tasks are placed again.
     Gathering(Attempt),
     Running(Attempt),
-    /// Failed or stopped: ends when all its tasks are proven gone.
+    /// Failed or stopped; ends when all its tasks are proven gone from their machines.
     Clearing(Attempt),
 }
 
+/// A job in the job table.
 #[derive(Debug)]
 pub struct Job {
     pub spec: Arc<JobSpec>,
     pub submitted: Mono,
-    /// When it could first start: at its submission, or once all jobs that it needs were done.
+    /// When it could first start: at its submission, or once all its dependencies were done.
     pub released: Mono,
-    /// Jobs that it needs and that are not known to be done.
+    /// Dependencies that are not known to be done.
     pub unmet: BTreeSet<JobId>,
-    /// The cancelled job that it needs, if there is one: it is cancelled too, whether or not that is written yet.
+    /// The cancelled dependency, if there is one. The job is then cancelled too, even before its own final record
+    /// is written.
     pub cancelled_by: Option<JobId>,
-    /// What it inherits from jobs that need it.
+    /// Rank and deadline inherited from its dependents.
     pub inherited: Inherited,
-    pub(super) live_stamp: Revision,
+    /// Revision of the live key.
+    pub(super) live_revision: Revision,
     pub state: JobState,
     pub tasks: Vec<Task>,
-    pub(super) chunks: Vec<Chunk>,
+    pub(super) chunks: Vec<ChunkState>,
     pub done: u32,
     pub held: u32,
     pub zones: BTreeMap<Zone, u32>,
     pub gang: Gang,
-    /// Whether all its tasks were seen running at once: of a service, that it was up.
+    /// Whether all its tasks were reported running at once; a service was then up.
     pub up: bool,
-    /// When a task of it was last given a place, as far as this leader knows.
+    /// When one of its tasks was last assigned, as far as this leader knows.
     pub(super) placed_at: Option<Mono>,
     /// When one of its tasks was last lost.
     pub lost_at: Mono,
     pub cost: Kalman,
     pub measured: Measurement,
     pub errors: u32,
-    /// Machines on which it failed: more than one points at the job, not at them.
+    /// Machines on which it failed; failures on more than one point to the job rather than the machines.
     pub error_hosts: BTreeSet<HostId>,
     pub paused_until: Mono,
-    /// What its class is allowed; `None`: it may fail for ever.
+    /// Retries allowed to its tasks; `None`: unlimited.
     pub allowance: Option<Allowance>,
-    /// What stands against its tasks, where that is limited.
+    /// Failures charged to its tasks, if they are limited.
     pub charges: Charges,
-    /// Tasks that may not start before a moment: after a failure, or until it is known whose fault one was. One
-    /// of a gang's holds back all.
+    /// Earliest start of delayed tasks: after a failure, or until the cause of a failure is known. One delayed
+    /// task of a gang delays the whole gang.
     pub withheld: BTreeMap<u32, Mono>,
-    /// Nothing of it ended well yet. Once it has failed on as many machines as one job may burn, it may only go to
-    /// those of them that are there.
+    /// Set until a task succeeds. Once such a job has failed on as many machines as one job may make suspect
+    /// ([`BURNT_MOST`]), it may only run on those of them that remain.
     pub confined: bool,
-    /// When it last failed, where that is limited.
+    /// When it last failed, if failures are limited.
     pub failed_at: Mono,
-    /// Machines on which it failed, those that are gone included.
+    /// Number of machines on which it failed, including those that no longer exist.
     pub burnt: usize,
-    /// What its attempts have used, by chunk, where that is accounted.
+    /// Usage of its attempts by chunk, if usage accounting is enabled.
     pub usage: BTreeMap<u32, Days>,
-    /// Why it is failing, or has failed.
+    /// Why it is failing or has failed.
     pub failure: Option<Arc<Failure>>,
-    /// What of a graph it runs, if it does.
+    /// The part of a graph that it runs, if any.
     pub part: Option<Arc<Part>>,
-    /// Where to look first for a pending task.
-    pub(super) cursor: u32,
+    /// Index at which the search for pending tasks starts.
+    pub(super) search_start: u32,
 }
 
 impl Job {
-    pub(super) fn new(spec: JobSpec, submitted: Mono, live_stamp: Revision) -> Self {
+    pub(super) fn new(spec: JobSpec, submitted: Mono, live_revision: Revision) -> Self {
         let chunks = spec.tasks.div_ceil(CHUNK_TASKS) as usize;
         Self {
             tasks: vec![Task::Pending; spec.tasks as usize],
-            chunks: vec![Chunk::default(); chunks],
+            chunks: vec![ChunkState::default(); chunks],
             spec: Arc::new(spec),
             submitted,
             released: submitted,
             unmet: BTreeSet::new(),
             cancelled_by: None,
             inherited: Inherited::default(),
-            live_stamp,
+            live_revision,
             state: JobState::Open,
             done: 0,
             held: 0,
@@ -194,31 +204,31 @@
             usage: BTreeMap::new(),
             failure: None,
             part: None,
-            cursor: 0,
+            search_start: 0,
         }
     }
 
-    /// A stand-in for a job that may come, with that many tasks.
+    /// A placeholder for a forecast job with that many tasks.
     pub fn expected(spec: &JobSpec, tasks: u32, now: Mono) -> Self {
         Self::new(JobSpec { tasks, ..spec.clone() }, now, Revision(0))
     }
 
-    /// The one place where the state changes.
-    pub(super) fn enter(&mut self, state: JobState, why: &str) {
-        log::info!("job {}: {:?} -> {:?} ({why})", self.spec.id, self.state, state);
+    /// Changes the state; all transitions go through here.
+    pub(super) fn set_state(&mut self, state: JobState, reason: &str) {
+        log::info!("job {}: {:?} -> {:?} ({reason})", self.spec.id, self.state, state);
         self.state = state;
     }
 
-    /// The one place where the gang's state changes.
-    pub fn gang_enter(&mut self, gang: Gang, why: &str) {
+    /// Changes the gang's state; all transitions go through here.
+    pub fn gang_enter(&mut self, gang: Gang, reason: &str) {
         if self.gang != gang {
-            log::debug!("gang {}: {:?} -> {:?} ({why})", self.spec.id, self.gang, gang);
+            log::debug!("gang {}: {:?} -> {:?} ({reason})", self.spec.id, self.gang, gang);
             self.gang = gang;
         }
     }
 
-    /// Whether it failed on the machine. Mostly that is the machine's fault, so it is tried
-    /// elsewhere; a job that fails everywhere may go anywhere again.
+    /// Whether the job must not be placed on the machine. A failure is mostly the machine's fault, so the job
+    /// is retried elsewhere; a job that fails on many machines may run anywhere again.
     pub fn avoids(&self, host: &HostId) -> bool {
         if self.held_to_burnt() {
             return !self.error_hosts.contains(host);
@@ -226,36 +236,36 @@
         self.error_hosts.len() < OWN_FAULT_HOSTS && self.error_hosts.contains(host)
     }
 
-    /// Whether it may only go to machines on which it has failed.
+    /// Whether it may only run on machines on which it has failed.
     pub fn held_to_burnt(&self) -> bool {
         self.confined && self.burnt >= BURNT_MOST && !self.error_hosts.is_empty()
     }
 
     /// Pending tasks that may start now.
     pub fn startable(&self, now: Mono) -> u32 {
-        let held_back = self.withheld.values().filter(|until| now < **until).count() as u32;
+        let delayed = self.withheld.values().filter(|until| now < **until).count() as u32;
         match self.spec.shape {
-            Shape::Gang if held_back > 0 => 0,
-            _ => self.pending().saturating_sub(held_back),
+            Shape::Gang if delayed > 0 => 0,
+            _ => self.pending().saturating_sub(delayed),
         }
     }
 
-    /// What of its charges a task is judged by: a gang by those of all its tasks.
+    /// The task whose failures count against the limit; `None` for a gang, where those of all tasks count.
     pub fn judged(&self, index: u32) -> Option<u32> {
         (self.spec.shape != Shape::Gang).then_some(index)
     }
 
-    /// Whether it is an array that has waited long and has nothing done or on a machine, nor had anything placed lately: what
-    /// was placed may have been stopped before it ran.
+    /// Whether it is an array that has waited long with no task done or assigned and none assigned recently. A
+    /// recent assignment matters because the task may have been stopped before it ran.
     pub fn unbegun(&self, now: Mono) -> bool {
-        let waited = |since: Mono, most: f64| now.since(since).secs() > most;
+        let waited = |since: Mono, limit_s: f64| now.since(since).secs() > limit_s;
         self.spec.shape == Shape::Array
             && self.done + self.held == 0
             && waited(self.released, BEGIN_S)
             && self.placed_at.is_none_or(|at| waited(at, BEGIN_AGAIN_S))
     }
 
-    /// Whether it goes on: nothing has been decided that ends it for all its tasks.
+    /// Whether its remaining tasks may still run: the job is open, or failing but finishing the rest.
     pub fn goes_on(&self) -> bool {
         matches!(self.state, JobState::Open | JobState::Failing(OnExhausted::FinishRest))
     }
@@ -264,26 +274,26 @@
         self.spec.tasks - self.done - self.held
     }
 
-    /// Pending tasks in order, from where the last search ended.
-    pub fn pending_tasks(&mut self, most: usize, now: Mono) -> Vec<u32> {
+    /// Up to `limit` pending tasks that may start now, in order from the first one found by the last search.
+    pub fn pending_tasks(&mut self, limit: usize, now: Mono) -> Vec<u32> {
         let count = self.spec.tasks;
-        if self.startable(now) == 0 || most == 0 {
+        if self.startable(now) == 0 || limit == 0 {
             return Vec::new();
         }
         let mut found = Vec::new();
-        let mut at = self.cursor % count;
+        let mut index = self.search_start % count;
         for _ in 0..count {
-            let held_back = self.withheld.get(&at).is_some_and(|until| now < *until);
-            if self.tasks[at as usize] == Task::Pending && !held_back {
+            let delayed = self.withheld.get(&index).is_some_and(|until| now < *until);
+            if self.tasks[index as usize] == Task::Pending && !delayed {
                 if found.is_empty() {
-                    self.cursor = at;
+                    self.search_start = index;
                 }
-                found.push(at);
-                if found.len() >= most {
+                found.push(index);
+                if found.len() >= limit {
                     break;
                 }
             }
-            at = (at + 1) % count;
+            index = (index + 1) % count;
         }
         found
     }
@@ -309,22 +319,22 @@
         })
     }
 
-    /// Whether the hold may be told to its worker.
+    /// Whether the task's assignment is durable, so that it may be sent to the worker.
     pub fn durable(&self, index: u32) -> bool {
         let chunk = &self.chunks[(index / CHUNK_TASKS) as usize];
         self.hold(index).is_some_and(|hold| hold.version <= chunk.durable)
     }
 
-    /// Whether all that is known of the task is durable, so that its worker may forget it.
+    /// Whether all known changes of the task are durable, so that its worker may discard its result.
     pub fn settled(&self, index: u32) -> bool {
         self.chunks
             .get((index / CHUNK_TASKS) as usize)
             .is_none_or(|chunk| chunk.version == chunk.durable)
     }
 
-    /// Chunks that have a record in the store.
+    /// Chunks that have a record in the state service.
     pub(super) fn stored_chunks(&self) -> Vec<u32> {
-        let stored = self.chunks.iter().enumerate().filter(|(_, c)| c.stamp > Revision(0));
+        let stored = self.chunks.iter().enumerate().filter(|(_, c)| c.key_version > Revision(0));
         stored.map(|(i, _)| i as u32).collect()
     }
 
@@ -334,8 +344,8 @@
             .count() as u32
     }
 
-    /// What may be said of a job that is open. Of one whose end is being written nothing may: the
-    /// write may have been applied, and another controller may have read it and told a user.
+    /// The view that may be reported of an unfinished job. While its final record is being written there is
+    /// none: the write may have been applied, and another controller may have reported it to a user.
     pub(super) fn view(&self) -> Option<JobView> {
         let (status, running) = match self.state {
             JobState::Waiting => (JobStatus::Queued, 0),
@@ -354,14 +364,14 @@
         Some(JobView { status, done: self.done, running, waits_for, ..queued })
     }
 
-    /// What is kept of it for ever.
+    /// The final record, which is kept permanently.
     pub(super) fn over_record(&self, status: JobStatus, spent: Option<Arc<Spent>>) -> OverRecord {
         let failure = self.failure.clone().filter(|_| status == JobStatus::Failed);
         let part = self.part.as_ref().map(|part| Arc::new(self.part_end(part, status)));
         OverRecord { status, done: self.done, failure, spent, part }
     }
 
-    /// How the nodes of a graph ended that it ran. Of those that did not, what stands against them goes along.
+    /// How the graph nodes that it ran ended, with the failures charged to those that did not complete.
     fn part_end(&self, part: &Part, status: JobStatus) -> PartEnd {
         let nodes = part.nodes.clone();
         if status == JobStatus::Done || !part.batch() {
@@ -376,28 +386,28 @@
         }
     }
 
-    /// Whether its tasks are nodes of a graph, one each: others wait for each of them.
+    /// Whether each of its tasks is a graph node, so that other nodes may wait for each of them.
     pub(super) fn is_batch(&self) -> bool {
         self.part.as_ref().is_some_and(|part| part.batch())
     }
 
-    /// Whether its tasks are to be on unlike machines: `true` if they must be.
+    /// Whether its tasks are to run on different machines: `true` if they must, `false` if they should.
     pub fn apart(&self) -> Option<bool> {
         self.part.as_ref().and_then(|part| part.apart)
     }
 
-    /// Tasks of a chunk.
+    /// Index range of a chunk's tasks.
     pub(super) fn chunk_range(&self, chunk: u32) -> std::ops::Range<u32> {
-        let from = chunk.saturating_mul(CHUNK_TASKS);
-        from..from.saturating_add(CHUNK_TASKS).min(self.spec.tasks)
+        let first = chunk.saturating_mul(CHUNK_TASKS);
+        first..first.saturating_add(CHUNK_TASKS).min(self.spec.tasks)
     }
 
-    /// What is to be kept of a chunk, whatever room that takes.
+    /// The complete assignment record of a chunk, regardless of its size.
     pub(super) fn record(&self, chunk: u32) -> ChunkRecord {
-        let from = (chunk * CHUNK_TASKS) as usize;
-        let to = (from + CHUNK_TASKS as usize).min(self.tasks.len());
-        let slice = &self.tasks[from..to];
-        let charges = self.charges.record(from as u32..to as u32);
+        let first = (chunk * CHUNK_TASKS) as usize;
+        let end = (first + CHUNK_TASKS as usize).min(self.tasks.len());
+        let slice = &self.tasks[first..end];
+        let charges = self.charges.record(first as u32..end as u32);
         let usage = self.usage.get(&chunk).cloned().unwrap_or_default();
         ChunkRecord {
             done: to_hex(slice.iter().map(|t| *t == Task::Done)),
@@ -406,7 +416,7 @@
                 .enumerate()
                 .filter_map(|(i, t)| match t {
                     Task::Held(h) => Some((
-                        (from + i) as u32,
+                        (first + i) as u32,
                         h.attempt,
                         h.host.clone(),
                         h.shift,
@@ -427,8 +437,8 @@
         }
     }
 
-    /// A job whose description is gone but some of whose tasks may still be on machines.
-    pub(super) fn ghost(id: &JobId, record: &ChunkRecord) -> Self {
+    /// A finished job whose description was deleted but some of whose tasks may still be on machines.
+    pub(super) fn without_description(id: &JobId, record: &ChunkRecord) -> Self {
         let (team, cpus, gpus, memory_gb, tasks) = record.size.clone();
         let spec = JobSpec {
             id: id.clone(),
--- a/crates/core/src/jobs/memory.rs
+++ b/crates/core/src/jobs/memory.rs
@@ -1,12 +1,12 @@
-//! A bounded memory of facts about jobs that never change, so that answers need no read.
+//! A bounded cache of facts about jobs that never change, so that answers need no read from the state service.
 
 use oatloom_protocol::ids::JobId;
-// Looked up and never walked through, so that its order does not matter.
+// Never iterated, so its order does not matter.
 #[allow(clippy::disallowed_types)]
 use std::collections::HashMap;
 use std::collections::VecDeque;
 
-/// What is known of an accepted job for ever.
+/// How an accepted job ends, which never changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptedKind {
     /// It ends by itself, so others may wait for it.
@@ -15,7 +15,7 @@
     Service,
 }
 
-/// Facts by job, of which the oldest are forgotten beyond the capacity. That a job is not in it proves nothing.
+/// Facts by job. The oldest are evicted beyond the capacity, so the absence of a job says nothing about it.
 #[allow(clippy::disallowed_types)]
 #[derive(Debug)]
 pub struct JobMemory<T> {
@@ -25,12 +25,12 @@
 }
 
 impl<T> JobMemory<T> {
-    /// A memory of at most so many jobs.
+    /// A cache of at most `capacity` jobs.
     pub fn new(capacity: usize) -> Self {
         Self { facts: Default::default(), order: VecDeque::new(), capacity }
     }
 
-    /// Remembers a fact; beyond the capacity the oldest one is forgotten.
+    /// Adds a fact; evicts the oldest one beyond the capacity.
     pub fn insert(&mut self, id: JobId, fact: T) {
         if self.facts.insert(id.clone(), fact).is_none() {
             self.order.push_back(id);
@@ -42,7 +42,7 @@
         }
     }
 
-    /// What is known of a job, if it is remembered.
+    /// The fact about a job, if it is cached.
     pub fn get(&self, id: &JobId) -> Option<&T> {
         self.facts.get(id)
     }
--- a/crates/core/src/jobs/mod.rs
+++ b/crates/core/src/jobs/mod.rs
@@ -1,7 +1,7 @@
-//! The book of jobs: what was accepted, which task is where, and what of it is durable.
+//! The job table: accepted jobs, the state of each task, and which changes are durable.
 //!
-//! Keys: `live/{id}` holds the description, `asg/{id}/{chunk}` the done tasks and assignments of
-//! [`CHUNK_TASKS`] tasks, `over/{id}` the final state. `live/` and `over/` change in one
+//! Keys: `live/{id}` holds the job description, `asg/{id}/{chunk}` the completed tasks and assignments
+//! of [`CHUNK_TASKS`] tasks, `over/{id}` the final record. `live/` and `over/` change in one
 //! transaction, so a job is always under exactly one of them.
 
 mod dependencies;
@@ -21,7 +21,7 @@
 pub use memory::{AcceptedKind, JobMemory};
 pub use records::*;
 pub use usage::Account;
-use writing::Haste;
+use writing::WritePriority;
 pub use writing::{Item, Written};
 
 use crate::constants::*;
@@ -34,52 +34,52 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// Team usage that counts against limits.
+/// Resources in use by a team, counted against its limits.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Usage {
     pub cpus: f64,
     pub gpus: f64,
 }
 
-/// All jobs that the leader works on.
+/// All jobs that the leader manages.
 #[derive(Debug, Default)]
 pub struct Book {
     pub jobs: BTreeMap<JobId, Job>,
     pub usage: BTreeMap<String, Usage>,
-    /// How often tasks of each class may fail.
+    /// Retry allowance of each job class.
     pub classes: Arc<Classes>,
-    /// Whether any failures may be limited: by classes, or by nodes of graphs.
+    /// Whether a class or a graph node may limit the number of failures.
     pub limited: bool,
-    /// Tasks that were nodes of graphs and whose being done is durable, since that was last taken.
+    /// Tasks that run graph nodes and whose completion became durable since this list was last taken.
     pub progress: Vec<(JobId, Vec<u32>)>,
-    /// The account of usage, where one is kept.
+    /// Usage accounting, if enabled.
     pub account: Option<Account>,
-    /// What its jobs need of each other.
+    /// Dependencies between the jobs.
     dependencies: Dependencies,
-    /// When it was last asked for something to write.
+    /// Time of the last request for a transaction.
     now: Mono,
-    /// Jobs that came lately, oldest first.
+    /// Recently arrived jobs, oldest first.
     pub arrivals: VecDeque<(Mono, Arc<JobSpec>)>,
-    /// Ends of jobs, which users wait for.
-    urgent: VecDeque<Item>,
-    /// Assignments, which machines wait for.
-    dirty: VecDeque<Item>,
-    /// What nobody waits for, with the moment from which it is written: by then more of the same
-    /// key has changed, or the job's end makes the write needless.
-    lazy: VecDeque<(Mono, Item)>,
-    /// The same for arrays of nodes, whose turn comes sooner.
-    brisk: VecDeque<(Mono, Item)>,
-    queued: BTreeMap<Item, Haste>,
-    /// What records and transactions may take.
+    /// Final records, which users wait for.
+    end_queue: VecDeque<Item>,
+    /// Assignment records with new assignments, which workers wait for.
+    assignment_queue: VecDeque<Item>,
+    /// Records that nobody waits for, each with its due time. The delay lets several changes of a key
+    /// share a write, or the end of the job make the write unnecessary.
+    deferred_queue: VecDeque<(Mono, Item)>,
+    /// Deferred records of jobs that run graph nodes, with a shorter delay.
+    node_queue: VecDeque<(Mono, Item)>,
+    queued: BTreeMap<Item, WritePriority>,
+    /// Size limits and form of stored records.
     pub limits: RecordLimits,
-    /// Items that the service refused one by one, or that do not fit a value yet.
+    /// Items that the state service rejected on their own, or that do not fit into a value yet.
     refusals: Refusals<Item>,
-    /// Whether it was said that a record takes no further assignment.
-    said_full: bool,
+    /// Whether the warning about a full assignment record was logged.
+    full_record_logged: bool,
 }
 
 impl Book {
-    /// A book without jobs, which may fail as often as their classes and the nodes of graphs allow.
+    /// Creates an empty job table. `graphs` says whether graph nodes may limit failures as well.
     pub fn new(classes: Arc<Classes>, account: Option<Account>, graphs: bool) -> Self {
         let limited = graphs || !classes.is_empty();
         Self { classes, limited, account, ..Self::default() }
@@ -89,8 +89,8 @@
         self.jobs.get(id)
     }
 
-    /// Takes up an accepted job; a job already known stays as it is.
-    pub fn insert(&mut self, record: LiveRecord, stamp: Revision, now: Now) {
+    /// Adds an accepted job whose live key has this revision; a job already in the table is left unchanged.
+    pub fn insert(&mut self, record: LiveRecord, revision: Revision, now: Now) {
         let id = record.spec.id.clone();
         if self.jobs.contains_key(&id) {
             return;
@@ -104,17 +104,17 @@
             record.spec.class,
             record.spec.team
         );
-        let mut job = Job::new(record.spec, submitted, stamp);
+        let mut job = Job::new(record.spec, submitted, revision);
         job.allowance = self.classes.of(&job.spec.class);
         if let Some(part) = record.part {
-            // A node's own limit is never above that of its class; and an array of nodes goes on with the others when
-            // one has failed.
-            let own = part.repeats.map(|repeats| {
-                let most = job.allowance.map_or(repeats, |class| class.repeats.min(repeats));
+            // A node's own retry limit never exceeds that of its class. An array of nodes continues with the other
+            // nodes when one has failed.
+            let node_allowance = part.repeats.map(|repeats| {
+                let max_retries = job.allowance.map_or(repeats, |class| class.repeats.min(repeats));
                 let on_exhausted = job.allowance.map_or(OnExhausted::FailJob, |a| a.on_exhausted);
-                Allowance { repeats: most, on_exhausted }
+                Allowance { repeats: max_retries, on_exhausted }
             });
-            job.allowance = own.or(job.allowance);
+            job.allowance = node_allowance.or(job.allowance);
             if let Some(allowance) = job.allowance.as_mut().filter(|_| part.batch()) {
                 allowance.on_exhausted = OnExhausted::FinishRest;
             }
@@ -128,34 +128,35 @@
         self.await_dependencies(&id);
     }
 
-    /// Takes up an assignment record read from the store. For a job that is over, its tasks are
-    /// counted until proven gone, then the record is removed.
+    /// Loads an assignment record read from the state service and returns the assignments it holds. For a
+    /// finished job, its tasks count as running until proven gone; then the record is removed.
     pub fn load_chunk(
         &mut self,
         id: &JobId,
         chunk: u32,
         record: ChunkRecord,
-        stamp: Revision,
+        revision: Revision,
         now: Mono,
     ) -> Vec<(u32, HostId, Shift)> {
-        let job = self.jobs.entry(id.clone()).or_insert_with(|| Job::ghost(id, &record));
+        let job =
+            self.jobs.entry(id.clone()).or_insert_with(|| Job::without_description(id, &record));
         if job.state == JobState::Waiting {
-            // A record of its assignments is written only after its release.
-            self.release(id, now, "was released by an earlier leader");
+            // Assignment records are written only after the release of a job.
+            self.release(id, now, "released by an earlier leader");
         }
         let Some(job) = self.jobs.get_mut(id) else { return Vec::new() };
-        let over = job.state == JobState::Over;
+        let finished = job.state == JobState::Over;
         let Some(slot) = job.chunks.get_mut(chunk as usize) else {
             return Vec::new();
         };
-        slot.stamp = stamp;
+        slot.key_version = revision;
         job.charges.load(record.charges);
         if !record.usage.is_empty() && self.account.is_some() {
             job.usage.insert(chunk, record.usage);
         }
-        let from = chunk * CHUNK_TASKS;
-        for (i, done) in from_hex(&record.done).enumerate() {
-            if done && let Some(task) = job.tasks.get_mut(from as usize + i) {
+        let first_task = chunk * CHUNK_TASKS;
+        for (offset, done) in from_hex(&record.done).enumerate() {
+            if done && let Some(task) = job.tasks.get_mut(first_task as usize + offset) {
                 *task = Task::Done;
                 job.done += 1;
             }
@@ -175,22 +176,22 @@
                 told_ms: None,
                 stop: None,
             };
-            if self.hold_unwritten(id, index, hold) {
+            if self.hold_in_memory(id, index, hold) {
                 held.push((index, host, shift));
             }
         }
-        if over {
-            self.enqueue(Item::Chunk(id.clone(), chunk), Haste::Lazy);
+        if finished {
+            self.enqueue(Item::Chunk(id.clone(), chunk), WritePriority::Deferred);
         }
         held
     }
 
-    fn hold_unwritten(&mut self, id: &JobId, index: u32, hold: Hold) -> bool {
+    fn hold_in_memory(&mut self, id: &JobId, index: u32, hold: Hold) -> bool {
         let Some(job) = self.jobs.get_mut(id) else { return false };
         let Some(task) = job.tasks.get_mut(index as usize) else { return false };
-        // Guards against a plan that places a task twice: it ran on two machines at once.
+        // Guards against a plan that places a task twice, which made it run on two machines at once.
         if *task != Task::Pending {
-            log::error!("task {id}/{index}: is not pending and stays where it is");
+            log::error!("task {id}/{index}: not pending; ignoring the new assignment");
             return false;
         }
         if job.spec.shape == Shape::Gang {
@@ -210,21 +211,21 @@
         true
     }
 
-    /// Assigns a task to a machine; the assignment still has to become durable.
+    /// Assigns a task to a machine, if the assignment record has room; the assignment still has to become durable.
     pub fn hold(&mut self, id: &JobId, index: u32, mut hold: Hold) -> bool {
-        if !self.has_room(id, index, &hold) {
+        if !self.record_has_room(id, index, &hold) {
             return false;
         }
         let Some(job) = self.jobs.get(id) else { return false };
         hold.version = job.chunks[(index / CHUNK_TASKS) as usize].version + 1;
-        let held = self.hold_unwritten(id, index, hold);
+        let held = self.hold_in_memory(id, index, hold);
         if held {
-            self.touch(id, index, Haste::Soon);
+            self.mark_changed(id, index, WritePriority::Immediate);
         }
         held
     }
 
-    /// A held task is proven gone from its machine: done, or to be placed again.
+    /// Releases an assigned task that is proven gone from its machine: it is done, or becomes pending again.
     pub fn free(&mut self, id: &JobId, index: u32, done: bool) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -254,14 +255,14 @@
             job.done += 1;
         }
         if job.held == 0 && job.gang != Gang::Idle {
-            job.gang_enter(Gang::Idle, "all its tasks are gone");
+            job.gang_enter(Gang::Idle, "all tasks are gone from their machines");
         }
-        self.touch(id, index, Haste::Lazy);
+        self.mark_changed(id, index, WritePriority::Deferred);
     }
 
-    /// Decides a job's end, if it is still open. The first decision stands, but for a job that is failing:
-    /// until its end is being written its user may still cancel it.
-    pub fn end(&mut self, id: &JobId, status: JobStatus, why: &str) {
+    /// Decides the final status of a job that has none yet. The first decision stands. A failing job has
+    /// none until its final record is being written, so its user may still cancel it.
+    pub fn end(&mut self, id: &JobId, status: JobStatus, reason: &str) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         let open = match job.state {
             JobState::Open => status != JobStatus::Failed,
@@ -270,48 +271,49 @@
             JobState::Ending(_) | JobState::Over => false,
         };
         if open {
-            job.enter(JobState::Ending(status), why);
+            job.set_state(JobState::Ending(status), reason);
             self.stop_waiting(id);
-            self.enqueue(Item::End(id.clone()), Haste::Soon);
+            self.enqueue(Item::End(id.clone()), WritePriority::Immediate);
         }
     }
 
-    /// A task has used up its repeats. Nothing of the job starts any more; it ends once nothing of it is held.
-    pub fn fail(&mut self, id: &JobId, how: OnExhausted, failure: Failure) {
+    /// Marks a job as failing because a task has used up its retries. The job starts no further work, or only the
+    /// rest of its tasks, as `on_exhausted` says, and ends once none of its tasks is assigned.
+    pub fn fail(&mut self, id: &JobId, on_exhausted: OnExhausted, failure: Failure) {
         if let Some(job) = self.jobs.get_mut(id)
             && job.state == JobState::Open
         {
-            let why = format!(
-                "{} failed {} times, {} repeats are allowed",
+            let reason = format!(
+                "{} failed {} times, {} retries are allowed",
                 failure.task, failure.failures, failure.repeats
             );
             job.failure = Some(Arc::new(failure));
-            job.enter(JobState::Failing(how), &why);
+            job.set_state(JobState::Failing(on_exhausted), &reason);
         }
     }
 
-    /// What a failing job was to be refused for turned out to be a machine's doing. It goes on, if its end is not
-    /// being written yet.
+    /// Reopens a failing job whose failures turned out to be caused by a machine, unless its final record is
+    /// already being written.
     pub fn reopen(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get_mut(id)
             && matches!(job.state, JobState::Failing(_))
         {
             job.failure = None;
-            job.enter(JobState::Open, "its failures were a machine's doing");
+            job.set_state(JobState::Open, "its failures were caused by a machine");
         }
     }
 
-    /// What stands against a task has changed; it is written soon.
+    /// Schedules an immediate write after the failures charged to a task have changed.
     pub fn charged(&mut self, id: &JobId, index: u32) {
-        self.touch(id, index, Haste::Soon);
+        self.mark_changed(id, index, WritePriority::Immediate);
     }
 
-    /// Where a task is held, if it is.
+    /// The assignment of a task, if it has one.
     pub fn held(&self, task: &TaskId) -> Option<&Hold> {
         self.jobs.get(&task.job)?.hold(task.index)
     }
 
-    /// The state that may be told of a job that is open here.
+    /// The view of an unfinished job that may be reported to users. `None` if no status may be reported yet.
     pub fn view(&self, id: &JobId) -> Option<JobView> {
         let job = self.jobs.get(id)?;
         let known = job.state != JobState::Waiting || self.dependencies_known(job);
--- a/crates/core/src/jobs/packed.rs
+++ b/crates/core/src/jobs/packed.rs
@@ -1,8 +1,8 @@
-//! The short form of an assignment record: assignments and failures as `postcard` in base64, about ten bytes for each
+//! The packed form of an assignment record: assignments and failures as `postcard` in base64, about ten bytes for each
 //! assignment. Written only once no controller runs a version that does not read it.
 //!
-//! Names of machines that are alike but for a number at their end are kept as that number. Rows go in order of their
-//! attempts, which mostly follow each other closely.
+//! Machine names that differ only in a number at their end are stored as that number. Rows are sorted by attempt number,
+//! so that the differences between rows are mostly small.
 
 use super::records::Assignment;
 use crate::constants::CHUNK_TASKS;
@@ -13,25 +13,28 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Longest number at the end of a machine's name that is kept as a number: it fits 63 bits.
-const DIGITS_MOST: usize = 18;
+/// Most digits at the end of a machine's name that are stored as a number; 18 digits fit 63 bits.
+const MAX_NUMBER_DIGITS: usize = 18;
 
-/// Why a short form cannot be read.
+/// Why a packed record cannot be read.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PackedError {
-    #[error("not base64: {0}")]
-    Text(String),
-    #[error("not a short form: {0}")]
-    Form(String),
-    #[error("row {row} names {what} that is not in the record")]
-    Row { row: usize, what: &'static str },
+    /// The text is not base64.
+    #[error("packed record is not valid base64: {0}")]
+    Base64(String),
+    /// The bytes are not a packed record.
+    #[error("cannot decode packed record: {0}")]
+    Decode(String),
+    /// A row has a value out of range.
+    #[error("row {row} of the packed record has an invalid {field}")]
+    Row { row: usize, field: &'static str },
 }
 
-/// What the machines' names have in common.
+/// Pattern shared by the names of machines.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct NamePattern {
     prefix: String,
-    /// The number is filled up with zeros to so many digits.
+    /// Number of digits to which the number is padded with zeros.
     digits: usize,
 }
 
@@ -44,15 +47,16 @@
             *count += 1;
             *shortest = digits.len().min(*shortest);
         }
-        let most = patterns.into_iter().max_by_key(|(_, (count, _))| *count);
-        most.map_or_else(Self::default, |(prefix, (_, digits))| Self {
+        let most_common = patterns.into_iter().max_by_key(|(_, (count, _))| *count);
+        most_common.map_or_else(Self::default, |(prefix, (_, digits))| Self {
             prefix: prefix.to_owned(),
             digits,
         })
     }
 
+    /// The name with this number.
     fn name(&self, number: i64) -> String {
-        format!("{}{number:0digits$}", self.prefix, digits = self.digits.min(DIGITS_MOST))
+        format!("{}{number:0digits$}", self.prefix, digits = self.digits.min(MAX_NUMBER_DIGITS))
     }
 
     /// The number of a name that follows the pattern.
@@ -67,31 +71,32 @@
 fn split_number(name: &str) -> Option<(&str, &str)> {
     let prefix = name.trim_end_matches(|c: char| c.is_ascii_digit());
     let digits = &name[prefix.len()..];
-    (1..=DIGITS_MOST).contains(&digits.len()).then_some((prefix, digits))
+    (1..=MAX_NUMBER_DIGITS).contains(&digits.len()).then_some((prefix, digits))
 }
 
-/// One assignment; numbers are differences to the row before, but for the task and the zone.
+/// One assignment. Attempt, host and shift are differences to the previous row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Row {
-    /// Place of the task in its chunk.
+    /// Index of the task in its chunk.
     task: u32,
-    /// Place in the table of zones.
+    /// Index into the list of zones.
     zone: u32,
     attempt: u64,
     host: i64,
     shift: i64,
 }
 
-/// What stands against tasks; see [`ChargeRecord`].
+/// Failures charged to tasks; see [`ChargeRecord`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct PackedCharges {
     hosts: Vec<HostId>,
     excused: Vec<u16>,
-    /// Place of the task in its chunk, place of the machine plus one (0: any), failures.
+    /// Index of the task in its chunk, index of the machine plus one (0: no machine), failures.
     rows: Vec<(u32, u32, u32)>,
     counted: Option<Attempt>,
 }
 
+/// The packed record as it is serialized.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct Packed {
     /// First task of the chunk.
@@ -99,7 +104,7 @@
     zones: Vec<Zone>,
     pattern: NamePattern,
     rows: Vec<Row>,
-    /// Machines whose names do not follow the pattern: the row, and the name.
+    /// Machines whose names do not follow the pattern: row index and name.
     named: Vec<(u32, HostId)>,
     charges: PackedCharges,
 }
@@ -111,7 +116,7 @@
     pub charges: ChargeRecord,
 }
 
-/// The short form of what a chunk's record holds; `first` is the chunk's first task.
+/// Packs the assignments and failures of a chunk whose first task is `first`.
 pub(super) fn pack(first: u32, held: &[Assignment], charges: &ChargeRecord) -> String {
     let mut sorted: Vec<&Assignment> = held.iter().collect();
     sorted.sort_by_key(|(task, attempt, ..)| (*attempt, *task));
@@ -127,7 +132,7 @@
         let number = number.unwrap_or(last_host);
         packed.rows.push(Row {
             task: task.saturating_sub(first),
-            zone: place_of(&mut packed.zones, zone),
+            zone: zone_index(&mut packed.zones, zone),
             attempt: attempt.0 - last_attempt,
             host: number - last_host,
             shift: (shift.0 as i64).wrapping_sub(last_shift),
@@ -138,13 +143,14 @@
     URL_SAFE_NO_PAD.encode(bytes)
 }
 
-fn place_of(zones: &mut Vec<Zone>, zone: &Zone) -> u32 {
-    let known = zones.iter().position(|z| z == zone);
-    let place = known.unwrap_or_else(|| {
+/// The index of a zone in the list, to which it is added if it is missing.
+fn zone_index(zones: &mut Vec<Zone>, zone: &Zone) -> u32 {
+    let existing = zones.iter().position(|z| z == zone);
+    let index = existing.unwrap_or_else(|| {
         zones.push(zone.clone());
         zones.len() - 1
     });
-    place as u32
+    index as u32
 }
 
 fn pack_charges(first: u32, charges: &ChargeRecord) -> PackedCharges {
@@ -160,23 +166,26 @@
     }
 }
 
-/// Reads the short form; assignments come in order of their tasks.
+/// Reads a packed record; the assignments are sorted by task.
+///
+/// # Errors
+/// The text is damaged.
 pub(super) fn unpack(text: &str) -> Result<Unpacked, PackedError> {
-    let bytes = URL_SAFE_NO_PAD.decode(text).map_err(|e| PackedError::Text(e.to_string()))?;
+    let bytes = URL_SAFE_NO_PAD.decode(text).map_err(|e| PackedError::Base64(e.to_string()))?;
     let packed: Packed =
-        postcard::from_bytes(&bytes).map_err(|e| PackedError::Form(e.to_string()))?;
+        postcard::from_bytes(&bytes).map_err(|e| PackedError::Decode(e.to_string()))?;
     let first = packed.first;
     let mut named: BTreeMap<u32, HostId> = packed.named.into_iter().collect();
     let mut held = Vec::new();
     let (mut attempt, mut host, mut shift) = (0u64, 0i64, 0i64);
-    for (place, row) in packed.rows.iter().enumerate() {
-        let bad = |what| PackedError::Row { row: place, what };
-        let zone = packed.zones.get(row.zone as usize).ok_or(bad("a zone"))?;
-        attempt = attempt.checked_add(row.attempt).ok_or(bad("an attempt"))?;
-        host = host.checked_add(row.host).ok_or(bad("a machine"))?;
+    for (index, row) in packed.rows.iter().enumerate() {
+        let invalid = |field| PackedError::Row { row: index, field };
+        let zone = packed.zones.get(row.zone as usize).ok_or(invalid("zone"))?;
+        attempt = attempt.checked_add(row.attempt).ok_or(invalid("attempt"))?;
+        host = host.checked_add(row.host).ok_or(invalid("machine"))?;
         shift = shift.wrapping_add(row.shift);
-        let task = Some(row.task).filter(|task| *task < CHUNK_TASKS).ok_or(bad("a task"))?;
-        let name = named.remove(&(place as u32));
+        let task = Some(row.task).filter(|task| *task < CHUNK_TASKS).ok_or(invalid("task"))?;
+        let name = named.remove(&(index as u32));
         let name = name.unwrap_or_else(|| HostId::new(&packed.pattern.name(host)));
         held.push((
             first.saturating_add(task),
--- a/crates/core/src/jobs/packed/tests.rs
+++ b/crates/core/src/jobs/packed/tests.rs
@@ -1,4 +1,4 @@
-//! The short form comes back as it was, is small, and whatever is read in its place ends in an error.
+//! Packed assignment records: round trip, size, and errors on damaged text.
 
 use super::*;
 use rand::{Rng, SeedableRng};
@@ -8,7 +8,7 @@
     (task, Attempt(attempt), HostId::new(host), Shift(1), Zone::new(zone))
 }
 
-fn drawn(rng: &mut ChaCha8Rng, first: u32) -> Vec<Assignment> {
+fn random_assignments(rng: &mut ChaCha8Rng, first: u32) -> Vec<Assignment> {
     let names = ["i-", "m", "", "węzeł-", "a-b-0"];
     let prefix = names[rng.random_range(0..names.len())];
     let mut held = Vec::new();
@@ -28,7 +28,7 @@
     held
 }
 
-fn charges(rng: &mut ChaCha8Rng, first: u32) -> ChargeRecord {
+fn random_charges(rng: &mut ChaCha8Rng, first: u32) -> ChargeRecord {
     if rng.random_bool(0.5) {
         return ChargeRecord::default();
     }
@@ -42,20 +42,20 @@
 }
 
 #[test]
-fn what_is_packed_comes_back() {
+fn packed_records_round_trip() {
     for seed in 0..500 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let first = rng.random_range(0..1_041) * CHUNK_TASKS;
-        let held = drawn(&mut rng, first);
-        let charges = charges(&mut rng, first);
+        let held = random_assignments(&mut rng, first);
+        let charges = random_charges(&mut rng, first);
         let text = pack(first, &held, &charges);
         assert_eq!(unpack(&text), Ok(Unpacked { held, charges }), "seed {seed}");
     }
 }
 
-/// 96 assignments on as many machines of a large fleet, by two leaders.
+/// 96 assignments made by two leaders, on 96 machines of a large fleet, take at most 12 characters each.
 #[test]
-fn a_full_chunk_takes_little() {
+fn a_full_chunk_packs_small() {
     for seed in 0..100 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let held: Vec<Assignment> = (0..CHUNK_TASKS)
@@ -71,13 +71,13 @@
     }
 }
 
-/// Whatever stands there, reading it ends, and what cannot be is an error.
+/// Reading damaged text never panics; truncated text and values out of range are errors.
 #[test]
-fn a_damaged_short_form_is_refused() {
+fn a_damaged_packed_record_is_rejected() {
     let held = [assignment(3, 7, "i-000001", "a"), assignment(4, 9, "i-000002", "b")];
     let text = pack(0, &held, &ChargeRecord::default());
-    for cut in 0..text.len() {
-        assert!(unpack(&text[..cut]).is_err(), "cut at {cut}");
+    for length in 0..text.len() {
+        assert!(unpack(&text[..length]).is_err(), "truncated to {length}");
     }
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     for _ in 0..5_000 {
@@ -86,7 +86,7 @@
         bytes[at] = rng.random_range(32..127);
         let _ = unpack(std::str::from_utf8(&bytes).unwrap());
     }
-    assert!(matches!(unpack("!"), Err(PackedError::Text(_))));
-    let far = pack(0, &[assignment(96, 1, "i-1", "a")], &ChargeRecord::default());
-    assert_eq!(unpack(&far), Err(PackedError::Row { row: 0, what: "a task" }));
+    assert!(matches!(unpack("!"), Err(PackedError::Base64(_))));
+    let out_of_range = pack(0, &[assignment(96, 1, "i-1", "a")], &ChargeRecord::default());
+    assert_eq!(unpack(&out_of_range), Err(PackedError::Row { row: 0, field: "task" }));
 }
--- a/crates/core/src/jobs/records.rs
+++ b/crates/core/src/jobs/records.rs
@@ -1,4 +1,4 @@
-//! What stands in the state service, under which key, and in what form.
+//! Keys and values of jobs in the state service.
 
 use super::dependency_list::{self, DependencyListError};
 use super::packed::{self, PackedError};
@@ -12,8 +12,11 @@
 use serde::{Deserialize, Deserializer, Serialize};
 use std::sync::Arc;
 
+/// Key prefix of the descriptions of unfinished jobs.
 pub const LIVE: &str = "live/";
+/// Key prefix of final records.
 pub const OVER: &str = "over/";
+/// Key prefix of assignment records.
 pub const ASSIGNED: &str = "asg/";
 
 pub fn live_key(id: &JobId) -> String {
@@ -35,11 +38,11 @@
     pub spec: JobSpec,
     /// Time of day at acceptance, in milliseconds.
     pub wall_ms: u64,
-    /// What of a graph it runs, if it does.
+    /// The part of a graph that the job runs, if any.
     pub part: Option<Arc<Part>>,
 }
 
-/// A live key's value as it is stored.
+/// Stored form of a [`LiveRecord`].
 #[derive(Serialize, Deserialize)]
 struct StoredLive {
     #[serde(rename = "s")]
@@ -48,7 +51,8 @@
     wall_ms: u64,
     #[serde(rename = "g", default, skip_serializing_if = "Option::is_none")]
     part: Option<Arc<Part>>,
-    /// Dependencies, where there are so many that the description holds none of them.
+    /// Packed list of the dependencies if there are more than [`DEPENDENCIES_AS_TEXT`]; the list in `spec` is then
+    /// empty.
     #[serde(rename = "w", default, skip_serializing_if = "Option::is_none")]
     dependencies: Option<String>,
 }
@@ -77,7 +81,7 @@
     }
 }
 
-/// Value of an over key.
+/// The final record: value of an `over/` key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OverRecord {
     #[serde(rename = "s")]
@@ -86,15 +90,15 @@
     pub done: u32,
     #[serde(rename = "f", default, skip_serializing_if = "Option::is_none")]
     pub failure: Option<Arc<Failure>>,
-    /// What its attempts have used, as far as it is accounted here.
+    /// Usage of its attempts, as far as it is counted in this record.
     #[serde(
         rename = "u",
         default,
         skip_serializing_if = "Option::is_none",
-        deserialize_with = "or_none"
+        deserialize_with = "or_default"
     )]
     pub spent: Option<Arc<Spent>>,
-    /// What of a graph it ran, if it did.
+    /// How the graph nodes that it ran ended, if any.
     #[serde(rename = "g", default, skip_serializing_if = "Option::is_none")]
     pub part: Option<Arc<PartEnd>>,
 }
@@ -110,18 +114,18 @@
 /// Task, attempt, host, shift, zone.
 pub type Assignment = (u32, Attempt, HostId, Shift, Zone);
 
-/// In which form assignment records are written; each is always read.
+/// Form in which assignment records are written. Both are always readable.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RecordForm {
-    /// Assignments as rows of names and numbers: every version reads it.
+    /// Assignments as rows of names and numbers, which every version reads.
     #[default]
     Rows,
-    /// Assignments and failures packed: versions before the second do not see them.
+    /// Packed assignments and failures, which versions before 2 do not read.
     Packed,
 }
 
-/// Value of a chunk key: done tasks as a hexadecimal bitmap, assignments as rows. Serialised as it stands it is the form
-/// that every version reads; see [`ChunkRecord::value`] for the other.
+/// Value of an assignment key: completed tasks as a hexadecimal bitmap, assignments as rows. The derived
+/// serialization is [`RecordForm::Rows`]; see [`ChunkRecord::value`] for the packed form.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(try_from = "StoredChunk")]
 pub struct ChunkRecord {
@@ -129,19 +133,19 @@
     pub done: String,
     #[serde(rename = "a", default)]
     pub held: Vec<Assignment>,
-    /// Team, cores, GPUs, memory and number of tasks: what a later leader must count for tasks
-    /// still on machines when the description is gone.
+    /// Team, cores, GPUs, memory and number of tasks, so that a later leader can count tasks that are
+    /// still on machines when the description is deleted.
     #[serde(rename = "u")]
     pub size: (String, f64, f64, f64, u32),
-    /// What failed, in the same write that frees the task: counted if and only if its end is.
+    /// Charged failures, written together with the release of the task: one is durable if and only if the other is.
     #[serde(rename = "e", default, skip_serializing_if = "ChargeRecord::is_empty")]
     pub charges: ChargeRecord,
-    /// What its attempts have used.
+    /// Usage of its attempts.
     #[serde(rename = "l", default, skip_serializing_if = "Days::is_empty")]
     pub usage: Days,
 }
 
-/// A chunk's value as it is read, in either form.
+/// A chunk record as read, in either form.
 #[derive(Deserialize)]
 struct StoredChunk {
     #[serde(rename = "d", default)]
@@ -152,8 +156,8 @@
     size: (String, f64, f64, f64, u32),
     #[serde(rename = "e", default)]
     charges: ChargeRecord,
-    /// What cannot be read is left out and said: the job goes on.
-    #[serde(rename = "l", default, deserialize_with = "or_none")]
+    /// Unreadable usage is logged and dropped, so that the job continues.
+    #[serde(rename = "l", default, deserialize_with = "or_default")]
     usage: Days,
     #[serde(rename = "p", default)]
     packed: Option<String>,
@@ -176,10 +180,10 @@
 }
 
 impl ChunkRecord {
-    /// The value to be stored for the chunk that begins with the task `first`.
+    /// The value to be stored in this form, for the chunk whose first task is `first`.
     pub fn value(&self, form: RecordForm, first: u32) -> serde_json::Value {
-        let plain = self.held.is_empty() && self.charges.is_empty();
-        if form == RecordForm::Rows || plain {
+        let nothing_to_pack = self.held.is_empty() && self.charges.is_empty();
+        if form == RecordForm::Rows || nothing_to_pack {
             return serde_json::json!(self);
         }
         let text = packed::pack(first, &self.held, &self.charges);
@@ -191,17 +195,18 @@
     }
 }
 
-/// Reads a part of a record without which the rest is still good.
-fn or_none<'de, D: Deserializer<'de>, T: Default + DeserializeOwned>(
-    from: D,
+/// Deserializes an optional part of a record: if it is damaged, the default replaces it.
+fn or_default<'de, D: Deserializer<'de>, T: Default + DeserializeOwned>(
+    deserializer: D,
 ) -> Result<T, D::Error> {
-    let value = serde_json::Value::deserialize(from)?;
+    let value = serde_json::Value::deserialize(deserializer)?;
     Ok(T::deserialize(value).unwrap_or_else(|e| {
-        log::error!("ledger: a record is damaged, its usage is left out: {e}");
+        log::error!("ledger: ignoring damaged usage in a record: {e}");
         T::default()
     }))
 }
 
+/// Encodes a bitmap as hexadecimal digits, the lowest bit first.
 pub(super) fn to_hex(bits: impl Iterator<Item = bool>) -> String {
     let mut text = String::new();
     let mut nibble = 0u32;
@@ -220,13 +225,14 @@
     text
 }
 
+/// Decodes the bitmap that [`to_hex`] writes.
 pub(super) fn from_hex(text: &str) -> impl Iterator<Item = bool> + '_ {
     text.chars()
         .map(|c| c.to_digit(16).unwrap_or(0))
         .flat_map(|nibble| (0..4).map(move |bit| nibble >> bit & 1 == 1))
 }
 
-/// Reads `asg/{id}/{chunk}`.
+/// Parses a key `asg/{id}/{chunk}`.
 pub fn parse_chunk_key(key: &str) -> Option<(JobId, u32)> {
     let (id, chunk) = key.strip_prefix(ASSIGNED)?.rsplit_once('/')?;
     Some((JobId::parse(id)?, chunk.parse().ok()?))
@@ -237,9 +243,9 @@
     use super::*;
 
     #[test]
-    fn bitmaps_survive_the_trip() {
+    fn bitmaps_round_trip() {
         let bits: Vec<bool> = (0..97).map(|i| i % 3 == 0).collect();
-        let back: Vec<bool> = from_hex(&to_hex(bits.iter().copied())).take(97).collect();
-        assert_eq!(bits, back);
+        let decoded: Vec<bool> = from_hex(&to_hex(bits.iter().copied())).take(97).collect();
+        assert_eq!(bits, decoded);
     }
 }
--- a/crates/core/src/jobs/usage.rs
+++ b/crates/core/src/jobs/usage.rs
@@ -1,8 +1,9 @@
-//! The account of usage as the book keeps it: what goes into which record, and in which write.
+//! Usage accounting in the job table: which record holds the usage of an attempt, and which transaction moves it.
 //!
-//! A job that ends with nothing held takes its usage into its final state, in the write that removes its records.
-//! What ends later is moved to the roll-ups by the write that removes its record. So an attempt is in exactly one
-//! place, and in none before its end is durable.
+//! The usage of an attempt is first written to the assignment record. A job that ends with no task assigned moves its
+//! usage to the final record, in the transaction that deletes its assignment records. If tasks are still assigned, each
+//! record's usage moves to the roll-ups in the transaction that deletes that record. So the usage of an attempt is in
+//! exactly one durable place, and in none before the end of the attempt is durable.
 
 use super::writing::{Item, Written};
 use super::*;
@@ -12,71 +13,74 @@
 use serde_json::json;
 use std::collections::BTreeSet;
 
-/// Class under which those are accounted that no setting names: keys must not grow with what users think up.
+/// Class under which jobs of unconfigured classes are counted, so that users cannot create any number of keys.
 const OTHER_CLASS: &str = "other";
 
-/// The leader's account.
+/// The leader's usage accounting.
 #[derive(Clone, Debug, Default)]
 pub struct Account {
     pub rollups: Rollups,
-    /// Classes that are told apart.
+    /// Classes that are counted separately.
     classes: Arc<BTreeSet<String>>,
     /// Time of day, in milliseconds.
     pub wall_ms: u64,
-    /// The cursor that the transaction under way writes.
+    /// The cursor that the transaction in flight writes.
     cursor: Option<Cursor>,
-    /// The revision from which on it is accounted, if nobody has begun yet.
-    begin: Revision,
-    /// The latest entries, for tests: the oldest go first.
+    /// The revision at which counting starts if no cursor is stored yet.
+    start_revision: Revision,
+    /// The latest entries, for tests; the oldest are dropped first.
     pub latest: VecDeque<Entry>,
-    /// Roll-ups that could not be read, which are kept aside by the next write.
+    /// Values of roll-ups that could not be read; the next transaction stores a copy under another key.
     damaged: BTreeMap<Slot, serde_json::Value>,
-    /// Transactions of roll-ups that the service refused, one after the other.
+    /// State of roll-up transactions that the state service rejected.
     refusals: Refusals<()>,
-    /// Since when roll-ups wait for what somebody waits for.
-    postponed: Option<Mono>,
+    /// Since when roll-ups are postponed in favor of writes that users or workers wait for.
+    postponed_since: Option<Mono>,
 }
 
 impl Account {
-    pub fn new(classes: Arc<BTreeSet<String>>, every: Millis) -> Self {
-        Self { classes, rollups: Rollups::new(every), ..Self::default() }
+    /// Accounting that counts these classes separately and writes roll-ups at this interval.
+    pub fn new(classes: Arc<BTreeSet<String>>, flush_interval: Millis) -> Self {
+        Self { classes, rollups: Rollups::new(flush_interval), ..Self::default() }
     }
 
-    /// The same with roll-ups that fit values of so many bytes.
+    /// Limits the size of roll-up values.
     pub fn within(self, value_bytes: usize) -> Self {
         Self { rollups: self.rollups.within(value_bytes), ..self }
     }
 
-    /// Whether roll-ups give way to what somebody waits for, which they do for a while.
-    fn gives_way(&mut self, now: Mono, awaited: bool) -> bool {
-        let since = *self.postponed.get_or_insert(now);
+    /// Whether roll-ups are postponed in favor of writes that somebody waits for, for at most [`POSTPONED_MS`].
+    fn postpone(&mut self, now: Mono, awaited: bool) -> bool {
+        let since = *self.postponed_since.get_or_insert(now);
         awaited && now.since(since) < POSTPONED_MS
     }
 
+    /// The class under which jobs of a class are counted.
     pub fn class(&self, class: &str) -> String {
         if self.classes.contains(class) { class.to_owned() } else { OTHER_CLASS.to_owned() }
     }
 
-    /// The first day that is still open: usage of earlier ones counts for it.
+    /// The first day that is still open; usage of earlier days is counted on it.
     fn open_from(&self) -> u64 {
         (self.wall_ms.saturating_sub(CLOSE_AFTER_MS) / DAY_MS).saturating_sub(1)
     }
 
-    /// Whether final states carry usage: not while it is known that nothing durable says from where on they are
-    /// counted. Guards against a new leader that had not read it yet and left usage out.
-    fn begun(&self) -> bool {
+    /// Whether final records include usage: not if it is known that no durable cursor says where counting starts.
+    /// While the cursor is unread they do; guards against a new leader that had not read it yet and left usage out.
+    fn includes_usage(&self) -> bool {
         self.rollups.knowledge() == Knowledge::None || self.rollups.cursor_stamp() > Revision(0)
     }
 
-    /// What the cursor's key holds, read by a new leader.
-    pub fn set_cursor(&mut self, found: Option<(Cursor, Revision)>, begin: Revision) {
-        self.begin = begin;
-        self.rollups.set_cursor(found, begin);
+    /// Sets the stored cursor that a new leader has read; without one, counting starts at `start_revision`.
+    pub fn set_cursor(&mut self, found: Option<(Cursor, Revision)>, start_revision: Revision) {
+        self.start_revision = start_revision;
+        self.rollups.set_cursor(found, start_revision);
     }
 }
 
 impl Book {
-    /// An attempt has ended. It is counted in the record of its task, which says so in the same write.
+    /// Counts an attempt that has ended in the assignment record of its task; its end and its usage become durable in
+    /// the same write.
     pub fn account(&mut self, entry: &Entry) {
         let Some(account) = self.account.as_mut() else { return };
         account.latest.push_back(entry.clone());
@@ -90,19 +94,20 @@
         }
     }
 
-    /// What a job's final state says of its usage, if its records go in the same write.
+    /// The usage for a job's final record, if its assignment records are deleted in the same transaction.
     pub(super) fn spent(&self, job: &Job, with_records: bool) -> Option<Arc<Spent>> {
-        let account = self.account.as_ref().filter(|a| with_records && a.begun())?;
+        let account = self.account.as_ref().filter(|a| with_records && a.includes_usage())?;
         let mut days = Days::default();
-        job.usage.values().for_each(|of_chunk| days.merge(of_chunk));
+        job.usage.values().for_each(|chunk_usage| days.merge(chunk_usage));
         days.reopen_from(account.open_from());
         let (team, class) = (job.spec.team.clone(), account.class(&job.spec.class));
         (!days.is_empty()).then(|| Arc::new(Spent { team, class, days }))
     }
 
-    /// Usage of a record that is being removed later than its job's final state was written goes to the roll-ups.
-    pub(super) fn spill(&mut self, id: &JobId, chunk: u32) {
-        let Some(account) = self.account.as_mut().filter(|a| a.begun()) else { return };
+    /// Moves the usage of an assignment record to the roll-ups, when the record is deleted after the final record of
+    /// its job was written.
+    pub(super) fn move_usage_to_rollups(&mut self, id: &JobId, chunk: u32) {
+        let Some(account) = self.account.as_mut().filter(|a| a.includes_usage()) else { return };
         let Some(job) = self.jobs.get(id) else { return };
         let Some(mut days) = job.usage.get(&chunk).cloned() else { return };
         days.reopen_from(account.open_from());
@@ -110,7 +115,7 @@
         account.rollups.spill(&job.spec.team, &class, &days);
     }
 
-    /// Roll-ups that the transaction being made touches.
+    /// Number of roll-ups that the transaction under construction changes.
     pub(super) fn rollups_touched(&self) -> usize {
         self.account.as_ref().map_or(0, |account| account.rollups.touched())
     }
@@ -132,8 +137,8 @@
         }
     }
 
-    /// The transaction that counts final states, if it is time.
-    pub(super) fn flush(
+    /// The transaction that adds the usage of final records to the roll-ups, if it is due.
+    pub(super) fn next_rollup_txn(
         &mut self,
         fence: Condition,
         ops: usize,
@@ -144,32 +149,32 @@
         let open_from = account.open_from();
         if account.refusals.holds(&()) && account.refusals.take_due(now).is_none()
             || !account.rollups.flush_due(now, open_from)
-            || account.gives_way(now, awaited)
+            || account.postpone(now, awaited)
         {
             return None;
         }
-        account.postponed = None;
-        let most = ops.saturating_sub(1).clamp(1, TXN_BYTES / ROLLUP_BYTES);
-        let most = most.min(account.refusals.most());
-        account.cursor = account.rollups.flush(most, now, open_from);
+        account.postponed_since = None;
+        let max_rollups = ops.saturating_sub(1).clamp(1, TXN_BYTES / ROLLUP_BYTES);
+        let max_rollups = max_rollups.min(account.refusals.most());
+        account.cursor = account.rollups.flush(max_rollups, now, open_from);
         let (mut txn, mut written) =
             (Txn { conditions: vec![fence], changes: Vec::new() }, Vec::new());
         self.write_rollups(&mut txn, &mut written);
-        self.keep_aside(&mut txn, ops);
+        self.write_damaged_copies(&mut txn, ops);
         (!written.is_empty()).then_some((txn, written))
     }
 
-    /// A transaction of roll-ups was refused: the next one is smaller, or comes later.
-    pub(super) fn flush_refused(&mut self, now: Mono) {
+    /// Handles a rejected transaction of roll-ups: the next one is smaller or delayed.
+    pub(super) fn rollups_refused(&mut self, now: Mono) {
         let Some(account) = self.account.as_mut() else { return };
         let rollups = vec![(); account.rollups.touched().max(1)];
         if let Some(Refusal::SetAside((), pause)) = account.refusals.refused(&rollups, now) {
-            log::error!("ledger: a roll-up is refused alone; again in {pause:?}");
+            log::error!("ledger: roll-up rejected on its own; retrying in {pause:?}");
         }
     }
 
-    /// Values that could not be read are kept under another key, for somebody to look at.
-    fn keep_aside(&mut self, txn: &mut Txn, ops: usize) {
+    /// Adds copies of unreadable values under other keys to a transaction, for later inspection.
+    fn write_damaged_copies(&mut self, txn: &mut Txn, ops: usize) {
         let Some(account) = self.account.as_mut() else { return };
         while txn.changes.len() < ops
             && let Some((slot, value)) = account.damaged.pop_first()
@@ -178,6 +183,7 @@
         }
     }
 
+    /// Applies the commit of a roll-up or of the cursor.
     pub(super) fn rollup_committed(&mut self, item: &Item, revision: Revision) {
         let Some(account) = self.account.as_mut() else { return };
         match item {
@@ -192,7 +198,7 @@
         }
     }
 
-    /// What was to be written of the account was not, or it is not known.
+    /// Abandons the roll-up writes in flight, whose transaction failed or has an unknown outcome.
     pub(super) fn rollups_abandoned(&mut self) {
         if let Some(account) = self.account.as_mut() {
             account.rollups.abandoned();
@@ -200,7 +206,7 @@
         }
     }
 
-    /// What the store holds of the account, read after a write whose fate was open.
+    /// Takes the stored roll-up or cursor, read after a write with an unknown outcome.
     pub(super) fn rollup_resolved(
         &mut self,
         item: &Item,
@@ -212,7 +218,7 @@
                 let found = row.map(|(value, stamp)| {
                     let read = serde_json::from_value::<Rollup>(value.clone());
                     let rollup = read.unwrap_or_else(|e| {
-                        log::error!("ledger: {} is damaged and kept aside: {e}", slot.key());
+                        log::error!("ledger: {} is damaged; storing a copy: {e}", slot.key());
                         account.damaged.insert(slot.clone(), value.clone());
                         Rollup { gap: true, ..Rollup::default() }
                     });
@@ -224,39 +230,44 @@
                 let read = |(value, stamp): (&serde_json::Value, Revision)| {
                     Some((serde_json::from_value(value.clone()).ok()?, stamp))
                 };
-                let begin = account.begin;
-                account.rollups.set_cursor(row.and_then(read), begin);
+                let start_revision = account.start_revision;
+                account.rollups.set_cursor(row.and_then(read), start_revision);
             }
             Item::End(_) | Item::Chunk(..) => {}
         }
     }
 
-    /// A final state is durable.
-    pub(super) fn counted(&mut self, id: &JobId, record: &OverRecord, stamp: Revision) {
+    /// Passes the usage of a final record that is durable at `revision` to the roll-ups.
+    pub(super) fn count_final_record(
+        &mut self,
+        id: &JobId,
+        record: &OverRecord,
+        revision: Revision,
+    ) {
         if let (Some(account), Some(spent)) = (self.account.as_mut(), &record.spent) {
-            account.rollups.over(id, spent, stamp);
+            account.rollups.over(id, spent, revision);
         }
     }
 
-    /// Final states that were written after the cursor, by earlier leaders; afterwards all are known.
+    /// Counts final records that earlier leaders wrote after the cursor. `complete` says that these are the last.
     pub fn catch_up(
         &mut self,
-        over: impl IntoIterator<Item = (JobId, OverRecord, Revision)>,
-        all: bool,
+        records: impl IntoIterator<Item = (JobId, OverRecord, Revision)>,
+        complete: bool,
     ) {
-        for (id, record, stamp) in over {
-            self.counted(&id, &record, stamp);
+        for (id, record, revision) in records {
+            self.count_final_record(&id, &record, revision);
         }
-        if let Some(account) = self.account.as_mut().filter(|_| all) {
+        if let Some(account) = self.account.as_mut().filter(|_| complete) {
             account.rollups.enter(Knowledge::All);
         }
     }
 }
 
-/// Prefix of values that could not be read.
+/// Key prefix of copies of roll-ups that could not be read.
 pub const DAMAGED: &str = "use-damaged/";
 
-/// The entry of an attempt, for the log.
+/// The log line of an attempt's entry; tools parse it.
 fn usage_line(e: &Entry) -> String {
     let worth = e.worth();
     format!(
--- a/crates/core/src/jobs/writing.rs
+++ b/crates/core/src/jobs/writing.rs
@@ -1,28 +1,33 @@
-//! What of the book is to be written, in which order, and what a transaction has made durable.
+//! The write queue of the job table: which changes are written in which order, and what a committed transaction
+//! has made durable.
 
 use super::*;
 use oatloom_ledger::constants::ROLLUP_BYTES;
 use oatloom_ledger::rollup::{CURSOR, Slot, Spent};
 use serde_json::Value;
 
+/// A key to be written.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Item {
+    /// The final record of a job.
     End(JobId),
+    /// The assignment record of a chunk.
     Chunk(JobId, u32),
-    /// Of the account: never queued, made anew with each transaction.
+    /// A usage roll-up. Never queued: the writes are generated for each transaction.
     Rollup(Slot),
+    /// The cursor of usage accounting.
     Cursor,
 }
 
-/// What a transaction in flight will have made durable.
+/// An item in a transaction in flight, and what its commit makes durable.
 #[derive(Clone, Debug)]
 pub struct Written {
     item: Item,
     version: u64,
     deletes: bool,
-    /// The usage that a final state was written with.
+    /// The usage contained in the final record.
     spent: Option<Arc<Spent>>,
-    /// Of a record whose tasks are nodes of a graph: those that it says are done.
+    /// The completed tasks in a record whose tasks are graph nodes.
     done: Vec<u32>,
 }
 
@@ -36,64 +41,71 @@
     }
 }
 
-/// How soon a change of the book is written.
+/// How soon a change of the job table is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Haste {
-    Lazy,
-    Soon,
+pub(super) enum WritePriority {
+    Deferred,
+    Immediate,
 }
 
 impl Book {
-    /// Changes that are not written yet.
+    /// Number of items that are not written yet.
     pub fn unwritten(&self) -> usize {
         self.queued.len() + self.refusals.waiting()
     }
 
     /// Marks the chunk of a task as changed.
-    pub(super) fn touch(&mut self, id: &JobId, index: u32, haste: Haste) {
+    pub(super) fn mark_changed(&mut self, id: &JobId, index: u32, priority: WritePriority) {
         let chunk = index / CHUNK_TASKS;
         if let Some(job) = self.jobs.get_mut(id) {
             job.chunks[chunk as usize].version += 1;
         }
-        self.enqueue(Item::Chunk(id.clone(), chunk), haste);
+        self.enqueue(Item::Chunk(id.clone(), chunk), priority);
     }
 
-    pub(super) fn enqueue(&mut self, item: Item, haste: Haste) {
-        // What waits already and is now wanted sooner leaves a stale row behind, which is skipped.
-        // What the service refused alone comes again by itself.
-        let known = self.queued.get(&item).is_some_and(|known| *known >= haste);
-        if known || self.refusals.holds(&item) {
+    /// Queues an item for writing.
+    pub(super) fn enqueue(&mut self, item: Item, priority: WritePriority) {
+        // Raising the priority of a queued item leaves a stale entry in the other queue, which `pop_due` skips.
+        // An item that the state service rejected on its own is retried without being queued.
+        let is_queued = self.queued.get(&item).is_some_and(|queued| *queued >= priority);
+        if is_queued || self.refusals.holds(&item) {
             return;
         }
-        self.queued.insert(item.clone(), haste);
-        let batch = |id: &JobId| self.jobs.get(id).is_some_and(Job::is_batch);
-        match (&item, haste) {
-            (Item::End(_), _) => self.urgent.push_back(item),
-            (_, Haste::Soon) => self.dirty.push_back(item),
-            // Other nodes of its graph wait for what ends of it.
-            (Item::Chunk(id, _), Haste::Lazy) if batch(id) => {
-                self.brisk.push_back((self.now.plus(BATCH_WRITE_MS), item));
+        self.queued.insert(item.clone(), priority);
+        let runs_nodes = |id: &JobId| self.jobs.get(id).is_some_and(Job::is_batch);
+        match (&item, priority) {
+            (Item::End(_), _) => self.end_queue.push_back(item),
+            (_, WritePriority::Immediate) => self.assignment_queue.push_back(item),
+            // Other nodes of the graph wait for the ends of these tasks.
+            (Item::Chunk(id, _), WritePriority::Deferred) if runs_nodes(id) => {
+                self.node_queue.push_back((self.now.plus(BATCH_WRITE_MS), item));
+            }
+            (_, WritePriority::Deferred) => {
+                self.deferred_queue.push_back((self.now.plus(LAZY_WRITE_MS), item))
             }
-            (_, Haste::Lazy) => self.lazy.push_back((self.now.plus(LAZY_WRITE_MS), item)),
         }
     }
 
     /// The item to be written next, if one is due.
-    pub(super) fn pop(&mut self) -> Option<Item> {
+    pub(super) fn pop_due(&mut self) -> Option<Item> {
         loop {
-            let (item, haste) = if let Some(item) = self.urgent.pop_front() {
-                (item, Haste::Soon)
-            } else if let Some(item) = self.dirty.pop_front() {
-                (item, Haste::Soon)
+            let (item, priority) = if let Some(item) = self.end_queue.pop_front() {
+                (item, WritePriority::Immediate)
+            } else if let Some(item) = self.assignment_queue.pop_front() {
+                (item, WritePriority::Immediate)
             } else {
                 let due = |queue: &VecDeque<(Mono, Item)>| {
                     queue.front().is_some_and(|(due, _)| *due <= self.now)
                 };
-                let queue = if due(&self.brisk) { &mut self.brisk } else { &mut self.lazy };
+                let queue = if due(&self.node_queue) {
+                    &mut self.node_queue
+                } else {
+                    &mut self.deferred_queue
+                };
                 queue.front().filter(|(due, _)| *due <= self.now)?;
-                (queue.pop_front()?.1, Haste::Lazy)
+                (queue.pop_front()?.1, WritePriority::Deferred)
             };
-            if self.queued.get(&item) == Some(&haste) {
+            if self.queued.get(&item) == Some(&priority) {
                 self.queued.remove(&item);
                 if !self.refusals.holds(&item) {
                     return Some(item);
@@ -102,7 +114,7 @@
         }
     }
 
-    /// The next fenced transaction, within the limits of the service.
+    /// The next fenced transaction, within the limits of the state service. `ops` is the maximum number of changes.
     pub fn next_txn(
         &mut self,
         fence: Condition,
@@ -110,67 +122,69 @@
         now: Mono,
     ) -> Option<(Txn, Vec<Written>)> {
         self.now = now;
-        let awaited = !self.urgent.is_empty() || !self.dirty.is_empty();
-        if let Some(flush) = self.flush(fence.clone(), ops, now, awaited) {
-            return Some(flush);
+        let awaited = !self.end_queue.is_empty() || !self.assignment_queue.is_empty();
+        if let Some(rollups) = self.next_rollup_txn(fence.clone(), ops, now, awaited) {
+            return Some(rollups);
         }
         let mut txn = Txn { conditions: vec![fence], changes: Vec::new() };
         let mut written = Vec::new();
         let mut bytes = 0;
-        // An end is two changes, and as many more as the job has assignment records to remove.
-        // A record that is removed may touch the roll-ups of two days besides.
+        // A final record takes two changes, plus one for each assignment record of the job that is deleted.
+        // A deleted record may also change the roll-ups of two days.
         let room =
             |book: &Self, txn: &Txn| ops.saturating_sub(txn.changes.len() + book.rollups_touched());
-        let least = if self.account.is_some() { 3.min(ops) } else { 2 };
+        let min_room = if self.account.is_some() { 3.min(ops) } else { 2 };
         let full =
             |book: &Self, bytes: usize| bytes + book.rollups_touched() * ROLLUP_BYTES >= TXN_BYTES;
-        // What was refused alone is tried alone.
+        // An item that was rejected on its own is retried on its own.
         let mut retried = self.refusals.take_due(now);
-        let most = if retried.is_some() { 1 } else { self.refusals.most() };
+        let max_items = if retried.is_some() { 1 } else { self.refusals.most() };
         let mut items = 0;
-        while items < most && room(self, &txn) >= least && !full(self, bytes) {
-            let Some(item) = retried.take().or_else(|| self.pop()) else { break };
+        while items < max_items && room(self, &txn) >= min_room && !full(self, bytes) {
+            let Some(item) = retried.take().or_else(|| self.pop_due()) else { break };
             items += 1;
             let Item::End(id) = &item else {
-                let Some(done) = self.write(&item, &mut txn, &mut bytes) else {
+                let Some(write) = self.write_chunk(&item, &mut txn, &mut bytes) else {
                     items -= 1;
                     continue;
                 };
-                if done.deletes
+                if write.deletes
                     && let Item::Chunk(id, chunk) = &item
                 {
-                    self.spill(id, *chunk);
+                    self.move_usage_to_rollups(id, *chunk);
                 }
-                written.push(done);
+                written.push(write);
                 continue;
             };
-            // Alone and refused before, an end takes nothing along.
-            let beside = if most > 1 { room(self, &txn).saturating_sub(2) } else { 0 };
-            let chunks = self.leftovers(id, beside);
-            let Some(done) = self.write_end(id, chunks.is_some(), &mut txn, &mut bytes) else {
+            // A final record that is retried on its own deletes no assignment records.
+            let max_deletes = if max_items > 1 { room(self, &txn).saturating_sub(2) } else { 0 };
+            let chunks = self.deletable_chunks(id, max_deletes);
+            let Some(write) = self.write_end(id, chunks.is_some(), &mut txn, &mut bytes) else {
                 items -= 1;
                 continue;
             };
             if chunks.is_some() && self.account.is_some() {
-                // Guards against a record that is first written beside the final state which took its usage along:
-                // its removal would count it again.
+                // Guards against an assignment record that is first written beside the final record that already
+                // contains its usage: its deletion would count the usage again.
                 let all = self.jobs.get(id).map_or(0, |job| job.chunks.len() as u32);
                 for chunk in 0..all {
                     self.queued.remove(&Item::Chunk(id.clone(), chunk));
                 }
             }
-            written.push(done);
+            written.push(write);
             for chunk in chunks.unwrap_or_default() {
                 let item = Item::Chunk(id.clone(), chunk);
                 self.queued.remove(&item);
-                written.extend(self.remove(id, chunk, &mut txn));
+                written.extend(self.delete_chunk(id, chunk, &mut txn));
             }
         }
         self.write_rollups(&mut txn, &mut written);
         (!written.is_empty()).then_some((txn, written))
     }
 
-    pub(super) fn write(
+    /// Adds the write of an assignment record to a transaction, or its deletion if the job is finished and no task
+    /// of the chunk is assigned.
+    pub(super) fn write_chunk(
         &mut self,
         item: &Item,
         txn: &mut Txn,
@@ -183,23 +197,24 @@
                 let slot = job.chunks.get(*chunk as usize)?;
                 let empty = job.chunk_range(*chunk).all(|task| job.hold(task).is_none());
                 if job.state == JobState::Over && empty {
-                    return self.remove(id, *chunk, txn);
+                    return self.delete_chunk(id, *chunk, txn);
                 }
                 let Some(value) = self.chunk_value(job, *chunk) else {
-                    self.wait_for_room(item.clone());
+                    self.defer_oversized(item.clone());
                     return None;
                 };
                 let key = chunk_key(id, *chunk);
-                txn.conditions.push(Condition { key: key.clone(), version: slot.stamp });
-                if slot.stamp == Revision(0) {
+                txn.conditions.push(Condition { key: key.clone(), version: slot.key_version });
+                if slot.key_version == Revision(0) {
                     if job.state == JobState::Over {
-                        // What was sent to a machine stands in a record; none is created for a job that is over, whose
-                        // key no second condition could guard.
+                        // Assignments sent to a worker are already in a record. None is created for a finished job,
+                        // since its live key, which the second condition needs, no longer exists.
                         return None;
                     }
-                    // Guards against a late copy of this write that finds the key missing again, since the job has
-                    // ended: its record came back, stayed for ever, and its tasks were counted by the next leader.
-                    let version = job.live_stamp;
+                    // Guards against a delayed copy of this write that is applied after the job has ended and its
+                    // record was deleted: the record came back, was never deleted, and the next leader counted its
+                    // tasks.
+                    let version = job.live_revision;
                     txn.conditions.push(Condition { key: live_key(id), version });
                 }
                 *bytes += 60 + value.to_string().len();
@@ -213,7 +228,8 @@
         }
     }
 
-    /// Writes a job's final state, with its usage if its records go in the same write.
+    /// Adds a job's final record to a transaction, with its usage if its assignment records are deleted in the same
+    /// transaction.
     pub(super) fn write_end(
         &mut self,
         id: &JobId,
@@ -221,7 +237,7 @@
         txn: &mut Txn,
         bytes: &mut usize,
     ) -> Option<Written> {
-        let when = |key: String, version| Condition { key, version };
+        let condition = |key: String, version| Condition { key, version };
         let job = self.jobs.get(id)?;
         let JobState::Ending(status) = job.state else {
             return None;
@@ -229,55 +245,57 @@
         let spent = self.spent(job, with_records);
         let record = self.over_record(job, status, spent.clone());
         let value = serde_json::to_value(record).unwrap_or(Value::Null);
-        if !self.fits(&value) {
-            self.wait_for_room(Item::End(id.clone()));
+        if !self.fits_limit(&value) {
+            self.defer_oversized(Item::End(id.clone()));
             return None;
         }
-        txn.conditions.push(when(over_key(id), Revision(0)));
-        txn.conditions.push(when(live_key(id), job.live_stamp));
+        txn.conditions.push(condition(over_key(id), Revision(0)));
+        txn.conditions.push(condition(live_key(id), job.live_revision));
         *bytes += 60 + value.to_string().len();
         txn.changes.push(Change::put(over_key(id), value));
         txn.changes.push(Change::Delete { key: live_key(id) });
         Some(Written { spent, ..Written::of(Item::End(id.clone())) })
     }
 
-    /// Removes an assignment record, if there is one.
-    pub(super) fn remove(&self, id: &JobId, chunk: u32, txn: &mut Txn) -> Option<Written> {
+    /// Adds the deletion of an assignment record to a transaction, if the record exists.
+    pub(super) fn delete_chunk(&self, id: &JobId, chunk: u32, txn: &mut Txn) -> Option<Written> {
         let slot = self.jobs.get(id)?.chunks.get(chunk as usize)?;
-        if slot.stamp == Revision(0) {
+        if slot.key_version == Revision(0) {
             return None;
         }
         let key = chunk_key(id, chunk);
-        txn.conditions.push(Condition { key: key.clone(), version: slot.stamp });
+        txn.conditions.push(Condition { key: key.clone(), version: slot.key_version });
         txn.changes.push(Change::Delete { key });
         let item = Item::Chunk(id.clone(), chunk);
         Some(Written { version: slot.version, deletes: true, ..Written::of(item) })
     }
 
-    /// Records that can go together with the job's end, since nothing of it is on a machine: saves
-    /// writing what its last tasks have done.
-    pub(super) fn leftovers(&self, id: &JobId, most: usize) -> Option<Vec<u32>> {
+    /// Chunks whose records can be deleted together with the write of the final record, since no task of the job is
+    /// assigned. This saves the write of the last completed tasks. `None` if that takes more than `limit` deletions.
+    pub(super) fn deletable_chunks(&self, id: &JobId, limit: usize) -> Option<Vec<u32>> {
         let job = self.jobs.get(id).filter(|job| job.held == 0)?;
         let chunks = job.stored_chunks();
-        (chunks.len() <= most).then_some(chunks)
+        (chunks.len() <= limit).then_some(chunks)
     }
 
-    /// A transaction was applied at `revision`. Returns the jobs whose end is now durable.
+    /// Applies the commit of a transaction at `revision`. Returns the jobs whose final record is now durable.
     pub fn committed(
         &mut self,
         written: &[Written],
         revision: Revision,
     ) -> Vec<(JobId, OverRecord)> {
-        self.refusals.taken(written.iter().map(|done| &done.item));
-        let mut over = Vec::new();
-        // Records before ends: guards against forgetting a job whose record was written along with
-        // its end, and which nobody would remove any more.
+        self.refusals.taken(written.iter().map(|write| &write.item));
+        let mut finished = Vec::new();
+        // Assignment records go before final records: guards against dropping a job whose assignment record was
+        // written in the same transaction as its final record, and which would then never be deleted.
         let (ends, chunks): (Vec<&Written>, Vec<&Written>) =
-            written.iter().partition(|w| matches!(w.item, Item::End(_)));
-        for done in chunks.into_iter().chain(ends) {
-            match &done.item {
-                Item::Rollup(_) | Item::Cursor => self.rollup_committed(&done.item, revision),
-                Item::End(id) => over.extend(self.ended(id, done.spent.clone(), revision)),
+            written.iter().partition(|write| matches!(write.item, Item::End(_)));
+        for write in chunks.into_iter().chain(ends) {
+            match &write.item {
+                Item::Rollup(_) | Item::Cursor => self.rollup_committed(&write.item, revision),
+                Item::End(id) => {
+                    finished.extend(self.end_committed(id, write.spent.clone(), revision))
+                }
                 Item::Chunk(id, chunk) => {
                     let Some(job) = self.jobs.get_mut(id) else {
                         continue;
@@ -285,137 +303,152 @@
                     let Some(slot) = job.chunks.get_mut(*chunk as usize) else {
                         continue;
                     };
-                    slot.stamp = if done.deletes { Revision(0) } else { revision };
-                    slot.durable = slot.durable.max(done.version);
-                    if !done.done.is_empty() {
-                        self.progress.push((id.clone(), done.done.clone()));
+                    slot.key_version = if write.deletes { Revision(0) } else { revision };
+                    slot.durable = slot.durable.max(write.version);
+                    if !write.done.is_empty() {
+                        self.progress.push((id.clone(), write.done.clone()));
                     }
-                    if done.deletes {
+                    if write.deletes {
                         job.usage.remove(chunk);
                     }
-                    self.sweep(id);
+                    self.drop_if_unneeded(id);
                 }
             }
         }
-        over
+        finished
     }
 
-    /// The end of a job is durable.
-    pub(super) fn ended(
+    /// Marks a job as finished: its final record is durable at `revision`.
+    pub(super) fn end_committed(
         &mut self,
         id: &JobId,
         spent: Option<Arc<Spent>>,
-        stamp: Revision,
+        revision: Revision,
     ) -> Option<(JobId, OverRecord)> {
         let job = self.jobs.get_mut(id)?;
         let JobState::Ending(status) = job.state else {
             return None;
         };
-        job.enter(JobState::Over, "durable");
+        job.set_state(JobState::Over, "its final record is durable");
         self.stop_waiting(id);
         let job = self.jobs.get(id)?;
         let record = self.over_record(job, status, spent);
-        self.counted(id, &record, stamp);
+        self.count_final_record(id, &record, revision);
         self.dependency_ended(id, status, self.now);
         let job = self.jobs.get(id)?;
         for chunk in job.stored_chunks() {
-            self.enqueue(Item::Chunk(id.clone(), chunk), Haste::Lazy);
+            self.enqueue(Item::Chunk(id.clone(), chunk), WritePriority::Deferred);
         }
-        self.sweep(id);
+        self.drop_if_unneeded(id);
         Some((id.clone(), record))
     }
 
-    /// Drops a job that is over once nothing of it is left on machines or in the store.
-    pub(super) fn sweep(&mut self, id: &JobId) {
-        let gone = self.jobs.get(id).is_some_and(|job| {
+    /// Removes a finished job from memory once it has neither assigned tasks nor assignment records.
+    pub(super) fn drop_if_unneeded(&mut self, id: &JobId) {
+        let unneeded = self.jobs.get(id).is_some_and(|job| {
             job.state == JobState::Over
                 && job.held == 0
-                && job.chunks.iter().all(|c| c.stamp == Revision(0))
+                && job.chunks.iter().all(|c| c.key_version == Revision(0))
         });
-        if gone {
+        if unneeded {
             self.jobs.remove(id);
         }
     }
 
-    /// A transaction failed or its fate is unknown: its items are to be written again.
+    /// Queues the items of a transaction again that failed or whose outcome is unknown.
     pub fn requeue(&mut self, written: Vec<Written>) {
         self.rollups_abandoned();
-        for done in written {
-            if matches!(done.item, Item::End(_) | Item::Chunk(..)) {
-                self.enqueue(done.item, Haste::Soon);
+        for write in written {
+            if matches!(write.item, Item::End(_) | Item::Chunk(..)) {
+                self.enqueue(write.item, WritePriority::Immediate);
             }
         }
     }
 
-    /// A transaction was refused for what it is: it is not written as it was again.
+    /// Handles a transaction that the state service rejected because of its content; it is not repeated unchanged.
     pub fn refused(&mut self, written: Vec<Written>, now: Mono) {
-        let own = |done: &&Written| matches!(done.item, Item::End(_) | Item::Chunk(..));
-        let mut items: Vec<Item> = written.iter().filter(own).map(|w| w.item.clone()).collect();
-        // An end takes records along, and is written without them if it is refused.
+        let is_job_item = |write: &&Written| matches!(write.item, Item::End(_) | Item::Chunk(..));
+        let mut items: Vec<Item> =
+            written.iter().filter(is_job_item).map(|write| write.item.clone()).collect();
+        // Final records sort first. A rejected one is retried without the deletion of assignment records.
         items.sort();
         match self.refusals.refused(&items, now) {
-            None => self.flush_refused(now),
+            None => self.rollups_refused(now),
             Some(Refusal::Smaller) => {
-                log::warn!("store: writing {} items at once from here on", self.refusals.most());
+                log::warn!(
+                    "store: transaction rejected; limiting transactions to {} items",
+                    self.refusals.most()
+                );
             }
             Some(Refusal::SetAside(item, pause)) => {
-                log::error!("store: {} is refused alone; again in {pause:?}", Self::key_of(&item));
+                log::error!(
+                    "store: write of {} rejected on its own; retrying in {pause:?}",
+                    Self::key_of(&item)
+                );
             }
         }
         self.requeue(written);
     }
 
-    /// What does not fit a value at present is written later: by then some of it may have ended.
-    fn wait_for_room(&mut self, item: Item) {
+    /// Delays a write that exceeds the value limit: by the retry some of its tasks may have ended.
+    fn defer_oversized(&mut self, item: Item) {
         let pause = self.refusals.set_aside(item.clone(), self.now);
-        log::error!("store: {} does not fit a value; again in {pause:?}", Self::key_of(&item));
+        log::error!(
+            "store: value of {} exceeds the size limit; retrying in {pause:?}",
+            Self::key_of(&item)
+        );
     }
 
-    /// What the store holds under the key of an item whose fate was unknown: its version, and
-    /// whether a job's end was found there.
+    /// Takes the stored row of an item whose write had an unknown outcome. Returns the job and its final record if
+    /// that is now known to be durable.
     pub fn resolved(&mut self, item: &Item, row: Option<Row>) -> Option<(JobId, OverRecord)> {
-        let stamp = row.as_ref().map_or(Revision(0), |row| row.version);
+        let revision = row.as_ref().map_or(Revision(0), |row| row.version);
         match item {
             Item::Rollup(_) | Item::Cursor => {
                 let found = row.as_ref().map(|row| (&row.value, row.version));
                 self.rollup_resolved(item, found);
                 None
             }
-            Item::End(id) if stamp > Revision(0) => {
+            Item::End(id) if revision > Revision(0) => {
                 let read = row.and_then(|row| serde_json::from_value::<OverRecord>(row.value).ok());
-                // What stands in the store is the end, whatever was decided here. Guards against a leader that was cut off
-                // and finds the end that a later one has written before it hears of that one: it told its own for ever.
+                // The stored final record wins over a decision made here. Guards against a partitioned leader that
+                // finds the final record of a later leader before it learns of that leader: it kept reporting its
+                // own decision.
                 if let (Some(record), Some(job)) = (&read, self.jobs.get_mut(id))
                     && !matches!(job.state, JobState::Over)
                     && job.state != JobState::Ending(record.status)
                 {
-                    log::warn!("job {id}: was {:?} here, and is {:?}", job.state, record.status);
-                    job.enter(JobState::Ending(record.status), "its final state was found");
+                    log::warn!(
+                        "job {id}: is {:?} here, but its stored final status is {:?}",
+                        job.state,
+                        record.status
+                    );
+                    job.set_state(JobState::Ending(record.status), "found its stored final record");
                 }
                 let spent = read.as_ref().and_then(|record| record.spent.clone());
-                let (id, own) = self.ended(id, spent, stamp)?;
-                Some((id, read.unwrap_or(own)))
+                let (id, computed) = self.end_committed(id, spent, revision)?;
+                Some((id, read.unwrap_or(computed)))
             }
             Item::End(_) => None,
             Item::Chunk(id, chunk) => {
                 if let Some(slot) =
                     self.jobs.get_mut(id).and_then(|job| job.chunks.get_mut(*chunk as usize))
                 {
-                    slot.stamp = stamp;
+                    slot.key_version = revision;
                 }
-                if stamp == Revision(0)
+                if revision == Revision(0)
                     && let Some(job) = self.jobs.get_mut(id).filter(|j| j.state == JobState::Over)
                 {
-                    // Its removal was applied, and what it had used is where that put it.
+                    // The deletion was applied, and with it the move of the usage.
                     job.usage.remove(chunk);
                 }
-                self.sweep(id);
+                self.drop_if_unneeded(id);
                 None
             }
         }
     }
 
-    /// Key whose reading settles an item.
+    /// Key of an item in the state service.
     pub fn key_of(item: &Item) -> String {
         match item {
             Item::End(id) => over_key(id),
