--- a/crates/core/src/jobs/fitting.rs
+++ b/crates/core/src/jobs/fitting.rs
@@ -131,8 +131,9 @@
         let max_bytes = |hold: &Hold| {
             2 * (hold.host.as_str().len() + hold.zone.as_str().len()) + ASSIGNMENT_BYTES_MOST
         };
-        let held: usize = range.clone().filter_map(|task| job.hold(task)).map(max_bytes).sum();
-        if !self.limited && held + max_bytes(hold) + CHUNK_HEAD_BYTES <= limit {
+        let held_bytes: usize =
+            range.clone().filter_map(|task| job.hold(task)).map(max_bytes).sum();
+        if !self.limited && held_bytes + max_bytes(hold) + CHUNK_HEAD_BYTES <= limit {
             return true;
         }
         let mut record = job.record(chunk);
--- a/crates/core/src/jobs/mod.rs
+++ b/crates/core/src/jobs/mod.rs
@@ -73,7 +73,7 @@
     /// Size limits and form of stored records.
     pub limits: RecordLimits,
     /// Items that the state service rejected on their own, or that do not fit into a value yet.
-    refusals: Refusals<Item>,
+    backoff: Refusals<Item>,
     /// Whether the warning about a full assignment record was logged.
     full_record_logged: bool,
 }
@@ -129,7 +129,7 @@
     }
 
     /// Loads an assignment record read from the state service and returns the assignments it holds. For a
-    /// finished job, its tasks count as running until proven gone; then the record is removed.
+    /// finished job, its tasks count as running until proven gone; then the record is deleted.
     pub fn load_chunk(
         &mut self,
         id: &JobId,
--- a/crates/core/src/jobs/usage.rs
+++ b/crates/core/src/jobs/usage.rs
@@ -33,7 +33,7 @@
     /// Values of roll-ups that could not be read; the next transaction stores a copy under another key.
     damaged: BTreeMap<Slot, serde_json::Value>,
     /// State of roll-up transactions that the state service rejected.
-    refusals: Refusals<()>,
+    backoff: Refusals<()>,
     /// Since when roll-ups are postponed in favor of writes that users or workers wait for.
     postponed_since: Option<Mono>,
 }
@@ -147,7 +147,7 @@
     ) -> Option<(Txn, Vec<Written>)> {
         let account = self.account.as_mut()?;
         let open_from = account.open_from();
-        if account.refusals.holds(&()) && account.refusals.take_due(now).is_none()
+        if account.backoff.holds(&()) && account.backoff.take_due(now).is_none()
             || !account.rollups.flush_due(now, open_from)
             || account.postpone(now, awaited)
         {
@@ -155,7 +155,7 @@
         }
         account.postponed_since = None;
         let max_rollups = ops.saturating_sub(1).clamp(1, TXN_BYTES / ROLLUP_BYTES);
-        let max_rollups = max_rollups.min(account.refusals.most());
+        let max_rollups = max_rollups.min(account.backoff.most());
         account.cursor = account.rollups.flush(max_rollups, now, open_from);
         let (mut txn, mut written) =
             (Txn { conditions: vec![fence], changes: Vec::new() }, Vec::new());
@@ -168,7 +168,7 @@
     pub(super) fn rollups_refused(&mut self, now: Mono) {
         let Some(account) = self.account.as_mut() else { return };
         let rollups = vec![(); account.rollups.touched().max(1)];
-        if let Some(Refusal::SetAside((), pause)) = account.refusals.refused(&rollups, now) {
+        if let Some(Refusal::SetAside((), pause)) = account.backoff.refused(&rollups, now) {
             log::error!("ledger: roll-up rejected on its own; retrying in {pause:?}");
         }
     }
@@ -189,7 +189,7 @@
         match item {
             Item::Rollup(slot) => account.rollups.committed(slot, revision),
             Item::Cursor => {
-                account.refusals.taken([()].iter());
+                account.backoff.taken([()].iter());
                 if let Some(cursor) = account.cursor.take() {
                     account.rollups.cursor_committed(cursor, revision);
                 }
@@ -215,20 +215,20 @@
         let Some(account) = self.account.as_mut() else { return };
         match item {
             Item::Rollup(slot) => {
-                let found = row.map(|(value, stamp)| {
+                let found = row.map(|(value, revision)| {
                     let read = serde_json::from_value::<Rollup>(value.clone());
                     let rollup = read.unwrap_or_else(|e| {
                         log::error!("ledger: {} is damaged; storing a copy: {e}", slot.key());
                         account.damaged.insert(slot.clone(), value.clone());
                         Rollup { gap: true, ..Rollup::default() }
                     });
-                    (rollup, stamp)
+                    (rollup, revision)
                 });
                 account.rollups.resolved(slot, found);
             }
             Item::Cursor => {
-                let read = |(value, stamp): (&serde_json::Value, Revision)| {
-                    Some((serde_json::from_value(value.clone()).ok()?, stamp))
+                let read = |(value, revision): (&serde_json::Value, Revision)| {
+                    Some((serde_json::from_value(value.clone()).ok()?, revision))
                 };
                 let start_revision = account.start_revision;
                 account.rollups.set_cursor(row.and_then(read), start_revision);
--- a/crates/core/src/jobs/writing.rs
+++ b/crates/core/src/jobs/writing.rs
@@ -51,7 +51,7 @@
 impl Book {
     /// Number of items that are not written yet.
     pub fn unwritten(&self) -> usize {
-        self.queued.len() + self.refusals.waiting()
+        self.queued.len() + self.backoff.waiting()
     }
 
     /// Marks the chunk of a task as changed.
@@ -68,7 +68,7 @@
         // Raising the priority of a queued item leaves a stale entry in the other queue, which `pop_due` skips.
         // An item that the state service rejected on its own is retried without being queued.
         let is_queued = self.queued.get(&item).is_some_and(|queued| *queued >= priority);
-        if is_queued || self.refusals.holds(&item) {
+        if is_queued || self.backoff.holds(&item) {
             return;
         }
         self.queued.insert(item.clone(), priority);
@@ -107,7 +107,7 @@
             };
             if self.queued.get(&item) == Some(&priority) {
                 self.queued.remove(&item);
-                if !self.refusals.holds(&item) {
+                if !self.backoff.holds(&item) {
                     return Some(item);
                 }
             }
@@ -137,8 +137,8 @@
         let full =
             |book: &Self, bytes: usize| bytes + book.rollups_touched() * ROLLUP_BYTES >= TXN_BYTES;
         // An item that was rejected on its own is retried on its own.
-        let mut retried = self.refusals.take_due(now);
-        let max_items = if retried.is_some() { 1 } else { self.refusals.most() };
+        let mut retried = self.backoff.take_due(now);
+        let max_items = if retried.is_some() { 1 } else { self.backoff.most() };
         let mut items = 0;
         while items < max_items && room(self, &txn) >= min_room && !full(self, bytes) {
             let Some(item) = retried.take().or_else(|| self.pop_due()) else { break };
@@ -284,7 +284,7 @@
         written: &[Written],
         revision: Revision,
     ) -> Vec<(JobId, OverRecord)> {
-        self.refusals.taken(written.iter().map(|write| &write.item));
+        self.backoff.taken(written.iter().map(|write| &write.item));
         let mut finished = Vec::new();
         // Assignment records go before final records: guards against dropping a job whose assignment record was
         // written in the same transaction as its final record, and which would then never be deleted.
@@ -372,12 +372,12 @@
             written.iter().filter(is_job_item).map(|write| write.item.clone()).collect();
         // Final records sort first. A rejected one is retried without the deletion of assignment records.
         items.sort();
-        match self.refusals.refused(&items, now) {
+        match self.backoff.refused(&items, now) {
             None => self.rollups_refused(now),
             Some(Refusal::Smaller) => {
                 log::warn!(
                     "store: transaction rejected; limiting transactions to {} items",
-                    self.refusals.most()
+                    self.backoff.most()
                 );
             }
             Some(Refusal::SetAside(item, pause)) => {
@@ -392,7 +392,7 @@
 
     /// Delays a write that exceeds the value limit: by the retry some of its tasks may have ended.
     fn defer_oversized(&mut self, item: Item) {
-        let pause = self.refusals.set_aside(item.clone(), self.now);
+        let pause = self.backoff.set_aside(item.clone(), self.now);
         log::error!(
             "store: value of {} exceeds the size limit; retrying in {pause:?}",
             Self::key_of(&item)
