--- a/crates/core/src/operators.rs
+++ b/crates/core/src/operators.rs
@@ -12,6 +12,7 @@
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
+#[cfg_attr(feature = "schema", schemars(rename = "Operators"))]
 pub struct Operators {
     /// `error`, `warn`, `info`, `debug` or `trace`; the environment variable `LOG_LEVEL` takes precedence.
     pub log_level: String,
