--- a/crates/core/src/jobs/dependencies.rs
+++ b/crates/core/src/jobs/dependencies.rs
@@ -24,7 +24,7 @@
 pub struct Dependencies {
     /// Waiting jobs by the dependency whose end is not known yet.
     dependents: BTreeMap<JobId, BTreeSet<JobId>>,
-    /// Dependencies that are not unfinished jobs in the job table: their final records have to be read.
+    /// Dependencies that are not among the unfinished jobs of the job table: their final records have to be read.
     unresolved: BTreeSet<JobId>,
     /// Waiting jobs by the revision at which they were accepted: a job is accepted after all its dependencies.
     waiting: BTreeSet<(Revision, JobId)>,
@@ -179,9 +179,9 @@
         true
     }
 
-    /// Passes the ranks and deadlines of waiting jobs on to their dependencies. `latest_start` gives the time by which a
-    /// job has to be released, if there is one. Jobs are visited from the last accepted to the first, so that one pass
-    /// covers chains of any length.
+    /// Passes the ranks and deadlines of waiting jobs on to their dependencies. `latest_start` gives the time by
+    /// which a job has to be released, if there is one. Jobs are visited from the last accepted to the first, so that
+    /// one pass covers chains of any length.
     pub fn inherit(&mut self, latest_start: impl Fn(&Job) -> Option<Mono>) {
         let dependencies: Vec<JobId> = self.dependencies.dependents.keys().cloned().collect();
         for id in &dependencies {
--- a/crates/core/src/jobs/fitting.rs
+++ b/crates/core/src/jobs/fitting.rs
@@ -121,8 +121,8 @@
         size(value) <= self.limits.most
     }
 
-    /// Whether the record of a task's chunk has room for one more assignment. Guards against a record that grows too large
-    /// to be written: its tasks would never start, and the ends of its tasks would never become durable.
+    /// Whether the record of a task's chunk has room for one more assignment. Guards against a record that grows too
+    /// large to be written: its tasks would never start, and the ends of its tasks would never become durable.
     pub(super) fn record_has_room(&mut self, id: &JobId, index: u32, hold: &Hold) -> bool {
         let Some(job) = self.jobs.get(id) else { return false };
         let chunk = index / CHUNK_TASKS;
--- a/crates/core/src/jobs/fitting/tests.rs
+++ b/crates/core/src/jobs/fitting/tests.rs
@@ -107,7 +107,8 @@
     assert!(book.hold(&id, 95, hold(&name(95), 6)));
 }
 
-/// A larger record of an earlier version is read, rewritten within the limit once it fits, and deleted with the job's end.
+/// A larger record of an earlier version is read, rewritten within the limit once it fits, and deleted with the job's
+/// end.
 #[test]
 fn a_larger_record_is_read_and_rewritten_smaller() {
     for long in [8, 100] {
@@ -186,7 +187,8 @@
 }
 
 /// A rejected transaction is split into smaller ones, and an item that is rejected on its own delays no other. Guards
-/// against the same transaction being repeated once or twice a second for ever, so that nothing became durable any more.
+/// against the same transaction being repeated once or twice a second for ever, so that nothing became durable any
+/// more.
 #[test]
 fn an_item_rejected_on_its_own_delays_no_other() {
     let (mut book, id) = book(960, SMALL);
--- a/crates/core/src/jobs/packed.rs
+++ b/crates/core/src/jobs/packed.rs
@@ -1,8 +1,8 @@
 //! The packed form of an assignment record: assignments and failures as `postcard` in base64, about ten bytes for each
 //! assignment. Written only once no controller runs a version that does not read it.
 //!
-//! Machine names that differ only in a number at their end are stored as that number. Rows are sorted by attempt number,
-//! so that the differences between rows are mostly small.
+//! Machine names that differ only in a number at their end are stored as that number. Rows are sorted by attempt
+//! number, so that the differences between rows are mostly small.
 
 use super::records::Assignment;
 use crate::constants::CHUNK_TASKS;
@@ -91,7 +91,7 @@
 struct PackedCharges {
     hosts: Vec<HostId>,
     excused: Vec<u16>,
-    /// Index of the task in its chunk, index of the machine plus one (0: no machine), failures.
+    /// Index of the task in its chunk, index of the machine plus one (0: machine not named), failures.
     rows: Vec<(u32, u32, u32)>,
     counted: Option<Attempt>,
 }
--- a/crates/core/src/jobs/tests.rs
+++ b/crates/core/src/jobs/tests.rs
@@ -242,8 +242,8 @@
     assert_eq!(written_end(&mut book), (JobStatus::Done, false));
 }
 
-/// A failure is in the same write as the end of its assignment and survives a change of leader. Records of chunks without
-/// failures do not grow.
+/// A failure is in the same write as the end of its assignment and survives a change of leader. Records of chunks
+/// without failures do not grow.
 #[test]
 fn a_failure_is_written_with_the_end_of_its_assignment() {
     let (mut book, id) = book(200);
@@ -268,8 +268,8 @@
     );
 }
 
-/// A record stays below the smallest value limit in use with every task assigned, earlier failures of each, and usage on
-/// many machine types.
+/// A record stays below the smallest value limit in use with every task assigned, earlier failures of each, and usage
+/// on many machine types.
 #[test]
 fn a_full_chunk_with_failures_and_usage_fits_a_value() {
     let (mut book, id) = book(CHUNK_TASKS);
--- a/crates/core/src/refusals.rs
+++ b/crates/core/src/refusals.rs
@@ -1,6 +1,7 @@
 //! Handling of transactions that the state service rejects because of their content rather than the rate of requests.
 //! They are split into smaller ones, down to one item; an item that is rejected on its own is retried after an
-//! exponential delay, so that all others continue. No item is dropped, and no transaction is repeated unchanged at once.
+//! exponential delay, so that all others continue. No item is dropped, and no transaction is repeated unchanged at
+//! once.
 
 use crate::constants::*;
 use oatloom_protocol::ids::{Millis, Mono};
--- a/crates/core/src/store.rs
+++ b/crates/core/src/store.rs
@@ -241,7 +241,7 @@
         self.purposes.is_empty()
     }
 
-    /// When the service last answered an operation that it executed.
+    /// When the service last gave an answer other than 429 or 503.
     pub fn last_good(&self) -> Mono {
         self.last_success
     }
@@ -351,8 +351,8 @@
 
     /// Removes the operations that waited too long for the pacer; they were never sent.
     pub fn expired(&mut self, now: Mono) -> Vec<OpId> {
-        // All have the same time-out, so the first one queued expires first. Checking only that one keeps this cheap: it
-        // is called at every event.
+        // All have the same time-out, so the first one queued expires first. Checking only that one keeps this cheap:
+        // it is called at every event.
         let first = self.queue.iter().find(|queued| queued.lane != Lane::Write);
         if first.is_none_or(|queued| now < queued.expires_at) {
             return Vec::new();
@@ -505,7 +505,8 @@
         assert!(reads > 700, "{reads} reads");
     }
 
-    /// The leader uses the changes that its peers leave until the service throttles it, then only its share for a while.
+    /// The leader uses the changes that its peers leave until the service throttles it, then only its share for a
+    /// while.
     #[test]
     fn the_leader_uses_the_remaining_changes() {
         let mut store = client();
@@ -545,8 +546,8 @@
         assert_eq!(store.changes.rate, 25.0 * LEADER_SHARE);
     }
 
-    /// The wait of a further change is predicted. Guards against submissions that queue at one follower while the leader's
-    /// share is unused.
+    /// The wait of a further change is predicted. Guards against submissions that queue at one follower while the
+    /// leader's share is unused.
     #[test]
     fn the_wait_of_a_change_is_predicted() {
         let mut store = client();
--- a/crates/core/tests/dependencies.rs
+++ b/crates/core/tests/dependencies.rs
@@ -97,8 +97,8 @@
     assert!(book.take_released() && !book.take_released());
 }
 
-/// All dependents of a cancelled job are reported as cancelled as soon as its final record is durable, however many there
-/// are and however few changes a transaction may have.
+/// All dependents of a cancelled job are reported as cancelled as soon as its final record is durable, however many
+/// there are and however few changes a transaction may have.
 #[test]
 fn dependents_of_a_cancelled_job_are_reported_cancelled_at_once() {
     let mut book = Book::default();
