--- a/crates/core/src/jobs/fitting/tests.rs
+++ b/crates/core/src/jobs/fitting/tests.rs
@@ -27,12 +27,12 @@
     }
 }
 
-fn book(tasks: u32, limits: RecordLimits) -> (Book, JobId) {
-    let mut book = Book { limits, ..Book::default() };
+fn job_table(tasks: u32, limits: RecordLimits) -> (Book, JobId) {
+    let mut job_table = Book { limits, ..Book::default() };
     let now = Now { mono: Mono(1000), wall_ms: 1000 };
     let record = LiveRecord { spec: spec("req-1", Shape::Array, tasks), wall_ms: 900, part: None };
-    book.insert(record, Revision(5), now);
-    (book, JobId::new("req-1"))
+    job_table.insert(record, Revision(5), now);
+    (job_table, JobId::new("req-1"))
 }
 
 fn entry(task: u32, flavor: &str, day: u64) -> Entry {
@@ -66,24 +66,24 @@
 /// A record with all 96 tasks of a chunk on different machines, failures, and usage of two days and many machine types.
 #[test]
 fn a_full_chunk_fits_two_kib() {
-    let (mut book, id) = book(100_000, SMALL);
-    book.account = Some(Account::default());
+    let (mut job_table, id) = job_table(100_000, SMALL);
+    job_table.account = Some(Account::default());
     for task in 960..1_056 {
-        assert!(book.hold(&id, task, hold(&format!("i-{:06}", task * 37 % 4_000), 7 << 41)));
+        assert!(job_table.hold(&id, task, hold(&format!("i-{:06}", task * 37 % 4_000), 7 << 41)));
     }
     for n in 0..40u32 {
         let entry = entry(970, &format!("kivotos-{}", n % 20), 20_000 + u64::from(n % 2));
-        book.account(&entry);
+        job_table.account(&entry);
     }
-    let job = book.jobs.get_mut(&id).unwrap();
+    let job = job_table.jobs.get_mut(&id).unwrap();
     for n in 0..20u32 {
         job.charges.add(960 + n, &HostId::new(&format!("i-{n:06}")));
     }
-    let (txn, _) = book.next_txn(fence(), 5, Mono(10_000)).unwrap();
+    let (txn, _) = job_table.next_txn(fence(), 5, Mono(10_000)).unwrap();
     let Change::Put { value, .. } = &txn.changes[0] else { panic!("{txn:?}") };
     assert!(size(value) <= SMALL.value, "{} bytes", size(value));
     let read: ChunkRecord = serde_json::from_value(value.clone()).unwrap();
-    assert_eq!(read.held, book.jobs[&id].record(10).held);
+    assert_eq!(read.held, job_table.jobs[&id].record(10).held);
     let failures: u32 = read.charges.rows.iter().map(|row| row.2).sum();
     assert_eq!(failures, 20);
     let attempts: u64 = read.usage.days().map(|(_, tally)| tally.total().attempts).sum();
@@ -93,18 +93,18 @@
 /// With long machine names, only as many tasks are assigned as fit into the record, and all of them are in it.
 #[test]
 fn assignments_are_limited_to_what_a_record_takes() {
-    let (mut book, id) = book(96, SMALL);
+    let (mut job_table, id) = job_table(96, SMALL);
     let name = |n: u32| format!("{n}-{}", "x".repeat(100));
-    let held = (0..96).filter(|n| book.hold(&id, *n, hold(&name(*n), 5))).count();
+    let held = (0..96).filter(|n| job_table.hold(&id, *n, hold(&name(*n), 5))).count();
     assert!((5..20).contains(&held), "{held}");
-    let (txn, written) = book.next_txn(fence(), 5, Mono(10_000)).unwrap();
+    let (txn, written) = job_table.next_txn(fence(), 5, Mono(10_000)).unwrap();
     let Change::Put { value, .. } = &txn.changes[0] else { panic!("{txn:?}") };
     assert!(size(value) <= SMALL.value);
-    book.committed(&written, Revision(9));
-    assert_eq!((0..96).filter(|n| book.jobs[&id].durable(*n)).count(), held);
+    job_table.committed(&written, Revision(9));
+    assert_eq!((0..96).filter(|n| job_table.jobs[&id].durable(*n)).count(), held);
     // A task that has ended makes room for another.
-    book.free(&id, 0, true);
-    assert!(book.hold(&id, 95, hold(&name(95), 6)));
+    job_table.free(&id, 0, true);
+    assert!(job_table.hold(&id, 95, hold(&name(95), 6)));
 }
 
 /// A larger record of an earlier version is read, rewritten within the limit once it fits, and deleted with the job's
@@ -113,10 +113,10 @@
 fn a_larger_record_is_read_and_rewritten_smaller() {
     for long in [8, 100] {
         let name = |n: u32| format!("{n}-{}", "x".repeat(long));
-        let (mut old, id) = book(96, RecordLimits { most: 16_384, ..RecordLimits::default() });
+        let (mut old, id) = job_table(96, RecordLimits { most: 16_384, ..RecordLimits::default() });
         assert!((0..96).all(|n| old.hold(&id, n, hold(&name(n), 5))));
         let stored = old.jobs[&id].record(0);
-        let (mut new, _) = book(96, SMALL);
+        let (mut new, _) = job_table(96, SMALL);
         assert_eq!(new.load_chunk(&id, 0, stored, Revision(7), Mono(5)).len(), 96);
         let mut now = Mono(10_000);
         let mut smallest = 96;
@@ -144,17 +144,17 @@
 /// A final record with many failure causes and much usage fits, and the returned record equals the stored one.
 #[test]
 fn a_final_record_fits_two_kib() {
-    let (mut book, id) = book(10, SMALL);
-    book.account = Some(Account::default());
+    let (mut job_table, id) = job_table(10, SMALL);
+    job_table.account = Some(Account::default());
     for n in 0..40u32 {
-        book.account(&entry(0, &format!("kivotos-{}", n % 20), 20_000 + u64::from(n % 2)));
+        job_table.account(&entry(0, &format!("kivotos-{}", n % 20), 20_000 + u64::from(n % 2)));
     }
     let cause = |n: u32| FailureCause {
         host: Some(HostId::new(&format!("machine-with-a-long-name-{n:030}"))),
         cause: Cause::Error,
         count: 1,
     };
-    book.fail(
+    job_table.fail(
         &id,
         oatloom_policy::classes::OnExhausted::FailJob,
         Failure {
@@ -165,11 +165,11 @@
             causes: (0..20).map(cause).collect(),
         },
     );
-    book.end(&id, JobStatus::Failed, "retries used up");
-    let (txn, written) = book.next_txn(fence(), 5, Mono(10_000)).unwrap();
+    job_table.end(&id, JobStatus::Failed, "retries used up");
+    let (txn, written) = job_table.next_txn(fence(), 5, Mono(10_000)).unwrap();
     let Change::Put { value, .. } = &txn.changes[0] else { panic!("{txn:?}") };
     assert!(size(value) <= SMALL.value, "{} bytes", size(value));
-    let finished = book.committed(&written, Revision(9));
+    let finished = job_table.committed(&written, Revision(9));
     assert_eq!(serde_json::to_value(&finished[0].1).unwrap(), *value);
     let failure = finished[0].1.failure.as_ref().unwrap();
     assert_eq!(failure.causes.iter().map(|cause| cause.count).sum::<u32>(), 20);
@@ -178,9 +178,9 @@
 /// The row form is byte for byte what the earlier version writes.
 #[test]
 fn row_form_matches_the_earlier_version() {
-    let (mut book, id) = book(3, RecordLimits::default());
-    assert!(book.hold(&id, 1, hold("i-000231", (7 << 20) + 3)));
-    let (txn, _) = book.next_txn(fence(), 16, Mono(10_000)).unwrap();
+    let (mut job_table, id) = job_table(3, RecordLimits::default());
+    assert!(job_table.hold(&id, 1, hold("i-000231", (7 << 20) + 3)));
+    let (txn, _) = job_table.next_txn(fence(), 16, Mono(10_000)).unwrap();
     let Change::Put { value, .. } = &txn.changes[0] else { panic!("{txn:?}") };
     let text = r#"{"a":[[1,7340035,"i-000231",1,"kalamaria"]],"d":"0","u":["t",1.0,0.0,1.0,3]}"#;
     assert_eq!(value.to_string(), text);
@@ -191,31 +191,31 @@
 /// more.
 #[test]
 fn an_item_rejected_on_its_own_delays_no_other() {
-    let (mut book, id) = book(960, SMALL);
+    let (mut job_table, id) = job_table(960, SMALL);
     for task in (0..960).step_by(96) {
-        assert!(book.hold(&id, task, hold("i-000001", 5)));
+        assert!(job_table.hold(&id, task, hold("i-000001", 5)));
     }
     let rejected_key = chunk_key(&id, 3);
     let (mut rejected_sizes, mut revision, mut now) = (Vec::new(), 10, Mono(10_000));
     for _ in 0..40 {
         now = now.plus(Millis(250));
-        let Some((txn, written)) = book.next_txn(fence(), 5, now) else { continue };
+        let Some((txn, written)) = job_table.next_txn(fence(), 5, now) else { continue };
         if txn.changes.iter().any(|c| matches!(c, Change::Put { key, .. } if *key == rejected_key))
         {
             rejected_sizes.push(txn.changes.len());
-            book.refused(written, now);
+            job_table.refused(written, now);
         } else {
             revision += 1;
-            book.committed(&written, Revision(revision));
+            job_table.committed(&written, Revision(revision));
         }
     }
-    let durable = (0..960).step_by(96).filter(|task| book.jobs[&id].durable(*task));
+    let durable = (0..960).step_by(96).filter(|task| job_table.jobs[&id].durable(*task));
     assert_eq!(durable.count(), 9, "all others are durable");
     assert_eq!(rejected_sizes[..3], [4, 2, 1], "{rejected_sizes:?}");
     assert!(rejected_sizes.len() <= 7, "repeated too often: {rejected_sizes:?}");
     // Once the service accepts it, it is written.
-    let (txn, written) = book.next_txn(fence(), 5, now.plus(REFUSED_PAUSE_MAX_MS)).unwrap();
+    let (txn, written) = job_table.next_txn(fence(), 5, now.plus(REFUSED_PAUSE_MAX_MS)).unwrap();
     assert_eq!(txn.changes.len(), 1);
-    book.committed(&written, Revision(99));
-    assert!(book.jobs[&id].durable(288) && book.unwritten() == 0);
+    job_table.committed(&written, Revision(99));
+    assert!(job_table.jobs[&id].durable(288) && job_table.unwritten() == 0);
 }
--- a/crates/core/src/jobs/tests.rs
+++ b/crates/core/src/jobs/tests.rs
@@ -32,9 +32,9 @@
 }
 
 /// The next transaction once everything is due.
-fn next(book: &mut Book) -> Option<(Txn, Vec<Written>)> {
-    let now = book.now.plus(LAZY_WRITE_MS);
-    book.next_txn(fence(), 16, now)
+fn next(job_table: &mut Book) -> Option<(Txn, Vec<Written>)> {
+    let now = job_table.now.plus(LAZY_WRITE_MS);
+    job_table.next_txn(fence(), 16, now)
 }
 
 fn fence() -> Condition {
@@ -57,135 +57,135 @@
     }
 }
 
-fn book(tasks: u32) -> (Book, JobId) {
-    let mut book = Book::default();
+fn job_table(tasks: u32) -> (Book, JobId) {
+    let mut job_table = Book::default();
     let now = Now { mono: Mono(1000), wall_ms: 1000 };
     let record = LiveRecord { spec: spec("req-1", Shape::Array, tasks), wall_ms: 900, part: None };
-    book.insert(record, Revision(5), now);
-    (book, JobId::new("req-1"))
+    job_table.insert(record, Revision(5), now);
+    (job_table, JobId::new("req-1"))
 }
 
 /// The largest record stays below the smallest value limit in use.
 #[test]
 fn a_full_chunk_fits_a_value() {
-    let (mut book, id) = book(MAX_TASKS);
+    let (mut job_table, id) = job_table(MAX_TASKS);
     for index in MAX_TASKS - 64..MAX_TASKS {
         let mut full = hold("i-0000000231");
         full.attempt = Attempt(1 << 52);
         full.zone = Zone::new("a-long-zone-name");
-        book.hold(&id, index, full);
+        job_table.hold(&id, index, full);
     }
-    while let Some((txn, written)) = next(&mut book) {
+    while let Some((txn, written)) = next(&mut job_table) {
         let text = serde_json::to_string(&txn).unwrap();
         assert!(text.len() < 64 * 1024 && txn.changes.len() <= 16);
         for change in &txn.changes {
             assert!(serde_json::to_string(change).unwrap().len() < 8 * 1024);
         }
-        book.committed(&written, Revision(9));
+        job_table.committed(&written, Revision(9));
     }
 }
 
 /// An assignment is not durable before its own transaction has committed.
 #[test]
 fn an_assignment_is_durable_only_when_committed() {
-    let (mut book, id) = book(3);
-    book.hold(&id, 0, hold("i-1"));
-    let (_, first) = next(&mut book).unwrap();
-    book.hold(&id, 1, hold("i-2"));
-    assert!(!book.get(&id).unwrap().durable(0));
-    book.committed(&first, Revision(7));
-    let job = book.get(&id).unwrap();
+    let (mut job_table, id) = job_table(3);
+    job_table.hold(&id, 0, hold("i-1"));
+    let (_, first) = next(&mut job_table).unwrap();
+    job_table.hold(&id, 1, hold("i-2"));
+    assert!(!job_table.get(&id).unwrap().durable(0));
+    job_table.committed(&first, Revision(7));
+    let job = job_table.get(&id).unwrap();
     assert!(job.durable(0) && !job.durable(1) && !job.settled(0));
-    let (txn, second) = next(&mut book).unwrap();
+    let (txn, second) = next(&mut job_table).unwrap();
     assert_eq!(txn.conditions[1].version, Revision(7));
-    book.committed(&second, Revision(8));
-    assert!(book.get(&id).unwrap().durable(1));
+    job_table.committed(&second, Revision(8));
+    assert!(job_table.get(&id).unwrap().durable(1));
 }
 
 /// A plan that assigns a task twice takes effect only once.
 #[test]
 fn an_assigned_task_is_not_assigned_again() {
-    let (mut book, id) = book(2);
-    assert!(book.jobs.get_mut(&id).unwrap().pending_tasks(0, Mono(0)).is_empty());
-    assert!(book.hold(&id, 0, hold("i-1")));
-    assert!(!book.hold(&id, 0, hold("i-2")));
-    let job = book.get(&id).unwrap();
+    let (mut job_table, id) = job_table(2);
+    assert!(job_table.jobs.get_mut(&id).unwrap().pending_tasks(0, Mono(0)).is_empty());
+    assert!(job_table.hold(&id, 0, hold("i-1")));
+    assert!(!job_table.hold(&id, 0, hold("i-2")));
+    let job = job_table.get(&id).unwrap();
     assert_eq!((job.held, job.hold(0).unwrap().host.as_str()), (1, "i-1"));
 }
 
 /// The end moves the job from `live/` to `over/` in one transaction and is reported only after its commit.
 #[test]
 fn an_end_is_reported_only_when_durable() {
-    let (mut book, id) = book(1);
-    book.hold(&id, 0, hold("i-1"));
-    let (_, written) = next(&mut book).unwrap();
-    book.committed(&written, Revision(6));
-    book.end(&id, JobStatus::Cancelled, "test");
+    let (mut job_table, id) = job_table(1);
+    job_table.hold(&id, 0, hold("i-1"));
+    let (_, written) = next(&mut job_table).unwrap();
+    job_table.committed(&written, Revision(6));
+    job_table.end(&id, JobStatus::Cancelled, "test");
     // Another controller may have read the final record already, so no earlier state may be reported.
-    assert_eq!(book.view(&id), None);
-    let (txn, written) = next(&mut book).unwrap();
+    assert_eq!(job_table.view(&id), None);
+    let (txn, written) = next(&mut job_table).unwrap();
     assert_eq!(txn.changes.len(), 2);
-    let finished = book.committed(&written, Revision(7));
+    let finished = job_table.committed(&written, Revision(7));
     assert_eq!(finished[0].1.status, JobStatus::Cancelled);
-    assert_eq!(book.view(&id), None);
+    assert_eq!(job_table.view(&id), None);
     // The task still counts until it is proven gone; then the assignment record is deleted and the job dropped.
-    let (_, written) = next(&mut book).unwrap();
-    book.committed(&written, Revision(8));
-    assert_eq!(book.usage["t"].cpus, 1.0);
-    book.free(&id, 0, false);
-    assert_eq!(book.usage["t"].cpus, 0.0);
-    let (txn, written) = next(&mut book).unwrap();
+    let (_, written) = next(&mut job_table).unwrap();
+    job_table.committed(&written, Revision(8));
+    assert_eq!(job_table.usage["t"].cpus, 1.0);
+    job_table.free(&id, 0, false);
+    assert_eq!(job_table.usage["t"].cpus, 0.0);
+    let (txn, written) = next(&mut job_table).unwrap();
     assert!(matches!(txn.changes[0], Change::Delete { .. }));
-    book.committed(&written, Revision(9));
-    assert!(book.get(&id).is_none());
+    job_table.committed(&written, Revision(9));
+    assert!(job_table.get(&id).is_none());
 }
 
 /// Ends of tasks share a write, and the final record is written together with the deletion of the assignment record.
 /// Guards against one write per task, which used up the change budget so that submissions were rejected.
 #[test]
 fn ends_of_tasks_share_a_write_and_the_jobs_end_deletes_the_record() {
-    let (mut book, id) = book(3);
-    (0..3).for_each(|i| assert!(book.hold(&id, i, hold("i-1"))));
-    let (_, written) = book.next_txn(fence(), 16, Mono(0)).unwrap();
-    book.committed(&written, Revision(6));
-    book.free(&id, 0, true);
-    assert!(book.next_txn(fence(), 16, Mono(1)).is_none(), "nobody waits for it");
-    let (txn, written) = next(&mut book).unwrap();
+    let (mut job_table, id) = job_table(3);
+    (0..3).for_each(|i| assert!(job_table.hold(&id, i, hold("i-1"))));
+    let (_, written) = job_table.next_txn(fence(), 16, Mono(0)).unwrap();
+    job_table.committed(&written, Revision(6));
+    job_table.free(&id, 0, true);
+    assert!(job_table.next_txn(fence(), 16, Mono(1)).is_none(), "nobody waits for it");
+    let (txn, written) = next(&mut job_table).unwrap();
     assert_eq!(txn.changes.len(), 1);
-    book.committed(&written, Revision(7));
-    book.free(&id, 1, true);
-    book.free(&id, 2, true);
-    book.end(&id, JobStatus::Done, "test");
-    let (txn, written) = book.next_txn(fence(), 16, Mono(2)).unwrap();
+    job_table.committed(&written, Revision(7));
+    job_table.free(&id, 1, true);
+    job_table.free(&id, 2, true);
+    job_table.end(&id, JobStatus::Done, "test");
+    let (txn, written) = job_table.next_txn(fence(), 16, Mono(2)).unwrap();
     assert_eq!(txn.changes.len(), 3, "{txn:?}");
-    assert_eq!(book.committed(&written, Revision(8)).len(), 1);
-    assert!(book.get(&id).is_none());
-    assert!(book.next_txn(fence(), 16, Mono(u64::MAX)).is_none());
+    assert_eq!(job_table.committed(&written, Revision(8)).len(), 1);
+    assert!(job_table.get(&id).is_none());
+    assert!(job_table.next_txn(fence(), 16, Mono(u64::MAX)).is_none());
 }
 
 /// An assignment record first written in the same transaction as the final record is deleted afterwards.
 #[test]
 fn a_record_written_with_the_end_is_deleted() {
-    let (mut book, id) = book(1);
-    book.hold(&id, 0, hold("i-1"));
-    book.end(&id, JobStatus::Cancelled, "test");
-    book.free(&id, 0, false);
-    let (_, written) = book.next_txn(fence(), 16, Mono(0)).unwrap();
-    book.committed(&written, Revision(6));
-    let (txn, written) = next(&mut book).unwrap();
+    let (mut job_table, id) = job_table(1);
+    job_table.hold(&id, 0, hold("i-1"));
+    job_table.end(&id, JobStatus::Cancelled, "test");
+    job_table.free(&id, 0, false);
+    let (_, written) = job_table.next_txn(fence(), 16, Mono(0)).unwrap();
+    job_table.committed(&written, Revision(6));
+    let (txn, written) = next(&mut job_table).unwrap();
     assert!(matches!(txn.changes[..], [Change::Delete { .. }]));
-    book.committed(&written, Revision(7));
-    assert!(book.get(&id).is_none());
+    job_table.committed(&written, Revision(7));
+    assert!(job_table.get(&id).is_none());
 }
 
 /// A reloaded record gives the same assignments and completed tasks.
 #[test]
 fn records_reload_as_written() {
-    let (mut original, id) = book(200);
+    let (mut original, id) = job_table(200);
     original.hold(&id, 100, hold("i-7"));
     original.free(&id, 101, true);
     let record = original.get(&id).unwrap().record(1);
-    let (mut reloaded, _) = book(200);
+    let (mut reloaded, _) = job_table(200);
     let held = reloaded.load_chunk(&id, 1, record.clone(), Revision(3), Mono(5));
     assert_eq!(held, vec![(100, HostId::new("i-7"), hold("i-7").shift)]);
     let job = reloaded.get(&id).unwrap();
@@ -205,9 +205,9 @@
 }
 
 /// Writes a job's end and returns its final status and whether the final record contains a failure.
-fn written_end(book: &mut Book) -> (JobStatus, bool) {
-    let (_, written) = next(book).unwrap();
-    let finished = book.committed(&written, Revision(7));
+fn written_end(job_table: &mut Book) -> (JobStatus, bool) {
+    let (_, written) = next(job_table).unwrap();
+    let finished = job_table.committed(&written, Revision(7));
     (finished[0].1.status, finished[0].1.failure.is_some())
 }
 
@@ -216,49 +216,49 @@
 #[test]
 fn races_with_a_failure_have_one_winner() {
     let failing = || {
-        let (mut book, id) = book(2);
-        book.hold(&id, 1, hold("i-1"));
-        book.fail(&id, OnExhausted::FailJob, retries_used_up());
+        let (mut job_table, id) = job_table(2);
+        job_table.hold(&id, 1, hold("i-1"));
+        job_table.fail(&id, OnExhausted::FailJob, retries_used_up());
         // No final status is decided yet, so the user still sees the job as queued.
-        assert_eq!(book.view(&id).map(|view| view.status), Some(JobStatus::Queued));
-        (book, id)
+        assert_eq!(job_table.view(&id).map(|view| view.status), Some(JobStatus::Queued));
+        (job_table, id)
     };
-    let (mut book, id) = failing();
-    book.end(&id, JobStatus::Cancelled, "test");
-    book.end(&id, JobStatus::Failed, "test");
-    assert_eq!(written_end(&mut book), (JobStatus::Cancelled, false));
-    let (mut book, id) = failing();
-    book.end(&id, JobStatus::Done, "test");
-    book.end(&id, JobStatus::Failed, "test");
-    book.end(&id, JobStatus::Cancelled, "test");
-    assert_eq!(book.view(&id), None);
-    assert_eq!(written_end(&mut book), (JobStatus::Failed, true));
-    let (mut book, id) = failing();
-    book.reopen(&id);
-    book.end(&id, JobStatus::Failed, "test");
-    assert_eq!(book.get(&id).unwrap().state, JobState::Open, "not reopened");
-    book.end(&id, JobStatus::Done, "test");
-    book.reopen(&id);
-    assert_eq!(written_end(&mut book), (JobStatus::Done, false));
+    let (mut job_table, id) = failing();
+    job_table.end(&id, JobStatus::Cancelled, "test");
+    job_table.end(&id, JobStatus::Failed, "test");
+    assert_eq!(written_end(&mut job_table), (JobStatus::Cancelled, false));
+    let (mut job_table, id) = failing();
+    job_table.end(&id, JobStatus::Done, "test");
+    job_table.end(&id, JobStatus::Failed, "test");
+    job_table.end(&id, JobStatus::Cancelled, "test");
+    assert_eq!(job_table.view(&id), None);
+    assert_eq!(written_end(&mut job_table), (JobStatus::Failed, true));
+    let (mut job_table, id) = failing();
+    job_table.reopen(&id);
+    job_table.end(&id, JobStatus::Failed, "test");
+    assert_eq!(job_table.get(&id).unwrap().state, JobState::Open, "not reopened");
+    job_table.end(&id, JobStatus::Done, "test");
+    job_table.reopen(&id);
+    assert_eq!(written_end(&mut job_table), (JobStatus::Done, false));
 }
 
 /// A failure is in the same write as the end of its assignment and survives a change of leader. Records of chunks
 /// without failures do not grow.
 #[test]
 fn a_failure_is_written_with_the_end_of_its_assignment() {
-    let (mut book, id) = book(200);
-    book.hold(&id, 100, hold("i-7"));
-    let (_, written) = next(&mut book).unwrap();
-    book.committed(&written, Revision(6));
-    book.free(&id, 100, false);
-    book.jobs.get_mut(&id).unwrap().charges.add(100, &HostId::new("i-7"));
-    book.charged(&id, 100);
-    let (txn, written) = book.next_txn(fence(), 16, Mono(0)).unwrap();
+    let (mut job_table, id) = job_table(200);
+    job_table.hold(&id, 100, hold("i-7"));
+    let (_, written) = next(&mut job_table).unwrap();
+    job_table.committed(&written, Revision(6));
+    job_table.free(&id, 100, false);
+    job_table.jobs.get_mut(&id).unwrap().charges.add(100, &HostId::new("i-7"));
+    job_table.charged(&id, 100);
+    let (txn, written) = job_table.next_txn(fence(), 16, Mono(0)).unwrap();
     let [Change::Put { value, .. }] = &txn.changes[..] else { panic!("{txn:?}") };
     let record: ChunkRecord = serde_json::from_value(value.clone()).unwrap();
     assert!(record.held.is_empty() && !record.charges.is_empty());
-    book.committed(&written, Revision(7));
-    let (mut later, _) = super::tests::book(200);
+    job_table.committed(&written, Revision(7));
+    let (mut later, _) = super::tests::job_table(200);
     later.load_chunk(&id, 1, record, Revision(7), Mono(5));
     assert_eq!(later.get(&id).unwrap().charges.failures(Some(100)), 1);
     let without_failures = later.get(&id).unwrap().record(0);
@@ -272,21 +272,21 @@
 /// on many machine types.
 #[test]
 fn a_full_chunk_with_failures_and_usage_fits_a_value() {
-    let (mut book, id) = book(CHUNK_TASKS);
-    book.account = Some(Account::default());
+    let (mut job_table, id) = job_table(CHUNK_TASKS);
+    job_table.account = Some(Account::default());
     for index in 0..CHUNK_TASKS {
         let mut full = hold(&format!("i-{index:06}"));
         full.attempt = Attempt(1 << 40);
-        book.hold(&id, index, full);
-        let charges = &mut book.jobs.get_mut(&id).unwrap().charges;
+        job_table.hold(&id, index, full);
+        let charges = &mut job_table.jobs.get_mut(&id).unwrap().charges;
         (0..3).for_each(|n| charges.add(index, &HostId::new(&format!("i-{n:06}"))));
-        let mut e = entry_of(&book, &id, index);
+        let mut e = entry_of(&job_table, &id, index);
         e.flavor = format!("a-long-name-of-a-type-{}", index % 7);
         (e.ran_ms, e.held_ms) = (1 << 33, 1 << 34);
         e.ended_ms = u64::from(index % 2) * 86_400_000;
-        book.account(&e);
+        job_table.account(&e);
     }
-    let record = book.get(&id).unwrap().record(0);
+    let record = job_table.get(&id).unwrap().record(0);
     let text = serde_json::to_string(&record).unwrap();
     assert!(text.len() < 8 * 1024, "{} bytes", text.len());
     let attempts: u64 = record.usage.days().map(|(_, tally)| tally.total().attempts).sum();
@@ -294,8 +294,8 @@
 }
 
 /// The usage entry of an attempt whose end was not reported.
-fn entry_of(book: &Book, id: &JobId, index: u32) -> oatloom_ledger::entry::Entry {
-    let job = book.get(id).unwrap();
+fn entry_of(job_table: &Book, id: &JobId, index: u32) -> oatloom_ledger::entry::Entry {
+    let job = job_table.get(id).unwrap();
     oatloom_ledger::entry::Entry {
         task: TaskId::new(id, index),
         attempt: Attempt(1),
@@ -327,15 +327,15 @@
 /// write that is applied after the job has ended and its record was deleted: the record came back and stayed.
 #[test]
 fn a_late_first_write_does_not_recreate_a_deleted_record() {
-    let (mut book, id) = book(1);
-    book.hold(&id, 0, hold("i-1"));
-    let (first, written) = next(&mut book).unwrap();
+    let (mut job_table, id) = job_table(1);
+    job_table.hold(&id, 0, hold("i-1"));
+    let (first, written) = next(&mut job_table).unwrap();
     let needs = |txn: &Txn, key: String| txn.conditions.iter().any(|c| c.key == key);
     assert!(needs(&first, live_key(&id)));
-    book.committed(&written, Revision(6));
-    book.hold(&id, 0, hold("i-1"));
-    book.free(&id, 0, false);
-    let (later, _) = next(&mut book).unwrap();
+    job_table.committed(&written, Revision(6));
+    job_table.hold(&id, 0, hold("i-1"));
+    job_table.free(&id, 0, false);
+    let (later, _) = next(&mut job_table).unwrap();
     assert!(!needs(&later, live_key(&id)), "the record's own version is the condition");
 }
 
@@ -344,47 +344,49 @@
 #[test]
 fn usage_moves_with_the_write_that_deletes_its_record() {
     use oatloom_ledger::rollup::{Cursor, Knowledge};
-    let account_attempt = |book: &mut Book, id: &JobId, index| {
-        let e = entry_of(book, id, index);
-        book.account(&e);
+    let account_attempt = |job_table: &mut Book, id: &JobId, index| {
+        let e = entry_of(job_table, id, index);
+        job_table.account(&e);
     };
     let with_accounting = |tasks| {
-        let (plain, id) = book(tasks);
+        let (plain, id) = job_table(tasks);
         let mut account = Account::new(Arc::default(), Millis(30_000));
         account.set_cursor(Some((Cursor::default(), Revision(2))), Revision(1));
         account.rollups.enter(Knowledge::All);
         (Book { account: Some(account), ..plain }, id)
     };
     // The job ends with no task assigned: one transaction moves the usage, and nothing else is written.
-    let (mut book, id) = with_accounting(1);
-    book.hold(&id, 0, hold("i-1"));
-    account_attempt(&mut book, &id, 0);
-    book.free(&id, 0, true);
-    book.end(&id, JobStatus::Done, "test");
-    let (txn, written) = book.next_txn(fence(), 16, Mono(0)).unwrap();
+    let (mut job_table, id) = with_accounting(1);
+    job_table.hold(&id, 0, hold("i-1"));
+    account_attempt(&mut job_table, &id, 0);
+    job_table.free(&id, 0, true);
+    job_table.end(&id, JobStatus::Done, "test");
+    let (txn, written) = job_table.next_txn(fence(), 16, Mono(0)).unwrap();
     let [Change::Put { value, .. }, Change::Delete { .. }] = &txn.changes[..] else {
         panic!("{txn:?}")
     };
     let record: OverRecord = serde_json::from_value(value.clone()).unwrap();
     let spent = record.spent.expect("its usage");
     assert_eq!(spent.days.days().map(|(_, t)| t.total().ran_ms).sum::<u64>(), 10);
-    book.committed(&written, Revision(7));
-    assert!(book.get(&id).is_none());
-    assert_eq!(book.account.as_ref().unwrap().rollups.pending(), 1);
+    job_table.committed(&written, Revision(7));
+    assert!(job_table.get(&id).is_none());
+    assert_eq!(job_table.account.as_ref().unwrap().rollups.pending(), 1);
     // The job ends with a task assigned: once the task is gone, its record is deleted and the roll-up written with it.
-    let (mut book, id) = with_accounting(1);
-    book.hold(&id, 0, hold("i-1"));
-    let (_, written) = book.next_txn(fence(), 16, Mono(0)).unwrap();
-    book.committed(&written, Revision(6));
-    book.end(&id, JobStatus::Cancelled, "test");
-    let (_, written) = book.next_txn(fence(), 16, Mono(0)).unwrap();
-    book.committed(&written, Revision(7));
-    account_attempt(&mut book, &id, 0);
-    book.free(&id, 0, false);
-    let (txn, written) = book.next_txn(fence(), 16, Mono(LAZY_WRITE_MS.0 * 2)).unwrap();
+    let (mut job_table, id) = with_accounting(1);
+    job_table.hold(&id, 0, hold("i-1"));
+    let (_, written) = job_table.next_txn(fence(), 16, Mono(0)).unwrap();
+    job_table.committed(&written, Revision(6));
+    job_table.end(&id, JobStatus::Cancelled, "test");
+    let (_, written) = job_table.next_txn(fence(), 16, Mono(0)).unwrap();
+    job_table.committed(&written, Revision(7));
+    account_attempt(&mut job_table, &id, 0);
+    job_table.free(&id, 0, false);
+    let (txn, written) = job_table.next_txn(fence(), 16, Mono(LAZY_WRITE_MS.0 * 2)).unwrap();
     assert!(matches!(&txn.changes[..], [Change::Delete { .. }, Change::Put { .. }]), "{txn:?}");
-    book.committed(&written, Revision(8));
-    assert!(book.get(&id).is_none() && book.account.as_ref().unwrap().rollups.pending() == 0);
+    job_table.committed(&written, Revision(8));
+    assert!(
+        job_table.get(&id).is_none() && job_table.account.as_ref().unwrap().rollups.pending() == 0
+    );
 }
 
 /// Damaged usage is ignored and the rest of a record is read, so that the job continues and its final status is
@@ -398,24 +400,24 @@
     let final_record = r#"{"s":"done","n":2,"u":{"t":"red","c":7}}"#;
     let final_record: OverRecord = serde_json::from_str(final_record).unwrap();
     assert_eq!((final_record.status, final_record.spent), (JobStatus::Done, None));
-    let (plain, id) = book(1);
+    let (plain, id) = job_table(1);
     let mut account = Account::new(Arc::default(), Millis(30_000));
     account.set_cursor(Some((Cursor::default(), Revision(2))), Revision(1));
     account.rollups.enter(Knowledge::All);
-    let mut book = Book { account: Some(account), ..plain };
+    let mut job_table = Book { account: Some(account), ..plain };
     let slot = Slot { day: 0, team: "t".into(), class: "other".into() };
     let found = |value: Value| Row { key: slot.key(), value, version: Revision(9), lease: None };
     let item = Item::Rollup(slot.clone());
-    assert!(book.resolved(&item, Some(found(serde_json::json!({"t": "what?"})))).is_none());
+    assert!(job_table.resolved(&item, Some(found(serde_json::json!({"t": "what?"})))).is_none());
     // The next roll-up transaction stores the copy and the restarted roll-up together.
-    book.hold(&id, 0, hold("i-1"));
-    let e = entry_of(&book, &id, 0);
-    book.account(&e);
-    book.free(&id, 0, true);
-    book.end(&id, JobStatus::Done, "test");
-    let (_, written) = book.next_txn(fence(), 16, Mono(0)).unwrap();
-    book.committed(&written, Revision(10));
-    let (txn, _) = book.next_txn(fence(), 16, Mono(60_000)).unwrap();
+    job_table.hold(&id, 0, hold("i-1"));
+    let e = entry_of(&job_table, &id, 0);
+    job_table.account(&e);
+    job_table.free(&id, 0, true);
+    job_table.end(&id, JobStatus::Done, "test");
+    let (_, written) = job_table.next_txn(fence(), 16, Mono(0)).unwrap();
+    job_table.committed(&written, Revision(10));
+    let (txn, _) = job_table.next_txn(fence(), 16, Mono(60_000)).unwrap();
     let put = |prefix: &str| {
         txn.changes.iter().find_map(|change| match change {
             Change::Put { key, value, .. } if key.starts_with(prefix) => Some(value.clone()),
@@ -431,8 +433,8 @@
 /// failing its condition for ever, together with everything in the same transaction.
 #[test]
 fn a_stored_final_record_ends_an_unfinished_job() {
-    let (mut book, id) = book(2);
-    assert!(book.hold(&id, 0, hold("i-1")));
+    let (mut job_table, id) = job_table(2);
+    assert!(job_table.hold(&id, 0, hold("i-1")));
     let status = JobStatus::Cancelled;
     let record = OverRecord { status, done: 0, failure: None, spent: None, part: None };
     let row = Row {
@@ -441,10 +443,10 @@
         version: Revision(40),
         lease: None,
     };
-    let finished = book.resolved(&Item::End(id.clone()), Some(row));
+    let finished = job_table.resolved(&Item::End(id.clone()), Some(row));
     assert_eq!(finished, Some((id.clone(), record)));
-    assert_eq!(book.get(&id).map(|job| job.state), Some(JobState::Over));
+    assert_eq!(job_table.get(&id).map(|job| job.state), Some(JobState::Over));
     // The task counts until it is proven gone, and no assignment record is created for it.
-    assert_eq!(book.get(&id).map(|job| job.held), Some(1));
-    assert!(next(&mut book).is_none());
+    assert_eq!(job_table.get(&id).map(|job| job.held), Some(1));
+    assert!(next(&mut job_table).is_none());
 }
--- a/crates/core/src/jobs/writing.rs
+++ b/crates/core/src/jobs/writing.rs
@@ -131,11 +131,13 @@
         let mut bytes = 0;
         // A final record takes two changes, plus one for each assignment record of the job that is deleted.
         // A deleted record may also change the roll-ups of two days.
-        let room =
-            |book: &Self, txn: &Txn| ops.saturating_sub(txn.changes.len() + book.rollups_touched());
+        let room = |job_table: &Self, txn: &Txn| {
+            ops.saturating_sub(txn.changes.len() + job_table.rollups_touched())
+        };
         let min_room = if self.account.is_some() { 3.min(ops) } else { 2 };
-        let full =
-            |book: &Self, bytes: usize| bytes + book.rollups_touched() * ROLLUP_BYTES >= TXN_BYTES;
+        let full = |job_table: &Self, bytes: usize| {
+            bytes + job_table.rollups_touched() * ROLLUP_BYTES >= TXN_BYTES
+        };
         // An item that was rejected on its own is retried on its own.
         let mut retried = self.backoff.take_due(now);
         let max_items = if retried.is_some() { 1 } else { self.backoff.most() };
--- a/crates/core/tests/dependencies.rs
+++ b/crates/core/tests/dependencies.rs
@@ -47,108 +47,112 @@
 }
 
 /// Inserts a job that was accepted at the revision `number`.
-fn insert(book: &mut Book, spec: JobSpec, number: u32) {
+fn insert(job_table: &mut Book, spec: JobSpec, number: u32) {
     let record = LiveRecord { spec, wall_ms: 1_000, part: None };
-    book.insert(record, Revision(u64::from(number)), now(1_000));
+    job_table.insert(record, Revision(u64::from(number)), now(1_000));
 }
 
-fn add(book: &mut Book, number: u32, dependencies: &[u32]) {
-    insert(book, spec(number, dependencies), number);
+fn add(job_table: &mut Book, number: u32, dependencies: &[u32]) {
+    insert(job_table, spec(number, dependencies), number);
 }
 
 /// Commits the leader's next transaction, and returns it.
-fn commit_one(book: &mut Book, at: Mono) -> Option<Txn> {
+fn commit_one(job_table: &mut Book, at: Mono) -> Option<Txn> {
     let fence = Condition { key: "lead".into(), version: Revision(1) };
-    let (txn, written) = book.next_txn(fence, CHANGES_PER_TXN, at)?;
-    book.committed(&written, Revision(1_000_000));
+    let (txn, written) = job_table.next_txn(fence, CHANGES_PER_TXN, at)?;
+    job_table.committed(&written, Revision(1_000_000));
     Some(txn)
 }
 
 /// Commits all pending transactions, and returns them.
-fn commit_all(book: &mut Book, at: Mono) -> Vec<Txn> {
-    std::iter::from_fn(|| commit_one(book, at)).collect()
+fn commit_all(job_table: &mut Book, at: Mono) -> Vec<Txn> {
+    std::iter::from_fn(|| commit_one(job_table, at)).collect()
 }
 
-fn state(book: &Book, number: u32) -> Option<JobState> {
-    book.get(&id(number)).map(|job| job.state)
+fn state(job_table: &Book, number: u32) -> Option<JobState> {
+    job_table.get(&id(number)).map(|job| job.state)
 }
 
-fn reported(book: &Book, number: u32) -> Option<JobStatus> {
-    book.view(&id(number)).map(|view| view.status)
+fn reported(job_table: &Book, number: u32) -> Option<JobStatus> {
+    job_table.view(&id(number)).map(|view| view.status)
 }
 
 /// A dependency that is done only in memory does not release its dependents.
 #[test]
 fn a_job_is_released_once_the_ends_of_its_dependencies_are_durable() {
-    let mut book = Book::default();
-    add(&mut book, 1, &[]);
-    add(&mut book, 2, &[]);
-    add(&mut book, 3, &[1, 2]);
-    assert_eq!(reported(&book, 3), Some(JobStatus::Queued));
+    let mut job_table = Book::default();
+    add(&mut job_table, 1, &[]);
+    add(&mut job_table, 2, &[]);
+    add(&mut job_table, 3, &[1, 2]);
+    assert_eq!(reported(&job_table, 3), Some(JobStatus::Queued));
     for done in [1, 2] {
-        book.free(&id(done), 0, true);
-        book.end(&id(done), JobStatus::Done, "all tasks are done");
-        assert_eq!(state(&book, 3), Some(JobState::Waiting));
-        assert!(commit_one(&mut book, Mono(2_000)).is_some());
+        job_table.free(&id(done), 0, true);
+        job_table.end(&id(done), JobStatus::Done, "all tasks are done");
+        assert_eq!(state(&job_table, 3), Some(JobState::Waiting));
+        assert!(commit_one(&mut job_table, Mono(2_000)).is_some());
     }
-    assert_eq!(state(&book, 3), Some(JobState::Open));
-    let job = book.get(&id(3)).unwrap();
+    assert_eq!(state(&job_table, 3), Some(JobState::Open));
+    let job = job_table.get(&id(3)).unwrap();
     assert_eq!((job.submitted, job.released), (Mono(1_000), Mono(2_000)));
-    assert!(book.take_released() && !book.take_released());
+    assert!(job_table.take_released() && !job_table.take_released());
 }
 
 /// All dependents of a cancelled job are reported as cancelled as soon as its final record is durable, however many
 /// there are and however few changes a transaction may have.
 #[test]
 fn dependents_of_a_cancelled_job_are_reported_cancelled_at_once() {
-    let mut book = Book::default();
-    add(&mut book, 1, &[]);
+    let mut job_table = Book::default();
+    add(&mut job_table, 1, &[]);
     for number in 2..=300 {
-        add(&mut book, number, &[number - 1]);
+        add(&mut job_table, number, &[number - 1]);
     }
-    book.end(&id(1), JobStatus::Cancelled, "cancelled by its user");
-    assert_eq!(reported(&book, 2), Some(JobStatus::Queued), "before the cancellation is durable");
-    assert!(commit_one(&mut book, Mono(2_000)).is_some());
+    job_table.end(&id(1), JobStatus::Cancelled, "cancelled by its user");
+    assert_eq!(
+        reported(&job_table, 2),
+        Some(JobStatus::Queued),
+        "before the cancellation is durable"
+    );
+    assert!(commit_one(&mut job_table, Mono(2_000)).is_some());
     for number in 2..=300 {
-        assert_eq!(reported(&book, number), Some(JobStatus::Cancelled), "job {number}");
+        assert_eq!(reported(&job_table, number), Some(JobStatus::Cancelled), "job {number}");
     }
     // A new dependent of one of them is cancelled too, even before the final record of that one is written.
-    add(&mut book, 301, &[300]);
-    assert_eq!(reported(&book, 301), Some(JobStatus::Cancelled));
-    let written = commit_all(&mut book, Mono(3_000));
+    add(&mut job_table, 301, &[300]);
+    assert_eq!(reported(&job_table, 301), Some(JobStatus::Cancelled));
+    let written = commit_all(&mut job_table, Mono(3_000));
     assert!(written.iter().all(|txn| txn.changes.len() <= CHANGES_PER_TXN));
     let ends = written.iter().flat_map(|txn| &txn.changes);
     let ends =
         ends.filter(|change| matches!(change, Change::Put { key, .. } if key.starts_with("over/")));
     assert_eq!(ends.count(), 300);
-    assert!(book.jobs.is_empty());
+    assert!(job_table.jobs.is_empty());
 }
 
 /// A dependency that is done before its cancellation is requested releases its dependents.
 #[test]
 fn the_first_decision_about_a_dependency_decides_for_its_dependents() {
-    let mut book = Book::default();
-    add(&mut book, 1, &[]);
-    add(&mut book, 2, &[1]);
-    book.free(&id(1), 0, true);
-    book.end(&id(1), JobStatus::Done, "all tasks are done");
-    book.end(&id(1), JobStatus::Cancelled, "cancelled by its user");
-    commit_all(&mut book, Mono(2_000));
-    assert_eq!(state(&book, 2), Some(JobState::Open));
+    let mut job_table = Book::default();
+    add(&mut job_table, 1, &[]);
+    add(&mut job_table, 2, &[1]);
+    job_table.free(&id(1), 0, true);
+    job_table.end(&id(1), JobStatus::Done, "all tasks are done");
+    job_table.end(&id(1), JobStatus::Cancelled, "cancelled by its user");
+    commit_all(&mut job_table, Mono(2_000));
+    assert_eq!(state(&job_table, 2), Some(JobState::Open));
 }
 
 /// The stored final record of a dependency wins over a different decision of this leader.
 #[test]
 fn the_stored_end_of_a_dependency_wins_over_the_decided_one() {
-    let mut book = Book::default();
-    add(&mut book, 1, &[]);
-    add(&mut book, 2, &[1]);
-    book.free(&id(1), 0, true);
-    book.end(&id(1), JobStatus::Done, "all tasks are done");
+    let mut job_table = Book::default();
+    add(&mut job_table, 1, &[]);
+    add(&mut job_table, 2, &[1]);
+    job_table.free(&id(1), 0, true);
+    job_table.end(&id(1), JobStatus::Done, "all tasks are done");
     let fence = Condition { key: "lead".into(), version: Revision(1) };
-    let (_, written) = book.next_txn(fence, CHANGES_PER_TXN, Mono(2_000)).unwrap();
+    let (_, written) = job_table.next_txn(fence, CHANGES_PER_TXN, Mono(2_000)).unwrap();
     let item = written[0].item().clone();
-    book.requeue(written);
+    job_table.requeue(written);
     let record = serde_json::json!({"s": "cancelled", "n": 0});
     let row = oatloom_protocol::wire::Row {
         key: "over/req-000001".into(),
@@ -156,57 +160,57 @@
         version: Revision(9),
         lease: None,
     };
-    book.resolved(&item, Some(row));
-    assert_eq!(reported(&book, 2), Some(JobStatus::Cancelled));
+    job_table.resolved(&item, Some(row));
+    assert_eq!(reported(&job_table, 2), Some(JobStatus::Cancelled));
 }
 
 /// A new leader reports no status of a job before it has read the final records of all its finished dependencies: an
 /// earlier leader may have reported the job as cancelled.
 #[test]
 fn no_status_is_reported_before_the_dependencies_are_known() {
-    let mut book = Book::default();
-    add(&mut book, 2, &[1]);
-    add(&mut book, 3, &[2]);
-    assert_eq!((reported(&book, 2), reported(&book, 3)), (None, None));
-    assert_eq!(book.unresolved_dependencies().cloned().collect::<Vec<_>>(), [id(1)]);
-    book.dependency_ended(&id(1), JobStatus::Cancelled, Mono(2_000));
-    assert_eq!(reported(&book, 2), Some(JobStatus::Cancelled));
-    assert_eq!(reported(&book, 3), Some(JobStatus::Cancelled));
-    assert_eq!(book.unresolved_dependencies().count(), 0);
+    let mut job_table = Book::default();
+    add(&mut job_table, 2, &[1]);
+    add(&mut job_table, 3, &[2]);
+    assert_eq!((reported(&job_table, 2), reported(&job_table, 3)), (None, None));
+    assert_eq!(job_table.unresolved_dependencies().cloned().collect::<Vec<_>>(), [id(1)]);
+    job_table.dependency_ended(&id(1), JobStatus::Cancelled, Mono(2_000));
+    assert_eq!(reported(&job_table, 2), Some(JobStatus::Cancelled));
+    assert_eq!(reported(&job_table, 3), Some(JobStatus::Cancelled));
+    assert_eq!(job_table.unresolved_dependencies().count(), 0);
 }
 
 /// A dependency that is inserted after its dependent is unfinished, so its final record is not read.
 #[test]
 fn a_dependency_inserted_after_its_dependent_is_awaited() {
-    let mut book = Book::default();
-    add(&mut book, 2, &[1]);
-    add(&mut book, 1, &[]);
-    assert_eq!(book.unresolved_dependencies().count(), 0);
-    assert_eq!(reported(&book, 2), Some(JobStatus::Queued));
-    book.free(&id(1), 0, true);
-    book.end(&id(1), JobStatus::Done, "all tasks are done");
-    commit_all(&mut book, Mono(2_000));
-    assert_eq!(state(&book, 2), Some(JobState::Open));
+    let mut job_table = Book::default();
+    add(&mut job_table, 2, &[1]);
+    add(&mut job_table, 1, &[]);
+    assert_eq!(job_table.unresolved_dependencies().count(), 0);
+    assert_eq!(reported(&job_table, 2), Some(JobStatus::Queued));
+    job_table.free(&id(1), 0, true);
+    job_table.end(&id(1), JobStatus::Done, "all tasks are done");
+    commit_all(&mut job_table, Mono(2_000));
+    assert_eq!(state(&job_table, 2), Some(JobState::Open));
 }
 
 /// A damaged final record releases nothing; the dependents wait until their users cancel them.
 #[test]
 fn an_unreadable_dependency_keeps_its_dependents_waiting() {
-    let mut book = Book::default();
-    add(&mut book, 2, &[1]);
-    book.dependency_unreadable(&id(1));
-    assert_eq!(reported(&book, 2), Some(JobStatus::Queued));
-    assert_eq!(state(&book, 2), Some(JobState::Waiting));
-    book.end(&id(2), JobStatus::Cancelled, "cancelled by its user");
-    commit_all(&mut book, Mono(2_000));
-    assert!(book.jobs.is_empty());
+    let mut job_table = Book::default();
+    add(&mut job_table, 2, &[1]);
+    job_table.dependency_unreadable(&id(1));
+    assert_eq!(reported(&job_table, 2), Some(JobStatus::Queued));
+    assert_eq!(state(&job_table, 2), Some(JobState::Waiting));
+    job_table.end(&id(2), JobStatus::Cancelled, "cancelled by its user");
+    commit_all(&mut job_table, Mono(2_000));
+    assert!(job_table.jobs.is_empty());
 }
 
 /// Assignments are written only after the release, so a new leader need not read the dependencies of such a job.
 #[test]
 fn an_assignment_record_shows_that_its_job_was_released() {
-    let mut book = Book::default();
-    add(&mut book, 2, &[1]);
+    let mut job_table = Book::default();
+    add(&mut job_table, 2, &[1]);
     let record = ChunkRecord {
         done: String::new(),
         held: vec![(0, Attempt(7), HostId::new("i-1"), Shift(1), Zone::new("a"))],
@@ -214,34 +218,34 @@
         charges: Default::default(),
         usage: Default::default(),
     };
-    book.load_chunk(&id(2), 0, record, Revision(8), Mono(2_000));
-    assert_eq!(state(&book, 2), Some(JobState::Open));
-    assert_eq!(book.get(&id(2)).unwrap().held, 1);
+    job_table.load_chunk(&id(2), 0, record, Revision(8), Mono(2_000));
+    assert_eq!(state(&job_table, 2), Some(JobState::Open));
+    assert_eq!(job_table.get(&id(2)).unwrap().held, 1);
 }
 
 /// The last job's deadline and rank are inherited through a chain of any length in one pass.
 #[test]
 fn deadlines_and_ranks_are_inherited_through_a_chain() {
-    let mut book = Book::default();
-    add(&mut book, 1, &[]);
+    let mut job_table = Book::default();
+    add(&mut job_table, 1, &[]);
     for number in 2..300 {
-        add(&mut book, number, &[number - 1]);
+        add(&mut job_table, number, &[number - 1]);
     }
     let last = JobSpec { rank: Rank::High, deadline_s: Some(10_000.0), ..spec(300, &[299]) };
-    insert(&mut book, last, 300);
+    insert(&mut job_table, last, 300);
     let each_ms = 20_000;
-    book.inherit(|job| {
+    job_table.inherit(|job| {
         let own = job.spec.deadline_s.map(|within| job.submitted.0 + (within * 1_000.0) as u64);
         let end = job.inherited.latest_end.map(|end| end.0).or(own)?;
         Some(Mono(end - each_ms))
     });
-    let first = book.get(&id(1)).unwrap();
+    let first = job_table.get(&id(1)).unwrap();
     assert_eq!(first.rank(), Rank::High);
     assert_eq!(first.inherited.latest_end, Some(Mono(1_000 + 10_000_000 - 299 * each_ms)));
     // Nothing is inherited any more once the last job is cancelled.
-    book.end(&id(300), JobStatus::Cancelled, "cancelled by its user");
-    book.inherit(|_| None);
-    assert_eq!(book.get(&id(1)).unwrap().rank(), Rank::Low);
+    job_table.end(&id(300), JobStatus::Cancelled, "cancelled by its user");
+    job_table.inherit(|_| None);
+    assert_eq!(job_table.get(&id(1)).unwrap().rank(), Rank::Low);
 }
 
 /// Jobs and their ends as stored in the state service.
@@ -273,11 +277,11 @@
 
     /// The job table that a new leader loads.
     fn load(&self) -> Book {
-        let mut book = Book::default();
+        let mut job_table = Book::default();
         for (spec, number) in self.live.values() {
-            insert(&mut book, spec.clone(), *number);
+            insert(&mut job_table, spec.clone(), *number);
         }
-        book
+        job_table
     }
 
     /// Whether the job or any of its direct or indirect dependencies is cancelled, so that the job must be cancelled.
@@ -305,7 +309,7 @@
         let count = rng.random_range(2..40);
         let mut specs: BTreeMap<JobId, JobSpec> = BTreeMap::new();
         let mut stored = Stored::default();
-        let mut book = Book::default();
+        let mut job_table = Book::default();
         let mut reported_cancelled: BTreeSet<JobId> = BTreeSet::new();
         let mut next = 1;
         for _ in 0..4_000 {
@@ -316,44 +320,44 @@
                 let spec = spec(next, &dependencies);
                 specs.insert(spec.id.clone(), spec.clone());
                 stored.live.insert(spec.id.clone(), (spec.clone(), next));
-                insert(&mut book, spec, next);
+                insert(&mut job_table, spec, next);
                 next += 1;
             }
-            let unresolved: Vec<JobId> = book.unresolved_dependencies().cloned().collect();
+            let unresolved: Vec<JobId> = job_table.unresolved_dependencies().cloned().collect();
             for dependency in unresolved {
                 if let Some(status) = stored.over.get(&dependency)
                     && rng.random_bool(0.5)
                 {
-                    book.dependency_ended(&dependency, *status, Mono(2_000));
+                    job_table.dependency_ended(&dependency, *status, Mono(2_000));
                 }
             }
             let states: Vec<(JobId, JobState)> =
-                book.jobs.iter().map(|(id, job)| (id.clone(), job.state)).collect();
+                job_table.jobs.iter().map(|(id, job)| (id.clone(), job.state)).collect();
             for (id, state) in states {
                 let dependencies = &specs[&id].dependencies;
                 if state == JobState::Open {
                     let done = |id: &JobId| stored.over.get(id) == Some(&JobStatus::Done);
                     assert!(dependencies.iter().all(done), "seed {seed}: {id} was released early");
                     if rng.random_bool(0.1) {
-                        book.free(&id, 0, true);
-                        book.end(&id, JobStatus::Done, "all tasks are done");
+                        job_table.free(&id, 0, true);
+                        job_table.end(&id, JobStatus::Done, "all tasks are done");
                     }
                 }
                 if rng.random_bool(0.003) {
-                    book.end(&id, JobStatus::Cancelled, "cancelled by its user");
+                    job_table.end(&id, JobStatus::Cancelled, "cancelled by its user");
                 }
             }
             if rng.random_bool(0.5)
-                && let Some(txn) = commit_one(&mut book, Mono(2_000))
+                && let Some(txn) = commit_one(&mut job_table, Mono(2_000))
             {
                 stored.apply(&txn);
             }
             if rng.random_bool(0.02) {
-                book = stored.load();
+                job_table = stored.load();
             }
             for id in specs.keys() {
                 let status =
-                    stored.over.get(id).copied().or_else(|| book.view(id).map(|v| v.status));
+                    stored.over.get(id).copied().or_else(|| job_table.view(id).map(|v| v.status));
                 if status == Some(JobStatus::Cancelled) {
                     reported_cancelled.insert(id.clone());
                 }
@@ -368,7 +372,7 @@
             let Some(status) = stored.over.get(id) else {
                 panic!(
                     "seed {seed}: {id} has no end: {:?}, dependencies {:?}",
-                    book.get(id),
+                    job_table.get(id),
                     spec.dependencies
                 )
             };
