--- a/crates/core/src/cloud.rs
+++ b/crates/core/src/cloud.rs
@@ -1,4 +1,4 @@
-//! Dealings with the cloud: catalogue, lists, hires and releases within its budget.
+//! Client of the cloud API: catalogue, machine lists, hires and releases within the request budget.
 
 use crate::constants::*;
 use oatloom_protocol::ids::{HostId, Millis, Mono, Token, Zone};
@@ -21,13 +21,13 @@
     Hired(Vec<HostId>),
     Released,
     NoCapacity,
-    /// 429, or 503 of an outage.
+    /// 429, or 503 during an outage.
     Busy,
     Malformed(String),
     Lost,
 }
 
-/// A kind of machine as capacity is counted.
+/// A kind of machine for which the cloud's capacity is counted.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Kind {
     pub flavor: String,
@@ -41,11 +41,11 @@
     }
 }
 
-/// What an answer means to the rest of the controller.
+/// What a reply means to the rest of the controller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum News {
     Catalog(Catalog),
-    /// A whole list, and when its first page was asked for.
+    /// A complete list, and when its first page was requested.
     Listing(Vec<Listed>, Mono),
     Hired(Hire, Vec<HostId>),
     Released(Vec<HostId>),
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Starts anew as leader: nothing is under way that this controller may count on.
+    /// Resets the state for a new term: requests of an earlier term are not relied on.
     pub fn lead(&mut self, token: Token, now: Mono) {
         self.token = token;
         self.counter = 0;
@@ -108,15 +108,16 @@
         self.releases.clear();
         self.next_list = now;
         self.list = None;
-        // Answers to an earlier reign's calls are not waited for.
+        // Replies to calls of an earlier term are not waited for.
         self.list_asked = false;
         self.release_asked = false;
         self.refused.clear();
     }
 
-    /// Asks for machines under a name that no other request ever had: the token is this leader's
-    /// alone and the counter only grows. What waits unsent is asked for together: a few of each
-    /// kind at every tick used up the calls, and hundreds of machines came seconds late.
+    /// Queues a hire under a request name that is never reused: the fencing token is this leader's
+    /// alone and the counter only grows. Unsent requests of the same kind are merged: a few
+    /// machines of each kind at every tick used up the request budget, and hundreds of machines
+    /// came seconds late.
     pub fn hire(&mut self, kind: &Kind, number: u32) {
         let mut number = number;
         for waiting in &mut self.hires {
@@ -141,7 +142,7 @@
         }
     }
 
-    /// Gives up wishes for machines in a zone that were never sent.
+    /// Drops queued hires in a zone that were never sent.
     pub fn unwish(&mut self, zone: &Zone) {
         self.hires.retain(|a| a.sent || a.tries > 0 || a.hire.zone != *zone);
     }
@@ -150,7 +151,7 @@
         self.releases.insert(host.clone());
     }
 
-    /// Machines asked for but not answered yet.
+    /// Machines requested but not answered yet.
     pub fn awaited(&self) -> impl Iterator<Item = (Kind, u32)> + '_ {
         self.hires.iter().map(|a| (Kind::from(&a.hire), a.hire.number))
     }
@@ -181,7 +182,7 @@
             let hosts = self.releases.iter().take(RELEASE_MOST).cloned().collect();
             ops.push(CloudOp::Release(hosts));
         }
-        // One hire at a time: the next one's choice depends on what this one gets.
+        // One hire at a time: the choice of the next one depends on what this one gets.
         if let Some(first) = self.hires.front()
             && !first.sent
             && self.spend()
@@ -276,8 +277,9 @@
                 self.refused.insert(Kind::from(hire), now.plus(NO_CAPACITY_PAUSE_MS));
                 News::Nothing
             }
-            // The same name again: had it been carried out, the answer is the same and nothing
-            // more is rented. Given up, its machines will show in the list and be adopted.
+            // Retries under the same name: if the hire was carried out, the cloud gives the same
+            // answer and rents nothing more. If it is given up, its machines show up in the list
+            // and are adopted.
             CloudReply::Busy | CloudReply::Lost if first.tries < HIRE_TRIES => {
                 first.tries += 1;
                 first.sent = false;
@@ -307,7 +309,8 @@
         desk.tick(now, true, true).into_iter().find(|op| matches!(op, CloudOp::Hire(_)))
     }
 
-    /// A lost answer repeats the same name; a new wish gets a new one; no name comes twice.
+    /// A lost answer is retried under the same name; a new request gets a new one; no name is used
+    /// twice.
     #[test]
     fn names_are_never_reused() {
         let (mut desk, kind) = desk();
@@ -323,7 +326,8 @@
         assert_ne!(first, next);
     }
 
-    /// Wishes of a kind that wait for the budget make one request, as large as the cloud takes.
+    /// Requests of a kind that wait for the budget are merged into one, as large as the cloud
+    /// accepts.
     #[test]
     fn wishes_that_wait_are_asked_for_together() {
         let (mut desk, kind) = desk();
@@ -334,7 +338,7 @@
         }
         assert_eq!(desk.awaited().map(|(_, n)| n).sum::<u32>(), 120);
         assert_eq!(desk.awaited().count(), 3);
-        // One that was sent, and may have been carried out, stays as it was.
+        // A request that was sent, and may have been carried out, stays as it was.
         let first = sent_hire(&mut desk, Mono(5_000)).unwrap();
         desk.answered(Mono(5_100), &first, CloudReply::Lost);
         desk.hire(&kind, 20);
--- a/crates/core/src/estimate.rs
+++ b/crates/core/src/estimate.rs
@@ -1,18 +1,19 @@
-//! The Kalman filter of the design: what one task of a job costs, in core-seconds.
+//! The Kalman filter of the Dithen paper, which estimates the cost of one task of a job in
+//! core-seconds.
 
 use crate::constants::{MEASURE_VARIANCE, PROCESS_VARIANCE};
 
-/// Estimate of one job's cost per task. Starts with b and p at 0, as the document does.
+/// Estimate of a job's cost per task. Starts with b and p at 0, as in the Dithen paper.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Kalman {
     b: f64,
     p: f64,
-    /// Whether a first measurement has been fed in.
+    /// Whether it has had a measurement.
     measured: bool,
 }
 
 impl Kalman {
-    /// One step with the last tick's measurement (core-seconds per task).
+    /// One filter step with the last tick's measurement, in core-seconds per task.
     pub fn update(&mut self, measurement: f64) {
         let prior = self.p + PROCESS_VARIANCE;
         let gain = prior / (prior + MEASURE_VARIANCE);
@@ -21,13 +22,13 @@
         self.measured = true;
     }
 
-    /// Core-seconds per task, once something was measured.
+    /// Estimated core-seconds per task, once there is a measurement.
     pub fn cost(&self) -> Option<f64> {
         self.measured.then_some(self.b)
     }
 }
 
-/// Gathers the completions of one tick into the tick's measurement, their mean.
+/// Averages the completions of one tick into the tick's measurement.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Measurement {
     sum: f64,
@@ -40,7 +41,7 @@
         self.count += 1;
     }
 
-    /// The mean of what was gathered, and starts anew.
+    /// Returns the mean and starts the next tick.
     pub fn take(&mut self) -> Option<f64> {
         let mean = (self.count > 0).then(|| self.sum / f64::from(self.count));
         *self = Self::default();
@@ -52,7 +53,8 @@
 mod tests {
     use super::*;
 
-    /// By hand: p⁻ = 0.5, k = 0.5, b = 50, p = 0.25; then p⁻ = 0.75, k = 0.6, b = 80, p = 0.3.
+    /// Computed by hand: p⁻ = 0.5, k = 0.5, b = 50, p = 0.25; then p⁻ = 0.75, k = 0.6, b = 80, p =
+    /// 0.3.
     #[test]
     fn follows_the_document_by_hand() {
         let mut filter = Kalman::default();
--- a/crates/core/src/placement/aims.rs
+++ b/crates/core/src/placement/aims.rs
@@ -1,8 +1,10 @@
-//! What users aim at: which class is in a hurry, by when a job has to start, what is guaranteed.
+//! Objectives and deadlines: which classes are urgent, by when a job has to start, and which jobs
+//! are guaranteed.
 
 use super::*;
 
-/// Seconds within which the users' aims want the class started or done, whichever is known.
+/// Shortest time in seconds within which an objective of this kind (`wait`, `finished`) wants jobs
+/// of the class started or finished, if there is one.
 pub fn objective(settings: &Settings, class: &str, kind: &str) -> Option<f64> {
     settings
         .facts
@@ -14,12 +16,12 @@
 }
 
 /// Seconds within which users want the class started, if that is so few report periods that waiting
-/// for a machine's next report would make it late.
+/// for a machine's next report would make the job late.
 pub fn eager(settings: &Settings, class: &str) -> Option<f64> {
     objective(settings, class, "wait").filter(|within| *within <= soon_s(settings))
 }
 
-/// Whether there is such a class.
+/// Whether any class is that urgent.
 pub fn any_eager(settings: &Settings) -> bool {
     let soon = |within: f64| within <= soon_s(settings);
     let objectives = settings.facts.objectives.iter();
@@ -32,7 +34,7 @@
     settings.facts.workers.report_s * EAGER_REPORTS
 }
 
-/// When the job ought to be complete.
+/// When the job should be finished.
 pub fn due(settings: &Settings, job: &Job) -> Mono {
     let spec = &job.spec;
     let within = spec
@@ -44,8 +46,8 @@
     job.inherited.latest_end.map_or(own, |latest| latest.min(own))
 }
 
-/// By when a job whose deadline others have to make possible must be released: its own deadline or the one that it
-/// inherits, less what it takes by its estimate, as corrected by `bias`, and on the way.
+/// Latest time at which a job may be released so that it still meets its own or its inherited
+/// deadline: the deadline less its estimated run time, corrected by `bias`, and less the overhead.
 pub fn latest_release(job: &Job, bias: f64, overhead_s: f64) -> Option<Mono> {
     let own = job.spec.deadline_s.map(|within| job.submitted.plus(Millis::from_secs(within)));
     let latest_end = match (own, job.inherited.latest_end) {
@@ -56,8 +58,8 @@
     Some(Mono(latest_end.0.saturating_sub(takes.0)))
 }
 
-/// By when the job has to be placed to meet the next of its aims that can still be met. A job that
-/// can meet none any more comes after those that can.
+/// Latest time at which the job can be placed and still meet its next reachable objective. A job
+/// that can reach none is ordered after those that can.
 pub(super) fn start_by(settings: &Settings, job: &Job, overhead_s: f64, now: Mono) -> Mono {
     let spec = &job.spec;
     let waits = settings
@@ -83,15 +85,15 @@
     }
 }
 
-/// By what arrays without a deadline of their own are ordered among jobs of their rank: the tasks
-/// left. Guards against one large array that makes many small ones late and is late all the same.
+/// Sort key of arrays without a deadline among jobs of the same rank: the tasks left. Without it
+/// one large array delays many small ones and is late all the same.
 pub(super) fn work_left(job: &Job) -> u32 {
     let dated = job.spec.deadline_s.is_some() || job.inherited.latest_end.is_some();
     let undated = job.spec.shape == Shape::Array && !dated;
     if undated { job.spec.tasks - job.done } else { 0 }
 }
 
-/// Unfinished jobs that fit into their team's guarantee together with its earlier ones.
+/// Unfinished jobs that fit into their team's guarantee together with the team's earlier jobs.
 pub fn guaranteed(settings: &Settings, book: &Book) -> BTreeMap<JobId, ()> {
     let mut sums: BTreeMap<&str, Usage> = BTreeMap::new();
     let mut jobs: Vec<(&JobId, &Job)> =
@@ -109,7 +111,7 @@
         let sum = sums.entry(team.name.as_str()).or_default();
         sum.cpus += job.spec.cpus * left;
         sum.gpus += job.spec.gpus * left;
-        // 0 means none: a team with only GPUs guaranteed is held to those.
+        // 0 means no guarantee: a team with only GPUs guaranteed is checked against those alone.
         let fits = |used: f64, cap: f64| cap <= 0.0 || used <= cap + 1e-6;
         if fits(sum.cpus, team.cpus) && fits(sum.gpus, team.gpus) {
             within.insert(id.clone(), ());
--- a/crates/core/src/placement/exchange.rs
+++ b/crates/core/src/placement/exchange.rs
@@ -1,4 +1,5 @@
-//! Room for a service in one of its zones, made by another service whose replica may be in a zone where room is free.
+//! Moves a replica of one service to another zone to make room for a service that may only use the
+//! replica's zone.
 
 use super::slots::{Search, When, usable};
 use super::{Need, Pass};
@@ -8,7 +9,7 @@
 use oatloom_protocol::ids::TaskId;
 use oatloom_protocol::wire::Shape;
 
-/// A replica that could go elsewhere: the machine that it leaves, and the slot that it gets.
+/// A replica that could be moved: the machine that it leaves and the slot that it gets.
 struct Move<'m> {
     cost: f64,
     task: TaskId,
@@ -17,10 +18,11 @@
 }
 
 impl<'a> Pass<'a> {
-    /// Has a replica of a service that is up change its zone, for a service that lacks replicas and may not have more of them
-    /// in the zones where room is left. Says whether room is being made. Guards against the last room of a region that lies
-    /// in one zone, as after that zone's return, where every further service may have half of its replicas and none is
-    /// ever up.
+    /// Moves a replica of a service that is fully up to another zone, for a service that lacks
+    /// replicas and that the spread rule keeps out of the zones with free room. Returns whether
+    /// room is being made. Without it, when the last free room of a region lies in one zone, for
+    /// example after an outage of that zone, each further service gets half of its replicas and
+    /// none is ever fully up.
     pub(super) fn exchange(&mut self, need: &Need, book: &Book) -> bool {
         let job = need.job;
         if job.spec.shape != Shape::Service || self.exchange_searches >= EXCHANGE_SEARCHES_MOST {
@@ -42,7 +44,8 @@
         true
     }
 
-    /// Live slots with room, some of each kind, in zones that are closed to the job.
+    /// Live slots with room in zones that are closed to the job, up to [`EXCHANGE_TARGETS`] of each
+    /// kind.
     fn exchange_targets(&self, need: &Need) -> Vec<usize> {
         let zones = self.zones(need.job);
         let mut found: Vec<usize> = Vec::new();
@@ -60,7 +63,8 @@
         found
     }
 
-    /// The replica whose move costs least, in seconds of fetching for it and for the job.
+    /// The replica whose move costs least, in seconds of image fetches for the replica and for the
+    /// job.
     fn best_move(&self, need: &Need, targets: &[usize], book: &Book) -> Option<Move<'a>> {
         let zones = self.zones(need.job);
         let mut best: Option<Move> = None;
@@ -100,8 +104,8 @@
         best
     }
 
-    /// Whether a replica belongs to a service that is up, none of which is being stopped, and has run for a while: one that
-    /// is moved again and again serves nobody.
+    /// Whether the replica belongs to a service that is fully up with no replica being stopped, and
+    /// has run long enough: a replica that is moved again and again is of no use.
     fn is_settled(&self, job: &Job, index: u32) -> bool {
         let settled = |at| self.now.since(at).secs() >= SETTLED_S;
         job.spec.shape == Shape::Service
@@ -111,7 +115,8 @@
             && job.hold(index).and_then(|hold| hold.running_since).is_some_and(settled)
     }
 
-    /// The slot to which a replica on `from` may go soonest, and the seconds of its fetch there.
+    /// The slot to which the replica on `from` can move with the shortest image fetch, and the
+    /// seconds of that fetch.
     fn best_target(&self, job: &Job, from: &Machine, targets: &[usize]) -> Option<(usize, f64)> {
         let need = Need::new(self.settings, job);
         let mut zones = job.zones.clone();
--- a/crates/core/src/placement/gangs.rs
+++ b/crates/core/src/placement/gangs.rs
@@ -1,9 +1,9 @@
-//! Places for a whole gang at once, in the zone where that costs least.
+//! Places all tasks of a gang at once, in the zone where that costs least.
 
 use super::*;
 
 impl Pass<'_> {
-    /// Tasks of the job that each zone could take at once if work of lower rank gave way.
+    /// Tasks of the job that each zone could take at once if arrays of lower rank were preempted.
     pub(super) fn yielding(&mut self, need: &Need, book: &Book) -> BTreeMap<Zone, usize> {
         let mut zones = BTreeMap::new();
         for m in self.fleet.machines.values() {
@@ -28,7 +28,8 @@
         zones
     }
 
-    /// The zones that a job whose tasks belong together may be in, or the choice of all.
+    /// The zones to choose from for a job that has to stay in one zone; `None` stands for any mix
+    /// of zones.
     pub(super) fn sites(&self, job: &Job) -> Vec<Option<Zone>> {
         if job.spec.one_zone {
             self.settings.facts.zones.iter().cloned().map(Some).collect()
@@ -37,7 +38,7 @@
         }
     }
 
-    /// Where room for so many tasks, later if not now, hires for least.
+    /// The site where room for this many tasks, now or later, costs least in new machines.
     pub(super) fn cheapest_site(
         &mut self,
         need: &Need,
@@ -48,8 +49,8 @@
         self.best_site(need, sites, |pass, site| pass.gang_later(need, count, site, spot))
     }
 
-    /// The site whose `cost` is least, of those that have one. What `cost` takes is given up again;
-    /// where it finds nothing it has to leave all as it was.
+    /// The site with the least `cost`, among those where it returns one. The changes that `cost`
+    /// makes are rolled back; where it returns `None` it has to undo them itself.
     pub(super) fn best_site(
         &mut self,
         need: &Need,
@@ -68,14 +69,15 @@
         best.map(|(_, site)| site.clone())
     }
 
-    /// A gang starts whole or not at all.
+    /// Places a gang as a whole or not at all.
     pub(super) fn gang(&mut self, job: &Job, tasks: &[u32], book: &Book) {
         let need = Need::new(self.settings, job);
         if (self.within_limit(job)) < job.spec.tasks || tasks.len() < job.spec.tasks as usize {
             return;
         }
         let sites = self.sites(job);
-        // All zones are tried, since the first with room may be the dearest or have no images there.
+        // Tries all zones, since the first one with room may be the most expensive or lack the
+        // images.
         let score = |pass: &mut Self, site: Option<&Zone>| {
             pass.gang_places(&need, tasks.len(), site).map(|(_, score)| score)
         };
@@ -88,20 +90,21 @@
             self.plan.placed_kept |= self.yard.kept_for(&job.spec.id);
             return;
         }
-        // Machines that are being cleared are kept for it; others would come later than those. Not
-        // for long: guards against waiting for ever for room that does not come.
+        // Machines that are being cleared are reserved for the gang and come sooner than new ones.
+        // The wait is limited, since that room may never come.
         let clearing = self.make_room(&need, book, false, &sites);
         if clearing && self.now.since(job.released) < RESERVE_MS {
             return;
         }
-        // Not now: count it against live room first, then machines on their way or to be hired,
-        // so that nothing of lower rank takes what it will need. Where that hires for least.
+        // It cannot start now: reserves live room first, then machines that boot or are to be
+        // hired, at the site that hires for least, so that nothing of lower rank takes what it
+        // needs.
         if let Some(site) = self.cheapest_site(&need, tasks.len(), &sites, None) {
             self.gang_later(&need, tasks.len(), site.as_ref(), None);
         }
     }
 
-    /// Live slots for all tasks of a gang together, and what the worst of them scores.
+    /// Live slots for all tasks of a gang together, and the worst of their scores.
     pub(super) fn gang_places(
         &mut self,
         need: &Need,
@@ -128,8 +131,8 @@
         None
     }
 
-    /// Room for a gang on machines that are live, on their way or to be hired, and what the last
-    /// cost by the hour. `spot`: on machines of that kind only.
+    /// Assigns a gang to machines that are live, booting or to be hired, and returns the hourly
+    /// price of the machines to be hired. `spot` restricts it to spot or to on-demand machines.
     pub(super) fn gang_later(
         &mut self,
         need: &Need,
--- a/crates/core/src/placement/limits.rs
+++ b/crates/core/src/placement/limits.rs
@@ -1,10 +1,10 @@
-//! What teams' limits leave to be started.
+//! Team limits: how many more tasks they allow, and the order in which jobs are placed.
 
 use super::*;
 use oatloom_protocol::settings::Team;
 use oatloom_protocol::wire::JobSpec;
 
-/// How many more tasks of this kind a team's limit allows beside what it uses.
+/// How many more tasks of this size the team's limit allows on top of `used`.
 pub(super) fn allowed(team: &Team, used: Usage, spec: &JobSpec) -> u32 {
     let more = |cap: f64, used: f64, each: f64| {
         if cap <= 0.0 || each <= 0.0 {
@@ -18,7 +18,7 @@
     if count >= f64::from(u32::MAX) { u32::MAX } else { count as u32 }
 }
 
-/// What each team with a limit uses, and what is counted beside it.
+/// Usage of each team that has a limit, including tasks counted by [`Headroom::take`].
 #[derive(Debug)]
 pub struct Headroom<'a> {
     used: BTreeMap<&'a str, (&'a Team, Usage)>,
@@ -37,12 +37,12 @@
         self.used.is_empty()
     }
 
-    /// How many more tasks of this kind the team may have at once; `None`: any number.
+    /// How many more tasks of this size the team may run at once; `None` if it has no limit.
     pub fn tasks(&self, spec: &JobSpec) -> Option<u32> {
         self.used.get(spec.team.as_str()).map(|(team, used)| allowed(team, *used, spec))
     }
 
-    /// Counts so many more tasks.
+    /// Counts this many more tasks as used.
     pub fn take(&mut self, spec: &JobSpec, tasks: u32) {
         if let Some((_, used)) = self.used.get_mut(spec.team.as_str()) {
             used.cpus += spec.cpus * f64::from(tasks);
@@ -51,7 +51,7 @@
     }
 }
 
-/// Open jobs with tasks that may start now, in the order in which they are given room, and by when each has to start.
+/// Open jobs with tasks that may start now, in placement order, each with its latest start time.
 pub fn in_order(
     settings: &Settings,
     book: &Book,
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -1,6 +1,6 @@
-//! Which task starts where. One pass looks at all open jobs in order of rank, guarantee and
-//! urgency, places what fits on live machines, counts the rest against machines on their way, and
-//! says what else should be hired and what should make room.
+//! Placement of tasks on machines. One pass goes through all open jobs in order of rank, guarantee
+//! and urgency, places what fits on live machines, counts the rest against machines that are
+//! booting, and returns which machines to hire and which tasks to preempt.
 
 mod aims;
 mod exchange;
@@ -28,22 +28,22 @@
 use slots::{Search, When, Yard, usable};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What one pass decides.
+/// The decisions of one placement pass.
 #[derive(Debug, Default)]
 pub struct Plan {
     pub starts: Vec<(JobId, u32, HostId)>,
-    /// Tasks that should make room, and the machine to keep for the job that needs it.
+    /// Tasks to stop to make room, why, and the seconds that each is given to save its state.
     pub stops: Vec<(TaskId, StopWhy, f64)>,
     pub reserve: Vec<(HostId, JobId)>,
-    /// Machines wanted; `true` where the loop's bound must not hold them back.
+    /// Machines to hire; `true` if the bound of the control loop does not apply.
     pub hires: Vec<(Kind, bool)>,
-    /// Gangs that should save and go on on cheap machines, which are kept for them.
+    /// Gangs to checkpoint and restart on spot machines, which are reserved for them.
     pub moves: Vec<JobId>,
-    /// Live machines whose room is kept ready for jobs that are likely to come.
+    /// Live machines whose room is kept free for jobs that are likely to arrive.
     pub ready: BTreeSet<HostId>,
-    /// Whether a gang was placed for which machines had been kept.
+    /// Whether a gang was placed on machines that had been reserved for it.
     pub placed_kept: bool,
-    /// Machines looked at: what the pass has cost.
+    /// Slots examined: the cost of the pass.
     pub steps: u64,
 }
 
@@ -52,19 +52,20 @@
     pub settings: &'a Settings,
     pub book: &'a mut Book,
     pub fleet: &'a Fleet,
-    /// Tasks that each array may have running at once by its rate.
+    /// Tasks that each array may run at once by its rate.
     pub paced: &'a BTreeMap<JobId, u32>,
     pub awaited: Vec<(Kind, u32)>,
-    /// Jobs that are likely to come before a machine hired for them would be up, and how many.
+    /// Jobs that are likely to arrive before a machine hired for them would be up, and how many.
     pub expected: &'a [(Job, u32)],
     pub refused: &'a dyn Fn(&Kind) -> bool,
 }
 
-/// What a task of a job needs and may use.
+/// What a task of a job needs and where it may run.
 struct Need<'a> {
     job: &'a Job,
     room: Room,
-    /// Seconds of fetching, or of waiting for a report, that weigh as much as a whole machine.
+    /// Seconds of image fetch, or of waiting for a report, that weigh as much as a whole free
+    /// machine.
     late_weight_s: f64,
 }
 
@@ -82,7 +83,7 @@
             && (spec.spot || !spot)
     }
 
-    /// Most tasks that one zone may hold, given the spread rule.
+    /// Maximum number of tasks in one zone under the spread rule.
     fn zone_cap(&self) -> u32 {
         if self.job.spec.spread { self.job.spec.tasks.div_ceil(2) } else { u32::MAX }
     }
@@ -107,16 +108,17 @@
     })
 }
 
-/// Whether a task of the job fits some machine type that it may use.
+/// Whether a task of the job fits any machine type that it may use.
 pub fn fits_some(spec: &JobSpec, flavors: &[Flavor]) -> bool {
     fitting(spec, flavors).next().is_some()
 }
 
-/// Whether the job's tasks may run in this zone and nowhere else, by its own wish or by its machine types.
+/// Whether the job's tasks can run in this zone only, because of its own constraint or of its
+/// machine types.
 pub fn needs_zone(spec: &JobSpec, flavors: &[Flavor], zone: &Zone) -> bool {
     match &spec.zone {
         Some(only) => only == zone,
-        // What fits nowhere needs no zone.
+        // A job that fits no machine type needs no zone.
         None => {
             fits_some(spec, flavors)
                 && fitting(spec, flavors).all(|f| f.zones.iter().all(|z| z == zone))
@@ -124,14 +126,16 @@
     }
 }
 
-/// Whether one more task of the job may be on the machine: its own wishes, the zones of its other
-/// tasks and its team's limit. Checked once more for every single start, whatever a plan says.
+/// Whether one more task of the job may be placed on the machine: its own constraints, the zones of
+/// its other tasks and its team's limit. Checked again for every single start, whatever the plan
+/// says.
 pub fn permitted(settings: &Settings, book: &Book, job: &Job, machine: &Machine) -> bool {
     let need = Need::new(settings, job);
     let Some(team) = settings.team(&job.spec.team) else { return false };
     let used = book.usage.get(&job.spec.team).copied().unwrap_or_default();
-    // What takes nothing of an amount is not bound by it: the book of a new leader may show more than a limit, since tasks
-    // that the last one knew to be gone still stand in its records.
+    // A task that uses nothing of an amount is not bound by its limit: the job table of a new
+    // leader may show more than the limit, since the records can still hold tasks that the previous
+    // leader knew to be gone.
     let within =
         |most: f64, used: f64, each: f64| most <= 0.0 || each <= 0.0 || used + each <= most + 1e-6;
     need.allows(&machine.flavor, &machine.zone, machine.spot)
@@ -148,22 +152,22 @@
     refused: &'a dyn Fn(&Kind) -> bool,
     yard: Yard<'a>,
     usage: BTreeMap<String, Usage>,
-    /// Where this pass has started tasks of a job: guards against an array's second turn in a pass
-    /// placing as if its first had not been.
+    /// Tasks of each job that this pass has started, by zone, so that an array's second turn in the
+    /// pass takes its first into account.
     started: BTreeMap<JobId, BTreeMap<Zone, u32>>,
-    /// What this pass has started on machines.
+    /// Room taken on each machine by the starts of this pass.
     given: BTreeMap<&'a HostId, Room>,
     searches: usize,
-    /// The tasks on machines, once a search has asked for them.
+    /// The tasks on each machine, cached once a search has needed them.
     placed_tasks: Option<room::PlacedTasks<'a>>,
-    /// Searches for work that could make room where an image is.
+    /// Searches made so far for tasks to preempt on machines that have an image.
     image_searches: usize,
-    /// Searches for replicas that could change their zone.
+    /// Searches made so far for replicas that could change zone.
     exchange_searches: usize,
     plan: Plan,
 }
 
-/// One pass over all jobs.
+/// Runs one placement pass over all jobs.
 pub fn plan(inputs: Inputs) -> Plan {
     let Inputs { now, settings, book, fleet, paced, awaited, expected, refused } = inputs;
     let guaranteed = guaranteed(settings, book);
@@ -183,8 +187,9 @@
         exchange_searches: 0,
         plan: Plan::default(),
     };
-    // One task of a kind runs first, as the document has it: of an array that has waited long and never begun, whatever its
-    // rank. Guards against the largest of a class that never begin beside a stream of others; it stops nobody.
+    // An array that has waited long without starting anything gets one task placed first, whatever
+    // its rank: the Dithen paper runs one task of each type first to measure it. Otherwise the
+    // largest jobs of a class never begin beside a stream of others. Nothing is preempted for it.
     let mut first: BTreeMap<JobId, u32> = BTreeMap::new();
     for (id, _) in &order {
         let Some(job) = book.jobs.get_mut(id).filter(|job| job.unbegun(now)) else { continue };
@@ -195,7 +200,7 @@
             first.extend(task.first().map(|task| (id.clone(), *task)));
         }
     }
-    // Arrays get what their rates allow first, then what is left idle.
+    // Arrays get what their rates allow first, then the room that is left idle.
     let mut beyond = Vec::new();
     let mut services = ServiceTurns::new(&order, book, &guaranteed, now);
     for (id, _) in &order {
@@ -255,8 +260,8 @@
     pass.plan
 }
 
-/// Whether the services on a machine would find room on other live machines that have their
-/// images; its other tasks end by themselves.
+/// Whether the services on a machine would find room on other live machines that have their images.
+/// Its other tasks are left to end by themselves.
 pub fn room_elsewhere(
     now: Mono,
     settings: &Settings,
@@ -296,7 +301,7 @@
         limits::allowed(team, used, &job.spec)
     }
 
-    /// The zones of a job's tasks, those that this pass has started included.
+    /// The zones of a job's tasks, including those started by this pass.
     fn zones(&self, job: &Job) -> BTreeMap<Zone, u32> {
         let mut zones = job.zones.clone();
         for (zone, count) in self.started.get(&job.spec.id).into_iter().flatten() {
@@ -320,7 +325,7 @@
         *zones.entry(machine.zone.clone()).or_default() += 1;
     }
 
-    /// Tasks that start one by one.
+    /// Places tasks that start independently of each other.
     fn singles(&mut self, job: &Job, tasks: &[u32], hire: bool, book: &Book, owed: bool) {
         let need = Need::new(self.settings, job);
         let most = self.within_limit(job) as usize;
@@ -330,8 +335,8 @@
         let mut urgent = None;
         let down = job.spec.shape == Shape::Service && job.up;
         for index in tasks.iter().take(most) {
-            // Guards against a replica that was up and now waits for its image for a minute, while machines that have it
-            // run work of lower rank.
+            // Without this a replica that was up waits up to a minute for its image while machines
+            // that have the image run work of lower rank.
             if down && let Some(at) = places.look(self, &need) {
                 let fetch_s = self.yard.fetch_s(at, &need);
                 if fetch_s > DOWN_FETCH_S
@@ -364,10 +369,10 @@
         }
     }
 
-    /// Whether an array has nothing running and nothing to hope for: no machine that it may use is
-    /// there, or it has waited long. Guards against a target in cores that is met by machines of
-    /// the wrong zone, type or kind, or on which it has failed, for which the job would wait for ever, or until they
-    /// are returned.
+    /// Whether an array runs nothing and has no prospect of a machine: none that it may use exists,
+    /// or it has waited long. Without it the target in cores can be met by machines of the wrong
+    /// zone, type or kind, or by ones on which the job has failed, and the job waits until they are
+    /// returned.
     fn starved(&self, need: &Need) -> bool {
         let job = need.job;
         job.held == 0
--- a/crates/core/src/placement/places.rs
+++ b/crates/core/src/placement/places.rs
@@ -1,8 +1,8 @@
-//! The places that one job may take, best first.
+//! Slots for the tasks of one job, best first.
 
 use super::*;
 
-/// Places for the tasks of one job, one after another.
+/// Picks slots for the tasks of one job, one after another.
 pub(super) struct Places {
     search: Search,
     zones: BTreeMap<Zone, u32>,
@@ -22,7 +22,7 @@
         Self { search: Search::default(), zones, only: only.cloned(), spot: None, mask }
     }
 
-    /// Leaves only cheap machines, or only ordinary ones.
+    /// Restricts the search to spot machines or to on-demand ones.
     pub(super) fn restrict(&mut self, pass: &Pass, spot: Option<bool>) {
         self.spot = spot;
         let Some(wanted) = spot else { return };
@@ -31,19 +31,19 @@
         }
     }
 
-    /// The best live slot, which is left where it is.
+    /// The best live slot, without taking it.
     pub(super) fn look(&mut self, pass: &mut Pass, need: &Need) -> Option<usize> {
         let at = pass.yard.best(&mut self.search, need, &self.mask, When::Live)?;
         pass.yard.offer(&mut self.search, at, need);
         Some(at)
     }
 
-    /// The best live slot, which is taken.
+    /// Takes the best live slot.
     pub(super) fn live(&mut self, pass: &mut Pass, need: &Need) -> Option<usize> {
         self.live_scored(pass, need).map(|(at, _)| at)
     }
 
-    /// The same, with what it scores.
+    /// Takes the best live slot and returns its score as well.
     pub(super) fn live_scored(&mut self, pass: &mut Pass, need: &Need) -> Option<(usize, f64)> {
         let at = pass.yard.best(&mut self.search, need, &self.mask, When::Live)?;
         let score = pass.yard.score_of(need, at);
@@ -51,7 +51,7 @@
         Some((at, score))
     }
 
-    /// Counts a task against a machine on its way, or wishes for another one.
+    /// Assigns a task to a machine that is booting, or plans to hire another one.
     pub(super) fn later(&mut self, pass: &mut Pass, need: &Need, urgent: bool) -> bool {
         let at = match pass.yard.best(&mut self.search, need, &self.mask, When::Coming) {
             Some(at) => at,
--- a/crates/core/src/placement/ready.rs
+++ b/crates/core/src/placement/ready.rs
@@ -1,11 +1,12 @@
-//! Room kept ready for jobs that are likely to come, and moves to cheap machines in calm times.
+//! Keeps room ready for jobs that are likely to arrive, and moves gangs to spot machines in calm
+//! times.
 
 use super::*;
 use oatloom_protocol::wire::JobSpec;
 
-/// Jobs that are likely to come before a machine hired for them would be up, of classes that users
-/// want started sooner than that. Arrivals are taken to come at the rate of the last minutes; those of teams whose limit
-/// leaves nothing for them, beside what waits already, could not start.
+/// Jobs that are likely to arrive before a machine hired for them would be up, of classes that
+/// users want started sooner than that. Extrapolates the arrival rate of the last minutes, and
+/// leaves out teams whose limit would not let the jobs start.
 pub fn expected(
     settings: &Settings,
     book: &Book,
@@ -24,8 +25,8 @@
     let whole = |spec: &JobSpec| if spec.shape == Shape::Gang { spec.tasks } else { 1 };
     let may_start = |spec: &JobSpec| headroom.tasks(spec).is_none_or(|most| most >= whole(spec));
     for (at, spec) in book.arrivals.iter().filter(|(_, spec)| may_start(spec)) {
-        // What comes at once is no rate: guards against taking a first load, or the jobs that a
-        // new leader finds, for the pace at which more will come.
+        // Counts only a few arrivals of a class per time bucket: an initial load, or the jobs that
+        // a new leader finds, must not be taken for the rate of further arrivals.
         let bucket = buckets.entry((&spec.class, at.0 / ARRIVAL_BUCKET_MS.0)).or_default();
         *bucket += 1;
         if now.since(*at).secs() <= window_s && *bucket <= ARRIVAL_BUCKET_MOST {
@@ -52,8 +53,8 @@
 }
 
 impl Pass<'_> {
-    /// Keeps room for jobs that are likely to come: where work of lower rank would give way, on
-    /// live machines, on those on their way, or on further ones.
+    /// Keeps room for jobs that are likely to arrive: where work of lower rank could be preempted,
+    /// on live machines, on booting ones, or on further ones to be hired.
     pub(super) fn keep_ready(&mut self, job: &Job, count: u32, book: &Book) {
         let need = Need::new(self.settings, job);
         let tasks = job.spec.tasks as usize;
@@ -64,10 +65,10 @@
             None => yielding.values().sum(),
         };
         let given: usize = sites.iter().map(|site| there(site) / tasks).sum();
-        // Cheap machines first, to be hired if need be: guards against keeping dear ones for good
-        // since they are there already.
+        // Spot machines first, hired if need be: otherwise expensive machines are kept for good
+        // because they are already there.
         let kinds = if job.spec.spot { vec![Some(true), None] } else { vec![None] };
-        // Guards against machines kept for what the team's limit would not let run.
+        // Keeps no machines for tasks that the team's limit would not allow.
         let count = (count as usize).min(self.within_limit(job) as usize / tasks);
         for _ in given..count {
             let room = kinds.iter().find_map(|spot| {
@@ -80,9 +81,9 @@
         }
     }
 
-    /// While nothing else is wanted, has the gang whose move to cheap machines saves most go there,
-    /// or hires them for it: in a burst gangs start where room is, which keeps ordinary machines
-    /// rented long after it.
+    /// While no machine is wanted, moves the gang that saves most to spot machines, or hires those
+    /// for it. In a burst gangs start wherever there is room, which keeps on-demand machines rented
+    /// long afterwards.
     pub(super) fn cheapen(&mut self, book: &Book) {
         if !self.plan.hires.is_empty() || self.searches > 0 || !self.plan.starts.is_empty() {
             return;
@@ -127,7 +128,7 @@
                 self.plan.moves.push(job.spec.id.clone());
             }
             None => {
-                // As if it were nowhere yet: it may go to another zone.
+                // Computed as if the gang ran nowhere yet: it may go to another zone.
                 let stand_in = Job::expected(&job.spec, job.spec.tasks, job.submitted);
                 let need = Need::new(self.settings, &stand_in);
                 if let Some(site) = self.cheapest_site(&need, tasks, &sites, Some(true)) {
@@ -137,8 +138,8 @@
         }
     }
 
-    /// Live slots on cheap machines for all tasks of a gang, wherever it is now, and how long they
-    /// have to fetch its image, if that is not for long.
+    /// Live spot slots for all tasks of a gang, wherever it runs now, and its longest image fetch
+    /// there, if that is at most [`MOVE_FETCH_S`].
     pub(super) fn cheap_places(
         &mut self,
         need: &Need,
--- a/crates/core/src/placement/room.rs
+++ b/crates/core/src/placement/room.rs
@@ -1,11 +1,12 @@
-//! Room made for a job that may not wait for a boot, where least work is lost.
+//! Preempts tasks for a job that cannot wait for a machine to boot, where the least work is lost.
 
 use super::*;
 use oatloom_protocol::wire::Rank;
 use std::sync::Arc;
 
-/// A task on a machine as a search for room sees it. Each search looks at all of them, so that what they are is looked up
-/// once in a pass: by name in the book it was a quarter of what a leader of 4,000 machines did.
+/// A task on a machine as seen by a search for room. Built once per pass, since each search goes
+/// through all tasks: looking them up by name in the job table took a quarter of the time of a
+/// leader with 4,000 machines.
 #[derive(Debug)]
 pub(super) struct PlacedTask<'m> {
     task: &'m TaskId,
@@ -14,21 +15,21 @@
     rank: Rank,
     /// Whether it is being stopped already.
     stopping: bool,
-    /// What work its end would lose, in core-seconds.
+    /// Work lost if it is stopped, in core-seconds.
     loss: f64,
 }
 
-/// The tasks on each machine, in the machines' order.
+/// The tasks on each machine, in the order of the fleet's machines.
 pub(super) type PlacedTasks<'m> = Vec<Vec<PlacedTask<'m>>>;
 
-/// Room for one task that a machine could give, and at what loss.
+/// Room for one task that a machine could provide, with the work lost and the tasks to stop.
 pub(super) struct Offer<'m> {
     cost: f64,
     machine: &'m Machine,
     victims: Vec<TaskId>,
 }
 
-/// What every search for room has to know of the tasks on machines.
+/// Collects the tasks on all machines for the searches of a pass.
 fn placed_tasks<'m>(fleet: &'m Fleet, book: &Book, now: Mono) -> PlacedTasks<'m> {
     let placed_task = |(task, room): (&'m TaskId, &'m Room)| {
         let job = book.get(&task.job)?;
@@ -43,7 +44,7 @@
 }
 
 impl Pass<'_> {
-    /// Whether a machine that has to boot first would come in time for the job's aim.
+    /// Whether a machine that has to boot first would be up in time for the job's objective.
     pub(super) fn can_wait(&self, job: &Job) -> bool {
         let Some(within) = objective(self.settings, &job.spec.class, "wait") else {
             return false;
@@ -59,7 +60,7 @@
         left > boot
     }
 
-    /// Keeps a machine for a job.
+    /// Reserves a machine for a job.
     pub(super) fn keep(&mut self, machine: &Machine, job: &Job) {
         let keep = (machine.id.clone(), job.spec.id.clone());
         if !self.plan.reserve.contains(&keep) {
@@ -67,9 +68,9 @@
         }
     }
 
-    /// Stops tasks of lower rank, or of teams beyond their guarantee for one that is owed its
-    /// own, where least work is lost: on one machine per pass for a job whose tasks start one by
-    /// one, for a gang on as many as it needs, in one of its sites. Says whether room is being made.
+    /// Stops tasks of lower rank, or, for a job within its guarantee, of teams beyond theirs, where
+    /// the least work is lost: on one machine per pass for a job whose tasks start independently,
+    /// for a gang on as many as it needs at one of its sites. Returns whether room is being made.
     pub(super) fn make_room(
         &mut self,
         need: &Need,
@@ -83,8 +84,8 @@
         }
         let id = &job.spec.id;
         let kept = self.yard.kept_for(id) || self.plan.reserve.iter().any(|(_, j)| j == id);
-        // A search looks at every task on every machine; those left out have their turn in the
-        // next pass.
+        // A search goes through every task on every machine; jobs beyond the limit are searched for
+        // in the next pass.
         if kept || self.searches >= MAKE_ROOM_MOST {
             return kept;
         }
@@ -93,15 +94,16 @@
         self.clear(need, book, owed, sites, |_| true)
     }
 
-    /// Stops tasks of lower rank on a machine that has the image of a replica which is down. Says whether room is being
-    /// made.
+    /// Stops tasks of lower rank on a machine that has the image of a replica that is down. Returns
+    /// whether room is being made.
     pub(super) fn make_room_at_image(&mut self, need: &Need, book: &Book) -> bool {
         let (id, image) = (&need.job.spec.id, &need.job.spec.image);
         if self.plan.reserve.iter().any(|(_, j)| j == id) {
             return true;
         }
         if self.yard.kept_for(id) {
-            // Guards against waiting for one that was kept while none with the image could be had.
+            // A machine may have been reserved while none with the image was available; waiting for
+            // that one would not help.
             let kept = |m: &Machine| m.kept_for(self.now) == Some(id);
             return self.fleet.machines.values().any(|m| kept(m) && m.has_image(image));
         }
@@ -113,8 +115,9 @@
         self.clear(need, book, false, &[None], |m| m.has_image(image))
     }
 
-    /// Whether a replica that is down does better to wait for room where its image is than to fetch it: tasks end there
-    /// as everywhere, and it is the first to get their room. For a part of what the fetch takes only.
+    /// Whether a replica that is down should wait for room where its image is instead of fetching
+    /// it: tasks end there as anywhere, and the replica is first to get their room. The wait is
+    /// limited to a part of the fetch time.
     pub(super) fn image_may_come(&mut self, need: &Need, fetch_s: f64) -> bool {
         let job = need.job;
         let wait_s = DOWN_WAIT_S.min(fetch_s * DOWN_WAIT_PART);
@@ -130,7 +133,8 @@
         })
     }
 
-    /// Has the tasks stopped whose end costs least on machines for which `which` holds, and keeps those for the job.
+    /// Stops the tasks that cost least on machines that satisfy `which`, and reserves those
+    /// machines for the job.
     fn clear(
         &mut self,
         need: &Need,
@@ -166,7 +170,7 @@
         offers.sort_by(|a, b| a.cost.total_cmp(&b.cost));
         let mut best: Option<(f64, Vec<&Offer>)> = None;
         for site in sites {
-            // Guards against clearing machines that the spread rule then forbids to use together.
+            // Does not clear machines that the spread rule forbids to use together.
             let mut zones = job.zones.clone();
             let mut fits = |o: &&Offer| {
                 let zone = &o.machine.zone;
@@ -193,8 +197,8 @@
         true
     }
 
-    /// What a machine could give to up to `most` tasks, one after another: the tasks whose end
-    /// would make room for each, and what work that loses.
+    /// Collects what a machine could provide for up to `most` tasks, one after another: the tasks
+    /// to stop for each, and the work lost.
     pub(super) fn offers<'m>(
         &self,
         m: &'m Machine,
@@ -204,8 +208,8 @@
         most: usize,
         offers: &mut Vec<Offer<'m>>,
     ) {
-        // Guards against keeping a machine as it is for room that this very pass has given away: the job then waited for
-        // it until the time to keep it was over.
+        // Room that this pass has given away already does not count: a machine reserved for it was
+        // kept until the reservation expired while the job waited in vain.
         let mut free = self.fleet.free_room(m);
         if let Some(given) = self.given.get(&m.id) {
             free.take(given);
@@ -229,7 +233,7 @@
         }
         candidates.sort_by(|a, b| a.0.total_cmp(&b.0));
         let mut candidates = candidates.into_iter();
-        // A fetch keeps the whole task waiting, as work lost keeps others.
+        // An image fetch delays the whole task, so it costs core-seconds like lost work does.
         let fetch_s = self.fleet.fetch_s(m, &need.job.spec);
         let mut least = 0.0;
         for _ in 0..most {
@@ -241,13 +245,14 @@
                 victims.push(task.clone());
             }
             free.take(&need.room);
-            // Sorted by cost, a machine's places must still come in their order.
+            // The costs must not decrease, so that sorting by cost keeps the order of a machine's
+            // offers.
             least = f64::max(least, cost);
             offers.push(Offer { cost: least, machine: m, victims });
         }
     }
 
-    /// Known teams that use more than their guarantee.
+    /// Teams in the settings that use more than their guarantee.
     fn borrowing(&self, book: &Book) -> BTreeSet<&str> {
         let teams = self.settings.facts.teams.iter().map(|team| &*team.name);
         teams.filter(|team| self.borrows(team, book)).collect()
--- a/crates/core/src/placement/services.rs
+++ b/crates/core/src/placement/services.rs
@@ -1,5 +1,5 @@
-//! Which service has its turn where room is short: a service is of use to its user once all its replicas are up, so what
-//! was begun is completed before parts of others are placed.
+//! Order of services while room is short. A service is useful only once all its replicas are up, so
+//! services that have some replicas are completed before others get a part of theirs.
 
 use super::{Need, Pass};
 use crate::jobs::{Book, Job};
@@ -7,30 +7,32 @@
 use oatloom_protocol::wire::{Rank, Shape};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Rank, and whether the job is within its team's guarantee: services take turns only with those of the same.
+/// Rank, and whether the job is within its team's guarantee: services compete for turns only within
+/// the same group.
 type Standing = (Rank, bool);
 
-/// The services of one standing that have replicas to place.
+/// The services of one group that have replicas to place.
 #[derive(Debug, Default)]
 struct Waiting {
-    /// Those without any replica, in the order of all jobs.
+    /// Services without any replica, in placement order.
     unbegun: VecDeque<JobId>,
-    /// Those with some of their replicas, the one that lacks fewest first.
+    /// Services with some of their replicas, the one that lacks fewest first.
     begun: VecDeque<JobId>,
-    /// Those of them that have had their turn.
+    /// Partly placed services that have had their turn in this pass.
     had_turn: Vec<JobId>,
-    /// Whether the first of the unbegun is known not to fit whole: room only shrinks during a pass.
+    /// Whether the first service without replicas is known not to fit as a whole. It holds to the
+    /// end of the pass, since room only shrinks.
     first_is_short: bool,
 }
 
-/// The services of a pass, by standing.
+/// The services of a pass that wait for room, by group.
 #[derive(Debug)]
 pub(super) struct ServiceTurns {
     waiting: BTreeMap<Standing, Waiting>,
 }
 
 impl ServiceTurns {
-    /// `order`: all jobs of the pass, in their order.
+    /// `order` holds all jobs of the pass in placement order.
     pub fn new(
         order: &[(JobId, Mono)],
         book: &Book,
@@ -59,10 +61,10 @@
         Self { waiting }
     }
 
-    /// The service that has the turn which the order of all jobs gives to `id`, a service: the next one without replicas
-    /// if there is room for all of it, else one that was begun. Guards against room that falls free piece by piece and
-    /// goes to the latest one each time, as the only one that could still be in time, until all is taken by parts of
-    /// services none of which is up.
+    /// The service that takes the turn of the service `id`: the next one without replicas if all of
+    /// it fits, else one that is partly placed. Otherwise room that becomes free piece by piece
+    /// always goes to the newest service, the only one that could still be in time, until partly
+    /// placed services hold all room and none is up.
     pub fn next(
         &mut self,
         id: &JobId,
@@ -81,7 +83,8 @@
             if !services.begun.is_empty() {
                 return services.next_begun();
             }
-            // Room that a replica of another service is to be moved to is not for parts of further ones.
+            // Room to which a replica of another service is being moved is not given to parts of
+            // further services.
             if services.had_turn.iter().any(|id| pass.room_is_made_for(id)) && !pass.may_hire(first)
             {
                 return None;
@@ -105,7 +108,7 @@
 }
 
 impl Pass<'_> {
-    /// Whether all replicas of a service have room on live machines together.
+    /// Whether all replicas of a service fit on live machines together.
     fn fits_whole(&mut self, job: &Job) -> bool {
         let replicas = job.pending();
         if self.within_limit(job) < replicas {
@@ -120,7 +123,7 @@
         fits
     }
 
-    /// Whether a machine is kept for the job, or is to be by this pass.
+    /// Whether a machine is reserved for the job, or will be by this pass.
     fn room_is_made_for(&self, id: &JobId) -> bool {
         self.yard.kept_for(id) || self.plan.reserve.iter().any(|(_, job)| job == id)
     }
--- a/crates/core/src/placement/slots.rs
+++ b/crates/core/src/placement/slots.rs
@@ -1,6 +1,6 @@
-//! Room as one placement pass sees it: a slot for every machine that is live, on its way or only
-//! wished for. Each job looks at the slots once, whatever the number of its tasks, and what was
-//! found to fit nowhere is remembered for the rest of the pass; every look counts as a step.
+//! Free room as seen by one placement pass: one slot for every machine that is live, booting or to
+//! be hired. Each job scans the slots once, whatever the number of its tasks, and a size that fits
+//! nowhere is remembered for the rest of the pass. Every slot examined counts as a step.
 
 use super::Need;
 use crate::cloud::Kind;
@@ -11,21 +11,22 @@
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
-/// Room on a machine that is live, on its way, or only wished for.
+/// Room on a machine that is live, booting, or only to be hired.
 #[derive(Debug)]
 pub(super) struct Slot<'a> {
     pub machine: Option<&'a Machine>,
     when: When,
-    /// Being emptied: used again before another machine is hired, but only then.
+    /// Being emptied: reused only before another machine would be hired.
     closing: bool,
     kind: usize,
     free: Room,
     whole: Room,
     reserved: Option<&'a JobId>,
     fetch: f64,
-    /// Seconds until its next report, with whose answer a start can go; 0 if one is open.
+    /// Seconds until the machine's next report, whose answer can carry a start; 0 if a report is
+    /// waiting for its answer.
     report_in_s: f64,
-    /// Images on their way there, and their sizes.
+    /// Images being fetched to the machine, and their sizes in GB.
     fetching: Vec<(String, f64)>,
 }
 
@@ -34,12 +35,12 @@
         self.when
     }
 
-    /// Place of its kind in [`Yard::kinds`].
+    /// Index of its kind in [`Yard::kinds`].
     pub fn kind(&self) -> usize {
         self.kind
     }
 
-    /// Whether its machine is kept for no job.
+    /// Whether its machine is reserved for no job.
     pub fn is_unreserved(&self) -> bool {
         self.reserved.is_none()
     }
@@ -49,14 +50,14 @@
     }
 }
 
-/// Which slots are meant: those where a task may start now, or those that come later.
+/// Whether a task can start on the slot now or only once its machine is up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum When {
     Live,
     Coming,
 }
 
-/// Kinds of machine, by their place in [`Yard::kinds`], that a task may be on.
+/// Which kinds of machine, by index in [`Yard::kinds`], a task may use.
 pub(super) type Mask = Vec<bool>;
 
 #[derive(Debug, PartialEq)]
@@ -68,7 +69,7 @@
 impl Eq for Candidate {}
 
 impl Ord for Candidate {
-    /// The best, which is the lowest score, is the greatest; among equals the first.
+    /// Reversed for the max-heap: the lowest score is the greatest, ties go to the lowest index.
     fn cmp(&self, other: &Self) -> Ordering {
         other.score.total_cmp(&self.score).then(other.at.cmp(&self.at))
     }
@@ -80,15 +81,15 @@
     }
 }
 
-/// One job's search: the slots that its tasks fit, best first.
+/// Candidate slots for the tasks of one job, best first, collected when first needed.
 #[derive(Debug, Default)]
 pub(super) struct Search {
     live: Option<BinaryHeap<Candidate>>,
     coming: Option<BinaryHeap<Candidate>>,
 }
 
-/// That many tasks of this size found no room together on slots of these kinds. Slots only fill
-/// up during a pass, so it holds to its end.
+/// Records that `count` tasks of this size did not fit together on slots of these kinds. Slots only
+/// fill up during a pass, so the result holds to its end.
 #[derive(Debug)]
 struct NoRoom {
     when: When,
@@ -97,7 +98,7 @@
     count: usize,
 }
 
-/// What taking a place changed, to be undone if the rest of a gang finds none.
+/// State of a slot before a task was placed on it, restored if the rest of a gang does not fit.
 #[derive(Debug)]
 struct Taken {
     at: usize,
@@ -105,7 +106,7 @@
     fetches: usize,
 }
 
-/// Where a rollback goes back to.
+/// A state of the slots that [`Yard::roll_back`] can restore.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Mark {
     taken: usize,
@@ -119,17 +120,17 @@
     pub slots: Vec<Slot<'a>>,
     live: Vec<usize>,
     coming: Vec<usize>,
-    /// Slots of each kind.
+    /// Number of slots of each kind.
     counts: Vec<u32>,
-    /// Jobs for which a machine is being kept.
+    /// Jobs for which a machine is reserved.
     kept_for: BTreeSet<&'a JobId>,
     none: Vec<NoRoom>,
     taken: Vec<Taken>,
-    /// Slots looked at so far: what the pass costs.
+    /// Slots examined so far: the cost of the pass.
     pub steps: u64,
 }
 
-/// Whether new tasks may go to the machine.
+/// Whether new tasks may be placed on the machine.
 pub(super) fn usable(fleet: &Fleet, m: &Machine, now: Mono) -> bool {
     matches!(m.life, Life::Live | Life::Closing)
         && !m.lapsed
@@ -160,15 +161,17 @@
         }
         for m in fleet.machines.values() {
             let live = usable(fleet, m, now);
-            // After an outage longer than a lease all machines are to be heard of again. Guards against tasks that are given,
-            // again and again, to those that died in it, and against hiring for all that will report within seconds.
+            // After an outage longer than a lease every machine is expected to report again within
+            // seconds. Until then no task is placed on those that may have died in the outage, and
+            // no replacement is hired.
             let back = m.lapsed && matches!(m.life, Life::Live | Life::Closing);
-            // Guards against waiting for machines of a zone that is cut off: they boot, and nobody hears of it.
+            // Machines that boot in a zone that is cut off cannot report, so they are not waited
+            // for.
             if !live && (m.life != Life::Booting && !back || fleet.zones.lost(&m.zone)) {
                 continue;
             }
             let Some(flavor) = flavors().find(|f| f.label == m.flavor) else { continue };
-            // Guards against waiting for a machine that never comes up while others could be hired.
+            // A machine that takes too long to boot is not waited for; another one can be hired.
             if !live && !back && now.since(m.born).secs() > flavor.boot_s * BOOT_SPREAD {
                 continue;
             }
@@ -222,7 +225,7 @@
         at
     }
 
-    /// Adds a machine of a kind that is asked for or wished for.
+    /// Adds a slot for a machine that is to be hired or whose hire is not answered yet.
     pub fn wish(&mut self, kind: usize) -> usize {
         let flavor = self.kinds[kind].0;
         let slot = Slot {
@@ -240,14 +243,16 @@
         self.push(slot)
     }
 
-    /// Machines in a zone, wished ones included.
+    /// Machines in a zone, including those to be hired.
     fn in_zone(&self, zone: &Zone) -> u32 {
         let here = self.kinds.iter().zip(&self.counts).filter(|((_, z, _), _)| z == zone);
         here.map(|(_, count)| count).sum()
     }
 
-    /// Whether any machine, full or not, is of a kind and size that a task may use, and, where failures are limited, not
-    /// one that its job avoids: asked of all jobs it cost kitchen-loom's steady day 0.05 with the same seed.
+    /// Whether any machine, full or not, is of a kind and size that the job's tasks may use.
+    /// Machines that the job avoids count as unusable only if some of its failures count towards
+    /// its limit: applied to all jobs, the rule lowered the score of one simulated steady day by
+    /// 0.05 with the same seed.
     pub fn any_usable(&self, need: &Need, mask: &Mask) -> bool {
         let burnt = need.job.burnt > 0;
         let may = |s: &Slot| !burnt || s.machine.is_none_or(|m| !need.job.avoids(&m.id));
@@ -258,12 +263,12 @@
         &self.kinds[self.slots[at].kind].1
     }
 
-    /// Whether a machine is being kept for the job.
+    /// Whether a machine is reserved for the job.
     pub fn kept_for(&self, id: &JobId) -> bool {
         self.kept_for.contains(id)
     }
 
-    /// Kinds that a task of the job may be on, given where its other tasks are.
+    /// Kinds of machine that a task of the job may use, given the zones of its other tasks.
     pub fn mask(&self, need: &Need, zones: &BTreeMap<Zone, u32>, only: Option<&Zone>) -> Mask {
         let open = |zone: &Zone| only.is_none_or(|z| z == zone) && need.zone_open(zone, zones);
         self.kinds
@@ -272,13 +277,13 @@
             .collect()
     }
 
-    /// Takes every slot out for which `out` holds.
+    /// Removes every live slot whose machine satisfies `out`.
     pub fn leave_out(&mut self, out: impl Fn(&Machine) -> bool) {
         let slots = &self.slots;
         self.live.retain(|at| slots[*at].machine.is_none_or(|m| !out(m)));
     }
 
-    /// Whether it is known already that the tasks find no room together.
+    /// Whether the tasks are already known not to fit together.
     pub fn hopeless(&self, need: &Need, mask: &Mask, when: When, count: usize) -> bool {
         if self.kept_for(&need.job.spec.id) {
             return false;
@@ -291,9 +296,9 @@
         })
     }
 
-    /// Notes that so many tasks of the job found no room together.
+    /// Records that this many tasks of the job did not fit together.
     pub fn note_none(&mut self, need: &Need, mask: &Mask, when: When, count: usize) {
-        // What a job avoids, or has kept for it, says nothing about others.
+        // A job with machines to avoid, or with reserved ones, says nothing about other jobs.
         if need.job.error_hosts.is_empty()
             && need.job.apart().is_none()
             && !self.kept_for(&need.job.spec.id)
@@ -303,7 +308,7 @@
         }
     }
 
-    /// The best slot for one more task of the search's job.
+    /// The best slot for one more task of the job.
     pub fn best(
         &mut self,
         search: &mut Search,
@@ -323,7 +328,8 @@
         let found = loop {
             let Some(candidate) = heap.pop() else { break None };
             let slot = &self.slots[candidate.at];
-            // A zone may have closed to the job since; it does not open again.
+            // A zone may have been closed to the job meanwhile; it does not open again during the
+            // pass.
             if mask[slot.kind] && slot.free.fits(&need.room) {
                 break Some(candidate.at);
             }
@@ -359,7 +365,7 @@
             .collect()
     }
 
-    /// Takes a place, and offers what is left of it to the job's next task.
+    /// Places a task on a slot and offers the rest of the slot to the job's next task.
     pub fn take(&mut self, search: &mut Search, at: usize, need: &Need) {
         let spec = &need.job.spec;
         let cached = self.cached(at, &spec.image);
@@ -369,14 +375,14 @@
         if !cached && slot.fetching.iter().all(|(name, _)| *name != spec.image) {
             slot.fetching.push((spec.image.clone(), spec.image_gb));
         }
-        // Where its tasks must be on unlike machines, the next one goes elsewhere.
+        // A job whose tasks must be on different machines gets no second task here.
         if need.job.apart() != Some(true) && self.slots[at].free.fits(&need.room) {
             self.steps += 1;
             self.offer(search, at, need);
         }
     }
 
-    /// Puts a slot up for the search's next task.
+    /// Adds a slot to the candidates for the job's next task.
     pub fn offer(&self, search: &mut Search, at: usize, need: &Need) {
         let again = if need.job.apart().is_some() { APART_WEIGHT } else { 0.0 };
         let candidate = Candidate { score: self.score(need, &self.slots[at]) + again, at };
@@ -391,19 +397,20 @@
         Mark { taken: self.taken.len(), slots: self.slots.len(), none: self.none.len() }
     }
 
-    /// The live machines on which places were taken since the mark.
+    /// The live machines on which tasks were placed since the mark.
     pub fn live_since(&self, mark: Mark) -> impl Iterator<Item = &'a Machine> + '_ {
         let slots = self.taken[mark.taken..].iter().map(|taken| &self.slots[taken.at]);
         slots.filter(|slot| slot.when == When::Live).filter_map(|slot| slot.machine)
     }
 
-    /// What a machine more in the zone counts by the hour, of prices that are equal otherwise: the
-    /// zone with fewer machines wins, so that losses of a zone weigh less.
+    /// Price per hour used to compare machines to hire. It rises with the number of machines in the
+    /// zone, so that among equal prices the zone with fewer machines wins and the loss of a zone
+    /// costs less.
     pub fn priced(&self, flavor: &Flavor, zone: &Zone, spot: bool) -> f64 {
         flavor.price_as(spot) * (1.0 + f64::from(self.in_zone(zone)) / ZONE_EVENNESS)
     }
 
-    /// Gives up all places taken, and all machines wished for, since the mark.
+    /// Undoes all placements and all planned hires since the mark.
     pub fn roll_back(&mut self, mark: Mark) {
         for taken in self.taken.drain(mark.taken..).rev() {
             let slot = &mut self.slots[taken.at];
@@ -421,7 +428,8 @@
         self.slots[at].machine.is_some_and(|m| m.has_image(image))
     }
 
-    /// Seconds that the job's image takes to a slot, those that are on their way there included.
+    /// Seconds until the job's image is on the slot's machine, including images that are being
+    /// fetched there.
     pub fn fetch_s(&self, at: usize, need: &Need) -> f64 {
         self.fetch_to(need, &self.slots[at])
     }
@@ -436,12 +444,12 @@
         if cached || slot.fetch <= 0.0 { 0.0 } else { gb / slot.fetch }
     }
 
-    /// What a task of the job makes of a slot.
+    /// The score of a slot for a task of the job.
     pub fn score_of(&self, need: &Need, at: usize) -> f64 {
         self.score(need, &self.slots[at])
     }
 
-    /// Lower is better: a fetch costs its time, then the tightest fit wins.
+    /// Lower is better: the time of an image fetch comes first, then the tightest fit.
     fn score(&self, need: &Need, slot: &Slot) -> f64 {
         let spec: &JobSpec = &need.job.spec;
         let fetch_s = self.fetch_to(need, slot);
@@ -450,7 +458,8 @@
         let spare = left.share_of(&slot.whole);
         let dear = if spec.spot && !self.kinds[slot.kind].2 { 0.5 } else { 0.0 };
         let reopened = if slot.closing { REOPEN_WEIGHT } else { 0.0 };
-        // Only those in a hurry weigh reports: the others' places would be scattered for nothing.
+        // Only urgent jobs take the time to the next report into account: it would scatter the
+        // tasks of others for no gain.
         let eager = need.late_weight_s < FETCH_WEIGHT_S;
         let report_s = if eager { slot.report_in_s } else { 0.0 };
         let shared = need.job.apart().is_some()
--- a/crates/core/src/scaling.rs
+++ b/crates/core/src/scaling.rs
@@ -1,26 +1,27 @@
-//! Rates, the target N*, and the additive increase and multiplicative decrease of rented cores.
+//! Rates of jobs, the target N*, and the additive increase and multiplicative decrease (AIMD) of
+//! rented cores.
 
 use crate::constants::ALPHA_CORES;
 
-/// What one job asks of the loop.
+/// What one job demands of the control loop.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Demand {
     /// Remaining work r in core-seconds.
     pub work: f64,
     /// Time left d in seconds.
     pub left_s: f64,
-    /// Most cores that the job can use at once.
+    /// Maximum number of cores that the job can use at once.
     pub most: f64,
 }
 
 impl Demand {
-    /// s = r / d with d at least one tick, at most what the job can use.
+    /// s = r / d with d at least one tick, capped at what the job can use.
     pub fn rate(&self, tick_s: f64) -> f64 {
         (self.work / self.left_s.max(tick_s)).min(self.most).max(0.0)
     }
 }
 
-/// The factor that all rates are scaled by, given target N* and rented cores N.
+/// The factor by which all rates are scaled, given target N* and rented cores N.
 pub fn rate_factor(target: f64, rented: f64, beta: f64) -> f64 {
     if target <= 0.0 {
         1.0
@@ -33,7 +34,7 @@
     }
 }
 
-/// What an array asks of the rented cores.
+/// An array's demand for rented cores.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Claim {
     /// Its rate in cores.
@@ -44,9 +45,9 @@
     pub left: u32,
 }
 
-/// What each array gets of the rates scaled by `factor`. A factor above 1 goes to all alike. One
-/// below 1 holds for the sum: the arrays with least left get their rates in full, and the others'
-/// time is lengthened. Cut evenly, all of them were late.
+/// The rate that each array gets when the sum is scaled by `factor`. A factor above 1 applies to
+/// all alike. A factor below 1 cuts the sum: the arrays with the least work left get their full
+/// rates and the others take longer, since with an even cut all of them were late.
 pub fn shares(claims: &[Claim], factor: f64) -> Vec<f64> {
     if factor >= 1.0 {
         return claims.iter().map(|claim| claim.rate * factor).collect();
@@ -70,7 +71,7 @@
     pub max: f64,
 }
 
-/// One step of the loop: N for the next tick.
+/// One AIMD step: the N of the next tick.
 pub fn step(rented: f64, target: f64, bounds: Bounds, beta: f64) -> f64 {
     let next =
         if rented <= target { (rented + ALPHA_CORES).min(bounds.max) } else { beta * rented };
@@ -81,7 +82,7 @@
 mod tests {
     use super::*;
 
-    /// Scaled down, the sum is the document's; the least work left is served first.
+    /// When scaled down, the sum is that of the Dithen paper; the least work left is served first.
     #[test]
     fn a_cut_is_borne_by_those_with_most_left() {
         let claim = |rate, left| Claim { rate, task_cores: 2.0, left };
@@ -99,7 +100,8 @@
         assert_eq!(late.rate(10.0), 100.0);
     }
 
-    /// By hand: N* = 100, N = 45, α = 5 gives 50/100; N* = 45, N = 100, β = 0.9 gives 90/45.
+    /// Computed by hand: N* = 100, N = 45, α = 5 gives 50/100; N* = 45, N = 100, β = 0.9 gives
+    /// 90/45.
     #[test]
     fn rates_scale_as_in_the_document() {
         assert_eq!(rate_factor(100.0, 45.0, 0.9), 0.5);
--- a/crates/core/src/workers.rs
+++ b/crates/core/src/workers.rs
@@ -1,4 +1,5 @@
-//! Machines and what their workers report: order of messages, leases, what is proven gone.
+//! Machines and what their workers report: the order of reports, leases, and when a machine's tasks
+//! are certainly gone.
 
 use crate::constants::*;
 use oatloom_protocol::ids::*;
@@ -7,7 +8,7 @@
 use oatloom_zones::Zones;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Amounts of a machine or a task.
+/// Amounts of resources that a machine has or a task needs.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Room {
     pub cpus: f64,
@@ -15,7 +16,7 @@
     pub memory_gb: f64,
 }
 
-/// Slack for sums of decimal amounts.
+/// Tolerance for rounding errors in sums of decimal amounts.
 const EPSILON: f64 = 1e-6;
 
 impl Room {
@@ -37,7 +38,7 @@
         self.memory_gb -= other.memory_gb;
     }
 
-    /// The share of `whole` that this takes, by what binds first.
+    /// The largest share of any resource of `whole` that this takes.
     pub fn share_of(&self, whole: &Room) -> f64 {
         let part = |a: f64, b: f64| if b > 0.0 { a / b } else { 0.0 };
         part(self.cpus, whole.cpus)
@@ -58,29 +59,30 @@
     }
 }
 
-/// Where a machine stands.
+/// State of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Life {
-    /// Hired or listed, has not reported to this leader.
+    /// Hired or listed by the cloud, but has not reported to this leader yet.
     Booting,
-    /// Reports.
+    /// Reports regularly.
     Live,
-    /// Missed reports; what it runs still counts.
+    /// Missed reports; its tasks still count as running.
     Silent,
-    /// Not needed by the loop: takes no new tasks, is returned once empty, may become live again.
+    /// Not needed by the control loop: takes no new tasks and is returned once empty, but may
+    /// become live again.
     Closing,
-    /// No new tasks; returned once empty or out of time.
+    /// Takes no new tasks; returned once empty or when its time is up.
     Draining,
-    /// Its return has been asked for; final.
+    /// Its return has been requested; final.
     Releasing,
 }
 
-/// An image on a machine, or on its way there.
+/// An image on a machine, or being fetched there.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Image {
     pub name: String,
     pub gb: f64,
-    /// Whether a task that needs it was seen past its fetch.
+    /// Whether a task that uses it has been reported past its fetch.
     pub ready: bool,
 }
 
@@ -96,16 +98,16 @@
     pub shift: Shift,
     pub tally: Tally,
     pub last_report: Option<Mono>,
-    /// Whether anything but reports that may be old shows that it is there: the cloud, the records, or a report with this
-    /// leader's token.
+    /// Whether anything but a possibly stale report shows that it exists: the cloud's list, the
+    /// records, or a report with this leader's fencing token.
     pub attested: bool,
-    /// Since when the cloud's list is known to say that it is up.
+    /// When the cloud's list first showed it as up.
     pub listed_up: Option<Mono>,
-    /// When a report was last answered with 200 by this leader.
+    /// When this leader last answered a report with 200.
     pub last_answer: Option<Mono>,
     pub held: BTreeMap<TaskId, Room>,
     pub used: Room,
-    /// Reported tasks that the book does not hold there, and what they take.
+    /// Reported tasks that the job table does not hold there, and what they take.
     pub strays: BTreeMap<(TaskId, Attempt), Room>,
     pub taken_at: Option<Mono>,
     pub idle_since: Mono,
@@ -114,17 +116,18 @@
     /// Images by last use, newest last.
     pub images: Vec<Image>,
     pub reserved: Option<(JobId, Mono)>,
-    /// When it was last told directly to stop what is over, since it did not report.
+    /// When it was last sent a direct command to stop tasks of finished jobs, since it did not
+    /// report.
     pub told_at: Mono,
-    /// Answers in a row that it has not heard, as its next report showed.
+    /// Consecutive answers that did not reach it, as its next report showed.
     pub unheard: u32,
-    /// Whether its lease ran out while this leader could answer nobody, and it was not heard of since: its tasks are gone, and
-    /// it may be gone too.
+    /// Whether its lease ran out while this leader could answer nobody and it has not reported
+    /// since: its tasks are gone, and it may be gone too.
     pub lapsed: bool,
 }
 
 impl Machine {
-    /// The one place where the life changes.
+    /// Changes the state; no other code does.
     pub fn enter(&mut self, life: Life, why: &str) {
         if self.life != life && self.life != Life::Releasing {
             log::info!("machine {}: {:?} -> {:?} ({why})", self.id, self.life, life);
@@ -144,17 +147,17 @@
         }
     }
 
-    /// Whether the cloud's list or the records show that it has come up.
+    /// Whether the cloud's list or the records show that it has been up.
     pub fn was_up(&self) -> bool {
         self.listed_up.is_some() || !self.held.is_empty()
     }
 
-    /// The job for which it is being kept, if any.
+    /// The job for which it is reserved, if any.
     pub fn kept_for(&self, now: Mono) -> Option<&JobId> {
         self.reserved.as_ref().filter(|(_, until)| now < *until).map(|(job, _)| job)
     }
 
-    /// Whether any task of the job is held here.
+    /// Whether any task of the job is placed here.
     pub fn holds_of(&self, job: &JobId) -> bool {
         let all = TaskId::new(job, 0)..=TaskId::new(job, u32::MAX);
         self.held.range(all).next().is_some()
@@ -167,7 +170,7 @@
         if self.held.is_empty() {
             self.used = Room::default();
             self.idle_since = now;
-            // Without a task that waits for it, a fetch is given up.
+            // The worker gives up a fetch when no task waits for it.
             self.images.retain(|i| i.ready);
         }
     }
@@ -178,7 +181,7 @@
         }
     }
 
-    /// Takes up what an earlier leader knew to be there.
+    /// Adds images that an earlier leader knew to be there.
     pub fn recall(&mut self, images: Vec<Image>) {
         for image in images {
             self.images.retain(|i| i.name != image.name);
@@ -190,12 +193,13 @@
         self.images.iter().any(|i| i.name == image && i.ready)
     }
 
-    /// Images on their way; they share the machine's rate.
+    /// Images being fetched; they share the machine's fetch rate.
     pub fn fetching(&self) -> Vec<(String, f64)> {
         self.images.iter().filter(|i| !i.ready).map(|i| (i.name.clone(), i.gb)).collect()
     }
 
-    /// Seconds that having a machine of this kind with the same images again would take: a boot, and their fetch.
+    /// Seconds that it would take to replace the machine by one of the same type with the same
+    /// images: a boot and the fetches.
     pub fn again_s(&self, catalog: Option<&Catalog>) -> f64 {
         let flavor = catalog.and_then(|c| c.flavor(&self.flavor));
         let gb: f64 = self.images.iter().filter(|i| i.ready).map(|i| i.gb).sum();
@@ -203,12 +207,12 @@
         flavor.map_or(0.0, |f| f.boot_s + fetch_s(f.fetch_gb_per_s))
     }
 
-    /// Whether its last report is still to be answered.
+    /// Whether its last report has not been answered yet.
     pub fn report_open(&self) -> bool {
         self.last_report.is_some_and(|at| self.last_answer.is_none_or(|answer| answer < at))
     }
 
-    /// Seconds until its next report is likely to come; 0 if one is open.
+    /// Seconds until its next report is due; 0 if one waits for its answer.
     pub fn report_in(&self, report_s: f64, now: Mono) -> f64 {
         match self.last_report {
             Some(at) if !self.report_open() => (report_s - now.since(at).secs()).max(0.0),
@@ -221,27 +225,29 @@
     }
 }
 
-/// How long after the sending of its last answered report a worker may keep its tasks, by any steady clock.
+/// How long after sending its last answered report a worker may keep its tasks, by any steady
+/// clock.
 pub fn lease_span(lease_s: f64) -> Millis {
     Millis::from_secs(lease_s * (1.0 + 2.0 * DRIFT) + LEASE_SLACK_MS.secs())
 }
 
-/// The cancellation bound: how long after its user was told that a job is cancelled a task of it can be on a machine, at
-/// most. Whoever confirms it has decided it in its own term, or has read the final record; either way, whoever may answer
-/// a report from then on knows it, since an earlier leader's validity is over before a later one has its key, and a new
-/// leader answers no report before it has read its book. What was answered before was sent before: one lease is left.
+/// The cancellation bound: how long a task can still be on a machine after its user was told that
+/// the job is cancelled. A controller confirms a cancellation that it decided in its own term or
+/// whose final record it has read. Whoever may answer a report from then on knows of it: an earlier
+/// leader's validity ends before a later one gets the key, and a new leader answers no report
+/// before it has read the job table. Answers sent before leave one lease.
 pub fn cancel_bound(facts: &WorkerFacts) -> Millis {
     lease_span(facts.lease_s)
 }
 
-/// What a report turned out to be.
+/// How a report compares with those seen before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
-    /// Older than one seen before; its content is void.
+    /// Older than one seen before; its content is ignored.
     Stale,
-    /// New, but its worker has not yet accepted an answer of this leader.
+    /// New, but its worker has not accepted an answer of this leader yet.
     Unconfirmed,
-    /// New, and later than anything an earlier leader can have said.
+    /// New, and later than any answer of an earlier leader.
     Confirmed,
 }
 
@@ -250,7 +256,7 @@
     pub machines: BTreeMap<HostId, Machine>,
     pub gone: BTreeMap<HostId, Mono>,
     pub catalog: Option<Catalog>,
-    /// Whether each zone lives, as far as its machines show it.
+    /// State of each zone, as far as its machines' reports show it.
     pub zones: Zones,
 }
 
@@ -264,7 +270,7 @@
         self.catalog.iter().flat_map(|c| &c.flavors).map(|f| f.boot_s).reduce(f64::min)
     }
 
-    /// Seconds that a job's image takes to a machine, as far as nothing else is being fetched.
+    /// Seconds to fetch a job's image to a machine if nothing else is being fetched.
     pub fn fetch_s(&self, machine: &Machine, spec: &oatloom_protocol::wire::JobSpec) -> f64 {
         let rate = self.flavor(&machine.flavor).map_or(0.0, |f| f.fetch_gb_per_s);
         if rate > 0.0 && !machine.has_image(&spec.image) { spec.image_gb / rate } else { 0.0 }
@@ -274,7 +280,7 @@
         self.flavor(&machine.flavor).map(Room::from).unwrap_or_default()
     }
 
-    /// What is free on a machine, strays counted.
+    /// Free room on a machine, with stray tasks counted.
     pub fn free_room(&self, machine: &Machine) -> Room {
         let mut free = self.room_of(machine);
         free.take(&machine.used);
@@ -325,8 +331,8 @@
         })
     }
 
-    /// Sorts a report in and notes what it says of the machine itself. The tasks it lists are for
-    /// the caller to compare.
+    /// Orders a report among those seen before and records what it says of the machine itself. The
+    /// caller compares the tasks that it lists.
     pub fn take_report(&mut self, report: &Report, token: Token, now: Mono) -> Freshness {
         let fresh = self
             .machines
@@ -350,14 +356,15 @@
         if m.taken_at.is_some() {
             m.enter(Life::Draining, "notice from the cloud");
         } else if matches!(m.life, Life::Booting | Life::Silent) && m.attested {
-            // Guards against work for a machine that an earlier leader has returned, of which an old report comes.
+            // Without this, an old report of a machine that an earlier leader has returned would
+            // get it new tasks.
             m.enter(Life::Live, "reported");
         }
         if confirmed { Freshness::Confirmed } else { Freshness::Unconfirmed }
     }
 
-    /// The moment by which a machine's tasks are surely gone if nothing more is heard of it: its
-    /// lease, with drift, from the latest moment at which a valid leader can have answered.
+    /// When a machine's tasks are certainly gone if it is not heard from again: its lease, with
+    /// clock drift, from the latest time at which a valid leader can have answered it.
     pub fn horizon(m: &Machine, lead_since: Mono, lease_s: f64) -> Mono {
         let from = m.last_answer.unwrap_or(lead_since).max(lead_since);
         from.plus(lease_span(lease_s))
--- a/crates/core/src/workers/tests.rs
+++ b/crates/core/src/workers/tests.rs
@@ -27,7 +27,7 @@
     assert_eq!(take(1, 900, 4), Freshness::Stale);
 }
 
-/// The horizon covers drift, and an earlier leader's last answers.
+/// The horizon allows for clock drift and for the last answers of an earlier leader.
 #[test]
 fn the_horizon_lies_beyond_any_lease() {
     let mut fleet = Fleet::default();
@@ -55,7 +55,8 @@
     assert!(m.has_image("x") && m.has_image("z") && !m.has_image("y"));
 }
 
-/// By the settings alone: a lease, with drift, is left after a confirmation; settings that leave no room are told apart.
+/// The bound depends on the settings alone: one lease plus drift; settings that exceed the promised
+/// bound are detected.
 #[test]
 fn the_cancellation_bound_is_one_lease() {
     let facts = |lease_s, cancel_s| WorkerFacts {
--- a/crates/zones/src/constants.rs
+++ b/crates/zones/src/constants.rs
@@ -1,26 +1,28 @@
-//! Every constant of zones' standing, with its unit and the reason for its value.
+//! Constants of the zone states, with units and reasons.
 
 use oatloom_protocol::ids::Millis;
 
-/// Machines that have to be silent together before their zone is doubted: one or two end by themselves, or are taken
-/// by the cloud at the same time.
+/// Machines that have to be silent together before their zone is suspected: one or two end by
+/// themselves, or are reclaimed by the cloud at the same time.
 pub const EVIDENCE_MACHINES: u32 = 3;
-/// How long reports have to come again before machines are hired in a zone that was lost: about a report period, in
-/// which those that are there show how many there still are.
+/// How long reports have to arrive again before machines are hired in a zone that was lost: about a
+/// report period, in which the surviving machines show how many they are.
 pub const RETURN_MS: Millis = Millis(6_000);
-/// Reports of a zone that are so far apart did not come in one go.
+/// Minimum time between two reports of a zone that shows that reports keep arriving, rather than a
+/// single delayed batch.
 pub const AGAIN_MS: Millis = Millis(2_000);
-/// With each further loss within the span below, the way back takes twice as long, up to this.
+/// Each further loss within [`FLAP_SPAN_MS`] doubles the recovery time, up to this.
 pub const RETURN_MOST_MS: Millis = Millis(96_000);
-/// Losses further apart than this have nothing to do with each other.
+/// Losses further apart than this are unrelated.
 pub const FLAP_SPAN_MS: Millis = Millis(600_000);
-/// Period of hires that ask whether a lost zone lives: above the least that a machine is charged for, and so long that
-/// one which cannot report costs little. Work that may run nowhere else waits for it, and some machines never come up:
-/// with 120 s such work waited for up to four minutes.
+/// Period of probe hires in a lost zone: longer than the minimum charge for a machine, so that one
+/// which cannot report costs little. Work that can run nowhere else waits for a probe, and some
+/// machines never come up: with 120 s such work waited for up to four minutes.
 pub const PROBE_EVERY_MS: Millis = Millis(75_000);
-/// How much longer such a hire waits where no work needs just this zone: what is up elsewhere serves it, and a silent machine
-/// that was kept tells as much for nothing.
+/// Extra delay of a probe if no work needs the zone: machines elsewhere serve the work, and a
+/// silent machine that was kept shows the zone's return for free.
 pub const UNNEEDED_MORE_MS: Millis = Millis(75_000);
-/// How long one silent machine of a lost zone is kept: it reports the moment the zone is back, where one hired then
-/// would have to boot. What is silent for longer is dead as likely as cut off.
+/// How long one silent machine of a lost zone is kept: it reports as soon as the zone is back,
+/// while one hired then would have to boot. A machine that is silent for longer is as likely dead
+/// as cut off.
 pub const SENTINEL_MS: Millis = Millis(300_000);
--- a/crates/zones/src/lib.rs
+++ b/crates/zones/src/lib.rs
@@ -1,5 +1,6 @@
-//! Whether each zone lives, as far as what its machines say shows it beside the rest of the fleet, and so where
-//! machines may be hired. `(what was seen, now) -> standing`; silence never proves that anything is gone.
+//! State of each zone, derived from its machines' reports compared with those of the rest of the
+//! fleet, and whether machines may be hired there. A pure function of observations and time.
+//! Silence alone never proves that a machine is gone.
 
 pub mod constants;
 
@@ -8,27 +9,30 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Where a zone stands.
+/// State of a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
     Whole,
-    /// Most of its machines are silent, and some are not: it may be cut from a part of the region.
+    /// Most of its machines are silent, but not all: it may be partitioned from a part of the
+    /// region.
     Doubted,
-    /// None of its few machines reports while others of the fleet do: they may have ended one by one. One report more
-    /// than the first is needed to trust it again.
+    /// None of its few machines reports while other zones do: they may have failed one by one. The
+    /// zone is trusted again after a second report.
     Mute {
         heard: Option<Mono>,
     },
-    /// Machines ought to be there, and this controller, which has only just begun to listen, has heard none of them yet.
+    /// Machines should be there, but this controller has only just started to listen and has heard
+    /// from none of them.
     Awaited,
-    /// A controller that has begun from nothing beside machines of an earlier one hears others of the fleet, and knows of too
-    /// few machines here for their silence to show anything.
+    /// A controller that started without state, while machines of an earlier one run, hears from
+    /// other zones and knows of too few machines here for their silence to be evidence.
     Unheard,
-    /// None of its machines reports while others of the fleet do.
+    /// None of its machines reports while other zones do.
     Lost {
         since: Mono,
     },
-    /// Reports come again; hires wait until they have come for a while: what a cut held back comes once.
+    /// Reports arrive again; hires wait until they have arrived for a while, since a partition
+    /// delivers delayed reports once.
     Returning {
         since: Mono,
         until: Mono,
@@ -46,37 +50,38 @@
 pub struct Seen {
     /// Machines that have reported to this controller before.
     pub known: u32,
-    /// Those of them that ought to have reported again, and have not.
+    /// Known machines whose next report is overdue.
     pub silent: u32,
-    /// Those of them whose last report is recent. After a while in which a controller heard nobody, a machine may be
-    /// neither.
+    /// Known machines whose last report is recent. After a time in which a controller heard from
+    /// nobody, a machine may be neither silent nor heard.
     pub heard: u32,
-    /// When the last report came.
+    /// When the last report arrived.
     pub latest: Option<Mono>,
-    /// Machines that the cloud says are up, or that hold tasks by the records, and that this controller never heard.
+    /// Machines that the cloud lists as up, or that hold tasks by the records, and that have never
+    /// reported to this controller.
     pub expected: u32,
-    /// Those of them that ought to have reported by now.
+    /// Expected machines whose first report is overdue.
     pub unheard: u32,
 }
 
 impl Seen {
-    /// Whether most of the machines that had reported fell silent together, as they do when they are cut off.
+    /// Whether most of the known machines are silent together, as in a network partition.
     pub fn cut(&self) -> bool {
         self.silent >= EVIDENCE_MACHINES && self.silent * 2 > self.known
     }
 
-    /// Whether nobody was ever heard of those that are there.
+    /// Whether no machine of the zone has ever reported.
     pub fn nobody_heard(&self) -> bool {
         self.known == 0
     }
 
-    /// Whether several machines are to be heard of, none has been since this controller began to listen, and it is not
-    /// too late yet for all of them.
+    /// Whether several machines are expected, none has reported since this controller started to
+    /// listen, and not all of them are overdue yet.
     fn awaited(&self) -> bool {
         self.known == 0 && self.expected >= EVIDENCE_MACHINES && self.unheard < self.expected
     }
 
-    /// How many machines ought to report where none does.
+    /// How many machines should report while none does.
     fn missed(&self) -> u32 {
         let none = self.heard == 0 && self.silent == self.known;
         if none { self.silent + self.unheard } else { 0 }
@@ -87,23 +92,23 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Hires {
     AsNeeded,
-    /// Only where none is on its way there already.
+    /// Only if no machine is on its way there already.
     OneAtATime,
     None,
 }
 
-/// What one controller tells another of a zone that is not whole.
+/// What one controller reports to another about a zone that is not healthy.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Told {
     pub zone: Zone,
-    /// For how long it has been lost; `None`: it is on its way back.
+    /// How long it has been lost; `None` if it is recovering.
     pub lost_ms: Option<u64>,
     /// Whether its few machines are silent.
     #[serde(default)]
     pub mute: bool,
-    /// Losses that count towards its way back.
+    /// Losses that count towards its recovery time.
     pub losses: u32,
-    /// How long ago the last of them was, ms.
+    /// How long ago the last of them was, in ms.
     pub last_ms: u64,
 }
 
@@ -115,14 +120,14 @@
     next_probe: Mono,
 }
 
-/// The standing of every zone that was ever seen.
+/// The state of every zone that was ever observed.
 #[derive(Debug, Default)]
 pub struct Zones {
     states: BTreeMap<Zone, State>,
 }
 
 impl Zones {
-    /// The one place where a standing changes.
+    /// Changes a zone's state; no other code does.
     fn enter(zone: &Zone, state: &mut State, standing: Standing, why: &str) {
         log::info!("zone {zone}: {:?} -> {standing:?} ({why})", state.standing);
         state.standing = standing;
@@ -137,8 +142,9 @@
         })
     }
 
-    /// A controller begins to listen that nobody has told anything of these zones, while machines of an earlier one are
-    /// there. Guards against hires in a zone of which everything was returned while it was lost: it looks like any other one.
+    /// Marks zones of which a newly started controller knows nothing while machines of an earlier
+    /// one run. Without it a lost zone whose machines were all returned looks like any other one,
+    /// and machines are hired there.
     pub fn begin_unheard<'z>(&mut self, zones: impl IntoIterator<Item = &'z Zone>) {
         for zone in zones {
             let state = self.state(zone);
@@ -148,9 +154,9 @@
         }
     }
 
-    /// Takes up what was seen of all zones at `now`. Of a zone that is not among them nothing is there to report, and
-    /// what it waits for ends all the same. A zone is lost only beside others that are not: a controller that hears
-    /// nobody knows nothing of any of them.
+    /// Updates all zones by the observations made at `now`. A zone that is not among them has no
+    /// machine that could report; its timeouts still apply. A zone is lost only if other zones
+    /// report: a controller that hears from nobody knows nothing of any zone.
     pub fn observe(&mut self, seen: &BTreeMap<Zone, Seen>, now: Mono) {
         let heard: u32 = seen.values().map(|s| s.heard).sum();
         let empty: Vec<Zone> =
@@ -233,14 +239,16 @@
         }
     }
 
-    /// Whether a silent machine there is worth keeping, to hear from it when the zone is back.
+    /// Whether a silent machine there is worth keeping, since its report shows that the zone is
+    /// back.
     pub fn keeps_sentinel(&self, zone: &Zone, now: Mono) -> bool {
         matches!(self.standing(zone), Standing::Lost { since } if now.since(since) < SENTINEL_MS)
     }
 
-    /// Zones in which one machine may be hired now to see whether they live: lost ones, and those on their way back,
-    /// whose way is long after several losses, and on which all machines may be gone that could report. `needed`: whether
-    /// work waits that may run there and nowhere else; where none does it takes longer.
+    /// Zones in which one machine may be hired now as a probe: lost zones and recovering ones,
+    /// whose recovery time is long after several losses and whose machines may all be gone.
+    /// `needed` tells whether work waits that can run only there; without such work a probe is due
+    /// later.
     pub fn due_probes(&self, now: Mono, needed: impl Fn(&Zone) -> bool) -> Vec<Zone> {
         let asked = |standing: Standing| {
             standing.is_lost() || matches!(standing, Standing::Returning { .. })
@@ -252,12 +260,13 @@
         self.states.iter().filter(due).map(|(zone, _)| zone.clone()).collect()
     }
 
-    /// A machine is hired to see whether the zone lives.
+    /// Records that a probe was hired.
     pub fn probed(&mut self, zone: &Zone, now: Mono) {
         self.state(zone).next_probe = now.plus(PROBE_EVERY_MS);
     }
 
-    /// What the next leader should know: without it a zone whose machines were all returned looks empty, not lost.
+    /// What the next leader should know: otherwise a zone whose machines were all returned looks
+    /// empty instead of lost.
     pub fn told(&self, now: Mono) -> Vec<Told> {
         let shaken = |(_, state): &(&Zone, &State)| {
             let lately = state.losses > 0 && now.since(state.last_loss) <= FLAP_SPAN_MS;
@@ -276,8 +285,8 @@
         self.states.iter().filter(shaken).map(told).collect()
     }
 
-    /// Takes up what an earlier leader said at `noted`. It may have been the one that was cut off: what is heard from
-    /// here on goes before it.
+    /// Takes over what an earlier leader reported at `noted`. That leader may have been the one
+    /// that was cut off, so later observations take precedence.
     pub fn recall(&mut self, told: &[Told], noted: Mono) {
         let ago = |ms: u64| Mono(noted.0.saturating_sub(ms));
         for told in told {
@@ -319,8 +328,8 @@
         Seen { known, silent: known, ..Seen::default() }
     }
 
-    /// Guards against 472 machines hired in a zone that was cut off: it stays lost when its silent machines have been
-    /// returned and nothing is left there that could be silent.
+    /// Guards against 472 machines hired in a zone that was cut off: it stays lost after its silent
+    /// machines have been returned and none is left that could be silent.
     #[test]
     fn a_zone_whose_machines_were_returned_stays_lost() {
         let mut zones = Zones::default();
@@ -331,7 +340,7 @@
         zones.observe(&seen(Seen::default(), all(100, 59_000)), Mono(60_000));
         zones.observe(&[(zone("b"), all(100, 60_000))].into(), Mono(60_500));
         assert!(zones.lost(&zone("a")));
-        // New machines that are up there and silent change nothing, the first report does.
+        // New machines that are up but silent change nothing; the first report does.
         let silent = Seen { unheard: 2, ..Seen::default() };
         zones.observe(&seen(silent, all(100, 60_500)), Mono(61_000));
         assert!(zones.lost(&zone("a")));
@@ -342,8 +351,8 @@
         assert_eq!(zones.hires(&zone("a")), Hires::AsNeeded);
     }
 
-    /// What a cut held back may come at any time, and comes once: guards against machines hired on the word of one
-    /// report that was minutes old.
+    /// A report delayed by a partition may arrive at any time, once: guards against hiring because
+    /// of a single report that was minutes old.
     #[test]
     fn one_late_report_does_not_bring_a_zone_back() {
         let mut zones = Zones::default();
@@ -354,8 +363,9 @@
         assert_eq!(zones.standing(&zone("a")), Standing::Lost { since: Mono(20_000) });
     }
 
-    /// Guards against a zone that was closed for good: its last machine reported once and was returned while the zone was
-    /// on its way back, and nothing was left there to be seen. The same for one whose awaited machines never came.
+    /// Guards against a zone that stayed closed for good: its last machine reported once and was
+    /// returned during the recovery, and nothing was left to observe. The same holds for a zone
+    /// whose awaited machines never reported.
     #[test]
     fn a_zone_left_empty_on_its_way_back_is_asked_again() {
         let mut zones = Zones::default();
@@ -381,7 +391,7 @@
         assert_eq!(zones.hires(&zone("a")), Hires::AsNeeded);
     }
 
-    /// A controller that hears nobody was cut off itself, or an outage is over just now.
+    /// A controller that hears from nobody was cut off itself, or an outage has just ended.
     #[test]
     fn silence_everywhere_shows_nothing() {
         let mut zones = Zones::default();
@@ -389,7 +399,7 @@
         assert!(["a", "b"].iter().all(|name| zones.hires(&zone(name)) == Hires::AsNeeded));
     }
 
-    /// Some machines that die at once, and a part of a zone that is cut off, leave it open.
+    /// Some machines that fail at once, or a partition of a part of the zone, leave it open.
     #[test]
     fn a_zone_with_any_report_is_not_lost() {
         let mut zones = Zones::default();
@@ -401,8 +411,8 @@
         assert_eq!(zones.hires(&zone("a")), Hires::OneAtATime, "two machines are little evidence");
     }
 
-    /// Guards against hiring one machine after another where the only ones had fallen silent: one at a time, until one
-    /// reports, or enough have not.
+    /// Guards against hiring machine after machine where the only ones fell silent: one at a time,
+    /// until one reports or enough of them have not.
     #[test]
     fn few_silent_machines_allow_one_hire_at_a_time() {
         let one = Seen { unheard: 1, ..Seen::default() };
@@ -427,8 +437,8 @@
         }
     }
 
-    /// Guards against hires in a lost zone by a leader that began from nothing, after the end of all controllers at once:
-    /// where machines ought to be, the first report is waited for.
+    /// Guards against hires in a lost zone by a leader that starts without state after all
+    /// controllers ended at once: where machines should be, it waits for the first report.
     #[test]
     fn a_leader_that_begins_from_nothing_waits_for_a_first_report() {
         let begun = Seen { expected: 9, ..Seen::default() };
@@ -441,13 +451,14 @@
         let overdue = Seen { unheard: 9, ..begun };
         zones.observe(&seen(overdue, all(9, 19_000)), Mono(20_000));
         assert!(zones.lost(&zone("a")));
-        // Few machines, or none that is to be heard of, hold nothing up; nor do those that turn out to be gone.
+        // Few machines, or none that is expected to report, delay nothing; nor do those that turn
+        // out to be gone.
         let mut zones = Zones::default();
         zones.observe(&seen(Seen { expected: 2, ..Seen::default() }, begun), Mono(1_000));
         assert_eq!(zones.hires(&zone("a")), Hires::AsNeeded);
         zones.observe(&seen(Seen::default(), Seen::default()), Mono(2_000));
         assert_eq!(zones.hires(&zone("b")), Hires::AsNeeded);
-        // Silence everywhere shows nothing, and holds nothing up for longer than reports take.
+        // Silence everywhere is no evidence, and delays hires no longer than reports take.
         let mut zones = Zones::default();
         zones.observe(&seen(begun, begun), Mono(1_000));
         zones.observe(&seen(overdue, overdue), Mono(20_000));
@@ -469,7 +480,7 @@
             now += 20_000;
         }
         assert_eq!(last, RETURN_MOST_MS.0);
-        // Long after, it counts as the first time again.
+        // A loss long afterwards counts as the first one again.
         now += FLAP_SPAN_MS.0 + RETURN_MOST_MS.0;
         zones.observe(&seen(all(9, now), all(9, now)), Mono(now));
         zones.observe(&seen(mute(9), all(9, now)), Mono(now));
@@ -479,7 +490,7 @@
         assert_eq!(zones.standing(&zone("a")), Standing::Returning { since: Mono(now), until });
     }
 
-    /// A takeover does not begin from nothing, and a leader that was wrong does not bind the next one.
+    /// A takeover keeps the state of zones, and a wrong state does not bind the next leader.
     #[test]
     fn the_next_leader_knows_what_is_lost() {
         let mut zones = Zones::default();
@@ -495,17 +506,18 @@
         assert!(next.due_probes(probe, |_| true).is_empty(), "a rare single one");
         next.observe(&seen(all(4, 1_000_001), all(9, 1_000_001)), Mono(1_000_001));
         assert!(!next.lost(&zone("a")));
-        // So it is with few machines.
+        // The same with few machines.
         let mut zones = Zones::default();
         zones.observe(&seen(mute(1), all(9, 10_000)), Mono(10_000));
         let mut next = Zones::default();
         next.recall(&zones.told(Mono(25_000)), Mono(1_000_000));
         assert_eq!(next.hires(&zone("a")), Hires::OneAtATime);
-        // A clock that has shown less than what is told of does no harm.
+        // A clock whose reading is below the reported ages does no harm.
         Zones::default().recall(&told, Mono(3));
     }
 
-    /// Whatever is seen: a zone with reports is never lost, and one with none is not opened again.
+    /// Whatever is observed, a zone with reports is never lost, and a lost zone without reports is
+    /// not opened.
     #[test]
     fn seeded_walks_keep_the_meaning_of_lost() {
         const NAMES: [&str; 3] = ["a", "b", "c"];
--- a/crates/zones/tests/unheard.rs
+++ b/crates/zones/tests/unheard.rs
@@ -1,4 +1,5 @@
-//! Zones of which a controller that has begun from nothing has heard nobody, beside machines of an earlier one.
+//! Zones from which a controller that started without state has heard nobody, while machines of an
+//! earlier controller run.
 
 use oatloom_protocol::ids::{Mono, Zone};
 use oatloom_zones::{Hires, Seen, Standing, Zones};
@@ -22,7 +23,8 @@
     zones
 }
 
-/// Nothing is left in the zone, or too little to show anything: one machine at a time until the first report.
+/// No machine is left in the zone, or too few for evidence: one hire at a time until the first
+/// report.
 #[test]
 fn one_machine_at_a_time_until_a_report() {
     for left in [0, 1, 2] {
@@ -36,7 +38,7 @@
     }
 }
 
-/// Silence beside others' reports shows as much as ever.
+/// The silence of several machines while others report counts as in any other state.
 #[test]
 fn the_silence_of_several_machines_is_a_loss() {
     let mut zones = begun();
@@ -48,7 +50,8 @@
     assert!(zones.lost(&zone("a")));
 }
 
-/// What an earlier leader has told goes before it, and a zone that is known already is left as it is.
+/// The report of an earlier leader takes precedence, and a zone that is already known keeps its
+/// state.
 #[test]
 fn what_is_known_stays() {
     let mut zones = Zones::default();
