--- a/crates/core/src/placement/aims.rs
+++ b/crates/core/src/placement/aims.rs
@@ -18,19 +18,19 @@
 /// Seconds within which users want the class started, if that is so few report periods that waiting
 /// for a machine's next report would make the job late.
 pub fn eager(settings: &Settings, class: &str) -> Option<f64> {
-    objective(settings, class, "wait").filter(|within| *within <= soon_s(settings))
+    objective(settings, class, "wait").filter(|within| *within <= urgent_within_s(settings))
 }
 
 /// Whether any class is that urgent.
 pub fn any_eager(settings: &Settings) -> bool {
-    let soon = |within: f64| within <= soon_s(settings);
+    let soon = |within: f64| within <= urgent_within_s(settings);
     let objectives = settings.facts.objectives.iter();
     objectives
         .filter(|o| o.kind == "wait" && o.class.is_some())
         .any(|o| o.within_s.is_some_and(soon))
 }
 
-pub(super) fn soon_s(settings: &Settings) -> f64 {
+pub(super) fn urgent_within_s(settings: &Settings) -> f64 {
     settings.facts.workers.report_s * EAGER_REPORTS
 }
 
@@ -60,7 +60,7 @@
 
 /// Latest time at which the job can be placed and still meet its next reachable objective. A job
 /// that can reach none is ordered after those that can.
-pub(super) fn start_by(settings: &Settings, job: &Job, overhead_s: f64, now: Mono) -> Mono {
+pub(super) fn latest_start(settings: &Settings, job: &Job, overhead_s: f64, now: Mono) -> Mono {
     let spec = &job.spec;
     let waits = settings
         .facts
@@ -87,17 +87,17 @@
 
 /// Sort key of arrays without a deadline among jobs of the same rank: the tasks left. Without it
 /// one large array delays many small ones and is late all the same.
-pub(super) fn work_left(job: &Job) -> u32 {
+pub(super) fn array_tasks_left(job: &Job) -> u32 {
     let dated = job.spec.deadline_s.is_some() || job.inherited.latest_end.is_some();
     let undated = job.spec.shape == Shape::Array && !dated;
     if undated { job.spec.tasks - job.done } else { 0 }
 }
 
 /// Unfinished jobs that fit into their team's guarantee together with the team's earlier jobs.
-pub fn guaranteed(settings: &Settings, book: &Book) -> BTreeMap<JobId, ()> {
+pub fn guaranteed(settings: &Settings, job_table: &Book) -> BTreeMap<JobId, ()> {
     let mut sums: BTreeMap<&str, Usage> = BTreeMap::new();
     let mut jobs: Vec<(&JobId, &Job)> =
-        book.jobs.iter().filter(|(_, j)| j.state == JobState::Open).collect();
+        job_table.jobs.iter().filter(|(_, j)| j.state == JobState::Open).collect();
     jobs.sort_by_key(|(id, j)| (j.submitted, (*id).clone()));
     let mut within = BTreeMap::new();
     for (id, job) in jobs {
--- a/crates/core/src/placement/exchange.rs
+++ b/crates/core/src/placement/exchange.rs
@@ -1,7 +1,7 @@
 //! Moves a replica of one service to another zone to make room for a service that may only use the
 //! replica's zone.
 
-use super::slots::{Search, When, usable};
+use super::slots::{Availability, Search, accepts_tasks};
 use super::{Need, Pass};
 use crate::constants::{DOWN_FETCH_S, EXCHANGE_SEARCHES_MOST, EXCHANGE_TARGETS, SETTLED_S};
 use crate::jobs::{Book, Job, StopWhy};
@@ -10,7 +10,7 @@
 use oatloom_protocol::wire::Shape;
 
 /// A replica that could be moved: the machine that it leaves and the slot that it gets.
-struct Move<'m> {
+struct ReplicaMove<'m> {
     cost: f64,
     task: TaskId,
     from: &'m Machine,
@@ -23,7 +23,7 @@
     /// room is being made. Without it, when the last free room of a region lies in one zone, for
     /// example after an outage of that zone, each further service gets half of its replicas and
     /// none is ever fully up.
-    pub(super) fn exchange(&mut self, need: &Need, book: &Book) -> bool {
+    pub(super) fn exchange_replica(&mut self, need: &Need, job_table: &Book) -> bool {
         let job = need.job;
         if job.spec.shape != Shape::Service || self.exchange_searches >= EXCHANGE_SEARCHES_MOST {
             return false;
@@ -34,13 +34,13 @@
         }
         self.exchange_searches += 1;
         self.plan.steps += (self.fleet.machines.len() * targets.len()) as u64;
-        let Some(best) = self.best_move(need, &targets, book) else { return false };
-        let Some(moved) = book.get(&best.task.job) else { return false };
-        let Some(target) = self.yard.slots[best.to].machine else { return false };
+        let Some(best) = self.best_move(need, &targets, job_table) else { return false };
+        let Some(moved) = job_table.get(&best.task.job) else { return false };
+        let Some(target) = self.slot_pool.slots[best.to].machine else { return false };
         self.plan.stops.push((best.task, StopWhy::Moved, moved.spec.save_s));
-        self.keep(best.from, job);
-        self.keep(target, moved);
-        self.yard.take(&mut Search::default(), best.to, &Need::new(self.settings, moved));
+        self.reserve(best.from, job);
+        self.reserve(target, moved);
+        self.slot_pool.occupy(&mut Search::default(), best.to, &Need::new(self.settings, moved));
         true
     }
 
@@ -49,15 +49,16 @@
     fn exchange_targets(&self, need: &Need) -> Vec<usize> {
         let zones = self.zones(need.job);
         let mut found: Vec<usize> = Vec::new();
-        for (at, slot) in self.yard.slots.iter().enumerate() {
-            let live =
-                slot.when() == When::Live && slot.is_unreserved() && slot.has_room(&need.room);
-            if !live || need.zone_open(self.yard.zone(at), &zones) {
+        for (slot_index, slot) in self.slot_pool.slots.iter().enumerate() {
+            let live = slot.availability() == Availability::Live
+                && slot.is_unreserved()
+                && slot.has_room(&need.room);
+            if !live || need.allows_zone(self.slot_pool.zone(slot_index), &zones) {
                 continue;
             }
-            let same = |other: &&usize| self.yard.slots[**other].kind() == slot.kind();
+            let same = |other: &&usize| self.slot_pool.slots[**other].kind() == slot.kind();
             if found.iter().filter(same).count() < EXCHANGE_TARGETS {
-                found.push(at);
+                found.push(slot_index);
             }
         }
         found
@@ -65,39 +66,44 @@
 
     /// The replica whose move costs least, in seconds of image fetches for the replica and for the
     /// job.
-    fn best_move(&self, need: &Need, targets: &[usize], book: &Book) -> Option<Move<'a>> {
+    fn best_move(
+        &self,
+        need: &Need,
+        targets: &[usize],
+        job_table: &Book,
+    ) -> Option<ReplicaMove<'a>> {
         let zones = self.zones(need.job);
-        let mut best: Option<Move> = None;
+        let mut best: Option<ReplicaMove> = None;
         for machine in self.fleet.machines.values() {
-            let open = usable(self.fleet, machine, self.now)
+            let eligible = accepts_tasks(self.fleet, machine, self.now)
                 && machine.kept_for(self.now).is_none()
                 && self.plan.reserve.iter().all(|(host, _)| *host != machine.id)
                 && need.allows(&machine.flavor, &machine.zone, machine.spot)
-                && need.zone_open(&machine.zone, &zones)
+                && need.allows_zone(&machine.zone, &zones)
                 && !need.job.avoids(&machine.id);
-            if !open {
+            if !eligible {
                 continue;
             }
             let mut free = self.fleet.free_room(machine);
-            if let Some(given) = self.given.get(&machine.id) {
-                free.take(given);
+            if let Some(taken) = self.room_taken.get(&machine.id) {
+                free.take(taken);
             }
             let fetch_s = self.fleet.fetch_s(machine, &need.job.spec);
             for (task, room) in &machine.held {
                 let mut left = free;
                 left.add(room);
-                let Some(moved) = book.get(&task.job).filter(|_| left.fits(&need.room)) else {
+                let Some(moved) = job_table.get(&task.job).filter(|_| left.fits(&need.room)) else {
                     continue;
                 };
                 if !self.is_settled(moved, task.index) {
                     continue;
                 }
-                let Some((to, there_s)) = self.best_target(moved, machine, targets) else {
+                let Some((to, target_fetch_s)) = self.best_target(moved, machine, targets) else {
                     continue;
                 };
-                let cost = fetch_s + there_s;
+                let cost = fetch_s + target_fetch_s;
                 if best.as_ref().is_none_or(|best| cost < best.cost) {
-                    best = Some(Move { cost, task: task.clone(), from: machine, to });
+                    best = Some(ReplicaMove { cost, task: task.clone(), from: machine, to });
                 }
             }
         }
@@ -123,16 +129,19 @@
         if let Some(count) = zones.get_mut(&from.zone) {
             *count = count.saturating_sub(1);
         }
-        let mask = self.yard.mask(&need, &zones, None);
-        let may = |at: &&usize| {
-            let slot = &self.yard.slots[**at];
+        let mask = self.slot_pool.mask(&need, &zones, None);
+        let allowed = |slot_index: &&usize| {
+            let slot = &self.slot_pool.slots[**slot_index];
             mask[slot.kind()]
                 && slot.has_room(&need.room)
                 && slot
                     .machine
                     .is_some_and(|machine| machine.zone != from.zone && !job.avoids(&machine.id))
         };
-        let fetches = targets.iter().filter(may).map(|at| (*at, self.yard.fetch_s(*at, &need)));
+        let fetches = targets
+            .iter()
+            .filter(allowed)
+            .map(|slot_index| (*slot_index, self.slot_pool.fetch_s(*slot_index, &need)));
         fetches.filter(|(_, s)| *s <= DOWN_FETCH_S).min_by(|a, b| a.1.total_cmp(&b.1))
     }
 }
--- a/crates/core/src/placement/gangs.rs
+++ b/crates/core/src/placement/gangs.rs
@@ -4,16 +4,20 @@
 
 impl Pass<'_> {
     /// Tasks of the job that each zone could take at once if arrays of lower rank were preempted.
-    pub(super) fn yielding(&mut self, need: &Need, book: &Book) -> BTreeMap<Zone, usize> {
+    pub(super) fn preemptible_places(
+        &mut self,
+        need: &Need,
+        job_table: &Book,
+    ) -> BTreeMap<Zone, usize> {
         let mut zones = BTreeMap::new();
         for m in self.fleet.machines.values() {
-            if !usable(self.fleet, m, self.now) || !need.allows(&m.flavor, &m.zone, m.spot) {
+            if !accepts_tasks(self.fleet, m, self.now) || !need.allows(&m.flavor, &m.zone, m.spot) {
                 continue;
             }
             let mut room = Room::default();
             for (task, held) in &m.held {
                 let lower = |j: &Job| j.spec.shape == Shape::Array && j.rank() < need.job.rank();
-                if book.get(&task.job).is_some_and(lower) {
+                if job_table.get(&task.job).is_some_and(lower) {
                     room.add(held);
                 }
             }
@@ -30,7 +34,7 @@
 
     /// The zones to choose from for a job that has to stay in one zone; `None` stands for any mix
     /// of zones.
-    pub(super) fn sites(&self, job: &Job) -> Vec<Option<Zone>> {
+    pub(super) fn candidate_sites(&self, job: &Job) -> Vec<Option<Zone>> {
         if job.spec.one_zone {
             self.settings.facts.zones.iter().cloned().map(Some).collect()
         } else {
@@ -46,7 +50,7 @@
         sites: &[Option<Zone>],
         spot: Option<bool>,
     ) -> Option<Option<Zone>> {
-        self.best_site(need, sites, |pass, site| pass.gang_later(need, count, site, spot))
+        self.best_site(need, sites, |pass, site| pass.place_gang_later(need, count, site, spot))
     }
 
     /// The site with the least `cost`, among those where it returns one. The changes that `cost`
@@ -59,9 +63,9 @@
     ) -> Option<Option<Zone>> {
         let mut best: Option<(f64, &Option<Zone>)> = None;
         for site in sites {
-            let mark = self.mark(need.job);
+            let savepoint = self.savepoint(need.job);
             let Some(cost) = cost(self, site.as_ref()) else { continue };
-            self.roll_back(need.job, mark);
+            self.roll_back(need.job, savepoint);
             if best.is_none_or(|(least, _)| cost < least) {
                 best = Some((cost, site));
             }
@@ -70,29 +74,30 @@
     }
 
     /// Places a gang as a whole or not at all.
-    pub(super) fn gang(&mut self, job: &Job, tasks: &[u32], book: &Book) {
+    pub(super) fn place_gang(&mut self, job: &Job, tasks: &[u32], job_table: &Book) {
         let need = Need::new(self.settings, job);
-        if (self.within_limit(job)) < job.spec.tasks || tasks.len() < job.spec.tasks as usize {
+        if (self.tasks_within_limit(job)) < job.spec.tasks || tasks.len() < job.spec.tasks as usize
+        {
             return;
         }
-        let sites = self.sites(job);
+        let sites = self.candidate_sites(job);
         // Tries all zones, since the first one with room may be the most expensive or lack the
         // images.
         let score = |pass: &mut Self, site: Option<&Zone>| {
-            pass.gang_places(&need, tasks.len(), site).map(|(_, score)| score)
+            pass.live_gang_slots(&need, tasks.len(), site).map(|(_, score)| score)
         };
         let site = self.best_site(&need, &sites, score);
-        let chosen = site.and_then(|site| self.gang_places(&need, tasks.len(), site.as_ref()));
+        let chosen = site.and_then(|site| self.live_gang_slots(&need, tasks.len(), site.as_ref()));
         if let Some((places, _)) = chosen {
-            for (index, at) in tasks.iter().zip(places) {
-                self.start(job, *index, at);
+            for (index, slot_index) in tasks.iter().zip(places) {
+                self.start(job, *index, slot_index);
             }
-            self.plan.placed_kept |= self.yard.kept_for(&job.spec.id);
+            self.plan.placed_kept |= self.slot_pool.has_reserved(&job.spec.id);
             return;
         }
         // Machines that are being cleared are reserved for the gang and come sooner than new ones.
         // The wait is limited, since that room may never come.
-        let clearing = self.make_room(&need, book, false, &sites);
+        let clearing = self.make_room(&need, job_table, false, &sites);
         if clearing && self.now.since(job.released) < RESERVE_MS {
             return;
         }
@@ -100,73 +105,74 @@
         // hired, at the site that hires for least, so that nothing of lower rank takes what it
         // needs.
         if let Some(site) = self.cheapest_site(&need, tasks.len(), &sites, None) {
-            self.gang_later(&need, tasks.len(), site.as_ref(), None);
+            self.place_gang_later(&need, tasks.len(), site.as_ref(), None);
         }
     }
 
     /// Live slots for all tasks of a gang together, and the worst of their scores.
-    pub(super) fn gang_places(
+    pub(super) fn live_gang_slots(
         &mut self,
         need: &Need,
         count: usize,
         site: Option<&Zone>,
     ) -> Option<(Vec<usize>, f64)> {
         let zones = need.job.zones.clone();
-        let mask = self.yard.mask(need, &zones, site);
-        if self.yard.hopeless(need, &mask, When::Live, count) {
+        let mask = self.slot_pool.mask(need, &zones, site);
+        if self.slot_pool.known_not_to_fit(need, &mask, Availability::Live, count) {
             return None;
         }
-        let mark = self.mark(need.job);
-        let mut places = Places::new(self, need, zones, site);
+        let savepoint = self.savepoint(need.job);
+        let mut picker = SlotPicker::new(self, need, zones, site);
         let found: Vec<(usize, f64)> =
-            (0..count).map_while(|_| places.live_scored(self, need)).collect();
+            (0..count).map_while(|_| picker.take_live_scored(self, need)).collect();
         if found.len() == count {
             let worst = found.iter().map(|(_, score)| *score).fold(f64::MIN, f64::max);
-            return Some((found.into_iter().map(|(at, _)| at).collect(), worst));
+            return Some((found.into_iter().map(|(slot_index, _)| slot_index).collect(), worst));
         }
-        self.roll_back(need.job, mark);
+        self.roll_back(need.job, savepoint);
         if !need.job.spec.spread {
-            self.yard.note_none(need, &mask, When::Live, count);
+            self.slot_pool.record_no_fit(need, &mask, Availability::Live, count);
         }
         None
     }
 
     /// Assigns a gang to machines that are live, booting or to be hired, and returns the hourly
     /// price of the machines to be hired. `spot` restricts it to spot or to on-demand machines.
-    pub(super) fn gang_later(
+    pub(super) fn place_gang_later(
         &mut self,
         need: &Need,
         count: usize,
         site: Option<&Zone>,
         spot: Option<bool>,
     ) -> Option<f64> {
-        let mark = self.mark(need.job);
-        let mut places = Places::new(self, need, need.job.zones.clone(), site);
-        places.restrict(self, spot);
-        let placed =
-            (0..count).all(|_| places.live(self, need).is_some() || places.later(self, need, true));
+        let savepoint = self.savepoint(need.job);
+        let mut picker = SlotPicker::new(self, need, need.job.zones.clone(), site);
+        picker.restrict_spot(self, spot);
+        let placed = (0..count).all(|_| {
+            picker.take_live(self, need).is_some() || picker.take_pending(self, need, true)
+        });
         let price = |(kind, _): &(Kind, bool)| {
             let flavor = self.fleet.flavor(&kind.flavor);
-            flavor.map_or(0.0, |f| self.yard.priced(f, &kind.zone, kind.spot))
+            flavor.map_or(0.0, |f| self.slot_pool.weighted_price(f, &kind.zone, kind.spot))
         };
         if placed {
-            return Some(self.plan.hires[mark.2..].iter().map(price).sum());
+            return Some(self.plan.hires[savepoint.2..].iter().map(price).sum());
         }
-        self.roll_back(need.job, mark);
+        self.roll_back(need.job, savepoint);
         None
     }
 
-    pub(super) fn mark(&self, job: &Job) -> (slots::Mark, Option<Usage>, usize) {
+    pub(super) fn savepoint(&self, job: &Job) -> (slots::Savepoint, Option<Usage>, usize) {
         let usage = self.usage.get(&job.spec.team).copied();
-        (self.yard.mark(), usage, self.plan.hires.len())
+        (self.slot_pool.savepoint(), usage, self.plan.hires.len())
     }
 
     pub(super) fn roll_back(
         &mut self,
         job: &Job,
-        (mark, usage, hires): (slots::Mark, Option<Usage>, usize),
+        (savepoint, usage, hires): (slots::Savepoint, Option<Usage>, usize),
     ) {
-        self.yard.roll_back(mark);
+        self.slot_pool.roll_back(savepoint);
         self.usage.insert(job.spec.team.clone(), usage.unwrap_or_default());
         self.plan.hires.truncate(hires);
     }
--- a/crates/core/src/placement/limits.rs
+++ b/crates/core/src/placement/limits.rs
@@ -5,7 +5,7 @@
 use oatloom_protocol::wire::JobSpec;
 
 /// How many more tasks of this size the team's limit allows on top of `used`.
-pub(super) fn allowed(team: &Team, used: Usage, spec: &JobSpec) -> u32 {
+pub(super) fn tasks_allowed(team: &Team, used: Usage, spec: &JobSpec) -> u32 {
     let more = |cap: f64, used: f64, each: f64| {
         if cap <= 0.0 || each <= 0.0 {
             f64::MAX
@@ -25,9 +25,9 @@
 }
 
 impl<'a> Headroom<'a> {
-    pub fn new(settings: &'a Settings, book: &Book) -> Self {
+    pub fn new(settings: &'a Settings, job_table: &Book) -> Self {
         let limited = |t: &&Team| t.cpus_max > 0.0 || t.gpus_max > 0.0;
-        let used = |t: &'a Team| (t, book.usage.get(&t.name).copied().unwrap_or_default());
+        let used = |t: &'a Team| (t, job_table.usage.get(&t.name).copied().unwrap_or_default());
         let teams = settings.facts.teams.iter().filter(limited);
         Self { used: teams.map(|t| (t.name.as_str(), used(t))).collect() }
     }
@@ -39,7 +39,7 @@
 
     /// How many more tasks of this size the team may run at once; `None` if it has no limit.
     pub fn tasks(&self, spec: &JobSpec) -> Option<u32> {
-        self.used.get(spec.team.as_str()).map(|(team, used)| allowed(team, *used, spec))
+        self.used.get(spec.team.as_str()).map(|(team, used)| tasks_allowed(team, *used, spec))
     }
 
     /// Counts this many more tasks as used.
@@ -54,22 +54,22 @@
 /// Open jobs with tasks that may start now, in placement order, each with its latest start time.
 pub fn in_order(
     settings: &Settings,
-    book: &Book,
+    job_table: &Book,
     guaranteed: &BTreeMap<JobId, ()>,
     now: Mono,
 ) -> Vec<(JobId, Mono)> {
     let overhead_s = settings.facts.workers.report_s;
-    let mut order: Vec<(JobId, Mono)> = book
+    let mut order: Vec<(JobId, Mono)> = job_table
         .jobs
         .iter()
         .filter(|(_, j)| j.state == JobState::Open && j.startable(now) > 0 && now >= j.paused_until)
-        .map(|(id, j)| (id.clone(), start_by(settings, j, overhead_s, now)))
+        .map(|(id, j)| (id.clone(), latest_start(settings, j, overhead_s, now)))
         .collect();
     order.sort_by(|(a, due_a), (b, due_b)| {
-        let (ja, jb) = (&book.jobs[a], &book.jobs[b]);
+        let (ja, jb) = (&job_table.jobs[a], &job_table.jobs[b]);
         let guarantee = |id| !guaranteed.contains_key(id);
-        (jb.rank(), guarantee(a), work_left(ja), due_a, a)
-            .cmp(&(ja.rank(), guarantee(b), work_left(jb), due_b, b))
+        (jb.rank(), guarantee(a), array_tasks_left(ja), due_a, a)
+            .cmp(&(ja.rank(), guarantee(b), array_tasks_left(jb), due_b, b))
             .then(ja.submitted.cmp(&jb.submitted))
     });
     order
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -17,15 +17,15 @@
 use crate::jobs::{Book, Gang, Hold, Job, JobState, StopWhy, Usage};
 use crate::workers::{Fleet, Life, Machine, Room};
 pub use aims::{any_eager, due, eager, guaranteed, latest_release, objective};
-use aims::{start_by, work_left};
+use aims::{array_tasks_left, latest_start};
 pub use limits::{Headroom, in_order};
 use oatloom_protocol::ids::*;
 use oatloom_protocol::settings::Settings;
 use oatloom_protocol::wire::{Flavor, JobSpec, Shape};
-use places::Places;
+use places::SlotPicker;
 pub use ready::expected;
 use services::ServiceTurns;
-use slots::{Search, When, Yard, usable};
+use slots::{Availability, Search, SlotPool, accepts_tasks};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The decisions of one placement pass.
@@ -66,14 +66,14 @@
     room: Room,
     /// Seconds of image fetch, or of waiting for a report, that weigh as much as a whole free
     /// machine.
-    late_weight_s: f64,
+    delay_weight_s: f64,
 }
 
 impl<'a> Need<'a> {
     fn new(settings: &Settings, job: &'a Job) -> Self {
         let within = eager(settings, &job.spec.class).unwrap_or(FETCH_WEIGHT_S);
-        let late_weight_s = within.clamp(1.0, FETCH_WEIGHT_S);
-        Self { job, room: Room::from(&*job.spec), late_weight_s }
+        let delay_weight_s = within.clamp(1.0, FETCH_WEIGHT_S);
+        Self { job, room: Room::from(&*job.spec), delay_weight_s }
     }
 
     fn allows(&self, flavor: &str, zone: &Zone, spot: bool) -> bool {
@@ -84,19 +84,19 @@
     }
 
     /// Maximum number of tasks in one zone under the spread rule.
-    fn zone_cap(&self) -> u32 {
+    fn max_per_zone(&self) -> u32 {
         if self.job.spec.spread { self.job.spec.tasks.div_ceil(2) } else { u32::MAX }
     }
 
-    fn zone_open(&self, zone: &Zone, zones: &BTreeMap<Zone, u32>) -> bool {
+    fn allows_zone(&self, zone: &Zone, zones: &BTreeMap<Zone, u32>) -> bool {
         let here = zones.get(zone).copied().unwrap_or(0);
         let others = zones.iter().any(|(z, n)| z != zone && *n > 0);
-        here < self.zone_cap() && !(self.job.spec.one_zone && others)
+        here < self.max_per_zone() && !(self.job.spec.one_zone && others)
     }
 }
 
 /// Machine types that a task of the job fits and may use.
-fn fitting<'a>(
+fn fitting_flavors<'a>(
     spec: &'a JobSpec,
     flavors: &'a [Flavor],
 ) -> impl Iterator<Item = &'a Flavor> + use<'a> {
@@ -110,7 +110,7 @@
 
 /// Whether a task of the job fits any machine type that it may use.
 pub fn fits_some(spec: &JobSpec, flavors: &[Flavor]) -> bool {
-    fitting(spec, flavors).next().is_some()
+    fitting_flavors(spec, flavors).next().is_some()
 }
 
 /// Whether the job's tasks can run in this zone only, because of its own constraint or of its
@@ -121,7 +121,7 @@
         // A job that fits no machine type needs no zone.
         None => {
             fits_some(spec, flavors)
-                && fitting(spec, flavors).all(|f| f.zones.iter().all(|z| z == zone))
+                && fitting_flavors(spec, flavors).all(|f| f.zones.iter().all(|z| z == zone))
         }
     }
 }
@@ -129,10 +129,10 @@
 /// Whether one more task of the job may be placed on the machine: its own constraints, the zones of
 /// its other tasks and its team's limit. Checked again for every single start, whatever the plan
 /// says.
-pub fn permitted(settings: &Settings, book: &Book, job: &Job, machine: &Machine) -> bool {
+pub fn permitted(settings: &Settings, job_table: &Book, job: &Job, machine: &Machine) -> bool {
     let need = Need::new(settings, job);
     let Some(team) = settings.team(&job.spec.team) else { return false };
-    let used = book.usage.get(&job.spec.team).copied().unwrap_or_default();
+    let used = job_table.usage.get(&job.spec.team).copied().unwrap_or_default();
     // A task that uses nothing of an amount is not bound by its limit: the job table of a new
     // leader may show more than the limit, since the records can still hold tasks that the previous
     // leader knew to be gone.
@@ -140,7 +140,7 @@
         |most: f64, used: f64, each: f64| most <= 0.0 || each <= 0.0 || used + each <= most + 1e-6;
     need.allows(&machine.flavor, &machine.zone, machine.spot)
         && (job.apart() != Some(true) || !machine.holds_of(&job.spec.id))
-        && need.zone_open(&machine.zone, &job.zones)
+        && need.allows_zone(&machine.zone, &job.zones)
         && within(team.cpus_max, used.cpus, job.spec.cpus)
         && within(team.gpus_max, used.gpus, job.spec.gpus)
 }
@@ -150,14 +150,14 @@
     settings: &'a Settings,
     fleet: &'a Fleet,
     refused: &'a dyn Fn(&Kind) -> bool,
-    yard: Yard<'a>,
+    slot_pool: SlotPool<'a>,
     usage: BTreeMap<String, Usage>,
     /// Tasks of each job that this pass has started, by zone, so that an array's second turn in the
     /// pass takes its first into account.
     started: BTreeMap<JobId, BTreeMap<Zone, u32>>,
     /// Room taken on each machine by the starts of this pass.
-    given: BTreeMap<&'a HostId, Room>,
-    searches: usize,
+    room_taken: BTreeMap<&'a HostId, Room>,
+    preemption_searches: usize,
     /// The tasks on each machine, cached once a search has needed them.
     placed_tasks: Option<room::PlacedTasks<'a>>,
     /// Searches made so far for tasks to preempt on machines that have an image.
@@ -169,19 +169,20 @@
 
 /// Runs one placement pass over all jobs.
 pub fn plan(inputs: Inputs) -> Plan {
-    let Inputs { now, settings, book, fleet, paced, awaited, expected, refused } = inputs;
-    let guaranteed = guaranteed(settings, book);
-    let order = in_order(settings, book, &guaranteed, now);
+    let Inputs { now, settings, book: job_table, fleet, paced, awaited, expected, refused } =
+        inputs;
+    let guaranteed = guaranteed(settings, job_table);
+    let order = in_order(settings, job_table, &guaranteed, now);
     let mut pass = Pass {
         now,
         settings,
         fleet,
         refused,
-        yard: Yard::new(fleet, &awaited, settings.facts.workers.report_s, now),
-        usage: book.usage.clone(),
+        slot_pool: SlotPool::new(fleet, &awaited, settings.facts.workers.report_s, now),
+        usage: job_table.usage.clone(),
         started: BTreeMap::new(),
-        given: BTreeMap::new(),
-        searches: 0,
+        room_taken: BTreeMap::new(),
+        preemption_searches: 0,
         placed_tasks: None,
         image_searches: 0,
         exchange_searches: 0,
@@ -190,73 +191,73 @@
     // An array that has waited long without starting anything gets one task placed first, whatever
     // its rank: the Dithen paper runs one task of each type first to measure it. Otherwise the
     // largest jobs of a class never begin beside a stream of others. Nothing is preempted for it.
-    let mut first: BTreeMap<JobId, u32> = BTreeMap::new();
+    let mut first_tasks: BTreeMap<JobId, u32> = BTreeMap::new();
     for (id, _) in &order {
-        let Some(job) = book.jobs.get_mut(id).filter(|job| job.unbegun(now)) else { continue };
+        let Some(job) = job_table.jobs.get_mut(id).filter(|job| job.unbegun(now)) else { continue };
         let task = job.pending_tasks(1, now);
         let before = pass.plan.starts.len();
-        pass.singles(&book.jobs[id], &task, false, book, false);
+        pass.place_independent(&job_table.jobs[id], &task, false, job_table, false);
         if pass.plan.starts.len() > before {
-            first.extend(task.first().map(|task| (id.clone(), *task)));
+            first_tasks.extend(task.first().map(|task| (id.clone(), *task)));
         }
     }
     // Arrays get what their rates allow first, then the room that is left idle.
-    let mut beyond = Vec::new();
-    let mut services = ServiceTurns::new(&order, book, &guaranteed, now);
+    let mut beyond_rate = Vec::new();
+    let mut services = ServiceTurns::new(&order, job_table, &guaranteed, now);
     for (id, _) in &order {
         if pass.plan.starts.len() >= PLACE_BATCH {
             break;
         }
-        let is_service = book.get(id).is_some_and(|job| job.spec.shape == Shape::Service);
+        let is_service = job_table.get(id).is_some_and(|job| job.spec.shape == Shape::Service);
         let turn = match is_service {
-            true => services.next(id, &mut pass, book, guaranteed.contains_key(id)),
+            true => services.next(id, &mut pass, job_table, guaranteed.contains_key(id)),
             false => Some(id.clone()),
         };
         let Some(id) = &turn else { continue };
-        let Some(job) = book.jobs.get_mut(id) else {
+        let Some(job) = job_table.jobs.get_mut(id) else {
             continue;
         };
-        let may = match job.spec.shape {
+        let allowed_tasks = match job.spec.shape {
             Shape::Array => {
-                let allowed = paced.get(id).copied().unwrap_or(1).max(1);
+                let by_rate = paced.get(id).copied().unwrap_or(1).max(1);
                 let startable = job.startable(now);
-                let now_may = allowed.saturating_sub(job.held).min(startable);
-                if now_may < startable {
-                    beyond.push((id.clone(), now_may));
+                let allowed_now = by_rate.saturating_sub(job.held).min(startable);
+                if allowed_now < startable {
+                    beyond_rate.push((id.clone(), allowed_now));
                 }
-                now_may
+                allowed_now
             }
             _ => job.startable(now),
         };
-        let mut tasks = job.pending_tasks((may as usize).min(PLACE_BATCH), now);
-        tasks.retain(|task| first.get(id) != Some(task));
-        let book = &*book;
-        let Some(job) = book.get(id) else { continue };
+        let mut tasks = job.pending_tasks((allowed_tasks as usize).min(PLACE_BATCH), now);
+        tasks.retain(|task| first_tasks.get(id) != Some(task));
+        let job_table = &*job_table;
+        let Some(job) = job_table.get(id) else { continue };
         if job.spec.shape == Shape::Gang && job.gang == Gang::Idle {
-            pass.gang(job, &tasks, book);
+            pass.place_gang(job, &tasks, job_table);
         } else if !matches!(job.gang, Gang::Running(_) | Gang::Clearing(_)) {
-            pass.singles(job, &tasks, true, book, guaranteed.contains_key(id));
+            pass.place_independent(job, &tasks, true, job_table, guaranteed.contains_key(id));
         }
     }
-    for (id, taken) in beyond {
+    for (id, taken) in beyond_rate {
         if pass.plan.starts.len() >= PLACE_BATCH {
             break;
         }
-        let Some(job) = book.jobs.get_mut(&id) else {
+        let Some(job) = job_table.jobs.get_mut(&id) else {
             continue;
         };
         let tasks = job.pending_tasks(PLACE_BATCH, now);
-        let begun = |task: &u32| first.get(&id) == Some(task);
+        let already_started = |task: &u32| first_tasks.get(&id) == Some(task);
         let rest: Vec<u32> =
-            tasks.into_iter().skip(taken as usize).filter(|task| !begun(task)).collect();
-        let job = &book.jobs[&id];
-        pass.singles(job, &rest, false, book, false);
+            tasks.into_iter().skip(taken as usize).filter(|task| !already_started(task)).collect();
+        let job = &job_table.jobs[&id];
+        pass.place_independent(job, &rest, false, job_table, false);
     }
     for (job, count) in expected {
-        pass.keep_ready(job, *count, book);
+        pass.keep_ready(job, *count, job_table);
     }
-    pass.cheapen(book);
-    pass.plan.steps += pass.yard.steps + book.jobs.len() as u64;
+    pass.move_to_spot(job_table);
+    pass.plan.steps += pass.slot_pool.steps + job_table.jobs.len() as u64;
     pass.plan
 }
 
@@ -265,15 +266,15 @@
 pub fn room_elsewhere(
     now: Mono,
     settings: &Settings,
-    book: &Book,
+    job_table: &Book,
     fleet: &Fleet,
     host: &HostId,
 ) -> bool {
     let Some(machine) = fleet.machines.get(host) else { return false };
-    let mut yard = Yard::new(fleet, &[], 0.0, now);
-    yard.leave_out(|m| m.id == *host || m.life == Life::Closing);
+    let mut slot_pool = SlotPool::new(fleet, &[], 0.0, now);
+    slot_pool.exclude_live(|m| m.id == *host || m.life == Life::Closing);
     machine.held.keys().all(|task| {
-        let Some(job) = book.get(&task.job) else { return true };
+        let Some(job) = job_table.get(&task.job) else { return true };
         if job.spec.shape != Shape::Service {
             return true;
         }
@@ -282,23 +283,26 @@
         if let Some(count) = zones.get_mut(&machine.zone) {
             *count = count.saturating_sub(1);
         }
-        let mask = yard.mask(&need, &zones, None);
+        let mask = slot_pool.mask(&need, &zones, None);
         let mut search = Search::default();
-        let Some(at) = yard.best(&mut search, &need, &mask, When::Live) else { return false };
-        let cached = yard.cached(at, &job.spec.image);
-        yard.take(&mut search, at, &need);
+        let Some(slot_index) = slot_pool.best_slot(&mut search, &need, &mask, Availability::Live)
+        else {
+            return false;
+        };
+        let cached = slot_pool.cached(slot_index, &job.spec.image);
+        slot_pool.occupy(&mut search, slot_index, &need);
         cached
     })
 }
 
 impl Pass<'_> {
     /// How many more tasks the team's limit allows.
-    fn within_limit(&self, job: &Job) -> u32 {
+    fn tasks_within_limit(&self, job: &Job) -> u32 {
         let Some(team) = self.settings.team(&job.spec.team) else {
             return 0;
         };
         let used = self.usage.get(&job.spec.team).copied().unwrap_or_default();
-        limits::allowed(team, used, &job.spec)
+        limits::tasks_allowed(team, used, &job.spec)
     }
 
     /// The zones of a job's tasks, including those started by this pass.
@@ -317,54 +321,62 @@
     }
 
     /// Starts a task on the live machine of a slot.
-    fn start(&mut self, job: &Job, index: u32, at: usize) {
-        let Some(machine) = self.yard.slots[at].machine else { return };
+    fn start(&mut self, job: &Job, index: u32, slot_index: usize) {
+        let Some(machine) = self.slot_pool.slots[slot_index].machine else { return };
         self.plan.starts.push((job.spec.id.clone(), index, machine.id.clone()));
-        self.given.entry(&machine.id).or_default().add(&Room::from(&*job.spec));
+        self.room_taken.entry(&machine.id).or_default().add(&Room::from(&*job.spec));
         let zones = self.started.entry(job.spec.id.clone()).or_default();
         *zones.entry(machine.zone.clone()).or_default() += 1;
     }
 
     /// Places tasks that start independently of each other.
-    fn singles(&mut self, job: &Job, tasks: &[u32], hire: bool, book: &Book, owed: bool) {
+    fn place_independent(
+        &mut self,
+        job: &Job,
+        tasks: &[u32],
+        hire: bool,
+        job_table: &Book,
+        is_guaranteed: bool,
+    ) {
         let need = Need::new(self.settings, job);
-        let most = self.within_limit(job) as usize;
-        let mut places = Places::new(self, &need, self.zones(job), None);
-        let mut wanting = false;
-        let mut nothing_comes = false;
+        let limit = self.tasks_within_limit(job) as usize;
+        let mut picker = SlotPicker::new(self, &need, self.zones(job), None);
+        let mut lacks_room = false;
+        let mut nothing_to_hire = false;
         let mut urgent = None;
-        let down = job.spec.shape == Shape::Service && job.up;
-        for index in tasks.iter().take(most) {
+        let was_up = job.spec.shape == Shape::Service && job.up;
+        for index in tasks.iter().take(limit) {
             // Without this a replica that was up waits up to a minute for its image while machines
             // that have the image run work of lower rank.
-            if down && let Some(at) = places.look(self, &need) {
-                let fetch_s = self.yard.fetch_s(at, &need);
+            if was_up && let Some(slot_index) = picker.peek_live(self, &need) {
+                let fetch_s = self.slot_pool.fetch_s(slot_index, &need);
                 if fetch_s > DOWN_FETCH_S
-                    && (self.make_room_at_image(&need, book) || self.image_may_come(&need, fetch_s))
+                    && (self.make_room_at_image(&need, job_table)
+                        || self.await_image_room(&need, fetch_s))
                 {
                     break;
                 }
             }
-            if let Some(at) = places.live(self, &need) {
-                self.start(job, *index, at);
+            if let Some(slot_index) = picker.take_live(self, &need) {
+                self.start(job, *index, slot_index);
                 continue;
             }
             if !hire {
                 break;
             }
-            wanting = true;
+            lacks_room = true;
             let urgent = *urgent.get_or_insert_with(|| {
-                job.spec.shape != Shape::Array || owed || self.starved(&need)
+                job.spec.shape != Shape::Array || is_guaranteed || self.starved(&need)
             });
-            if !places.later(self, &need, urgent) {
-                nothing_comes = true;
+            if !picker.take_pending(self, &need, urgent) {
+                nothing_to_hire = true;
                 break;
             }
         }
-        if wanting && !(down && self.make_room_at_image(&need, book)) {
-            let made = self.make_room(&need, book, owed, &[None]);
-            if !made && nothing_comes {
-                self.exchange(&need, book);
+        if lacks_room && !(was_up && self.make_room_at_image(&need, job_table)) {
+            let room_made = self.make_room(&need, job_table, is_guaranteed, &[None]);
+            if !room_made && nothing_to_hire {
+                self.exchange_replica(&need, job_table);
             }
         }
     }
@@ -378,26 +390,29 @@
         job.held == 0
             && (self.now.since(job.released).secs() > STARVED_S
                 || !job.held_to_burnt()
-                    && !self.yard.any_usable(need, &self.yard.mask(need, &job.zones, None)))
+                    && !self
+                        .slot_pool
+                        .any_usable(need, &self.slot_pool.mask(need, &job.zones, None)))
     }
 
     /// The cheapest kind of machine that a task may use and that was not refused lately.
-    fn wish(&self, need: &Need, mask: &[bool]) -> Option<usize> {
+    fn cheapest_kind(&self, need: &Need, mask: &[bool]) -> Option<usize> {
         let mut best: Option<(f64, usize)> = None;
-        for (at, (flavor, zone, spot)) in self.yard.kinds.iter().enumerate() {
-            let whole = Room::from(*flavor);
-            if !mask[at] || !whole.fits(&need.room) || !flavor.zones.contains(zone) {
+        for (slot_index, (flavor, zone, spot)) in self.slot_pool.kinds.iter().enumerate() {
+            let capacity = Room::from(*flavor);
+            if !mask[slot_index] || !capacity.fits(&need.room) || !flavor.zones.contains(zone) {
                 continue;
             }
             let kind = Kind { flavor: flavor.label.clone(), zone: zone.clone(), spot: *spot };
             if (self.refused)(&kind) {
                 continue;
             }
-            let cost = self.yard.priced(flavor, zone, *spot) * need.room.share_of(&whole);
+            let cost =
+                self.slot_pool.weighted_price(flavor, zone, *spot) * need.room.share_of(&capacity);
             if best.is_none_or(|(c, _)| cost < c) {
-                best = Some((cost, at));
+                best = Some((cost, slot_index));
             }
         }
-        best.map(|(_, at)| at)
+        best.map(|(_, slot_index)| slot_index)
     }
 }
--- a/crates/core/src/placement/ready.rs
+++ b/crates/core/src/placement/ready.rs
@@ -9,7 +9,7 @@
 /// leaves out teams whose limit would not let the jobs start.
 pub fn expected(
     settings: &Settings,
-    book: &Book,
+    job_table: &Book,
     fleet: &Fleet,
     now: Mono,
     since: Mono,
@@ -24,7 +24,7 @@
     let mut buckets: BTreeMap<(&str, u64), u32> = BTreeMap::new();
     let whole = |spec: &JobSpec| if spec.shape == Shape::Gang { spec.tasks } else { 1 };
     let may_start = |spec: &JobSpec| headroom.tasks(spec).is_none_or(|most| most >= whole(spec));
-    for (at, spec) in book.arrivals.iter().filter(|(_, spec)| may_start(spec)) {
+    for (at, spec) in job_table.arrivals.iter().filter(|(_, spec)| may_start(spec)) {
         // Counts only a few arrivals of a class per time bucket: an initial load, or the jobs that
         // a new leader finds, must not be taken for the rate of further arrivals.
         let bucket = buckets.entry((&spec.class, at.0 / ARRIVAL_BUCKET_MS.0)).or_default();
@@ -55,42 +55,47 @@
 impl Pass<'_> {
     /// Keeps room for jobs that are likely to arrive: where work of lower rank could be preempted,
     /// on live machines, on booting ones, or on further ones to be hired.
-    pub(super) fn keep_ready(&mut self, job: &Job, count: u32, book: &Book) {
+    pub(super) fn keep_ready(&mut self, job: &Job, count: u32, job_table: &Book) {
         let need = Need::new(self.settings, job);
         let tasks = job.spec.tasks as usize;
-        let sites = self.sites(job);
-        let yielding = self.yielding(&need, book);
-        let there = |site: &Option<Zone>| match site {
-            Some(zone) => yielding.get(zone).copied().unwrap_or(0),
-            None => yielding.values().sum(),
+        let sites = self.candidate_sites(job);
+        let preemptible_places = self.preemptible_places(&need, job_table);
+        let preemptible_at = |site: &Option<Zone>| match site {
+            Some(zone) => preemptible_places.get(zone).copied().unwrap_or(0),
+            None => preemptible_places.values().sum(),
         };
-        let given: usize = sites.iter().map(|site| there(site) / tasks).sum();
+        let preemptible: usize = sites.iter().map(|site| preemptible_at(site) / tasks).sum();
         // Spot machines first, hired if need be: otherwise expensive machines are kept for good
         // because they are already there.
         let kinds = if job.spec.spot { vec![Some(true), None] } else { vec![None] };
         // Keeps no machines for tasks that the team's limit would not allow.
-        let count = (count as usize).min(self.within_limit(job) as usize / tasks);
-        for _ in given..count {
+        let count = (count as usize).min(self.tasks_within_limit(job) as usize / tasks);
+        for _ in preemptible..count {
             let room = kinds.iter().find_map(|spot| {
                 self.cheapest_site(&need, tasks, &sites, *spot).map(|s| (s, *spot))
             });
             let Some((site, spot)) = room else { break };
-            let mark = self.yard.mark();
-            self.gang_later(&need, tasks, site.as_ref(), spot);
-            self.plan.ready.extend(self.yard.live_since(mark).map(|m| m.id.clone()));
+            let savepoint = self.slot_pool.savepoint();
+            self.place_gang_later(&need, tasks, site.as_ref(), spot);
+            self.plan
+                .ready
+                .extend(self.slot_pool.live_machines_since(savepoint).map(|m| m.id.clone()));
         }
     }
 
     /// While no machine is wanted, moves the gang that saves most to spot machines, or hires those
     /// for it. In a burst gangs start wherever there is room, which keeps on-demand machines rented
     /// long afterwards.
-    pub(super) fn cheapen(&mut self, book: &Book) {
-        if !self.plan.hires.is_empty() || self.searches > 0 || !self.plan.starts.is_empty() {
+    pub(super) fn move_to_spot(&mut self, job_table: &Book) {
+        if !self.plan.hires.is_empty()
+            || self.preemption_searches > 0
+            || !self.plan.starts.is_empty()
+        {
             return;
         }
-        let worth = |job: &Job| -> Option<f64> {
+        let saved_cost = |job: &Job| -> Option<f64> {
             let spec = &job.spec;
-            let steady = spec.shape == Shape::Gang
+            let movable = spec.shape == Shape::Gang
                 && spec.spot
                 && spec.checkpoint_s > 0.0
                 && job.state == JobState::Open
@@ -98,41 +103,41 @@
                 && job.held == spec.tasks;
             let ran = |h: &Hold| h.running_since.map_or(0.0, |t| self.now.since(t).secs());
             let settled = |h: &Hold| h.stop.is_none() && ran(h) >= MOVE_SETTLED_S;
-            if !steady || !job.holds().all(|(_, h)| settled(h)) {
+            if !movable || !job.holds().all(|(_, h)| settled(h)) {
                 return None;
             }
-            let dear = |h: &Hold| self.fleet.machines.get(&h.host).is_some_and(|m| !m.spot);
-            let dear = job.holds().filter(|(_, h)| dear(h)).count();
+            let on_demand = |h: &Hold| self.fleet.machines.get(&h.host).is_some_and(|m| !m.spot);
+            let on_demand = job.holds().filter(|(_, h)| on_demand(h)).count();
             let longest = job.holds().map(|(_, h)| ran(h)).fold(0.0, f64::max);
             let left_s = spec.estimate_s - longest - spec.save_s;
-            (dear > 0 && left_s >= MOVE_WORTH_S).then_some(dear as f64 * left_s)
+            (on_demand > 0 && left_s >= MOVE_WORTH_S).then_some(on_demand as f64 * left_s)
         };
-        let jobs = book.jobs.values().filter_map(|job| Some((worth(job)?, job)));
-        let most = jobs.max_by(|a, b| a.0.total_cmp(&b.0));
-        let Some((_, job)) = most else { return };
-        self.plan.steps += book.jobs.len() as u64;
+        let jobs = job_table.jobs.values().filter_map(|job| Some((saved_cost(job)?, job)));
+        let best = jobs.max_by(|a, b| a.0.total_cmp(&b.0));
+        let Some((_, job)) = best else { return };
+        self.plan.steps += job_table.jobs.len() as u64;
         let need = Need::new(self.settings, job);
         let tasks = job.spec.tasks as usize;
-        let sites = self.sites(job);
+        let sites = self.candidate_sites(job);
         let fetch_s = |pass: &mut Self, site: Option<&Zone>| {
-            pass.cheap_places(&need, tasks, site).map(|(_, fetch_s)| fetch_s)
+            pass.spot_gang_slots(&need, tasks, site).map(|(_, fetch_s)| fetch_s)
         };
         let site = self.best_site(&need, &sites, fetch_s);
-        match site.and_then(|site| self.cheap_places(&need, tasks, site.as_ref())) {
+        match site.and_then(|site| self.spot_gang_slots(&need, tasks, site.as_ref())) {
             Some((found, _)) => {
-                for at in found {
-                    if let Some(m) = self.yard.slots[at].machine {
-                        self.keep(m, job);
+                for slot_index in found {
+                    if let Some(m) = self.slot_pool.slots[slot_index].machine {
+                        self.reserve(m, job);
                     }
                 }
                 self.plan.moves.push(job.spec.id.clone());
             }
             None => {
                 // Computed as if the gang ran nowhere yet: it may go to another zone.
-                let stand_in = Job::expected(&job.spec, job.spec.tasks, job.submitted);
-                let need = Need::new(self.settings, &stand_in);
+                let unplaced = Job::expected(&job.spec, job.spec.tasks, job.submitted);
+                let need = Need::new(self.settings, &unplaced);
                 if let Some(site) = self.cheapest_site(&need, tasks, &sites, Some(true)) {
-                    self.gang_later(&need, tasks, site.as_ref(), Some(true));
+                    self.place_gang_later(&need, tasks, site.as_ref(), Some(true));
                 }
             }
         }
@@ -140,22 +145,23 @@
 
     /// Live spot slots for all tasks of a gang, wherever it runs now, and its longest image fetch
     /// there, if that is at most [`MOVE_FETCH_S`].
-    pub(super) fn cheap_places(
+    pub(super) fn spot_gang_slots(
         &mut self,
         need: &Need,
         count: usize,
         site: Option<&Zone>,
     ) -> Option<(Vec<usize>, f64)> {
-        let mark = self.mark(need.job);
-        let mut places = Places::new(self, need, BTreeMap::new(), site);
-        places.restrict(self, Some(true));
-        let found: Vec<usize> = (0..count).map_while(|_| places.live(self, need)).collect();
-        let machines = found.iter().filter_map(|at| self.yard.slots[*at].machine);
+        let savepoint = self.savepoint(need.job);
+        let mut picker = SlotPicker::new(self, need, BTreeMap::new(), site);
+        picker.restrict_spot(self, Some(true));
+        let found: Vec<usize> = (0..count).map_while(|_| picker.take_live(self, need)).collect();
+        let machines =
+            found.iter().filter_map(|slot_index| self.slot_pool.slots[*slot_index].machine);
         let fetch_s = machines.map(|m| self.fleet.fetch_s(m, &need.job.spec)).fold(0.0, f64::max);
         if found.len() == count && fetch_s <= MOVE_FETCH_S {
             return Some((found, fetch_s));
         }
-        self.roll_back(need.job, mark);
+        self.roll_back(need.job, savepoint);
         None
     }
 }
--- a/crates/core/src/placement/room.rs
+++ b/crates/core/src/placement/room.rs
@@ -23,16 +23,16 @@
 pub(super) type PlacedTasks<'m> = Vec<Vec<PlacedTask<'m>>>;
 
 /// Room for one task that a machine could provide, with the work lost and the tasks to stop.
-pub(super) struct Offer<'m> {
+pub(super) struct PreemptionOption<'m> {
     cost: f64,
     machine: &'m Machine,
     victims: Vec<TaskId>,
 }
 
 /// Collects the tasks on all machines for the searches of a pass.
-fn placed_tasks<'m>(fleet: &'m Fleet, book: &Book, now: Mono) -> PlacedTasks<'m> {
+fn placed_tasks<'m>(fleet: &'m Fleet, job_table: &Book, now: Mono) -> PlacedTasks<'m> {
     let placed_task = |(task, room): (&'m TaskId, &'m Room)| {
-        let job = book.get(&task.job)?;
+        let job = job_table.get(&task.job)?;
         let hold = job.hold(task.index)?;
         let ran = hold.running_since.map_or(0.0, |t| now.since(t).secs());
         let lost = if job.spec.checkpoint_s > 0.0 { job.spec.save_s } else { ran };
@@ -45,7 +45,7 @@
 
 impl Pass<'_> {
     /// Whether a machine that has to boot first would be up in time for the job's objective.
-    pub(super) fn can_wait(&self, job: &Job) -> bool {
+    pub(super) fn can_wait_for_boot(&self, job: &Job) -> bool {
         let Some(within) = objective(self.settings, &job.spec.class, "wait") else {
             return false;
         };
@@ -61,7 +61,7 @@
     }
 
     /// Reserves a machine for a job.
-    pub(super) fn keep(&mut self, machine: &Machine, job: &Job) {
+    pub(super) fn reserve(&mut self, machine: &Machine, job: &Job) {
         let keep = (machine.id.clone(), job.spec.id.clone());
         if !self.plan.reserve.contains(&keep) {
             self.plan.reserve.push(keep);
@@ -74,34 +74,35 @@
     pub(super) fn make_room(
         &mut self,
         need: &Need,
-        book: &Book,
-        owed: bool,
+        job_table: &Book,
+        is_guaranteed: bool,
         sites: &[Option<Zone>],
     ) -> bool {
         let job = need.job;
-        if self.can_wait(job) {
+        if self.can_wait_for_boot(job) {
             return false;
         }
         let id = &job.spec.id;
-        let kept = self.yard.kept_for(id) || self.plan.reserve.iter().any(|(_, j)| j == id);
+        let kept =
+            self.slot_pool.has_reserved(id) || self.plan.reserve.iter().any(|(_, j)| j == id);
         // A search goes through every task on every machine; jobs beyond the limit are searched for
         // in the next pass.
-        if kept || self.searches >= MAKE_ROOM_MOST {
+        if kept || self.preemption_searches >= MAKE_ROOM_MOST {
             return kept;
         }
-        self.searches += 1;
+        self.preemption_searches += 1;
         self.plan.steps += VICTIM_STEPS * self.fleet.machines.len() as u64;
-        self.clear(need, book, owed, sites, |_| true)
+        self.preempt_cheapest(need, job_table, is_guaranteed, sites, |_| true)
     }
 
     /// Stops tasks of lower rank on a machine that has the image of a replica that is down. Returns
     /// whether room is being made.
-    pub(super) fn make_room_at_image(&mut self, need: &Need, book: &Book) -> bool {
+    pub(super) fn make_room_at_image(&mut self, need: &Need, job_table: &Book) -> bool {
         let (id, image) = (&need.job.spec.id, &need.job.spec.image);
         if self.plan.reserve.iter().any(|(_, j)| j == id) {
             return true;
         }
-        if self.yard.kept_for(id) {
+        if self.slot_pool.has_reserved(id) {
             // A machine may have been reserved while none with the image was available; waiting for
             // that one would not help.
             let kept = |m: &Machine| m.kept_for(self.now) == Some(id);
@@ -112,13 +113,13 @@
         }
         self.image_searches += 1;
         self.plan.steps += self.fleet.machines.len() as u64;
-        self.clear(need, book, false, &[None], |m| m.has_image(image))
+        self.preempt_cheapest(need, job_table, false, &[None], |m| m.has_image(image))
     }
 
     /// Whether a replica that is down should wait for room where its image is instead of fetching
     /// it: tasks end there as anywhere, and the replica is first to get their room. The wait is
     /// limited to a part of the fetch time.
-    pub(super) fn image_may_come(&mut self, need: &Need, fetch_s: f64) -> bool {
+    pub(super) fn await_image_room(&mut self, need: &Need, fetch_s: f64) -> bool {
         let job = need.job;
         let wait_s = DOWN_WAIT_S.min(fetch_s * DOWN_WAIT_PART);
         if self.now.since(job.lost_at).secs() >= wait_s {
@@ -127,99 +128,110 @@
         self.plan.steps += self.fleet.machines.len() as u64;
         self.fleet.machines.values().any(|m| {
             m.has_image(&job.spec.image)
-                && usable(self.fleet, m, self.now)
+                && accepts_tasks(self.fleet, m, self.now)
                 && need.allows(&m.flavor, &m.zone, m.spot)
-                && need.zone_open(&m.zone, &job.zones)
+                && need.allows_zone(&m.zone, &job.zones)
         })
     }
 
-    /// Stops the tasks that cost least on machines that satisfy `which`, and reserves those
+    /// Stops the tasks that cost least on machines that satisfy `selects`, and reserves those
     /// machines for the job.
-    fn clear(
+    fn preempt_cheapest(
         &mut self,
         need: &Need,
-        book: &Book,
-        owed: bool,
+        job_table: &Book,
+        is_guaranteed: bool,
         sites: &[Option<Zone>],
-        which: impl Fn(&Machine) -> bool,
+        selects: impl Fn(&Machine) -> bool,
     ) -> bool {
         let job = need.job;
         let count = if job.spec.shape == Shape::Gang { job.spec.tasks as usize } else { 1 };
-        let placed_tasks =
-            self.placed_tasks.take().unwrap_or_else(|| placed_tasks(self.fleet, book, self.now));
+        let placed_tasks = self
+            .placed_tasks
+            .take()
+            .unwrap_or_else(|| placed_tasks(self.fleet, job_table, self.now));
         let started: BTreeSet<&HostId> = self.plan.starts.iter().map(|(_, _, h)| h).collect();
         let reserved: BTreeSet<&HostId> = self.plan.reserve.iter().map(|(h, _)| h).collect();
-        let borrowing = owed.then(|| self.borrowing(book));
-        let mut offers: Vec<Offer> = Vec::new();
+        let teams_over_guarantee = is_guaranteed.then(|| self.teams_over_guarantee(job_table));
+        let mut options: Vec<PreemptionOption> = Vec::new();
         for (m, placed_tasks) in self.fleet.machines.values().zip(&placed_tasks) {
-            if !which(m)
+            if !selects(m)
                 || m.kept_for(self.now).is_some()
                 || !need.allows(&m.flavor, &m.zone, m.spot)
-                || !usable(self.fleet, m, self.now)
+                || !accepts_tasks(self.fleet, m, self.now)
                 || reserved.contains(&m.id)
                 || count > 1 && started.contains(&m.id)
                 || job.avoids(&m.id)
-                || !need.zone_open(&m.zone, &job.zones)
+                || !need.allows_zone(&m.zone, &job.zones)
                 || !self.fleet.room_of(m).fits(&need.room)
             {
                 continue;
             }
-            self.offers(m, placed_tasks, need, borrowing.as_ref(), count, &mut offers);
+            self.preemption_options(
+                m,
+                placed_tasks,
+                need,
+                teams_over_guarantee.as_ref(),
+                count,
+                &mut options,
+            );
         }
         self.placed_tasks = Some(placed_tasks);
-        offers.sort_by(|a, b| a.cost.total_cmp(&b.cost));
-        let mut best: Option<(f64, Vec<&Offer>)> = None;
+        options.sort_by(|a, b| a.cost.total_cmp(&b.cost));
+        let mut best: Option<(f64, Vec<&PreemptionOption>)> = None;
         for site in sites {
             // Does not clear machines that the spread rule forbids to use together.
             let mut zones = job.zones.clone();
-            let mut fits = |o: &&Offer| {
-                let zone = &o.machine.zone;
-                let open = site.as_ref().is_none_or(|z| z == zone) && need.zone_open(zone, &zones);
+            let mut fits = |option: &&PreemptionOption| {
+                let zone = &option.machine.zone;
+                let open =
+                    site.as_ref().is_none_or(|z| z == zone) && need.allows_zone(zone, &zones);
                 if open {
                     *zones.entry(zone.clone()).or_default() += 1;
                 }
                 open
             };
-            let found: Vec<&Offer> = offers.iter().filter(|o| fits(o)).take(count).collect();
-            let cost = found.iter().map(|o| o.cost).sum();
+            let found: Vec<&PreemptionOption> =
+                options.iter().filter(|option| fits(option)).take(count).collect();
+            let cost = found.iter().map(|option| option.cost).sum();
             if found.len() == count && best.as_ref().is_none_or(|(least, _)| cost < *least) {
                 best = Some((cost, found));
             }
         }
         let Some((_, found)) = best else { return false };
-        for offer in found {
-            for task in &offer.victims {
-                let grace = book.get(&task.job).map_or(0.0, |j| j.spec.save_s);
-                self.plan.stops.push((task.clone(), StopWhy::Preempted, grace));
+        for option in found {
+            for task in &option.victims {
+                let grace_s = job_table.get(&task.job).map_or(0.0, |j| j.spec.save_s);
+                self.plan.stops.push((task.clone(), StopWhy::Preempted, grace_s));
             }
-            self.keep(offer.machine, job);
+            self.reserve(option.machine, job);
         }
         true
     }
 
-    /// Collects what a machine could provide for up to `most` tasks, one after another: the tasks
+    /// Collects what a machine could provide for up to `max_tasks` tasks, one after another: the tasks
     /// to stop for each, and the work lost.
-    pub(super) fn offers<'m>(
+    pub(super) fn preemption_options<'m>(
         &self,
         m: &'m Machine,
         placed_tasks: &[PlacedTask<'m>],
         need: &Need,
-        borrowing: Option<&BTreeSet<&str>>,
-        most: usize,
-        offers: &mut Vec<Offer<'m>>,
+        teams_over_guarantee: Option<&BTreeSet<&str>>,
+        max_tasks: usize,
+        options: &mut Vec<PreemptionOption<'m>>,
     ) {
         // Room that this pass has given away already does not count: a machine reserved for it was
         // kept until the reservation expired while the job waited in vain.
         let mut free = self.fleet.free_room(m);
-        if let Some(given) = self.given.get(&m.id) {
-            free.take(given);
+        if let Some(taken) = self.room_taken.get(&m.id) {
+            free.take(taken);
         }
         let mut candidates: Vec<(f64, &TaskId, &Room)> = Vec::new();
         for PlacedTask { task, room, spec, rank, stopping, loss } in placed_tasks {
             let lower = *rank < need.job.rank();
             let borrowed = spec.shape != Shape::Service
                 && spec.team != need.job.spec.team
-                && borrowing.is_some_and(|teams| {
+                && teams_over_guarantee.is_some_and(|teams| {
                     teams.contains(&*spec.team) || self.settings.team(&spec.team).is_none()
                 });
             if !(lower || borrowed) || spec.tasks > 1 && spec.shape == Shape::Gang {
@@ -236,7 +248,7 @@
         // An image fetch delays the whole task, so it costs core-seconds like lost work does.
         let fetch_s = self.fleet.fetch_s(m, &need.job.spec);
         let mut least = 0.0;
-        for _ in 0..most {
+        for _ in 0..max_tasks {
             let (mut cost, mut victims) = (fetch_s * need.room.cpus, Vec::new());
             while !free.fits(&need.room) {
                 let Some((lost, task, room)) = candidates.next() else { return };
@@ -248,22 +260,22 @@
             // The costs must not decrease, so that sorting by cost keeps the order of a machine's
             // offers.
             least = f64::max(least, cost);
-            offers.push(Offer { cost: least, machine: m, victims });
+            options.push(PreemptionOption { cost: least, machine: m, victims });
         }
     }
 
     /// Teams in the settings that use more than their guarantee.
-    fn borrowing(&self, book: &Book) -> BTreeSet<&str> {
+    fn teams_over_guarantee(&self, job_table: &Book) -> BTreeSet<&str> {
         let teams = self.settings.facts.teams.iter().map(|team| &*team.name);
-        teams.filter(|team| self.borrows(team, book)).collect()
+        teams.filter(|team| self.is_over_guarantee(team, job_table)).collect()
     }
 
     /// Whether a team uses more than its guarantee.
-    pub(super) fn borrows(&self, team: &str, book: &Book) -> bool {
+    pub(super) fn is_over_guarantee(&self, team: &str, job_table: &Book) -> bool {
         let Some(facts) = self.settings.team(team) else {
             return true;
         };
-        let used = book.usage.get(team).copied().unwrap_or_default();
+        let used = job_table.usage.get(team).copied().unwrap_or_default();
         (facts.gpus > 0.0 && used.gpus > facts.gpus + 1e-6)
             || (facts.cpus > 0.0 && used.cpus > facts.cpus + 1e-6)
             || (facts.gpus <= 0.0 && facts.cpus <= 0.0)
--- a/crates/core/src/placement/services.rs
+++ b/crates/core/src/placement/services.rs
@@ -9,54 +9,54 @@
 
 /// Rank, and whether the job is within its team's guarantee: services compete for turns only within
 /// the same group.
-type Standing = (Rank, bool);
+type TurnGroup = (Rank, bool);
 
 /// The services of one group that have replicas to place.
 #[derive(Debug, Default)]
-struct Waiting {
+struct WaitingServices {
     /// Services without any replica, in placement order.
-    unbegun: VecDeque<JobId>,
+    without_replicas: VecDeque<JobId>,
     /// Services with some of their replicas, the one that lacks fewest first.
-    begun: VecDeque<JobId>,
+    partly_placed: VecDeque<JobId>,
     /// Partly placed services that have had their turn in this pass.
     had_turn: Vec<JobId>,
     /// Whether the first service without replicas is known not to fit as a whole. It holds to the
     /// end of the pass, since room only shrinks.
-    first_is_short: bool,
+    first_does_not_fit: bool,
 }
 
 /// The services of a pass that wait for room, by group.
 #[derive(Debug)]
 pub(super) struct ServiceTurns {
-    waiting: BTreeMap<Standing, Waiting>,
+    waiting: BTreeMap<TurnGroup, WaitingServices>,
 }
 
 impl ServiceTurns {
     /// `order` holds all jobs of the pass in placement order.
     pub fn new(
         order: &[(JobId, Mono)],
-        book: &Book,
+        job_table: &Book,
         guaranteed: &BTreeMap<JobId, ()>,
         now: Mono,
     ) -> Self {
-        let mut waiting: BTreeMap<Standing, Waiting> = BTreeMap::new();
-        let mut begun: BTreeMap<Standing, Vec<(u32, JobId)>> = BTreeMap::new();
+        let mut waiting: BTreeMap<TurnGroup, WaitingServices> = BTreeMap::new();
+        let mut partly_placed: BTreeMap<TurnGroup, Vec<(u32, JobId)>> = BTreeMap::new();
         for (id, _) in order {
-            let Some(job) = book.get(id).filter(|job| job.spec.shape == Shape::Service) else {
+            let Some(job) = job_table.get(id).filter(|job| job.spec.shape == Shape::Service) else {
                 continue;
             };
-            let standing = (job.rank(), guaranteed.contains_key(id));
-            let services = waiting.entry(standing).or_default();
+            let group = (job.rank(), guaranteed.contains_key(id));
+            let services = waiting.entry(group).or_default();
             if job.held == 0 {
-                services.unbegun.push_back(id.clone());
+                services.without_replicas.push_back(id.clone());
             } else {
-                begun.entry(standing).or_default().push((job.startable(now), id.clone()));
+                partly_placed.entry(group).or_default().push((job.startable(now), id.clone()));
             }
         }
-        for (standing, mut services) in begun {
+        for (group, mut services) in partly_placed {
             services.sort_by_key(|(lacking, _)| *lacking);
             let ids = services.into_iter().map(|(_, id)| id);
-            waiting.entry(standing).or_default().begun = ids.collect();
+            waiting.entry(group).or_default().partly_placed = ids.collect();
         }
         Self { waiting }
     }
@@ -69,39 +69,40 @@
         &mut self,
         id: &JobId,
         pass: &mut Pass,
-        book: &Book,
+        job_table: &Book,
         guaranteed: bool,
     ) -> Option<JobId> {
-        let rank = book.get(id)?.rank();
+        let rank = job_table.get(id)?.rank();
         let services = self.waiting.get_mut(&(rank, guaranteed))?;
-        let first = services.unbegun.front().and_then(|first| book.get(first));
-        let Some(first) = first else { return services.next_begun() };
-        if !services.first_is_short && services.has_begun() {
-            services.first_is_short = !pass.fits_whole(first);
+        let first = services.without_replicas.front().and_then(|first| job_table.get(first));
+        let Some(first) = first else { return services.next_partly_placed() };
+        if !services.first_does_not_fit && services.has_partly_placed() {
+            services.first_does_not_fit = !pass.fits_whole(first);
         }
-        if services.first_is_short {
-            if !services.begun.is_empty() {
-                return services.next_begun();
+        if services.first_does_not_fit {
+            if !services.partly_placed.is_empty() {
+                return services.next_partly_placed();
             }
             // Room to which a replica of another service is being moved is not given to parts of
             // further services.
-            if services.had_turn.iter().any(|id| pass.room_is_made_for(id)) && !pass.may_hire(first)
+            if services.had_turn.iter().any(|id| pass.has_reserved_room(id))
+                && !pass.can_hire(first)
             {
                 return None;
             }
         }
-        services.first_is_short = false;
-        services.unbegun.pop_front()
+        services.first_does_not_fit = false;
+        services.without_replicas.pop_front()
     }
 }
 
-impl Waiting {
-    fn has_begun(&self) -> bool {
-        !(self.begun.is_empty() && self.had_turn.is_empty())
+impl WaitingServices {
+    fn has_partly_placed(&self) -> bool {
+        !(self.partly_placed.is_empty() && self.had_turn.is_empty())
     }
 
-    fn next_begun(&mut self) -> Option<JobId> {
-        let id = self.begun.pop_front()?;
+    fn next_partly_placed(&mut self) -> Option<JobId> {
+        let id = self.partly_placed.pop_front()?;
         self.had_turn.push(id.clone());
         Some(id)
     }
@@ -111,26 +112,26 @@
     /// Whether all replicas of a service fit on live machines together.
     fn fits_whole(&mut self, job: &Job) -> bool {
         let replicas = job.pending();
-        if self.within_limit(job) < replicas {
+        if self.tasks_within_limit(job) < replicas {
             return false;
         }
         let need = Need::new(self.settings, job);
-        let mark = self.mark(job);
-        let fits = self.gang_places(&need, replicas as usize, None).is_some();
+        let savepoint = self.savepoint(job);
+        let fits = self.live_gang_slots(&need, replicas as usize, None).is_some();
         if fits {
-            self.roll_back(job, mark);
+            self.roll_back(job, savepoint);
         }
         fits
     }
 
     /// Whether a machine is reserved for the job, or will be by this pass.
-    fn room_is_made_for(&self, id: &JobId) -> bool {
-        self.yard.kept_for(id) || self.plan.reserve.iter().any(|(_, job)| job == id)
+    fn has_reserved_room(&self, id: &JobId) -> bool {
+        self.slot_pool.has_reserved(id) || self.plan.reserve.iter().any(|(_, job)| job == id)
     }
 
     /// Whether any kind of machine could be hired for the job.
-    fn may_hire(&self, job: &Job) -> bool {
+    fn can_hire(&self, job: &Job) -> bool {
         let need = Need::new(self.settings, job);
-        self.wish(&need, &self.yard.mask(&need, &job.zones, None)).is_some()
+        self.cheapest_kind(&need, &self.slot_pool.mask(&need, &job.zones, None)).is_some()
     }
 }
--- a/crates/core/src/placement/slots.rs
+++ b/crates/core/src/placement/slots.rs
@@ -15,14 +15,14 @@
 #[derive(Debug)]
 pub(super) struct Slot<'a> {
     pub machine: Option<&'a Machine>,
-    when: When,
+    availability: Availability,
     /// Being emptied: reused only before another machine would be hired.
     closing: bool,
     kind: usize,
     free: Room,
-    whole: Room,
+    capacity: Room,
     reserved: Option<&'a JobId>,
-    fetch: f64,
+    fetch_gb_per_s: f64,
     /// Seconds until the machine's next report, whose answer can carry a start; 0 if a report is
     /// waiting for its answer.
     report_in_s: f64,
@@ -31,11 +31,11 @@
 }
 
 impl Slot<'_> {
-    pub fn when(&self) -> When {
-        self.when
+    pub fn availability(&self) -> Availability {
+        self.availability
     }
 
-    /// Index of its kind in [`Yard::kinds`].
+    /// Index of its kind in [`SlotPool::kinds`].
     pub fn kind(&self) -> usize {
         self.kind
     }
@@ -52,18 +52,18 @@
 
 /// Whether a task can start on the slot now or only once its machine is up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum When {
+pub(super) enum Availability {
     Live,
-    Coming,
+    Pending,
 }
 
-/// Which kinds of machine, by index in [`Yard::kinds`], a task may use.
-pub(super) type Mask = Vec<bool>;
+/// Which kinds of machine, by index in [`SlotPool::kinds`], a task may use.
+pub(super) type KindMask = Vec<bool>;
 
 #[derive(Debug, PartialEq)]
 struct Candidate {
     score: f64,
-    at: usize,
+    slot_index: usize,
 }
 
 impl Eq for Candidate {}
@@ -71,7 +71,7 @@
 impl Ord for Candidate {
     /// Reversed for the max-heap: the lowest score is the greatest, ties go to the lowest index.
     fn cmp(&self, other: &Self) -> Ordering {
-        other.score.total_cmp(&self.score).then(other.at.cmp(&self.at))
+        other.score.total_cmp(&self.score).then(other.slot_index.cmp(&self.slot_index))
     }
 }
 
@@ -84,123 +84,123 @@
 /// Candidate slots for the tasks of one job, best first, collected when first needed.
 #[derive(Debug, Default)]
 pub(super) struct Search {
-    live: Option<BinaryHeap<Candidate>>,
-    coming: Option<BinaryHeap<Candidate>>,
+    live_slots: Option<BinaryHeap<Candidate>>,
+    pending_slots: Option<BinaryHeap<Candidate>>,
 }
 
 /// Records that `count` tasks of this size did not fit together on slots of these kinds. Slots only
 /// fill up during a pass, so the result holds to its end.
 #[derive(Debug)]
-struct NoRoom {
-    when: When,
+struct NoFit {
+    availability: Availability,
     room: Room,
-    mask: Mask,
+    mask: KindMask,
     count: usize,
 }
 
 /// State of a slot before a task was placed on it, restored if the rest of a gang does not fit.
 #[derive(Debug)]
-struct Taken {
-    at: usize,
+struct UndoEntry {
+    slot_index: usize,
     free: Room,
     fetches: usize,
 }
 
-/// A state of the slots that [`Yard::roll_back`] can restore.
+/// A state of the slots that [`SlotPool::roll_back`] can restore.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Mark {
-    taken: usize,
+pub(super) struct Savepoint {
+    undo_log: usize,
     slots: usize,
-    none: usize,
+    no_fits: usize,
 }
 
 #[derive(Debug)]
-pub(super) struct Yard<'a> {
+pub(super) struct SlotPool<'a> {
     pub kinds: Vec<(&'a Flavor, Zone, bool)>,
     pub slots: Vec<Slot<'a>>,
-    live: Vec<usize>,
-    coming: Vec<usize>,
+    live_slots: Vec<usize>,
+    pending_slots: Vec<usize>,
     /// Number of slots of each kind.
     counts: Vec<u32>,
     /// Jobs for which a machine is reserved.
-    kept_for: BTreeSet<&'a JobId>,
-    none: Vec<NoRoom>,
-    taken: Vec<Taken>,
+    reserved_jobs: BTreeSet<&'a JobId>,
+    no_fits: Vec<NoFit>,
+    undo_log: Vec<UndoEntry>,
     /// Slots examined so far: the cost of the pass.
     pub steps: u64,
 }
 
 /// Whether new tasks may be placed on the machine.
-pub(super) fn usable(fleet: &Fleet, m: &Machine, now: Mono) -> bool {
-    matches!(m.life, Life::Live | Life::Closing)
-        && !m.lapsed
-        && now >= m.paused_until
-        && !fleet.zones.lost(&m.zone)
+pub(super) fn accepts_tasks(fleet: &Fleet, machine: &Machine, now: Mono) -> bool {
+    matches!(machine.life, Life::Live | Life::Closing)
+        && !machine.lapsed
+        && now >= machine.paused_until
+        && !fleet.zones.lost(&machine.zone)
 }
 
-impl<'a> Yard<'a> {
+impl<'a> SlotPool<'a> {
     pub fn new(fleet: &'a Fleet, awaited: &[(Kind, u32)], report_s: f64, now: Mono) -> Self {
-        let mut yard = Self {
+        let mut slot_pool = Self {
             kinds: Vec::new(),
             slots: Vec::with_capacity(fleet.machines.len()),
-            live: Vec::new(),
-            coming: Vec::new(),
+            live_slots: Vec::new(),
+            pending_slots: Vec::new(),
             counts: Vec::new(),
-            kept_for: BTreeSet::new(),
-            none: Vec::new(),
-            taken: Vec::new(),
+            reserved_jobs: BTreeSet::new(),
+            no_fits: Vec::new(),
+            undo_log: Vec::new(),
             steps: fleet.machines.len() as u64,
         };
         let flavors = || fleet.catalog.iter().flat_map(|c| &c.flavors);
         for flavor in flavors() {
             for zone in &flavor.zones {
                 for spot in [true, false] {
-                    yard.kind(flavor, zone, spot);
+                    slot_pool.kind(flavor, zone, spot);
                 }
             }
         }
         for m in fleet.machines.values() {
-            let live = usable(fleet, m, now);
+            let live = accepts_tasks(fleet, m, now);
             // After an outage longer than a lease every machine is expected to report again within
             // seconds. Until then no task is placed on those that may have died in the outage, and
             // no replacement is hired.
-            let back = m.lapsed && matches!(m.life, Life::Live | Life::Closing);
+            let expected_back = m.lapsed && matches!(m.life, Life::Live | Life::Closing);
             // Machines that boot in a zone that is cut off cannot report, so they are not waited
             // for.
-            if !live && (m.life != Life::Booting && !back || fleet.zones.lost(&m.zone)) {
+            if !live && (m.life != Life::Booting && !expected_back || fleet.zones.lost(&m.zone)) {
                 continue;
             }
             let Some(flavor) = flavors().find(|f| f.label == m.flavor) else { continue };
             // A machine that takes too long to boot is not waited for; another one can be hired.
-            if !live && !back && now.since(m.born).secs() > flavor.boot_s * BOOT_SPREAD {
+            if !live && !expected_back && now.since(m.born).secs() > flavor.boot_s * BOOT_SPREAD {
                 continue;
             }
             let reserved = m.kept_for(now);
-            yard.kept_for.extend(reserved);
-            let kind = yard.kind(flavor, &m.zone, m.spot);
-            let when = if live { When::Live } else { When::Coming };
+            slot_pool.reserved_jobs.extend(reserved);
+            let kind = slot_pool.kind(flavor, &m.zone, m.spot);
+            let availability = if live { Availability::Live } else { Availability::Pending };
             let slot = Slot {
                 machine: Some(m),
-                when,
+                availability,
                 closing: m.life == Life::Closing,
                 kind,
                 free: fleet.free_room(m),
-                whole: Room::from(flavor),
+                capacity: Room::from(flavor),
                 reserved,
-                fetch: flavor.fetch_gb_per_s,
+                fetch_gb_per_s: flavor.fetch_gb_per_s,
                 report_in_s: m.report_in(report_s, now),
                 fetching: m.fetching(),
             };
-            yard.push(slot);
+            slot_pool.push(slot);
         }
         for (kind, number) in awaited.iter().filter(|(kind, _)| !fleet.zones.lost(&kind.zone)) {
             let Some(flavor) = flavors().find(|f| f.label == kind.flavor) else { continue };
-            let kind = yard.kind(flavor, &kind.zone, kind.spot);
+            let kind = slot_pool.kind(flavor, &kind.zone, kind.spot);
             for _ in 0..*number {
-                yard.wish(kind);
+                slot_pool.add_pending(kind);
             }
         }
-        yard
+        slot_pool
     }
 
     fn kind(&mut self, flavor: &'a Flavor, zone: &Zone, spot: bool) -> usize {
@@ -214,29 +214,29 @@
     }
 
     fn push(&mut self, slot: Slot<'a>) -> usize {
-        let at = self.slots.len();
+        let slot_index = self.slots.len();
         self.counts[slot.kind] += 1;
-        let when = slot.when;
+        let availability = slot.availability;
         self.slots.push(slot);
-        match when {
-            When::Live => self.live.push(at),
-            When::Coming => self.coming.push(at),
+        match availability {
+            Availability::Live => self.live_slots.push(slot_index),
+            Availability::Pending => self.pending_slots.push(slot_index),
         }
-        at
+        slot_index
     }
 
     /// Adds a slot for a machine that is to be hired or whose hire is not answered yet.
-    pub fn wish(&mut self, kind: usize) -> usize {
+    pub fn add_pending(&mut self, kind: usize) -> usize {
         let flavor = self.kinds[kind].0;
         let slot = Slot {
             machine: None,
-            when: When::Coming,
+            availability: Availability::Pending,
             closing: false,
             kind,
             free: Room::from(flavor),
-            whole: Room::from(flavor),
+            capacity: Room::from(flavor),
             reserved: None,
-            fetch: flavor.fetch_gb_per_s,
+            fetch_gb_per_s: flavor.fetch_gb_per_s,
             report_in_s: 0.0,
             fetching: Vec::new(),
         };
@@ -244,33 +244,40 @@
     }
 
     /// Machines in a zone, including those to be hired.
-    fn in_zone(&self, zone: &Zone) -> u32 {
+    fn machines_in_zone(&self, zone: &Zone) -> u32 {
         let here = self.kinds.iter().zip(&self.counts).filter(|((_, z, _), _)| z == zone);
         here.map(|(_, count)| count).sum()
     }
 
-    /// Whether any machine, full or not, is of a kind and size that the job's tasks may use.
-    /// Machines that the job avoids count as unusable only if some of its failures count towards
-    /// its limit: applied to all jobs, the rule lowered the score of one simulated steady day by
-    /// 0.05 with the same seed.
-    pub fn any_usable(&self, need: &Need, mask: &Mask) -> bool {
+    /// Whether any machine, full or not, is of a kind and size that the job's tasks may use. For jobs
+    /// whose failures are limited, machines that the job avoids don't count: applied to all jobs,
+    /// this rule cost the steady day of the kitchen-loom deployment 0.05 with the same seed.
+    pub fn any_usable(&self, need: &Need, mask: &KindMask) -> bool {
         let burnt = need.job.burnt > 0;
-        let may = |s: &Slot| !burnt || s.machine.is_none_or(|m| !need.job.avoids(&m.id));
-        self.slots.iter().any(|s| mask[s.kind] && s.whole.fits(&need.room) && may(s))
+        let allowed = |slot: &Slot| !burnt || slot.machine.is_none_or(|m| !need.job.avoids(&m.id));
+        self.slots
+            .iter()
+            .any(|slot| mask[slot.kind] && slot.capacity.fits(&need.room) && allowed(slot))
     }
 
-    pub fn zone(&self, at: usize) -> &Zone {
-        &self.kinds[self.slots[at].kind].1
+    pub fn zone(&self, slot_index: usize) -> &Zone {
+        &self.kinds[self.slots[slot_index].kind].1
     }
 
     /// Whether a machine is reserved for the job.
-    pub fn kept_for(&self, id: &JobId) -> bool {
-        self.kept_for.contains(id)
+    pub fn has_reserved(&self, id: &JobId) -> bool {
+        self.reserved_jobs.contains(id)
     }
 
     /// Kinds of machine that a task of the job may use, given the zones of its other tasks.
-    pub fn mask(&self, need: &Need, zones: &BTreeMap<Zone, u32>, only: Option<&Zone>) -> Mask {
-        let open = |zone: &Zone| only.is_none_or(|z| z == zone) && need.zone_open(zone, zones);
+    pub fn mask(
+        &self,
+        need: &Need,
+        zones: &BTreeMap<Zone, u32>,
+        only_zone: Option<&Zone>,
+    ) -> KindMask {
+        let open =
+            |zone: &Zone| only_zone.is_none_or(|z| z == zone) && need.allows_zone(zone, zones);
         self.kinds
             .iter()
             .map(|(flavor, zone, spot)| need.allows(&flavor.label, zone, *spot) && open(zone))
@@ -278,18 +285,24 @@
     }
 
     /// Removes every live slot whose machine satisfies `out`.
-    pub fn leave_out(&mut self, out: impl Fn(&Machine) -> bool) {
+    pub fn exclude_live(&mut self, out: impl Fn(&Machine) -> bool) {
         let slots = &self.slots;
-        self.live.retain(|at| slots[*at].machine.is_none_or(|m| !out(m)));
+        self.live_slots.retain(|slot_index| slots[*slot_index].machine.is_none_or(|m| !out(m)));
     }
 
     /// Whether the tasks are already known not to fit together.
-    pub fn hopeless(&self, need: &Need, mask: &Mask, when: When, count: usize) -> bool {
-        if self.kept_for(&need.job.spec.id) {
+    pub fn known_not_to_fit(
+        &self,
+        need: &Need,
+        mask: &KindMask,
+        availability: Availability,
+        count: usize,
+    ) -> bool {
+        if self.has_reserved(&need.job.spec.id) {
             return false;
         }
-        self.none.iter().any(|known| {
-            known.when == when
+        self.no_fits.iter().any(|known| {
+            known.availability == availability
                 && known.count <= count
                 && need.room.fits(&known.room)
                 && mask.iter().zip(&known.mask).all(|(mine, theirs)| !mine || *theirs)
@@ -297,62 +310,73 @@
     }
 
     /// Records that this many tasks of the job did not fit together.
-    pub fn note_none(&mut self, need: &Need, mask: &Mask, when: When, count: usize) {
+    pub fn record_no_fit(
+        &mut self,
+        need: &Need,
+        mask: &KindMask,
+        availability: Availability,
+        count: usize,
+    ) {
         // A job with machines to avoid, or with reserved ones, says nothing about other jobs.
         if need.job.error_hosts.is_empty()
             && need.job.apart().is_none()
-            && !self.kept_for(&need.job.spec.id)
-            && !self.hopeless(need, mask, when, count)
+            && !self.has_reserved(&need.job.spec.id)
+            && !self.known_not_to_fit(need, mask, availability, count)
         {
-            self.none.push(NoRoom { when, room: need.room, mask: mask.clone(), count });
+            self.no_fits.push(NoFit { availability, room: need.room, mask: mask.clone(), count });
         }
     }
 
     /// The best slot for one more task of the job.
-    pub fn best(
+    pub fn best_slot(
         &mut self,
         search: &mut Search,
         need: &Need,
-        mask: &Mask,
-        when: When,
+        mask: &KindMask,
+        availability: Availability,
     ) -> Option<usize> {
-        let known = match when {
-            When::Live => search.live.take(),
-            When::Coming => search.coming.take(),
+        let known = match availability {
+            Availability::Live => search.live_slots.take(),
+            Availability::Pending => search.pending_slots.take(),
         };
         let mut heap = match known {
             Some(heap) => heap,
-            None if self.hopeless(need, mask, when, 1) => BinaryHeap::new(),
-            None => self.look(need, mask, when),
+            None if self.known_not_to_fit(need, mask, availability, 1) => BinaryHeap::new(),
+            None => self.collect_candidates(need, mask, availability),
         };
         let found = loop {
             let Some(candidate) = heap.pop() else { break None };
-            let slot = &self.slots[candidate.at];
+            let slot = &self.slots[candidate.slot_index];
             // A zone may have been closed to the job meanwhile; it does not open again during the
             // pass.
             if mask[slot.kind] && slot.free.fits(&need.room) {
-                break Some(candidate.at);
+                break Some(candidate.slot_index);
             }
         };
         if found.is_none() {
-            self.note_none(need, mask, when, 1);
+            self.record_no_fit(need, mask, availability, 1);
         }
-        match when {
-            When::Live => search.live = Some(heap),
-            When::Coming => search.coming = Some(heap),
+        match availability {
+            Availability::Live => search.live_slots = Some(heap),
+            Availability::Pending => search.pending_slots = Some(heap),
         }
         found
     }
 
-    fn look(&mut self, need: &Need, mask: &Mask, when: When) -> BinaryHeap<Candidate> {
-        let list = match when {
-            When::Live => &self.live,
-            When::Coming => &self.coming,
+    fn collect_candidates(
+        &mut self,
+        need: &Need,
+        mask: &KindMask,
+        availability: Availability,
+    ) -> BinaryHeap<Candidate> {
+        let list = match availability {
+            Availability::Live => &self.live_slots,
+            Availability::Pending => &self.pending_slots,
         };
         self.steps += list.len() as u64;
         let id = &need.job.spec.id;
-        let fits = |at: &&usize| {
-            let slot = &self.slots[**at];
+        let fits = |slot_index: &&usize| {
+            let slot = &self.slots[**slot_index];
             mask[slot.kind]
                 && slot.free.fits(&need.room)
                 && slot.reserved.is_none_or(|job| job == id)
@@ -361,110 +385,122 @@
         };
         list.iter()
             .filter(fits)
-            .map(|at| Candidate { score: self.score(need, &self.slots[*at]), at: *at })
+            .map(|slot_index| Candidate {
+                score: self.score(need, &self.slots[*slot_index]),
+                slot_index: *slot_index,
+            })
             .collect()
     }
 
     /// Places a task on a slot and offers the rest of the slot to the job's next task.
-    pub fn take(&mut self, search: &mut Search, at: usize, need: &Need) {
+    pub fn occupy(&mut self, search: &mut Search, slot_index: usize, need: &Need) {
         let spec = &need.job.spec;
-        let cached = self.cached(at, &spec.image);
-        let slot = &mut self.slots[at];
-        self.taken.push(Taken { at, free: slot.free, fetches: slot.fetching.len() });
+        let cached = self.cached(slot_index, &spec.image);
+        let slot = &mut self.slots[slot_index];
+        self.undo_log.push(UndoEntry { slot_index, free: slot.free, fetches: slot.fetching.len() });
         slot.free.take(&need.room);
         if !cached && slot.fetching.iter().all(|(name, _)| *name != spec.image) {
             slot.fetching.push((spec.image.clone(), spec.image_gb));
         }
         // A job whose tasks must be on different machines gets no second task here.
-        if need.job.apart() != Some(true) && self.slots[at].free.fits(&need.room) {
+        if need.job.apart() != Some(true) && self.slots[slot_index].free.fits(&need.room) {
             self.steps += 1;
-            self.offer(search, at, need);
+            self.add_candidate(search, slot_index, need);
         }
     }
 
     /// Adds a slot to the candidates for the job's next task.
-    pub fn offer(&self, search: &mut Search, at: usize, need: &Need) {
-        let again = if need.job.apart().is_some() { APART_WEIGHT } else { 0.0 };
-        let candidate = Candidate { score: self.score(need, &self.slots[at]) + again, at };
-        let heap = match self.slots[at].when {
-            When::Live => &mut search.live,
-            When::Coming => &mut search.coming,
+    pub fn add_candidate(&self, search: &mut Search, slot_index: usize, need: &Need) {
+        let same_job = if need.job.apart().is_some() { APART_WEIGHT } else { 0.0 };
+        let candidate =
+            Candidate { score: self.score(need, &self.slots[slot_index]) + same_job, slot_index };
+        let heap = match self.slots[slot_index].availability {
+            Availability::Live => &mut search.live_slots,
+            Availability::Pending => &mut search.pending_slots,
         };
         heap.get_or_insert_default().push(candidate);
     }
 
-    pub fn mark(&self) -> Mark {
-        Mark { taken: self.taken.len(), slots: self.slots.len(), none: self.none.len() }
+    pub fn savepoint(&self) -> Savepoint {
+        Savepoint {
+            undo_log: self.undo_log.len(),
+            slots: self.slots.len(),
+            no_fits: self.no_fits.len(),
+        }
     }
 
     /// The live machines on which tasks were placed since the mark.
-    pub fn live_since(&self, mark: Mark) -> impl Iterator<Item = &'a Machine> + '_ {
-        let slots = self.taken[mark.taken..].iter().map(|taken| &self.slots[taken.at]);
-        slots.filter(|slot| slot.when == When::Live).filter_map(|slot| slot.machine)
+    pub fn live_machines_since(
+        &self,
+        savepoint: Savepoint,
+    ) -> impl Iterator<Item = &'a Machine> + '_ {
+        let slots =
+            self.undo_log[savepoint.undo_log..].iter().map(|entry| &self.slots[entry.slot_index]);
+        slots.filter(|slot| slot.availability == Availability::Live).filter_map(|slot| slot.machine)
     }
 
     /// Price per hour used to compare machines to hire. It rises with the number of machines in the
     /// zone, so that among equal prices the zone with fewer machines wins and the loss of a zone
     /// costs less.
-    pub fn priced(&self, flavor: &Flavor, zone: &Zone, spot: bool) -> f64 {
-        flavor.price_as(spot) * (1.0 + f64::from(self.in_zone(zone)) / ZONE_EVENNESS)
+    pub fn weighted_price(&self, flavor: &Flavor, zone: &Zone, spot: bool) -> f64 {
+        flavor.price_as(spot) * (1.0 + f64::from(self.machines_in_zone(zone)) / ZONE_EVENNESS)
     }
 
     /// Undoes all placements and all planned hires since the mark.
-    pub fn roll_back(&mut self, mark: Mark) {
-        for taken in self.taken.drain(mark.taken..).rev() {
-            let slot = &mut self.slots[taken.at];
-            slot.free = taken.free;
-            slot.fetching.truncate(taken.fetches);
+    pub fn roll_back(&mut self, savepoint: Savepoint) {
+        for entry in self.undo_log.drain(savepoint.undo_log..).rev() {
+            let slot = &mut self.slots[entry.slot_index];
+            slot.free = entry.free;
+            slot.fetching.truncate(entry.fetches);
         }
-        for slot in self.slots.drain(mark.slots..) {
+        for slot in self.slots.drain(savepoint.slots..) {
             self.counts[slot.kind] -= 1;
         }
-        self.coming.retain(|at| *at < mark.slots);
-        self.none.truncate(mark.none);
+        self.pending_slots.retain(|slot_index| *slot_index < savepoint.slots);
+        self.no_fits.truncate(savepoint.no_fits);
     }
 
-    pub fn cached(&self, at: usize, image: &str) -> bool {
-        self.slots[at].machine.is_some_and(|m| m.has_image(image))
+    pub fn cached(&self, slot_index: usize, image: &str) -> bool {
+        self.slots[slot_index].machine.is_some_and(|m| m.has_image(image))
     }
 
     /// Seconds until the job's image is on the slot's machine, including images that are being
     /// fetched there.
-    pub fn fetch_s(&self, at: usize, need: &Need) -> f64 {
-        self.fetch_to(need, &self.slots[at])
+    pub fn fetch_s(&self, slot_index: usize, need: &Need) -> f64 {
+        self.fetch_s_to(need, &self.slots[slot_index])
     }
 
-    fn fetch_to(&self, need: &Need, slot: &Slot) -> f64 {
+    fn fetch_s_to(&self, need: &Need, slot: &Slot) -> f64 {
         let spec: &JobSpec = &need.job.spec;
         let cached = slot.machine.is_some_and(|m| m.has_image(&spec.image));
         // Images fetched at the same time share the rate.
         let known = slot.fetching.iter().any(|(name, _)| *name == spec.image);
-        let ahead: f64 = slot.fetching.iter().map(|(_, gb)| gb).sum();
-        let gb = if known { ahead } else { ahead + spec.image_gb };
-        if cached || slot.fetch <= 0.0 { 0.0 } else { gb / slot.fetch }
+        let queued_gb: f64 = slot.fetching.iter().map(|(_, gb)| gb).sum();
+        let gb = if known { queued_gb } else { queued_gb + spec.image_gb };
+        if cached || slot.fetch_gb_per_s <= 0.0 { 0.0 } else { gb / slot.fetch_gb_per_s }
     }
 
     /// The score of a slot for a task of the job.
-    pub fn score_of(&self, need: &Need, at: usize) -> f64 {
-        self.score(need, &self.slots[at])
+    pub fn score_of(&self, need: &Need, slot_index: usize) -> f64 {
+        self.score(need, &self.slots[slot_index])
     }
 
     /// Lower is better: the time of an image fetch comes first, then the tightest fit.
     fn score(&self, need: &Need, slot: &Slot) -> f64 {
         let spec: &JobSpec = &need.job.spec;
-        let fetch_s = self.fetch_to(need, slot);
+        let fetch_s = self.fetch_s_to(need, slot);
         let mut left = slot.free;
         left.take(&need.room);
-        let spare = left.share_of(&slot.whole);
-        let dear = if spec.spot && !self.kinds[slot.kind].2 { 0.5 } else { 0.0 };
+        let spare = left.share_of(&slot.capacity);
+        let on_demand = if spec.spot && !self.kinds[slot.kind].2 { 0.5 } else { 0.0 };
         let reopened = if slot.closing { REOPEN_WEIGHT } else { 0.0 };
         // Only urgent jobs take the time to the next report into account: it would scatter the
         // tasks of others for no gain.
-        let eager = need.late_weight_s < FETCH_WEIGHT_S;
-        let report_s = if eager { slot.report_in_s } else { 0.0 };
+        let urgent = need.delay_weight_s < FETCH_WEIGHT_S;
+        let report_s = if urgent { slot.report_in_s } else { 0.0 };
         let shared = need.job.apart().is_some()
             && slot.machine.is_some_and(|m| m.holds_of(&need.job.spec.id));
-        let together = if shared { APART_WEIGHT } else { 0.0 };
-        (fetch_s + report_s) / need.late_weight_s + spare + dear + reopened + together
+        let same_job = if shared { APART_WEIGHT } else { 0.0 };
+        (fetch_s + report_s) / need.delay_weight_s + spare + on_demand + reopened + same_job
     }
 }
