--- a/crates/zones/tests/unheard.rs
+++ b/crates/zones/tests/unheard.rs
@@ -2,7 +2,7 @@
 //! earlier controller run.
 
 use oatloom_protocol::ids::{Mono, Zone};
-use oatloom_zones::{Hires, Seen, Standing, Zones};
+use oatloom_zones::{Hires, Seen, ZoneState, Zones};
 use std::collections::BTreeMap;
 
 fn zone(name: &str) -> Zone {
@@ -17,7 +17,7 @@
     Seen { known, heard: known, latest: Some(Mono(at)), ..Seen::default() }
 }
 
-fn begun() -> Zones {
+fn started_without_state() -> Zones {
     let mut zones = Zones::default();
     zones.begin_unheard(&[zone("a"), zone("b")]);
     zones
@@ -26,13 +26,13 @@
 /// No machine is left in the zone, or too few for evidence: one hire at a time until the first
 /// report.
 #[test]
-fn one_machine_at_a_time_until_a_report() {
+fn one_hire_at_a_time_until_first_report() {
     for left in [0, 1, 2] {
-        let mut zones = begun();
+        let mut zones = started_without_state();
         let few = Seen { expected: left, ..Seen::default() };
         zones.observe(&seen(few, reporting(9, 2_000)), Mono(2_000));
-        assert_eq!(zones.hires(&zone("b")), Hires::AsNeeded, "it reports");
-        assert_eq!(zones.hires(&zone("a")), Hires::OneAtATime, "{left} are left");
+        assert_eq!(zones.hires(&zone("b")), Hires::AsNeeded, "zone b reports");
+        assert_eq!(zones.hires(&zone("a")), Hires::OneAtATime, "{left} machines are left");
         zones.observe(&seen(reporting(1, 9_000), reporting(9, 9_000)), Mono(9_000));
         assert_eq!(zones.hires(&zone("a")), Hires::AsNeeded);
     }
@@ -40,11 +40,11 @@
 
 /// The silence of several machines while others report counts as in any other state.
 #[test]
-fn the_silence_of_several_machines_is_a_loss() {
-    let mut zones = begun();
+fn silence_of_several_machines_is_a_loss() {
+    let mut zones = started_without_state();
     let three = Seen { expected: 3, ..Seen::default() };
     zones.observe(&seen(three, reporting(9, 2_000)), Mono(2_000));
-    assert_eq!(zones.standing(&zone("a")), Standing::Awaited);
+    assert_eq!(zones.state(&zone("a")), ZoneState::AwaitingReports);
     let overdue = Seen { unheard: 3, ..three };
     zones.observe(&seen(overdue, reporting(9, 19_000)), Mono(20_000));
     assert!(zones.lost(&zone("a")));
@@ -53,7 +53,7 @@
 /// The report of an earlier leader takes precedence, and a zone that is already known keeps its
 /// state.
 #[test]
-fn what_is_known_stays() {
+fn known_state_is_kept() {
     let mut zones = Zones::default();
     let silent = Seen { silent: 9, known: 9, ..Seen::default() };
     zones.observe(&seen(silent, reporting(9, 900)), Mono(1_000));
