--- a/crates/core/src/cloud.rs
+++ b/crates/core/src/cloud.rs
@@ -53,7 +53,7 @@
 }
 
 #[derive(Debug)]
-struct Asked {
+struct QueuedHire {
     hire: Hire,
     tries: u32,
     sent: bool,
@@ -61,19 +61,19 @@
 
 #[derive(Debug)]
 pub struct CloudDesk {
-    rate: f64,
-    level: f64,
-    at: Mono,
+    requests_per_s: f64,
+    request_budget: f64,
+    refilled_at: Mono,
     token: Token,
     counter: u64,
     next_catalog: Mono,
-    catalog_asked: bool,
+    catalog_pending: bool,
     next_list: Mono,
     list: Option<(Vec<Listed>, Mono)>,
-    list_asked: bool,
-    hires: VecDeque<Asked>,
+    list_pending: bool,
+    hires: VecDeque<QueuedHire>,
     releases: BTreeSet<HostId>,
-    release_asked: bool,
+    release_pending: bool,
     paused_until: Mono,
     refused: BTreeMap<Kind, Mono>,
 }
@@ -82,19 +82,19 @@
     pub fn new(facts: &CloudFacts) -> Self {
         Self {
             // A little below the budget: other controllers read the catalogue as well.
-            rate: facts.rps * 0.8,
-            level: 1.0,
-            at: Mono(0),
+            requests_per_s: facts.rps * 0.8,
+            request_budget: 1.0,
+            refilled_at: Mono(0),
             token: Token(0),
             counter: 0,
             next_catalog: Mono(0),
-            catalog_asked: false,
+            catalog_pending: false,
             next_list: Mono(0),
             list: None,
-            list_asked: false,
+            list_pending: false,
             hires: VecDeque::new(),
             releases: BTreeSet::new(),
-            release_asked: false,
+            release_pending: false,
             paused_until: Mono(0),
             refused: BTreeMap::new(),
         }
@@ -109,8 +109,8 @@
         self.next_list = now;
         self.list = None;
         // Replies to calls of an earlier term are not waited for.
-        self.list_asked = false;
-        self.release_asked = false;
+        self.list_pending = false;
+        self.release_pending = false;
         self.refused.clear();
     }
 
@@ -122,9 +122,9 @@
         let mut number = number;
         for waiting in &mut self.hires {
             if !waiting.sent && waiting.tries == 0 && Kind::from(&waiting.hire) == *kind {
-                let more = number.min(HIRE_MOST - waiting.hire.number);
-                waiting.hire.number += more;
-                number -= more;
+                let added = number.min(HIRE_MOST - waiting.hire.number);
+                waiting.hire.number += added;
+                number -= added;
             }
         }
         while number > 0 {
@@ -138,13 +138,13 @@
             };
             number -= hire.number;
             log::info!("cloud: hiring {kind:?} as {}", hire.request);
-            self.hires.push_back(Asked { hire, tries: 0, sent: false });
+            self.hires.push_back(QueuedHire { hire, tries: 0, sent: false });
         }
     }
 
     /// Drops queued hires in a zone that were never sent.
     pub fn unwish(&mut self, zone: &Zone) {
-        self.hires.retain(|a| a.sent || a.tries > 0 || a.hire.zone != *zone);
+        self.hires.retain(|queued| queued.sent || queued.tries > 0 || queued.hire.zone != *zone);
     }
 
     pub fn release(&mut self, host: &HostId) {
@@ -153,7 +153,7 @@
 
     /// Machines requested but not answered yet.
     pub fn awaited(&self) -> impl Iterator<Item = (Kind, u32)> + '_ {
-        self.hires.iter().map(|a| (Kind::from(&a.hire), a.hire.number))
+        self.hires.iter().map(|queued| (Kind::from(&queued.hire), queued.hire.number))
     }
 
     /// Whether a kind was refused lately.
@@ -162,14 +162,16 @@
     }
 
     pub fn tick(&mut self, now: Mono, leading: bool, have_catalog: bool) -> Vec<CloudOp> {
-        self.level = (self.level + now.since(self.at).secs() * self.rate).min(self.rate.max(1.0));
-        self.at = now;
+        self.request_budget = (self.request_budget
+            + now.since(self.refilled_at).secs() * self.requests_per_s)
+            .min(self.requests_per_s.max(1.0));
+        self.refilled_at = now;
         let mut ops = Vec::new();
         if now < self.paused_until {
             return ops;
         }
-        if !self.catalog_asked && now >= self.next_catalog && self.spend() {
-            self.catalog_asked = true;
+        if !self.catalog_pending && now >= self.next_catalog && self.spend() {
+            self.catalog_pending = true;
             let wait = if have_catalog { CATALOG_EVERY_MS } else { Millis(2_000) };
             self.next_catalog = now.plus(wait);
             ops.push(CloudOp::Catalog);
@@ -177,8 +179,8 @@
         if !leading {
             return ops;
         }
-        if !self.release_asked && !self.releases.is_empty() && self.spend() {
-            self.release_asked = true;
+        if !self.release_pending && !self.releases.is_empty() && self.spend() {
+            self.release_pending = true;
             let hosts = self.releases.iter().take(RELEASE_MOST).cloned().collect();
             ops.push(CloudOp::Release(hosts));
         }
@@ -191,8 +193,8 @@
             first.sent = true;
             ops.push(CloudOp::Hire(first.hire.clone()));
         }
-        if !self.list_asked && (self.list.is_some() || now >= self.next_list) && self.spend() {
-            self.list_asked = true;
+        if !self.list_pending && (self.list.is_some() || now >= self.next_list) && self.spend() {
+            self.list_pending = true;
             let (rows, _) = self.list.get_or_insert((Vec::new(), now));
             let after = rows.last().map(|r| r.host.to_string()).unwrap_or_default();
             ops.push(CloudOp::List { after });
@@ -201,10 +203,10 @@
     }
 
     fn spend(&mut self) -> bool {
-        if self.level < 1.0 {
+        if self.request_budget < 1.0 {
             return false;
         }
-        self.level -= 1.0;
+        self.request_budget -= 1.0;
         true
     }
 
@@ -214,7 +216,7 @@
         }
         match op {
             CloudOp::Catalog => {
-                self.catalog_asked = false;
+                self.catalog_pending = false;
                 match reply {
                     CloudReply::Catalog(catalog) => News::Catalog(catalog),
                     _ => News::Nothing,
@@ -223,7 +225,7 @@
             CloudOp::List { .. } => self.on_list(now, reply),
             CloudOp::Hire(hire) => self.on_hire(now, hire, reply),
             CloudOp::Release(hosts) => {
-                self.release_asked = false;
+                self.release_pending = false;
                 if reply != CloudReply::Released {
                     return News::Nothing;
                 }
@@ -236,7 +238,7 @@
     }
 
     fn on_list(&mut self, now: Mono, reply: CloudReply) -> News {
-        self.list_asked = false;
+        self.list_pending = false;
         let CloudReply::List(page) = reply else {
             self.list = None;
             self.next_list = now.plus(CLOUD_PAUSE_MS);
@@ -298,58 +300,58 @@
 mod tests {
     use super::*;
 
-    fn desk() -> (CloudDesk, Kind) {
-        let mut desk = CloudDesk::new(&CloudFacts { rps: 6.0, list_lag_s: 4.0 });
-        desk.lead(Token(7), Mono(0));
+    fn client() -> (CloudDesk, Kind) {
+        let mut client = CloudDesk::new(&CloudFacts { rps: 6.0, list_lag_s: 4.0 });
+        client.lead(Token(7), Mono(0));
         let kind = Kind { flavor: "f".into(), zone: Zone::new("a"), spot: true };
-        (desk, kind)
+        (client, kind)
     }
 
-    fn sent_hire(desk: &mut CloudDesk, now: Mono) -> Option<CloudOp> {
-        desk.tick(now, true, true).into_iter().find(|op| matches!(op, CloudOp::Hire(_)))
+    fn next_sent_hire(client: &mut CloudDesk, now: Mono) -> Option<CloudOp> {
+        client.tick(now, true, true).into_iter().find(|op| matches!(op, CloudOp::Hire(_)))
     }
 
     /// A lost answer is retried under the same name; a new request gets a new one; no name is used
     /// twice.
     #[test]
-    fn names_are_never_reused() {
-        let (mut desk, kind) = desk();
-        desk.hire(&kind, 2);
-        let first = sent_hire(&mut desk, Mono(5_000)).unwrap();
-        desk.answered(Mono(5_100), &first, CloudReply::Lost);
-        let again = sent_hire(&mut desk, Mono(10_000)).unwrap();
+    fn request_names_are_never_reused() {
+        let (mut client, kind) = client();
+        client.hire(&kind, 2);
+        let first = next_sent_hire(&mut client, Mono(5_000)).unwrap();
+        client.answered(Mono(5_100), &first, CloudReply::Lost);
+        let again = next_sent_hire(&mut client, Mono(10_000)).unwrap();
         assert_eq!(first, again);
-        desk.answered(Mono(10_100), &again, CloudReply::Hired(vec![HostId::new("i-1")]));
-        assert!(desk.refused(&kind, Mono(10_200)), "partly filled");
-        desk.hire(&kind, 2);
-        let next = sent_hire(&mut desk, Mono(20_000)).unwrap();
+        client.answered(Mono(10_100), &again, CloudReply::Hired(vec![HostId::new("i-1")]));
+        assert!(client.refused(&kind, Mono(10_200)), "partly filled");
+        client.hire(&kind, 2);
+        let next = next_sent_hire(&mut client, Mono(20_000)).unwrap();
         assert_ne!(first, next);
     }
 
     /// Requests of a kind that wait for the budget are merged into one, as large as the cloud
     /// accepts.
     #[test]
-    fn wishes_that_wait_are_asked_for_together() {
-        let (mut desk, kind) = desk();
+    fn unsent_hires_of_a_kind_are_merged() {
+        let (mut client, kind) = client();
         let other = Kind { spot: false, ..kind.clone() };
         for _ in 0..30 {
-            desk.hire(&kind, 3);
-            desk.hire(&other, 1);
+            client.hire(&kind, 3);
+            client.hire(&other, 1);
         }
-        assert_eq!(desk.awaited().map(|(_, n)| n).sum::<u32>(), 120);
-        assert_eq!(desk.awaited().count(), 3);
+        assert_eq!(client.awaited().map(|(_, n)| n).sum::<u32>(), 120);
+        assert_eq!(client.awaited().count(), 3);
         // A request that was sent, and may have been carried out, stays as it was.
-        let first = sent_hire(&mut desk, Mono(5_000)).unwrap();
-        desk.answered(Mono(5_100), &first, CloudReply::Lost);
-        desk.hire(&kind, 20);
-        assert_eq!(sent_hire(&mut desk, Mono(10_000)), Some(first));
-        assert_eq!(desk.awaited().map(|(_, n)| n).sum::<u32>(), 140);
-        assert!(desk.awaited().all(|(_, n)| n <= HIRE_MOST));
+        let first = next_sent_hire(&mut client, Mono(5_000)).unwrap();
+        client.answered(Mono(5_100), &first, CloudReply::Lost);
+        client.hire(&kind, 20);
+        assert_eq!(next_sent_hire(&mut client, Mono(10_000)), Some(first));
+        assert_eq!(client.awaited().map(|(_, n)| n).sum::<u32>(), 140);
+        assert!(client.awaited().all(|(_, n)| n <= HIRE_MOST));
     }
 
     #[test]
-    fn lists_of_many_pages_come_whole() {
-        let (mut desk, _) = desk();
+    fn paged_lists_are_joined() {
+        let (mut client, _) = client();
         let row = |n: u32| Listed {
             host: HostId::new(&format!("i-{n:06}")),
             addr: String::new(),
@@ -361,10 +363,10 @@
         };
         let mut now = Mono(5_000);
         for n in 0..3 {
-            let ops = desk.tick(now, true, true);
+            let ops = client.tick(now, true, true);
             let op = ops.iter().find(|op| matches!(op, CloudOp::List { .. })).unwrap();
             let page = MachineList { hosts: vec![row(n)], more: n < 2 };
-            let news = desk.answered(now, op, CloudReply::List(page));
+            let news = client.answered(now, op, CloudReply::List(page));
             assert_eq!(matches!(news, News::Listing(ref rows, _) if rows.len() == 3), n == 2);
             now = now.plus(Millis(1_000));
         }
--- a/crates/core/src/estimate.rs
+++ b/crates/core/src/estimate.rs
@@ -56,7 +56,7 @@
     /// Computed by hand: p⁻ = 0.5, k = 0.5, b = 50, p = 0.25; then p⁻ = 0.75, k = 0.6, b = 80, p =
     /// 0.3.
     #[test]
-    fn follows_the_document_by_hand() {
+    fn matches_paper_computed_by_hand() {
         let mut filter = Kalman::default();
         assert_eq!(filter.cost(), None);
         filter.update(100.0);
--- a/crates/core/src/scaling.rs
+++ b/crates/core/src/scaling.rs
@@ -52,14 +52,14 @@
     if factor >= 1.0 {
         return claims.iter().map(|claim| claim.rate * factor).collect();
     }
-    let work = |at: usize| claims[at].task_cores * f64::from(claims[at].left);
+    let work = |index: usize| claims[index].task_cores * f64::from(claims[index].left);
     let mut order: Vec<usize> = (0..claims.len()).collect();
     order.sort_by(|a, b| work(*a).total_cmp(&work(*b)));
-    let mut left = factor * claims.iter().map(|claim| claim.rate).sum::<f64>();
+    let mut remaining = factor * claims.iter().map(|claim| claim.rate).sum::<f64>();
     let mut shares = vec![0.0; claims.len()];
-    for at in order {
-        shares[at] = claims[at].rate.min(left);
-        left -= shares[at];
+    for index in order {
+        shares[index] = claims[index].rate.min(remaining);
+        remaining -= shares[index];
     }
     shares
 }
@@ -84,7 +84,7 @@
 
     /// When scaled down, the sum is that of the Dithen paper; the least work left is served first.
     #[test]
-    fn a_cut_is_borne_by_those_with_most_left() {
+    fn reduced_rates_serve_least_work_first() {
         let claim = |rate, left| Claim { rate, task_cores: 2.0, left };
         let claims = [claim(40.0, 900), claim(10.0, 20), claim(30.0, 100)];
         assert_eq!(shares(&claims, 0.5), [0.0, 10.0, 30.0]);
@@ -103,7 +103,7 @@
     /// Computed by hand: N* = 100, N = 45, α = 5 gives 50/100; N* = 45, N = 100, β = 0.9 gives
     /// 90/45.
     #[test]
-    fn rates_scale_as_in_the_document() {
+    fn rate_factor_matches_paper() {
         assert_eq!(rate_factor(100.0, 45.0, 0.9), 0.5);
         assert_eq!(rate_factor(45.0, 100.0, 0.9), 2.0);
         assert_eq!(rate_factor(95.0, 100.0, 0.9), 1.0);
--- a/crates/core/src/workers.rs
+++ b/crates/core/src/workers.rs
@@ -40,10 +40,10 @@
 
     /// The largest share of any resource of `whole` that this takes.
     pub fn share_of(&self, whole: &Room) -> f64 {
-        let part = |a: f64, b: f64| if b > 0.0 { a / b } else { 0.0 };
-        part(self.cpus, whole.cpus)
-            .max(part(self.gpus, whole.gpus))
-            .max(part(self.memory_gb, whole.memory_gb))
+        let share = |a: f64, b: f64| if b > 0.0 { a / b } else { 0.0 };
+        share(self.cpus, whole.cpus)
+            .max(share(self.gpus, whole.gpus))
+            .max(share(self.memory_gb, whole.memory_gb))
     }
 }
 
--- a/crates/core/src/workers/tests.rs
+++ b/crates/core/src/workers/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn reports_are_ordered_by_shift_and_tally() {
+fn reports_are_ordered_by_session_and_sequence_number() {
     let mut fleet = Fleet::default();
     let mut take = |s, t, k| fleet.take_report(&report(s, t, k), Token(4), Mono(1));
     assert_eq!(take(1, 5, 3), Freshness::Unconfirmed);
@@ -29,7 +29,7 @@
 
 /// The horizon allows for clock drift and for the last answers of an earlier leader.
 #[test]
-fn the_horizon_lies_beyond_any_lease() {
+fn horizon_lies_beyond_any_lease() {
     let mut fleet = Fleet::default();
     fleet.take_report(&report(1, 1, 1), Token(1), Mono(5_000));
     let m = fleet.machines.get_mut(&HostId::new("i-1")).unwrap();
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn caches_keep_the_newest_images() {
+fn image_cache_keeps_most_recently_used() {
     let mut fleet = Fleet::default();
     fleet.take_report(&report(1, 1, 1), Token(1), Mono(0));
     let m = fleet.machines.get_mut(&HostId::new("i-1")).unwrap();
@@ -58,7 +58,7 @@
 /// The bound depends on the settings alone: one lease plus drift; settings that exceed the promised
 /// bound are detected.
 #[test]
-fn the_cancellation_bound_is_one_lease() {
+fn cancellation_bound_is_one_lease() {
     let facts = |lease_s, cancel_s| WorkerFacts {
         report_s: 3.0,
         lease_s,
