--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -2,30 +2,30 @@
 //! and urgency, places what fits on live machines, counts the rest against machines that are
 //! booting, and returns which machines to hire and which tasks to preempt.
 
-mod aims;
 mod exchange;
 mod gangs;
 mod limits;
-mod places;
-mod ready;
-mod room;
+mod objectives;
+mod preemption;
 mod services;
+mod slot_picker;
 mod slots;
+mod standby;
 
 use crate::cloud::Kind;
 use crate::constants::*;
 use crate::jobs::{Book, Gang, Hold, Job, JobState, StopWhy, Usage};
 use crate::workers::{Fleet, Life, Machine, Room};
-pub use aims::{any_eager, due, eager, guaranteed, latest_release, objective};
-use aims::{array_tasks_left, latest_start};
 pub use limits::{Headroom, in_order};
 use oatloom_protocol::ids::*;
 use oatloom_protocol::settings::Settings;
 use oatloom_protocol::wire::{Flavor, JobSpec, Shape};
-use places::SlotPicker;
-pub use ready::expected;
+pub use objectives::{any_eager, due, eager, guaranteed, latest_release, objective};
+use objectives::{array_tasks_left, latest_start};
 use services::ServiceTurns;
+use slot_picker::SlotPicker;
 use slots::{Availability, Search, SlotPool, accepts_tasks};
+pub use standby::expected;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The decisions of one placement pass.
@@ -149,7 +149,7 @@
     now: Mono,
     settings: &'a Settings,
     fleet: &'a Fleet,
-    refused: &'a dyn Fn(&Kind) -> bool,
+    is_refused: &'a dyn Fn(&Kind) -> bool,
     slot_pool: SlotPool<'a>,
     usage: BTreeMap<String, Usage>,
     /// Tasks of each job that this pass has started, by zone, so that an array's second turn in the
@@ -159,7 +159,7 @@
     room_taken: BTreeMap<&'a HostId, Room>,
     preemption_searches: usize,
     /// The tasks on each machine, cached once a search has needed them.
-    placed_tasks: Option<room::PlacedTasks<'a>>,
+    placed_tasks: Option<preemption::PlacedTasks<'a>>,
     /// Searches made so far for tasks to preempt on machines that have an image.
     image_searches: usize,
     /// Searches made so far for replicas that could change zone.
@@ -169,15 +169,23 @@
 
 /// Runs one placement pass over all jobs.
 pub fn plan(inputs: Inputs) -> Plan {
-    let Inputs { now, settings, book: job_table, fleet, paced, awaited, expected, refused } =
-        inputs;
+    let Inputs {
+        now,
+        settings,
+        book: job_table,
+        fleet,
+        paced,
+        awaited,
+        expected,
+        refused: is_refused,
+    } = inputs;
     let guaranteed = guaranteed(settings, job_table);
     let order = in_order(settings, job_table, &guaranteed, now);
     let mut pass = Pass {
         now,
         settings,
         fleet,
-        refused,
+        is_refused,
         slot_pool: SlotPool::new(fleet, &awaited, settings.facts.workers.report_s, now),
         usage: job_table.usage.clone(),
         started: BTreeMap::new(),
@@ -404,7 +412,7 @@
                 continue;
             }
             let kind = Kind { flavor: flavor.label.clone(), zone: zone.clone(), spot: *spot };
-            if (self.refused)(&kind) {
+            if (self.is_refused)(&kind) {
                 continue;
             }
             let cost =
