--- a/crates/core/src/cloud.rs
+++ b/crates/core/src/cloud.rs
@@ -6,6 +6,7 @@
 use oatloom_protocol::wire::{Catalog, Hire, Listed, MachineList};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
+/// A call to the cloud API.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CloudOp {
     Catalog,
@@ -14,6 +15,7 @@
     Release(Vec<HostId>),
 }
 
+/// The outcome of a call; `Lost`: no answer came.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CloudReply {
     Catalog(Catalog),
@@ -59,6 +61,7 @@
     sent: bool,
 }
 
+/// Queues calls to the cloud, limits their rate and tracks what is under way.
 #[derive(Debug)]
 pub struct CloudDesk {
     requests_per_s: f64,
@@ -137,7 +140,7 @@
                 number: number.min(HIRE_MOST),
             };
             number -= hire.number;
-            log::info!("cloud: hiring {kind:?} as {}", hire.request);
+            log::info!("cloud: hiring {kind:?} by request {}", hire.request);
             self.hires.push_back(QueuedHire { hire, tries: 0, sent: false });
         }
     }
@@ -268,7 +271,12 @@
             CloudReply::Hired(hosts) => {
                 self.hires.pop_front();
                 if (hosts.len() as u32) < hire.number {
-                    log::info!("cloud: {} got {} of {}", hire.request, hosts.len(), hire.number);
+                    log::info!(
+                        "cloud: request {} got {} of {}",
+                        hire.request,
+                        hosts.len(),
+                        hire.number
+                    );
                     self.refused.insert(Kind::from(hire), now.plus(NO_CAPACITY_PAUSE_MS));
                 }
                 News::Hired(hire.clone(), hosts)
@@ -288,7 +296,7 @@
                 News::Nothing
             }
             other => {
-                log::warn!("cloud: {} given up: {other:?}", hire.request);
+                log::warn!("cloud: request {} given up: {other:?}", hire.request);
                 self.hires.pop_front();
                 News::Nothing
             }
--- a/crates/core/src/constants.rs
+++ b/crates/core/src/constants.rs
@@ -191,7 +191,7 @@
 pub const REPORT_AGE_MS: Millis = Millis(3_000);
 pub const SUBMISSION_AGE_MS: Millis = Millis(2_500);
 pub const FORWARDED_AGE_MS: Millis = Millis(600);
-/// Seconds over which the retries of turned-away callers are spread: as long as the interval of
+/// Seconds over which the retries of rejected callers are spread: as long as the interval of
 /// polls.
 pub const RETRY_SPREAD_S: u32 = 5;
 
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -31,9 +31,11 @@
 /// The decisions of one placement pass.
 #[derive(Debug, Default)]
 pub struct Plan {
+    /// Tasks to start: the job, the task's index and the machine.
     pub starts: Vec<(JobId, u32, HostId)>,
     /// Tasks to stop to make room, why, and the seconds that each is given to save its state.
     pub stops: Vec<(TaskId, StopWhy, f64)>,
+    /// Machines to reserve, and for which job.
     pub reserve: Vec<(HostId, JobId)>,
     /// Machines to hire; `true` if the bound of the control loop does not apply.
     pub hires: Vec<(Kind, bool)>,
@@ -47,6 +49,7 @@
     pub steps: u64,
 }
 
+/// What a placement pass needs to know.
 pub struct Inputs<'a> {
     pub now: Mono,
     pub settings: &'a Settings,
@@ -54,9 +57,11 @@
     pub fleet: &'a Fleet,
     /// Tasks that each array may run at once by its rate.
     pub paced: &'a BTreeMap<JobId, u32>,
+    /// Machines requested from the cloud but not answered yet.
     pub awaited: Vec<(Kind, u32)>,
     /// Jobs that are likely to arrive before a machine hired for them would be up, and how many.
     pub expected: &'a [(Job, u32)],
+    /// Whether the cloud refused a kind of machine lately.
     pub refused: &'a dyn Fn(&Kind) -> bool,
 }
 
@@ -197,8 +202,8 @@
         plan: Plan::default(),
     };
     // An array that has waited long without starting anything gets one task placed first, whatever
-    // its rank: the Dithen paper runs one task of each type first to measure it. Otherwise the
-    // largest jobs of a class never begin beside a stream of others. Nothing is preempted for it.
+    // its rank: in the Dithen paper, too, one task of a kind runs first. Otherwise the largest jobs
+    // of a class never begin beside a stream of others. Nothing is preempted for it.
     let mut first_tasks: BTreeMap<JobId, u32> = BTreeMap::new();
     for (id, _) in &order {
         let Some(job) = job_table.jobs.get_mut(id).filter(|job| job.unbegun(now)) else { continue };
--- a/crates/core/src/placement/slots.rs
+++ b/crates/core/src/placement/slots.rs
@@ -155,7 +155,7 @@
         for flavor in flavors() {
             for zone in &flavor.zones {
                 for spot in [true, false] {
-                    slot_pool.kind(flavor, zone, spot);
+                    slot_pool.kind_index(flavor, zone, spot);
                 }
             }
         }
@@ -177,7 +177,7 @@
             }
             let reserved = m.kept_for(now);
             slot_pool.reserved_jobs.extend(reserved);
-            let kind = slot_pool.kind(flavor, &m.zone, m.spot);
+            let kind = slot_pool.kind_index(flavor, &m.zone, m.spot);
             let availability = if live { Availability::Live } else { Availability::Pending };
             let slot = Slot {
                 machine: Some(m),
@@ -195,7 +195,7 @@
         }
         for (kind, number) in awaited.iter().filter(|(kind, _)| !fleet.zones.lost(&kind.zone)) {
             let Some(flavor) = flavors().find(|f| f.label == kind.flavor) else { continue };
-            let kind = slot_pool.kind(flavor, &kind.zone, kind.spot);
+            let kind = slot_pool.kind_index(flavor, &kind.zone, kind.spot);
             for _ in 0..*number {
                 slot_pool.add_pending(kind);
             }
@@ -203,7 +203,7 @@
         slot_pool
     }
 
-    fn kind(&mut self, flavor: &'a Flavor, zone: &Zone, spot: bool) -> usize {
+    fn kind_index(&mut self, flavor: &'a Flavor, zone: &Zone, spot: bool) -> usize {
         let same =
             |(f, z, s): &(&Flavor, Zone, bool)| *s == spot && std::ptr::eq(*f, flavor) && z == zone;
         self.kinds.iter().position(same).unwrap_or_else(|| {
@@ -253,8 +253,9 @@
     /// whose failures are limited, machines that the job avoids don't count: applied to all jobs,
     /// this rule cost the steady day of the kitchen-loom deployment 0.05 with the same seed.
     pub fn any_usable(&self, need: &Need, mask: &KindMask) -> bool {
-        let burnt = need.job.burnt > 0;
-        let allowed = |slot: &Slot| !burnt || slot.machine.is_none_or(|m| !need.job.avoids(&m.id));
+        let failures_limited = need.job.burnt > 0;
+        let allowed =
+            |slot: &Slot| !failures_limited || slot.machine.is_none_or(|m| !need.job.avoids(&m.id));
         self.slots
             .iter()
             .any(|slot| mask[slot.kind] && slot.capacity.fits(&need.room) && allowed(slot))
--- a/crates/core/src/workers.rs
+++ b/crates/core/src/workers.rs
@@ -86,6 +86,7 @@
     pub ready: bool,
 }
 
+/// A rented machine as the leader knows it.
 #[derive(Debug)]
 pub struct Machine {
     pub id: HostId,
@@ -251,6 +252,7 @@
     Confirmed,
 }
 
+/// All machines, by their ids, and those removed lately.
 #[derive(Debug, Default)]
 pub struct Fleet {
     pub machines: BTreeMap<HostId, Machine>,
@@ -300,7 +302,7 @@
         now: Mono,
     ) -> &mut Machine {
         self.machines.entry(id.clone()).or_insert_with(|| {
-            log::info!("machine {id}: known, {flavor} in {zone}, spot {spot}");
+            log::info!("machine {id}: added, {flavor} in {zone}, spot {spot}");
             Machine {
                 id: id.clone(),
                 flavor: flavor.to_owned(),
@@ -354,7 +356,7 @@
         m.attested |= confirmed;
         m.taken_at = report.notice_s.map(|s| now.plus(Millis::from_secs(s)));
         if m.taken_at.is_some() {
-            m.enter(Life::Draining, "notice from the cloud");
+            m.enter(Life::Draining, "the cloud announced to reclaim it");
         } else if matches!(m.life, Life::Booting | Life::Silent) && m.attested {
             // Without this, an old report of a machine that an earlier leader has returned would
             // get it new tasks.
