--- a/crates/core/src/cloud.rs
+++ b/crates/core/src/cloud.rs
@@ -15,7 +15,7 @@
     Release(Vec<HostId>),
 }
 
-/// The outcome of a call; `Lost`: no answer came.
+/// The outcome of a call; `Lost`: no answer, or a server error.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CloudReply {
     Catalog(Catalog),
