--- a/crates/policy/src/blame.rs
+++ b/crates/policy/src/blame.rs
@@ -1,11 +1,10 @@
-//! Whose fault a failure was: evidence over machines and jobs.
+//! Fault attribution: infers from failures and successes whether machines or jobs are faulty.
 //!
 //! A faulty machine fails every task; a job submitted with a mistake fails on every machine, and so may one task
-//! of a job whose others end well; all others fail now and then. Each machine, and each job (or task, once its
-//! job is known to be sound), is in one of two states, and each pair of them that has failed speaks for one or
-//! both being bad. What the pairs say together is found by a few
-//! rounds of belief propagation, where a machine hears from each of its jobs what *other* machines say of it,
-//! and the other way round.
+//! of a job whose other tasks succeed; all others fail at random now and then. Each machine, and each job (or
+//! each task, once a task of its job has succeeded), is either healthy or faulty, and each failed pair of them
+//! is evidence that one or both are faulty. A few rounds of belief propagation combine the pairs: the message
+//! from a job to a machine is based on what the *other* machines say about the job, and vice versa.
 
 use crate::constants::*;
 use oatloom_protocol::ids::{HostId, JobId, Mono};
@@ -14,127 +13,127 @@
 /// Failures of one job on one machine.
 #[derive(Clone, Debug, Default)]
 struct Pair {
-    /// Which tasks failed, as many as are told apart.
+    /// Tasks that failed, at most [`MAX_TASKS_PER_PAIR`] of them.
     tasks: BTreeSet<u32>,
-    last: Mono,
-    /// Another job's task ended well on the machine afterwards: it was sound.
-    refuted: bool,
+    last_failure: Mono,
+    /// A task succeeded on the machine afterwards, so the machine was healthy.
+    machine_cleared: bool,
 }
 
-/// What has been seen, and what it says.
+/// Recent failures and successes, and the fault probabilities inferred from them.
 #[derive(Clone, Debug, Default)]
 pub struct Evidence {
     pairs: BTreeMap<(JobId, HostId), Pair>,
-    by_host: BTreeMap<HostId, BTreeSet<JobId>>,
-    /// Jobs among those above of which a task has ended well.
-    sound: BTreeSet<JobId>,
-    /// Machines on which something ended well after they were accused.
-    cleared: BTreeSet<HostId>,
-    machines: BTreeMap<HostId, f64>,
-    jobs: BTreeMap<JobId, f64>,
+    jobs_by_host: BTreeMap<HostId, BTreeSet<JobId>>,
+    /// Jobs among those in `pairs` with a task that has succeeded.
+    succeeded_jobs: BTreeSet<JobId>,
+    /// Machines on which a task succeeded after a failure.
+    cleared_machines: BTreeSet<HostId>,
+    machine_faults: BTreeMap<HostId, f64>,
+    job_faults: BTreeMap<JobId, f64>,
 }
 
 fn logit(p: f64) -> f64 {
     (p / (1.0 - p)).ln()
 }
 
-fn belief(logit: f64) -> f64 {
+fn sigmoid(logit: f64) -> f64 {
     1.0 / (1.0 + (-logit).exp())
 }
 
-/// By how much a failure speaks for the fault of one side, if the other side is at fault with probability
-/// `other`: a faulty side fails for certain, else the other did, or luck did.
-fn weight(other: f64) -> f64 {
-    -(other + (1.0 - other) * ERROR_RATE).ln()
+/// Log-likelihood ratio by which a failure indicates that one side is faulty, if the other side is faulty with
+/// probability `other`: a faulty side always fails; otherwise the other side or chance caused the failure.
+fn log_likelihood_ratio(other: f64) -> f64 {
+    -(other + (1.0 - other) * RANDOM_FAILURE_RATE).ln()
 }
 
 /// A job as a whole, or one of its tasks.
-type Accuser<'a> = (&'a JobId, Option<u32>);
+type Workload<'a> = (&'a JobId, Option<u32>);
 
-/// What is held of an accuser before anything was seen.
-fn prior((_, task): &Accuser) -> f64 {
-    logit(if task.is_some() { PRIOR_TASK } else { PRIOR_JOB })
+/// Prior log-odds that a workload is faulty.
+fn workload_prior((_, task): &Workload) -> f64 {
+    logit(if task.is_some() { PRIOR_TASK_FAULT } else { PRIOR_JOB_FAULT })
 }
 
 impl Evidence {
-    /// A task has failed on a machine.
+    /// Records that a task failed on a machine.
     pub fn failed(&mut self, job: &JobId, task: u32, host: &HostId, now: Mono) {
         let pair = self.pairs.entry((job.clone(), host.clone())).or_default();
-        if pair.refuted {
-            // It was sound then; what fails now is new.
+        if pair.machine_cleared {
+            // The machine was healthy at that time, so only failures from now on are evidence.
             *pair = Pair::default();
         }
-        if pair.tasks.len() < PAIR_TASKS_MOST {
+        if pair.tasks.len() < MAX_TASKS_PER_PAIR {
             pair.tasks.insert(task);
         }
-        pair.last = now;
-        self.by_host.entry(host.clone()).or_default().insert(job.clone());
-        self.trim(now);
-        self.judge();
+        pair.last_failure = now;
+        self.jobs_by_host.entry(host.clone()).or_default().insert(job.clone());
+        self.evict(now);
+        self.update_beliefs();
     }
 
-    /// A task has ended well on a machine. Returns whether that says anything new.
+    /// Records that a task succeeded on a machine. Returns whether this changed the evidence.
     pub fn ended_well(&mut self, job: &JobId, host: &HostId, now: Mono) -> bool {
-        let accused = self.by_host.get(host);
-        let accuses = self.pairs.range((job.clone(), HostId::new(""))..).next();
-        let involved = accuses.is_some_and(|((first, _), _)| first == job);
-        if accused.is_none() && !involved {
+        let failed_jobs = self.jobs_by_host.get(host);
+        let first_pair = self.pairs.range((job.clone(), HostId::new(""))..).next();
+        let job_has_failed = first_pair.is_some_and(|((first, _), _)| first == job);
+        if failed_jobs.is_none() && !job_has_failed {
             return false;
         }
-        let mut news = involved && self.sound.insert(job.clone());
-        if accused.is_some() {
-            self.cleared.insert(host.clone());
+        let mut changed = job_has_failed && self.succeeded_jobs.insert(job.clone());
+        if failed_jobs.is_some() {
+            self.cleared_machines.insert(host.clone());
         }
-        for accuser in self.by_host.get(host).cloned().unwrap_or_default() {
-            if let Some(pair) = self.pairs.get_mut(&(accuser, host.clone())) {
-                news |= !std::mem::replace(&mut pair.refuted, true);
+        for failed_job in self.jobs_by_host.get(host).cloned().unwrap_or_default() {
+            if let Some(pair) = self.pairs.get_mut(&(failed_job, host.clone())) {
+                changed |= !std::mem::replace(&mut pair.machine_cleared, true);
             }
         }
-        if news {
-            self.trim(now);
-            self.judge();
+        if changed {
+            self.evict(now);
+            self.update_beliefs();
         }
-        news
+        changed
     }
 
-    /// What a job had shown before this leader: tasks of it have ended well.
+    /// Restores from stored records that tasks of the job succeeded under an earlier leader.
     pub fn known_sound(&mut self, job: &JobId) {
-        self.sound.insert(job.clone());
-        self.judge();
+        self.succeeded_jobs.insert(job.clone());
+        self.update_beliefs();
     }
 
-    /// How far a machine is believed to be faulty, as far as what failed there is concerned.
+    /// Probability that a machine is faulty, judged by failures since the last success there.
     pub fn machine(&self, host: &HostId) -> f64 {
-        self.machines.get(host).copied().unwrap_or(0.0)
+        self.machine_faults.get(host).copied().unwrap_or(0.0)
     }
 
-    /// How far a job is believed to have been submitted with a mistake.
+    /// Probability that a job was submitted with a mistake.
     pub fn job(&self, job: &JobId) -> f64 {
-        match self.sound.contains(job) {
+        match self.succeeded_jobs.contains(job) {
             true => 0.0,
-            false => self.jobs.get(job).copied().unwrap_or(PRIOR_JOB),
+            false => self.job_faults.get(job).copied().unwrap_or(PRIOR_JOB_FAULT),
         }
     }
 
-    /// Whether a task of the job ended well, as far as it is looked at: only jobs that have failed are.
+    /// Whether a task of the job is known to have succeeded. Only jobs with failures are tracked.
     pub fn sound(&self, job: &JobId) -> bool {
-        self.sound.contains(job)
+        self.succeeded_jobs.contains(job)
     }
 
-    /// How far a failure of the job on the machine is believed to be the machine's.
+    /// Probability that the machine caused the failures of the job on it.
     pub fn machines_fault(&self, job: &JobId, host: &HostId) -> f64 {
         match self.pairs.get(&(job.clone(), host.clone())) {
-            Some(pair) if !pair.refuted => self.machine(host),
+            Some(pair) if !pair.machine_cleared => self.machine(host),
             _ => 0.0,
         }
     }
 
-    /// Machines found faulty.
+    /// Machines whose fault probability reaches [`FAULTY`].
     pub fn faulty(&self) -> impl Iterator<Item = &HostId> {
-        self.machines.iter().filter(|(_, p)| **p >= FAULTY).map(|(host, _)| host)
+        self.machine_faults.iter().filter(|(_, p)| **p >= FAULTY).map(|(host, _)| host)
     }
 
-    /// Failures that are kept as evidence.
+    /// Number of pairs of job and machine kept as evidence.
     pub fn len(&self) -> usize {
         self.pairs.len()
     }
@@ -143,79 +142,87 @@
         self.pairs.is_empty()
     }
 
-    /// Drops what is old, and the oldest of what is too much.
-    fn trim(&mut self, now: Mono) {
+    /// Drops expired pairs, and the oldest one if there are too many.
+    fn evict(&mut self, now: Mono) {
         let mut dropped: Vec<(JobId, HostId)> = Vec::new();
-        let old = |p: &Pair| now.since(p.last) > EVIDENCE_MS;
-        dropped.extend(self.pairs.iter().filter(|(_, p)| old(p)).map(|(key, _)| key.clone()));
-        if self.pairs.len() - dropped.len() > PAIRS_MOST {
-            let oldest = self.pairs.iter().min_by_key(|(_, p)| p.last).map(|(key, _)| key.clone());
+        let expired = |p: &Pair| now.since(p.last_failure) > EVIDENCE_TTL_MS;
+        dropped.extend(self.pairs.iter().filter(|(_, p)| expired(p)).map(|(key, _)| key.clone()));
+        if self.pairs.len() - dropped.len() > MAX_EVIDENCE_PAIRS {
+            let oldest =
+                self.pairs.iter().min_by_key(|(_, p)| p.last_failure).map(|(key, _)| key.clone());
             dropped.extend(oldest);
         }
         for key in dropped {
             self.pairs.remove(&key);
             let (job, host) = key;
-            if let Some(jobs) = self.by_host.get_mut(&host) {
+            if let Some(jobs) = self.jobs_by_host.get_mut(&host) {
                 jobs.remove(&job);
                 if jobs.is_empty() {
-                    self.by_host.remove(&host);
-                    self.cleared.remove(&host);
+                    self.jobs_by_host.remove(&host);
+                    self.cleared_machines.remove(&host);
                 }
             }
             if !self.pairs.keys().any(|(other, _)| *other == job) {
-                self.sound.remove(&job);
+                self.succeeded_jobs.remove(&job);
             }
         }
     }
 
-    /// What is held of a machine, but for what is said against it now.
-    fn prior(&self, host: &HostId) -> f64 {
-        logit(if self.cleared.contains(host) { PRIOR_CLEARED } else { PRIOR_MACHINE })
+    /// Prior log-odds that a machine is faulty.
+    fn machine_prior(&self, host: &HostId) -> f64 {
+        logit(if self.cleared_machines.contains(host) {
+            PRIOR_CLEARED_MACHINE_FAULT
+        } else {
+            PRIOR_MACHINE_FAULT
+        })
     }
 
-    /// What all pairs say together.
-    fn judge(&mut self) {
-        // Who accuses whom: a job as a whole, or each task of a job that is known to be sound.
-        let mut open: Vec<(Accuser, &HostId)> = Vec::new();
-        let mut refuted: Vec<Accuser> = Vec::new();
+    /// Recomputes all fault probabilities by belief propagation.
+    fn update_beliefs(&mut self) {
+        // Edges of the factor graph: from a job as a whole, or from each failed task if its job has succeeded.
+        let mut edges: Vec<(Workload, &HostId)> = Vec::new();
+        let mut cleared_workloads: Vec<Workload> = Vec::new();
         for ((job, host), pair) in &self.pairs {
-            let tasks: Vec<Option<u32>> = match self.sound.contains(job) {
+            let tasks: Vec<Option<u32>> = match self.succeeded_jobs.contains(job) {
                 true => pair.tasks.iter().copied().map(Some).collect(),
                 false => vec![None],
             };
-            for accuser in tasks.into_iter().map(|task| (job, task)) {
-                match pair.refuted {
-                    false => open.push((accuser, host)),
-                    true => refuted.push(accuser),
+            for workload in tasks.into_iter().map(|task| (job, task)) {
+                match pair.machine_cleared {
+                    false => edges.push((workload, host)),
+                    true => cleared_workloads.push(workload),
                 }
             }
         }
-        let mut to_machine = vec![weight(PRIOR_JOB); open.len()];
-        let mut to_accuser = vec![weight(PRIOR_MACHINE); open.len()];
-        let (mut machines, mut accusers) = (BTreeMap::new(), BTreeMap::new());
-        for _ in 0..ROUNDS {
-            (machines, accusers) = (BTreeMap::new(), BTreeMap::new());
-            for (at, (accuser, host)) in open.iter().enumerate() {
-                *machines.entry(*host).or_insert_with(|| self.prior(host)) += to_machine[at];
-                *accusers.entry(*accuser).or_insert(prior(accuser)) += to_accuser[at];
+        let mut to_machine = vec![log_likelihood_ratio(PRIOR_JOB_FAULT); edges.len()];
+        let mut to_workload = vec![log_likelihood_ratio(PRIOR_MACHINE_FAULT); edges.len()];
+        let (mut machines, mut workloads) = (BTreeMap::new(), BTreeMap::new());
+        for _ in 0..PROPAGATION_ROUNDS {
+            (machines, workloads) = (BTreeMap::new(), BTreeMap::new());
+            for (index, (workload, host)) in edges.iter().enumerate() {
+                *machines.entry(*host).or_insert_with(|| self.machine_prior(host)) +=
+                    to_machine[index];
+                *workloads.entry(*workload).or_insert(workload_prior(workload)) +=
+                    to_workload[index];
             }
-            // On a machine that was sound, only the job or luck can have failed.
-            for accuser in &refuted {
-                *accusers.entry(*accuser).or_insert(prior(accuser)) += weight(0.0);
+            // On a healthy machine, only the workload or chance can have caused the failure.
+            for workload in &cleared_workloads {
+                *workloads.entry(*workload).or_insert(workload_prior(workload)) +=
+                    log_likelihood_ratio(0.0);
             }
-            // What one side hears leaves out what it has said itself.
-            for (at, (accuser, host)) in open.iter().enumerate() {
-                let own_fault = belief(accusers[accuser] - to_accuser[at]);
-                let machines_fault = belief(machines[host] - to_machine[at]);
-                to_machine[at] = weight(own_fault);
-                to_accuser[at] = weight(machines_fault);
+            // A message to one side leaves out what that side contributed.
+            for (index, (workload, host)) in edges.iter().enumerate() {
+                let workload_fault = sigmoid(workloads[workload] - to_workload[index]);
+                let machine_fault = sigmoid(machines[host] - to_machine[index]);
+                to_machine[index] = log_likelihood_ratio(workload_fault);
+                to_workload[index] = log_likelihood_ratio(machine_fault);
             }
         }
-        let believed = |(host, logit): (&HostId, f64)| (host.clone(), belief(logit));
-        let machines = machines.into_iter().map(believed).collect();
-        let whole = accusers.into_iter().filter(|((_, task), _)| task.is_none());
-        let jobs = whole.map(|((job, _), logit)| (job.clone(), belief(logit))).collect();
-        (self.machines, self.jobs) = (machines, jobs);
+        let probability = |(host, logit): (&HostId, f64)| (host.clone(), sigmoid(logit));
+        let machines = machines.into_iter().map(probability).collect();
+        let whole_jobs = workloads.into_iter().filter(|((_, task), _)| task.is_none());
+        let jobs = whole_jobs.map(|((job, _), logit)| (job.clone(), sigmoid(logit))).collect();
+        (self.machine_faults, self.job_faults) = (machines, jobs);
     }
 }
 
@@ -231,81 +238,81 @@
         HostId::new(&format!("i-{n:06}"))
     }
 
-    fn after(failures: &[(u32, u32, u32)]) -> Evidence {
-        let mut seen = Evidence::default();
-        for (at, (j, task, h)) in failures.iter().enumerate() {
-            seen.failed(&job(*j), *task, &host(*h), Mono(at as u64));
+    fn evidence_after(failures: &[(u32, u32, u32)]) -> Evidence {
+        let mut evidence = Evidence::default();
+        for (index, (j, task, h)) in failures.iter().enumerate() {
+            evidence.failed(&job(*j), *task, &host(*h), Mono(index as u64));
         }
-        seen
+        evidence
     }
 
     #[test]
-    fn unlike_jobs_accuse_a_machine_and_unlike_machines_a_job() {
-        let one = after(&[(1, 0, 1)]);
-        assert!(one.machine(&host(1)) < 0.5 && one.job(&job(1)) < 0.5);
-        let machine = after(&[(1, 0, 1), (2, 0, 1), (3, 0, 1)]);
-        assert!(machine.machine(&host(1)) > FAULTY, "{machine:?}");
-        assert!((1..4).all(|j| machine.job(&job(j)) < 0.05), "{machine:?}");
-        assert_eq!(machine.faulty().count(), 1);
-        let bad = after(&[(1, 0, 1), (1, 0, 2), (1, 0, 3)]);
-        assert!(bad.job(&job(1)) > FAULTY, "{bad:?}");
-        assert!((1..4).all(|h| bad.machine(&host(h)) < 0.1), "{bad:?}");
+    fn different_jobs_implicate_a_machine_and_different_machines_a_job() {
+        let single_failure = evidence_after(&[(1, 0, 1)]);
+        assert!(single_failure.machine(&host(1)) < 0.5 && single_failure.job(&job(1)) < 0.5);
+        let faulty_machine = evidence_after(&[(1, 0, 1), (2, 0, 1), (3, 0, 1)]);
+        assert!(faulty_machine.machine(&host(1)) > FAULTY, "{faulty_machine:?}");
+        assert!((1..4).all(|j| faulty_machine.job(&job(j)) < 0.05), "{faulty_machine:?}");
+        assert_eq!(faulty_machine.faulty().count(), 1);
+        let faulty_job = evidence_after(&[(1, 0, 1), (1, 0, 2), (1, 0, 3)]);
+        assert!(faulty_job.job(&job(1)) > FAULTY, "{faulty_job:?}");
+        assert!((1..4).all(|h| faulty_job.machine(&host(h)) < 0.1), "{faulty_job:?}");
     }
 
-    /// A hundred tasks of one job on one machine are one opinion, not a hundred.
+    /// A hundred failed tasks of one job on one machine count as one observation.
     #[test]
-    fn many_tasks_of_one_job_accuse_a_machine_no_more_than_one() {
-        let many: Vec<_> = (0..100).map(|t| (1, t, 1)).collect();
-        assert!(after(&many).machine(&host(1)) < 0.5);
-        // Unless the job is known to be sound: then each of them speaks for itself.
-        let mut seen = after(&many[..3]);
-        assert!(seen.ended_well(&job(1), &host(2), Mono(9)));
-        assert!(seen.machine(&host(1)) > FAULTY, "{seen:?}");
+    fn many_tasks_of_one_job_implicate_a_machine_no_more_than_one() {
+        let failures: Vec<_> = (0..100).map(|t| (1, t, 1)).collect();
+        assert!(evidence_after(&failures).machine(&host(1)) < 0.5);
+        // Once the job has succeeded elsewhere, each task counts on its own.
+        let mut evidence = evidence_after(&failures[..3]);
+        assert!(evidence.ended_well(&job(1), &host(2), Mono(9)));
+        assert!(evidence.machine(&host(1)) > FAULTY, "{evidence:?}");
     }
 
-    /// One task of a sound array that fails wherever it goes accuses no machine.
+    /// One task that fails on every machine, in an array whose other tasks succeed, makes no machine suspect.
     #[test]
-    fn a_task_that_fails_everywhere_is_told_from_its_job() {
-        let mut seen = after(&[(1, 7, 1), (1, 7, 2)]);
-        assert!(seen.ended_well(&job(1), &host(3), Mono(9)));
-        assert!((1..3).all(|h| seen.machine(&host(h)) < 0.1), "{seen:?}");
+    fn a_task_that_fails_everywhere_is_distinguished_from_its_job() {
+        let mut evidence = evidence_after(&[(1, 7, 1), (1, 7, 2)]);
+        assert!(evidence.ended_well(&job(1), &host(3), Mono(9)));
+        assert!((1..3).all(|h| evidence.machine(&host(h)) < 0.1), "{evidence:?}");
     }
 
-    /// What ends well on a machine clears it of what failed there before, not of what fails later.
+    /// A success on a machine invalidates earlier failures there as evidence, but not later ones.
     #[test]
-    fn a_machine_is_cleared_by_what_ends_well_there() {
-        let mut seen = after(&[(1, 0, 1), (2, 0, 1), (3, 0, 1)]);
-        assert!(seen.ended_well(&job(9), &host(1), Mono(9)));
-        assert!(!seen.ended_well(&job(9), &host(1), Mono(10)), "nothing new");
-        assert_eq!(seen.machine(&host(1)), 0.0);
-        assert_eq!(seen.machines_fault(&job(1), &host(1)), 0.0);
+    fn a_success_clears_a_machine_of_earlier_failures() {
+        let mut evidence = evidence_after(&[(1, 0, 1), (2, 0, 1), (3, 0, 1)]);
+        assert!(evidence.ended_well(&job(9), &host(1), Mono(9)));
+        assert!(!evidence.ended_well(&job(9), &host(1), Mono(10)), "no new evidence");
+        assert_eq!(evidence.machine(&host(1)), 0.0);
+        assert_eq!(evidence.machines_fault(&job(1), &host(1)), 0.0);
         for j in 4..7 {
-            seen.failed(&job(j), 0, &host(1), Mono(20));
+            evidence.failed(&job(j), 0, &host(1), Mono(20));
         }
-        assert!(seen.machine(&host(1)) > FAULTY);
-        assert_eq!(seen.machines_fault(&job(1), &host(1)), 0.0, "it was sound then");
+        assert!(evidence.machine(&host(1)) > FAULTY);
+        assert_eq!(evidence.machines_fault(&job(1), &host(1)), 0.0, "the machine was healthy then");
     }
 
-    /// A bad job among good ones on a sound machine does not condemn it, and neither does a faulty machine the
-    /// jobs that fail there.
+    /// A faulty job does not make a healthy machine suspect, nor a faulty machine the healthy jobs that fail on it.
     #[test]
-    fn a_bad_job_and_a_faulty_machine_are_told_apart() {
-        // Job 1 fails everywhere; machine 4 fails jobs 2, 3 and 5, and job 1 as well.
-        let seen = after(&[(1, 0, 1), (1, 0, 2), (1, 0, 4), (2, 0, 4), (3, 0, 4), (5, 0, 4)]);
-        assert!(seen.machine(&host(4)) > FAULTY, "{seen:?}");
-        assert!(seen.job(&job(1)) > 0.5 && seen.machine(&host(1)) < 0.1, "{seen:?}");
-        assert!([2, 3, 5].iter().all(|j| seen.job(&job(*j)) < 0.1), "{seen:?}");
+    fn a_faulty_job_and_a_faulty_machine_are_distinguished() {
+        // Job 1 fails on every machine; machine 4 fails jobs 1, 2, 3 and 5.
+        let evidence =
+            evidence_after(&[(1, 0, 1), (1, 0, 2), (1, 0, 4), (2, 0, 4), (3, 0, 4), (5, 0, 4)]);
+        assert!(evidence.machine(&host(4)) > FAULTY, "{evidence:?}");
+        assert!(evidence.job(&job(1)) > 0.5 && evidence.machine(&host(1)) < 0.1, "{evidence:?}");
+        assert!([2, 3, 5].iter().all(|j| evidence.job(&job(*j)) < 0.1), "{evidence:?}");
     }
 
     #[test]
-    fn evidence_is_bounded_and_grows_old() {
-        let mut seen = Evidence::default();
-        for n in 0..2 * PAIRS_MOST as u32 {
-            seen.failed(&job(n % 40), n, &host(n), Mono(u64::from(n)));
-            assert!(seen.len() <= PAIRS_MOST + 1);
+    fn evidence_is_bounded_and_expires() {
+        let mut evidence = Evidence::default();
+        for n in 0..2 * MAX_EVIDENCE_PAIRS as u32 {
+            evidence.failed(&job(n % 40), n, &host(n), Mono(u64::from(n)));
+            assert!(evidence.len() <= MAX_EVIDENCE_PAIRS + 1);
         }
-        seen.failed(&job(1), 0, &host(0), Mono(10_000).plus(EVIDENCE_MS));
-        assert_eq!(seen.len(), 1);
-        assert_eq!(seen.by_host.len(), 1);
+        evidence.failed(&job(1), 0, &host(0), Mono(10_000).plus(EVIDENCE_TTL_MS));
+        assert_eq!(evidence.len(), 1);
+        assert_eq!(evidence.jobs_by_host.len(), 1);
     }
 }
--- a/crates/policy/src/charges.rs
+++ b/crates/policy/src/charges.rs
@@ -1,5 +1,5 @@
-//! What stands against the tasks of one job: how often each failed, and where. Kept in the job's records, so that
-//! a later leader counts on.
+//! Failures charged to the tasks of one job: how often each task failed, and on which machines. Stored in the
+//! job's records, so that the next leader continues the counts.
 
 use crate::blame::Evidence;
 use crate::classes::Allowance;
@@ -9,19 +9,19 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
 
-/// The charges of some tasks, as they are written. Empty where nothing failed, which writes nothing.
+/// Stored charges of a range of tasks. Empty fields are not written.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChargeRecord {
-    /// Machines that rows name by their place here.
+    /// Machines, which `rows` and `excused` refer to by index.
     #[serde(rename = "h", default, skip_serializing_if = "Vec::is_empty")]
     pub hosts: Vec<HostId>,
-    /// Places of those that were found faulty: what failed on them does not count.
+    /// Indexes of machines found faulty: failures on them do not count.
     #[serde(rename = "x", default, skip_serializing_if = "Vec::is_empty")]
     pub excused: Vec<u16>,
-    /// Task, place of the machine (past the end: any), failures.
+    /// Task, index of the machine (past the end of `hosts`: not recorded), number of failures.
     #[serde(rename = "f", default, skip_serializing_if = "Vec::is_empty")]
     pub rows: Vec<(u32, u16, u32)>,
-    /// The last attempt of a gang that was counted.
+    /// The last attempt of a gang whose failure was counted.
     #[serde(rename = "g", default, skip_serializing_if = "Option::is_none")]
     pub counted: Option<Attempt>,
 }
@@ -31,49 +31,49 @@
         *self == Self::default()
     }
 
-    /// Joins the failures of each task whatever the machine. What was excused is left out, as it did not count.
+    /// Merges the failures of each task over all machines. Excused failures are dropped, as they do not count.
     pub fn forget_hosts(&mut self) {
-        let mut joined: BTreeMap<u32, u32> = BTreeMap::new();
-        for (task, place, count) in &self.rows {
-            if !self.excused.contains(place) {
-                let sum = joined.entry(*task).or_default();
+        let mut failures: BTreeMap<u32, u32> = BTreeMap::new();
+        for (task, host_index, count) in &self.rows {
+            if !self.excused.contains(host_index) {
+                let sum = failures.entry(*task).or_default();
                 *sum = sum.saturating_add(*count);
             }
         }
-        self.rows = joined.into_iter().map(|(task, count)| (task, u16::MAX, count)).collect();
+        self.rows = failures.into_iter().map(|(task, count)| (task, u16::MAX, count)).collect();
         self.hosts.clear();
         self.excused.clear();
     }
 }
 
-/// Whether a task may be tried again.
+/// Whether a task may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
     Allowed,
-    /// It may not fail again, and it is open whose fault its failures were: it waits for evidence.
+    /// The limit is exceeded, but machines may have caused some of the failures: the task waits for evidence.
     OnTrial,
-    /// It failed more often than its class allows.
+    /// The task failed through its own fault more often than its class allows.
     Exhausted,
 }
 
-/// Below which belief in a machine's fault a failure on it counts after so long a wait.
+/// The fault probability of a machine below which a failure on it counts against the task, after the given wait.
 pub fn certain_below(waited: Millis) -> f64 {
-    let passed = CERTAIN.iter().rev().find(|(wait, _)| waited >= *wait);
-    passed.map_or(0.0, |(_, below)| *below)
+    let reached = MACHINE_FAULT_THRESHOLDS.iter().rev().find(|(wait, _)| waited >= *wait);
+    reached.map_or(0.0, |(_, fault_threshold)| *fault_threshold)
 }
 
-/// Whether no more evidence is waited for.
+/// Whether the task has waited for evidence as long as it may.
 pub fn waited_enough(waited: Millis) -> bool {
-    CERTAIN.last().is_some_and(|(wait, _)| waited >= *wait)
+    MACHINE_FAULT_THRESHOLDS.last().is_some_and(|(wait, _)| waited >= *wait)
 }
 
-/// What stands against the tasks of a job.
+/// Failures charged to the tasks of a job.
 #[derive(Clone, Debug, Default)]
 pub struct Charges {
-    /// Failures by task and machine; no machine: one that is not told apart any more.
+    /// Failures by task and machine; `None` if the machine is no longer recorded.
     rows: BTreeMap<u32, BTreeMap<Option<HostId>, u32>>,
     excused: BTreeSet<HostId>,
-    counted: Option<Attempt>,
+    last_gang_attempt: Option<Attempt>,
 }
 
 impl Charges {
@@ -81,65 +81,69 @@
         self.rows.is_empty()
     }
 
-    /// A task failed on a machine by nobody else's doing that is known of yet.
+    /// Charges a failure on a machine to a task.
     pub fn add(&mut self, task: u32, host: &HostId) {
         *self.rows.entry(task).or_default().entry(Some(host.clone())).or_default() += 1;
     }
 
-    /// The same for a gang, whose attempt counts once, however many of its tasks failed and whoever led
-    /// meanwhile. Attempts follow each other: the next begins when all of the last are gone. Returns whether it
-    /// was counted.
+    /// The same for a gang: each attempt counts once, however many of its tasks fail and across leader changes.
+    /// Attempts do not overlap: one starts only after all tasks of the previous one have ended. Returns whether
+    /// the failure was counted.
     pub fn add_gang(&mut self, task: u32, attempt: Attempt, host: &HostId) -> bool {
-        if self.counted.is_some_and(|last| attempt <= last) {
+        if self.last_gang_attempt.is_some_and(|last| attempt <= last) {
             return false;
         }
-        self.counted = Some(attempt);
+        self.last_gang_attempt = Some(attempt);
         self.add(task, host);
         true
     }
 
-    /// A replica ran so long that what came before is no longer held against it.
+    /// Clears the failures of a replica that has run long enough.
     pub fn settle(&mut self, task: u32) {
         self.rows.remove(&task);
     }
 
-    /// A machine was found faulty: what failed on it does not count. Returns the tasks concerned.
+    /// Excludes failures on a machine found faulty from the counts. Returns the affected tasks.
     pub fn excuse(&mut self, host: &HostId) -> Vec<u32> {
         let key = Some(host.clone());
-        let concerned: Vec<u32> =
-            self.rows.iter().filter(|(_, on)| on.contains_key(&key)).map(|(t, _)| *t).collect();
-        if concerned.is_empty() || !self.excused.insert(host.clone()) {
+        let affected: Vec<u32> = self
+            .rows
+            .iter()
+            .filter(|(_, by_host)| by_host.contains_key(&key))
+            .map(|(t, _)| *t)
+            .collect();
+        if affected.is_empty() || !self.excused.insert(host.clone()) {
             return Vec::new();
         }
-        concerned
+        affected
     }
 
-    /// Machines that were found faulty, and others on which something failed.
+    /// Task, machine and whether the machine is excused, for each recorded place of failure.
     pub fn hosts(&self) -> impl Iterator<Item = (u32, &HostId, bool)> {
-        self.rows.iter().flat_map(|(task, on)| {
-            on.keys().flatten().map(|host| (*task, host, self.excused.contains(host)))
+        self.rows.iter().flat_map(|(task, by_host)| {
+            by_host.keys().flatten().map(|host| (*task, host, self.excused.contains(host)))
         })
     }
 
-    /// Whose rows are looked at: a gang's as a whole, else those of the task.
+    /// Failures of a task, or with `None` of the whole gang, by machine, without excused ones.
     fn counted_rows(&self, task: Option<u32>) -> impl Iterator<Item = (Option<&HostId>, u32)> {
         let range = task.map_or(0..=u32::MAX, |task| task..=task);
-        let rows = self.rows.range(range).flat_map(|(_, on)| on.iter());
+        let rows = self.rows.range(range).flat_map(|(_, by_host)| by_host.iter());
         rows.map(|(host, count)| (host.as_ref(), *count))
             .filter(|(host, _)| host.is_none_or(|host| !self.excused.contains(host)))
     }
 
-    /// How often a task, or with `None` the whole gang, has failed, excused failures left out.
+    /// Number of failures of a task, or with `None` of the whole gang, without excused ones.
     pub fn failures(&self, task: Option<u32>) -> u32 {
         self.counted_rows(task).map(|(_, count)| count).fold(0, u32::saturating_add)
     }
 
-    /// Tasks against which something stands.
+    /// Tasks with failures.
     pub fn tasks(&self) -> impl Iterator<Item = u32> {
         self.rows.keys().copied()
     }
 
-    /// Where a task, or with `None` the whole gang, has failed and how often, excused failures left out.
+    /// Number of failures of a task, or with `None` of the whole gang, per machine, without excused ones.
     pub fn causes(&self, task: Option<u32>) -> Vec<(Option<HostId>, u32)> {
         let mut by_host: BTreeMap<Option<HostId>, u32> = BTreeMap::new();
         for (host, count) in self.counted_rows(task) {
@@ -148,7 +152,7 @@
         by_host.into_iter().collect()
     }
 
-    /// Where a task, or with `None` the whole gang, stands, after so long a wait for evidence.
+    /// Whether a task, or with `None` the whole gang, may be retried, after it has waited that long for evidence.
     pub fn standing(
         &self,
         job: &JobId,
@@ -160,45 +164,46 @@
         if self.failures(task) <= allowance.repeats {
             return Standing::Allowed;
         }
-        let below = certain_below(waited);
-        let own = |host: Option<&HostId>| {
-            host.is_none_or(|host| evidence.machines_fault(job, host) < below)
+        let fault_threshold = certain_below(waited);
+        let is_own_fault = |host: Option<&HostId>| {
+            host.is_none_or(|host| evidence.machines_fault(job, host) < fault_threshold)
         };
-        let certain = self.counted_rows(task).filter(|(host, _)| own(*host));
-        if certain.map(|(_, count)| count).fold(0, u32::saturating_add) > allowance.repeats {
+        let own_failures = self.counted_rows(task).filter(|(host, _)| is_own_fault(*host));
+        if own_failures.map(|(_, count)| count).fold(0, u32::saturating_add) > allowance.repeats {
             Standing::Exhausted
         } else {
             Standing::OnTrial
         }
     }
 
-    /// What is to be written of the tasks in a range.
+    /// The record to be stored for a range of tasks.
     pub fn record(&self, tasks: Range<u32>) -> ChargeRecord {
-        let mut record = ChargeRecord { counted: self.counted, ..ChargeRecord::default() };
+        let mut record =
+            ChargeRecord { counted: self.last_gang_attempt, ..ChargeRecord::default() };
         let mut rows = self.rows.range(tasks).collect::<Vec<_>>();
-        let total: usize = rows.iter().map(|(_, on)| on.len()).sum();
-        // What is too much to name is still counted.
-        let joined = total > ROWS_MOST;
-        for (task, on) in rows.drain(..) {
+        let total: usize = rows.iter().map(|(_, by_host)| by_host.len()).sum();
+        // Failures whose machine does not fit into the record are still counted.
+        let merged = total > MAX_CHARGE_ROWS;
+        for (task, by_host) in rows.drain(..) {
             let mut unnamed = 0u32;
-            for (host, count) in on {
+            for (host, count) in by_host {
                 let excused = host.as_ref().is_some_and(|host| self.excused.contains(host));
-                let place = host.as_ref().filter(|_| !joined).and_then(|host| {
-                    let known = record.hosts.iter().position(|h| h == host);
-                    known.or_else(|| {
-                        (record.hosts.len() < HOSTS_MOST).then(|| {
+                let host_index = host.as_ref().filter(|_| !merged).and_then(|host| {
+                    let existing = record.hosts.iter().position(|h| h == host);
+                    existing.or_else(|| {
+                        (record.hosts.len() < MAX_CHARGE_HOSTS).then(|| {
                             record.hosts.push(host.clone());
                             record.hosts.len() - 1
                         })
                     })
                 });
-                match place {
-                    Some(place) => {
-                        let place = place as u16;
-                        if excused && !record.excused.contains(&place) {
-                            record.excused.push(place);
+                match host_index {
+                    Some(host_index) => {
+                        let host_index = host_index as u16;
+                        if excused && !record.excused.contains(&host_index) {
+                            record.excused.push(host_index);
                         }
-                        record.rows.push((*task, place, *count));
+                        record.rows.push((*task, host_index, *count));
                     }
                     None if excused => {}
                     None => unnamed = unnamed.saturating_add(*count),
@@ -211,14 +216,16 @@
         record
     }
 
-    /// Takes up what an earlier leader wrote of tasks that this one has nothing against yet.
+    /// Adds the stored charges of an earlier leader, for tasks with no charges yet in memory.
     pub fn load(&mut self, record: ChargeRecord) {
-        self.counted = self.counted.max(record.counted);
-        let host = |place: u16| record.hosts.get(usize::from(place));
-        self.excused.extend(record.excused.iter().filter_map(|place| host(*place)).cloned());
-        for (task, place, count) in &record.rows {
-            let of = self.rows.entry(*task).or_default().entry(host(*place).cloned()).or_default();
-            *of = of.saturating_add(*count);
+        self.last_gang_attempt = self.last_gang_attempt.max(record.counted);
+        let host = |host_index: u16| record.hosts.get(usize::from(host_index));
+        self.excused
+            .extend(record.excused.iter().filter_map(|host_index| host(*host_index)).cloned());
+        for (task, host_index, count) in &record.rows {
+            let count_of_task =
+                self.rows.entry(*task).or_default().entry(host(*host_index).cloned()).or_default();
+            *count_of_task = count_of_task.saturating_add(*count);
         }
     }
 }
@@ -233,52 +240,53 @@
         HostId::new(&format!("i-{n:010}"))
     }
 
-    fn allow(repeats: u32) -> Allowance {
+    fn allowance(repeats: u32) -> Allowance {
         Allowance { repeats, on_exhausted: OnExhausted::FailJob }
     }
 
-    /// Failures on unlike machines exhaust soon; one on a machine of which nothing is known waits longer for
-    /// evidence, and then counts.
+    /// Failures on different machines exhaust the limit soon; a single one on a machine without other evidence
+    /// counts only after a longer wait.
     #[test]
-    fn standing_follows_the_evidence() {
-        let (job, mut charges, mut seen) =
+    fn standing_depends_on_the_evidence() {
+        let (job, mut charges, mut evidence) =
             (JobId::new("req-1"), Charges::default(), Evidence::default());
-        let stands = |c: &Charges, e: &Evidence, repeats, waited| {
-            c.standing(&job, Some(0), allow(repeats), e, waited)
+        let standing_of = |c: &Charges, e: &Evidence, repeats, waited| {
+            c.standing(&job, Some(0), allowance(repeats), e, waited)
         };
-        let (at_once, soon, late) = (Millis(0), Millis(5_000), Millis(20_000));
-        assert_eq!(stands(&charges, &seen, 0, at_once), Standing::Allowed);
+        let (without_wait, after_short_wait, after_full_wait) =
+            (Millis(0), Millis(5_000), Millis(20_000));
+        assert_eq!(standing_of(&charges, &evidence, 0, without_wait), Standing::Allowed);
         charges.add(0, &host(1));
-        seen.failed(&job, 0, &host(1), Mono(1));
-        assert_eq!(stands(&charges, &seen, 1, at_once), Standing::Allowed);
-        assert_eq!(stands(&charges, &seen, 0, soon), Standing::OnTrial);
-        assert_eq!(stands(&charges, &seen, 0, late), Standing::Exhausted);
+        evidence.failed(&job, 0, &host(1), Mono(1));
+        assert_eq!(standing_of(&charges, &evidence, 1, without_wait), Standing::Allowed);
+        assert_eq!(standing_of(&charges, &evidence, 0, after_short_wait), Standing::OnTrial);
+        assert_eq!(standing_of(&charges, &evidence, 0, after_full_wait), Standing::Exhausted);
         charges.add(0, &host(2));
-        seen.failed(&job, 0, &host(2), Mono(2));
-        assert_eq!(stands(&charges, &seen, 1, at_once), Standing::OnTrial);
-        assert_eq!(stands(&charges, &seen, 1, soon), Standing::Exhausted);
+        evidence.failed(&job, 0, &host(2), Mono(2));
+        assert_eq!(standing_of(&charges, &evidence, 1, without_wait), Standing::OnTrial);
+        assert_eq!(standing_of(&charges, &evidence, 1, after_short_wait), Standing::Exhausted);
         assert_eq!(charges.excuse(&host(1)), [0]);
-        assert!(charges.excuse(&host(1)).is_empty(), "once");
-        assert_eq!(stands(&charges, &seen, 1, late), Standing::Allowed);
+        assert!(charges.excuse(&host(1)).is_empty(), "excused twice");
+        assert_eq!(standing_of(&charges, &evidence, 1, after_full_wait), Standing::Allowed);
         assert_eq!(charges.causes(Some(0)), [(Some(host(2)), 1)]);
     }
 
-    /// A gang's attempt counts once, whichever of its tasks failed, and whoever led in between.
+    /// A gang's attempt counts once, whichever of its tasks failed, also across a leader change.
     #[test]
-    fn a_gangs_attempt_counts_once() {
+    fn a_gang_attempt_counts_once() {
         let mut charges = Charges::default();
         assert!(charges.add_gang(3, Attempt(7), &host(1)));
         assert!(!charges.add_gang(5, Attempt(7), &host(2)));
-        let mut later = Charges::default();
-        later.load(charges.record(0..96));
-        assert!(!later.add_gang(9, Attempt(7), &host(3)));
-        assert!(later.add_gang(9, Attempt(8), &host(3)));
-        assert_eq!((charges.failures(None), later.failures(None)), (1, 2));
+        let mut restored = Charges::default();
+        restored.load(charges.record(0..96));
+        assert!(!restored.add_gang(9, Attempt(7), &host(3)));
+        assert!(restored.add_gang(9, Attempt(8), &host(3)));
+        assert_eq!((charges.failures(None), restored.failures(None)), (1, 2));
     }
 
-    /// What is written comes back, is small, and never loses a count, however much failed.
+    /// Records survive a round trip, stay small and preserve the counts, however many tasks failed.
     #[test]
-    fn records_come_back_and_stay_small() {
+    fn records_round_trip_and_stay_small() {
         let mut charges = Charges::default();
         for task in 0..96 {
             for n in 0..3 {
@@ -286,17 +294,17 @@
             }
         }
         charges.excuse(&host(2));
-        for many in [false, true] {
-            if many {
+        for with_many_hosts in [false, true] {
+            if with_many_hosts {
                 (0..96).for_each(|task| (0..40).for_each(|n| charges.add(task, &host(100 + n))));
             }
             let record = charges.record(0..96);
             let text = serde_json::to_string(&record).unwrap();
             assert!(text.len() < 3_500, "{} bytes", text.len());
-            let mut back = Charges::default();
-            back.load(serde_json::from_str(&text).unwrap());
+            let mut restored = Charges::default();
+            restored.load(serde_json::from_str(&text).unwrap());
             for task in 0..96 {
-                assert_eq!(back.failures(Some(task)), charges.failures(Some(task)), "{task}");
+                assert_eq!(restored.failures(Some(task)), charges.failures(Some(task)), "{task}");
             }
         }
         assert!(charges.record(200..300).is_empty());
--- a/crates/policy/src/classes.rs
+++ b/crates/policy/src/classes.rs
@@ -1,49 +1,49 @@
-//! What operators allow each class of jobs.
+//! The operators' retry settings per job class.
 
-use crate::constants::{CLASSES_MOST, REPEATS_MOST};
+use crate::constants::{MAX_CLASSES, MAX_RETRIES};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What becomes of a job of which a task has used up its repeats.
+/// What happens to a job when one of its tasks has no retries left.
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum OnExhausted {
-    /// Its other tasks are stopped.
+    /// The other tasks of the job are stopped.
     FailJob,
-    /// Its other tasks that have started run to their end; no further one starts.
+    /// Other tasks that have started run to completion; no further tasks are started.
     FinishRest,
 }
 
-/// What a class is allowed.
+/// Retry settings of a class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Allowance {
-    /// How often a task may be started again after it failed by its own doing; 0: its first failure ends the job.
+    /// How often a task may be retried after a failure of its own; with 0 its first failure ends the job.
     pub repeats: u32,
     pub on_exhausted: OnExhausted,
 }
 
-/// Why a list of classes is refused.
+/// Errors in a list of classes.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum BadClasses {
+pub enum ClassesError {
     #[error("classes: a class without a name")]
-    NoName,
+    MissingName,
     #[error("classes: the default entry takes no name")]
     NamedDefault,
     #[error("classes: {0}: repeats is missing")]
-    NoRepeats(String),
-    #[error("classes: {0}: repeats must be from 0 to {REPEATS_MOST}")]
-    Repeats(String),
+    MissingRetries(String),
+    #[error("classes: {0}: repeats must be from 0 to {MAX_RETRIES}")]
+    RetriesOutOfRange(String),
     #[error("classes: {0}: named twice")]
-    Twice(String),
+    DuplicateClass(String),
     #[error("classes: {0}: {1} stands twice")]
-    FieldTwice(String, &'static str),
-    #[error("classes: more than {CLASSES_MOST}")]
-    TooMany,
+    DuplicateField(String, &'static str),
+    #[error("classes: more than {MAX_CLASSES}")]
+    TooManyClasses,
 }
 
-/// The operators' list: `((class (name "a") (repeats 3) (on-exhausted fail-job)) (default (repeats 5)))`. What
-/// is in no entry is allowed to fail for ever, as without a list.
+/// The operators' list: `((class (name "a") (repeats 3) (on-exhausted fail-job)) (default (repeats 5)))`. Jobs
+/// of a class without an entry, if there is no default either, are retried without limit.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(try_from = "Vec<Entry>")]
 pub struct Classes {
@@ -59,7 +59,7 @@
     Default(Vec<Field>),
 }
 
-// One-tuples, since a field is written `(repeats 3)`.
+// One-element tuples, because a field is written as a list: `(repeats 3)`.
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
@@ -69,62 +69,68 @@
     OnExhausted((OnExhausted,)),
 }
 
-/// Sets a field that may stand once.
-fn once<T>(
+/// Sets a field; it is an error if the field is set already.
+fn set_once<T>(
     slot: &mut Option<T>,
     value: T,
-    of: &str,
+    entry_name: &str,
     field: &'static str,
-) -> Result<(), BadClasses> {
+) -> Result<(), ClassesError> {
     match slot.replace(value) {
-        Some(_) => Err(BadClasses::FieldTwice(of.to_owned(), field)),
+        Some(_) => Err(ClassesError::DuplicateField(entry_name.to_owned(), field)),
         None => Ok(()),
     }
 }
 
-fn entry(fields: Vec<Field>, of: &str) -> Result<(Option<String>, Allowance), BadClasses> {
+fn parse_entry(
+    fields: Vec<Field>,
+    entry_name: &str,
+) -> Result<(Option<String>, Allowance), ClassesError> {
     let (mut name, mut repeats, mut on_exhausted) = (None, None, None);
     for field in fields {
         match field {
-            Field::Name((value,)) => once(&mut name, value, of, "name")?,
-            Field::Repeats((value,)) => once(&mut repeats, value, of, "repeats")?,
-            Field::OnExhausted((value,)) => once(&mut on_exhausted, value, of, "on-exhausted")?,
+            Field::Name((value,)) => set_once(&mut name, value, entry_name, "name")?,
+            Field::Repeats((value,)) => set_once(&mut repeats, value, entry_name, "repeats")?,
+            Field::OnExhausted((value,)) => {
+                set_once(&mut on_exhausted, value, entry_name, "on-exhausted")?
+            }
         }
     }
-    let of = name.clone().unwrap_or_else(|| of.to_owned());
-    let repeats = repeats.ok_or_else(|| BadClasses::NoRepeats(of.clone()))?;
-    if !(0..=REPEATS_MOST).contains(&repeats) {
-        return Err(BadClasses::Repeats(of));
+    let entry_name = name.clone().unwrap_or_else(|| entry_name.to_owned());
+    let repeats = repeats.ok_or_else(|| ClassesError::MissingRetries(entry_name.clone()))?;
+    if !(0..=MAX_RETRIES).contains(&repeats) {
+        return Err(ClassesError::RetriesOutOfRange(entry_name));
     }
     let on_exhausted = on_exhausted.unwrap_or(OnExhausted::FailJob);
-    let repeats = u32::try_from(repeats).map_err(|_| BadClasses::Repeats(of))?;
+    let repeats =
+        u32::try_from(repeats).map_err(|_| ClassesError::RetriesOutOfRange(entry_name))?;
     Ok((name, Allowance { repeats, on_exhausted }))
 }
 
 impl TryFrom<Vec<Entry>> for Classes {
-    type Error = BadClasses;
+    type Error = ClassesError;
 
-    fn try_from(entries: Vec<Entry>) -> Result<Self, BadClasses> {
-        if entries.len() > CLASSES_MOST {
-            return Err(BadClasses::TooMany);
+    fn try_from(entries: Vec<Entry>) -> Result<Self, ClassesError> {
+        if entries.len() > MAX_CLASSES {
+            return Err(ClassesError::TooManyClasses);
         }
         let mut classes = Self::default();
-        for given in entries {
-            match given {
+        for item in entries {
+            match item {
                 Entry::Class(fields) => {
-                    let (name, allowance) = entry(fields, "a class")?;
-                    let name = name.ok_or(BadClasses::NoName)?;
+                    let (name, allowance) = parse_entry(fields, "a class")?;
+                    let name = name.ok_or(ClassesError::MissingName)?;
                     if classes.named.insert(name.clone(), allowance).is_some() {
-                        return Err(BadClasses::Twice(name));
+                        return Err(ClassesError::DuplicateClass(name));
                     }
                 }
                 Entry::Default(fields) => {
-                    let (name, allowance) = entry(fields, "default")?;
+                    let (name, allowance) = parse_entry(fields, "default")?;
                     if name.is_some() {
-                        return Err(BadClasses::NamedDefault);
+                        return Err(ClassesError::NamedDefault);
                     }
                     if classes.default.replace(allowance).is_some() {
-                        return Err(BadClasses::Twice("default".into()));
+                        return Err(ClassesError::DuplicateClass("default".into()));
                     }
                 }
             }
@@ -134,23 +140,23 @@
 }
 
 impl Classes {
-    /// What jobs of a class are allowed; `None`: they may fail for ever.
+    /// Retry settings for jobs of a class; `None` if retries are unlimited.
     pub fn of(&self, class: &str) -> Option<Allowance> {
         self.named.get(class).copied().or(self.default)
     }
 
-    /// Whether nothing is limited.
+    /// Whether no class has a limit.
     pub fn is_empty(&self) -> bool {
         self.named.is_empty() && self.default.is_none()
     }
 
-    /// The classes that have an entry of their own.
+    /// Classes with an entry of their own.
     pub fn names(&self) -> impl Iterator<Item = &str> {
         self.named.keys().map(String::as_str)
     }
 }
 
-// As operators write it, not as it is kept.
+// The schema describes the list that operators write, not the fields of the struct.
 #[cfg(feature = "schema")]
 impl schemars::JsonSchema for Classes {
     fn schema_name() -> std::borrow::Cow<'static, str> {
@@ -166,31 +172,31 @@
 mod tests {
     use super::*;
 
-    fn read(text: &str) -> Result<Classes, String> {
+    fn parse(text: &str) -> Result<Classes, String> {
         serde_lexpr::from_str(text).map_err(|e| e.to_string())
     }
 
     #[test]
-    fn entries_are_read_as_operators_write_them() {
-        let classes = read(
+    fn entries_are_parsed() {
+        let classes = parse(
             r#"((class (name "route-weave") (repeats 3) (on-exhausted finish-rest))
                 (class (name "recount") (repeats 0))
                 (default (repeats 5) (on-exhausted fail-job)))"#,
         )
         .unwrap();
-        let weave = Allowance { repeats: 3, on_exhausted: OnExhausted::FinishRest };
-        assert_eq!(classes.of("route-weave"), Some(weave));
+        let route_weave = Allowance { repeats: 3, on_exhausted: OnExhausted::FinishRest };
+        assert_eq!(classes.of("route-weave"), Some(route_weave));
         assert_eq!(classes.of("recount").map(|a| a.repeats), Some(0));
         assert_eq!(classes.of("other").map(|a| a.repeats), Some(5));
         assert_eq!(classes.names().collect::<Vec<_>>(), ["recount", "route-weave"]);
-        assert_eq!(read("()").unwrap().of("x"), None);
+        assert_eq!(parse("()").unwrap().of("x"), None);
         assert!(Classes::default().is_empty());
     }
 
-    /// Every mistake gives one line that names the field.
+    /// Each invalid setting is reported in one line that names the field.
     #[test]
-    fn mistakes_name_the_field() {
-        for (text, says) in [
+    fn errors_name_the_field() {
+        for (text, expected) in [
             (r#"((class (repeats 3)))"#, "without a name"),
             (r#"((class (name "a")))"#, "a: repeats is missing"),
             (r#"((class (name "a") (repeats -1)))"#, "a: repeats must be from 0"),
@@ -206,8 +212,8 @@
             (r#"((default (name "a") (repeats 1)))"#, "takes no name"),
             (r#"((default (repeats 1)) (default (repeats 2)))"#, "default: named twice"),
         ] {
-            let said = read(text).unwrap_err();
-            assert!(said.contains(says) && !said.contains('\n'), "{text}: {said}");
+            let message = parse(text).unwrap_err();
+            assert!(message.contains(expected) && !message.contains('\n'), "{text}: {message}");
         }
     }
 }
--- a/crates/policy/src/constants.rs
+++ b/crates/policy/src/constants.rs
@@ -1,64 +1,64 @@
-//! Constants of allowed repeats, with unit and reason.
+//! Constants of the retry policy.
 
 use oatloom_protocol::ids::Millis;
 
 // --- Classes -------------------------------------------------------------------
 
-/// Most repeats that a class may be allowed: beyond it a limit says nothing, and counts outgrow their records.
-pub const REPEATS_MOST: i64 = 1_000;
-/// Most classes in the operators' file.
-pub const CLASSES_MOST: usize = 500;
+/// Upper bound of a class's retry limit: a higher one has no practical effect, and counts would outgrow their records.
+pub const MAX_RETRIES: i64 = 1_000;
+/// Maximum number of classes in the operators' file.
+pub const MAX_CLASSES: usize = 500;
 
-// --- Whose fault (docs/design-repeats.md, "The model") ---------------------------
+// --- Fault attribution (docs/design-repeats.md, "The model") ---------------------
 
-/// Share of machines that are faulty: "mostly the machine" (protocol), though few are.
-pub const PRIOR_MACHINE: f64 = 0.01;
-/// The same for a machine on which something ended well after it was accused: it would have to break anew.
-pub const PRIOR_CLEARED: f64 = 0.003;
-/// Share of jobs that were submitted with a mistake and fail on every machine.
-pub const PRIOR_JOB: f64 = 0.02;
-/// Share of tasks that fail on every machine though others of their job do not.
-pub const PRIOR_TASK: f64 = 0.05;
-/// Chance that a sound task fails on a sound machine, by bad luck.
-pub const ERROR_RATE: f64 = 0.02;
-/// Rounds of belief propagation: machines and jobs that accuse each other settle within three.
-pub const ROUNDS: usize = 4;
-/// Belief at which a machine is found faulty and quarantined: two unlike jobs that have ended well nowhere yet
-/// make 0.865, one of them with another failure elsewhere does not.
+/// Prior probability that a machine is faulty: few machines are, though they cause most failures.
+pub const PRIOR_MACHINE_FAULT: f64 = 0.01;
+/// The same for a machine on which a task succeeded after a failure: it would have to break anew.
+pub const PRIOR_CLEARED_MACHINE_FAULT: f64 = 0.003;
+/// Prior probability that a job was submitted with a mistake and fails on every machine.
+pub const PRIOR_JOB_FAULT: f64 = 0.02;
+/// Prior probability that a task fails on every machine though other tasks of its job succeed.
+pub const PRIOR_TASK_FAULT: f64 = 0.05;
+/// Probability that a healthy task fails on a healthy machine by chance.
+pub const RANDOM_FAILURE_RATE: f64 = 0.02;
+/// Rounds of belief propagation: the probabilities converge within three.
+pub const PROPAGATION_ROUNDS: usize = 4;
+/// Fault probability at which a machine is found faulty and quarantined: failures of two different jobs that have
+/// succeeded nowhere yet give 0.865, less if one of these jobs also failed elsewhere.
 pub const FAULTY: f64 = 0.9;
-/// Belief in a machine's fault below which a failure on it counts as the task's own doing, by how long a task
-/// that may not fail again has waited for evidence: what else runs on a faulty machine fails within seconds,
-/// and some of it has ended after twenty.
-pub const CERTAIN: [(Millis, f64); 3] =
+/// Fault probability of a machine below which a failure on it counts against the task, by how long a task over
+/// its retry limit has waited for evidence: other tasks on a faulty machine fail within seconds, and some tasks
+/// end within twenty.
+pub const MACHINE_FAULT_THRESHOLDS: [(Millis, f64); 3] =
     [(Millis(0), 0.01), (Millis(5_000), 0.1), (Millis(20_000), 0.5)];
-/// Evidence older than this is dropped: a machine that served since then would have been found.
-pub const EVIDENCE_MS: Millis = Millis(900_000);
-/// Pairs of machine and job that are kept as evidence; the oldest go first. Some 200 bytes each.
-pub const PAIRS_MOST: usize = 512;
-/// Failed tasks of one job on one machine that are told apart; more of them say nothing new.
-pub const PAIR_TASKS_MOST: usize = 8;
-/// Machines that a job which never ended well anywhere may fail on; after that it is held to these.
+/// Evidence older than this is dropped: a faulty machine that was in use since then would have been found.
+pub const EVIDENCE_TTL_MS: Millis = Millis(900_000);
+/// Maximum number of pairs of machine and job kept as evidence, of some 200 bytes each; the oldest are dropped.
+pub const MAX_EVIDENCE_PAIRS: usize = 512;
+/// Failed tasks of one job recorded per machine; more of them add no evidence.
+pub const MAX_TASKS_PER_PAIR: usize = 8;
+/// Machines on which a job that has never succeeded may fail; after that it is confined to these machines.
 pub const BURNT_MOST: usize = 3;
-/// How long a job that is held to machines may find no place on them, counted from its last failure, before it may
-/// go to others: some reports, so that places that are free or fall free are found.
+/// How long after its last failure a confined job that finds no room on its machines may use others: long enough
+/// for several reports, so that room that is or becomes free there is noticed.
 pub const CONFINED_MS: Millis = Millis(10_000);
 
 // --- Charges -----------------------------------------------------------------------
 
 /// Rows of charges in one record of 96 tasks: at 9 bytes each they and 96 assignments stay under 8 KiB. Beyond
-/// it, a task's rows are joined, and what they say of machines is lost, not their number.
-pub const ROWS_MOST: usize = 200;
-/// Machines named in one record, of some 12 bytes each.
-pub const HOSTS_MOST: usize = 24;
-/// A replica that ran so long begins anew: its failures lie months apart, not minutes.
+/// that, the rows of a task are merged: the machines are lost, the counts are kept.
+pub const MAX_CHARGE_ROWS: usize = 200;
+/// Maximum number of machines named in one record, of some 12 bytes each.
+pub const MAX_CHARGE_HOSTS: usize = 24;
+/// Run time after which earlier failures of a replica are cleared, so that failures months apart do not add up.
 pub const SETTLED_MS: Millis = Millis(600_000);
 
 // --- Backoff -------------------------------------------------------------------------
 
-/// Pause before a task's first repeat; doubles with each.
-pub const BACKOFF_MS: Millis = Millis(1_000);
-/// Longest such pause.
-pub const BACKOFF_MOST_MS: Millis = Millis(60_000);
-/// Share of a pause by which it is lengthened or shortened at random, so that an array's tasks do not come
-/// back together.
-pub const JITTER: f64 = 0.3;
+/// Delay before the first retry of a task; doubles with each further one.
+pub const INITIAL_BACKOFF_MS: Millis = Millis(1_000);
+/// Upper bound of the delay, before jitter.
+pub const MAX_BACKOFF_MS: Millis = Millis(60_000);
+/// Maximum share by which a delay is lengthened or shortened at random, so that the tasks of an array do not
+/// retry all at once.
+pub const BACKOFF_JITTER: f64 = 0.3;
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,11 +1,11 @@
-//! Allowed repeats: how often a task of a class may fail by its own doing before its job ends as failed, and
-//! whose doing a failure was. Deterministic: what was seen and the time come in, verdicts come out. Why it is
-//! made so stands in `docs/design-repeats.md`.
+//! Retry policy: how often a task of a class may fail through its own fault before its job fails, and whether
+//! the task or the machine caused a failure. Deterministic: the caller passes in all events and the time. The
+//! design is described in `docs/design-repeats.md`.
 //!
-//! - [`classes`]: what operators allow
-//! - [`blame`]: the evidence over machines and jobs, and what it says of each
-//! - [`charges`]: what stands against the tasks of one job, as it is kept in the state service
-//! - [`backoff`]: how long a task waits for its next try
+//! - [`classes`]: the operators' retry settings per job class
+//! - [`blame`]: fault probabilities of machines and jobs, inferred from failures and successes
+//! - [`charges`]: failures charged to the tasks of one job, as stored in the state service
+//! - [`backoff`]: delay before a task is retried
 
 pub mod backoff;
 pub mod blame;
