--- a/crates/ledger/src/entry.rs
+++ b/crates/ledger/src/entry.rs
@@ -1,21 +1,21 @@
-//! One attempt, from its assignment on.
+//! Usage of one attempt, from its assignment to its end.
 
-use crate::constants::{DAY_MS, MICROS};
+use crate::constants::{DAY_MS, MICROS_PER_UNIT};
 use oatloom_protocol::ids::{Attempt, HostId, TaskId, Zone};
 use oatloom_protocol::wire::{Cause, Rank, Shape};
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// As its worker reported.
+    /// The worker reported the end, with this cause.
     Seen(Cause),
-    /// Nobody saw it: its machine or its lease was lost. Its run time is what was reported last, and it may have
-    /// run on until its lease was over.
+    /// The end was not observed: the machine or its lease was lost. The run time is the one reported last; the
+    /// attempt may have run on until the lease expired.
     Unseen,
 }
 
-/// What is known of an attempt at its end. Times are as its worker measured them where it tells, else as the
-/// leader saw them.
+/// Usage of an attempt, recorded at its end. Times are measured by the worker if it reported them, otherwise by
+/// the leader.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
     pub task: TaskId,
@@ -28,48 +28,49 @@
     pub flavor: String,
     pub zone: Zone,
     pub spot: bool,
-    /// Time of day at its end, in milliseconds.
+    /// Wall-clock time of the end, in milliseconds.
     pub ended_ms: u64,
-    /// From its assignment to its end, in milliseconds.
+    /// Time from assignment to end, in milliseconds.
     pub held_ms: u64,
-    /// Of that, it ran.
+    /// Run time within `held_ms`, in milliseconds.
     pub ran_ms: u64,
-    /// For how long it may have run on unseen, at most.
+    /// Upper bound on the unreported run time, in milliseconds.
     pub unseen_ms: u64,
     pub end: End,
-    /// Its progress was saved when it was stopped.
+    /// Whether its progress was saved when it was stopped.
     pub stored: bool,
-    /// Whether its job goes on, so that what was lost has to be run again.
+    /// Whether its job continues, so that lost work has to be run again.
     pub goes_on: bool,
-    /// Interval of checkpoints, in milliseconds; 0: none.
+    /// Checkpoint interval in milliseconds; 0: no checkpoints.
     pub checkpoint_ms: u64,
     pub cpus: f64,
     pub gpus: f64,
     pub memory_gb: f64,
-    /// Price of its machine by the hour at its end, and the share of the machine that it took.
+    /// Hourly price of the machine at the end.
     pub price: f64,
+    /// Share of the machine that the attempt occupied.
     pub share: f64,
 }
 
-/// What an attempt's run time was good for. Sums to its run time.
+/// An attempt's run time by its use. The parts sum to the run time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Worth {
-    /// Of a task that completed, saved, or of a replica.
+    /// Run time of a completed task or a replica, or saved progress.
     pub useful_ms: u64,
-    /// To be run again.
+    /// Run time that has to be repeated.
     pub repeated_ms: u64,
-    /// Of no use to anybody any more: its job was cancelled or refused.
+    /// Run time wasted because the job was cancelled or failed.
     pub lost_ms: u64,
 }
 
 impl Entry {
-    /// The day that it counts for.
+    /// The day on which the attempt is counted, in days since 1970-01-01.
     pub fn day(&self) -> u64 {
         self.ended_ms / DAY_MS
     }
 
-    /// Useful work is run time of tasks that completed, saved progress and run time of replicas (protocol, "How
-    /// aims are counted"). Progress saved by itself is taken to begin at a checkpoint.
+    /// Splits the run time by its use. Useful work is run time of tasks that completed, saved progress and run time
+    /// of replicas (protocol, "How aims are counted"). An attempt is assumed to start at a checkpoint.
     pub fn worth(&self) -> Worth {
         let ran = self.ran_ms;
         let useful_ms = match self.end {
@@ -79,17 +80,17 @@
             _ if !self.goes_on => 0,
             _ => ran.checked_div(self.checkpoint_ms).unwrap_or(0) * self.checkpoint_ms,
         };
-        let rest = ran - useful_ms;
+        let not_useful_ms = ran - useful_ms;
         match self.goes_on {
-            true => Worth { useful_ms, repeated_ms: rest, lost_ms: 0 },
-            false => Worth { useful_ms, repeated_ms: 0, lost_ms: rest },
+            true => Worth { useful_ms, repeated_ms: not_useful_ms, lost_ms: 0 },
+            false => Worth { useful_ms, repeated_ms: 0, lost_ms: not_useful_ms },
         }
     }
 
-    /// What its share of its machine cost while it was held, in millionths.
+    /// Cost of its share of the machine from assignment to end, in millionths of a unit of money.
     pub fn cost_micros(&self) -> u64 {
         let hours = self.held_ms as f64 / 3_600_000.0;
-        (hours * self.price.max(0.0) * self.share.clamp(0.0, 1.0) * MICROS).round() as u64
+        (hours * self.price.max(0.0) * self.share.clamp(0.0, 1.0) * MICROS_PER_UNIT).round() as u64
     }
 }
 
@@ -136,19 +137,19 @@
         assert_eq!(worth(entry(End::Seen(Cause::Done), 900)), (900, 0, 0));
         assert_eq!(worth(entry(End::Seen(Cause::Error), 900)), (0, 900, 0));
         assert_eq!(worth(entry(End::Unseen, 900)), (0, 900, 0));
-        let over = Entry { goes_on: false, ..entry(End::Seen(Cause::Stopped), 900) };
-        assert_eq!(worth(over), (0, 0, 900));
-        let saves = Entry { checkpoint_ms: 400, ..entry(End::Unseen, 900) };
-        assert_eq!(worth(saves.clone()), (800, 100, 0));
-        let stored = Entry { stored: true, end: End::Seen(Cause::Stopped), ..saves };
-        assert_eq!(worth(stored), (900, 0, 0));
+        let job_ended = Entry { goes_on: false, ..entry(End::Seen(Cause::Stopped), 900) };
+        assert_eq!(worth(job_ended), (0, 0, 900));
+        let with_checkpoints = Entry { checkpoint_ms: 400, ..entry(End::Unseen, 900) };
+        assert_eq!(worth(with_checkpoints.clone()), (800, 100, 0));
+        let saved = Entry { stored: true, end: End::Seen(Cause::Stopped), ..with_checkpoints };
+        assert_eq!(worth(saved), (900, 0, 0));
         let replica = Entry { shape: Shape::Service, ..entry(End::Unseen, 900) };
         assert_eq!(worth(replica), (900, 0, 0));
     }
 
     #[test]
     fn cost_is_the_share_of_the_machine_while_held() {
-        // A quarter of a machine of 3.6 an hour, for an hour.
+        // A quarter of a machine at 3.6 an hour, for an hour.
         let mut e = entry(End::Seen(Cause::Done), 0);
         e.held_ms = 3_600_000;
         assert_eq!(e.cost_micros(), 900_000);
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,11 +1,11 @@
-//! The ledger of usage: one entry for each attempt that ran, added up by job, then by team, class and day, each
-//! counted exactly once over takeovers and lost answers. Deterministic; why it is made so stands in
+//! Usage accounting: one entry per attempt, aggregated by job and then by team, class and day. Each entry counts
+//! exactly once, also across leader changes and lost replies. Deterministic; the design is described in
 //! `docs/design-ledger.md`.
 //!
-//! - [`entry`]: what an attempt was, and what of its time was of use
-//! - [`tally`]: entries added up, as records keep them
-//! - [`rollup`]: what is written by team, class and day, and what is still to be added
-//! - [`query`]: what operators ask for, and what they get
+//! - [`entry`]: usage of one attempt, and how much of its run time was useful
+//! - [`tally`]: sums of entries, as stored in records
+//! - [`rollup`]: stored totals by team, class and day, and usage not yet added to them
+//! - [`query`]: usage queries of operators and their results
 
 pub mod constants;
 pub mod entry;
--- a/crates/ledger/src/query.rs
+++ b/crates/ledger/src/query.rs
@@ -1,4 +1,4 @@
-//! What operators ask of the account: `GET /v2/usage?team=&class=&from=&to=`, in pages.
+//! Usage queries: `GET /v2/usage?team=&class=&from=&to=`, with paged results.
 
 use crate::constants::*;
 use crate::rollup::{Cursor, ROLLUPS, Rollup, Slot};
@@ -7,22 +7,22 @@
 use time::Date;
 use time::format_description::well_known::Iso8601;
 
-/// What is wrong with a question.
+/// Errors in the parameters of a query.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum BadQuery {
+pub enum QueryError {
     #[error("{0}: a day looks like 2026-12-01")]
-    Day(&'static str),
-    #[error("from is after to, or the span is over {QUERY_DAYS_MOST} days")]
-    Span,
-    #[error("most must be from 1 to {PAGE_ROWS_MOST}")]
-    Most,
+    InvalidDay(&'static str),
+    #[error("from is after to, or the span is over {MAX_QUERY_DAYS} days")]
+    InvalidSpan,
+    #[error("most must be from 1 to {MAX_PAGE_ROWS}")]
+    InvalidMost,
     #[error("after is not what an earlier page gave")]
-    After,
+    InvalidAfter,
     #[error("unknown parameter {0}")]
-    Unknown(String),
+    UnknownParameter(String),
 }
 
-/// Which roll-ups are asked for.
+/// Selects roll-ups.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Query {
     pub team: Option<String>,
@@ -30,85 +30,88 @@
     /// First and last day, as days since 1970-01-01.
     pub from: u64,
     pub to: u64,
-    /// The last key of the page before.
+    /// Last key of the previous page.
     pub after: Option<String>,
+    /// Row limit of a page; the last roll-up of a page is returned whole and may exceed it.
     pub most: usize,
 }
 
-/// 1970-01-01.
+/// Julian day of 1970-01-01.
 const EPOCH_JULIAN: i32 = 2_440_588;
 
-/// A day as people write it, as days since 1970-01-01.
-pub fn day_of(text: &str) -> Option<u64> {
-    // The format alone would take a time of day along.
+/// Parses a date such as 2026-12-01 into days since 1970-01-01.
+pub fn parse_day(text: &str) -> Option<u64> {
+    // The format alone would also accept a time of day.
     let date = Date::parse(text, &Iso8601::DATE).ok().filter(|_| text.len() == 10)?;
     u64::try_from(date.to_julian_day() - EPOCH_JULIAN).ok()
 }
 
-/// A day as people write it.
-pub fn day_text(day: u64) -> String {
+/// Formats days since 1970-01-01 as a date.
+pub fn format_day(day: u64) -> String {
     let julian = i32::try_from(day).ok().and_then(|day| day.checked_add(EPOCH_JULIAN));
     let date = julian.and_then(|julian| Date::from_julian_day(julian).ok());
     date.map_or_else(|| day.to_string(), |date| date.to_string())
 }
 
 impl Query {
-    /// Reads the part of a path after `?`.
+    /// Parses the query string of a URL.
     ///
     /// # Errors
-    /// A parameter that is not known, or makes no sense.
-    pub fn parse(text: &str) -> Result<Self, BadQuery> {
+    /// A parameter is unknown or invalid.
+    pub fn parse(text: &str) -> Result<Self, QueryError> {
         let (from, to) = (0, 999_999);
         let mut query =
-            Self { team: None, class: None, from, to, after: None, most: PAGE_ROWS_MOST };
+            Self { team: None, class: None, from, to, after: None, most: MAX_PAGE_ROWS };
         for (name, value) in form_urlencoded::parse(text.as_bytes()) {
             let value = value.into_owned();
             match &*name {
-                // An empty one is one that was left out.
+                // An empty parameter counts as omitted.
                 _ if value.is_empty() => {}
                 "team" => query.team = Some(value),
                 "class" => query.class = Some(value),
-                "from" => query.from = day_of(&value).ok_or(BadQuery::Day("from"))?,
-                "to" => query.to = day_of(&value).ok_or(BadQuery::Day("to"))?,
+                "from" => query.from = parse_day(&value).ok_or(QueryError::InvalidDay("from"))?,
+                "to" => query.to = parse_day(&value).ok_or(QueryError::InvalidDay("to"))?,
                 "after" => {
-                    Slot::parse(&value).ok_or(BadQuery::After)?;
+                    Slot::parse(&value).ok_or(QueryError::InvalidAfter)?;
                     query.after = Some(value);
                 }
                 "most" => {
-                    let most = value.parse().ok().filter(|n| (1..=PAGE_ROWS_MOST).contains(n));
-                    query.most = most.ok_or(BadQuery::Most)?;
+                    let most = value.parse().ok().filter(|n| (1..=MAX_PAGE_ROWS).contains(n));
+                    query.most = most.ok_or(QueryError::InvalidMost)?;
+                }
+                other => {
+                    return Err(QueryError::UnknownParameter(other.chars().take(40).collect()));
                 }
-                other => return Err(BadQuery::Unknown(other.chars().take(40).collect())),
             }
         }
-        let bounded = query.to == to || query.to.saturating_sub(query.from) <= QUERY_DAYS_MOST;
-        if query.from > query.to || !bounded {
-            return Err(BadQuery::Span);
+        let span_allowed = query.to == to || query.to.saturating_sub(query.from) <= MAX_QUERY_DAYS;
+        if query.from > query.to || !span_allowed {
+            return Err(QueryError::InvalidSpan);
         }
         Ok(query)
     }
 
-    /// After which key the store is to be read.
+    /// The key after which roll-ups are to be read.
     pub fn start(&self) -> String {
         self.after.clone().unwrap_or_else(|| format!("{ROLLUPS}{:06}", self.from))
     }
 
-    fn wants(&self, slot: &Slot) -> bool {
+    fn matches(&self, slot: &Slot) -> bool {
         self.team.as_ref().is_none_or(|team| *team == slot.team)
             && self.class.as_ref().is_none_or(|class| *class == slot.class)
     }
 }
 
-/// One row of an answer.
+/// One row of a usage report.
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct UsageRow {
     pub day: String,
-    /// Whether the day does not change any more.
+    /// Whether the sums of the day are final.
     pub closed: bool,
     pub team: String,
     pub class: String,
-    /// Empty: several, joined.
+    /// Empty if several flavors were merged.
     pub flavor: String,
     pub yard: String,
     pub loaners: bool,
@@ -119,22 +122,22 @@
     pub line: Line,
 }
 
-/// A page of an answer.
+/// One page of a usage report.
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct UsagePage {
     pub rows: Vec<UsageRow>,
-    /// To be given as `after` for the next page; none: this was the last.
+    /// Value of `after` for the next page; absent on the last page.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub next: Option<String>,
-    /// Keys of roll-ups of which something could not be read.
+    /// Keys of roll-ups with unreadable data.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub gaps: Vec<String>,
 }
 
 impl UsagePage {
-    /// Makes a page of what the store gave: keys with their values, `None` where one cannot be read, in key order;
-    /// `more`: the store has further ones.
+    /// Builds a page from stored roll-ups in key order, with `None` for unreadable values. `more` says whether the
+    /// store has further roll-ups.
     pub fn of(
         query: &Query,
         found: impl IntoIterator<Item = (String, Option<Rollup>)>,
@@ -154,7 +157,7 @@
                 return page;
             }
             last = Some(key.clone());
-            if !query.wants(&slot) {
+            if !query.matches(&slot) {
                 continue;
             }
             let Some(rollup) = rollup else {
@@ -165,7 +168,7 @@
                 page.gaps.push(key);
             }
             let row = |(bucket, line): (&crate::tally::Bucket, &Line)| UsageRow {
-                day: day_text(slot.day),
+                day: format_day(slot.day),
                 closed: slot.day < cursor.closed_before,
                 team: slot.team.clone(),
                 class: slot.class.clone(),
@@ -191,32 +194,32 @@
     use oatloom_protocol::wire::Cause;
 
     #[test]
-    fn days_are_read_and_written() {
-        assert_eq!(day_of("1970-01-01"), Some(0));
-        assert_eq!(day_of("2026-12-01").map(day_text), Some("2026-12-01".into()));
+    fn days_are_parsed_and_formatted() {
+        assert_eq!(parse_day("1970-01-01"), Some(0));
+        assert_eq!(parse_day("2026-12-01").map(format_day), Some("2026-12-01".into()));
         for bad in ["", "2026-13-01", "yesterday", "1969-12-31", "2026-12-01T00:00:00Z"] {
-            assert_eq!(day_of(bad), None, "{bad}");
+            assert_eq!(parse_day(bad), None, "{bad}");
         }
     }
 
     #[test]
-    fn bad_questions_are_told_apart() {
-        let bad = |text: &str| Query::parse(text).unwrap_err();
-        assert_eq!(bad("from=soon"), BadQuery::Day("from"));
-        assert_eq!(bad("from=2026-02-01&to=2026-01-01"), BadQuery::Span);
-        assert_eq!(bad("from=1980-01-01&to=2026-01-01"), BadQuery::Span);
-        assert_eq!(bad("most=0"), BadQuery::Most);
-        assert_eq!(bad("after=live/req-1"), BadQuery::After);
-        assert_eq!(bad("tem=red"), BadQuery::Unknown("tem".into()));
+    fn invalid_parameters_are_distinguished() {
+        let error = |text: &str| Query::parse(text).unwrap_err();
+        assert_eq!(error("from=soon"), QueryError::InvalidDay("from"));
+        assert_eq!(error("from=2026-02-01&to=2026-01-01"), QueryError::InvalidSpan);
+        assert_eq!(error("from=1980-01-01&to=2026-01-01"), QueryError::InvalidSpan);
+        assert_eq!(error("most=0"), QueryError::InvalidMost);
+        assert_eq!(error("after=live/req-1"), QueryError::InvalidAfter);
+        assert_eq!(error("tem=red"), QueryError::UnknownParameter("tem".into()));
         assert!(Query::parse("team=&class=&from=&to=").is_ok());
         let query = Query::parse("team=a%20b&from=2026-11-01&to=2026-11-30").unwrap();
         assert_eq!(query.team.as_deref(), Some("a b"));
         assert!(query.start().starts_with("use/0207"));
     }
 
-    /// Pages of any size give every row once, leave nothing out, and name what cannot be read.
+    /// Pages of any size return each row exactly once and name unreadable roll-ups.
     #[test]
-    fn pages_give_every_row_once() {
+    fn pages_return_every_row_once() {
         let mut store = Vec::new();
         for day in 10..14 {
             for team in ["red", "blue"] {
@@ -231,14 +234,14 @@
         store.sort_by(|a, b| a.0.cmp(&b.0));
         store[3].1 = None;
         let cursor = Cursor { closed_before: 12, ..Cursor::default() };
-        for (most, pagesize) in [(1, 3), (2, 2), (3, 8), (200, 1), (200, 500)] {
+        for (most, page_size) in [(1, 3), (2, 2), (3, 8), (200, 1), (200, 500)] {
             let mut query = Query { most, ..Query::parse("team=red&to=1970-01-13").unwrap() };
             let (mut rows, mut gaps, mut pages) = (Vec::new(), Vec::new(), 0);
             loop {
                 let start = query.start();
                 let rest: Vec<_> = store.iter().filter(|(key, _)| *key > start).collect();
-                let found = rest.iter().take(pagesize).map(|(k, r)| (k.clone(), r.clone()));
-                let page = UsagePage::of(&query, found, rest.len() > pagesize, cursor);
+                let found = rest.iter().take(page_size).map(|(k, r)| (k.clone(), r.clone()));
+                let page = UsagePage::of(&query, found, rest.len() > page_size, cursor);
                 rows.extend(page.rows);
                 gaps.extend(page.gaps);
                 pages += 1;
@@ -248,8 +251,8 @@
                     None => break,
                 }
             }
-            // Days 10 and 12 of team red, of which each has two rows; day 11 cannot be read.
-            assert_eq!(rows.len(), 4, "{most} {pagesize}");
+            // Days 10 and 12 of team red have two rows each; day 11 is unreadable.
+            assert_eq!(rows.len(), 4, "{most} {page_size}");
             assert_eq!(gaps.len(), 1);
             assert!(rows.iter().all(|r| r.team == "red" && r.closed == (r.day == "1970-01-11")));
         }
--- a/crates/ledger/src/rollup.rs
+++ b/crates/ledger/src/rollup.rs
@@ -1,8 +1,8 @@
-//! Usage by team, class and day: under which key, what is still to be added, and what a write has added.
+//! Roll-ups: usage by team, class and day, with their keys, the usage still to be added, and the state of writes.
 //!
-//! Usage reaches a roll-up in one of two ways, and in each it is moved in one transaction. What is over carries its
-//! usage in its final state, which is never rewritten; the roll-up says up to which revision of final states it has
-//! counted. What ends later, or outgrows its record, is moved from the assignment record.
+//! Usage reaches a roll-up in one of two ways, each in one transaction. A finished job carries its usage in its final
+//! state, which is never rewritten; the roll-up stores the revision up to which final states are counted. Usage of
+//! attempts that end later, or that outgrows its record, is moved from the assignment record.
 
 use crate::constants::*;
 use crate::entry::Entry;
@@ -12,14 +12,15 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Prefix of all roll-ups, and the key that says how far they have come.
+/// Key prefix of all roll-ups.
 pub const ROLLUPS: &str = "use/";
+/// Key of the cursor.
 pub const CURSOR: &str = "use-cursor";
 
-/// What a name may be made of in a key.
-const KEPT: &AsciiSet = &NON_ALPHANUMERIC.remove(b'-').remove(b'_').remove(b'.');
+/// Characters of a name that are percent-encoded in a key.
+const KEY_ESCAPED: &AsciiSet = &NON_ALPHANUMERIC.remove(b'-').remove(b'_').remove(b'.');
 
-/// A team's and a class's day.
+/// Identifies a roll-up: one day of a team and class.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Slot {
     /// Days since 1970-01-01.
@@ -29,11 +30,11 @@
 }
 
 impl Slot {
-    /// The key of its roll-up.
+    /// The key under which the roll-up is stored.
     pub fn key(&self) -> String {
         let name = |text: &str| {
-            let mut name = utf8_percent_encode(text, KEPT).to_string();
-            name.truncate(NAME_BYTES);
+            let mut name = utf8_percent_encode(text, KEY_ESCAPED).to_string();
+            name.truncate(MAX_KEY_NAME_BYTES);
             name
         };
         format!("{ROLLUPS}{:06}/{}/{}", self.day, name(&self.team), name(&self.class))
@@ -47,7 +48,7 @@
     }
 }
 
-/// Value of a roll-up.
+/// Stored value of a roll-up.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rollup {
     /// All final states up to this revision are counted.
@@ -55,23 +56,23 @@
     pub through: Revision,
     #[serde(rename = "t")]
     pub tally: Tally,
-    /// An earlier value could not be read: it is kept aside, and not in the sums.
+    /// An earlier value was unreadable: it is stored under another key and missing from the sums.
     #[serde(rename = "g", default, skip_serializing_if = "std::ops::Not::not")]
     pub gap: bool,
 }
 
-/// Value of the cursor.
+/// Stored value of the cursor.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cursor {
     /// Final states up to this revision are counted in all roll-ups.
     #[serde(rename = "r")]
     pub through: Revision,
-    /// Days before this one do not change any more.
+    /// Days before this one are final.
     #[serde(rename = "d")]
     pub closed_before: u64,
 }
 
-/// Usage by day, as an assignment record keeps it.
+/// Usage of a job by day, as stored in assignment records and final states.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Days(BTreeMap<u64, Tally>);
@@ -84,38 +85,38 @@
     pub fn add(&mut self, entry: &Entry) {
         let tally = self.0.entry(entry.day()).or_default();
         tally.add(entry);
-        tally.shrink(JOB_ROWS_MOST);
-        while self.0.len() > JOB_DAYS_MOST {
-            self.move_up();
+        tally.shrink(MAX_JOB_DAY_ROWS);
+        while self.0.len() > MAX_JOB_DAYS {
+            self.merge_first_day();
         }
     }
 
-    /// The first day's usage counts for the next one.
-    fn move_up(&mut self) {
+    /// Merges the first day into the next one.
+    fn merge_first_day(&mut self) {
         let Some((_, first)) = self.0.pop_first() else { return };
         if let Some(mut next) = self.0.first_entry() {
             next.get_mut().merge(&first);
-            next.get_mut().shrink(JOB_ROWS_MOST);
+            next.get_mut().shrink(MAX_JOB_DAY_ROWS);
         }
     }
 
-    /// All usage counts for the last day.
+    /// Merges all days into the last one.
     pub fn join_days(&mut self) {
         while self.0.len() > 1 {
-            self.move_up();
+            self.merge_first_day();
         }
         self.shrink(TIGHT_ROWS);
     }
 
-    /// Usage of days before `open` counts for `open`: they may have closed meanwhile.
+    /// Moves usage of days before `open` to `open`, because those days may be closed.
     pub fn reopen_from(&mut self, open: u64) {
-        let late = self.0.iter().take_while(|(day, _)| **day < open);
-        let late: Vec<u64> = late.map(|(day, _)| *day).collect();
-        for day in late {
+        let closed_days = self.0.iter().take_while(|(day, _)| **day < open);
+        let closed_days: Vec<u64> = closed_days.map(|(day, _)| *day).collect();
+        for day in closed_days {
             let Some(tally) = self.0.remove(&day) else { continue };
-            let into = self.0.entry(open).or_default();
-            into.merge(&tally);
-            into.shrink(JOB_ROWS_MOST);
+            let target = self.0.entry(open).or_default();
+            target.merge(&tally);
+            target.shrink(MAX_JOB_DAY_ROWS);
         }
     }
 
@@ -125,14 +126,14 @@
         }
     }
 
-    /// Joins rows until each day has at most so many.
-    pub fn shrink(&mut self, most: usize) {
-        self.0.values_mut().for_each(|tally| tally.shrink(most));
+    /// Merges rows until each day has at most `max_rows`.
+    pub fn shrink(&mut self, max_rows: usize) {
+        self.0.values_mut().for_each(|tally| tally.shrink(max_rows));
     }
 
-    /// About as many bytes as it takes at most when it is written.
+    /// Approximate upper bound of the stored size, in bytes.
     pub fn bytes(&self) -> usize {
-        self.0.values().map(|tally| 20 + tally.len() * ROW_BYTES).sum()
+        self.0.values().map(|tally| 20 + tally.len() * MAX_ROW_BYTES).sum()
     }
 
     pub fn days(&self) -> impl Iterator<Item = (u64, &Tally)> {
@@ -140,7 +141,7 @@
     }
 }
 
-/// What a final state says of its job's usage.
+/// A job's usage, as stored in its final state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Spent {
     #[serde(rename = "t")]
@@ -151,68 +152,69 @@
     pub days: Days,
 }
 
-/// Whether this leader knows of all final states that are not counted yet.
+/// How far this leader has loaded the final states that are not counted yet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Knowledge {
     /// The cursor has not been read.
     #[default]
     None,
-    /// Final states after the cursor are being read.
+    /// Final states after this revision, the cursor's, are being read.
     After(Revision),
+    /// All final states after the cursor are loaded.
     All,
 }
 
-/// A final state that is not counted yet, as far as it goes into one roll-up.
+/// The part of an uncounted final state that belongs to one roll-up.
 #[derive(Clone, Debug)]
-struct Pending {
-    stamp: Revision,
+struct PendingUsage {
+    revision: Revision,
     job: JobId,
     slot: Slot,
     tally: Tally,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Kept {
-    stamp: Revision,
+struct CachedRollup {
+    revision: Revision,
     rollup: Rollup,
 }
 
-/// The leader's account. What it does not know it takes for missing: a write then conflicts, and is settled by
-/// reading the key.
+/// The leader's usage accounting. A roll-up that is not cached is assumed not to exist: if it does, the write
+/// conflicts, and the stored value is then read and cached.
 #[derive(Clone, Debug, Default)]
 pub struct Rollups {
     knowledge: Knowledge,
-    known: BTreeMap<Slot, Kept>,
+    cached_rollups: BTreeMap<Slot, CachedRollup>,
     cursor: (Revision, Cursor),
     /// Final states that are not counted yet, oldest first.
-    pending: VecDeque<Pending>,
-    /// What the transaction under way will have made of roll-ups.
+    pending: VecDeque<PendingUsage>,
+    /// Roll-ups as the transaction being built or in flight leaves them.
     in_flight: BTreeMap<Slot, Rollup>,
     next_flush: Mono,
-    every: Millis,
-    /// Rows that a roll-up may have.
-    rows_most: usize,
-    /// The newest final state that is known.
-    newest: Revision,
+    flush_period: Millis,
+    /// Maximum number of rows of a roll-up.
+    max_rows: usize,
+    /// Revision of the newest known final state.
+    newest_final: Revision,
 }
 
 impl Rollups {
-    /// An account that is empty, and adds what ended so often.
-    pub fn new(every: Millis) -> Self {
-        Self { every, rows_most: ROLLUP_ROWS_MOST, ..Self::default() }
+    /// Empty accounting that adds final states to the roll-ups with the given period.
+    pub fn new(flush_period: Millis) -> Self {
+        Self { flush_period, max_rows: MAX_ROLLUP_ROWS, ..Self::default() }
     }
 
-    /// The same with roll-ups that fit values of so many bytes.
+    /// Limits roll-ups to values of `value_bytes`.
     pub fn within(self, value_bytes: usize) -> Self {
-        let rows = value_bytes.saturating_sub(ROLLUP_HEAD_BYTES) / ROW_BYTES;
-        Self { rows_most: rows.clamp(1, ROLLUP_ROWS_MOST), ..self }
+        let rows = value_bytes.saturating_sub(ROLLUP_HEADER_BYTES) / MAX_ROW_BYTES;
+        Self { max_rows: rows.clamp(1, MAX_ROLLUP_ROWS), ..self }
     }
 
     pub fn knowledge(&self) -> Knowledge {
         self.knowledge
     }
 
-    /// The one place where the knowledge changes.
+    /// Sets how far the final states are loaded; the state changes only here.
     pub fn enter(&mut self, knowledge: Knowledge) {
         self.knowledge = knowledge;
     }
@@ -221,101 +223,109 @@
         self.cursor.1
     }
 
-    /// What the cursor's key holds; without one, the account begins at `now`.
+    /// Sets the cursor as stored; without a stored one, accounting begins at the revision `begin`.
     pub fn set_cursor(&mut self, found: Option<(Cursor, Revision)>, begin: Revision) {
-        let fresh = Cursor { through: begin, closed_before: 0 };
-        self.cursor = found.map_or((Revision(0), fresh), |(cursor, stamp)| (stamp, cursor));
-        self.newest = self.newest.max(self.cursor.1.through);
+        let initial = Cursor { through: begin, closed_before: 0 };
+        self.cursor = found.map_or((Revision(0), initial), |(cursor, revision)| (revision, cursor));
+        self.newest_final = self.newest_final.max(self.cursor.1.through);
     }
 
-    /// A final state stands in the store at a revision.
-    pub fn over(&mut self, job: &JobId, spent: &Spent, stamp: Revision) {
-        self.newest = self.newest.max(stamp);
+    /// Adds a final state that is stored at the given revision.
+    pub fn over(&mut self, job: &JobId, spent: &Spent, revision: Revision) {
+        self.newest_final = self.newest_final.max(revision);
         for (day, tally) in spent.days.days() {
             let slot = Slot { day, team: spent.team.clone(), class: spent.class.clone() };
-            let counted = self.known.get(&slot).is_some_and(|kept| stamp <= kept.rollup.through);
-            // Guards against a final state that is both read and known, and against taking several of one write
-            // for the same.
-            let there = |p: &Pending| p.stamp == stamp && p.job == *job && p.slot == slot;
-            if !counted && !self.pending.iter().any(there) {
+            let counted = self
+                .cached_rollups
+                .get(&slot)
+                .is_some_and(|cached| revision <= cached.rollup.through);
+            // A final state may be both read from the store and reported by its write: it is added only once. Several
+            // jobs may have ended in one write, so the revision alone does not identify it.
+            let is_same =
+                |p: &PendingUsage| p.revision == revision && p.job == *job && p.slot == slot;
+            if !counted && !self.pending.iter().any(is_same) {
                 let (job, tally) = (job.clone(), tally.clone());
-                self.pending.push_back(Pending { stamp, job, slot, tally });
+                self.pending.push_back(PendingUsage { revision, job, slot, tally });
             }
         }
     }
 
-    /// Final states that are not counted yet.
+    /// Number of parts of final states that are not counted yet.
     pub fn pending(&self) -> usize {
         self.pending.len()
     }
 
-    /// Roll-ups that the transaction being made already touches.
+    /// Number of roll-ups that the transaction being built already writes.
     pub fn touched(&self) -> usize {
         self.in_flight.len()
     }
 
-    /// Moves usage of an assignment record into the transaction being made.
+    /// Adds usage of an assignment record to the transaction being built.
     pub fn spill(&mut self, team: &str, class: &str, days: &Days) {
         for (day, tally) in days.days() {
             let slot = Slot { day, team: team.to_owned(), class: class.to_owned() };
             let mut rollup = self.latest(&slot);
             rollup.tally.merge(tally);
-            rollup.tally.shrink(self.rows_most);
+            rollup.tally.shrink(self.max_rows);
             self.in_flight.insert(slot, rollup);
         }
     }
 
     fn latest(&self, slot: &Slot) -> Rollup {
-        let kept = || self.known.get(slot).map(|kept| kept.rollup.clone());
-        self.in_flight.get(slot).cloned().or_else(kept).unwrap_or_default()
+        let cached = || self.cached_rollups.get(slot).map(|cached| cached.rollup.clone());
+        self.in_flight.get(slot).cloned().or_else(cached).unwrap_or_default()
     }
 
-    /// Whether final states are to be counted now. `today`: days before it may then be closed.
+    /// Whether it is time to count final states. Days before `today` may be closed by that.
     pub fn flush_due(&self, now: Mono, today: u64) -> bool {
-        let begin = self.cursor.0 == Revision(0);
-        let due = begin || !self.pending.is_empty() || self.may_close(today);
+        let cursor_missing = self.cursor.0 == Revision(0);
+        let due = cursor_missing || !self.pending.is_empty() || self.may_close(today);
         let due = now >= self.next_flush && due;
-        self.knowledge == Knowledge::All && (due || self.pending.len() >= PENDING_MOST)
+        self.knowledge == Knowledge::All && (due || self.pending.len() >= MAX_PENDING)
     }
 
     fn may_close(&self, today: u64) -> bool {
         self.cursor.1.closed_before < today
     }
 
-    /// Counts final states, in at most `most` roll-ups. Returns the cursor if all are counted by that.
-    pub fn flush(&mut self, most: usize, now: Mono, open_from: u64) -> Option<Cursor> {
-        self.next_flush = now.plus(self.every);
+    /// Adds final states to at most `max_rollups` roll-ups. Returns the new cursor if all are counted.
+    pub fn flush(&mut self, max_rollups: usize, now: Mono, open_from: u64) -> Option<Cursor> {
+        self.next_flush = now.plus(self.flush_period);
         let mut left_out = false;
-        for Pending { stamp, slot, tally, .. } in &self.pending {
-            if !self.in_flight.contains_key(slot) && self.in_flight.len() >= most {
+        for PendingUsage { revision, slot, tally, .. } in &self.pending {
+            if !self.in_flight.contains_key(slot) && self.in_flight.len() >= max_rollups {
                 left_out = true;
                 continue;
             }
             let mut rollup = self.latest(slot);
-            if *stamp > rollup.through {
+            if *revision > rollup.through {
                 rollup.tally.merge(tally);
             }
             self.in_flight.insert(slot.clone(), rollup);
         }
         for (slot, rollup) in &mut self.in_flight {
-            // All of this slot that is pending is in it, and nothing newer is known to anybody.
+            // The roll-up now includes all of its final states up to `newest_final`.
             if self.pending.iter().any(|p| p.slot == *slot) {
-                rollup.through = rollup.through.max(self.newest);
+                rollup.through = rollup.through.max(self.newest_final);
             }
-            rollup.tally.shrink(self.rows_most);
+            rollup.tally.shrink(self.max_rows);
         }
         if left_out {
             self.next_flush = now;
             return None;
         }
         let closed_before = self.cursor.1.closed_before.max(open_from);
-        Some(Cursor { through: self.newest, closed_before })
+        Some(Cursor { through: self.newest_final, closed_before })
     }
 
-    /// What the transaction being made is to write: slot, version that it must have, value.
+    /// Writes of the transaction being built: roll-up, required stored revision, new value.
     pub fn writes(&self) -> impl Iterator<Item = (&Slot, Revision, &Rollup)> {
         self.in_flight.iter().map(|(slot, rollup)| {
-            (slot, self.known.get(slot).map_or(Revision(0), |kept| kept.stamp), rollup)
+            (
+                slot,
+                self.cached_rollups.get(slot).map_or(Revision(0), |cached| cached.revision),
+                rollup,
+            )
         })
     }
 
@@ -323,10 +333,10 @@
         self.cursor.0
     }
 
-    /// The transaction was applied.
+    /// Records that the transaction was applied.
     pub fn committed(&mut self, slot: &Slot, revision: Revision) {
         if let Some(rollup) = self.in_flight.remove(slot) {
-            self.keep(slot.clone(), rollup, revision);
+            self.cache(slot.clone(), rollup, revision);
         }
     }
 
@@ -334,27 +344,27 @@
         self.cursor = (revision, cursor);
     }
 
-    /// The transaction was not applied, or it is not known: what it was to write is made anew.
+    /// Discards the transaction, which was not applied or has an unknown outcome; its writes are rebuilt.
     pub fn abandoned(&mut self) {
         self.in_flight.clear();
         self.next_flush = Mono(0);
     }
 
-    /// What a roll-up's key holds, read after a transaction whose fate was open.
+    /// Sets a roll-up as stored, read after a conflict or a transaction with an unknown outcome.
     pub fn resolved(&mut self, slot: &Slot, found: Option<(Rollup, Revision)>) {
         match found {
-            Some((rollup, stamp)) => self.keep(slot.clone(), rollup, stamp),
-            None => _ = self.known.remove(slot),
+            Some((rollup, revision)) => self.cache(slot.clone(), rollup, revision),
+            None => _ = self.cached_rollups.remove(slot),
         }
     }
 
-    fn keep(&mut self, slot: Slot, rollup: Rollup, stamp: Revision) {
+    fn cache(&mut self, slot: Slot, rollup: Rollup, revision: Revision) {
         let through = rollup.through;
-        self.pending.retain(|p| p.slot != slot || p.stamp > through);
-        self.known.insert(slot, Kept { stamp, rollup });
-        // A day that has closed is not written again; one that is, is read.
-        while self.known.len() > PENDING_MOST {
-            self.known.pop_first();
+        self.pending.retain(|p| p.slot != slot || p.revision > through);
+        self.cached_rollups.insert(slot, CachedRollup { revision, rollup });
+        // Drops the oldest days first: closed days are not written again, and others are read again on conflict.
+        while self.cached_rollups.len() > MAX_PENDING {
+            self.cached_rollups.pop_first();
         }
     }
 }
@@ -369,7 +379,7 @@
     use rand_chacha::ChaCha8Rng;
 
     #[test]
-    fn keys_hold_any_name_and_come_back() {
+    fn keys_round_trip_for_any_name() {
         for name in ["red", "", "a/b c", "ü%"] {
             let slot = Slot { day: 20_788, team: name.into(), class: "c".into() };
             let key = slot.key();
@@ -381,22 +391,22 @@
         assert_eq!(Slot::parse("use/x/a/b"), None);
     }
 
-    /// The store as far as the account needs it.
+    /// Simulated state service with the records that accounting uses.
     #[derive(Default)]
     struct Store {
         revision: u64,
         rollups: BTreeMap<Slot, (Rollup, Revision)>,
         cursor: Option<(Cursor, Revision)>,
-        over: Vec<(Revision, JobId, Spent)>,
+        final_states: Vec<(Revision, JobId, Spent)>,
     }
 
     impl Store {
-        /// Applies what is being made if every version agrees; whether so.
+        /// Applies the transaction if every revision matches. Returns whether it was applied.
         fn apply(&mut self, rollups: &Rollups, cursor: Option<Cursor>) -> bool {
-            let stamp = |slot: &Slot| self.rollups.get(slot).map_or(Revision(0), |(_, s)| *s);
-            let agree = rollups.writes().all(|(slot, version, _)| stamp(slot) == version)
+            let revision = |slot: &Slot| self.rollups.get(slot).map_or(Revision(0), |(_, s)| *s);
+            let matches = rollups.writes().all(|(slot, version, _)| revision(slot) == version)
                 && self.cursor.map_or(Revision(0), |(_, s)| s) == rollups.cursor_stamp();
-            if agree {
+            if matches {
                 self.revision += 1;
                 for (slot, _, rollup) in rollups.writes() {
                     self.rollups.insert(slot.clone(), (rollup.clone(), Revision(self.revision)));
@@ -405,29 +415,31 @@
                     self.cursor = Some((cursor, Revision(self.revision)));
                 }
             }
-            agree
+            matches
         }
     }
 
-    /// Leaders come and go at any step; their writes are applied or not, answered or not. However it goes, what is
-    /// counted and what is still to be counted is what was spent, to the last millisecond.
+    /// With leader changes at any step and with writes that are lost or whose replies are lost, the roll-ups finally
+    /// contain exactly the usage of all jobs, to the millisecond.
     #[test]
-    fn every_final_state_counts_once_over_any_takeover() {
+    fn every_final_state_counts_once_across_leader_changes() {
         for seed in 0..200 {
             let mut rng = ChaCha8Rng::seed_from_u64(seed);
             let mut store = Store::default();
             let mut rollups = Rollups::new(FLUSH_MS);
-            let mut spent_ms = 0;
+            let mut expected_ms = 0;
             for step in 0..120u64 {
                 let now = Mono(step * 10_000);
                 match rng.random_range(0..10) {
-                    // A takeover: the new leader reads the cursor, and final states after it.
+                    // Leader change: the new leader reads the cursor and the final states after it.
                     0 => {
                         rollups = Rollups::new(FLUSH_MS);
                         rollups.set_cursor(store.cursor, Revision(0));
                         let after = rollups.cursor().through;
-                        let late = store.over.iter().filter(|(stamp, ..)| *stamp > after);
-                        late.for_each(|(stamp, job, spent)| rollups.over(job, spent, *stamp));
+                        let uncounted =
+                            store.final_states.iter().filter(|(revision, ..)| *revision > after);
+                        uncounted
+                            .for_each(|(revision, job, spent)| rollups.over(job, spent, *revision));
                         rollups.enter(Knowledge::All);
                     }
                     1..6 => {
@@ -437,15 +449,15 @@
                         days.add(&e);
                         let team = format!("t{}", rng.random_range(0..3));
                         let spent = Spent { team, class: "c".into(), days };
-                        // Several jobs may end in one write.
+                        // Several jobs may end in one write, with the same revision.
                         store.revision += 1;
-                        let stamp = Revision(store.revision);
+                        let revision = Revision(store.revision);
                         for n in 0..rng.random_range(1..4) {
-                            spent_ms += e.ran_ms;
+                            expected_ms += e.ran_ms;
                             let job = JobId::new(&format!("req-{step}{n}"));
-                            store.over.push((stamp, job.clone(), spent.clone()));
+                            store.final_states.push((revision, job.clone(), spent.clone()));
                             if rollups.knowledge() == Knowledge::All {
-                                rollups.over(&job, &spent, stamp);
+                                rollups.over(&job, &spent, revision);
                             }
                         }
                     }
@@ -470,17 +482,17 @@
                     _ => {}
                 }
             }
-            // A last leader counts what is left.
+            // The last leader counts the remaining final states.
             let mut last = Rollups::default();
             last.set_cursor(store.cursor, Revision(0));
             let after = last.cursor().through;
-            let late = store.over.iter().filter(|(stamp, ..)| *stamp > after);
-            late.for_each(|(stamp, job, spent)| last.over(job, spent, *stamp));
+            let uncounted = store.final_states.iter().filter(|(revision, ..)| *revision > after);
+            uncounted.for_each(|(revision, job, spent)| last.over(job, spent, *revision));
             last.enter(Knowledge::All);
             let mut rounds = 0;
             while last.pending() > 0 {
                 rounds += 1;
-                assert!(rounds < 50, "seed {seed}: does not end");
+                assert!(rounds < 50, "seed {seed}: flushing does not finish");
                 let cursor = last.flush(2, Mono(0), 0);
                 let slots: Vec<Slot> = last.writes().map(|(s, ..)| s.clone()).collect();
                 if store.apply(&last, cursor) {
@@ -495,12 +507,12 @@
                 }
             }
             let total: u64 = store.rollups.values().map(|(r, _)| r.tally.total().ran_ms).sum();
-            assert_eq!(total, spent_ms, "seed {seed}");
+            assert_eq!(total, expected_ms, "seed {seed}");
         }
     }
 
     #[test]
-    fn a_jobs_usage_stays_small_and_loses_nothing() {
+    fn job_usage_stays_small_and_preserves_sums() {
         let mut days = Days::default();
         for n in 0..90u64 {
             let mut e = entry(End::Seen(Cause::Done), 5);
@@ -512,7 +524,7 @@
             days.days().map(|(day, tally)| (day, tally.total().attempts)).collect()
         };
         assert_eq!(sums(&days), [(1, 60), (2, 30)]);
-        assert!(days.days().all(|(_, tally)| tally.len() <= JOB_ROWS_MOST));
+        assert!(days.days().all(|(_, tally)| tally.len() <= MAX_JOB_DAY_ROWS));
         days.reopen_from(9);
         assert_eq!(sums(&days), [(9, 90)]);
     }
--- a/crates/ledger/src/tally.rs
+++ b/crates/ledger/src/tally.rs
@@ -1,4 +1,4 @@
-//! Entries added up: what a record holds of them. All sums are whole numbers, so that the order of adding does not
+//! Sums of usage entries, as stored in records. All sums are integers, so that the order of addition does not
 //! matter.
 
 use crate::entry::{End, Entry};
@@ -6,13 +6,13 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Where and how attempts ended. An empty type or zone: several, joined for want of room.
+/// Where and how attempts ended. An empty flavor or zone means that several were merged to save space.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Bucket {
     pub flavor: String,
     pub zone: String,
     pub spot: bool,
-    /// The wire word of the cause; `unseen`: nobody saw the end.
+    /// Name of the cause as in the protocol, or `unseen` if the end was not observed.
     pub end: String,
 }
 
@@ -22,15 +22,15 @@
 #[serde(rename_all = "camelCase")]
 pub struct Line {
     pub attempts: u64,
-    /// From assignments to ends.
+    /// Time from assignment to end.
     pub held_ms: u64,
     pub ran_ms: u64,
     pub useful_ms: u64,
     pub repeated_ms: u64,
     pub lost_ms: u64,
-    /// For how long at most attempts whose end nobody saw ran on.
+    /// Upper bound on the unreported run time of attempts whose end was not observed.
     pub unseen_ms: u64,
-    /// Run time times cores, GPUs and GB.
+    /// Run time times cores; `gpuMs` and `gbMs` likewise for GPUs and GB of memory.
     pub core_ms: u64,
     pub gpu_ms: u64,
     pub gb_ms: u64,
@@ -52,17 +52,17 @@
             (&mut self.gb_ms, other.gb_ms),
             (&mut self.cost_micros, other.cost_micros),
         ];
-        for (sum, more) in pairs {
-            *sum = sum.saturating_add(more);
+        for (sum, addend) in pairs {
+            *sum = sum.saturating_add(addend);
         }
     }
 
-    /// Time held in which it did not run: fetches, gangs that gather, reports on their way.
+    /// Time between assignment and end without running: image fetches, gangs that gather, reports in transit.
     pub fn waited_ms(&self) -> u64 {
         self.held_ms.saturating_sub(self.ran_ms)
     }
 
-    fn array(&self) -> [u64; 11] {
+    fn as_array(&self) -> [u64; 11] {
         [
             self.attempts,
             self.held_ms,
@@ -78,9 +78,9 @@
         ]
     }
 
-    fn from_array(v: [u64; 11]) -> Self {
-        let [attempts, held_ms, ran_ms, useful_ms, repeated_ms, lost_ms, unseen_ms, ..] = v;
-        let [.., core_ms, gpu_ms, gb_ms, cost_micros] = v;
+    fn from_array(sums: [u64; 11]) -> Self {
+        let [attempts, held_ms, ran_ms, useful_ms, repeated_ms, lost_ms, unseen_ms, ..] = sums;
+        let [.., core_ms, gpu_ms, gb_ms, cost_micros] = sums;
         Self {
             attempts,
             held_ms,
@@ -100,7 +100,7 @@
 impl From<&Entry> for Line {
     fn from(e: &Entry) -> Self {
         let worth = e.worth();
-        // Rounded once for each attempt.
+        // Rounded once per attempt.
         let amount = |a: f64| (a.max(0.0) * e.ran_ms as f64).round() as u64;
         Self {
             attempts: 1,
@@ -118,7 +118,7 @@
     }
 }
 
-/// The word for an end, as the protocol has it.
+/// Name of an end, as in the protocol.
 pub fn word(end: End) -> &'static str {
     match end {
         End::Unseen => "unseen",
@@ -133,10 +133,10 @@
     }
 }
 
-/// A row as it is written: type, zone, spot, end, sums.
+/// A row as stored: flavor, zone, spot, end, sums.
 type Row = (String, String, u8, String, [u64; 11]);
 
-/// Sums by bucket.
+/// Sums of usage by bucket.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "Vec<Row>", into = "Vec<Row>")]
 pub struct Tally {
@@ -148,7 +148,7 @@
         let mut tally = Self::default();
         for (flavor, zone, spot, end, sums) in rows {
             let bucket = Bucket { flavor, zone, spot: spot != 0, end };
-            tally.put(bucket, &Line::from_array(sums));
+            tally.add_to_bucket(bucket, &Line::from_array(sums));
         }
         tally
     }
@@ -156,8 +156,9 @@
 
 impl From<Tally> for Vec<Row> {
     fn from(tally: Tally) -> Self {
-        let row =
-            |(b, line): (Bucket, Line)| (b.flavor, b.zone, u8::from(b.spot), b.end, line.array());
+        let row = |(b, line): (Bucket, Line)| {
+            (b.flavor, b.zone, u8::from(b.spot), b.end, line.as_array())
+        };
         tally.rows.into_iter().map(row).collect()
     }
 }
@@ -171,7 +172,7 @@
         self.rows.len()
     }
 
-    fn put(&mut self, bucket: Bucket, line: &Line) {
+    fn add_to_bucket(&mut self, bucket: Bucket, line: &Line) {
         self.rows.entry(bucket).or_default().add(line);
     }
 
@@ -182,12 +183,12 @@
             spot: entry.spot,
             end: word(entry.end).to_owned(),
         };
-        self.put(bucket, &Line::from(entry));
+        self.add_to_bucket(bucket, &Line::from(entry));
     }
 
     pub fn merge(&mut self, other: &Tally) {
         for (bucket, line) in &other.rows {
-            self.put(bucket.clone(), line);
+            self.add_to_bucket(bucket.clone(), line);
         }
     }
 
@@ -195,26 +196,26 @@
         self.rows.iter()
     }
 
-    /// Everything together.
+    /// Sums over all buckets.
     pub fn total(&self) -> Line {
         let mut total = Line::default();
         self.rows.values().for_each(|line| total.add(line));
         total
     }
 
-    /// Joins rows until there are at most so many: what they say of machines is lost, no sum is.
-    pub fn shrink(&mut self, most: usize) {
-        if self.rows.len() <= most {
+    /// Merges rows until at most `max_rows` are left: flavors and zones, then spot and ends, are lost; the sums are kept.
+    pub fn shrink(&mut self, max_rows: usize) {
+        if self.rows.len() <= max_rows {
             return;
         }
         for (mut bucket, line) in std::mem::take(&mut self.rows) {
             (bucket.flavor, bucket.zone) = (String::new(), String::new());
-            self.put(bucket, &line);
+            self.add_to_bucket(bucket, &line);
         }
-        if self.rows.len() > most {
+        if self.rows.len() > max_rows {
             let line = self.total();
             self.rows.clear();
-            self.put(Bucket::default(), &line);
+            self.add_to_bucket(Bucket::default(), &line);
         }
     }
 }
@@ -224,7 +225,7 @@
     use super::*;
     use crate::entry::tests::entry;
 
-    /// Whatever the order, and however often it is written and read, the sums are the same; joined rows keep them.
+    /// Sums do not depend on the order of addition, and survive a round trip and merged rows.
     #[test]
     fn sums_are_exact_in_any_order() {
         let mut entries = Vec::new();
@@ -235,23 +236,23 @@
             e.cpus = 0.1 * n as f64;
             entries.push(e);
         }
-        let mut forth = Tally::default();
-        entries.iter().for_each(|e| forth.add(e));
-        let mut halves = (Tally::default(), Tally::default());
-        entries.iter().rev().take(90).for_each(|e| halves.0.add(e));
-        entries.iter().take(110).for_each(|e| halves.1.add(e));
-        halves.0.merge(&halves.1);
-        assert_eq!(forth, halves.0);
-        let text = serde_json::to_string(&forth).unwrap();
-        let back: Tally = serde_json::from_str(&text).unwrap();
-        assert_eq!(back, forth);
-        for most in [10, 3, 1] {
-            let mut small = forth.clone();
-            small.shrink(most);
-            assert!(small.len() <= most);
-            assert_eq!(small.total(), forth.total());
+        let mut forward = Tally::default();
+        entries.iter().for_each(|e| forward.add(e));
+        let mut parts = (Tally::default(), Tally::default());
+        entries.iter().rev().take(90).for_each(|e| parts.0.add(e));
+        entries.iter().take(110).for_each(|e| parts.1.add(e));
+        parts.0.merge(&parts.1);
+        assert_eq!(forward, parts.0);
+        let text = serde_json::to_string(&forward).unwrap();
+        let restored: Tally = serde_json::from_str(&text).unwrap();
+        assert_eq!(restored, forward);
+        for max_rows in [10, 3, 1] {
+            let mut reduced = forward.clone();
+            reduced.shrink(max_rows);
+            assert!(reduced.len() <= max_rows);
+            assert_eq!(reduced.total(), forward.total());
         }
-        let total = forth.total();
+        let total = forward.total();
         assert_eq!(total.ran_ms, total.useful_ms + total.repeated_ms + total.lost_ms);
         assert_eq!(total.attempts, 200);
     }
--- a/crates/ledger/tests/month.rs
+++ b/crates/ledger/tests/month.rs
@@ -1,5 +1,5 @@
-//! A month of mixed work through the account, in one process and without a store: what is rolled up is, by team, class and
-//! day, exactly what was entered. `OATLOOM_ATTEMPTS` says how many attempts there are.
+//! A month of mixed work through usage accounting, in one process and without a state service: the roll-ups by team,
+//! class and day sum to exactly the usage entered. `OATLOOM_ATTEMPTS` sets the number of attempts.
 
 use oatloom_ledger::constants::{DAY_MS, FLUSH_MS};
 use oatloom_ledger::entry::{End, Entry};
@@ -13,36 +13,38 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-/// Roll-ups as they are written, and final states since the last takeover that could have read them.
+/// Simulated state service: roll-ups, cursor, and final states that a new leader would read.
 #[derive(Default)]
 struct Store {
     revision: u64,
     rollups: BTreeMap<Slot, (Rollup, Revision)>,
     cursor: Option<(Cursor, Revision)>,
-    over: Vec<(Revision, JobId, Spent)>,
+    final_states: Vec<(Revision, JobId, Spent)>,
 }
 
 impl Store {
-    /// A new leader: it knows the cursor, and final states after it.
+    /// Accounting of a new leader, which has read the cursor and the final states after it.
     fn leader(&mut self) -> Rollups {
         let mut rollups = Rollups::new(FLUSH_MS);
         rollups.set_cursor(self.cursor, Revision(0));
         let after = rollups.cursor().through;
-        self.over.retain(|(stamp, ..)| *stamp > after);
-        self.over.iter().for_each(|(stamp, job, spent)| rollups.over(job, spent, *stamp));
+        self.final_states.retain(|(revision, ..)| *revision > after);
+        self.final_states
+            .iter()
+            .for_each(|(revision, job, spent)| rollups.over(job, spent, *revision));
         rollups.enter(Knowledge::All);
         rollups
     }
 
-    /// Writes what is due, as often as it takes.
+    /// Flushes until nothing is due. Returns the number of keys written.
     fn flush(&mut self, rollups: &mut Rollups, now: Mono, open_from: u64) -> u64 {
         let mut changes = 0;
         while rollups.flush_due(now, open_from) {
             let cursor = rollups.flush(15, now, open_from);
-            let stamp = |slot: &Slot| self.rollups.get(slot).map_or(Revision(0), |(_, s)| *s);
-            let agrees = rollups.writes().all(|(slot, version, _)| stamp(slot) == version);
+            let revision_of = |slot: &Slot| self.rollups.get(slot).map_or(Revision(0), |(_, s)| *s);
+            let matches = rollups.writes().all(|(slot, version, _)| revision_of(slot) == version);
             let slots: Vec<Slot> = rollups.writes().map(|(slot, ..)| slot.clone()).collect();
-            if !agrees {
+            if !matches {
                 rollups.abandoned();
                 for slot in &slots {
                     rollups.resolved(slot, self.rollups.get(slot).cloned());
@@ -59,14 +61,20 @@
             if let Some(cursor) = cursor {
                 self.cursor = Some((cursor, revision));
                 rollups.cursor_committed(cursor, revision);
-                self.over.clear();
+                self.final_states.clear();
             }
         }
         changes
     }
 }
 
-fn attempt(task: TaskId, rng: &mut ChaCha8Rng, team: &str, class: &str, ended_ms: u64) -> Entry {
+fn random_entry(
+    task: TaskId,
+    rng: &mut ChaCha8Rng,
+    team: &str,
+    class: &str,
+    ended_ms: u64,
+) -> Entry {
     let ran_ms = rng.random_range(0..240_000);
     let end = match rng.random_range(0..20) {
         0 => End::Seen(Cause::Error),
@@ -103,16 +111,16 @@
 
 #[test]
 fn a_month_is_rolled_up_exactly() {
-    let wanted = std::env::var("OATLOOM_ATTEMPTS").ok().and_then(|n| n.parse().ok());
-    let attempts: u64 = wanted.unwrap_or(60_000);
+    let requested = std::env::var("OATLOOM_ATTEMPTS").ok().and_then(|n| n.parse().ok());
+    let attempts: u64 = requested.unwrap_or(60_000);
     let mut rng = ChaCha8Rng::seed_from_u64(30);
-    let (mut store, mut raw) = (Store::default(), BTreeMap::<Slot, Line>::new());
+    let (mut store, mut expected) = (Store::default(), BTreeMap::<Slot, Line>::new());
     let mut rollups = store.leader();
     let (mut entered, mut changes, mut takeovers, mut jobs) = (0, 0, 0, 0u64);
-    let began = Instant::now();
+    let started = Instant::now();
     let mut clock = 0;
     while entered < attempts {
-        // A job ends, at its place in the month.
+        // A job ends at a time proportional to the share of attempts entered.
         let tasks = rng.random_range(1..60).min(attempts - entered);
         clock = (entered as f64 / attempts as f64 * (30 * DAY_MS) as f64) as u64;
         let team = format!("team-{}", rng.random_range(0..4));
@@ -121,15 +129,15 @@
         let job = JobId::new(&format!("req-{jobs}"));
         let mut days = Days::default();
         for n in 0..tasks {
-            let e = attempt(TaskId::new(&job, n as u32), &mut rng, &team, &class, clock);
+            let e = random_entry(TaskId::new(&job, n as u32), &mut rng, &team, &class, clock);
             let slot = Slot { day: e.day(), team: team.clone(), class: class.clone() };
-            raw.entry(slot).or_default().add(&Line::from(&e));
+            expected.entry(slot).or_default().add(&Line::from(&e));
             days.add(&e);
         }
         entered += tasks;
         store.revision += 1;
         let spent = Spent { team, class, days };
-        store.over.push((Revision(store.revision), job.clone(), spent.clone()));
+        store.final_states.push((Revision(store.revision), job.clone(), spent.clone()));
         rollups.over(&job, &spent, Revision(store.revision));
         if rng.random_bool(0.002) {
             takeovers += 1;
@@ -139,25 +147,25 @@
     }
     let after = Mono(clock).plus(FLUSH_MS);
     changes += store.flush(&mut rollups, after, 31);
-    let took = began.elapsed();
+    let elapsed = started.elapsed();
     println!(
         "{entered} attempts of {jobs} jobs, {takeovers} takeovers, {changes} changes, {} roll-ups, {:.0} attempts/s",
         store.rollups.len(),
-        entered as f64 / took.as_secs_f64()
+        entered as f64 / elapsed.as_secs_f64()
     );
     assert_eq!(rollups.pending(), 0);
     let sums =
         |(slot, (rollup, _)): (&Slot, &(Rollup, Revision))| (slot.clone(), rollup.tally.total());
-    assert_eq!(store.rollups.iter().map(sums).collect::<BTreeMap<_, _>>(), raw);
-    assert!(raw.len() <= 4 * 6 * 30, "grows with teams, classes and days only");
+    assert_eq!(store.rollups.iter().map(sums).collect::<BTreeMap<_, _>>(), expected);
+    assert!(expected.len() <= 4 * 6 * 30, "grows with teams, classes and days only");
     for (rollup, _) in store.rollups.values() {
         assert!(serde_json::to_string(rollup).unwrap().len() < 8 * 1024);
     }
-    // What operators are told, page by page, sums to the same.
+    // The pages of a query sum to the same.
     let mut query = Query::parse("from=1970-01-02&to=1970-01-20&most=50").unwrap();
     let by_key: BTreeMap<String, &Rollup> =
         store.rollups.iter().map(|(slot, (rollup, _))| (slot.key(), rollup)).collect();
-    let mut told = 0;
+    let mut reported_cost = 0;
     loop {
         let rest: Vec<_> =
             by_key.range(query.start()..).filter(|(k, _)| **k > query.start()).collect();
@@ -165,13 +173,13 @@
             rest.iter().take(40).map(|(key, rollup)| ((*key).clone(), Some((**rollup).clone())));
         let cursor = store.cursor.unwrap_or_default().0;
         let page = UsagePage::of(&query, found, rest.len() > 40, cursor);
-        told += page.rows.iter().map(|row| row.line.cost_micros).sum::<u64>();
+        reported_cost += page.rows.iter().map(|row| row.line.cost_micros).sum::<u64>();
         assert!(page.rows.iter().all(|row| row.closed));
         match page.next {
             Some(next) => query.after = Some(next),
             None => break,
         }
     }
-    let asked = raw.iter().filter(|(slot, _)| (1..=19).contains(&slot.day));
-    assert_eq!(told, asked.map(|(_, line)| line.cost_micros).sum::<u64>());
+    let in_range = expected.iter().filter(|(slot, _)| (1..=19).contains(&slot.day));
+    assert_eq!(reported_cost, in_range.map(|(_, line)| line.cost_micros).sum::<u64>());
 }
--- a/crates/policy/src/classes.rs
+++ b/crates/policy/src/classes.rs
@@ -73,37 +73,36 @@
 fn set_once<T>(
     slot: &mut Option<T>,
     value: T,
-    entry_name: &str,
+    label: &str,
     field: &'static str,
 ) -> Result<(), ClassesError> {
     match slot.replace(value) {
-        Some(_) => Err(ClassesError::DuplicateField(entry_name.to_owned(), field)),
+        Some(_) => Err(ClassesError::DuplicateField(label.to_owned(), field)),
         None => Ok(()),
     }
 }
 
 fn parse_entry(
     fields: Vec<Field>,
-    entry_name: &str,
+    label: &str,
 ) -> Result<(Option<String>, Allowance), ClassesError> {
     let (mut name, mut repeats, mut on_exhausted) = (None, None, None);
     for field in fields {
         match field {
-            Field::Name((value,)) => set_once(&mut name, value, entry_name, "name")?,
-            Field::Repeats((value,)) => set_once(&mut repeats, value, entry_name, "repeats")?,
+            Field::Name((value,)) => set_once(&mut name, value, label, "name")?,
+            Field::Repeats((value,)) => set_once(&mut repeats, value, label, "repeats")?,
             Field::OnExhausted((value,)) => {
-                set_once(&mut on_exhausted, value, entry_name, "on-exhausted")?
+                set_once(&mut on_exhausted, value, label, "on-exhausted")?
             }
         }
     }
-    let entry_name = name.clone().unwrap_or_else(|| entry_name.to_owned());
-    let repeats = repeats.ok_or_else(|| ClassesError::MissingRetries(entry_name.clone()))?;
+    let label = name.clone().unwrap_or_else(|| label.to_owned());
+    let repeats = repeats.ok_or_else(|| ClassesError::MissingRetries(label.clone()))?;
     if !(0..=MAX_RETRIES).contains(&repeats) {
-        return Err(ClassesError::RetriesOutOfRange(entry_name));
+        return Err(ClassesError::RetriesOutOfRange(label));
     }
     let on_exhausted = on_exhausted.unwrap_or(OnExhausted::FailJob);
-    let repeats =
-        u32::try_from(repeats).map_err(|_| ClassesError::RetriesOutOfRange(entry_name))?;
+    let repeats = u32::try_from(repeats).map_err(|_| ClassesError::RetriesOutOfRange(label))?;
     Ok((name, Allowance { repeats, on_exhausted }))
 }
 
--- a/crates/policy/src/constants.rs
+++ b/crates/policy/src/constants.rs
@@ -11,7 +11,7 @@
 
 // --- Fault attribution (docs/design-repeats.md, "The model") ---------------------
 
-/// Prior probability that a machine is faulty: few machines are, though they cause most failures.
+/// Prior probability that a machine is faulty: few are, though by the protocol failures are "mostly the machine".
 pub const PRIOR_MACHINE_FAULT: f64 = 0.01;
 /// The same for a machine on which a task succeeded after a failure: it would have to break anew.
 pub const PRIOR_CLEARED_MACHINE_FAULT: f64 = 0.003;
