--- a/crates/ledger/src/entry.rs
+++ b/crates/ledger/src/entry.rs
@@ -54,7 +54,7 @@
 
 /// An attempt's run time by its use. The parts sum to the run time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Worth {
+pub struct RunTimeBreakdown {
     /// Run time of a completed task or a replica, or saved progress.
     pub useful_ms: u64,
     /// Run time that has to be repeated.
@@ -71,7 +71,7 @@
 
     /// Splits the run time by its use. Useful work is run time of tasks that completed, saved progress and run time
     /// of replicas (protocol, "How aims are counted"). An attempt is assumed to start at a checkpoint.
-    pub fn worth(&self) -> Worth {
+    pub fn worth(&self) -> RunTimeBreakdown {
         let ran = self.ran_ms;
         let useful_ms = match self.end {
             _ if self.shape == Shape::Service => ran,
@@ -82,8 +82,8 @@
         };
         let not_useful_ms = ran - useful_ms;
         match self.goes_on {
-            true => Worth { useful_ms, repeated_ms: not_useful_ms, lost_ms: 0 },
-            false => Worth { useful_ms, repeated_ms: 0, lost_ms: not_useful_ms },
+            true => RunTimeBreakdown { useful_ms, repeated_ms: not_useful_ms, lost_ms: 0 },
+            false => RunTimeBreakdown { useful_ms, repeated_ms: 0, lost_ms: not_useful_ms },
         }
     }
 
@@ -129,22 +129,22 @@
 
     #[test]
     fn run_time_is_useful_repeated_or_lost() {
-        let worth = |e: Entry| {
-            let w = e.worth();
-            assert_eq!(w.useful_ms + w.repeated_ms + w.lost_ms, e.ran_ms);
-            (w.useful_ms, w.repeated_ms, w.lost_ms)
+        let breakdown_of = |e: Entry| {
+            let breakdown = e.worth();
+            assert_eq!(breakdown.useful_ms + breakdown.repeated_ms + breakdown.lost_ms, e.ran_ms);
+            (breakdown.useful_ms, breakdown.repeated_ms, breakdown.lost_ms)
         };
-        assert_eq!(worth(entry(End::Seen(Cause::Done), 900)), (900, 0, 0));
-        assert_eq!(worth(entry(End::Seen(Cause::Error), 900)), (0, 900, 0));
-        assert_eq!(worth(entry(End::Unseen, 900)), (0, 900, 0));
+        assert_eq!(breakdown_of(entry(End::Seen(Cause::Done), 900)), (900, 0, 0));
+        assert_eq!(breakdown_of(entry(End::Seen(Cause::Error), 900)), (0, 900, 0));
+        assert_eq!(breakdown_of(entry(End::Unseen, 900)), (0, 900, 0));
         let job_ended = Entry { goes_on: false, ..entry(End::Seen(Cause::Stopped), 900) };
-        assert_eq!(worth(job_ended), (0, 0, 900));
+        assert_eq!(breakdown_of(job_ended), (0, 0, 900));
         let with_checkpoints = Entry { checkpoint_ms: 400, ..entry(End::Unseen, 900) };
-        assert_eq!(worth(with_checkpoints.clone()), (800, 100, 0));
+        assert_eq!(breakdown_of(with_checkpoints.clone()), (800, 100, 0));
         let saved = Entry { stored: true, end: End::Seen(Cause::Stopped), ..with_checkpoints };
-        assert_eq!(worth(saved), (900, 0, 0));
+        assert_eq!(breakdown_of(saved), (900, 0, 0));
         let replica = Entry { shape: Shape::Service, ..entry(End::Unseen, 900) };
-        assert_eq!(worth(replica), (900, 0, 0));
+        assert_eq!(breakdown_of(replica), (900, 0, 0));
     }
 
     #[test]
--- a/crates/ledger/src/query.rs
+++ b/crates/ledger/src/query.rs
@@ -19,7 +19,7 @@
     #[error("after is not what an earlier page gave")]
     InvalidAfter,
     #[error("unknown parameter {0}")]
-    UnknownParameter(String),
+    Unknown(String),
 }
 
 /// Selects roll-ups.
@@ -31,9 +31,9 @@
     pub from: u64,
     pub to: u64,
     /// Last key of the previous page.
-    pub after: Option<String>,
+    pub start_after: Option<String>,
     /// Row limit of a page; the last roll-up of a page is returned whole and may exceed it.
-    pub most: usize,
+    pub max_rows: usize,
 }
 
 /// Julian day of 1970-01-01.
@@ -61,7 +61,7 @@
     pub fn parse(text: &str) -> Result<Self, QueryError> {
         let (from, to) = (0, 999_999);
         let mut query =
-            Self { team: None, class: None, from, to, after: None, most: MAX_PAGE_ROWS };
+            Self { team: None, class: None, from, to, start_after: None, max_rows: MAX_PAGE_ROWS };
         for (name, value) in form_urlencoded::parse(text.as_bytes()) {
             let value = value.into_owned();
             match &*name {
@@ -73,15 +73,13 @@
                 "to" => query.to = parse_day(&value).ok_or(QueryError::InvalidDay("to"))?,
                 "after" => {
                     Slot::parse(&value).ok_or(QueryError::InvalidAfter)?;
-                    query.after = Some(value);
+                    query.start_after = Some(value);
                 }
                 "most" => {
-                    let most = value.parse().ok().filter(|n| (1..=MAX_PAGE_ROWS).contains(n));
-                    query.most = most.ok_or(QueryError::InvalidMost)?;
-                }
-                other => {
-                    return Err(QueryError::UnknownParameter(other.chars().take(40).collect()));
+                    let max_rows = value.parse().ok().filter(|n| (1..=MAX_PAGE_ROWS).contains(n));
+                    query.max_rows = max_rows.ok_or(QueryError::InvalidMost)?;
                 }
+                other => return Err(QueryError::Unknown(other.chars().take(40).collect())),
             }
         }
         let span_allowed = query.to == to || query.to.saturating_sub(query.from) <= MAX_QUERY_DAYS;
@@ -93,12 +91,12 @@
 
     /// The key after which roll-ups are to be read.
     pub fn start(&self) -> String {
-        self.after.clone().unwrap_or_else(|| format!("{ROLLUPS}{:06}", self.from))
+        self.start_after.clone().unwrap_or_else(|| format!("{ROLLUPS}{:06}", self.from))
     }
 
-    fn matches(&self, slot: &Slot) -> bool {
-        self.team.as_ref().is_none_or(|team| *team == slot.team)
-            && self.class.as_ref().is_none_or(|class| *class == slot.class)
+    fn matches(&self, rollup_id: &Slot) -> bool {
+        self.team.as_ref().is_none_or(|team| *team == rollup_id.team)
+            && self.class.as_ref().is_none_or(|class| *class == rollup_id.class)
     }
 }
 
@@ -147,17 +145,17 @@
         let mut page = Self::default();
         let mut last = None;
         for (key, rollup) in found {
-            let Some(slot) = Slot::parse(&key) else { continue };
-            if slot.day > query.to {
+            let Some(rollup_id) = Slot::parse(&key) else { continue };
+            if rollup_id.day > query.to {
                 return page;
             }
             // A roll-up is never split between pages.
-            if page.rows.len() >= query.most {
+            if page.rows.len() >= query.max_rows {
                 page.next = last;
                 return page;
             }
             last = Some(key.clone());
-            if !query.matches(&slot) {
+            if !query.matches(&rollup_id) {
                 continue;
             }
             let Some(rollup) = rollup else {
@@ -167,17 +165,17 @@
             if rollup.gap {
                 page.gaps.push(key);
             }
-            let row = |(bucket, line): (&crate::tally::Bucket, &Line)| UsageRow {
-                day: format_day(slot.day),
-                closed: slot.day < cursor.closed_before,
-                team: slot.team.clone(),
-                class: slot.class.clone(),
+            let row = |(bucket, sums): (&crate::tally::UsageBucket, &Line)| UsageRow {
+                day: format_day(rollup_id.day),
+                closed: rollup_id.day < cursor.closed_before,
+                team: rollup_id.team.clone(),
+                class: rollup_id.class.clone(),
                 flavor: bucket.flavor.clone(),
                 yard: bucket.zone.clone(),
                 loaners: bucket.spot,
                 cause: bucket.end.clone(),
-                waited_ms: line.waited_ms(),
-                line: *line,
+                waited_ms: sums.waited_ms(),
+                line: *sums,
             };
             page.rows.extend(rollup.tally.rows().map(row));
         }
@@ -197,8 +195,8 @@
     fn days_are_parsed_and_formatted() {
         assert_eq!(parse_day("1970-01-01"), Some(0));
         assert_eq!(parse_day("2026-12-01").map(format_day), Some("2026-12-01".into()));
-        for bad in ["", "2026-13-01", "yesterday", "1969-12-31", "2026-12-01T00:00:00Z"] {
-            assert_eq!(parse_day(bad), None, "{bad}");
+        for invalid in ["", "2026-13-01", "yesterday", "1969-12-31", "2026-12-01T00:00:00Z"] {
+            assert_eq!(parse_day(invalid), None, "{invalid}");
         }
     }
 
@@ -210,7 +208,7 @@
         assert_eq!(error("from=1980-01-01&to=2026-01-01"), QueryError::InvalidSpan);
         assert_eq!(error("most=0"), QueryError::InvalidMost);
         assert_eq!(error("after=live/req-1"), QueryError::InvalidAfter);
-        assert_eq!(error("tem=red"), QueryError::UnknownParameter("tem".into()));
+        assert_eq!(error("tem=red"), QueryError::Unknown("tem".into()));
         assert!(Query::parse("team=&class=&from=&to=").is_ok());
         let query = Query::parse("team=a%20b&from=2026-11-01&to=2026-11-30").unwrap();
         assert_eq!(query.team.as_deref(), Some("a b"));
@@ -227,15 +225,15 @@
                 for cause in [Cause::Done, Cause::Error] {
                     rollup.tally.add(&entry(End::Seen(cause), 7));
                 }
-                let slot = Slot { day, team: team.into(), class: "c".into() };
-                store.push((slot.key(), Some(rollup)));
+                let rollup_id = Slot { day, team: team.into(), class: "c".into() };
+                store.push((rollup_id.key(), Some(rollup)));
             }
         }
         store.sort_by(|a, b| a.0.cmp(&b.0));
         store[3].1 = None;
         let cursor = Cursor { closed_before: 12, ..Cursor::default() };
-        for (most, page_size) in [(1, 3), (2, 2), (3, 8), (200, 1), (200, 500)] {
-            let mut query = Query { most, ..Query::parse("team=red&to=1970-01-13").unwrap() };
+        for (max_rows, page_size) in [(1, 3), (2, 2), (3, 8), (200, 1), (200, 500)] {
+            let mut query = Query { max_rows, ..Query::parse("team=red&to=1970-01-13").unwrap() };
             let (mut rows, mut gaps, mut pages) = (Vec::new(), Vec::new(), 0);
             loop {
                 let start = query.start();
@@ -247,12 +245,12 @@
                 pages += 1;
                 assert!(pages < 30);
                 match page.next {
-                    Some(next) => query.after = Some(next),
+                    Some(next) => query.start_after = Some(next),
                     None => break,
                 }
             }
             // Days 10 and 12 of team red have two rows each; day 11 is unreadable.
-            assert_eq!(rows.len(), 4, "{most} {page_size}");
+            assert_eq!(rows.len(), 4, "{max_rows} {page_size}");
             assert_eq!(gaps.len(), 1);
             assert!(rows.iter().all(|r| r.team == "red" && r.closed == (r.day == "1970-01-11")));
         }
--- a/crates/ledger/src/rollup.rs
+++ b/crates/ledger/src/rollup.rs
@@ -83,9 +83,9 @@
     }
 
     pub fn add(&mut self, entry: &Entry) {
-        let tally = self.0.entry(entry.day()).or_default();
-        tally.add(entry);
-        tally.shrink(MAX_JOB_DAY_ROWS);
+        let usage = self.0.entry(entry.day()).or_default();
+        usage.add(entry);
+        usage.shrink(MAX_JOB_DAY_ROWS);
         while self.0.len() > MAX_JOB_DAYS {
             self.merge_first_day();
         }
@@ -113,31 +113,31 @@
         let closed_days = self.0.iter().take_while(|(day, _)| **day < open);
         let closed_days: Vec<u64> = closed_days.map(|(day, _)| *day).collect();
         for day in closed_days {
-            let Some(tally) = self.0.remove(&day) else { continue };
+            let Some(usage) = self.0.remove(&day) else { continue };
             let target = self.0.entry(open).or_default();
-            target.merge(&tally);
+            target.merge(&usage);
             target.shrink(MAX_JOB_DAY_ROWS);
         }
     }
 
     pub fn merge(&mut self, other: &Days) {
-        for (day, tally) in &other.0 {
-            self.0.entry(*day).or_default().merge(tally);
+        for (day, usage) in &other.0 {
+            self.0.entry(*day).or_default().merge(usage);
         }
     }
 
     /// Merges rows until each day has at most `max_rows`.
     pub fn shrink(&mut self, max_rows: usize) {
-        self.0.values_mut().for_each(|tally| tally.shrink(max_rows));
+        self.0.values_mut().for_each(|usage| usage.shrink(max_rows));
     }
 
     /// Approximate upper bound of the stored size, in bytes.
-    pub fn bytes(&self) -> usize {
-        self.0.values().map(|tally| 20 + tally.len() * MAX_ROW_BYTES).sum()
+    pub fn estimated_bytes(&self) -> usize {
+        self.0.values().map(|usage| 20 + usage.len() * MAX_ROW_BYTES).sum()
     }
 
     pub fn days(&self) -> impl Iterator<Item = (u64, &Tally)> {
-        self.0.iter().map(|(day, tally)| (*day, tally))
+        self.0.iter().map(|(day, usage)| (*day, usage))
     }
 }
 
@@ -166,11 +166,11 @@
 
 /// The part of an uncounted final state that belongs to one roll-up.
 #[derive(Clone, Debug)]
-struct PendingUsage {
+struct Pending {
     revision: Revision,
     job: JobId,
-    slot: Slot,
-    tally: Tally,
+    id: Slot,
+    usage: Tally,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -183,11 +183,11 @@
 /// conflicts, and the stored value is then read and cached.
 #[derive(Clone, Debug, Default)]
 pub struct Rollups {
-    knowledge: Knowledge,
+    load_progress: Knowledge,
     cached_rollups: BTreeMap<Slot, CachedRollup>,
     cursor: (Revision, Cursor),
     /// Final states that are not counted yet, oldest first.
-    pending: VecDeque<PendingUsage>,
+    pending: VecDeque<Pending>,
     /// Roll-ups as the transaction being built or in flight leaves them.
     in_flight: BTreeMap<Slot, Rollup>,
     next_flush: Mono,
@@ -211,12 +211,12 @@
     }
 
     pub fn knowledge(&self) -> Knowledge {
-        self.knowledge
+        self.load_progress
     }
 
     /// Sets how far the final states are loaded; the state changes only here.
-    pub fn enter(&mut self, knowledge: Knowledge) {
-        self.knowledge = knowledge;
+    pub fn enter(&mut self, load_progress: Knowledge) {
+        self.load_progress = load_progress;
     }
 
     pub fn cursor(&self) -> Cursor {
@@ -231,21 +231,20 @@
     }
 
     /// Adds a final state that is stored at the given revision.
-    pub fn over(&mut self, job: &JobId, spent: &Spent, revision: Revision) {
+    pub fn over(&mut self, job: &JobId, job_usage: &Spent, revision: Revision) {
         self.newest_final = self.newest_final.max(revision);
-        for (day, tally) in spent.days.days() {
-            let slot = Slot { day, team: spent.team.clone(), class: spent.class.clone() };
+        for (day, usage) in job_usage.days.days() {
+            let id = Slot { day, team: job_usage.team.clone(), class: job_usage.class.clone() };
             let counted = self
                 .cached_rollups
-                .get(&slot)
+                .get(&id)
                 .is_some_and(|cached| revision <= cached.rollup.through);
             // A final state may be both read from the store and reported by its write: it is added only once. Several
             // jobs may have ended in one write, so the revision alone does not identify it.
-            let is_same =
-                |p: &PendingUsage| p.revision == revision && p.job == *job && p.slot == slot;
-            if !counted && !self.pending.iter().any(is_same) {
-                let (job, tally) = (job.clone(), tally.clone());
-                self.pending.push_back(PendingUsage { revision, job, slot, tally });
+            let same = |p: &Pending| p.revision == revision && p.job == *job && p.id == id;
+            if !counted && !self.pending.iter().any(same) {
+                let (job, usage) = (job.clone(), usage.clone());
+                self.pending.push_back(Pending { revision, job, id, usage });
             }
         }
     }
@@ -262,18 +261,18 @@
 
     /// Adds usage of an assignment record to the transaction being built.
     pub fn spill(&mut self, team: &str, class: &str, days: &Days) {
-        for (day, tally) in days.days() {
-            let slot = Slot { day, team: team.to_owned(), class: class.to_owned() };
-            let mut rollup = self.latest(&slot);
-            rollup.tally.merge(tally);
+        for (day, usage) in days.days() {
+            let rollup_id = Slot { day, team: team.to_owned(), class: class.to_owned() };
+            let mut rollup = self.latest(&rollup_id);
+            rollup.tally.merge(usage);
             rollup.tally.shrink(self.max_rows);
-            self.in_flight.insert(slot, rollup);
+            self.in_flight.insert(rollup_id, rollup);
         }
     }
 
-    fn latest(&self, slot: &Slot) -> Rollup {
-        let cached = || self.cached_rollups.get(slot).map(|cached| cached.rollup.clone());
-        self.in_flight.get(slot).cloned().or_else(cached).unwrap_or_default()
+    fn latest(&self, rollup_id: &Slot) -> Rollup {
+        let cached = || self.cached_rollups.get(rollup_id).map(|cached| cached.rollup.clone());
+        self.in_flight.get(rollup_id).cloned().or_else(cached).unwrap_or_default()
     }
 
     /// Whether it is time to count final states. Days before `today` may be closed by that.
@@ -281,7 +280,7 @@
         let cursor_missing = self.cursor.0 == Revision(0);
         let due = cursor_missing || !self.pending.is_empty() || self.may_close(today);
         let due = now >= self.next_flush && due;
-        self.knowledge == Knowledge::All && (due || self.pending.len() >= MAX_PENDING)
+        self.load_progress == Knowledge::All && (due || self.pending.len() >= MAX_PENDING)
     }
 
     fn may_close(&self, today: u64) -> bool {
@@ -292,20 +291,20 @@
     pub fn flush(&mut self, max_rollups: usize, now: Mono, open_from: u64) -> Option<Cursor> {
         self.next_flush = now.plus(self.flush_period);
         let mut left_out = false;
-        for PendingUsage { revision, slot, tally, .. } in &self.pending {
-            if !self.in_flight.contains_key(slot) && self.in_flight.len() >= max_rollups {
+        for Pending { revision, id, usage, .. } in &self.pending {
+            if !self.in_flight.contains_key(id) && self.in_flight.len() >= max_rollups {
                 left_out = true;
                 continue;
             }
-            let mut rollup = self.latest(slot);
+            let mut rollup = self.latest(id);
             if *revision > rollup.through {
-                rollup.tally.merge(tally);
+                rollup.tally.merge(usage);
             }
-            self.in_flight.insert(slot.clone(), rollup);
+            self.in_flight.insert(id.clone(), rollup);
         }
-        for (slot, rollup) in &mut self.in_flight {
+        for (id, rollup) in &mut self.in_flight {
             // The roll-up now includes all of its final states up to `newest_final`.
-            if self.pending.iter().any(|p| p.slot == *slot) {
+            if self.pending.iter().any(|p| p.id == *id) {
                 rollup.through = rollup.through.max(self.newest_final);
             }
             rollup.tally.shrink(self.max_rows);
@@ -320,10 +319,10 @@
 
     /// Writes of the transaction being built: roll-up, required stored revision, new value.
     pub fn writes(&self) -> impl Iterator<Item = (&Slot, Revision, &Rollup)> {
-        self.in_flight.iter().map(|(slot, rollup)| {
+        self.in_flight.iter().map(|(rollup_id, rollup)| {
             (
-                slot,
-                self.cached_rollups.get(slot).map_or(Revision(0), |cached| cached.revision),
+                rollup_id,
+                self.cached_rollups.get(rollup_id).map_or(Revision(0), |cached| cached.revision),
                 rollup,
             )
         })
@@ -334,9 +333,9 @@
     }
 
     /// Records that the transaction was applied.
-    pub fn committed(&mut self, slot: &Slot, revision: Revision) {
-        if let Some(rollup) = self.in_flight.remove(slot) {
-            self.cache(slot.clone(), rollup, revision);
+    pub fn committed(&mut self, rollup_id: &Slot, revision: Revision) {
+        if let Some(rollup) = self.in_flight.remove(rollup_id) {
+            self.cache(rollup_id.clone(), rollup, revision);
         }
     }
 
@@ -351,17 +350,17 @@
     }
 
     /// Sets a roll-up as stored, read after a conflict or a transaction with an unknown outcome.
-    pub fn resolved(&mut self, slot: &Slot, found: Option<(Rollup, Revision)>) {
+    pub fn resolved(&mut self, rollup_id: &Slot, found: Option<(Rollup, Revision)>) {
         match found {
-            Some((rollup, revision)) => self.cache(slot.clone(), rollup, revision),
-            None => _ = self.cached_rollups.remove(slot),
+            Some((rollup, revision)) => self.cache(rollup_id.clone(), rollup, revision),
+            None => _ = self.cached_rollups.remove(rollup_id),
         }
     }
 
-    fn cache(&mut self, slot: Slot, rollup: Rollup, revision: Revision) {
+    fn cache(&mut self, rollup_id: Slot, rollup: Rollup, revision: Revision) {
         let through = rollup.through;
-        self.pending.retain(|p| p.slot != slot || p.revision > through);
-        self.cached_rollups.insert(slot, CachedRollup { revision, rollup });
+        self.pending.retain(|p| p.id != rollup_id || p.revision > through);
+        self.cached_rollups.insert(rollup_id, CachedRollup { revision, rollup });
         // Drops the oldest days first: closed days are not written again, and others are read again on conflict.
         while self.cached_rollups.len() > MAX_PENDING {
             self.cached_rollups.pop_first();
@@ -381,10 +380,10 @@
     #[test]
     fn keys_round_trip_for_any_name() {
         for name in ["red", "", "a/b c", "ü%"] {
-            let slot = Slot { day: 20_788, team: name.into(), class: "c".into() };
-            let key = slot.key();
+            let rollup_id = Slot { day: 20_788, team: name.into(), class: "c".into() };
+            let key = rollup_id.key();
             assert!(!key.contains(' ') && key.matches('/').count() == 3, "{key}");
-            assert_eq!(Slot::parse(&key), Some(slot));
+            assert_eq!(Slot::parse(&key), Some(rollup_id));
         }
         let long = Slot { day: 1, team: "x".repeat(500), class: "ü".repeat(500) };
         assert!(long.key().len() <= 200);
@@ -403,13 +402,13 @@
     impl Store {
         /// Applies the transaction if every revision matches. Returns whether it was applied.
         fn apply(&mut self, rollups: &Rollups, cursor: Option<Cursor>) -> bool {
-            let revision = |slot: &Slot| self.rollups.get(slot).map_or(Revision(0), |(_, s)| *s);
-            let matches = rollups.writes().all(|(slot, version, _)| revision(slot) == version)
+            let revision = |id: &Slot| self.rollups.get(id).map_or(Revision(0), |(_, s)| *s);
+            let matches = rollups.writes().all(|(id, version, _)| revision(id) == version)
                 && self.cursor.map_or(Revision(0), |(_, s)| s) == rollups.cursor_stamp();
             if matches {
                 self.revision += 1;
-                for (slot, _, rollup) in rollups.writes() {
-                    self.rollups.insert(slot.clone(), (rollup.clone(), Revision(self.revision)));
+                for (id, _, rollup) in rollups.writes() {
+                    self.rollups.insert(id.clone(), (rollup.clone(), Revision(self.revision)));
                 }
                 if let Some(cursor) = cursor {
                     self.cursor = Some((cursor, Revision(self.revision)));
@@ -439,7 +438,7 @@
                         let uncounted =
                             store.final_states.iter().filter(|(revision, ..)| *revision > after);
                         uncounted
-                            .for_each(|(revision, job, spent)| rollups.over(job, spent, *revision));
+                            .for_each(|(revision, job, usage)| rollups.over(job, usage, *revision));
                         rollups.enter(Knowledge::All);
                     }
                     1..6 => {
@@ -448,34 +447,34 @@
                         e.ended_ms = rng.random_range(0..3) * DAY_MS;
                         days.add(&e);
                         let team = format!("t{}", rng.random_range(0..3));
-                        let spent = Spent { team, class: "c".into(), days };
+                        let job_usage = Spent { team, class: "c".into(), days };
                         // Several jobs may end in one write, with the same revision.
                         store.revision += 1;
                         let revision = Revision(store.revision);
                         for n in 0..rng.random_range(1..4) {
                             expected_ms += e.ran_ms;
                             let job = JobId::new(&format!("req-{step}{n}"));
-                            store.final_states.push((revision, job.clone(), spent.clone()));
+                            store.final_states.push((revision, job.clone(), job_usage.clone()));
                             if rollups.knowledge() == Knowledge::All {
-                                rollups.over(&job, &spent, revision);
+                                rollups.over(&job, &job_usage, revision);
                             }
                         }
                     }
                     _ if rollups.flush_due(now, 0) => {
                         let cursor = rollups.flush(2, now, 0);
-                        let slots: Vec<Slot> = rollups.writes().map(|(s, ..)| s.clone()).collect();
+                        let ids: Vec<Slot> = rollups.writes().map(|(s, ..)| s.clone()).collect();
                         let applied = rng.random_bool(0.8) && store.apply(&rollups, cursor);
                         if applied && rng.random_bool(0.6) {
-                            for slot in &slots {
-                                rollups.committed(slot, Revision(store.revision));
+                            for id in &ids {
+                                rollups.committed(id, Revision(store.revision));
                             }
                             if let Some(cursor) = cursor {
                                 rollups.cursor_committed(cursor, Revision(store.revision));
                             }
                         } else {
                             rollups.abandoned();
-                            let found = |slot| store.rollups.get(slot).cloned();
-                            slots.iter().for_each(|slot| rollups.resolved(slot, found(slot)));
+                            let found = |id| store.rollups.get(id).cloned();
+                            ids.iter().for_each(|id| rollups.resolved(id, found(id)));
                             rollups.set_cursor(store.cursor, Revision(0));
                         }
                     }
@@ -487,22 +486,22 @@
             last.set_cursor(store.cursor, Revision(0));
             let after = last.cursor().through;
             let uncounted = store.final_states.iter().filter(|(revision, ..)| *revision > after);
-            uncounted.for_each(|(revision, job, spent)| last.over(job, spent, *revision));
+            uncounted.for_each(|(revision, job, usage)| last.over(job, usage, *revision));
             last.enter(Knowledge::All);
             let mut rounds = 0;
             while last.pending() > 0 {
                 rounds += 1;
                 assert!(rounds < 50, "seed {seed}: flushing does not finish");
                 let cursor = last.flush(2, Mono(0), 0);
-                let slots: Vec<Slot> = last.writes().map(|(s, ..)| s.clone()).collect();
+                let ids: Vec<Slot> = last.writes().map(|(s, ..)| s.clone()).collect();
                 if store.apply(&last, cursor) {
                     let revision = Revision(store.revision);
-                    slots.iter().for_each(|slot| last.committed(slot, revision));
+                    ids.iter().for_each(|id| last.committed(id, revision));
                     cursor.into_iter().for_each(|c| last.cursor_committed(c, revision));
                 } else {
                     last.abandoned();
-                    for slot in &slots {
-                        last.resolved(slot, store.rollups.get(slot).cloned());
+                    for id in &ids {
+                        last.resolved(id, store.rollups.get(id).cloned());
                     }
                 }
             }
@@ -521,10 +520,10 @@
             days.add(&e);
         }
         let sums = |days: &Days| -> Vec<(u64, u64)> {
-            days.days().map(|(day, tally)| (day, tally.total().attempts)).collect()
+            days.days().map(|(day, usage)| (day, usage.total().attempts)).collect()
         };
         assert_eq!(sums(&days), [(1, 60), (2, 30)]);
-        assert!(days.days().all(|(_, tally)| tally.len() <= MAX_JOB_DAY_ROWS));
+        assert!(days.days().all(|(_, usage)| usage.len() <= MAX_JOB_DAY_ROWS));
         days.reopen_from(9);
         assert_eq!(sums(&days), [(9, 90)]);
     }
--- a/crates/ledger/src/tally.rs
+++ b/crates/ledger/src/tally.rs
@@ -8,7 +8,7 @@
 
 /// Where and how attempts ended. An empty flavor or zone means that several were merged to save space.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Bucket {
+pub struct UsageBucket {
     pub flavor: String,
     pub zone: String,
     pub spot: bool,
@@ -99,16 +99,16 @@
 
 impl From<&Entry> for Line {
     fn from(e: &Entry) -> Self {
-        let worth = e.worth();
+        let breakdown = e.worth();
         // Rounded once per attempt.
         let amount = |a: f64| (a.max(0.0) * e.ran_ms as f64).round() as u64;
         Self {
             attempts: 1,
             held_ms: e.held_ms.max(e.ran_ms),
             ran_ms: e.ran_ms,
-            useful_ms: worth.useful_ms,
-            repeated_ms: worth.repeated_ms,
-            lost_ms: worth.lost_ms,
+            useful_ms: breakdown.useful_ms,
+            repeated_ms: breakdown.repeated_ms,
+            lost_ms: breakdown.lost_ms,
             unseen_ms: e.unseen_ms,
             core_ms: amount(e.cpus),
             gpu_ms: amount(e.gpus),
@@ -140,26 +140,26 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "Vec<Row>", into = "Vec<Row>")]
 pub struct Tally {
-    rows: BTreeMap<Bucket, Line>,
+    rows: BTreeMap<UsageBucket, Line>,
 }
 
 impl From<Vec<Row>> for Tally {
     fn from(rows: Vec<Row>) -> Self {
-        let mut tally = Self::default();
+        let mut usage = Self::default();
         for (flavor, zone, spot, end, sums) in rows {
-            let bucket = Bucket { flavor, zone, spot: spot != 0, end };
-            tally.add_to_bucket(bucket, &Line::from_array(sums));
+            let bucket = UsageBucket { flavor, zone, spot: spot != 0, end };
+            usage.add_to_bucket(bucket, &Line::from_array(sums));
         }
-        tally
+        usage
     }
 }
 
 impl From<Tally> for Vec<Row> {
-    fn from(tally: Tally) -> Self {
-        let row = |(b, line): (Bucket, Line)| {
-            (b.flavor, b.zone, u8::from(b.spot), b.end, line.as_array())
+    fn from(usage: Tally) -> Self {
+        let row = |(b, sums): (UsageBucket, Line)| {
+            (b.flavor, b.zone, u8::from(b.spot), b.end, sums.as_array())
         };
-        tally.rows.into_iter().map(row).collect()
+        usage.rows.into_iter().map(row).collect()
     }
 }
 
@@ -172,12 +172,12 @@
         self.rows.len()
     }
 
-    fn add_to_bucket(&mut self, bucket: Bucket, line: &Line) {
-        self.rows.entry(bucket).or_default().add(line);
+    fn add_to_bucket(&mut self, bucket: UsageBucket, sums: &Line) {
+        self.rows.entry(bucket).or_default().add(sums);
     }
 
     pub fn add(&mut self, entry: &Entry) {
-        let bucket = Bucket {
+        let bucket = UsageBucket {
             flavor: entry.flavor.clone(),
             zone: entry.zone.to_string(),
             spot: entry.spot,
@@ -187,35 +187,36 @@
     }
 
     pub fn merge(&mut self, other: &Tally) {
-        for (bucket, line) in &other.rows {
-            self.add_to_bucket(bucket.clone(), line);
+        for (bucket, sums) in &other.rows {
+            self.add_to_bucket(bucket.clone(), sums);
         }
     }
 
-    pub fn rows(&self) -> impl Iterator<Item = (&Bucket, &Line)> {
+    pub fn rows(&self) -> impl Iterator<Item = (&UsageBucket, &Line)> {
         self.rows.iter()
     }
 
     /// Sums over all buckets.
     pub fn total(&self) -> Line {
         let mut total = Line::default();
-        self.rows.values().for_each(|line| total.add(line));
+        self.rows.values().for_each(|sums| total.add(sums));
         total
     }
 
-    /// Merges rows until at most `max_rows` are left: flavors and zones, then spot and ends, are lost; the sums are kept.
+    /// Merges rows until at most `max_rows` are left: first flavors and zones, then all other keys
+    /// are dropped; the sums are kept.
     pub fn shrink(&mut self, max_rows: usize) {
         if self.rows.len() <= max_rows {
             return;
         }
-        for (mut bucket, line) in std::mem::take(&mut self.rows) {
+        for (mut bucket, sums) in std::mem::take(&mut self.rows) {
             (bucket.flavor, bucket.zone) = (String::new(), String::new());
-            self.add_to_bucket(bucket, &line);
+            self.add_to_bucket(bucket, &sums);
         }
         if self.rows.len() > max_rows {
-            let line = self.total();
+            let sums = self.total();
             self.rows.clear();
-            self.add_to_bucket(Bucket::default(), &line);
+            self.add_to_bucket(UsageBucket::default(), &sums);
         }
     }
 }
--- a/crates/ledger/tests/month.rs
+++ b/crates/ledger/tests/month.rs
@@ -31,7 +31,7 @@
         self.final_states.retain(|(revision, ..)| *revision > after);
         self.final_states
             .iter()
-            .for_each(|(revision, job, spent)| rollups.over(job, spent, *revision));
+            .for_each(|(revision, job, usage)| rollups.over(job, usage, *revision));
         rollups.enter(Knowledge::All);
         rollups
     }
@@ -41,23 +41,23 @@
         let mut changes = 0;
         while rollups.flush_due(now, open_from) {
             let cursor = rollups.flush(15, now, open_from);
-            let revision_of = |slot: &Slot| self.rollups.get(slot).map_or(Revision(0), |(_, s)| *s);
-            let matches = rollups.writes().all(|(slot, version, _)| revision_of(slot) == version);
-            let slots: Vec<Slot> = rollups.writes().map(|(slot, ..)| slot.clone()).collect();
+            let revision_of = |id: &Slot| self.rollups.get(id).map_or(Revision(0), |(_, s)| *s);
+            let matches = rollups.writes().all(|(id, version, _)| revision_of(id) == version);
+            let ids: Vec<Slot> = rollups.writes().map(|(id, ..)| id.clone()).collect();
             if !matches {
                 rollups.abandoned();
-                for slot in &slots {
-                    rollups.resolved(slot, self.rollups.get(slot).cloned());
+                for id in &ids {
+                    rollups.resolved(id, self.rollups.get(id).cloned());
                 }
                 continue;
             }
             self.revision += 1;
             let revision = Revision(self.revision);
-            changes += slots.len() as u64 + u64::from(cursor.is_some());
-            for (slot, _, rollup) in rollups.writes() {
-                self.rollups.insert(slot.clone(), (rollup.clone(), revision));
+            changes += ids.len() as u64 + u64::from(cursor.is_some());
+            for (id, _, rollup) in rollups.writes() {
+                self.rollups.insert(id.clone(), (rollup.clone(), revision));
             }
-            slots.iter().for_each(|slot| rollups.committed(slot, revision));
+            ids.iter().for_each(|id| rollups.committed(id, revision));
             if let Some(cursor) = cursor {
                 self.cursor = Some((cursor, revision));
                 rollups.cursor_committed(cursor, revision);
@@ -130,15 +130,15 @@
         let mut days = Days::default();
         for n in 0..tasks {
             let e = random_entry(TaskId::new(&job, n as u32), &mut rng, &team, &class, clock);
-            let slot = Slot { day: e.day(), team: team.clone(), class: class.clone() };
-            expected.entry(slot).or_default().add(&Line::from(&e));
+            let id = Slot { day: e.day(), team: team.clone(), class: class.clone() };
+            expected.entry(id).or_default().add(&Line::from(&e));
             days.add(&e);
         }
         entered += tasks;
         store.revision += 1;
-        let spent = Spent { team, class, days };
-        store.final_states.push((Revision(store.revision), job.clone(), spent.clone()));
-        rollups.over(&job, &spent, Revision(store.revision));
+        let job_usage = Spent { team, class, days };
+        store.final_states.push((Revision(store.revision), job.clone(), job_usage.clone()));
+        rollups.over(&job, &job_usage, Revision(store.revision));
         if rng.random_bool(0.002) {
             takeovers += 1;
             rollups = store.leader();
@@ -154,8 +154,7 @@
         entered as f64 / elapsed.as_secs_f64()
     );
     assert_eq!(rollups.pending(), 0);
-    let sums =
-        |(slot, (rollup, _)): (&Slot, &(Rollup, Revision))| (slot.clone(), rollup.tally.total());
+    let sums = |(id, (rollup, _)): (&Slot, &(Rollup, Revision))| (id.clone(), rollup.tally.total());
     assert_eq!(store.rollups.iter().map(sums).collect::<BTreeMap<_, _>>(), expected);
     assert!(expected.len() <= 4 * 6 * 30, "grows with teams, classes and days only");
     for (rollup, _) in store.rollups.values() {
@@ -164,7 +163,7 @@
     // The pages of a query sum to the same.
     let mut query = Query::parse("from=1970-01-02&to=1970-01-20&most=50").unwrap();
     let by_key: BTreeMap<String, &Rollup> =
-        store.rollups.iter().map(|(slot, (rollup, _))| (slot.key(), rollup)).collect();
+        store.rollups.iter().map(|(id, (rollup, _))| (id.key(), rollup)).collect();
     let mut reported_cost = 0;
     loop {
         let rest: Vec<_> =
@@ -176,10 +175,10 @@
         reported_cost += page.rows.iter().map(|row| row.line.cost_micros).sum::<u64>();
         assert!(page.rows.iter().all(|row| row.closed));
         match page.next {
-            Some(next) => query.after = Some(next),
+            Some(next) => query.start_after = Some(next),
             None => break,
         }
     }
-    let in_range = expected.iter().filter(|(slot, _)| (1..=19).contains(&slot.day));
-    assert_eq!(reported_cost, in_range.map(|(_, line)| line.cost_micros).sum::<u64>());
+    let in_range = expected.iter().filter(|(id, _)| (1..=19).contains(&id.day));
+    assert_eq!(reported_cost, in_range.map(|(_, sums)| sums.cost_micros).sum::<u64>());
 }
--- a/crates/policy/src/blame.rs
+++ b/crates/policy/src/blame.rs
@@ -108,7 +108,7 @@
     }
 
     /// Probability that a job was submitted with a mistake.
-    pub fn job(&self, job: &JobId) -> f64 {
+    pub fn job_fault_probability(&self, job: &JobId) -> f64 {
         match self.succeeded_jobs.contains(job) {
             true => 0.0,
             false => self.job_faults.get(job).copied().unwrap_or(PRIOR_JOB_FAULT),
@@ -116,7 +116,7 @@
     }
 
     /// Whether a task of the job is known to have succeeded. Only jobs with failures are tracked.
-    pub fn sound(&self, job: &JobId) -> bool {
+    pub fn job_has_succeeded(&self, job: &JobId) -> bool {
         self.succeeded_jobs.contains(job)
     }
 
@@ -249,13 +249,19 @@
     #[test]
     fn different_jobs_implicate_a_machine_and_different_machines_a_job() {
         let single_failure = evidence_after(&[(1, 0, 1)]);
-        assert!(single_failure.machine(&host(1)) < 0.5 && single_failure.job(&job(1)) < 0.5);
+        assert!(
+            single_failure.machine(&host(1)) < 0.5
+                && single_failure.job_fault_probability(&job(1)) < 0.5
+        );
         let faulty_machine = evidence_after(&[(1, 0, 1), (2, 0, 1), (3, 0, 1)]);
         assert!(faulty_machine.machine(&host(1)) > FAULTY, "{faulty_machine:?}");
-        assert!((1..4).all(|j| faulty_machine.job(&job(j)) < 0.05), "{faulty_machine:?}");
+        assert!(
+            (1..4).all(|j| faulty_machine.job_fault_probability(&job(j)) < 0.05),
+            "{faulty_machine:?}"
+        );
         assert_eq!(faulty_machine.faulty().count(), 1);
         let faulty_job = evidence_after(&[(1, 0, 1), (1, 0, 2), (1, 0, 3)]);
-        assert!(faulty_job.job(&job(1)) > FAULTY, "{faulty_job:?}");
+        assert!(faulty_job.job_fault_probability(&job(1)) > FAULTY, "{faulty_job:?}");
         assert!((1..4).all(|h| faulty_job.machine(&host(h)) < 0.1), "{faulty_job:?}");
     }
 
@@ -300,8 +306,14 @@
         let evidence =
             evidence_after(&[(1, 0, 1), (1, 0, 2), (1, 0, 4), (2, 0, 4), (3, 0, 4), (5, 0, 4)]);
         assert!(evidence.machine(&host(4)) > FAULTY, "{evidence:?}");
-        assert!(evidence.job(&job(1)) > 0.5 && evidence.machine(&host(1)) < 0.1, "{evidence:?}");
-        assert!([2, 3, 5].iter().all(|j| evidence.job(&job(*j)) < 0.1), "{evidence:?}");
+        assert!(
+            evidence.job_fault_probability(&job(1)) > 0.5 && evidence.machine(&host(1)) < 0.1,
+            "{evidence:?}"
+        );
+        assert!(
+            [2, 3, 5].iter().all(|j| evidence.job_fault_probability(&job(*j)) < 0.1),
+            "{evidence:?}"
+        );
     }
 
     #[test]
--- a/crates/policy/src/classes.rs
+++ b/crates/policy/src/classes.rs
@@ -70,7 +70,7 @@
 }
 
 /// Sets a field; it is an error if the field is set already.
-fn set_once<T>(
+fn set<T>(
     slot: &mut Option<T>,
     value: T,
     label: &str,
@@ -89,11 +89,9 @@
     let (mut name, mut repeats, mut on_exhausted) = (None, None, None);
     for field in fields {
         match field {
-            Field::Name((value,)) => set_once(&mut name, value, label, "name")?,
-            Field::Repeats((value,)) => set_once(&mut repeats, value, label, "repeats")?,
-            Field::OnExhausted((value,)) => {
-                set_once(&mut on_exhausted, value, label, "on-exhausted")?
-            }
+            Field::Name((value,)) => set(&mut name, value, label, "name")?,
+            Field::Repeats((value,)) => set(&mut repeats, value, label, "repeats")?,
+            Field::OnExhausted((value,)) => set(&mut on_exhausted, value, label, "on-exhausted")?,
         }
     }
     let label = name.clone().unwrap_or_else(|| label.to_owned());
