--- a/tests/world/graphs.rs
+++ b/tests/world/graphs.rs
@@ -1,5 +1,5 @@
-//! Clients of task graphs in the simulated world, and what must hold whatever happens: no node starts before its inputs
-//! are done and durable, none runs twice, no final answer changes, and of a session that has ended nothing stays.
+//! Task graph clients in the simulated world, and the invariants checked: no node starts before its inputs are
+//! durably done, none runs twice, no final status changes, and nothing of an ended session remains.
 
 use oatloom_core::jobs::{LiveRecord, OverRecord};
 use oatloom_core::store::{StoreOp, StoreReply};
@@ -17,20 +17,20 @@
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long a client waits for an answer, and until it asks again, in milliseconds.
+/// How long a client waits for a response, and its interval between requests, in milliseconds.
 const PATIENCE: u64 = 2_000;
 const PAUSE: u64 = 1_000;
-/// How long nodes of an ended session may go on, in milliseconds: the platform's bound for cancellations.
+/// How long nodes of an ended session may still run, in milliseconds: the platform's bound for cancellations.
 const CANCEL: u64 = 46_000;
 
-/// What a client does with its life.
+/// How a client behaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Temper {
-    /// Follows its graph to the end, and closes its session.
+    /// Follows its graph to the end and closes its session.
     Steady,
-    /// Cancels it.
+    /// Cancels its graph at this time.
     Cancels(u64),
-    /// Is never heard of again from a moment on.
+    /// Sends nothing from this time on.
     Vanishes(u64),
 }
 
@@ -41,13 +41,13 @@
     key: String,
     graph: GraphId,
     detached: bool,
-    /// What is still to be asked, in order; the first is being asked.
+    /// Requests still to be sent, in order; the first is in progress.
     script: Vec<Ask>,
-    /// Requests under way: their number, when they were sent, and whether it was a heartbeat.
+    /// Requests in progress by number: when each was sent, and whether it is a heartbeat.
     asked: BTreeMap<u64, (u64, bool)>,
     next: u64,
     next_beat: u64,
-    /// How often it has asked, and sent heartbeats.
+    /// The number of requests and of heartbeats sent.
     rounds: [usize; 2],
     position: String,
     open: bool,
@@ -55,19 +55,19 @@
     over: Option<GraphStatus>,
 }
 
-/// All clients of a day.
+/// All task graph clients of a simulation.
 #[derive(Default)]
 pub struct Clients {
     clients: Vec<Client>,
     numbers: u64,
-    /// Nodes as they stand in the state service, by graph.
+    /// Nodes as stored in the state service, by graph.
     nodes: BTreeMap<GraphId, BTreeMap<NodeIx, (String, Vec<NodeIx>)>>,
     parts: BTreeMap<String, Part>,
-    /// Tasks whose being done is durable.
+    /// Tasks that are durably done.
     durable: BTreeSet<(String, u32)>,
-    /// Sessions that have ended, and when that became durable.
+    /// Ended sessions, and when their end became durable.
     ended: BTreeMap<String, u64>,
-    /// Sessions of graphs, for those that end with them.
+    /// The session of each graph that ends with its session.
     owned: BTreeMap<GraphId, String>,
     pub broken: Vec<String>,
     pub done: usize,
@@ -89,7 +89,7 @@
 }
 
 impl Clients {
-    /// Adds clients, each with a graph of its own; `failing`: some nodes always fail.
+    /// Adds clients, each with a graph of its own; with `failing`, some nodes always fail.
     pub fn add(&mut self, seed: u64, number: usize, calm_from: u64, failing: bool) {
         let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x6772);
         for n in 0..number {
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Adds one client with this graph, who stays to its end.
+    /// Adds one client with this graph, which follows it to its end.
     pub fn add_one(&mut self, class: &str, add: AddNodes) -> GraphId {
         let (session, key) = ("s-1".to_owned(), add.key.clone());
         let graph = GraphId::parse("graph-1").expect("an id");
@@ -187,7 +187,7 @@
         graph
     }
 
-    /// Each job of graphs with those that made its inputs.
+    /// Each job of a graph with the jobs that produce its inputs.
     pub fn inputs(&self) -> BTreeMap<String, BTreeSet<String>> {
         let maker = |graph: GraphId, at: NodeIx| {
             let mut jobs = self.parts.keys();
@@ -205,12 +205,12 @@
         self.parts.keys().map(|job| (job.clone(), inputs(job))).collect()
     }
 
-    /// All clients are gone at this moment and for ever.
+    /// All clients stop sending at this time.
     pub fn vanish(&mut self, at: u64) {
         self.clients.iter_mut().for_each(|client| client.temper = Temper::Vanishes(at));
     }
 
-    /// Requests that are to be sent now: client, number, node, and what is asked.
+    /// Requests to be sent now: client, number, node and content.
     pub fn step(&mut self, now: u64) -> Vec<(usize, u64, usize, Ask)> {
         if self.clients.is_empty() {
             return Vec::new();
@@ -224,7 +224,7 @@
             let mut ask = |client: &mut Client, beat: bool, ask: Ask| {
                 self.numbers += 1;
                 client.asked.insert(self.numbers, (now, beat));
-                // One controller after the other: two of three may stand still for longer than a session lives.
+                // Rotates over the controllers, since two of three may be frozen for longer than a session's lease.
                 client.rounds[usize::from(beat)] += 1;
                 asks.push((at, self.numbers, client.rounds[usize::from(beat)] % 3, ask));
             };
@@ -268,7 +268,7 @@
         asks
     }
 
-    /// A request was answered.
+    /// Handles the response to a request.
     pub fn answered(&mut self, now: u64, client: usize, number: u64, reply: &HttpReply) {
         let Some(client) = self.clients.get_mut(client) else { return };
         if matches!(client.temper, Temper::Vanishes(t) if now >= t) {
@@ -281,14 +281,14 @@
             200 | 201 if beat => client.next_beat = now + 5_000,
             200 | 201 => {}
             429 | 503 | 599 => return,
-            // The answer to its closing may have been lost.
+            // The response to the close request may have been lost.
             404 if beat && (!client.open || client.over.is_some()) => {
                 client.open = false;
                 return;
             }
             409 if client.over.is_some() => {}
             status => {
-                // It may have ended by the client's own doing, or for a failed node, before all was added.
+                // The graph may have ended, cancelled by the client or because of a failed node, before all nodes were added.
                 let ending = reply.body.contains("ending") || reply.body.contains("over");
                 if !ending {
                     fail(format!("{}: refused {status} {}", client.graph, reply.body));
@@ -319,7 +319,7 @@
                 fail(format!("{}: was {:?}, is {:?}", client.graph, client.over, view.status));
             }
             if view.status.is_final() {
-                // All pages of the end are looked at before it is left.
+                // All pages of the final state are read before the graph counts as finished.
                 if !view.more && client.over.is_none() && client.script.is_empty() {
                     client.over = Some(view.status);
                     self.done += usize::from(view.status == GraphStatus::Done);
@@ -344,8 +344,8 @@
         }
     }
 
-    /// A transaction was applied: what of it is of graphs. Workers ask controllers what a graph's job is; here they
-    /// know it from its record.
+    /// Evaluates the graph records of a committed transaction. Workers ask controllers for the description of a graph's job;
+    /// in the simulation they get it from its record.
     pub fn wrote(&mut self, now: u64, op: &StoreOp, reply: &StoreReply, region: &mut Region) {
         let (StoreOp::Txn(txn), StoreReply::Committed(_)) = (op, reply) else { return };
         for change in &txn.changes {
@@ -412,7 +412,7 @@
         Some((graph, self.parts.get(job)?.node(task)?))
     }
 
-    /// Whether a node is done, for all to see.
+    /// Whether a node is durably done.
     fn is_done(&self, graph: GraphId, at: NodeIx) -> bool {
         self.parts.iter().any(|(job, part)| {
             let (of, _) = GraphId::of_job(&oatloom_protocol::ids::JobId::new(job)).expect("a job");
@@ -423,7 +423,7 @@
         })
     }
 
-    /// What must hold at every moment.
+    /// Checks what must hold at every step.
     pub fn look(&mut self, now: u64, region: &mut Region) {
         if self.clients.is_empty() {
             return;
@@ -463,8 +463,8 @@
         }
     }
 
-    /// What must hold when the day is over and calm: everybody who stayed has an answer, nothing stayed of those who
-    /// went. `stored`: what stands under a prefix in the state service.
+    /// Checks what must hold after the recovery phase: every client that stayed knows the result, and nothing remains of those
+    /// that left. `stored` lists the keys under a prefix in the state service.
     pub fn end(&mut self, stored: &dyn Fn(&str) -> Vec<String>) {
         let mut fail = |text: String| self.broken.push(text);
         for client in &self.clients {
@@ -499,7 +499,7 @@
     }
 }
 
-/// A graph in some additions: layers of nodes, each of which needs some of those before.
+/// A graph in several additions: layers of nodes, each of which needs some of the earlier ones.
 fn additions(graph: GraphId, key: &str, failing: bool, rng: &mut ChaCha8Rng) -> Vec<Ask> {
     let mut names: Vec<String> = Vec::new();
     let count = rng.random_range(1..5);
--- a/tests/world/limits.rs
+++ b/tests/world/limits.rs
@@ -1,4 +1,4 @@
-//! Jobs that wait though they could run, worlds whose teams' limits bind, and what tests of them do to jobs and machines.
+//! Jobs that wait although they could run, settings with binding team limits, and helpers that change jobs and machines.
 
 use super::{SETTINGS, Site, User, World, settings};
 use oatloom_core::workers::Room;
@@ -8,21 +8,21 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
 
-/// A job that could run for so long without a break, with all troubles over, is neglected.
+/// A job that could run for this long without interruption, after all faults, counts as neglected.
 pub const NEGLECTED_MS: u64 = 90_000;
-/// Slack for sums of decimal amounts.
+/// Tolerance for sums of decimal amounts.
 const EPSILON: f64 = 1e-6;
 
-/// Since when each job could run and does not, without a break.
+/// Since when each waiting job could run without interruption.
 #[derive(Debug, Default)]
 pub struct Neglect {
     since: BTreeMap<String, u64>,
-    /// The longest that any has, in milliseconds.
+    /// The longest such wait, in milliseconds.
     pub longest: u64,
 }
 
 impl Neglect {
-    /// Notes which jobs could run at this moment; returns those that could for too long.
+    /// Records which jobs could run now; returns those that have waited for too long.
     pub fn look(&mut self, now: u64, could: BTreeSet<String>) -> Vec<String> {
         self.since.retain(|job, _| could.contains(job));
         let mut late = Vec::new();
@@ -30,7 +30,7 @@
             let waited = now - *self.since.entry(job.clone()).or_insert(now);
             self.longest = self.longest.max(waited);
             if waited > NEGLECTED_MS {
-                // Told once, and then counted anew.
+                // Each violation is reported once, and the wait is counted anew.
                 self.since.remove(&job);
                 late.push(job);
             }
@@ -39,7 +39,7 @@
     }
 }
 
-/// A machine with room, as its worker has it.
+/// A machine and its free resources according to its worker.
 pub struct Free {
     pub flavor: String,
     pub zone: String,
@@ -47,7 +47,7 @@
     pub room: Room,
 }
 
-/// How many further tasks of a job could be placed at once, with others of it in these zones.
+/// How many further tasks of a job could be placed at once, given its running tasks by zone.
 pub fn placeable(spec: &JobSpec, others: &BTreeMap<String, u32>, machines: &[Free]) -> u32 {
     let need = Room::from(spec);
     let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
@@ -73,7 +73,7 @@
     open.filter(|(zone, _)| !elsewhere(zone)).map(|(_, fit)| fit).max().unwrap_or(0)
 }
 
-/// A team's guarantee and limit, each in cores and GPUs; 0: none.
+/// A team's guarantee and limit, in cores and GPUs; 0 means none.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Terms {
     pub name: &'static str,
@@ -83,7 +83,7 @@
     pub gpus_max: f64,
 }
 
-/// The usual site with other teams.
+/// The default site with other teams.
 pub fn site(teams: &[Terms]) -> Site {
     let (head, rest) = SETTINGS.split_once("[[facts.teams]]").expect("settings with teams");
     let (_, tail) = rest.split_once("[[facts.objectives]]").expect("settings with objectives");
@@ -99,7 +99,7 @@
 }
 
 impl World {
-    /// Whether whoever leads can use a worker: it is up, hears and is heard, does not fail and is not to be taken.
+    /// Whether a leader can use a worker: it is up, reachable both ways, not faulty and not about to be reclaimed.
     fn usable(&self, worker: &Worker) -> bool {
         let now = self.now;
         now >= worker.up_at.max(worker.hung_until).max(worker.cut_until)
@@ -109,7 +109,7 @@
             && !(0..3).any(|node| self.apart(node, &worker.place.zone))
     }
 
-    /// Tasks that machines have, by the truth of their workers, and where: also those that wait for their image.
+    /// Tasks on machines according to their workers, including those that wait for their image.
     fn placed(&self) -> impl Iterator<Item = (&str, u32, &Worker)> {
         self.region.workers.values().flat_map(|worker| {
             let there = worker.tasks.iter().filter(|(_, t)| t.phase != TaskPhase::Exited);
@@ -117,8 +117,8 @@
         })
     }
 
-    /// Accepted jobs that wait though a machine that fits has room and their team is under its limit by enough: of arrays
-    /// and services for one task, of gangs for all. Those whose tasks fail by their own doing are apart: they wait longer
+    /// Accepted jobs that wait although a suitable machine has room and their team's limit leaves enough: for one task of an
+    /// array or service, for all tasks of a gang. Jobs whose tasks fail by themselves are left out, since they back off
     /// after each failure.
     pub fn could_run(&self) -> BTreeSet<String> {
         let specs = &self.region.outside.specs;
@@ -180,7 +180,7 @@
         self.users.iter().filter(could).map(|user| user.spec.id.to_string()).collect()
     }
 
-    /// Once all troubles are over, no job waits for long though it could run.
+    /// After all faults, no job waits for long if it could run.
     pub(super) fn look_for_neglected(&mut self) {
         if self.now < self.calm_from {
             return;
@@ -193,7 +193,7 @@
         }
     }
 
-    /// A machine of four GPUs that is up from the beginning.
+    /// Adds a machine of four GPUs that is up from the beginning.
     pub fn add_machine(&mut self, host: &str, zone: &str, spot: bool) {
         let times = Times { report: 3_000, lease: 26_000, gang_wait: 40_000, gang_peer: 4_000 };
         let place = Place { flavor: "g4".into(), zone: zone.into(), spot };
@@ -202,19 +202,19 @@
         self.region.workers.insert(host.into(), worker);
     }
 
-    /// All users who came have been told that their jobs are accepted.
+    /// Marks the jobs of all users as accepted.
     pub fn accept_all(&mut self) {
         self.users.iter_mut().for_each(|user| user.accepted = true);
     }
 
-    /// A job's user cancels it at that moment, or as soon as it is accepted.
+    /// A job's user cancels it at the given time, or as soon as it is accepted.
     pub fn cancel(&mut self, job: &str, at: u64) {
         if let Some(user) = self.users.iter_mut().find(|user| user.spec.id.as_str() == job) {
             (user.abort_at, user.next) = (Some(at), at);
         }
     }
 
-    /// Machines that have a task of the job, by the truth of their workers.
+    /// Machines that have a task of the job, according to their workers.
     pub fn machines_of(&self, job: &str) -> BTreeSet<String> {
         self.placed()
             .filter(|(id, ..)| *id == job)
@@ -222,7 +222,7 @@
             .collect()
     }
 
-    /// Jobs that have a task on a machine and whose users have not cancelled them, services apart.
+    /// Jobs other than services that have a task on a machine and were not cancelled by their users.
     pub fn on_machines(&self) -> Vec<JobSpec> {
         let on: BTreeSet<&str> =
             self.region.checker.on_machines().map(|task| task.job.as_str()).collect();
@@ -235,7 +235,7 @@
         wanted.map(|user| user.spec.clone()).collect()
     }
 
-    /// Accepted jobs, services apart, whose users have not cancelled them and do not know of their end.
+    /// Accepted jobs other than services that their users have not cancelled and do not know to be finished.
     pub fn open_jobs(&self) -> Vec<JobSpec> {
         let open = |user: &&User| {
             user.spec.shape != Shape::Service
@@ -246,13 +246,13 @@
         self.users.iter().filter(open).map(|user| user.spec.clone()).collect()
     }
 
-    /// How often the leader's key was written: once for each term.
+    /// The number of leader terms, counted by writes of the leader key.
     pub fn terms(&self) -> usize {
         let lead = |key: &Option<String>| key.as_deref() == Some("lead");
         self.state.history().iter().filter(|change| lead(&change.put)).count()
     }
 
-    /// Whether a job's user was told that it is cancelled.
+    /// Whether a job's user knows that it is cancelled.
     pub fn told_cancelled(&self, job: &str) -> bool {
         self.region.checker.over(job) == Some(JobStatus::Cancelled)
     }
--- a/tests/world/looks.rs
+++ b/tests/world/looks.rs
@@ -1,5 +1,5 @@
-//! Users who look closely: they ask every node, and submit again, within milliseconds of what they hear, call jobs off at
-//! the moment they are accepted or end, and send what cannot be accepted.
+//! Users who send further requests within milliseconds of each response: they query and resubmit at every node, cancel jobs
+//! the moment they are accepted or end, and send invalid requests.
 
 use super::{Fault, From, Message, World};
 use oatloom_core::api::{Request, Submission, parse};
@@ -9,14 +9,14 @@
 use rand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// When every node is asked after something was heard, in milliseconds.
+/// When every node is queried after a response, in milliseconds.
 const ASKED_AFTER_MS: [u64; 7] = [0, 1, 3, 8, 20, 60, 200];
-/// When the submission is repeated at every node: less often, since a follower asks the state service to find it known.
+/// When the job is resubmitted at every node: less often, since a follower asks the state service whether it knows the job.
 const SUBMITTED_AFTER_MS: [u64; 2] = [0, 15];
-/// A finer step than usual, so that what is milliseconds apart is told apart.
+/// A finer step than usual, so that events a few milliseconds apart fall into different steps.
 pub const FINE_STEP_MS: u64 = 5;
 
-/// A request of nobody's job, and its answer.
+/// A raw HTTP request that belongs to no user's job, and its response.
 #[derive(Debug)]
 pub struct Odd {
     pub node: usize,
@@ -24,33 +24,33 @@
     pub answer: Option<(u64, HttpReply)>,
 }
 
-/// What users do beyond their usual ways, and what came of it. Nothing by default.
+/// What users do beyond the default behaviour, and counts of what happened. Nothing by default.
 #[derive(Debug, Default)]
 pub struct Looks {
-    /// Whether they ask all nodes and submit again as soon as they hear of something new.
+    /// Whether they query all nodes and resubmit as soon as the state of their job changes.
     pub close: bool,
-    /// The share of users who call their job off at the moment they hear that it is accepted.
+    /// The share of users who cancel their job the moment they learn that it is accepted.
     pub abort_at_once: f64,
-    /// The share of those who do so when its last task ends, up to so many milliseconds later.
+    /// The share of users who cancel when the job's last task ends, up to this many milliseconds later.
     pub abort_at_end: (f64, u64),
-    /// What strikes when the last task of every so many-th job ends, up to as much later.
+    /// The fault injected when the last task of every n-th job ends, up to the same delay later.
     pub strike_at_end: Option<(usize, Fault)>,
-    /// Jobs that were heard to be accepted, to be done, and to be cancelled, and were then looked at.
+    /// Jobs whose users learned that they are accepted, done or cancelled and then sent further requests.
     pub accepted: u32,
     pub done: u32,
     pub cancelled: u32,
-    /// Close questions that were sent.
+    /// Further requests that were sent.
     pub sent: u32,
-    /// Jobs that were called off when their last task ended.
+    /// Jobs that were cancelled when their last task ended.
     pub called_off: BTreeSet<String>,
-    /// Jobs of which some start command has left.
+    /// Jobs for which a start order has left a controller.
     pub started: BTreeSet<String>,
     pub odd: Vec<Odd>,
     heard: BTreeMap<String, JobStatus>,
     ended: BTreeSet<String>,
 }
 
-/// One close request for a job.
+/// A further request for a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Look {
     View,
@@ -61,7 +61,7 @@
 }
 
 impl World {
-    /// A user asks a node something about its job, so much later.
+    /// A job's user sends a node a request after the given delay.
     pub fn look(&mut self, job: &str, node: usize, look: Look, after: u64) {
         let Some(user) = self.users.iter_mut().find(|u| u.spec.id.as_str() == job) else { return };
         let id = user.spec.id.clone();
@@ -85,7 +85,7 @@
         self.send(delay, Message::Request { node, from, request, forwarded: false });
     }
 
-    /// Every node is asked, again and again.
+    /// Queries every node repeatedly.
     fn look_everywhere(&mut self, job: &str) {
         for node in 0..3 {
             for after in ASKED_AFTER_MS {
@@ -97,7 +97,7 @@
         }
     }
 
-    /// A user has heard of its job.
+    /// A user has received the status of its job.
     pub(super) fn heard(&mut self, job: &str, body: &str) {
         if !self.looks.close {
             return;
@@ -115,7 +115,7 @@
             _ => self.looks.accepted += 1,
         }
         if !said.is_final() && self.rng.random_bool(self.looks.abort_at_once) {
-            // At one node or all of them, and at each before or after it is asked.
+            // Sent to some or all nodes, each before or after the queries.
             for node in 0..3 {
                 if self.rng.random_bool(0.6) {
                     let after = self.rng.random_range(0..30);
@@ -126,7 +126,7 @@
         self.look_everywhere(job);
     }
 
-    /// Jobs whose last task has just ended on its machine.
+    /// Handles jobs whose last task has just ended on its machine.
     pub(super) fn step_looks(&mut self) {
         let (share, within) = self.looks.abort_at_end;
         if share <= 0.0 {
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Orders that leave a controller, whatever becomes of them on their way.
+    /// Records orders that leave a controller, even if they are lost on the way.
     pub(super) fn note_orders(&mut self, from: &From, reply: &HttpReply) {
         if reply.status == 200
             && matches!(from, From::Worker { .. } | From::Peer { .. })
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Somebody sends a node what is nobody's job; what a controller never sees of it is answered at once.
+    /// Sends a raw HTTP request to a node; one that fails to parse is answered at once without the controller.
     pub fn send_odd(&mut self, node: usize, method: &str, path: &str, body: &str) {
         let number = self.looks.odd.len();
         let what = format!("{method} {path} {body}");
@@ -201,14 +201,14 @@
         })
     }
 
-    /// Lets time pass in fine steps up to a moment, or to a broken rule.
+    /// Runs in fine steps to the given time, or to the first broken rule.
     pub fn play_finely_to(&mut self, until: u64) {
         self.step_ms = FINE_STEP_MS;
         self.play_to(until);
         self.step_ms = super::STEP_MS;
     }
 
-    /// Whether its user has heard that a job is accepted.
+    /// Whether a job's user knows that it is accepted.
     pub fn is_accepted(&self, job: &str) -> bool {
         self.users.iter().any(|u| u.accepted && u.spec.id.as_str() == job)
     }
@@ -218,12 +218,12 @@
         self.region.checker.on_machines().any(|on| on.job == job)
     }
 
-    /// A job's text as its user sends it.
+    /// The JSON of a job as its user sends it.
     pub fn text_of(spec: &JobSpec) -> serde_json::Value {
         serde_json::to_value(spec).expect("a description is JSON")
     }
 
-    /// How a job was last heard to have ended, and how long after its user came.
+    /// The final status of a job known to its user, and the time since that user arrived.
     pub fn ended_after(&self, job: &JobId) -> Option<(JobStatus, u64)> {
         let at = self.users.iter().find(|u| u.spec.id == *job)?.at;
         let checker = &self.region.checker;
--- a/tests/world/machines.rs
+++ b/tests/world/machines.rs
@@ -1,5 +1,5 @@
-//! Troubles of machines' reports: copies of old ones that come to the next leader, machines that reach no controller, zones
-//! that are cut off; and what a leader's book has to hold whatever comes.
+//! Faults that concern the reports of machines: duplicates of old ones delivered to the next leader, machines that reach no
+//! controller, isolated zones; and the invariants of a leader's job table under them.
 
 use super::*;
 use oatloom_core::reign::{Reign, Stage};
@@ -7,16 +7,16 @@
 use oatloom_protocol::wire::{Order, TaskPhase};
 use rand::seq::SliceRandom;
 
-/// When copies that were kept for the next leader are given to every controller.
+/// When the reports saved for the next leader are delivered to every controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Given {
-    /// The moment it may give orders, before it has read its book.
+    /// When it may issue orders, before it has loaded its job table.
     AsItBegins,
-    /// Once a worker has obeyed it, over the next three seconds.
+    /// Once a worker has acknowledged its token, spread over three seconds.
     OnceItActed,
 }
 
-/// Copies kept at most; of more a drawn one makes way, so that they are of all ages.
+/// Capacity for saved reports; further ones replace random ones, so that reports of all ages remain.
 const KEPT_MOST: usize = 250;
 
 struct Keep {
@@ -24,23 +24,23 @@
     share: f64,
     given: Given,
     kept: Vec<Report>,
-    /// The leader for whom copies were last given.
+    /// The token of the leader to which reports were last delivered.
     last: Option<Token>,
 }
 
-/// What came about, so that a test can tell that its meeting did.
+/// Counts of what happened, so that a test can check that it covered its case.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Met {
-    /// Copies given, and those given to a leader that had no report of their machine yet.
+    /// Reports delivered, and those delivered before the leader had any report of their machine.
     pub given: usize,
     pub first: usize,
-    /// Those of an earlier session of their worker, and with an attempt that is not on the machine any more.
+    /// Those of an earlier session of their worker, and those with an attempt that is no longer on the machine.
     pub older_session: usize,
     pub older_attempt: usize,
-    /// Reports of machines that could not be sent.
+    /// Reports that machines could not send.
     pub refused: usize,
-    /// Direct commands that came late: to a worker that has heard a later leader, and to one that has not although there is
-    /// one; the stops of the latter for tasks that are on the machine.
+    /// Direct commands that arrived late: at a worker that has acknowledged a later leader, and at one that has not although
+    /// there is one; and the stop orders of the latter for tasks on the machine.
     pub outranked: usize,
     pub deposed: usize,
     pub stopped: usize,
@@ -51,21 +51,21 @@
     keep: Option<Keep>,
     mute: BTreeMap<String, u64>,
     pub met: Met,
-    /// When each mute machine was sent a direct command.
+    /// When direct commands arrived at each silent machine.
     pub told: BTreeMap<String, Vec<u64>>,
-    /// The latest message of each machine that a leader had taken up, with that leader's token.
+    /// Token, session and number of the latest report of each machine that a leader had processed.
     sorted: BTreeMap<HostId, (Token, Shift, u64)>,
 }
 
 impl World {
-    /// From now on copies of a share of the reports are kept for the next leader.
+    /// From now on saves copies of a share of the reports for the next leader.
     pub fn keep_reports(&mut self, share: f64, given: Given) {
         let rng = ChaCha8Rng::seed_from_u64(self.now ^ 0x6d61_6368);
         let last = self.leads().and_then(|n| self.reign_of(n)).map(|r| r.token);
         self.machines.keep = Some(Keep { rng, share, given, kept: Vec::new(), last });
     }
 
-    /// Machines that hold a task and are up reach no controller for so long, every so many-th of them; how many.
+    /// Every n-th of the busy machines that are up reaches no controller for this long; returns how many.
     pub fn mute(&mut self, span: u64, every: usize) -> usize {
         let (now, until) = (self.now, self.now + span);
         let up = self.region.workers.iter().filter(|(_, w)| now >= w.up_at && !w.tasks.is_empty());
@@ -79,7 +79,7 @@
         self.machines.mute.get(host).is_some_and(|until| self.now < *until)
     }
 
-    /// A zone's machines and its controller reach nothing outside it; users and cloud still reach the controller.
+    /// A zone's machines and its controller reach nothing outside it; users and the cloud still reach the controller.
     pub fn cut_zone(&mut self, zone: usize, span: u64) {
         self.nodes[zone].parted_until = self.now + span;
         for node in 0..3 {
@@ -92,12 +92,12 @@
         self.nodes[node].core.as_ref()?.reign()
     }
 
-    /// The reign of the node that may give orders, once it has read its book.
+    /// The leader term of the node that may issue orders, once it has loaded its job table.
     pub fn ruling(&self) -> Option<&Reign> {
         self.reign_of(self.leads()?).filter(|reign| reign.stage == Stage::Ruling)
     }
 
-    /// A report is about to leave its machine: whether it cannot, and whether a copy of it is kept.
+    /// A report is about to leave its machine: may save a copy, and returns whether it cannot be sent.
     pub(super) fn before_report(&mut self, host: &str, report: &Report) -> bool {
         if let Some(keep) = &mut self.machines.keep
             && keep.rng.random_bool(keep.share)
@@ -113,14 +113,14 @@
         mute
     }
 
-    /// A direct command comes to a machine, in time if its answer is waited for.
+    /// A direct command arrives at a machine, in time if its sender still waits for the response.
     pub(super) fn note_command(&mut self, host: &str, in_time: bool) {
         if in_time && self.is_mute(host) {
             self.machines.told.entry(host.to_owned()).or_default().push(self.now);
         }
     }
 
-    /// A direct command that nobody waits for any more comes to a machine.
+    /// A direct command whose sender no longer waits arrives at a machine.
     pub(super) fn note_late_command(&mut self, host: &str, command: &Command) {
         let leader = self.leads().and_then(|n| self.reign_of(n)).map(|reign| reign.token);
         let Some(worker) = self.region.workers.get(host) else { return };
@@ -143,8 +143,8 @@
         }
     }
 
-    /// Gives kept copies to every controller when a new leader begins, or has acted: as they are, twice to those that do not
-    /// lead, so that they pass them on, and once as if another controller had.
+    /// Delivers saved reports to every controller when a new leader begins or has acted: unchanged, twice to nodes that do
+    /// not lead so that they forward them, and once as if forwarded by another controller.
     pub(super) fn give_reports(&mut self) {
         let Some(node) = self.leads() else { return };
         let Some(token) = self.reign_of(node).map(|reign| reign.token) else { return };
@@ -168,7 +168,7 @@
                 }
             }
         }
-        // Some come to the leader after next as well.
+        // Some are also delivered to the next leader after this one.
         keep.kept.truncate(KEPT_MOST / 4);
         self.machines.keep = Some(keep);
     }
@@ -193,8 +193,8 @@
         met.older_attempt += usize::from(older_attempt);
     }
 
-    /// What must hold whatever reports come: the book of the leader holds every task that is on a machine, where it is, and a
-    /// leader never goes back to an older message of a machine. Any rule about where tasks may start rests on it.
+    /// Invariants under any reports: the leader's job table holds every task that is on a machine, with its place, and a leader
+    /// never goes back to an older report of a machine. All rules about where tasks may start depend on them.
     pub fn look_at_book(&mut self) {
         let Some(reign) = self.leads().and_then(|n| self.reign_of(n)) else { return };
         if reign.stage != Stage::Ruling {
@@ -233,7 +233,7 @@
         }
     }
 
-    /// Tasks on machines whose user was told at least so long ago that their job is cancelled.
+    /// Tasks that are on machines this long or longer after their user learned that the job is cancelled.
     pub fn lingering(&self, for_ms: u64) -> Vec<String> {
         let checker = &self.region.checker;
         let late = |job: &str| {
@@ -243,7 +243,7 @@
         checker.on_machines().filter(|on| late(&on.job)).map(|on| format!("{on:?}")).collect()
     }
 
-    /// Assignments in the leader's book that are not durable yet, to machines that have been up for less than so long.
+    /// Assignments in the leader's job table that are not durable yet, to machines that have been up for less than this long.
     pub fn hasty_assignments(&self, up_for_ms: u64) -> usize {
         let Some(reign) = self.ruling() else { return 0 };
         let new = |host: &HostId| {
@@ -254,7 +254,7 @@
         jobs.flat_map(|j| j.holds().filter(|(i, h)| !j.durable(*i) && new(&h.host))).count()
     }
 
-    /// Every so many-th machine that holds a task is cut off for so long, alone; how many.
+    /// Every n-th machine that holds a task is partitioned for this long; returns how many.
     pub fn cut_machines(&mut self, span: u64, every: usize) -> usize {
         let now = self.now;
         let busy = self.region.workers.values_mut().filter(|w| now >= w.up_at);
@@ -262,7 +262,7 @@
         busy.map(|worker| worker.cut_until = now + span).count()
     }
 
-    /// Lets time pass up to a moment, or to a broken rule; the book is looked at after every step.
+    /// Runs to the given time, or to the first broken rule, and checks the job table after every step.
     pub fn watch_to(&mut self, until: u64) {
         while self.before(until) {
             self.step();
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -1,5 +1,5 @@
-//! A deterministic world around several controllers: state service, cloud, machines and users as the
-//! protocol describes them, with delays, losses, late deliveries and failures, all from one seed.
+//! A deterministic simulation around several controllers: state service, cloud, machines and users behave as the
+//! protocol describes, with delays, losses, late deliveries and failures, all drawn from one seed.
 
 pub mod graphs;
 pub mod limits;
@@ -40,12 +40,12 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 pub const STEP_MS: u64 = 50;
-/// How long users wait for an answer (protocol).
+/// How long users wait for a response (protocol).
 const SUBMIT_PATIENCE_MS: u64 = 5_000;
 const POLL_PATIENCE_MS: u64 = 2_000;
-/// A job about which no question is answered for so long, with all troubles over, counts as forgotten.
+/// An accepted job whose user gets no successful response for this long, after all faults, counts as forgotten.
 const FORGOTTEN_MS: u64 = 75_000;
-/// Most GPUs of each team, as the settings below have it; 0: none.
+/// GPU limit of each team in the settings below; 0 means no limit.
 const LIMITS: [(&str, f64); 2] = [("red", 14.0), ("blue", 0.0)];
 const ZONES: [&str; 3] = ["a", "b", "c"];
 
@@ -90,7 +90,7 @@
 sockets = 1000
 "#;
 
-/// A task by its number, an attempt, and a machine.
+/// Task index, attempt and machine.
 pub type Placed = (u32, u64, HostId);
 
 #[derive(Clone, Debug)]
@@ -111,13 +111,13 @@
         life: u64,
         ask: u64,
     },
-    /// A copy of a report: nobody hears its answer.
+    /// A duplicate of a report, whose response is dropped.
     Copy,
-    /// A client of graphs, and the number of its request.
+    /// A task graph client and the number of its request.
     Client(usize, u64),
-    /// A load balancer's probe.
+    /// A health probe of the load balancer.
     Probe,
-    /// Somebody with an odd request, by its number.
+    /// A raw HTTP request that belongs to no user's job, by its number.
     Odd(usize),
 }
 
@@ -152,7 +152,7 @@
         from: From,
         reply: HttpReply,
     },
-    /// A direct command on its way, and whether its answer will be waited for.
+    /// A direct command in transit, and whether its sender still waits for the response.
     Command {
         node: usize,
         life: u64,
@@ -167,12 +167,12 @@
     Crash(usize),
     CrashAll,
     StoreOutage(u64),
-    /// One node alone is refused by the state service.
+    /// The state service refuses all requests of one node.
     Refused(usize, u64),
     MachineDies,
-    /// Every second machine of those that are up.
+    /// Terminates every second machine that is up.
     HalfDie,
-    /// The cloud has half as many machines for so long.
+    /// Halves the cloud's capacity for this long.
     Scarce(u64),
     MachineHangs(u64),
     MachineCut(u64),
@@ -180,50 +180,50 @@
     Apart(usize, usize, u64),
     SpotTaken,
     NodeFrozen(usize, u64),
-    /// The node that leads stands still in the midst of what it does: what it had decided leaves when it goes on.
+    /// The leader is paused while it handles an event: the actions it decided on leave when it resumes.
     LeaderAsleep(u64),
-    /// A node is away, or its whole network is, for so long.
+    /// A node is stopped, or its whole network is partitioned, for this long.
     NodeDown(usize, u64),
     NodeCut(usize, u64),
-    /// Users ask this many times as often.
+    /// Users poll this many times as often.
     PollStorm(u64, u32),
-    /// Machines hired meanwhile boot this many thousandths as slow, and this share of a thousand never does.
+    /// Machines hired meanwhile boot slower by this factor in thousandths; this many of a thousand never boot.
     Boots(u64, u32, u32),
     FaultyMachine,
-    /// The cloud refuses everything.
+    /// The cloud refuses every request.
     CloudOutage(u64),
-    /// The cloud carries out half of what is asked so much later, and its answers are lost.
+    /// The cloud executes half of the requests this much later and sends no response to them.
     CloudLate(u64, u64),
-    /// What the state service executes is not answered.
+    /// The state service executes requests, but its responses are lost.
     StoreLoses(u64),
-    /// What is under way to the state service is executed or not, and in no case answered.
+    /// Each request in transit to the state service is executed or not, and no response is sent.
     StoreRestart,
-    /// This share of a thousand transactions gets no answer and is carried out 2 to 12 s later.
+    /// This many of a thousand transactions get no response and are executed 2 to 12 s later.
     LateWrites(u64, u32),
-    /// This share of a thousand transactions is carried out at once and gets no answer; reads are not concerned.
+    /// This many of a thousand transactions are executed at once and get no response; reads are not affected.
     AnswersLost(u64, u32),
-    /// Of this share of a thousand reports a copy comes again, 2 s to more than twice a lease later.
+    /// This many of a thousand reports are delivered a second time, 2 s to more than twice a lease later.
     LateReports(u64, u32),
-    /// This share of a thousand direct commands is held up, unanswered, and carried out 2 to 16 s later, if the worker still
-    /// takes it.
+    /// This many of a thousand direct commands are delayed, unanswered, and executed 2 to 16 s later if the worker still
+    /// accepts them.
     LateCommands(u64, u32),
-    /// Every so many-th machine that is up: its reports arrive, answers and direct commands to it are lost.
+    /// Every n-th machine that is up: its reports arrive, but responses and direct commands to it are lost.
     MachinesDeaf(u64, u32),
-    /// A node loses the state service and the other nodes, not its workers or users.
+    /// A node loses the state service and the other nodes, but not its workers or users.
     NodeParted(usize, u64),
-    /// Two nodes cannot reach each other, nobody else being concerned.
+    /// Two nodes cannot reach each other; all other links work.
     PeersApart(usize, usize, u64),
-    /// The state service takes so many times as long.
+    /// The state service takes this many times as long.
     StoreSlow(u64, u32),
-    /// The state service has the limits that the settings announce, from now on.
+    /// The state service enforces the lower limits that the settings announce, from now on.
     LimitsFall,
-    /// A node is killed, and comes back with the new version so much later.
+    /// A node is killed and restarts with the new version this much later.
     Upgrade(usize, u64),
-    /// What else strikes, strikes the node that leads at that moment.
+    /// The given fault hits the node that leads at that moment.
     Leader(Upon),
 }
 
-/// What may strike the node that leads.
+/// Faults that can hit the leader.
 #[derive(Clone, Copy, Debug)]
 pub enum Upon {
     Crash,
@@ -235,13 +235,13 @@
 
 struct Node {
     core: Option<Controller>,
-    /// Which version it comes back with when it is started next.
+    /// The version it runs when it is started next.
     version: upgrades::Version,
     life: u64,
     started: u64,
     drift: f64,
     frozen_until: u64,
-    /// What it decides at this moment leaves only when it goes on.
+    /// Actions decided at this moment leave the node only when it resumes.
     asleep_from: Option<u64>,
     cut_until: u64,
     parted_until: u64,
@@ -265,16 +265,16 @@
     give_up: u64,
     next: u64,
     accepted: bool,
-    /// How long after its first try it was accepted, in milliseconds.
+    /// Time from its first submission until the job was accepted, in milliseconds.
     accepted_after: Option<u64>,
     abort_at: Option<u64>,
     aborted: bool,
-    /// What it waits for before it submits a job that needs others.
+    /// What the user waits for before it submits a job with dependencies.
     submits: pipelines::Submits,
-    /// Questions, and those that were answered in time.
+    /// Requests sent, and those that were answered in time.
     asked: u32,
     answered: u32,
-    /// When a question was last answered in time.
+    /// When a request was last answered in time.
     answered_at: u64,
 }
 
@@ -300,7 +300,7 @@
 }
 
 pub struct World {
-    /// Of every action of every controller, in order.
+    /// Hash of all actions of all controllers, in order.
     pub digest: u64,
     pub now: u64,
     rng: ChaCha8Rng,
@@ -309,67 +309,67 @@
     state: State,
     outage_until: u64,
     cloud_outage_until: u64,
-    /// Until when the cloud is late, and by how much.
+    /// Until when the cloud executes requests late, and by how much.
     cloud_late: (u64, u64),
     store_loses_until: u64,
-    /// Until when the state service is slow, and how many times as slow.
+    /// Until when the state service is slow, and by which factor.
     store_slow: (u64, u32),
-    /// Until when this share of a thousand transactions is carried out late, or of reports copied.
+    /// Until when this many of a thousand transactions are executed late, or reports duplicated.
     late_writes: (u64, u32),
     late_reports: (u64, u32),
-    /// Until when this share of a thousand direct commands is held up.
+    /// Until when this many of a thousand direct commands are delayed.
     late_commands: (u64, u32),
-    /// Until when the answers of this share of a thousand transactions are lost.
+    /// Until when the responses to this many of a thousand transactions are lost.
     answers_lost: (u64, u32),
-    /// How long a step is, in milliseconds: a divisor of [`STEP_MS`].
+    /// Length of a step in milliseconds, a divisor of [`STEP_MS`].
     pub step_ms: u64,
-    /// Users who look closely.
+    /// Users who send extra requests within milliseconds of a response.
     pub looks: Looks,
     /// Which two nodes cannot reach each other, and until when.
     peers_apart: (usize, usize, u64),
-    /// Until when machines hear nothing.
+    /// Until when messages to these machines are lost.
     deaf: BTreeMap<String, u64>,
-    /// Until when users ask so many times as often.
+    /// Until when users poll this many times as often.
     storm: (u64, u32),
     boots_until: u64,
     scarce_until: u64,
-    /// Whether two nodes ever took themselves for the leader at once, which no order may rest on.
+    /// When two nodes first considered themselves the leader at the same time, which must never happen.
     pub two_leaders: Option<u64>,
-    /// The most starts of one reign that its plans had and that may not be.
+    /// The most invalid task starts that the plans of one leader term contained.
     pub wrong_plans: u32,
-    /// Whether what a cut holds back may come while it lasts; else it never does.
+    /// Whether messages held back by a partition may be delivered after it; otherwise they are lost.
     pub leaky: bool,
-    /// Whether the load balancer probes each node once a second, and what it was told: when, which node, the status.
+    /// Whether the load balancer probes each node once a second, and the results: time, node, status.
     pub probing: bool,
     pub probes: Vec<(u64, usize, u16)>,
-    /// How long a node that crashed is away.
+    /// How long a crashed node stays down.
     pub restart_ms: u64,
-    /// What the controllers' operators have set.
+    /// The operators' settings of the controllers.
     pub operators: Operators,
-    /// What controllers have accounted, in order, with their number and which of their lives it was.
+    /// Usage accounting entries of the controllers, in order, each with its node and that node's incarnation.
     pub entries: Vec<(usize, u64, Entry)>,
-    /// Whether the state service has its lower limits, and what it refused for its size: by node, its life, and changes.
+    /// Whether the state service enforces its lower limits, and writes refused for size: node, incarnation and digest.
     pub limits_lowered: bool,
     refused_writes: BTreeSet<(usize, u64, u64)>,
-    /// Jobs that needed others and were seen to be released.
+    /// Jobs with dependencies that were seen to be released.
     released: BTreeSet<JobId>,
     site: Site,
-    /// Requests and changes that the state service was asked for, by second.
+    /// Requests and changes sent to the state service, by second.
     pub spent: BTreeMap<u64, (u32, u32)>,
-    /// The node to which the load balancer sends all users, if it has no other.
+    /// The node to which the load balancer sends all requests; any node if none is set.
     pub door: Option<usize>,
-    /// Whether users stop asking once they know how their job ended.
+    /// Whether users stop polling once they know the final state of their job.
     pub quiet: bool,
     nodes: Vec<Node>,
     watches: Vec<Watch>,
     pub region: Region,
-    /// Jobs that wait though they could run.
+    /// Jobs that wait although they could run.
     pub neglect: Neglect,
-    /// Until when every message takes a time between these, in milliseconds.
+    /// Until when message delays are drawn from this range, in milliseconds.
     pub slow_links: (u64, u64, u64),
-    /// Clients of task graphs, and what must hold for them.
+    /// Task graph clients and the invariants checked for them.
     pub clients: Clients,
-    /// Troubles of machines' reports.
+    /// Faults that concern the reports of machines.
     pub machines: machines::Machines,
     users: Vec<User>,
     faults: Vec<(u64, Fault)>,
@@ -377,13 +377,13 @@
     pub calm_from: u64,
 }
 
-/// Shows what controllers say, as far as `LOG_LEVEL` asks for it.
+/// Prints the controllers' log as far as `LOG_LEVEL` asks for it.
 pub fn show_log() {
     let level = std::env::var("LOG_LEVEL").unwrap_or_default();
     let _ = env_logger::Builder::new().parse_filters(&level).is_test(true).try_init();
 }
 
-/// No rule is broken, two never led at once, and no plan had a start that may not be.
+/// Asserts that no rule is broken, two nodes never led at once and no plan contained an invalid start.
 pub fn check(world: &World, what: &str) {
     let broken = &world.region.checker.broken;
     assert!(broken.is_empty(), "{what}: rules are broken: {broken:#?}");
@@ -391,14 +391,14 @@
     assert_eq!(world.wrong_plans, 0, "{what}: a plan was wrong");
 }
 
-/// The same, and every accepted job's user has heard of its end.
+/// The same, and every accepted job's user knows its final state.
 pub fn finished(world: &World, what: &str) {
     check(world, what);
     let unfinished = world.unfinished();
     assert!(unfinished.is_empty(), "{what} leaves undone: {unfinished:#?}");
 }
 
-/// How many days are to be played beyond the fixed ones, as `OATLOOM_SEEDS` has it.
+/// The number of further seeds to run beyond the fixed ones, from `OATLOOM_SEEDS`.
 pub fn more_days() -> u64 {
     let Ok(seeds) = std::env::var("OATLOOM_SEEDS") else { return 0 };
     seeds
@@ -419,14 +419,14 @@
     settings
 }
 
-/// What is deployed: the platform's settings, and machines of each zone and kind that the cloud has.
+/// What is deployed: the platform's settings, and the cloud's machines per zone and type.
 #[derive(Clone, Debug)]
 pub struct Site {
     pub settings: String,
     pub capacity: u32,
     /// Sizes of its machine types, in GPUs.
     pub sizes: Vec<u8>,
-    /// How often machines do something, in milliseconds.
+    /// Interval between two steps of the workers, in milliseconds.
     pub machines_step_ms: u64,
 }
 
@@ -461,9 +461,9 @@
         boot_ms: (1_000, 12_000),
         never_boots: 0.05,
         late_boots: 0.05,
-        // Between one and two lags old, and so sometimes older than the one before.
+        // One to two times the configured list lag, so that a list may be older than the one before.
         list_age_ms: (2_000, 8_000),
-        // Small pages, so that many are needed.
+        // Small pages, so that a list needs many.
         page: site.capacity as usize,
         fetch_ms: Some((300, 4_000)),
         prices_move: false,
@@ -479,7 +479,7 @@
     Region::new(terms, (&settings.facts.workers).into(), checker, seed)
 }
 
-/// An array of two small tasks that take so many seconds.
+/// An array of two small tasks with this expected duration in seconds.
 pub fn small_array(id: &str, expect_s: u32) -> JobSpec {
     let text = format!(
         r#"{{"nameId":"{id}","jobclass":"slow","owner":"blue","shape":"sweep","rank":"low","shards":2,"cpus":1,"gpus":1,
@@ -490,7 +490,7 @@
 }
 
 impl World {
-    /// Controllers, a state service, a cloud, and no user.
+    /// Controllers, a state service and a cloud, without users.
     pub fn deployed(site: Site, rng: &mut ChaCha8Rng, calm_from: u64) -> Self {
         let mut world = Self {
             digest: 0,
@@ -593,8 +593,8 @@
         world
     }
 
-    /// A day with these troubles, at set times, and further users of `shape` only if one is given. Calm returns
-    /// when the last trouble is over.
+    /// A simulation with the given faults, and further users with jobs of `shape` if one is given. The recovery phase
+    /// begins at `calm_from`, when the last fault is over.
     pub fn scripted(
         seed: u64,
         faults: Vec<(u64, Fault)>,
@@ -619,41 +619,41 @@
         world
     }
 
-    /// Further troubles, at set times.
+    /// Adds faults at the given times.
     pub fn trouble(&mut self, faults: impl IntoIterator<Item = (u64, Fault)>) {
         self.faults.extend(faults);
         self.faults.sort_by_key(|(at, _)| *at);
     }
 
-    /// No user ever comes but those that are added.
+    /// Removes all users that were added so far.
     pub fn alone(&mut self) {
         self.users.clear();
     }
 
-    /// A user with this job comes now.
+    /// Adds a user who submits this job now.
     pub fn add_job(&mut self, spec: JobSpec) {
         self.add_job_at(spec, self.now);
     }
 
-    /// A user with this job comes then.
+    /// Adds a user who submits this job at the given time.
     pub fn add_job_at(&mut self, spec: JobSpec, at: u64) {
         self.region.outside.specs.insert(spec.id.to_string(), spec.clone());
         self.users.push(User::new(spec, at, None));
     }
 
-    /// The last one that was added cancels the job then.
+    /// The user added last cancels its job at the given time.
     pub fn cancel_last(&mut self, at: u64) {
         if let Some(user) = self.users.last_mut() {
             user.abort_at = Some(at);
         }
     }
 
-    /// A user who never comes.
+    /// Removes the user of a job.
     pub fn drop_user(&mut self, job: &str) {
         self.users.retain(|user| user.spec.id.as_str() != job);
     }
 
-    /// Limits how often tasks of classes may fail; `text`: as operators write it.
+    /// Applies operators' settings, which limit how often tasks of a class may fail; `text` is their TOML.
     pub fn limit(&mut self, text: &str) {
         self.operators = oatloom::settings::operators(text).expect("sound settings");
         let classes = &self.operators.classes;
@@ -703,7 +703,7 @@
             deadline_s: rng.random_bool(0.3).then_some(60.0),
             dependencies: Vec::new(),
         };
-        // A zone that is the only one, and a spread over several, cannot both be had.
+        // A job cannot both be bound to one zone and be spread over several.
         let spec = JobSpec { spread: spec.spread && spec.zone.is_none(), ..spec };
         let at = rng.random_range(500..calm_from - 20_000);
         let service = shape == Shape::Service;
@@ -740,7 +740,7 @@
         Now { mono: Mono(CLOCK_START_MS.0 + steady as u64), wall_ms: 1_000_000 + self.now }
     }
 
-    /// How much later than usual what a node decides now leaves it.
+    /// How much later than usual the actions of a node leave it.
     fn held_back(&self, node: usize) -> u64 {
         let n = &self.nodes[node];
         let asleep = if n.asleep_from == Some(self.now) { n.frozen_until } else { 0 };
@@ -804,11 +804,11 @@
         }
     }
 
-    /// A request on its way: lost, late without an answer, or in time.
+    /// The delay of a request, none if it is lost, and whether its response arrives in time.
     fn fate(&mut self, node: usize) -> (Option<u64>, bool) {
         let late = self.held_back(node);
         if late > 0 {
-            // What the caller has given up is carried out all the same.
+            // A request is executed even after its caller's timeout.
             return (Some(late + self.delay()), late < 800);
         }
         if self.troubled() && self.rng.random_bool(0.01) {
@@ -836,7 +836,7 @@
         let mut patience = 2_500;
         let of = |share: u32| f64::from(share) / 1e3;
         if self.parted(node) {
-            // What the cut holds back arrives after it.
+            // A request held back by the partition arrives after it.
             let back = self.nodes[node].parted_until - self.now;
             (delay, answer) = (self.rng.random_bool(0.5).then_some(back + 5), false);
         } else if matches!(op, StoreOp::Txn(_))
@@ -946,7 +946,7 @@
         }
     }
 
-    /// A hanging or cut worker takes a command up once it goes on, however late that is.
+    /// A hanging or partitioned worker executes a command once it recovers, however late that is.
     fn commanded(&mut self, node: usize, life: u64, addr: String, command: Command, answer: bool) {
         let now = self.now;
         self.note_command(&addr, answer);
@@ -1039,7 +1039,7 @@
             let held = now < worker.cut_until || self.apart(node, &worker.place.zone);
             let delay = match held {
                 false => self.delay(),
-                // What a cut holds back may come after it, long after its worker gave up.
+                // A report held back by a partition may arrive after it, long after the worker's timeout.
                 true if self.rng.random_bool(0.5) && self.leaky => {
                     self.rng.random_range(5_000..30_000)
                 }
@@ -1073,7 +1073,7 @@
         self.apart.iter().any(|(n, z, until)| *n == node && ZONES[*z] == zone && self.now < *until)
     }
 
-    /// The node that may give orders, if any.
+    /// The node that may issue orders, if any.
     pub fn leads(&self) -> Option<usize> {
         (0..3).find(|n| self.gives_orders(*n))
     }
@@ -1098,7 +1098,7 @@
                 if let Some(node) = self.leads() {
                     let n = &mut self.nodes[node];
                     (n.frozen_until, n.asleep_from) = (now + span, Some(now));
-                    // Whatever is next is decided, and then nothing for a while.
+                    // The next event is handled, and then nothing until the node resumes.
                     self.event(node, Event::Tick);
                 }
             }
@@ -1111,7 +1111,7 @@
             Fault::LimitsFall => self.lower_limits(),
             Fault::Upgrade(node, away) => self.upgrade(node, away),
             Fault::Leader(what) => {
-                // While nobody may lead it strikes the one that does not know yet that it does not.
+                // Without a valid leader, the fault hits a node that still considers itself the leader.
                 let seated = |n: &usize| self.nodes[*n].core.as_ref().is_some_and(|c| c.leads());
                 let Some(node) = self.leads().or_else(|| (0..3).find(seated)) else { return };
                 return self.strike(match what {
@@ -1156,11 +1156,11 @@
                     .collect();
                 half.iter().for_each(|host| self.region.take(host));
             }
-            // Some of them are taken without a word.
             Fault::CloudOutage(span) => self.cloud_outage_until = now + span,
             Fault::CloudLate(span, delay) => self.cloud_late = (now + span, delay),
             Fault::StoreLoses(span) => self.store_loses_until = now + span,
             Fault::StoreRestart => self.restart_store(),
+            // Some of them are taken without notice.
             Fault::SpotTaken => _ = self.region.take_spot(now, 3, 6_000),
             _ => {}
         }
@@ -1173,7 +1173,7 @@
         }
     }
 
-    /// Requests under way may have been executed; nobody is told. Watches end, leases regain their time.
+    /// Requests in transit are executed or not, and none is answered. Watches end, and leases regain their full time.
     fn restart_store(&mut self) {
         let under_way: Vec<(u64, u64)> = self
             .queue
@@ -1280,7 +1280,7 @@
             } else {
                 Request::View(user.spec.id.clone())
             };
-            // Until it was accepted there is nothing to ask for.
+            // An idle user's job was not accepted yet, so there is nothing to ask for.
             let idle = !submit && !user.accepted && now < user.give_up;
             let times = if now < self.storm.0 { u64::from(self.storm.1) } else { 1 };
             self.users[at].next = now + self.rng.random_range(1_000..5_000) / times;
@@ -1342,7 +1342,7 @@
             self.faults.remove(0);
             self.strike(fault);
             if self.faults.is_empty() {
-                // Troubles go on in the network until the calm.
+                // Keeps the list non-empty, so that random network faults go on until the recovery phase.
                 self.faults.push((u64::MAX, fault));
             }
         }
@@ -1383,8 +1383,8 @@
         self.clients.look(self.now, &mut self.region);
     }
 
-    /// A frozen node takes nothing up until it goes on; its timers do not fire either. What is sent to one that is cut
-    /// off is held back.
+    /// A frozen node handles nothing, not even its timers, until it resumes. Messages to a partitioned node are
+    /// held back.
     fn frozen(&self, message: &Message) -> Option<u64> {
         let (node, until) = match message {
             Message::Node { node, .. } => (node, self.nodes[*node].frozen_until),
@@ -1396,20 +1396,20 @@
         (self.now < until && self.nodes[*node].core.is_some()).then_some(until)
     }
 
-    /// Whether a moment is still to come: once a rule is broken time stands still. Guards against loops of tests that wait
-    /// for it for ever instead of failing.
+    /// Whether the simulation continues and has not reached `until`: it stops at the first broken rule, so that loops which
+    /// wait for a condition end and the test fails instead of hanging.
     pub fn before(&self, until: u64) -> bool {
         self.now < until && self.region.checker.broken.is_empty()
     }
 
-    /// Plays the day to its end and through a calm in which everything must be finished.
+    /// Runs to the end of the recovery phase, by which all jobs must be finished.
     pub fn play(&mut self) {
         while self.before(self.calm_from + 190_000) {
             self.step();
         }
     }
 
-    /// Accepted jobs whose user has not heard of their end.
+    /// Accepted jobs whose user has not learned their final state.
     pub fn unfinished(&self) -> Vec<String> {
         self.users
             .iter()
@@ -1422,8 +1422,8 @@
             .collect()
     }
 
-    /// Once all troubles are over, every accepted job that its user has not cancelled is answered for, however
-    /// others fare.
+    /// After all faults, every accepted job that its user has not cancelled gets successful responses, whatever happens to
+    /// other jobs.
     fn look_for_forgotten(&mut self) {
         let waiting = |u: &&User| {
             let asks = u.accepted && u.abort_at.is_none_or(|at| self.now < at) && !self.quiet;
@@ -1436,7 +1436,7 @@
         }
     }
 
-    /// Users cancel this share of the accepted arrays and gangs at some moment between these.
+    /// Users cancel this share of the arrays and gangs, each at a random time in this range.
     pub fn cancel_some(&mut self, share: f64, from: u64, to: u64) {
         let mut rng = ChaCha8Rng::seed_from_u64(self.rng.random());
         for user in self.users.iter_mut().filter(|u| u.spec.shape != Shape::Service) {
@@ -1445,20 +1445,20 @@
         }
     }
 
-    /// Lets time pass up to a moment, or to a broken rule.
+    /// Runs to the given time, or to the first broken rule.
     pub fn play_to(&mut self, until: u64) {
         while self.before(until) {
             self.step();
         }
     }
 
-    /// The sizes of everything that waits in the controllers, the largest of each.
+    /// The sizes of the controllers' queues, the largest of each.
     pub fn load(&self) -> Load {
         let loads = self.nodes.iter().filter_map(|n| n.core.as_ref()).map(Controller::waiting);
         loads.fold(Load::default(), Load::larger)
     }
 
-    /// Open tasks that no machine has, though their team's limit leaves room for one more, and machines that
+    /// Open tasks without a machine whose team's limit leaves room for at least one more task, and machines that
     /// are up.
     pub fn unplaced(&self) -> (usize, usize) {
         let leader = self.nodes.iter().find_map(|n| n.core.as_ref()?.reign());
@@ -1475,10 +1475,10 @@
         (pending, up)
     }
 
-    /// Tasks (by number), attempts and machines whose assignment was durable and then was not any more, and how often,
-    /// by all that the state service ever held.
+    /// Task index, attempt and machine of each assignment that was durable and then removed, and how often, from the whole
+    /// history of the state service.
     pub fn ended_attempts(&self) -> BTreeMap<Placed, usize> {
-        // The shift tells an attempt that its machine was given twice.
+        // The worker session distinguishes two assignments of one attempt to the same machine.
         let mut held: BTreeMap<&str, BTreeSet<(Placed, Shift)>> = BTreeMap::new();
         let mut ended = BTreeMap::new();
         for change in self.state.history() {
@@ -1498,7 +1498,7 @@
         ended
     }
 
-    /// Most failures that were ever durable against each task, by job and number, those on machines found faulty too.
+    /// The highest durable failure count of each task, by job and index, including failures on machines found faulty.
     pub fn charged(&self) -> BTreeMap<(String, u32), u32> {
         let mut most: BTreeMap<(String, u32), u32> = BTreeMap::new();
         for change in self.state.history() {
@@ -1522,13 +1522,13 @@
         most
     }
 
-    /// Most GPUs of each team, 0 for none.
+    /// GPU limit of each team, 0 for none.
     fn gpu_limits(&self) -> BTreeMap<String, f64> {
         let teams = settings(&self.site.settings, 0).facts.teams;
         teams.into_iter().map(|team| (team.name, team.gpus_max)).collect()
     }
 
-    /// The share of probes between two moments that each node answered with 200.
+    /// The share of probes between two times that each node answered with 200.
     pub fn healthy(&self, from: u64, to: u64) -> [f64; 3] {
         let mut counts = [(0.0, 0.0); 3];
         for (at, node, status) in &self.probes {
@@ -1540,7 +1540,7 @@
         counts.map(|(good, all)| if all > 0.0 { good / all } else { 0.0 })
     }
 
-    /// GPUs of all ordinary machines that the cloud has now.
+    /// GPUs of all on-demand machines that the cloud offers now.
     pub fn gpus_offered(&self) -> f64 {
         let capacity =
             if self.scarce_until > 0 { self.site.capacity / 2 } else { self.site.capacity };
@@ -1548,7 +1548,7 @@
         f64::from(capacity) * ZONES.len() as f64 * f64::from(largest)
     }
 
-    /// How long after their first try jobs were accepted, in milliseconds, sorted; `None`: not yet.
+    /// Times from first submission to acceptance in milliseconds, sorted; `None` if not accepted yet.
     pub fn accepted_after(&self, which: impl Fn(&JobSpec) -> bool) -> Vec<Option<u64>> {
         let came = self.users.iter().filter(|u| which(&u.spec) && u.at <= self.now);
         let mut waits: Vec<Option<u64>> = came.map(|u| u.accepted_after).collect();
@@ -1556,12 +1556,12 @@
         waits
     }
 
-    /// The largest value that was ever written, in bytes.
+    /// The largest value ever written, in bytes.
     pub fn largest_value(&self) -> usize {
         self.state.history().iter().map(|l| l.value.to_string().len()).max().unwrap_or(0)
     }
 
-    /// What stands in the state service under a prefix.
+    /// The rows of the state service under a prefix.
     pub fn stored(&self, prefix: &str) -> Vec<Row> {
         self.state.rows(prefix)
     }
--- a/tests/world/pipelines.rs
+++ b/tests/world/pipelines.rs
@@ -1,4 +1,4 @@
-//! Users with pipelines: jobs that need others, of random shape, and what must hold of them after every step.
+//! Users with pipelines, which are jobs with dependencies in random shapes, and the invariants checked for them.
 
 use super::{STEP_MS, User, World};
 use oatloom_core::jobs::{
@@ -15,46 +15,46 @@
 
 /// How long users try to submit a job, in milliseconds (protocol).
 const SUBMIT_FOR_MS: u64 = 60_000;
-/// Numbers of pipelines' jobs begin here, beyond those of other users.
+/// First number of pipelines' jobs, beyond those of other users.
 const FIRST_NUMBER: usize = 600;
-/// Slack for sums of decimal amounts.
+/// Tolerance for sums of decimal amounts.
 const EPSILON: f64 = 1e-6;
 
 /// What a user waits for before it submits a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Submits {
     AtOnce,
-    /// Until all jobs that it needs were accepted.
+    /// Until all dependencies are accepted.
     OnceAccepted,
-    /// Until the user knows how all jobs that it needs ended.
+    /// Until the user knows the final state of all dependencies.
     OnceOver,
 }
 
-/// How the jobs of a pipeline need each other.
+/// The shape of a pipeline's dependency graph.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Form {
     Chain,
     Diamond,
     ManyBehindOne,
     OneBehindMany,
-    /// Each needs some of those before it.
+    /// Each job depends on some of the earlier ones.
     Mesh,
 }
 
 const FORMS: [Form; 5] =
     [Form::Chain, Form::Diamond, Form::ManyBehindOne, Form::OneBehindMany, Form::Mesh];
 
-/// How pipelines are drawn.
+/// The distribution from which pipelines are drawn.
 #[derive(Clone, Copy, Debug)]
 pub struct Draw {
     pub count: usize,
-    /// Between which moments their users come, in milliseconds.
+    /// The time range in which their users arrive, in milliseconds.
     pub from: u64,
     pub to: u64,
-    /// The share of pipelines of which jobs are cancelled, up to so long after its user came.
+    /// The share of pipelines with cancelled jobs, and how long after the user's arrival they are cancelled at the latest.
     pub cancelled: f64,
     pub cancelled_within: u64,
-    /// The share of last jobs that are submitted when all jobs that they need are over.
+    /// The share of last jobs that are submitted only when all their dependencies are finished.
     pub late: f64,
 }
 
@@ -65,7 +65,7 @@
     }
 }
 
-/// For each of so many jobs, those before it that it needs.
+/// For each job, the earlier jobs that it depends on.
 pub fn needs(form: Form, jobs: usize, rng: &mut ChaCha8Rng) -> Vec<Vec<usize>> {
     let last = jobs.saturating_sub(1);
     let of = |job: usize, rng: &mut ChaCha8Rng| match form {
@@ -85,7 +85,7 @@
     (0..jobs).map(|job| of(job, rng)).collect()
 }
 
-/// One job of a pipeline, short, with nothing that it needs yet.
+/// A short job of a pipeline, without dependencies yet.
 pub fn stage(id: JobId, rng: &mut ChaCha8Rng) -> JobSpec {
     let shape = if rng.random_bool(0.7) { Shape::Array } else { Shape::Gang };
     JobSpec {
@@ -114,7 +114,7 @@
 }
 
 impl World {
-    /// Users of drawn pipelines come. Some of their first jobs need jobs of other users or of earlier pipelines.
+    /// Adds users with random pipelines. Some of their first jobs depend on jobs of other users or of earlier pipelines.
     pub fn add_pipelines(&mut self, seed: u64, draw: Draw) {
         let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x7069_7065);
         let finite = |user: &&User| user.spec.shape != Shape::Service;
@@ -162,7 +162,7 @@
         }
         if rng.random_bool(draw.cancelled) {
             let cancelled_at = at + rng.random_range(0..draw.cancelled_within);
-            // Two of one pipeline at once, as often as one.
+            // Cancels one or two jobs of the pipeline at once, with equal probability.
             let jobs = rng.random_range(1..3);
             for id in ids.choose_multiple(rng, jobs) {
                 self.call_off(id.as_str(), cancelled_at);
@@ -170,22 +170,22 @@
         }
     }
 
-    /// A job's user, who comes as before, cancels it at that moment.
+    /// A job's user, who arrives as planned, cancels it at the given time.
     pub fn call_off(&mut self, job: &str, at: u64) {
         if let Some(user) = self.users.iter_mut().find(|user| user.spec.id.as_str() == job) {
             user.abort_at = Some(at);
         }
     }
 
-    /// The last user that was added submits its job when all jobs that it needs are over.
+    /// The user added last submits its job when all its dependencies are finished.
     pub fn submit_last_once_over(&mut self) {
         if let Some(user) = self.users.last_mut().filter(|u| !u.spec.dependencies.is_empty()) {
             user.submits = Submits::OnceOver;
         }
     }
 
-    /// Whether a user may ask anything by now: its job's dependencies are as far as it waits for, and nobody is asked
-    /// for jobs that need others before every controller has the version that knows them.
+    /// Whether a user may send requests by now: its job's dependencies have reached the state it waits for, and jobs with
+    /// dependencies are only submitted once every controller runs the version that supports them.
     pub(super) fn submits_now(&mut self, at: usize) -> bool {
         let user = &self.users[at];
         if user.submits == Submits::AtOnce {
@@ -210,23 +210,23 @@
         }
     }
 
-    /// The end of a job that stands in the state service.
+    /// The final status of a job that is stored in the state service.
     fn durable_end(&self, id: &JobId) -> Option<JobStatus> {
         let value = self.state.value(&over_key(id))?.clone();
         Some(serde_json::from_value::<OverRecord>(value).ok()?.status)
     }
 
-    /// Whether a job's end as done stands in the state service.
+    /// Whether a job is stored as done in the state service.
     pub fn is_durably_done(&self, id: &JobId) -> bool {
         self.durable_end(id) == Some(JobStatus::Done)
     }
 
-    /// A job that another one needs and whose end as done does not stand in the state service.
+    /// A dependency that is not stored as done in the state service.
     pub fn open_dependency<'s>(&self, spec: &'s JobSpec) -> Option<&'s JobId> {
         spec.dependencies.iter().find(|id| !self.is_durably_done(id))
     }
 
-    /// Accepted jobs that wait for others.
+    /// Accepted jobs that wait for dependencies.
     pub fn waiting_jobs(&self) -> usize {
         let over = |user: &User| self.region.checker.over(user.spec.id.as_str()).is_some();
         let waits = |user: &&User| {
@@ -235,13 +235,13 @@
         self.users.iter().filter(waits).count()
     }
 
-    /// Accepted jobs that need others.
+    /// Accepted jobs that have dependencies.
     pub fn accepted_dependents(&self) -> usize {
         let accepted = |user: &&User| user.accepted && !user.spec.dependencies.is_empty();
         self.users.iter().filter(accepted).count()
     }
 
-    /// A task of a job is given out: the ends of all jobs that it needs are durable by then.
+    /// Checks, when a task of a job is assigned, that all its dependencies are durably done.
     fn look_at_release(&mut self, job: &str, what: &str) {
         let Some(spec) = self.region.outside.specs.get(job) else { return };
         if let Some(open) = self.open_dependency(spec) {
@@ -250,8 +250,8 @@
         }
     }
 
-    /// A user was answered: a submission that names accepted jobs is never refused for good, and no end is told of a job
-    /// before it is durable, or that of a job before it from which it follows.
+    /// Checks a response to a user: a submission that names accepted jobs is never rejected permanently, and no final status is
+    /// reported before the record from which it follows, of the job or of a dependency, is durable.
     pub fn look_at_answer(&mut self, job: &str, reply: &HttpReply, submission: bool) {
         let Some(spec) = self.region.outside.specs.get(job) else { return };
         if submission && !spec.dependencies.is_empty() && matches!(reply.status, 400 | 422) {
@@ -269,7 +269,7 @@
         }
     }
 
-    /// Whether a job's end follows from what stands in the state service.
+    /// Whether a job's final status follows from what the state service stores.
     fn follows_from_records(&self, id: &JobId, end: JobStatus) -> bool {
         if let Some(stored) = self.durable_end(id) {
             return stored == end;
@@ -288,7 +288,7 @@
         false
     }
 
-    /// A controller wrote something, or tried to.
+    /// Checks a write of a controller, successful or not.
     pub(super) fn look_at_write(&mut self, node: usize, op: &StoreOp, reply: &StoreReply) {
         self.look_at_refusal(node, op, reply);
         self.look_at_form(node, op, reply);
@@ -298,7 +298,7 @@
         }
     }
 
-    /// Orders leave a controller.
+    /// Checks orders that leave a controller.
     pub(super) fn look_at_orders(&mut self, orders: &[Order]) {
         for order in orders {
             let Order::Run { task, .. } = order else { continue };
@@ -308,8 +308,8 @@
         }
     }
 
-    /// The leader takes a job for one that may start only once the ends of all jobs that it needs are durable, whatever it
-    /// has heard from workers.
+    /// The leader releases a job with dependencies only once their ends are durable, whatever workers have
+    /// reported.
     pub(super) fn look_at_released(&mut self) {
         let Some(reign) = self.ruling() else { return };
         let released = |job: &&Job| {
@@ -325,7 +325,7 @@
         }
     }
 
-    /// Jobs that wait for others hold nothing, and what the leader counts against teams' limits is what is held.
+    /// Waiting jobs hold nothing, and the usage that the leader counts against teams' limits equals what jobs hold.
     pub(super) fn look_at_waiting(&mut self) {
         let Some(reign) = self.ruling() else { return };
         let mut wrong = Vec::new();
@@ -350,7 +350,7 @@
         }
     }
 
-    /// The moment at which this many accepted jobs wait for others, if it comes before the other one.
+    /// Runs until this many accepted jobs wait for dependencies; returns the time, or `None` if `until` comes first.
     pub fn play_until_waiting(&mut self, jobs: usize, until: u64) -> Option<u64> {
         while self.before(until) {
             if self.waiting_jobs() >= jobs {
@@ -362,7 +362,7 @@
     }
 }
 
-/// Jobs to whose tasks a transaction gives machines.
+/// Jobs to whose tasks a transaction assigns machines.
 fn assigned(txn: &Txn) -> impl Iterator<Item = JobId> {
     txn.changes.iter().filter_map(|change| {
         let Change::Put { key, value, .. } = change else { return None };
@@ -373,7 +373,7 @@
 }
 
 impl World {
-    /// Something is written as if by the first controller, whatever controllers do.
+    /// Executes a write as if it came from the first controller.
     pub fn write(&mut self, op: &StoreOp) {
         let reply = self.state.serve(self.now, op);
         self.look_at_write(0, op, &reply);
--- a/tests/world/served.rs
+++ b/tests/world/served.rs
@@ -1,21 +1,21 @@
-//! Who was served: by class and by team, by the strictest reading of the word.
+//! Measures how well each class and team was served, by strict definitions.
 
 use super::World;
 use oatloom_protocol::wire::{JobSpec, JobStatus, Shape};
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
 
-/// Jobs that come so shortly before the end of the day may still wait for a boot, or run, in milliseconds.
+/// Jobs that arrive within this time of the end may still wait for a boot, or run, in milliseconds.
 const LATE_MS: u64 = 300_000;
-/// A service's replicas are wanted from so long after its submission: the longest usual boot and a fetch.
+/// A service's replicas are expected this long after its submission: the longest usual boot and a fetch, in milliseconds.
 const UP_AFTER_MS: u64 = 90_000;
 
-/// A class's largest jobs have to begin within this, in milliseconds.
+/// A class's largest jobs have to begin within this time, in milliseconds.
 const BEGIN_MS: u64 = 240_000;
-/// The largest jobs of a class are those of at least as many tasks as this share of its jobs falls short of.
+/// The largest jobs of a class have at least as many tasks as the job at this quantile of its sizes.
 const LARGEST_FROM: f64 = 0.8;
 
-/// How much of what was wanted, was had.
+/// An amount wanted, and how much of it was received.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Share {
     pub wanted: u64,
@@ -33,30 +33,30 @@
     }
 }
 
-/// One class, or one team.
+/// The results of one class or one team.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Served {
     /// Jobs accepted, of all that were submitted.
     pub accepted: Share,
-    /// Jobs of which all tasks had their places at once (services and gangs) or one after the other (arrays).
+    /// Jobs whose tasks all ran at once (services and gangs) or one after the other (arrays).
     pub started: Share,
-    /// Arrays and gangs whose user was told that they are done.
+    /// Arrays and gangs whose user knows that they are done.
     pub done: Share,
     /// Seconds in which replicas were up.
     pub up: Share,
-    /// Questions that got an answer in time.
+    /// Requests that were answered in time.
     pub answered: Share,
-    /// Of the largest arrays, those that had begun within four minutes, with a task.
+    /// Of the largest arrays, those that began within four minutes, with at least one task.
     pub largest: Share,
-    /// Of the largest services and gangs, those that had begun within four minutes, in full.
+    /// Of the largest services and gangs, those that began within four minutes, with all tasks.
     pub largest_whole: Share,
-    /// The same with arrays in full: each task, or as many as their team's limit allows at once, there or done. Told, and
-    /// not asked for: an array is paced to its deadline and may be in time without it.
+    /// The same including arrays with all tasks: each running or done, or as many as their team's limit allows at once.
+    /// Informational only: an array is paced to its deadline and may be in time without it.
     pub largest_full: Share,
 }
 
 impl Served {
-    /// The least of all readings.
+    /// The lowest of the required shares.
     pub fn least(&self) -> f64 {
         [self.accepted, self.started, self.done, self.up, self.answered, self.largest]
             .into_iter()
@@ -78,22 +78,22 @@
     }
 }
 
-/// What was seen of jobs, a look each second.
+/// Observations of jobs, sampled once a second.
 #[derive(Debug, Default)]
 pub struct Watch {
-    /// Most tasks of each job on machines at once, and seconds of replicas up and wanted.
+    /// The most tasks of each job on machines at once, and seconds of replicas up and wanted.
     most: HashMap<String, u32>,
-    /// When a job had first begun, and when in full.
+    /// When a job first began, and when it was complete.
     begun: HashMap<String, u64>,
     full: HashMap<String, u64>,
     up: HashMap<String, Share>,
-    /// Replica seconds that were wanted, and those that all ordinary machines of the cloud together could have had, had
-    /// nothing else been asked of them: services may not use cheap ones.
+    /// Replica seconds wanted, and those that all on-demand machines of the cloud could have provided if they served
+    /// nothing else: services may not use spot machines.
     pub bound: Share,
 }
 
 impl Watch {
-    /// To be called once a second.
+    /// Must be called once a second.
     pub fn look(&mut self, world: &World) {
         let mut here: HashMap<&str, u32> = HashMap::new();
         for task in world.region.checker.on_machines() {
@@ -105,8 +105,8 @@
             _ => u32::MAX,
         };
         let mut wanted = 0.0;
-        // Of a job that was not submitted yet the checker knows no tasks, all of which count as done: services and gangs were
-        // taken to have begun before they came.
+        // The checker knows no tasks of a job that was not submitted yet, so that all of them would count as done and services
+        // and gangs would seem to have begun before they came.
         for user in world.users.iter().filter(|user| user.at <= world.now) {
             let id = user.spec.id.as_str();
             let there = here.get(id).copied().unwrap_or(0).min(user.spec.tasks);
@@ -139,7 +139,7 @@
         self.bound.add(wanted as u64, wanted.min(world.gpus_offered()) as u64);
     }
 
-    /// What each class and team got, on a day that ends now.
+    /// The results of each class and team, for a simulation that ends now.
     pub fn served(&self, world: &World) -> BTreeMap<String, Served> {
         let mut all: BTreeMap<String, Served> = BTreeMap::new();
         let came = |at: u64, before: u64| at + before <= world.now;
@@ -177,7 +177,7 @@
                     begun.add(1, soon(self.begun.get(id)).into());
                     served.largest_full.add(1, soon(self.full.get(id)).into());
                 }
-                // Cancelled work apart.
+                // Cancelled jobs are left out.
                 if came(user.at, LATE_MS) && user.abort_at.is_none() {
                     served.started.add(1, full.into());
                     if spec.shape != Shape::Service {
--- a/tests/world/solo.rs
+++ b/tests/world/solo.rs
@@ -1,4 +1,4 @@
-//! One controller alone with a state service: every answer can be held back, and the clock moved at will.
+//! A single controller with a state service, where a test can hold back any response and move the clock.
 
 use super::state::State;
 use super::{SETTINGS, settings};
@@ -18,16 +18,16 @@
     pub core: Controller,
     pub state: State,
     pub now: u64,
-    /// Which operations are executed while their answers are held back, or not executed yet.
+    /// Which operations get their responses held back, and whether they are executed at once or on release.
     pub hold: fn(&StoreOp) -> bool,
     pub execute_held: bool,
     pub held: Vec<(OpId, StoreOp, Option<StoreReply>)>,
     pub watches: Vec<(OpId, String, Revision)>,
     pub replies: Vec<(ConnId, HttpReply)>,
     pub asked: Vec<(u64, Question)>,
-    /// What the cloud answers to a question for its machines; `None`: that it is busy, as to all else.
+    /// The cloud's response to a list request; `None`: busy, as for all other requests but the catalog.
     pub list: Option<MachineList>,
-    /// Machines that were asked for.
+    /// Hire requests received by the cloud.
     pub hires: Vec<Hire>,
     conns: u64,
 }
@@ -55,7 +55,7 @@
         Now { mono: Mono(CLOCK_START_MS.0 + self.now), wall_ms: 1_000_000 + self.now }
     }
 
-    /// Another controller holds the seat; its lease.
+    /// Another controller holds the leader key; returns its lease.
     pub fn led_by_another(&mut self) -> LeaseId {
         let StoreReply::Granted(lease) =
             self.state.execute(self.now, &StoreOp::Grant { ttl_ms: 600_000 })
@@ -67,7 +67,7 @@
         lease
     }
 
-    /// Somebody else changes keys; at which revision.
+    /// Writes changes as another client; returns the revision.
     pub fn write(&mut self, changes: Vec<Change>) -> Revision {
         let txn = StoreOp::Txn(Txn { conditions: Vec::new(), changes });
         match self.state.execute(self.now, &txn) {
@@ -83,7 +83,7 @@
         conn
     }
 
-    /// What was answered, if anything was yet.
+    /// The response to a request, if there is one yet.
     pub fn reply(&self, conn: ConnId) -> Option<&HttpReply> {
         self.replies.iter().find(|(c, _)| *c == conn).map(|(_, reply)| reply)
     }
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Gives the answers that were held back.
+    /// Delivers the responses that were held back.
     pub fn release(&mut self) {
         for (id, op, reply) in std::mem::take(&mut self.held) {
             let reply = reply.unwrap_or_else(|| self.state.execute(self.now, &op));
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Lets time pass.
+    /// Advances the time in steps.
     pub fn pass(&mut self, ms: u64) {
         let until = self.now + ms;
         while self.now < until {
--- a/tests/world/state.rs
+++ b/tests/world/state.rs
@@ -9,7 +9,7 @@
 use oatloom_protocol::wire::{Change, Changes, Logged, Page, Row, Txn};
 use std::collections::BTreeMap;
 
-/// The refusal of a put under a lease that has ended, which has nothing to do with sizes.
+/// The refusal of a put under an ended lease, which is unrelated to size limits.
 pub const NO_SUCH_LEASE: &str = "no such lease";
 
 struct Entry {
@@ -25,14 +25,14 @@
     pub revision: u64,
     next_lease: u64,
     log: Vec<Logged>,
-    /// What it takes; without limits if there are none.
+    /// The limits enforced, if any.
     limits: Option<StateLimits>,
-    /// What it did not take.
+    /// Requests refused because of the limits.
     pub refusals: Refusals,
 }
 
 impl State {
-    /// From now on it takes no more than these.
+    /// Enforces these limits from now on.
     pub fn limit(&mut self, limits: StateLimits) {
         self.limits = Some(limits);
     }
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The value of a key.
+    /// The value stored under a key.
     pub fn value(&self, key: &str) -> Option<&serde_json::Value> {
         self.keys.get(key).map(|entry| &entry.value)
     }
@@ -161,7 +161,7 @@
         &self.log
     }
 
-    /// All keys with a prefix.
+    /// All rows whose keys have a prefix.
     pub fn rows(&self, prefix: &str) -> Vec<Row> {
         let keys = self.keys.keys().filter(|key| key.starts_with(prefix));
         keys.filter_map(|key| self.row(key)).collect()
@@ -173,7 +173,7 @@
                 .row(key)
                 .map_or(StoreReply::Missing(Revision(self.revision)), StoreReply::Found),
             StoreOp::List { prefix, after } => {
-                // Small pages, so that many are needed.
+                // Small pages, so that a list needs many.
                 let mut keys = self
                     .keys
                     .keys()
--- a/tests/world/state_limits.rs
+++ b/tests/world/state_limits.rs
@@ -1,4 +1,4 @@
-//! Limits of the stand-in for the state service: sizes of values and transactions, requests and changes a second.
+//! Limits of the stand-in for the state service: sizes of values and transactions, requests and changes per second.
 
 use oatloom_core::store::{StoreOp, StoreReply};
 use oatloom_protocol::ids::Mono;
@@ -7,12 +7,12 @@
 use oatloom_state::limits::Limits as Rates;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// Most conditions of a transaction, as a multiple of its most changes (protocol).
+/// Maximum number of conditions of a transaction, as a multiple of its maximum number of changes (protocol).
 const CONDITIONS_PER_CHANGE: usize = 4;
-/// Most bytes of a transaction (protocol).
+/// Maximum size of a transaction (protocol).
 const TXN_BYTES: usize = 64 * 1024;
 
-/// What the state service takes.
+/// The limits that the state service enforces.
 #[derive(Clone, Debug)]
 pub struct StateLimits {
     value_bytes: usize,
@@ -20,16 +20,16 @@
     rates: Rates,
 }
 
-/// Transactions that were refused for their size, and requests beyond the rates.
+/// Transactions refused for their size, and requests beyond the rates.
 #[derive(Clone, Debug, Default)]
 pub struct Refusals {
-    /// When, and why.
+    /// Time and reason of each.
     pub too_large: Vec<(u64, String)>,
     pub throttled: u32,
 }
 
 impl StateLimits {
-    /// The limits of some settings, at a moment in milliseconds.
+    /// The limits of some settings, at a time in milliseconds.
     pub fn new(facts: &StateFacts, now: u64) -> Self {
         Self {
             value_bytes: (facts.value_kb * 1024.0) as usize,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// The refusal of an operation, if it is beyond a limit.
+    /// The refusal of an operation that exceeds a limit.
     pub fn refuse(&mut self, now: u64, op: &StoreOp) -> Option<StoreReply> {
         let changes = if let StoreOp::Txn(txn) = op { txn.changes.len() } else { 0 };
         if !self.rates.take(changes, Mono(now)) {
@@ -69,7 +69,7 @@
     }
 }
 
-/// What tells transactions apart that make different changes.
+/// Hash of a transaction's changes.
 pub fn digest(txn: &Txn) -> u64 {
     let mut hasher = DefaultHasher::new();
     format!("{:?}", txn.changes).hash(&mut hasher);
--- a/tests/world/troubles.rs
+++ b/tests/world/troubles.rs
@@ -1,10 +1,10 @@
-//! Troubles, drawn.
+//! Randomly drawn faults.
 
 use super::{Fault, Upon};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
-/// One trouble, drawn, that lasts about `span`.
+/// Draws a fault that lasts about `span` milliseconds.
 pub fn trouble(rng: &mut ChaCha8Rng, span: u64) -> Fault {
     let node = rng.random_range(0..3);
     match rng.random_range(0..23) {
--- a/tests/world/upgrades.rs
+++ b/tests/world/upgrades.rs
@@ -1,4 +1,4 @@
-//! Upgrades, in which controllers of two versions serve side by side, and limits of the state service that fall.
+//! Upgrades, during which controllers of two versions run side by side, and lowered limits of the state service.
 
 use super::state::State;
 use super::state::limits::{Refusals, StateLimits, digest};
@@ -8,12 +8,12 @@
 use oatloom_protocol::wire::Change;
 use rand_chacha::ChaCha8Rng;
 
-/// The limits of the usual settings that come last, and with them the limits to come.
+/// The last limits in the default settings, and the announced lower limits that are inserted after them.
 const LIMITS_TEXT: &str = "txn_ops = 16\n";
 const NEXT_LIMITS_TEXT: &str =
     "[facts.state.next]\nvalue_kb = 2.0\ntxn_ops = 5\nwrite_rps = 18.0\n";
 
-/// Fields of records as the previous version has them, by the keys' prefixes.
+/// Record fields that the previous version knows, by key prefix.
 const PREVIOUS_FIELDS: [(&str, &[&str]); 3] = [
     ("live/", &["s", "t", "g"]),
     ("over/", &["s", "n", "f", "u", "g"]),
@@ -25,12 +25,12 @@
 /// Which version a controller runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Version {
-    /// Knows neither jobs that need others nor limits to come, and announces no version.
+    /// Supports neither jobs with dependencies nor announced limits, and announces no version.
     Previous,
     Current,
 }
 
-/// The usual site, whose settings announce lower limits of the state service.
+/// The default site, whose settings announce lower limits of the state service.
 pub fn site_with_next_limits() -> Site {
     let text = SETTINGS.replace(LIMITS_TEXT, &format!("{LIMITS_TEXT}{NEXT_LIMITS_TEXT}"));
     assert_ne!(text, SETTINGS, "the usual settings have limits");
@@ -45,13 +45,13 @@
 }
 
 impl World {
-    /// So many users of drawn jobs come.
+    /// Adds users with random jobs.
     pub fn add_users(&mut self, count: u64, rng: &mut ChaCha8Rng) {
         let calm_from = self.calm_from;
         (0..count).for_each(|n| self.add_user(n, rng, calm_from));
     }
 
-    /// All controllers that are started from now on run the previous version, until each has its turn.
+    /// All controllers that are started from now on run the previous version, until each is upgraded.
     pub fn begin_with_previous_version(&mut self) {
         self.nodes.iter_mut().for_each(|node| node.version = Version::Previous);
     }
@@ -67,19 +67,19 @@
         node.core.is_some() && node.version == Version::Current
     }
 
-    /// Whether every controller that runs knows that no other version exists.
+    /// Whether every running controller knows that no other version is in use.
     pub fn all_know_the_upgrade(&self) -> bool {
         self.nodes.iter().filter_map(|node| node.core.as_ref()).all(Controller::all_upgraded)
     }
 
-    /// A node is killed, and comes back with the current version so much later.
+    /// A node is killed and restarts with the current version this much later.
     pub(super) fn upgrade(&mut self, node: usize, away: u64) {
         self.crash(node);
         self.nodes[node].version = Version::Current;
         self.nodes[node].restart_at = self.now + away;
     }
 
-    /// A controller of the version that its node has at present.
+    /// A controller of its node's present version.
     pub(super) fn controller(&self, node: usize, seed: u64) -> Controller {
         let settings = settings(&self.site.settings, node);
         let operators = self.operators.clone();
@@ -89,19 +89,19 @@
         }
     }
 
-    /// The state service has the limits that the settings announce, from now on.
+    /// The state service enforces the lower limits that the settings announce, from now on.
     pub(super) fn lower_limits(&mut self) {
         let facts = settings(&self.site.settings, 0).facts.state.strictest();
         self.state.limit(StateLimits::new(&facts, self.now));
         self.limits_lowered = true;
     }
 
-    /// What the state service refused for its size or for the rate.
+    /// What the state service refused for its size or rate.
     pub fn refusals(&self) -> &Refusals {
         &self.state.refusals
     }
 
-    /// Something was written: while a controller of the previous version runs, or may be started, it reads all of it.
+    /// Checks that a write has no field unknown to the previous version while such a controller runs or may be started.
     pub(super) fn look_at_form(&mut self, node: usize, op: &StoreOp, reply: &StoreReply) {
         let (StoreOp::Txn(txn), StoreReply::Committed(_)) = (op, reply) else { return };
         if self.all_current() {
@@ -117,7 +117,7 @@
         }
     }
 
-    /// A transaction was refused for its size: the same controller does not ask for the same changes again.
+    /// After a refusal for size, the same incarnation of a controller must not send the same changes again.
     pub(super) fn look_at_refusal(&mut self, node: usize, op: &StoreOp, reply: &StoreReply) {
         let (StoreOp::Txn(txn), StoreReply::Malformed(why)) = (op, reply) else { return };
         if why == super::state::NO_SUCH_LEASE {
