--- a/tests/world/graphs.rs
+++ b/tests/world/graphs.rs
@@ -18,57 +18,57 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How long a client waits for a response, and its interval between requests, in milliseconds.
-const PATIENCE: u64 = 2_000;
-const PAUSE: u64 = 1_000;
+const RESPONSE_TIMEOUT_MS: u64 = 2_000;
+const REQUEST_INTERVAL_MS: u64 = 1_000;
 /// How long nodes of an ended session may still run, in milliseconds: the platform's bound for cancellations.
-const CANCEL: u64 = 46_000;
+const MAX_CANCEL_MS: u64 = 46_000;
 
 /// How a client behaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Temper {
+enum Behavior {
     /// Follows its graph to the end and closes its session.
-    Steady,
+    Completes,
     /// Cancels its graph at this time.
     Cancels(u64),
     /// Sends nothing from this time on.
-    Vanishes(u64),
+    Disappears(u64),
 }
 
 struct Client {
-    temper: Temper,
-    from: u64,
+    behavior: Behavior,
+    starts_at: u64,
     session: String,
     key: String,
     graph: GraphId,
     detached: bool,
     /// Requests still to be sent, in order; the first is in progress.
-    script: Vec<Ask>,
+    pending_requests: Vec<Ask>,
     /// Requests in progress by number: when each was sent, and whether it is a heartbeat.
-    asked: BTreeMap<u64, (u64, bool)>,
-    next: u64,
-    next_beat: u64,
+    in_flight: BTreeMap<u64, (u64, bool)>,
+    next_request_at: u64,
+    next_heartbeat_at: u64,
     /// The number of requests and of heartbeats sent.
-    rounds: [usize; 2],
-    position: String,
+    sent_counts: [usize; 2],
+    cursor: String,
     open: bool,
-    finals: BTreeMap<String, NodeStatus>,
-    over: Option<GraphStatus>,
+    final_statuses: BTreeMap<String, NodeStatus>,
+    final_status: Option<GraphStatus>,
 }
 
 /// All task graph clients of a simulation.
 #[derive(Default)]
 pub struct Clients {
     clients: Vec<Client>,
-    numbers: u64,
+    last_request_id: u64,
     /// Nodes as stored in the state service, by graph.
     nodes: BTreeMap<GraphId, BTreeMap<NodeIx, (String, Vec<NodeIx>)>>,
     parts: BTreeMap<String, Part>,
     /// Tasks that are durably done.
-    durable: BTreeSet<(String, u32)>,
+    durably_done: BTreeSet<(String, u32)>,
     /// Ended sessions, and when their end became durable.
-    ended: BTreeMap<String, u64>,
+    ended_sessions: BTreeMap<String, u64>,
     /// The session of each graph that ends with its session.
-    owned: BTreeMap<GraphId, String>,
+    owning_sessions: BTreeMap<GraphId, String>,
     pub broken: Vec<String>,
     pub done: usize,
     pub failures: usize,
@@ -98,10 +98,10 @@
             let graph = GraphId::parse(&format!("graph-{}", 100 + n)).expect("an id");
             let owner = if rng.random_bool(0.5) { "red" } else { "blue" };
             let from = rng.random_range(1_000..calm_from * 2 / 3);
-            let temper = match rng.random_range(0..6) {
-                0 => Temper::Cancels(from + rng.random_range(1_000..40_000)),
-                1 => Temper::Vanishes(from + rng.random_range(500..40_000)),
-                _ => Temper::Steady,
+            let behavior = match rng.random_range(0..6) {
+                0 => Behavior::Cancels(from + rng.random_range(1_000..40_000)),
+                1 => Behavior::Disappears(from + rng.random_range(500..40_000)),
+                _ => Behavior::Completes,
             };
             let detached = rng.random_bool(0.15);
             let open = OpenSession {
@@ -124,25 +124,25 @@
                 },
                 detached,
             };
-            let mut script = vec![Ask::Open(open), Ask::Create(create)];
-            script.extend(additions(graph, &key, failing, &mut rng));
-            self.owned.extend((!detached).then(|| (graph, session.clone())));
+            let mut pending_requests = vec![Ask::Open(open), Ask::Create(create)];
+            pending_requests.extend(additions(graph, &key, failing, &mut rng));
+            self.owning_sessions.extend((!detached).then(|| (graph, session.clone())));
             self.clients.push(Client {
-                temper,
-                from,
+                behavior,
+                starts_at: from,
                 session,
                 key,
                 graph,
                 detached,
-                script,
-                asked: BTreeMap::new(),
-                next: from,
-                next_beat: from,
-                rounds: [0; 2],
-                position: String::new(),
+                pending_requests,
+                in_flight: BTreeMap::new(),
+                next_request_at: from,
+                next_heartbeat_at: from,
+                sent_counts: [0; 2],
+                cursor: String::new(),
                 open: false,
-                finals: BTreeMap::new(),
-                over: None,
+                final_statuses: BTreeMap::new(),
+                final_status: None,
             });
         }
     }
@@ -168,21 +168,21 @@
             detached: false,
         };
         self.clients.push(Client {
-            temper: Temper::Steady,
-            from: 1_000,
+            behavior: Behavior::Completes,
+            starts_at: 1_000,
             session,
             key,
             graph,
             detached: false,
-            script: vec![Ask::Open(open), Ask::Create(create), Ask::Add(graph, add)],
-            asked: BTreeMap::new(),
-            next: 1_000,
-            next_beat: 1_000,
-            rounds: [0; 2],
-            position: String::new(),
+            pending_requests: vec![Ask::Open(open), Ask::Create(create), Ask::Add(graph, add)],
+            in_flight: BTreeMap::new(),
+            next_request_at: 1_000,
+            next_heartbeat_at: 1_000,
+            sent_counts: [0; 2],
+            cursor: String::new(),
             open: false,
-            finals: BTreeMap::new(),
-            over: None,
+            final_statuses: BTreeMap::new(),
+            final_status: None,
         });
         graph
     }
@@ -207,7 +207,7 @@
 
     /// All clients stop sending at this time.
     pub fn vanish(&mut self, at: u64) {
-        self.clients.iter_mut().for_each(|client| client.temper = Temper::Vanishes(at));
+        self.clients.iter_mut().for_each(|client| client.behavior = Behavior::Disappears(at));
     }
 
     /// Requests to be sent now: client, number, node and content.
@@ -217,93 +217,106 @@
         }
         let mut asks = Vec::new();
         for (at, client) in self.clients.iter_mut().enumerate() {
-            if now < client.from || matches!(client.temper, Temper::Vanishes(t) if now >= t) {
+            if now < client.starts_at
+                || matches!(client.behavior, Behavior::Disappears(t) if now >= t)
+            {
                 continue;
             }
-            client.asked.retain(|_, (sent, _)| now < *sent + PATIENCE);
-            let mut ask = |client: &mut Client, beat: bool, ask: Ask| {
-                self.numbers += 1;
-                client.asked.insert(self.numbers, (now, beat));
+            client.in_flight.retain(|_, (sent, _)| now < *sent + RESPONSE_TIMEOUT_MS);
+            let mut ask = |client: &mut Client, heartbeat: bool, ask: Ask| {
+                self.last_request_id += 1;
+                client.in_flight.insert(self.last_request_id, (now, heartbeat));
                 // Rotates over the controllers, since two of three may be frozen for longer than a session's lease.
-                client.rounds[usize::from(beat)] += 1;
-                asks.push((at, self.numbers, client.rounds[usize::from(beat)] % 3, ask));
+                client.sent_counts[usize::from(heartbeat)] += 1;
+                asks.push((
+                    at,
+                    self.last_request_id,
+                    client.sent_counts[usize::from(heartbeat)] % 3,
+                    ask,
+                ));
             };
             let keyed = Keyed { key: client.key.clone() };
-            let under_way =
-                |client: &Client, beat: bool| client.asked.values().any(|(_, b)| *b == beat);
-            if client.open && now >= client.next_beat && !under_way(client, true) {
-                client.next_beat = now + PAUSE;
+            let under_way = |client: &Client, heartbeat: bool| {
+                client.in_flight.values().any(|(_, b)| *b == heartbeat)
+            };
+            if client.open && now >= client.next_heartbeat_at && !under_way(client, true) {
+                client.next_heartbeat_at = now + REQUEST_INTERVAL_MS;
                 let session = client.session.clone();
                 ask(client, true, Ask::Beat(session, keyed.clone()));
             }
-            if now < client.next || under_way(client, false) {
+            if now < client.next_request_at || under_way(client, false) {
                 continue;
             }
-            if let Temper::Cancels(t) = client.temper
+            if let Behavior::Cancels(t) = client.behavior
                 && now >= t
-                && client.over.is_none()
-                && client.script.len() < 100
+                && client.final_status.is_none()
+                && client.pending_requests.len() < 100
                 && client.open
             {
-                client.temper = Temper::Steady;
-                client.script.retain(|ask| matches!(ask, Ask::Create(_)));
+                client.behavior = Behavior::Completes;
+                client.pending_requests.retain(|ask| matches!(ask, Ask::Create(_)));
                 let graph = client.graph;
-                client.script.push(Ask::Cancel(graph, keyed.clone()));
+                client.pending_requests.push(Ask::Cancel(graph, keyed.clone()));
             }
-            client.next = now + PAUSE;
-            let wish = match client.script.first() {
-                Some(wish) => wish.clone(),
-                None if client.over.is_none() => {
-                    let look = Look { after: client.position.clone(), most: 5 };
-                    Ask::Look(client.graph, look)
+            client.next_request_at = now + REQUEST_INTERVAL_MS;
+            let request = match client.pending_requests.first() {
+                Some(request) => request.clone(),
+                None if client.final_status.is_none() => {
+                    let view = Look { after: client.cursor.clone(), most: 5 };
+                    Ask::Look(client.graph, view)
                 }
                 None if client.open => Ask::Close(client.session.clone(), keyed),
                 None => Ask::Look(client.graph, Look::default()),
             };
-            if matches!(wish, Ask::Look(..)) && client.over.is_some() {
-                client.next = now + 9 * PAUSE;
+            if matches!(request, Ask::Look(..)) && client.final_status.is_some() {
+                client.next_request_at = now + 9 * REQUEST_INTERVAL_MS;
             }
-            ask(client, false, wish);
+            ask(client, false, request);
         }
         asks
     }
 
     /// Handles the response to a request.
-    pub fn answered(&mut self, now: u64, client: usize, number: u64, reply: &HttpReply) {
+    pub fn receive_response(&mut self, now: u64, client: usize, number: u64, reply: &HttpReply) {
         let Some(client) = self.clients.get_mut(client) else { return };
-        if matches!(client.temper, Temper::Vanishes(t) if now >= t) {
+        if matches!(client.behavior, Behavior::Disappears(t) if now >= t) {
             return;
         }
-        let Some((_, beat)) = client.asked.remove(&number) else { return };
-        log::debug!("client {now}: {} beat {beat}: {} {}", client.graph, reply.status, reply.body);
+        let Some((_, heartbeat)) = client.in_flight.remove(&number) else { return };
+        log::debug!(
+            "client {now}: {} heartbeat {heartbeat}: {} {}",
+            client.graph,
+            reply.status,
+            reply.body
+        );
         let mut fail = |text: String| self.broken.push(format!("{} ms {text}", now));
         match reply.status {
-            200 | 201 if beat => client.next_beat = now + 5_000,
+            200 | 201 if heartbeat => client.next_heartbeat_at = now + 5_000,
             200 | 201 => {}
             429 | 503 | 599 => return,
             // The response to the close request may have been lost.
-            404 if beat && (!client.open || client.over.is_some()) => {
+            404 if heartbeat && (!client.open || client.final_status.is_some()) => {
                 client.open = false;
                 return;
             }
-            409 if client.over.is_some() => {}
+            409 if client.final_status.is_some() => {}
             status => {
                 // The graph may have ended, cancelled by the client or because of a failed node, before all nodes were added.
                 let ending = reply.body.contains("ending") || reply.body.contains("over");
                 if !ending {
-                    fail(format!("{}: refused {status} {}", client.graph, reply.body));
+                    fail(format!("{}: rejected with {status} {}", client.graph, reply.body));
                 }
-                client.script.retain(|ask| !matches!(ask, Ask::Add(..)));
+                client.pending_requests.retain(|ask| !matches!(ask, Ask::Add(..)));
                 return;
             }
         }
-        if beat {
+        if heartbeat {
             return;
         }
         if let Ok(view) = serde_json::from_str::<GraphView>(&reply.body) {
-            client.position = view.next.clone();
+            client.cursor = view.next.clone();
             for node in &view.changed {
-                let before = client.finals.get(&node.name).copied();
+                let before = client.final_statuses.get(&node.name).copied();
                 if before.is_some_and(|before| before != node.status) {
                     let text = format!(
                         "{} {}: was {before:?}, is {:?}",
@@ -312,41 +325,54 @@
                     fail(text);
                 }
                 if node.status.is_final() {
-                    client.finals.insert(node.name.clone(), node.status);
+                    client.final_statuses.insert(node.name.clone(), node.status);
                 }
             }
-            if client.over.is_some_and(|over| over != view.status) {
-                fail(format!("{}: was {:?}, is {:?}", client.graph, client.over, view.status));
+            if client.final_status.is_some_and(|over| over != view.status) {
+                fail(format!(
+                    "{}: was {:?}, is {:?}",
+                    client.graph, client.final_status, view.status
+                ));
             }
             if view.status.is_final() {
                 // All pages of the final state are read before the graph counts as finished.
-                if !view.more && client.over.is_none() && client.script.is_empty() {
-                    client.over = Some(view.status);
+                if !view.more && client.final_status.is_none() && client.pending_requests.is_empty()
+                {
+                    client.final_status = Some(view.status);
                     self.done += usize::from(view.status == GraphStatus::Done);
                     self.failures += usize::from(view.status == GraphStatus::Failed);
                     let failed = view.failure.as_ref().and_then(|f| f.failure.as_ref());
                     if view.status == GraphStatus::Failed && failed.is_none() {
-                        fail(format!("{}: failed without a cause", client.graph));
+                        fail(format!("{}: failed without a reported cause", client.graph));
                     }
                 }
-                client.script.clear();
+                client.pending_requests.clear();
             }
         }
-        match client.script.first() {
+        match client.pending_requests.first() {
             Some(Ask::Open(_)) => client.open = true,
-            None if client.over.is_some() && client.open && !reply.body.contains("\"graph\"") => {
+            None if client.final_status.is_some()
+                && client.open
+                && !reply.body.contains("\"graph\"") =>
+            {
                 client.open = false;
             }
             _ => {}
         }
-        if !client.script.is_empty() {
-            client.script.remove(0);
+        if !client.pending_requests.is_empty() {
+            client.pending_requests.remove(0);
         }
     }
 
     /// Evaluates the graph records of a committed transaction. Workers ask controllers for the description of a graph's job;
     /// in the simulation they get it from its record.
-    pub fn wrote(&mut self, now: u64, op: &StoreOp, reply: &StoreReply, region: &mut Region) {
+    pub fn observe_write(
+        &mut self,
+        now: u64,
+        op: &StoreOp,
+        reply: &StoreReply,
+        region: &mut Region,
+    ) {
         let (StoreOp::Txn(txn), StoreReply::Committed(_)) = (op, reply) else { return };
         for change in &txn.changes {
             let (key, value) = match change {
@@ -357,7 +383,7 @@
                 let record: SessionRecord =
                     serde_json::from_value(value.clone()).expect("a record");
                 if record.ended {
-                    self.ended.insert(name.to_owned(), now);
+                    self.ended_sessions.insert(name.to_owned(), now);
                 }
             } else if let (Some(GraphKey::Page(graph, _)), Some(value)) = (parse_key(key), value) {
                 let page: Page = serde_json::from_value(value.clone()).expect("a page");
@@ -369,15 +395,15 @@
                 let record: LiveRecord = serde_json::from_value(value.clone()).expect("a record");
                 if let Some(part) = record.part {
                     region.upload(&record.spec);
-                    self.describe(job, (*part).clone(), region);
+                    self.record_part(job, (*part).clone(), region);
                 }
             } else if let (Some(job), Some(value)) = (key.strip_prefix("over/"), value) {
                 let record: OverRecord = serde_json::from_value(value.clone()).expect("a record");
                 if record.status == JobStatus::Done && self.parts.contains_key(job) {
-                    self.durable.insert((job.to_owned(), u32::MAX));
+                    self.durably_done.insert((job.to_owned(), u32::MAX));
                 }
                 let done = record.part.iter().flat_map(|part| &part.done);
-                self.durable.extend(done.map(|task| (job.to_owned(), *task)));
+                self.durably_done.extend(done.map(|task| (job.to_owned(), *task)));
             } else if let (Some(rest), Some(value)) = (key.strip_prefix("asg/"), value) {
                 let (job, chunk) = rest.split_once('/').expect("a chunk");
                 let base: u32 = chunk.parse::<u32>().expect("a number") * 96;
@@ -385,14 +411,14 @@
                 for (at, digit) in bits.chars().enumerate() {
                     let digit = digit.to_digit(16).unwrap_or(0);
                     for bit in (0..4).filter(|bit| digit >> bit & 1 == 1) {
-                        self.durable.insert((job.to_owned(), base + at as u32 * 4 + bit));
+                        self.durably_done.insert((job.to_owned(), base + at as u32 * 4 + bit));
                     }
                 }
             }
         }
     }
 
-    fn describe(&mut self, job: &str, part: Part, region: &mut Region) {
+    fn record_part(&mut self, job: &str, part: Part, region: &mut Region) {
         let Some((graph, _)) = GraphId::of_job(&oatloom_protocol::ids::JobId::new(job)) else {
             return;
         };
@@ -418,13 +444,13 @@
             let (of, _) = GraphId::of_job(&oatloom_protocol::ids::JobId::new(job)).expect("a job");
             let task = (0u32..).zip(part.nodes.iter(10_000)).find(|(_, node)| *node == at);
             let Some((task, _)) = task.filter(|_| of == graph) else { return false };
-            let whole = self.durable.contains(&(job.clone(), u32::MAX));
-            whole || part.batch() && self.durable.contains(&(job.clone(), task))
+            let whole = self.durably_done.contains(&(job.clone(), u32::MAX));
+            whole || part.batch() && self.durably_done.contains(&(job.clone(), task))
         })
     }
 
     /// Checks what must hold at every step.
-    pub fn look(&mut self, now: u64, region: &mut Region) {
+    pub fn check(&mut self, now: u64, region: &mut Region) {
         if self.clients.is_empty() {
             return;
         }
@@ -455,9 +481,13 @@
         if now.is_multiple_of(1_000) {
             for on in region.checker.on_machines() {
                 let Some((graph, _)) = self.node_of(&on.job, on.index) else { continue };
-                let ended = self.owned.get(&graph).and_then(|session| self.ended.get(session));
-                if ended.is_some_and(|at| now > at + CANCEL) {
-                    self.broken.push(format!("{now} ms {on:?} is an orphan"));
+                let ended = self
+                    .owning_sessions
+                    .get(&graph)
+                    .and_then(|session| self.ended_sessions.get(session));
+                if ended.is_some_and(|at| now > at + MAX_CANCEL_MS) {
+                    self.broken
+                        .push(format!("{now} ms {on:?} still runs though its session has ended"));
                 }
             }
         }
@@ -468,19 +498,19 @@
     pub fn end(&mut self, stored: &dyn Fn(&str) -> Vec<String>) {
         let mut fail = |text: String| self.broken.push(text);
         for client in &self.clients {
-            let gone = matches!(client.temper, Temper::Vanishes(_));
-            if !gone && client.over.is_none() {
+            let gone = matches!(client.behavior, Behavior::Disappears(_));
+            if !gone && client.final_status.is_none() {
                 fail(format!(
-                    "{}: never heard of its end, {:?}",
+                    "{}: client never received its final status, next request {:?}",
                     client.graph,
-                    client.script.first()
+                    client.pending_requests.first()
                 ));
             }
-            if !gone && client.over == Some(GraphStatus::Done) {
+            if !gone && client.final_status == Some(GraphStatus::Done) {
                 let nodes = self.nodes.get(&client.graph);
                 for (name, _) in nodes.into_iter().flat_map(BTreeMap::values) {
-                    if !client.finals.contains_key(name) {
-                        fail(format!("{} {name}: no final answer", client.graph));
+                    if !client.final_statuses.contains_key(name) {
+                        fail(format!("{} {name}: no final status", client.graph));
                     }
                 }
             }
@@ -489,12 +519,12 @@
             let open = !client.detached || !gone;
             for prefix in ["graph/", "live/req-9", "asg/req-9"] {
                 for key in stored(prefix).into_iter().filter(|key| open && ours(key)) {
-                    fail(format!("{key} stayed"));
+                    fail(format!("{key} is still stored"));
                 }
             }
         }
         for key in stored(SESSIONS) {
-            fail(format!("{key} stayed"));
+            fail(format!("{key} is still stored"));
         }
     }
 }
--- a/tests/world/limits.rs
+++ b/tests/world/limits.rs
@@ -25,17 +25,17 @@
     /// Records which jobs could run now; returns those that have waited for too long.
     pub fn look(&mut self, now: u64, could: BTreeSet<String>) -> Vec<String> {
         self.since.retain(|job, _| could.contains(job));
-        let mut late = Vec::new();
+        let mut overdue = Vec::new();
         for job in could {
             let waited = now - *self.since.entry(job.clone()).or_insert(now);
             self.longest = self.longest.max(waited);
             if waited > NEGLECTED_MS {
                 // Each violation is reported once, and the wait is counted anew.
                 self.since.remove(&job);
-                late.push(job);
+                overdue.push(job);
             }
         }
-        late
+        overdue
     }
 }
 
@@ -105,12 +105,12 @@
         now >= worker.up_at.max(worker.hung_until).max(worker.cut_until)
             && worker.notice_until.is_none()
             && !worker.faulty
-            && !self.is_deaf(&worker.host)
-            && !(0..3).any(|node| self.apart(node, &worker.place.zone))
+            && !self.loses_inbound(&worker.host)
+            && !(0..3).any(|node| self.is_partitioned(node, &worker.place.zone))
     }
 
     /// Tasks on machines according to their workers, including those that wait for their image.
-    fn placed(&self) -> impl Iterator<Item = (&str, u32, &Worker)> {
+    fn placed_tasks(&self) -> impl Iterator<Item = (&str, u32, &Worker)> {
         self.region.workers.values().flat_map(|worker| {
             let there = worker.tasks.iter().filter(|(_, t)| t.phase != TaskPhase::Exited);
             there.map(move |((job, index, _), _)| (job.as_str(), *index, worker))
@@ -120,13 +120,13 @@
     /// Accepted jobs that wait although a suitable machine has room and their team's limit leaves enough: for one task of an
     /// array or service, for all tasks of a gang. Jobs whose tasks fail by themselves are left out, since they back off
     /// after each failure.
-    pub fn could_run(&self) -> BTreeSet<String> {
+    pub fn runnable_jobs(&self) -> BTreeSet<String> {
         let specs = &self.region.outside.specs;
         let mut placed: BTreeMap<&str, BTreeSet<u32>> = BTreeMap::new();
         let mut zones: BTreeMap<&str, BTreeMap<String, u32>> = BTreeMap::new();
         let mut used: BTreeMap<&str, Room> = BTreeMap::new();
         let mut taken: BTreeMap<&str, Room> = BTreeMap::new();
-        for (job, index, worker) in self.placed() {
+        for (job, index, worker) in self.placed_tasks() {
             placed.entry(job).or_default().insert(index);
             *zones.entry(job).or_default().entry(worker.place.zone.clone()).or_default() += 1;
             if let Some(spec) = specs.get(job) {
@@ -162,7 +162,7 @@
             if !user.accepted
                 || user.abort_at.is_some_and(|at| self.now >= at)
                 || self.region.checker.over(id).is_some()
-                || self.open_dependency(spec).is_some()
+                || self.unfinished_dependency(spec).is_some()
                 || self.region.outside.broken.contains_key(id)
                 || !(0..spec.tasks).any(wants)
             {
@@ -181,14 +181,14 @@
     }
 
     /// After all faults, no job waits for long if it could run.
-    pub(super) fn look_for_neglected(&mut self) {
+    pub(super) fn check_neglected(&mut self) {
         if self.now < self.calm_from {
             return;
         }
-        let could = self.could_run();
+        let could = self.runnable_jobs();
         for job in self.neglect.look(self.now, could) {
             let text =
-                format!("{job} could run and waits: {:?}", self.region.outside.specs.get(&job));
+                format!("{job} could run but waits: {:?}", self.region.outside.specs.get(&job));
             self.region.checker.fail(self.now, "neglected", text);
         }
     }
@@ -210,13 +210,13 @@
     /// A job's user cancels it at the given time, or as soon as it is accepted.
     pub fn cancel(&mut self, job: &str, at: u64) {
         if let Some(user) = self.users.iter_mut().find(|user| user.spec.id.as_str() == job) {
-            (user.abort_at, user.next) = (Some(at), at);
+            (user.abort_at, user.next_request_at) = (Some(at), at);
         }
     }
 
     /// Machines that have a task of the job, according to their workers.
     pub fn machines_of(&self, job: &str) -> BTreeSet<String> {
-        self.placed()
+        self.placed_tasks()
             .filter(|(id, ..)| *id == job)
             .map(|(.., worker)| worker.host.clone())
             .collect()
--- a/tests/world/looks.rs
+++ b/tests/world/looks.rs
@@ -1,7 +1,7 @@
 //! Users who send further requests within milliseconds of each response: they query and resubmit at every node, cancel jobs
 //! the moment they are accepted or end, and send invalid requests.
 
-use super::{Fault, From, Message, World};
+use super::{Fault, Message, Sender, World};
 use oatloom_core::api::{Request, Submission, parse};
 use oatloom_protocol::ids::JobId;
 use oatloom_protocol::reply::HttpReply;
@@ -10,9 +10,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// When every node is queried after a response, in milliseconds.
-const ASKED_AFTER_MS: [u64; 7] = [0, 1, 3, 8, 20, 60, 200];
+const QUERY_DELAYS_MS: [u64; 7] = [0, 1, 3, 8, 20, 60, 200];
 /// When the job is resubmitted at every node: less often, since a follower asks the state service whether it knows the job.
-const SUBMITTED_AFTER_MS: [u64; 2] = [0, 15];
+const RESUBMIT_DELAYS_MS: [u64; 2] = [0, 15];
 /// A finer step than usual, so that events a few milliseconds apart fall into different steps.
 pub const FINE_STEP_MS: u64 = 5;
 
@@ -46,8 +46,8 @@
     /// Jobs for which a start order has left a controller.
     pub started: BTreeSet<String>,
     pub odd: Vec<Odd>,
-    heard: BTreeMap<String, JobStatus>,
-    ended: BTreeSet<String>,
+    last_status: BTreeMap<String, JobStatus>,
+    ended_jobs: BTreeSet<String>,
 }
 
 /// A further request for a job.
@@ -79,42 +79,44 @@
         };
         self.looks.sent += 1;
         let submission = matches!(look, Look::Submit | Look::SubmitBroken);
-        let (abort, asked) = (look == Look::Abort, self.now + after);
-        let from = From::User { job: job.to_owned(), submission, abort, asked };
+        let (abort, asked_at) = (look == Look::Abort, self.now + after);
+        let from = Sender::User { job: job.to_owned(), submission, abort, asked_at };
         let delay = after + self.delay();
         self.send(delay, Message::Request { node, from, request, forwarded: false });
     }
 
     /// Queries every node repeatedly.
-    fn look_everywhere(&mut self, job: &str) {
+    fn query_all_nodes(&mut self, job: &str) {
         for node in 0..3 {
-            for after in ASKED_AFTER_MS {
+            for after in QUERY_DELAYS_MS {
                 self.look(job, node, Look::View, after);
             }
-            for after in SUBMITTED_AFTER_MS {
+            for after in RESUBMIT_DELAYS_MS {
                 self.look(job, node, Look::Submit, after);
             }
         }
     }
 
     /// A user has received the status of its job.
-    pub(super) fn heard(&mut self, job: &str, body: &str) {
+    pub(super) fn receive_status(&mut self, job: &str, body: &str) {
         if !self.looks.close {
             return;
         }
         let value: serde_json::Value = serde_json::from_str(body).unwrap_or_default();
-        let Ok(said) = serde_json::from_value::<JobStatus>(value["status"].clone()) else { return };
-        let before = self.looks.heard.get(job).copied();
-        if before.is_some() && (!said.is_final() || before.is_some_and(JobStatus::is_final)) {
+        let Ok(status) = serde_json::from_value::<JobStatus>(value["status"].clone()) else {
+            return;
+        };
+        let before = self.looks.last_status.get(job).copied();
+        if before.is_some() && (!status.is_final() || before.is_some_and(JobStatus::is_final)) {
             return;
         }
-        self.looks.heard.insert(job.to_owned(), said);
-        match said {
+        self.looks.last_status.insert(job.to_owned(), status);
+        match status {
             JobStatus::Done => self.looks.done += 1,
             JobStatus::Cancelled => self.looks.cancelled += 1,
             _ => self.looks.accepted += 1,
         }
-        if !said.is_final() && self.rng.random_bool(self.looks.abort_at_once) {
+        if !status.is_final() && self.rng.random_bool(self.looks.abort_at_once) {
             // Sent to some or all nodes, each before or after the queries.
             for node in 0..3 {
                 if self.rng.random_bool(0.6) {
@@ -123,22 +125,22 @@
                 }
             }
         }
-        self.look_everywhere(job);
+        self.query_all_nodes(job);
     }
 
     /// Handles jobs whose last task has just ended on its machine.
-    pub(super) fn step_looks(&mut self) {
+    pub(super) fn step_aggressive_users(&mut self) {
         let (share, within) = self.looks.abort_at_end;
         if share <= 0.0 {
             return;
         }
         let checker = &self.region.checker;
-        let fresh = |job: &String| checker.all_done(job) && !self.looks.ended.contains(job);
+        let fresh = |job: &String| checker.all_done(job) && !self.looks.ended_jobs.contains(job);
         let accepted = self.users.iter().filter(|u| u.accepted);
         let jobs: Vec<String> = accepted.map(|u| u.spec.id.to_string()).filter(fresh).collect();
         for job in jobs {
-            self.looks.ended.insert(job.clone());
-            let nth = self.looks.ended.len();
+            self.looks.ended_jobs.insert(job.clone());
+            let nth = self.looks.ended_jobs.len();
             if let Some((every, fault)) = self.looks.strike_at_end
                 && nth.is_multiple_of(every)
             {
@@ -160,13 +162,13 @@
     }
 
     /// Records orders that leave a controller, even if they are lost on the way.
-    pub(super) fn note_orders(&mut self, from: &From, reply: &HttpReply) {
+    pub(super) fn record_orders(&mut self, from: &Sender, reply: &HttpReply) {
         if reply.status == 200
-            && matches!(from, From::Worker { .. } | From::Peer { .. })
+            && matches!(from, Sender::Worker { .. } | Sender::Peer { .. })
             && let Ok(answer) = serde_json::from_str::<ReportAnswer>(&reply.body)
         {
             self.region.checker.ordered(self.now, &answer.orders);
-            self.look_at_orders(&answer.orders);
+            self.check_orders(&answer.orders);
             for order in &answer.orders {
                 if let Order::Run { task, .. } = order
                     && let Some((job, _)) = task.rsplit_once('/')
@@ -188,7 +190,7 @@
         self.looks.odd.push(Odd { node, what, answer });
         if let Some(request) = request {
             let delay = self.delay();
-            let from = From::Odd(number);
+            let from = Sender::RawRequest(number);
             self.send(delay, Message::Request { node, from, request, forwarded: false });
         }
     }
@@ -225,7 +227,7 @@
 
     /// The final status of a job known to its user, and the time since that user arrived.
     pub fn ended_after(&self, job: &JobId) -> Option<(JobStatus, u64)> {
-        let at = self.users.iter().find(|u| u.spec.id == *job)?.at;
+        let at = self.users.iter().find(|u| u.spec.id == *job)?.arrives_at;
         let checker = &self.region.checker;
         Some((checker.over(job.as_str())?, checker.over_at(job.as_str())? - at))
     }
--- a/tests/world/machines.rs
+++ b/tests/world/machines.rs
@@ -17,15 +17,15 @@
 }
 
 /// Capacity for saved reports; further ones replace random ones, so that reports of all ages remain.
-const KEPT_MOST: usize = 250;
+const MAX_SAVED_REPORTS: usize = 250;
 
-struct Keep {
+struct SavedReports {
     rng: ChaCha8Rng,
     share: f64,
-    given: Given,
-    kept: Vec<Report>,
+    timing: Given,
+    reports: Vec<Report>,
     /// The token of the leader to which reports were last delivered.
-    last: Option<Token>,
+    last_token: Option<Token>,
 }
 
 /// Counts of what happened, so that a test can check that it covered its case.
@@ -48,21 +48,22 @@
 
 #[derive(Default)]
 pub struct Machines {
-    keep: Option<Keep>,
-    mute: BTreeMap<String, u64>,
+    saved: Option<SavedReports>,
+    silent_until: BTreeMap<String, u64>,
     pub met: Met,
     /// When direct commands arrived at each silent machine.
     pub told: BTreeMap<String, Vec<u64>>,
     /// Token, session and number of the latest report of each machine that a leader had processed.
-    sorted: BTreeMap<HostId, (Token, Shift, u64)>,
+    last_processed: BTreeMap<HostId, (Token, Shift, u64)>,
 }
 
 impl World {
     /// From now on saves copies of a share of the reports for the next leader.
     pub fn keep_reports(&mut self, share: f64, given: Given) {
         let rng = ChaCha8Rng::seed_from_u64(self.now ^ 0x6d61_6368);
-        let last = self.leads().and_then(|n| self.reign_of(n)).map(|r| r.token);
-        self.machines.keep = Some(Keep { rng, share, given, kept: Vec::new(), last });
+        let last_token = self.leads().and_then(|n| self.leader_term_of(n)).map(|r| r.token);
+        self.machines.saved =
+            Some(SavedReports { rng, share, timing: given, reports: Vec::new(), last_token });
     }
 
     /// Every n-th of the busy machines that are up reaches no controller for this long; returns how many.
@@ -71,58 +72,58 @@
         let up = self.region.workers.iter().filter(|(_, w)| now >= w.up_at && !w.tasks.is_empty());
         let struck: Vec<String> = up.map(|(host, _)| host.clone()).step_by(every).collect();
         let count = struck.len();
-        self.machines.mute.extend(struck.into_iter().map(|host| (host, until)));
+        self.machines.silent_until.extend(struck.into_iter().map(|host| (host, until)));
         count
     }
 
     pub fn is_mute(&self, host: &str) -> bool {
-        self.machines.mute.get(host).is_some_and(|until| self.now < *until)
+        self.machines.silent_until.get(host).is_some_and(|until| self.now < *until)
     }
 
     /// A zone's machines and its controller reach nothing outside it; users and the cloud still reach the controller.
     pub fn cut_zone(&mut self, zone: usize, span: u64) {
-        self.nodes[zone].parted_until = self.now + span;
+        self.nodes[zone].isolated_until = self.now + span;
         for node in 0..3 {
             let others = (0..3).filter(|z| (*z == zone) != (node == zone));
-            self.apart.extend(others.map(|z| (node, z, self.now + span)));
+            self.partitions.extend(others.map(|z| (node, z, self.now + span)));
         }
     }
 
-    pub fn reign_of(&self, node: usize) -> Option<&Reign> {
-        self.nodes[node].core.as_ref()?.reign()
+    pub fn leader_term_of(&self, node: usize) -> Option<&Reign> {
+        self.nodes[node].controller.as_ref()?.reign()
     }
 
     /// The leader term of the node that may issue orders, once it has loaded its job table.
     pub fn ruling(&self) -> Option<&Reign> {
-        self.reign_of(self.leads()?).filter(|reign| reign.stage == Stage::Ruling)
+        self.leader_term_of(self.leads()?).filter(|term| term.stage == Stage::Ruling)
     }
 
     /// A report is about to leave its machine: may save a copy, and returns whether it cannot be sent.
-    pub(super) fn before_report(&mut self, host: &str, report: &Report) -> bool {
-        if let Some(keep) = &mut self.machines.keep
-            && keep.rng.random_bool(keep.share)
+    pub(super) fn intercept_report(&mut self, host: &str, report: &Report) -> bool {
+        if let Some(saved) = &mut self.machines.saved
+            && saved.rng.random_bool(saved.share)
         {
-            if keep.kept.len() == KEPT_MOST {
-                let at = keep.rng.random_range(0..KEPT_MOST);
-                keep.kept.swap_remove(at);
+            if saved.reports.len() == MAX_SAVED_REPORTS {
+                let at = saved.rng.random_range(0..MAX_SAVED_REPORTS);
+                saved.reports.swap_remove(at);
             }
-            keep.kept.push(report.clone());
+            saved.reports.push(report.clone());
         }
-        let mute = self.is_mute(host);
-        self.machines.met.refused += usize::from(mute);
-        mute
+        let silent = self.is_mute(host);
+        self.machines.met.refused += usize::from(silent);
+        silent
     }
 
     /// A direct command arrives at a machine, in time if its sender still waits for the response.
-    pub(super) fn note_command(&mut self, host: &str, in_time: bool) {
+    pub(super) fn record_command(&mut self, host: &str, in_time: bool) {
         if in_time && self.is_mute(host) {
             self.machines.told.entry(host.to_owned()).or_default().push(self.now);
         }
     }
 
     /// A direct command whose sender no longer waits arrives at a machine.
-    pub(super) fn note_late_command(&mut self, host: &str, command: &Command) {
-        let leader = self.leads().and_then(|n| self.reign_of(n)).map(|reign| reign.token);
+    pub(super) fn record_late_command(&mut self, host: &str, command: &Command) {
+        let leader = self.leads().and_then(|n| self.leader_term_of(n)).map(|term| term.token);
         let Some(worker) = self.region.workers.get(host) else { return };
         let met = &mut self.machines.met;
         if worker.token > command.token.0 {
@@ -145,36 +146,41 @@
 
     /// Delivers saved reports to every controller when a new leader begins or has acted: unchanged, twice to nodes that do
     /// not lead so that they forward them, and once as if forwarded by another controller.
-    pub(super) fn give_reports(&mut self) {
+    pub(super) fn replay_reports(&mut self) {
         let Some(node) = self.leads() else { return };
-        let Some(token) = self.reign_of(node).map(|reign| reign.token) else { return };
-        let Some(mut keep) = self.machines.keep.take() else { return };
+        let Some(token) = self.leader_term_of(node).map(|term| term.token) else { return };
+        let Some(mut saved) = self.machines.saved.take() else { return };
         let acted = self.region.workers.values().any(|w| w.token == token.0);
-        if keep.last == Some(token) || keep.given == Given::OnceItActed && !acted {
-            self.machines.keep = Some(keep);
+        if saved.last_token == Some(token) || saved.timing == Given::OnceItActed && !acted {
+            self.machines.saved = Some(saved);
             return;
         }
-        keep.last = Some(token);
-        keep.kept.shuffle(&mut keep.rng);
-        for report in &keep.kept {
-            self.note_given(node, report);
-            let span = if keep.given == Given::AsItBegins { 30 } else { 3_000 };
+        saved.last_token = Some(token);
+        saved.reports.shuffle(&mut saved.rng);
+        for report in &saved.reports {
+            self.record_replayed(node, report);
+            let span = if saved.timing == Given::AsItBegins { 30 } else { 3_000 };
             for to in 0..3 {
                 for forwarded in [false, to == node] {
                     let request = Request::Report(Box::new(report.clone()));
-                    let delay = keep.rng.random_range(0..span);
-                    let ask = Message::Request { node: to, from: From::Copy, request, forwarded };
+                    let delay = saved.rng.random_range(0..span);
+                    let ask = Message::Request {
+                        node: to,
+                        from: Sender::DuplicateReport,
+                        request,
+                        forwarded,
+                    };
                     self.send(delay, ask);
                 }
             }
         }
         // Some are also delivered to the next leader after this one.
-        keep.kept.truncate(KEPT_MOST / 4);
-        self.machines.keep = Some(keep);
+        saved.reports.truncate(MAX_SAVED_REPORTS / 4);
+        self.machines.saved = Some(saved);
     }
 
-    fn note_given(&mut self, leader: usize, report: &Report) {
-        let machine = self.reign_of(leader).and_then(|r| r.fleet.machines.get(&report.host));
+    fn record_replayed(&mut self, leader: usize, report: &Report) {
+        let machine = self.leader_term_of(leader).and_then(|r| r.fleet.machines.get(&report.host));
         let first = machine.is_none_or(|m| m.last_report.is_none());
         let worker = self.region.workers.get(report.host.as_str());
         let older_session = worker.is_some_and(|w| w.shift > report.shift.0);
@@ -195,17 +201,17 @@
 
     /// Invariants under any reports: the leader's job table holds every task that is on a machine, with its place, and a leader
     /// never goes back to an older report of a machine. All rules about where tasks may start depend on them.
-    pub fn look_at_book(&mut self) {
-        let Some(reign) = self.leads().and_then(|n| self.reign_of(n)) else { return };
-        if reign.stage != Stage::Ruling {
+    pub fn check_job_table(&mut self) {
+        let Some(term) = self.leads().and_then(|n| self.leader_term_of(n)) else { return };
+        if term.stage != Stage::Ruling {
             return;
         }
-        let token = reign.token;
+        let token = term.token;
         let mut wrong = Vec::new();
         for worker in self.region.workers.values() {
             for ((job, index, attempt), task) in &worker.tasks {
                 let id = TaskId::new(&JobId::new(job), *index);
-                let held = reign.book.held(&id).is_some_and(|h| {
+                let held = term.book.held(&id).is_some_and(|h| {
                     h.host.as_str() == worker.host
                         && h.attempt.0 == *attempt
                         && h.shift.0 == worker.shift
@@ -215,17 +221,19 @@
                         "{job}/{index} try {attempt} is on {}, shift {}, and the book of {token} has {:?}",
                         worker.host,
                         worker.shift,
-                        reign.book.held(&id)
+                        term.book.held(&id)
                     ));
                 }
             }
         }
         let latest: Vec<(HostId, Shift, u64)> =
-            reign.fleet.machines.values().map(|m| (m.id.clone(), m.shift, m.tally.0)).collect();
+            term.fleet.machines.values().map(|m| (m.id.clone(), m.shift, m.tally.0)).collect();
         for (host, shift, tally) in latest {
-            let before = self.machines.sorted.insert(host.clone(), (token, shift, tally));
+            let before = self.machines.last_processed.insert(host.clone(), (token, shift, tally));
             if before.is_some_and(|b| b.0 == token && (b.1, b.2) > (shift, tally)) {
-                wrong.push(format!("{host}: back from {before:?} to {shift:?} {tally}"));
+                wrong.push(format!(
+                    "{host}: went back from {before:?} to {shift:?}, report {tally}"
+                ));
             }
         }
         for text in wrong {
@@ -245,12 +253,12 @@
 
     /// Assignments in the leader's job table that are not durable yet, to machines that have been up for less than this long.
     pub fn hasty_assignments(&self, up_for_ms: u64) -> usize {
-        let Some(reign) = self.ruling() else { return 0 };
+        let Some(term) = self.ruling() else { return 0 };
         let new = |host: &HostId| {
             let worker = self.region.workers.get(host.as_str());
             worker.is_some_and(|w| self.now >= w.up_at && self.now < w.up_at + up_for_ms)
         };
-        let jobs = reign.book.jobs.values();
+        let jobs = term.book.jobs.values();
         jobs.flat_map(|j| j.holds().filter(|(i, h)| !j.durable(*i) && new(&h.host))).count()
     }
 
@@ -266,7 +274,7 @@
     pub fn watch_to(&mut self, until: u64) {
         while self.before(until) {
             self.step();
-            self.look_at_book();
+            self.check_job_table();
         }
     }
 }
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -31,7 +31,7 @@
 use oatloom_protocol::reply::HttpReply;
 use oatloom_protocol::settings::{Peer, Settings, Team};
 use oatloom_protocol::wire::{Command, Flavor, JobSpec, JobStatus, Rank, Report, Row, Shape};
-use pipelines::Submits;
+use pipelines::SubmitWhen;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -46,7 +46,7 @@
 /// An accepted job whose user gets no successful response for this long, after all faults, counts as forgotten.
 const FORGOTTEN_MS: u64 = 75_000;
 /// GPU limit of each team in the settings below; 0 means no limit.
-const LIMITS: [(&str, f64); 2] = [("red", 14.0), ("blue", 0.0)];
+const TEAM_GPU_LIMITS: [(&str, f64); 2] = [("red", 14.0), ("blue", 0.0)];
 const ZONES: [&str; 3] = ["a", "b", "c"];
 
 pub const SETTINGS: &str = r#"
@@ -91,71 +91,71 @@
 "#;
 
 /// Task index, attempt and machine.
-pub type Placed = (u32, u64, HostId);
+pub type Placement = (u32, u64, HostId);
 
 #[derive(Clone, Debug)]
-enum From {
+enum Sender {
     User {
         job: String,
         submission: bool,
         abort: bool,
-        asked: u64,
+        asked_at: u64,
     },
     Worker {
         host: String,
-        report: u64,
-        sent: u64,
+        report_id: u64,
+        sent_at: u64,
     },
     Peer {
         node: usize,
-        life: u64,
-        ask: u64,
+        incarnation: u64,
+        request_id: u64,
     },
     /// A duplicate of a report, whose response is dropped.
-    Copy,
+    DuplicateReport,
     /// A task graph client and the number of its request.
-    Client(usize, u64),
+    GraphClient(usize, u64),
     /// A health probe of the load balancer.
-    Probe,
+    HealthProbe,
     /// A raw HTTP request that belongs to no user's job, by its number.
-    Odd(usize),
+    RawRequest(usize),
 }
 
 enum Message {
-    Node {
+    Event {
         node: usize,
-        life: u64,
+        incarnation: u64,
         event: Event,
     },
     Request {
         node: usize,
-        from: From,
+        from: Sender,
         request: Request,
         forwarded: bool,
     },
     Store {
         node: usize,
-        life: u64,
+        incarnation: u64,
         id: OpId,
         op: StoreOp,
         answer: bool,
     },
     Cloud {
         node: usize,
-        life: u64,
+        incarnation: u64,
         id: u64,
         op: CloudOp,
         answer: bool,
     },
     Reply {
         node: usize,
-        from: From,
+        from: Sender,
         reply: HttpReply,
     },
     /// A direct command in transit, and whether its sender still waits for the response.
     Command {
         node: usize,
-        life: u64,
+        incarnation: u64,
         addr: String,
         command: Command,
         answer: bool,
@@ -169,7 +169,7 @@
     StoreOutage(u64),
     /// The state service refuses all requests of one node.
     Refused(usize, u64),
-    MachineDies,
+    MachineTerminated,
     /// Terminates every second machine that is up.
     HalfDie,
     /// Halves the cloud's capacity for this long.
@@ -203,7 +203,7 @@
     /// This many of a thousand transactions are executed at once and get no response; reads are not affected.
     AnswersLost(u64, u32),
     /// This many of a thousand reports are delivered a second time, 2 s to more than twice a lease later.
-    LateReports(u64, u32),
+    DuplicateReports(u64, u32),
     /// This many of a thousand direct commands are delayed, unanswered, and executed 2 to 16 s later if the worker still
     /// accepts them.
     LateCommands(u64, u32),
@@ -234,25 +234,25 @@
 }
 
 struct Node {
-    core: Option<Controller>,
+    controller: Option<Controller>,
     /// The version it runs when it is started next.
     version: upgrades::Version,
-    life: u64,
+    incarnation: u64,
     started: u64,
-    drift: f64,
+    clock_drift: f64,
     frozen_until: u64,
     /// Actions decided at this moment leave the node only when it resumes.
-    asleep_from: Option<u64>,
+    paused_at: Option<u64>,
     cut_until: u64,
-    parted_until: u64,
+    isolated_until: u64,
     refused_until: u64,
-    conns: HashMap<ConnId, From>,
+    conns: HashMap<ConnId, Sender>,
     restart_at: u64,
 }
 
-struct Watch {
+struct StoreWatch {
     node: usize,
-    life: u64,
+    incarnation: u64,
     id: OpId,
     prefix: String,
     after: Revision,
@@ -261,40 +261,45 @@
 
 struct User {
     spec: JobSpec,
-    at: u64,
-    give_up: u64,
-    next: u64,
+    arrives_at: u64,
+    give_up_at: u64,
+    next_request_at: u64,
     accepted: bool,
     /// Time from its first submission until the job was accepted, in milliseconds.
     accepted_after: Option<u64>,
     abort_at: Option<u64>,
     aborted: bool,
     /// What the user waits for before it submits a job with dependencies.
-    submits: pipelines::Submits,
+    submit_when: pipelines::SubmitWhen,
     /// Requests sent, and those that were answered in time.
-    asked: u32,
-    answered: u32,
+    requests_sent: u32,
+    requests_answered: u32,
     /// When a request was last answered in time.
-    answered_at: u64,
+    last_answered_at: u64,
 }
 
 impl User {
     fn new(spec: JobSpec, at: u64, abort_at: Option<u64>) -> Self {
-        let (accepted, accepted_after, aborted, asked, answered) = (false, None, false, 0, 0);
+        let (accepted, accepted_after, aborted, requests_sent, requests_answered) =
+            (false, None, false, 0, 0);
         let needs = !spec.dependencies.is_empty();
         Self {
-            submits: if needs { Submits::OnceAccepted } else { Submits::AtOnce },
+            submit_when: if needs {
+                SubmitWhen::DependenciesAccepted
+            } else {
+                SubmitWhen::Immediately
+            },
             spec,
-            at,
-            give_up: at + 60_000,
+            arrives_at: at,
+            give_up_at: at + 60_000,
             accepted_after,
-            next: at,
+            next_request_at: at,
             accepted,
             abort_at,
             aborted,
-            asked,
-            answered,
-            answered_at: 0,
+            requests_sent,
+            requests_answered,
+            last_answered_at: 0,
         }
     }
 }
@@ -305,34 +310,34 @@
     pub now: u64,
     rng: ChaCha8Rng,
     queue: BTreeMap<(u64, u64), Message>,
-    order: u64,
+    next_sequence: u64,
     state: State,
     outage_until: u64,
     cloud_outage_until: u64,
     /// Until when the cloud executes requests late, and by how much.
-    cloud_late: (u64, u64),
-    store_loses_until: u64,
+    cloud_delayed: (u64, u64),
+    store_replies_lost_until: u64,
     /// Until when the state service is slow, and by which factor.
-    store_slow: (u64, u32),
+    slow_store: (u64, u32),
     /// Until when this many of a thousand transactions are executed late, or reports duplicated.
-    late_writes: (u64, u32),
-    late_reports: (u64, u32),
+    delayed_writes: (u64, u32),
+    duplicate_reports: (u64, u32),
     /// Until when this many of a thousand direct commands are delayed.
-    late_commands: (u64, u32),
+    delayed_commands: (u64, u32),
     /// Until when the responses to this many of a thousand transactions are lost.
-    answers_lost: (u64, u32),
+    write_replies_lost: (u64, u32),
     /// Length of a step in milliseconds, a divisor of [`STEP_MS`].
     pub step_ms: u64,
     /// Users who send extra requests within milliseconds of a response.
     pub looks: Looks,
     /// Which two nodes cannot reach each other, and until when.
-    peers_apart: (usize, usize, u64),
+    partitioned_peers: (usize, usize, u64),
     /// Until when messages to these machines are lost.
-    deaf: BTreeMap<String, u64>,
+    inbound_lost_until: BTreeMap<String, u64>,
     /// Until when users poll this many times as often.
-    storm: (u64, u32),
-    boots_until: u64,
-    scarce_until: u64,
+    poll_storm: (u64, u32),
+    slow_boots_until: u64,
+    reduced_capacity_until: u64,
     /// When two nodes first considered themselves the leader at the same time, which must never happen.
     pub two_leaders: Option<u64>,
     /// The most invalid task starts that the plans of one leader term contained.
@@ -361,7 +366,7 @@
     /// Whether users stop polling once they know the final state of their job.
     pub quiet: bool,
     nodes: Vec<Node>,
-    watches: Vec<Watch>,
+    watches: Vec<StoreWatch>,
     pub region: Region,
     /// Jobs that wait although they could run.
     pub neglect: Neglect,
@@ -373,7 +378,7 @@
     pub machines: machines::Machines,
     users: Vec<User>,
     faults: Vec<(u64, Fault)>,
-    apart: Vec<(usize, usize, u64)>,
+    partitions: Vec<(usize, usize, u64)>,
     pub calm_from: u64,
 }
 
@@ -386,32 +391,30 @@
 /// Asserts that no rule is broken, two nodes never led at once and no plan contained an invalid start.
 pub fn check(world: &World, what: &str) {
     let broken = &world.region.checker.broken;
-    assert!(broken.is_empty(), "{what}: rules are broken: {broken:#?}");
-    assert_eq!(world.two_leaders, None, "{what}: two led at once");
-    assert_eq!(world.wrong_plans, 0, "{what}: a plan was wrong");
+    assert!(broken.is_empty(), "{what}: broken rules: {broken:#?}");
+    assert_eq!(world.two_leaders, None, "{what}: two nodes led at once");
+    assert_eq!(world.wrong_plans, 0, "{what}: a plan had an invalid start");
 }
 
 /// The same, and every accepted job's user knows its final state.
 pub fn finished(world: &World, what: &str) {
     check(world, what);
     let unfinished = world.unfinished();
-    assert!(unfinished.is_empty(), "{what} leaves undone: {unfinished:#?}");
+    assert!(unfinished.is_empty(), "{what}: unfinished jobs: {unfinished:#?}");
 }
 
 /// The number of further seeds to run beyond the fixed ones, from `OATLOOM_SEEDS`.
 pub fn more_days() -> u64 {
     let Ok(seeds) = std::env::var("OATLOOM_SEEDS") else { return 0 };
-    seeds
-        .parse()
-        .unwrap_or_else(|e| panic!("OATLOOM_SEEDS is not a number of seeds: {seeds:?}: {e}"))
+    seeds.parse().unwrap_or_else(|e| panic!("OATLOOM_SEEDS must be a number: {seeds:?}: {e}"))
 }
 
-fn obeyed(report: Option<Report>) -> Event {
+fn command_reply(report: Option<Report>) -> Event {
     Event::Obeyed { report: report.map(Box::new) }
 }
 
 pub fn settings(text: &str, node: usize) -> Settings {
-    let mut settings = oatloom::settings::platform(text).expect("sound settings");
+    let mut settings = oatloom::settings::platform(text).expect("valid settings");
     let member = |n: usize| Member::new(&format!("n-{n}"));
     settings.member = member(node);
     let peer = |n| Peer { member: member(n), zone: Zone::new(ZONES[n]), addr: String::new() };
@@ -486,7 +489,7 @@
         "memoryGb":1,"bundle":"i","pullGb":1,"flavors":null,"samePlace":false,"spread":false,"loaners":false,
         "expectS":{expect_s},"snapshotS":0,"flushS":0}}"#
     );
-    serde_json::from_str(&text).expect("a sound description")
+    serde_json::from_str(&text).expect("a valid job description")
 }
 
 impl World {
@@ -496,24 +499,24 @@
             digest: 0,
             now: 0,
             queue: BTreeMap::new(),
-            order: 0,
+            next_sequence: 0,
             state: upgrades::limited_state(&site),
             outage_until: 0,
             cloud_outage_until: 0,
-            cloud_late: (0, 0),
-            store_loses_until: 0,
-            store_slow: (0, 1),
-            late_writes: (0, 0),
-            late_reports: (0, 0),
-            late_commands: (0, 0),
-            answers_lost: (0, 0),
+            cloud_delayed: (0, 0),
+            store_replies_lost_until: 0,
+            slow_store: (0, 1),
+            delayed_writes: (0, 0),
+            duplicate_reports: (0, 0),
+            delayed_commands: (0, 0),
+            write_replies_lost: (0, 0),
             step_ms: STEP_MS,
             looks: Looks::default(),
-            peers_apart: (0, 0, 0),
-            deaf: BTreeMap::new(),
-            storm: (0, 1),
-            boots_until: 0,
-            scarce_until: 0,
+            partitioned_peers: (0, 0, 0),
+            inbound_lost_until: BTreeMap::new(),
+            poll_storm: (0, 1),
+            slow_boots_until: 0,
+            reduced_capacity_until: 0,
             two_leaders: None,
             wrong_plans: 0,
             leaky: true,
@@ -538,21 +541,21 @@
             machines: machines::Machines::default(),
             users: Vec::new(),
             faults: Vec::new(),
-            apart: Vec::new(),
+            partitions: Vec::new(),
             calm_from,
             rng: ChaCha8Rng::seed_from_u64(rng.random()),
         };
         for _ in 0..3 {
             world.nodes.push(Node {
-                core: None,
+                controller: None,
                 version: upgrades::Version::Current,
-                life: 0,
+                incarnation: 0,
                 started: 0,
-                drift: rng.random_range(0.0..0.0005),
+                clock_drift: rng.random_range(0.0..0.0005),
                 frozen_until: 0,
-                asleep_from: None,
+                paused_at: None,
                 cut_until: 0,
-                parted_until: 0,
+                isolated_until: 0,
                 refused_until: 0,
                 conns: HashMap::new(),
                 restart_at: 0,
@@ -578,7 +581,7 @@
                     2 => Fault::CrashAll,
                     3 | 4 => Fault::StoreOutage(span),
                     5 => Fault::Refused(node, span),
-                    6 => Fault::MachineDies,
+                    6 => Fault::MachineTerminated,
                     7 => Fault::MachineHangs(span * 2),
                     8 => Fault::MachineCut(span * 2),
                     9 => Fault::Apart(node, rng.random_range(0..3), span),
@@ -655,7 +658,7 @@
 
     /// Applies operators' settings, which limit how often tasks of a class may fail; `text` is their TOML.
     pub fn limit(&mut self, text: &str) {
-        self.operators = oatloom::settings::operators(text).expect("sound settings");
+        self.operators = oatloom::settings::operators(text).expect("valid settings");
         let classes = &self.operators.classes;
         for spec in self.region.outside.specs.values() {
             if let Some(allowance) = classes.of(&spec.class) {
@@ -715,8 +718,8 @@
     }
 
     fn send(&mut self, delay: u64, message: Message) {
-        self.order += 1;
-        self.queue.insert((self.now + delay, self.order), message);
+        self.next_sequence += 1;
+        self.queue.insert((self.now + delay, self.next_sequence), message);
     }
 
     fn delay(&mut self) -> u64 {
@@ -730,31 +733,31 @@
         }
     }
 
-    fn troubled(&self) -> bool {
+    fn faults_active(&self) -> bool {
         self.now < self.calm_from && !self.faults.is_empty()
     }
 
     fn clock(&self, node: usize) -> Now {
         let n = &self.nodes[node];
-        let steady = (self.now - n.started) as f64 * (1.0 + n.drift);
+        let steady = (self.now - n.started) as f64 * (1.0 + n.clock_drift);
         Now { mono: Mono(CLOCK_START_MS.0 + steady as u64), wall_ms: 1_000_000 + self.now }
     }
 
     /// How much later than usual the actions of a node leave it.
-    fn held_back(&self, node: usize) -> u64 {
+    fn departure_delay(&self, node: usize) -> u64 {
         let n = &self.nodes[node];
-        let asleep = if n.asleep_from == Some(self.now) { n.frozen_until } else { 0 };
-        asleep.max(n.cut_until).saturating_sub(self.now)
+        let paused = if n.paused_at == Some(self.now) { n.frozen_until } else { 0 };
+        paused.max(n.cut_until).saturating_sub(self.now)
     }
 
     fn event(&mut self, node: usize, event: Event) {
-        let late = self.held_back(node);
+        let late = self.departure_delay(node);
         let clock = self.clock(node);
-        let Some(core) = self.nodes[node].core.as_mut() else { return };
-        let actions = core.handle(clock, event);
-        let entries = core.take_entries();
-        let life = self.nodes[node].life;
-        self.entries.extend(entries.into_iter().map(|entry| (node, life, entry)));
+        let Some(controller) = self.nodes[node].controller.as_mut() else { return };
+        let actions = controller.handle(clock, event);
+        let entries = controller.take_entries();
+        let incarnation = self.nodes[node].incarnation;
+        self.entries.extend(entries.into_iter().map(|entry| (node, incarnation, entry)));
         let mut hasher = DefaultHasher::new();
         (self.digest, node, clock.mono.0, format!("{actions:?}")).hash(&mut hasher);
         self.digest = hasher.finish();
@@ -762,40 +765,45 @@
             match action {
                 Action::Reply { conn, reply } => {
                     if let Some(from) = self.nodes[node].conns.remove(&conn) {
-                        self.note_orders(&from, &reply);
-                        if matches!(from, From::Peer { .. }) && self.parted(node) {
+                        self.record_orders(&from, &reply);
+                        if matches!(from, Sender::Peer { .. }) && self.is_isolated(node) {
                             continue;
                         }
                         let delay = self.delay() + late;
                         self.send(delay, Message::Reply { node, from, reply });
                     }
                 }
-                Action::Store { id, lane, op } => self.ask_store(node, life, id, lane, op),
-                Action::Cloud { id, op } => self.ask_cloud(node, life, id, op),
+                Action::Store { id, lane, op } => {
+                    self.send_to_store(node, incarnation, id, lane, op)
+                }
+                Action::Cloud { id, op } => self.send_to_cloud(node, incarnation, id, op),
                 Action::Command { addr, command } => {
-                    let (mut delay, mut answer) = self.fate(node);
-                    let (until, share) = self.late_commands;
+                    let (mut delay, mut answer) = self.draw_delivery(node);
+                    let (until, share) = self.delayed_commands;
                     if self.now < until && self.rng.random_bool(f64::from(share) / 1e3) {
                         (delay, answer) = (Some(self.rng.random_range(2_000..16_000)), false);
                     }
                     if !answer {
                         let event = Event::Obeyed { report: None };
-                        self.send(800, Message::Node { node, life, event });
+                        self.send(800, Message::Event { node, incarnation, event });
                     }
                     if let Some(delay) = delay {
-                        self.send(delay, Message::Command { node, life, addr, command, answer });
+                        self.send(
+                            delay,
+                            Message::Command { node, incarnation, addr, command, answer },
+                        );
                     }
                 }
                 Action::Ask { to, id, question } => {
                     let peer = to.as_str()[2..].parse().unwrap_or(0);
                     let request = question.into();
-                    let (a, b, until) = self.peers_apart;
+                    let (a, b, until) = self.partitioned_peers;
                     let cut = self.now < until
                         && (a.min(b), a.max(b)) == (node.min(peer), node.max(peer));
-                    if cut || self.parted(node) || self.parted(peer) {
+                    if cut || self.is_isolated(node) || self.is_isolated(peer) {
                         continue;
                     }
-                    let from = From::Peer { node, life, ask: id };
+                    let from = Sender::Peer { node, incarnation, request_id: id };
                     let delay = self.delay() + late;
                     let ask = Message::Request { node: peer, from, request, forwarded: true };
                     self.send(delay, ask);
@@ -805,23 +813,23 @@
     }
 
     /// The delay of a request, none if it is lost, and whether its response arrives in time.
-    fn fate(&mut self, node: usize) -> (Option<u64>, bool) {
-        let late = self.held_back(node);
+    fn draw_delivery(&mut self, node: usize) -> (Option<u64>, bool) {
+        let late = self.departure_delay(node);
         if late > 0 {
             // A request is executed even after its caller's timeout.
             return (Some(late + self.delay()), late < 800);
         }
-        if self.troubled() && self.rng.random_bool(0.01) {
+        if self.faults_active() && self.rng.random_bool(0.01) {
             let late = self.rng.random_bool(0.5).then(|| self.rng.random_range(3_000..40_000));
             return (late, false);
         }
-        if self.troubled() && self.rng.random_bool(0.005) {
+        if self.faults_active() && self.rng.random_bool(0.005) {
             return (Some(5), false);
         }
         (Some(self.delay()), true)
     }
 
-    fn ask_store(&mut self, node: usize, life: u64, id: OpId, lane: Lane, op: StoreOp) {
+    fn send_to_store(&mut self, node: usize, incarnation: u64, id: OpId, lane: Lane, op: StoreOp) {
         let spent = self.spent.entry(self.now / 1_000).or_default();
         spent.0 += 1;
         spent.1 += if let StoreOp::Txn(txn) = &op { txn.changes.len() as u32 } else { 0 };
@@ -829,107 +837,107 @@
             && let StoreOp::Follow { prefix, after } = op
         {
             let until = self.now + 10_000;
-            self.watches.push(Watch { node, life, id, prefix, after, until });
+            self.watches.push(StoreWatch { node, incarnation, id, prefix, after, until });
             return;
         }
-        let (mut delay, mut answer) = self.fate(node);
+        let (mut delay, mut answer) = self.draw_delivery(node);
         let mut patience = 2_500;
         let of = |share: u32| f64::from(share) / 1e3;
-        if self.parted(node) {
+        if self.is_isolated(node) {
             // A request held back by the partition arrives after it.
-            let back = self.nodes[node].parted_until - self.now;
+            let back = self.nodes[node].isolated_until - self.now;
             (delay, answer) = (self.rng.random_bool(0.5).then_some(back + 5), false);
         } else if matches!(op, StoreOp::Txn(_))
-            && self.now < self.late_writes.0
-            && self.rng.random_bool(of(self.late_writes.1))
+            && self.now < self.delayed_writes.0
+            && self.rng.random_bool(of(self.delayed_writes.1))
         {
             (delay, answer) = (Some(self.rng.random_range(2_000..12_000)), false);
         } else if matches!(op, StoreOp::Txn(_))
-            && self.now < self.answers_lost.0
-            && self.rng.random_bool(of(self.answers_lost.1))
+            && self.now < self.write_replies_lost.0
+            && self.rng.random_bool(of(self.write_replies_lost.1))
         {
             (delay, answer) = (Some(self.delay()), false);
-        } else if self.now < self.store_slow.0 && answer {
+        } else if self.now < self.slow_store.0 && answer {
             let usual = if self.rng.random_bool(0.1) { 100..300 } else { 3..12 };
-            let took = self.rng.random_range(usual) * u64::from(self.store_slow.1);
+            let took = self.rng.random_range(usual) * u64::from(self.slow_store.1);
             patience = if lane == Lane::Vital { 1_200 } else { 2_500 };
             (delay, answer) = (Some(took), took < patience);
         }
         if !answer {
             let lost = Event::Store { id, reply: StoreReply::Lost };
-            self.send(patience, Message::Node { node, life, event: lost });
+            self.send(patience, Message::Event { node, incarnation, event: lost });
         }
         if let Some(delay) = delay {
-            self.send(delay, Message::Store { node, life, id, op, answer });
+            self.send(delay, Message::Store { node, incarnation, id, op, answer });
         }
     }
 
-    fn ask_cloud(&mut self, node: usize, life: u64, id: u64, op: CloudOp) {
-        let (mut delay, mut answer) = self.fate(node);
-        if self.now < self.cloud_late.0 && self.rng.random_bool(0.5) {
-            (delay, answer) = (Some(self.cloud_late.1), false);
+    fn send_to_cloud(&mut self, node: usize, incarnation: u64, id: u64, op: CloudOp) {
+        let (mut delay, mut answer) = self.draw_delivery(node);
+        if self.now < self.cloud_delayed.0 && self.rng.random_bool(0.5) {
+            (delay, answer) = (Some(self.cloud_delayed.1), false);
         }
         if !answer {
             let lost = Event::Cloud { id, reply: CloudReply::Lost };
-            self.send(5_000, Message::Node { node, life, event: lost });
+            self.send(5_000, Message::Event { node, incarnation, event: lost });
         }
         if let Some(delay) = delay {
-            self.send(delay + 100, Message::Cloud { node, life, id, op, answer });
+            self.send(delay + 100, Message::Cloud { node, incarnation, id, op, answer });
         }
     }
 
     fn deliver(&mut self, message: Message) {
         match message {
-            Message::Node { node, life, event } => {
-                if self.nodes[node].life == life {
+            Message::Event { node, incarnation, event } => {
+                if self.nodes[node].incarnation == incarnation {
                     self.event(node, event);
                 }
             }
             Message::Request { node, from, request, forwarded } => {
-                if self.nodes[node].core.is_none() {
+                if self.nodes[node].controller.is_none() {
                     let reply = HttpReply::error(599, "refused");
                     let delay = self.delay();
                     self.send(delay, Message::Reply { node, from, reply });
                     return;
                 }
-                self.order += 1;
-                let conn = ConnId(self.order);
+                self.next_sequence += 1;
+                let conn = ConnId(self.next_sequence);
                 self.nodes[node].conns.insert(conn, from);
                 self.event(node, Event::Request { conn, request, forwarded });
             }
-            Message::Store { node, life, id, op, answer } => {
+            Message::Store { node, incarnation, id, op, answer } => {
                 let out = self.now < self.outage_until || self.now < self.nodes[node].refused_until;
                 let reply = if out { StoreReply::Refused } else { self.state.serve(self.now, &op) };
-                self.look_at_write(node, &op, &reply);
-                self.clients.wrote(self.now, &op, &reply, &mut self.region);
-                let lost = self.now < self.store_loses_until
+                self.check_write(node, &op, &reply);
+                self.clients.observe_write(self.now, &op, &reply, &mut self.region);
+                let lost = self.now < self.store_replies_lost_until
                     || self.now < self.nodes[node].cut_until
-                    || self.parted(node);
+                    || self.is_isolated(node);
                 if answer {
                     let delay = if lost { 2_500 } else { self.delay() };
                     let reply = if lost { StoreReply::Lost } else { reply };
                     let event = Event::Store { id, reply };
-                    self.send(delay, Message::Node { node, life, event });
+                    self.send(delay, Message::Event { node, incarnation, event });
                 }
             }
-            Message::Cloud { node, life, id, op, answer } => {
+            Message::Cloud { node, incarnation, id, op, answer } => {
                 let out = self.now < self.cloud_outage_until;
-                let reply = if out { CloudReply::Busy } else { self.cloud(&op) };
+                let reply = if out { CloudReply::Busy } else { self.execute_cloud_op(&op) };
                 if answer {
                     let lost = self.now < self.nodes[node].cut_until;
                     let (delay, reply) = if lost { (5_000, CloudReply::Lost) } else { (20, reply) };
                     let event = Event::Cloud { id, reply };
-                    self.send(delay, Message::Node { node, life, event });
+                    self.send(delay, Message::Event { node, incarnation, event });
                 }
             }
-            Message::Reply { node, from, reply } => self.answered(node, from, reply),
-            Message::Command { node, life, addr, command, answer } => {
-                self.commanded(node, life, addr, command, answer);
+            Message::Reply { node, from, reply } => self.deliver_reply(node, from, reply),
+            Message::Command { node, incarnation, addr, command, answer } => {
+                self.deliver_command(node, incarnation, addr, command, answer);
             }
         }
     }
 
-    fn cloud(&mut self, op: &CloudOp) -> CloudReply {
+    fn execute_cloud_op(&mut self, op: &CloudOp) -> CloudReply {
         let now = self.now;
         match op {
             CloudOp::Catalog => CloudReply::Catalog(self.region.catalog()),
@@ -947,49 +955,62 @@
     }
 
     /// A hanging or partitioned worker executes a command once it recovers, however late that is.
-    fn commanded(&mut self, node: usize, life: u64, addr: String, command: Command, answer: bool) {
+    fn deliver_command(
+        &mut self,
+        node: usize,
+        incarnation: u64,
+        addr: String,
+        command: Command,
+        answer: bool,
+    ) {
         let now = self.now;
-        self.note_command(&addr, answer);
-        let cut = |w: &Worker| now < self.nodes[node].cut_until || self.apart(node, &w.place.zone);
+        self.record_command(&addr, answer);
+        let cut = |w: &Worker| {
+            now < self.nodes[node].cut_until || self.is_partitioned(node, &w.place.zone)
+        };
         let Some((until, cut)) =
             self.region.workers.get(&addr).map(|w| (w.hung_until.max(w.cut_until), cut(w)))
         else {
-            return self.send(800, Message::Node { node, life, event: obeyed(None) });
+            return self
+                .send(800, Message::Event { node, incarnation, event: command_reply(None) });
         };
-        if self.is_deaf(&addr) {
-            return self.send(800, Message::Node { node, life, event: obeyed(None) });
+        if self.loses_inbound(&addr) {
+            return self
+                .send(800, Message::Event { node, incarnation, event: command_reply(None) });
         }
         if now < until || cut {
             let delay = until.max(now + 5_000) - now;
             if answer {
-                self.send(800, Message::Node { node, life, event: obeyed(None) });
+                self.send(800, Message::Event { node, incarnation, event: command_reply(None) });
             }
-            let late = Message::Command { node, life, addr, command, answer: false };
+            let late = Message::Command { node, incarnation, addr, command, answer: false };
             return self.send(delay, late);
         }
         if !answer {
-            self.note_late_command(&addr, &command);
+            self.record_late_command(&addr, &command);
         }
         let report = self.region.commanded(now, &addr, &command).map(|(_, report)| report);
         if answer {
             let delay = self.delay();
-            self.send(delay, Message::Node { node, life, event: obeyed(report) });
+            self.send(delay, Message::Event { node, incarnation, event: command_reply(report) });
         }
     }
 
-    fn answered(&mut self, node: usize, from: From, reply: HttpReply) {
+    fn deliver_reply(&mut self, node: usize, from: Sender, reply: HttpReply) {
         let now = self.now;
         match from {
-            From::Peer { node, life, ask } => {
-                let told = if reply.status == 599 { None } else { Some(reply) };
-                let event = Event::Told { id: ask, reply: told };
-                self.deliver(Message::Node { node, life, event });
+            Sender::Peer { node, incarnation, request_id } => {
+                let received = if reply.status == 599 { None } else { Some(reply) };
+                let event = Event::Told { id: request_id, reply: received };
+                self.deliver(Message::Event { node, incarnation, event });
             }
-            From::Client(client, number) => self.clients.answered(now, client, number, &reply),
-            From::User { job, submission, abort, asked } => {
+            Sender::GraphClient(client, number) => {
+                self.clients.receive_response(now, client, number, &reply)
+            }
+            Sender::User { job, submission, abort, asked_at } => {
                 if reply.status != 599 {
                     let checker = &mut self.region.checker;
-                    checker.answered(now, asked, &job, reply.status, &reply.body, submission);
+                    checker.answered(now, asked_at, &job, reply.status, &reply.body, submission);
                     self.look_at_answer(&job, &reply, submission);
                 }
                 let Some(user) = self.users.iter_mut().find(|u| u.spec.id.as_str() == job) else {
@@ -997,30 +1018,31 @@
                 };
                 let good = matches!(reply.status, 200 | 201);
                 let patience = if submission { SUBMIT_PATIENCE_MS } else { POLL_PATIENCE_MS };
-                if good && now <= asked + patience {
-                    user.answered += 1;
-                    user.answered_at = now;
+                if good && now <= asked_at + patience {
+                    user.requests_answered += 1;
+                    user.last_answered_at = now;
                 }
                 user.accepted |= good;
                 if good {
-                    user.accepted_after.get_or_insert(now - user.at);
+                    user.accepted_after.get_or_insert(now - user.arrives_at);
                 }
                 user.aborted |= abort && good;
                 if good {
-                    self.heard(&job, &reply.body);
+                    self.receive_status(&job, &reply.body);
                 }
             }
-            From::Odd(number) => self.looks.odd[number].answer = Some((now, reply)),
-            From::Copy => {}
-            From::Probe => self.probes.push((now, node, reply.status)),
-            From::Worker { host, report, sent } => {
-                let cut = |w: &Worker| now < w.cut_until || self.apart(node, &w.place.zone);
+            Sender::RawRequest(number) => self.looks.odd[number].answer = Some((now, reply)),
+            Sender::DuplicateReport => {}
+            Sender::HealthProbe => self.probes.push((now, node, reply.status)),
+            Sender::Worker { host, report_id, sent_at } => {
+                let cut =
+                    |w: &Worker| now < w.cut_until || self.is_partitioned(node, &w.place.zone);
                 if now >= self.nodes[node].cut_until
-                    && !self.is_deaf(&host)
+                    && !self.loses_inbound(&host)
                     && !self.region.workers.get(&host).is_some_and(cut)
                 {
                     let status = reply.status;
-                    self.region.answered(now, &host, (report, sent), status, &reply.body);
+                    self.region.answered(now, &host, (report_id, sent_at), status, &reply.body);
                 }
             }
         }
@@ -1029,14 +1051,14 @@
     fn step_workers(&mut self) {
         let now = self.now;
         for Sending { host, id, node, report } in self.region.step(now) {
-            if self.before_report(&host, &report) {
-                let from = From::Worker { host, report: id, sent: now };
+            if self.intercept_report(&host, &report) {
+                let from = Sender::Worker { host, report_id: id, sent_at: now };
                 let reply = HttpReply::error(599, "no connection");
                 self.send(5, Message::Reply { node, from, reply });
                 continue;
             }
             let Some(worker) = self.region.workers.get(&host) else { continue };
-            let held = now < worker.cut_until || self.apart(node, &worker.place.zone);
+            let held = now < worker.cut_until || self.is_partitioned(node, &worker.place.zone);
             let delay = match held {
                 false => self.delay(),
                 // A report held back by a partition may arrive after it, long after the worker's timeout.
@@ -1045,43 +1067,50 @@
                 }
                 true => continue,
             };
-            if now < self.late_reports.0
-                && self.rng.random_bool(f64::from(self.late_reports.1) / 1e3)
+            if now < self.duplicate_reports.0
+                && self.rng.random_bool(f64::from(self.duplicate_reports.1) / 1e3)
             {
                 let later = self.rng.random_range(2_000..60_000);
                 let request = Request::Report(Box::new(report.clone()));
                 let node = self.rng.random_range(0..3);
-                let copy = Message::Request { node, from: From::Copy, request, forwarded: false };
+                let copy = Message::Request {
+                    node,
+                    from: Sender::DuplicateReport,
+                    request,
+                    forwarded: false,
+                };
                 self.send(later, copy);
             }
-            let from = From::Worker { host, report: id, sent: now };
+            let from = Sender::Worker { host, report_id: id, sent_at: now };
             let request = Request::Report(Box::new(report));
             self.send(delay, Message::Request { node, from, request, forwarded: false });
         }
     }
 
     /// Whether a node has lost the state service and the other nodes.
-    fn parted(&self, node: usize) -> bool {
-        self.now < self.nodes[node].parted_until
+    fn is_isolated(&self, node: usize) -> bool {
+        self.now < self.nodes[node].isolated_until
     }
 
-    fn is_deaf(&self, host: &str) -> bool {
-        self.deaf.get(host).is_some_and(|until| self.now < *until)
+    fn loses_inbound(&self, host: &str) -> bool {
+        self.inbound_lost_until.get(host).is_some_and(|until| self.now < *until)
     }
 
-    fn apart(&self, node: usize, zone: &str) -> bool {
-        self.apart.iter().any(|(n, z, until)| *n == node && ZONES[*z] == zone && self.now < *until)
+    fn is_partitioned(&self, node: usize, zone: &str) -> bool {
+        self.partitions
+            .iter()
+            .any(|(n, z, until)| *n == node && ZONES[*z] == zone && self.now < *until)
     }
 
     /// The node that may issue orders, if any.
     pub fn leads(&self) -> Option<usize> {
-        (0..3).find(|n| self.gives_orders(*n))
+        (0..3).find(|n| self.may_issue_orders(*n))
     }
 
-    fn gives_orders(&self, node: usize) -> bool {
+    fn may_issue_orders(&self, node: usize) -> bool {
         let n = &self.nodes[node];
-        let core = n.core.as_ref().filter(|_| self.now >= n.frozen_until);
-        core.is_some_and(|core| core.valid(self.clock(node).mono).is_some())
+        let controller = n.controller.as_ref().filter(|_| self.now >= n.frozen_until);
+        controller.is_some_and(|controller| controller.valid(self.clock(node).mono).is_some())
     }
 
     pub fn strike(&mut self, fault: Fault) {
@@ -1097,7 +1126,7 @@
             Fault::LeaderAsleep(span) => {
                 if let Some(node) = self.leads() {
                     let n = &mut self.nodes[node];
-                    (n.frozen_until, n.asleep_from) = (now + span, Some(now));
+                    (n.frozen_until, n.paused_at) = (now + span, Some(now));
                     // The next event is handled, and then nothing until the node resumes.
                     self.event(node, Event::Tick);
                 }
@@ -1107,13 +1136,16 @@
                 self.nodes[node].restart_at = now + span;
             }
             Fault::NodeCut(node, span) => self.nodes[node].cut_until = now + span,
-            Fault::NodeParted(node, span) => self.nodes[node].parted_until = now + span,
+            Fault::NodeParted(node, span) => self.nodes[node].isolated_until = now + span,
             Fault::LimitsFall => self.lower_limits(),
             Fault::Upgrade(node, away) => self.upgrade(node, away),
             Fault::Leader(what) => {
                 // Without a valid leader, the fault hits a node that still considers itself the leader.
-                let seated = |n: &usize| self.nodes[*n].core.as_ref().is_some_and(|c| c.leads());
-                let Some(node) = self.leads().or_else(|| (0..3).find(seated)) else { return };
+                let believes_to_lead =
+                    |n: &usize| self.nodes[*n].controller.as_ref().is_some_and(|c| c.leads());
+                let Some(node) = self.leads().or_else(|| (0..3).find(believes_to_lead)) else {
+                    return;
+                };
                 return self.strike(match what {
                     Upon::Crash => Fault::Crash(node),
                     Upon::Refused(span) => Fault::Refused(node, span),
@@ -1122,28 +1154,28 @@
                     Upon::Down(span) => Fault::NodeDown(node, span),
                 });
             }
-            Fault::PeersApart(a, b, span) => self.peers_apart = (a, b, now + span),
-            Fault::LateWrites(span, share) => self.late_writes = (now + span, share),
-            Fault::AnswersLost(span, share) => self.answers_lost = (now + span, share),
-            Fault::LateReports(span, share) => self.late_reports = (now + span, share),
-            Fault::LateCommands(span, share) => self.late_commands = (now + span, share),
-            Fault::StoreSlow(span, times) => self.store_slow = (now + span, times),
+            Fault::PeersApart(a, b, span) => self.partitioned_peers = (a, b, now + span),
+            Fault::LateWrites(span, share) => self.delayed_writes = (now + span, share),
+            Fault::AnswersLost(span, share) => self.write_replies_lost = (now + span, share),
+            Fault::DuplicateReports(span, share) => self.duplicate_reports = (now + span, share),
+            Fault::LateCommands(span, share) => self.delayed_commands = (now + span, share),
+            Fault::StoreSlow(span, times) => self.slow_store = (now + span, times),
             Fault::MachinesDeaf(span, every) => {
                 let up = self.region.workers.iter().filter(|(_, w)| now >= w.up_at);
                 let struck = up.map(|(host, _)| (host.clone(), now + span));
-                self.deaf.extend(struck.step_by(every.max(1) as usize));
+                self.inbound_lost_until.extend(struck.step_by(every.max(1) as usize));
             }
-            Fault::PollStorm(span, times) => self.storm = (now + span, times),
+            Fault::PollStorm(span, times) => self.poll_storm = (now + span, times),
             Fault::Boots(span, pace, never) => {
-                self.boots_until = now + span;
+                self.slow_boots_until = now + span;
                 self.region.boots = (f64::from(pace) / 1e3, f64::from(never) / 1e3);
             }
-            Fault::Apart(node, zone, span) => self.apart.push((node, zone, now + span)),
+            Fault::Apart(node, zone, span) => self.partitions.push((node, zone, now + span)),
             Fault::Scarce(span) => {
-                self.scarce_until = now + span;
+                self.reduced_capacity_until = now + span;
                 self.region.offer(self.site.capacity / 2);
             }
-            Fault::MachineDies => self.region.take(&host),
+            Fault::MachineTerminated => self.region.take(&host),
             Fault::HalfDie => {
                 let up = |(_, w): &(&String, &Worker)| now >= w.up_at;
                 let half: Vec<String> = self
@@ -1157,8 +1189,8 @@
                 half.iter().for_each(|host| self.region.take(host));
             }
             Fault::CloudOutage(span) => self.cloud_outage_until = now + span,
-            Fault::CloudLate(span, delay) => self.cloud_late = (now + span, delay),
-            Fault::StoreLoses(span) => self.store_loses_until = now + span,
+            Fault::CloudLate(span, delay) => self.cloud_delayed = (now + span, delay),
+            Fault::StoreLoses(span) => self.store_replies_lost_until = now + span,
             Fault::StoreRestart => self.restart_store(),
             // Some of them are taken without notice.
             Fault::SpotTaken => _ = self.region.take_spot(now, 3, 6_000),
@@ -1182,29 +1214,33 @@
             .map(|(at, _)| *at)
             .collect();
         for at in under_way {
-            let Some(Message::Store { node, life, id, op, .. }) = self.queue.remove(&at) else {
+            let Some(Message::Store { node, incarnation, id, op, .. }) = self.queue.remove(&at)
+            else {
                 continue;
             };
             if self.rng.random_bool(0.5) {
                 let reply = self.state.serve(self.now, &op);
-                self.look_at_write(node, &op, &reply);
+                self.check_write(node, &op, &reply);
             }
             let event = Event::Store { id, reply: StoreReply::Lost };
-            self.send(30, Message::Node { node, life, event });
+            self.send(30, Message::Event { node, incarnation, event });
         }
         for watch in std::mem::take(&mut self.watches) {
             let event = Event::Store { id: watch.id, reply: StoreReply::Lost };
-            self.send(30, Message::Node { node: watch.node, life: watch.life, event });
+            self.send(
+                30,
+                Message::Event { node: watch.node, incarnation: watch.incarnation, event },
+            );
         }
         self.state.refill(self.now);
     }
 
     fn crash(&mut self, node: usize) {
         let n = &mut self.nodes[node];
-        n.core = None;
-        n.life += 1;
+        n.controller = None;
+        n.incarnation += 1;
         n.restart_at = self.now + self.restart_ms;
-        (n.frozen_until, n.asleep_from) = (0, None);
+        (n.frozen_until, n.paused_at) = (0, None);
         for from in std::mem::take(&mut n.conns).into_values() {
             let reply = HttpReply::error(599, "reset");
             self.send(3, Message::Reply { node, from, reply });
@@ -1213,19 +1249,19 @@
 
     fn step_nodes(&mut self) {
         for node in 0..3 {
-            if self.nodes[node].core.is_none() && self.now >= self.nodes[node].restart_at {
+            if self.nodes[node].controller.is_none() && self.now >= self.nodes[node].restart_at {
                 let seed = self.rng.random();
-                self.nodes[node].core = Some(self.controller(node, seed));
+                self.nodes[node].controller = Some(self.controller(node, seed));
                 self.nodes[node].started = self.now;
             }
             if self.now >= self.nodes[node].frozen_until {
                 self.event(node, Event::Tick);
             }
         }
-        let wrong = |n: &Node| n.core.as_ref()?.reign().map(|reign| reign.wrong_plans);
+        let wrong = |n: &Node| n.controller.as_ref()?.reign().map(|reign| reign.wrong_plans);
         self.wrong_plans =
             self.wrong_plans.max(self.nodes.iter().filter_map(wrong).max().unwrap_or(0));
-        if (0..3).filter(|n| self.gives_orders(*n)).count() > 1 {
+        if (0..3).filter(|n| self.may_issue_orders(*n)).count() > 1 {
             self.two_leaders.get_or_insert(self.now);
         }
     }
@@ -1234,24 +1270,24 @@
         if self.now < self.outage_until {
             return;
         }
-        let ready = |w: &Watch, s: &State, now: u64| {
+        let ready = |w: &StoreWatch, s: &State, now: u64| {
             now >= w.until || !s.changes(&w.prefix, w.after).is_empty()
         };
-        let (done, keep): (Vec<Watch>, Vec<Watch>) =
+        let (done, keep): (Vec<StoreWatch>, Vec<StoreWatch>) =
             std::mem::take(&mut self.watches).into_iter().partition(|w| {
-                self.nodes[w.node].life != w.life
+                self.nodes[w.node].incarnation != w.incarnation
                     || self.now
                         >= self.nodes[w.node]
                             .refused_until
                             .max(self.nodes[w.node].cut_until)
-                            .max(self.nodes[w.node].parted_until)
+                            .max(self.nodes[w.node].isolated_until)
                         && ready(w, &self.state, self.now)
             });
         self.watches = keep;
         for w in done {
             let reply = self.state.follow(&w.prefix, w.after);
             let event = Event::Store { id: w.id, reply };
-            self.send(4, Message::Node { node: w.node, life: w.life, event });
+            self.send(4, Message::Event { node: w.node, incarnation: w.incarnation, event });
         }
     }
 
@@ -1259,16 +1295,16 @@
         let now = self.now;
         for at in 0..self.users.len() {
             let user = &self.users[at];
-            if now < user.next || !self.submits_now(at) {
+            if now < user.next_request_at || !self.may_submit(at) {
                 continue;
             }
             let user = &self.users[at];
             if self.quiet && self.region.checker.over(user.spec.id.as_str()).is_some() {
-                self.users[at].next = u64::MAX;
+                self.users[at].next_request_at = u64::MAX;
                 continue;
             }
             let job = user.spec.id.to_string();
-            let submit = !user.accepted && now < user.give_up || self.rng.random_bool(0.1);
+            let submit = !user.accepted && now < user.give_up_at || self.rng.random_bool(0.1);
             let abort = user.accepted
                 && !user.aborted
                 && user.abort_at.is_some_and(|t| now >= t)
@@ -1281,10 +1317,10 @@
                 Request::View(user.spec.id.clone())
             };
             // An idle user's job was not accepted yet, so there is nothing to ask for.
-            let idle = !submit && !user.accepted && now < user.give_up;
-            let times = if now < self.storm.0 { u64::from(self.storm.1) } else { 1 };
-            self.users[at].next = now + self.rng.random_range(1_000..5_000) / times;
-            if idle || now < self.users[at].at {
+            let idle = !submit && !user.accepted && now < user.give_up_at;
+            let times = if now < self.poll_storm.0 { u64::from(self.poll_storm.1) } else { 1 };
+            self.users[at].next_request_at = now + self.rng.random_range(1_000..5_000) / times;
+            if idle || now < self.users[at].arrives_at {
                 continue;
             }
             if submit {
@@ -1293,10 +1329,10 @@
             if abort {
                 self.region.checker.cancel_asked(&job);
             }
-            self.users[at].asked += 1;
+            self.users[at].requests_sent += 1;
             let node = self.rng.random_range(0..3);
             let node = self.door.unwrap_or(node);
-            let from = From::User { job, submission: submit, abort, asked: now };
+            let from = Sender::User { job, submission: submit, abort, asked_at: now };
             let delay = self.delay();
             self.send(delay, Message::Request { node, from, request, forwarded: false });
         }
@@ -1304,7 +1340,7 @@
             for node in 0..3 {
                 let ask = Message::Request {
                     node,
-                    from: From::Probe,
+                    from: Sender::HealthProbe,
                     request: Request::Up,
                     forwarded: false,
                 };
@@ -1315,7 +1351,7 @@
             let job = "req-999999".to_owned();
             let request = Request::View(JobId::new(&job));
             let node = self.rng.random_range(0..3);
-            let from = From::User { job, submission: false, abort: false, asked: now };
+            let from = Sender::User { job, submission: false, abort: false, asked_at: now };
             self.send(5, Message::Request { node, from, request, forwarded: false });
         }
     }
@@ -1330,11 +1366,11 @@
         if self.outage_until == 0 {
             self.state.expire(self.now);
         }
-        if self.boots_until > 0 && self.now >= self.boots_until {
-            (self.boots_until, self.region.boots) = (0, (1.0, 0.0));
+        if self.slow_boots_until > 0 && self.now >= self.slow_boots_until {
+            (self.slow_boots_until, self.region.boots) = (0, (1.0, 0.0));
         }
-        if self.scarce_until > 0 && self.now >= self.scarce_until {
-            self.scarce_until = 0;
+        if self.reduced_capacity_until > 0 && self.now >= self.reduced_capacity_until {
+            self.reduced_capacity_until = 0;
             self.region.offer(self.site.capacity);
         }
         while let Some((_, fault)) = self.faults.first().copied().filter(|(at, _)| *at <= self.now)
@@ -1347,28 +1383,28 @@
             }
         }
         self.step_users();
-        self.step_looks();
+        self.step_aggressive_users();
         for (client, number, node, ask) in self.clients.step(self.now) {
             let request = Request::Graph(Box::new(ask));
             let delay = self.delay();
-            let from = From::Client(client, number);
+            let from = Sender::GraphClient(client, number);
             self.send(delay, Message::Request { node, from, request, forwarded: false });
         }
         if self.now.is_multiple_of(self.site.machines_step_ms) {
             self.step_workers();
         }
         self.step_nodes();
-        self.look_at_released();
-        self.give_reports();
+        self.check_released_jobs();
+        self.replay_reports();
         self.step_watches();
         while let Some(entry) = self.queue.first_entry() {
             if entry.key().0 > self.now {
                 break;
             }
             let message = entry.remove();
-            if let Some(until) = self.frozen(&message) {
-                self.order += 1;
-                self.queue.insert((until, self.order), message);
+            if let Some(until) = self.held_until(&message) {
+                self.next_sequence += 1;
+                self.queue.insert((until, self.next_sequence), message);
                 continue;
             }
             self.deliver(message);
@@ -1376,24 +1412,24 @@
         if self.now.is_multiple_of(1_000) {
             self.region.note_list(self.now);
             self.region.checker.look(self.now);
-            self.look_for_forgotten();
-            self.look_at_waiting();
-            self.look_for_neglected();
+            self.check_forgotten();
+            self.check_waiting_jobs();
+            self.check_neglected();
         }
-        self.clients.look(self.now, &mut self.region);
+        self.clients.check(self.now, &mut self.region);
     }
 
     /// A frozen node handles nothing, not even its timers, until it resumes. Messages to a partitioned node are
     /// held back.
-    fn frozen(&self, message: &Message) -> Option<u64> {
+    fn held_until(&self, message: &Message) -> Option<u64> {
         let (node, until) = match message {
-            Message::Node { node, .. } => (node, self.nodes[*node].frozen_until),
+            Message::Event { node, .. } => (node, self.nodes[*node].frozen_until),
             Message::Request { node, .. } => {
                 (node, self.nodes[*node].frozen_until.max(self.nodes[*node].cut_until))
             }
             _ => return None,
         };
-        (self.now < until && self.nodes[*node].core.is_some()).then_some(until)
+        (self.now < until && self.nodes[*node].controller.is_some()).then_some(until)
     }
 
     /// Whether the simulation continues and has not reached `until`: it stops at the first broken rule, so that loops which
@@ -1415,7 +1451,7 @@
             .iter()
             .filter(|u| u.accepted && self.region.checker.over(u.spec.id.as_str()).is_none())
             .map(|u| {
-                let node = self.nodes.iter().find_map(|n| n.core.as_ref()?.reign());
+                let node = self.nodes.iter().find_map(|n| n.controller.as_ref()?.reign());
                 let job = node.and_then(|r| r.book.get(&u.spec.id));
                 format!("{:?}\n   {job:?}", u.spec)
             })
@@ -1424,15 +1460,19 @@
 
     /// After all faults, every accepted job that its user has not cancelled gets successful responses, whatever happens to
     /// other jobs.
-    fn look_for_forgotten(&mut self) {
+    fn check_forgotten(&mut self) {
         let waiting = |u: &&User| {
             let asks = u.accepted && u.abort_at.is_none_or(|at| self.now < at) && !self.quiet;
-            asks && self.now.saturating_sub(u.answered_at.max(self.calm_from)) > FORGOTTEN_MS
+            asks && self.now.saturating_sub(u.last_answered_at.max(self.calm_from)) > FORGOTTEN_MS
         };
         let forgotten: Vec<String> =
             self.users.iter().filter(waiting).map(|u| u.spec.id.to_string()).collect();
         for job in forgotten {
-            self.region.checker.fail(self.now, "forgotten", format!("{job} is not answered for"));
+            self.region.checker.fail(
+                self.now,
+                "forgotten",
+                format!("requests for {job} get no successful response"),
+            );
         }
     }
 
@@ -1454,18 +1494,21 @@
 
     /// The sizes of the controllers' queues, the largest of each.
     pub fn load(&self) -> Load {
-        let loads = self.nodes.iter().filter_map(|n| n.core.as_ref()).map(Controller::waiting);
+        let loads =
+            self.nodes.iter().filter_map(|n| n.controller.as_ref()).map(Controller::waiting);
         loads.fold(Load::default(), Load::larger)
     }
 
     /// Open tasks without a machine whose team's limit leaves room for at least one more task, and machines that
     /// are up.
     pub fn unplaced(&self) -> (usize, usize) {
-        let leader = self.nodes.iter().find_map(|n| n.core.as_ref()?.reign());
+        let leader = self.nodes.iter().find_map(|n| n.controller.as_ref()?.reign());
         let pending = leader.map_or(0, |r| {
             let allowed = |j: &&Job| {
-                let most =
-                    LIMITS.iter().find(|(team, _)| *team == j.spec.team).map_or(0.0, |l| l.1);
+                let most = TEAM_GPU_LIMITS
+                    .iter()
+                    .find(|(team, _)| *team == j.spec.team)
+                    .map_or(0.0, |l| l.1);
                 let used = r.book.usage.get(&j.spec.team).map_or(0.0, |usage| usage.gpus);
                 j.state == JobState::Open && (most <= 0.0 || used + j.spec.gpus <= most)
             };
@@ -1477,9 +1520,9 @@
 
     /// Task index, attempt and machine of each assignment that was durable and then removed, and how often, from the whole
     /// history of the state service.
-    pub fn ended_attempts(&self) -> BTreeMap<Placed, usize> {
+    pub fn ended_attempts(&self) -> BTreeMap<Placement, usize> {
         // The worker session distinguishes two assignments of one attempt to the same machine.
-        let mut held: BTreeMap<&str, BTreeSet<(Placed, Shift)>> = BTreeMap::new();
+        let mut held: BTreeMap<&str, BTreeSet<(Placement, Shift)>> = BTreeMap::new();
         let mut ended = BTreeMap::new();
         for change in self.state.history() {
             let key = change.put.as_deref().or(change.delete.as_deref()).unwrap_or_default();
@@ -1542,15 +1585,18 @@
 
     /// GPUs of all on-demand machines that the cloud offers now.
     pub fn gpus_offered(&self) -> f64 {
-        let capacity =
-            if self.scarce_until > 0 { self.site.capacity / 2 } else { self.site.capacity };
+        let capacity = if self.reduced_capacity_until > 0 {
+            self.site.capacity / 2
+        } else {
+            self.site.capacity
+        };
         let largest = self.site.sizes.iter().max().copied().unwrap_or(0);
         f64::from(capacity) * ZONES.len() as f64 * f64::from(largest)
     }
 
     /// Times from first submission to acceptance in milliseconds, sorted; `None` if not accepted yet.
     pub fn accepted_after(&self, which: impl Fn(&JobSpec) -> bool) -> Vec<Option<u64>> {
-        let came = self.users.iter().filter(|u| which(&u.spec) && u.at <= self.now);
+        let came = self.users.iter().filter(|u| which(&u.spec) && u.arrives_at <= self.now);
         let mut waits: Vec<Option<u64>> = came.map(|u| u.accepted_after).collect();
         waits.sort_unstable_by_key(|wait| wait.unwrap_or(u64::MAX));
         waits
--- a/tests/world/pipelines.rs
+++ b/tests/world/pipelines.rs
@@ -14,25 +14,25 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How long users try to submit a job, in milliseconds (protocol).
-const SUBMIT_FOR_MS: u64 = 60_000;
+const SUBMIT_TIMEOUT_MS: u64 = 60_000;
 /// First number of pipelines' jobs, beyond those of other users.
-const FIRST_NUMBER: usize = 600;
+const FIRST_JOB_NUMBER: usize = 600;
 /// Tolerance for sums of decimal amounts.
 const EPSILON: f64 = 1e-6;
 
 /// What a user waits for before it submits a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Submits {
-    AtOnce,
+pub enum SubmitWhen {
+    Immediately,
     /// Until all dependencies are accepted.
-    OnceAccepted,
+    DependenciesAccepted,
     /// Until the user knows the final state of all dependencies.
-    OnceOver,
+    DependenciesFinished,
 }
 
 /// The shape of a pipeline's dependency graph.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Form {
+pub enum PipelineShape {
     Chain,
     Diamond,
     ManyBehindOne,
@@ -41,8 +41,13 @@
     Mesh,
 }
 
-const FORMS: [Form; 5] =
-    [Form::Chain, Form::Diamond, Form::ManyBehindOne, Form::OneBehindMany, Form::Mesh];
+const PIPELINE_SHAPES: [PipelineShape; 5] = [
+    PipelineShape::Chain,
+    PipelineShape::Diamond,
+    PipelineShape::ManyBehindOne,
+    PipelineShape::OneBehindMany,
+    PipelineShape::Mesh,
+];
 
 /// The distribution from which pipelines are drawn.
 #[derive(Clone, Copy, Debug)]
@@ -66,16 +71,20 @@
 }
 
 /// For each job, the earlier jobs that it depends on.
-pub fn needs(form: Form, jobs: usize, rng: &mut ChaCha8Rng) -> Vec<Vec<usize>> {
+pub fn dependency_indices(
+    shape: PipelineShape,
+    jobs: usize,
+    rng: &mut ChaCha8Rng,
+) -> Vec<Vec<usize>> {
     let last = jobs.saturating_sub(1);
-    let of = |job: usize, rng: &mut ChaCha8Rng| match form {
+    let of = |job: usize, rng: &mut ChaCha8Rng| match shape {
         _ if job == 0 => Vec::new(),
-        Form::Chain => vec![job - 1],
-        Form::Diamond if job == last => (1..last).collect(),
-        Form::Diamond | Form::ManyBehindOne => vec![0],
-        Form::OneBehindMany if job == last => (0..last).collect(),
-        Form::OneBehindMany => Vec::new(),
-        Form::Mesh => {
+        PipelineShape::Chain => vec![job - 1],
+        PipelineShape::Diamond if job == last => (1..last).collect(),
+        PipelineShape::Diamond | PipelineShape::ManyBehindOne => vec![0],
+        PipelineShape::OneBehindMany if job == last => (0..last).collect(),
+        PipelineShape::OneBehindMany => Vec::new(),
+        PipelineShape::Mesh => {
             let mut before: Vec<usize> = (0..job).collect();
             before.shuffle(rng);
             before.truncate(rng.random_range(1..4));
@@ -86,7 +95,7 @@
 }
 
 /// A short job of a pipeline, without dependencies yet.
-pub fn stage(id: JobId, rng: &mut ChaCha8Rng) -> JobSpec {
+pub fn random_stage(id: JobId, rng: &mut ChaCha8Rng) -> JobSpec {
     let shape = if rng.random_bool(0.7) { Shape::Array } else { Shape::Gang };
     JobSpec {
         id,
@@ -120,33 +129,33 @@
         let finite = |user: &&User| user.spec.shape != Shape::Service;
         let mut known: Vec<JobId> =
             self.users.iter().filter(finite).map(|user| user.spec.id.clone()).collect();
-        let mut number = FIRST_NUMBER;
+        let mut number = FIRST_JOB_NUMBER;
         for _ in 0..draw.count {
             let jobs = rng.random_range(2..8);
-            let form = *FORMS.choose(&mut rng).unwrap_or(&Form::Chain);
+            let shape = *PIPELINE_SHAPES.choose(&mut rng).unwrap_or(&PipelineShape::Chain);
             let mut ids = Vec::new();
             for _ in 0..jobs {
                 let thousands = rng.random_range(0..900) * 1_000;
                 ids.push(JobId::new(&format!("req-{:06}", thousands + number)));
                 number += 1;
             }
-            self.add_pipeline(form, &ids, &known, draw, &mut rng);
+            self.add_pipeline(shape, &ids, &known, draw, &mut rng);
             known.extend(ids);
         }
     }
 
     fn add_pipeline(
         &mut self,
-        form: Form,
+        shape: PipelineShape,
         ids: &[JobId],
         known: &[JobId],
         draw: Draw,
         rng: &mut ChaCha8Rng,
     ) {
         let at = rng.random_range(draw.from..draw.to);
-        let needs = needs(form, ids.len(), rng);
+        let needs = dependency_indices(shape, ids.len(), rng);
         for (job, needed) in needs.iter().enumerate() {
-            let mut spec = stage(ids[job].clone(), rng);
+            let mut spec = random_stage(ids[job].clone(), rng);
             spec.dependencies = needed.iter().map(|needed| ids[*needed].clone()).collect();
             if job == 0 && rng.random_bool(0.4) {
                 spec.dependencies.extend(known.choose(rng).cloned());
@@ -157,7 +166,7 @@
             }
             self.add_job_at(spec, at);
             if last && rng.random_bool(draw.late) {
-                self.submit_last_once_over();
+                self.submit_last_after_dependencies();
             }
         }
         if rng.random_bool(draw.cancelled) {
@@ -178,51 +187,55 @@
     }
 
     /// The user added last submits its job when all its dependencies are finished.
-    pub fn submit_last_once_over(&mut self) {
+    pub fn submit_last_after_dependencies(&mut self) {
         if let Some(user) = self.users.last_mut().filter(|u| !u.spec.dependencies.is_empty()) {
-            user.submits = Submits::OnceOver;
+            user.submit_when = SubmitWhen::DependenciesFinished;
         }
     }
 
     /// Whether a user may send requests by now: its job's dependencies have reached the state it waits for, and jobs with
     /// dependencies are only submitted once every controller runs the version that supports them.
-    pub(super) fn submits_now(&mut self, at: usize) -> bool {
+    pub(super) fn may_submit(&mut self, at: usize) -> bool {
         let user = &self.users[at];
-        if user.submits == Submits::AtOnce {
+        if user.submit_when == SubmitWhen::Immediately {
             return true;
         }
-        let ready = |id: &JobId| self.is_ready_to_be_named(id, user.submits);
-        if self.now < user.at || !self.all_current() || !user.spec.dependencies.iter().all(ready) {
+        let ready = |id: &JobId| self.dependency_ready(id, user.submit_when);
+        if self.now < user.arrives_at
+            || !self.all_current()
+            || !user.spec.dependencies.iter().all(ready)
+        {
             return false;
         }
         let now = self.now;
         let user = &mut self.users[at];
-        user.submits = Submits::AtOnce;
-        (user.at, user.next, user.give_up) = (now, now, now + SUBMIT_FOR_MS);
+        user.submit_when = SubmitWhen::Immediately;
+        (user.arrives_at, user.next_request_at, user.give_up_at) =
+            (now, now, now + SUBMIT_TIMEOUT_MS);
         true
     }
 
-    fn is_ready_to_be_named(&self, id: &JobId, submits: Submits) -> bool {
+    fn dependency_ready(&self, id: &JobId, submit_when: SubmitWhen) -> bool {
         let Some(user) = self.users.iter().find(|user| user.spec.id == *id) else { return true };
-        match submits {
-            Submits::OnceOver => self.region.checker.over(id.as_str()).is_some(),
-            Submits::AtOnce | Submits::OnceAccepted => user.accepted,
+        match submit_when {
+            SubmitWhen::DependenciesFinished => self.region.checker.over(id.as_str()).is_some(),
+            SubmitWhen::Immediately | SubmitWhen::DependenciesAccepted => user.accepted,
         }
     }
 
     /// The final status of a job that is stored in the state service.
-    fn durable_end(&self, id: &JobId) -> Option<JobStatus> {
+    fn durable_status(&self, id: &JobId) -> Option<JobStatus> {
         let value = self.state.value(&over_key(id))?.clone();
         Some(serde_json::from_value::<OverRecord>(value).ok()?.status)
     }
 
     /// Whether a job is stored as done in the state service.
     pub fn is_durably_done(&self, id: &JobId) -> bool {
-        self.durable_end(id) == Some(JobStatus::Done)
+        self.durable_status(id) == Some(JobStatus::Done)
     }
 
     /// A dependency that is not stored as done in the state service.
-    pub fn open_dependency<'s>(&self, spec: &'s JobSpec) -> Option<&'s JobId> {
+    pub fn unfinished_dependency<'s>(&self, spec: &'s JobSpec) -> Option<&'s JobId> {
         spec.dependencies.iter().find(|id| !self.is_durably_done(id))
     }
 
@@ -230,7 +243,7 @@
     pub fn waiting_jobs(&self) -> usize {
         let over = |user: &User| self.region.checker.over(user.spec.id.as_str()).is_some();
         let waits = |user: &&User| {
-            user.accepted && !over(user) && self.open_dependency(&user.spec).is_some()
+            user.accepted && !over(user) && self.unfinished_dependency(&user.spec).is_some()
         };
         self.users.iter().filter(waits).count()
     }
@@ -242,10 +255,10 @@
     }
 
     /// Checks, when a task of a job is assigned, that all its dependencies are durably done.
-    fn look_at_release(&mut self, job: &str, what: &str) {
+    fn check_release(&mut self, job: &str, what: &str) {
         let Some(spec) = self.region.outside.specs.get(job) else { return };
-        if let Some(open) = self.open_dependency(spec) {
-            let text = format!("{job} {what}, {open} is not durably done");
+        if let Some(open) = self.unfinished_dependency(spec) {
+            let text = format!("{job} {what}, but {open} is not durably done");
             self.region.checker.fail(self.now, "too_early", text);
         }
     }
@@ -255,29 +268,32 @@
     pub fn look_at_answer(&mut self, job: &str, reply: &HttpReply, submission: bool) {
         let Some(spec) = self.region.outside.specs.get(job) else { return };
         if submission && !spec.dependencies.is_empty() && matches!(reply.status, 400 | 422) {
-            let text = format!("{job} got {}, all jobs that it names were accepted", reply.status);
+            let text =
+                format!("{job} got {} although all its dependencies were accepted", reply.status);
             return self.region.checker.fail(self.now, "refused", text);
         }
         if !matches!(reply.status, 200 | 201) {
             return;
         }
         let body: serde_json::Value = serde_json::from_str(&reply.body).unwrap_or_default();
-        let Ok(said) = serde_json::from_value::<JobStatus>(body["status"].clone()) else { return };
-        if said.is_final() && !self.follows_from_records(&spec.id, said) {
-            let text = format!("{job} is told to be {said:?}, no record says so");
+        let Ok(status) = serde_json::from_value::<JobStatus>(body["status"].clone()) else {
+            return;
+        };
+        if status.is_final() && !self.follows_from_records(&spec.id, status) {
+            let text = format!("{job} is reported as {status:?}, but no stored record shows it");
             self.region.checker.fail(self.now, "not_durable", text);
         }
     }
 
     /// Whether a job's final status follows from what the state service stores.
     fn follows_from_records(&self, id: &JobId, end: JobStatus) -> bool {
-        if let Some(stored) = self.durable_end(id) {
+        if let Some(stored) = self.durable_status(id) {
             return stored == end;
         }
         let mut seen: BTreeSet<&str> = BTreeSet::new();
         let mut open = vec![id.as_str()];
         while let Some(id) = open.pop() {
-            let ended = self.durable_end(&JobId::new(id));
+            let ended = self.durable_status(&JobId::new(id));
             if ended.is_some_and(|stored| stored != JobStatus::Done) {
                 return end == JobStatus::Cancelled;
             }
@@ -289,60 +305,60 @@
     }
 
     /// Checks a write of a controller, successful or not.
-    pub(super) fn look_at_write(&mut self, node: usize, op: &StoreOp, reply: &StoreReply) {
-        self.look_at_refusal(node, op, reply);
-        self.look_at_form(node, op, reply);
+    pub(super) fn check_write(&mut self, node: usize, op: &StoreOp, reply: &StoreReply) {
+        self.check_repeated_refusal(node, op, reply);
+        self.check_previous_version_fields(node, op, reply);
         let (StoreOp::Txn(txn), StoreReply::Committed(_)) = (op, reply) else { return };
-        for job in assigned(txn) {
-            self.look_at_release(job.as_str(), "is assigned");
+        for job in assigned_jobs(txn) {
+            self.check_release(job.as_str(), "is assigned");
         }
     }
 
     /// Checks orders that leave a controller.
-    pub(super) fn look_at_orders(&mut self, orders: &[Order]) {
+    pub(super) fn check_orders(&mut self, orders: &[Order]) {
         for order in orders {
             let Order::Run { task, .. } = order else { continue };
             if let Some((job, _)) = task.rsplit_once('/') {
-                self.look_at_release(job, "is to run");
+                self.check_release(job, "is ordered to run");
             }
         }
     }
 
     /// The leader releases a job with dependencies only once their ends are durable, whatever workers have
     /// reported.
-    pub(super) fn look_at_released(&mut self) {
-        let Some(reign) = self.ruling() else { return };
+    pub(super) fn check_released_jobs(&mut self) {
+        let Some(term) = self.ruling() else { return };
         let released = |job: &&Job| {
             !job.spec.dependencies.is_empty()
                 && job.state == JobState::Open
                 && !self.released.contains(&job.spec.id)
         };
         let released: Vec<JobId> =
-            reign.book.jobs.values().filter(released).map(|job| job.spec.id.clone()).collect();
+            term.book.jobs.values().filter(released).map(|job| job.spec.id.clone()).collect();
         for id in released {
-            self.look_at_release(id.as_str(), "is released");
+            self.check_release(id.as_str(), "is released");
             self.released.insert(id);
         }
     }
 
     /// Waiting jobs hold nothing, and the usage that the leader counts against teams' limits equals what jobs hold.
-    pub(super) fn look_at_waiting(&mut self) {
-        let Some(reign) = self.ruling() else { return };
+    pub(super) fn check_waiting_jobs(&mut self) {
+        let Some(term) = self.ruling() else { return };
         let mut wrong = Vec::new();
         let mut held: BTreeMap<&str, Usage> = BTreeMap::new();
-        for (id, job) in &reign.book.jobs {
+        for (id, job) in &term.book.jobs {
             if job.state == JobState::Waiting && job.held > 0 {
-                wrong.push(format!("{id} waits and holds {} tasks", job.held));
+                wrong.push(format!("{id} waits but holds {} tasks", job.held));
             }
             let usage = held.entry(&job.spec.team).or_default();
             usage.cpus += job.spec.cpus * f64::from(job.held);
             usage.gpus += job.spec.gpus * f64::from(job.held);
         }
-        for (team, counted) in &reign.book.usage {
+        for (team, counted) in &term.book.usage {
             let held = held.get(team.as_str()).copied().unwrap_or_default();
             let differs = |a: f64, b: f64| (a - b).abs() > EPSILON;
             if differs(counted.gpus, held.gpus) || differs(counted.cpus, held.cpus) {
-                wrong.push(format!("{team} counts as using {counted:?}, it holds {held:?}"));
+                wrong.push(format!("{team} is counted as using {counted:?} but holds {held:?}"));
             }
         }
         for text in wrong {
@@ -363,7 +379,7 @@
 }
 
 /// Jobs to whose tasks a transaction assigns machines.
-fn assigned(txn: &Txn) -> impl Iterator<Item = JobId> {
+fn assigned_jobs(txn: &Txn) -> impl Iterator<Item = JobId> {
     txn.changes.iter().filter_map(|change| {
         let Change::Put { key, value, .. } = change else { return None };
         let (job, _) = parse_chunk_key(key)?;
@@ -376,6 +392,6 @@
     /// Executes a write as if it came from the first controller.
     pub fn write(&mut self, op: &StoreOp) {
         let reply = self.state.serve(self.now, op);
-        self.look_at_write(0, op, &reply);
+        self.check_write(0, op, &reply);
     }
 }
--- a/tests/world/served.rs
+++ b/tests/world/served.rs
@@ -6,14 +6,14 @@
 use std::fmt;
 
 /// Jobs that arrive within this time of the end may still wait for a boot, or run, in milliseconds.
-const LATE_MS: u64 = 300_000;
+const END_MARGIN_MS: u64 = 300_000;
 /// A service's replicas are expected this long after its submission: the longest usual boot and a fetch, in milliseconds.
-const UP_AFTER_MS: u64 = 90_000;
+const MAX_SERVICE_START_MS: u64 = 90_000;
 
 /// A class's largest jobs have to begin within this time, in milliseconds.
-const BEGIN_MS: u64 = 240_000;
+const MAX_BEGIN_DELAY_MS: u64 = 240_000;
 /// The largest jobs of a class have at least as many tasks as the job at this quantile of its sizes.
-const LARGEST_FROM: f64 = 0.8;
+const LARGEST_QUANTILE: f64 = 0.8;
 
 /// An amount wanted, and how much of it was received.
 #[derive(Clone, Copy, Debug, Default)]
@@ -82,10 +82,10 @@
 #[derive(Debug, Default)]
 pub struct Watch {
     /// The most tasks of each job on machines at once, and seconds of replicas up and wanted.
-    most: HashMap<String, u32>,
+    max_running: HashMap<String, u32>,
     /// When a job first began, and when it was complete.
-    begun: HashMap<String, u64>,
-    full: HashMap<String, u64>,
+    begun_at: HashMap<String, u64>,
+    complete_at: HashMap<String, u64>,
     up: HashMap<String, Share>,
     /// Replica seconds wanted, and those that all on-demand machines of the cloud could have provided if they served
     /// nothing else: services may not use spot machines.
@@ -95,9 +95,9 @@
 impl Watch {
     /// Must be called once a second.
     pub fn look(&mut self, world: &World) {
-        let mut here: HashMap<&str, u32> = HashMap::new();
+        let mut running: HashMap<&str, u32> = HashMap::new();
         for task in world.region.checker.on_machines() {
-            *here.entry(&task.job).or_default() += 1;
+            *running.entry(&task.job).or_default() += 1;
         }
         let limits = world.gpu_limits();
         let at_once = |spec: &JobSpec| match limits.get(&spec.team) {
@@ -107,32 +107,38 @@
         let mut wanted = 0.0;
         // The checker knows no tasks of a job that was not submitted yet, so that all of them would count as done and services
         // and gangs would seem to have begun before they came.
-        for user in world.users.iter().filter(|user| user.at <= world.now) {
+        for user in world.users.iter().filter(|user| user.arrives_at <= world.now) {
             let id = user.spec.id.as_str();
-            let there = here.get(id).copied().unwrap_or(0).min(user.spec.tasks);
-            let asked = match user.spec.shape {
+            let present = running.get(id).copied().unwrap_or(0).min(user.spec.tasks);
+            let required = match user.spec.shape {
                 Shape::Array => user.spec.tasks.min(at_once(&user.spec)),
                 _ => user.spec.tasks,
             };
             let done = match user.spec.shape {
                 Shape::Array => world.region.checker.done_count(id),
-                _ if world.region.checker.all_done(id) => asked,
+                _ if world.region.checker.all_done(id) => required,
                 _ => 0,
             };
-            if there + done >= asked {
-                self.full.entry(id.to_owned()).or_insert(world.now);
+            if present + done >= required {
+                self.complete_at.entry(id.to_owned()).or_insert(world.now);
             }
-            let first = if user.spec.shape == Shape::Array { 1 } else { asked };
-            if there + done >= first {
-                self.begun.entry(id.to_owned()).or_insert(world.now);
+            let first = if user.spec.shape == Shape::Array { 1 } else { required };
+            if present + done >= first {
+                self.begun_at.entry(id.to_owned()).or_insert(world.now);
             }
             let cancels = user.abort_at.is_some_and(|at| world.now >= at);
-            if there > 0 {
-                let most = self.most.entry(id.to_owned()).or_default();
-                *most = (*most).max(there);
+            if present > 0 {
+                let most = self.max_running.entry(id.to_owned()).or_default();
+                *most = (*most).max(present);
             }
-            if user.spec.shape == Shape::Service && world.now >= user.at + UP_AFTER_MS && !cancels {
-                self.up.entry(id.to_owned()).or_default().add(user.spec.tasks.into(), there.into());
+            if user.spec.shape == Shape::Service
+                && world.now >= user.arrives_at + MAX_SERVICE_START_MS
+                && !cancels
+            {
+                self.up
+                    .entry(id.to_owned())
+                    .or_default()
+                    .add(user.spec.tasks.into(), present.into());
                 wanted += user.spec.gpus * f64::from(user.spec.tasks);
             }
         }
@@ -152,33 +158,38 @@
         }
         let large = |spec: &JobSpec| {
             let sizes = &sizes[spec.class.as_str()];
-            let from = ((sizes.len() as f64 * LARGEST_FROM) as usize).min(sizes.len() - 1);
+            let from = ((sizes.len() as f64 * LARGEST_QUANTILE) as usize).min(sizes.len() - 1);
             spec.tasks >= sizes[from]
         };
-        for user in world.users.iter().filter(|u| came(u.at, 10_000)) {
+        for user in world.users.iter().filter(|u| came(u.arrives_at, 10_000)) {
             let (spec, checker) = (&user.spec, &world.region.checker);
             let id = spec.id.as_str();
             let done = checker.all_done(id);
-            let most = self.most.get(id).copied().unwrap_or(0);
+            let most = self.max_running.get(id).copied().unwrap_or(0);
             let full = if spec.shape == Shape::Array { done } else { done || most == spec.tasks };
             let up = self.up.get(id).copied().unwrap_or_default();
             let told = checker.over(id) == Some(JobStatus::Done);
             for name in [format!("class {}", spec.class), format!("team {}", spec.team)] {
                 let served = all.entry(name).or_default();
                 served.accepted.add(1, user.accepted.into());
-                served.answered.add(user.asked.into(), user.answered.into());
+                served.answered.add(user.requests_sent.into(), user.requests_answered.into());
                 served.up.add(up.wanted, up.had);
-                if came(user.at, BEGIN_MS) && user.abort_at.is_none() && large(spec) {
-                    let soon = |at: Option<&u64>| at.is_some_and(|at| *at <= user.at + BEGIN_MS);
+                if came(user.arrives_at, MAX_BEGIN_DELAY_MS)
+                    && user.abort_at.is_none()
+                    && large(spec)
+                {
+                    let soon = |at: Option<&u64>| {
+                        at.is_some_and(|at| *at <= user.arrives_at + MAX_BEGIN_DELAY_MS)
+                    };
                     let begun = match spec.shape {
                         Shape::Array => &mut served.largest,
                         _ => &mut served.largest_whole,
                     };
-                    begun.add(1, soon(self.begun.get(id)).into());
-                    served.largest_full.add(1, soon(self.full.get(id)).into());
+                    begun.add(1, soon(self.begun_at.get(id)).into());
+                    served.largest_full.add(1, soon(self.complete_at.get(id)).into());
                 }
                 // Cancelled jobs are left out.
-                if came(user.at, LATE_MS) && user.abort_at.is_none() {
+                if came(user.arrives_at, END_MARGIN_MS) && user.abort_at.is_none() {
                     served.started.add(1, full.into());
                     if spec.shape != Shape::Service {
                         served.done.add(1, told.into());
--- a/tests/world/state_limits.rs
+++ b/tests/world/state_limits.rs
@@ -8,15 +8,15 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 /// Maximum number of conditions of a transaction, as a multiple of its maximum number of changes (protocol).
-const CONDITIONS_PER_CHANGE: usize = 4;
+const MAX_CONDITIONS_PER_CHANGE: usize = 4;
 /// Maximum size of a transaction (protocol).
-const TXN_BYTES: usize = 64 * 1024;
+const MAX_TXN_BYTES: usize = 64 * 1024;
 
 /// The limits that the state service enforces.
 #[derive(Clone, Debug)]
 pub struct StateLimits {
-    value_bytes: usize,
-    changes: usize,
+    max_value_bytes: usize,
+    max_changes: usize,
     rates: Rates,
 }
 
@@ -32,8 +32,8 @@
     /// The limits of some settings, at a time in milliseconds.
     pub fn new(facts: &StateFacts, now: u64) -> Self {
         Self {
-            value_bytes: (facts.value_kb * 1024.0) as usize,
-            changes: facts.txn_ops,
+            max_value_bytes: (facts.value_kb * 1024.0) as usize,
+            max_changes: facts.txn_ops,
             rates: Rates::new(facts.rps, facts.write_rps, Mono(now)),
         }
     }
@@ -49,28 +49,38 @@
     }
 
     fn too_large(&self, txn: &Txn) -> Option<String> {
-        let most_conditions = self.changes * CONDITIONS_PER_CHANGE;
-        if txn.changes.len() > self.changes {
-            return Some(format!("{} changes of {}", txn.changes.len(), self.changes));
+        let max_conditions = self.max_changes * MAX_CONDITIONS_PER_CHANGE;
+        if txn.changes.len() > self.max_changes {
+            return Some(format!(
+                "{} changes, the limit is {}",
+                txn.changes.len(),
+                self.max_changes
+            ));
         }
-        if txn.conditions.len() > most_conditions {
-            return Some(format!("{} conditions of {most_conditions}", txn.conditions.len()));
+        if txn.conditions.len() > max_conditions {
+            return Some(format!(
+                "{} conditions, the limit is {max_conditions}",
+                txn.conditions.len()
+            ));
         }
         let mut total = 0;
         for change in &txn.changes {
             let Change::Put { key, value, .. } = change else { continue };
             let bytes = value.to_string().len();
             total += key.len() + bytes;
-            if bytes > self.value_bytes {
-                return Some(format!("{key} has {bytes} bytes of {}", self.value_bytes));
+            if bytes > self.max_value_bytes {
+                return Some(format!(
+                    "{key} has {bytes} bytes, the limit is {}",
+                    self.max_value_bytes
+                ));
             }
         }
-        (total > TXN_BYTES).then(|| format!("{total} bytes of {TXN_BYTES}"))
+        (total > MAX_TXN_BYTES).then(|| format!("{total} bytes, the limit is {MAX_TXN_BYTES}"))
     }
 }
 
 /// Hash of a transaction's changes.
-pub fn digest(txn: &Txn) -> u64 {
+pub fn changes_digest(txn: &Txn) -> u64 {
     let mut hasher = DefaultHasher::new();
     format!("{:?}", txn.changes).hash(&mut hasher);
     hasher.finish()
--- a/tests/world/troubles.rs
+++ b/tests/world/troubles.rs
@@ -17,7 +17,7 @@
         6 => Fault::Leader(Upon::Crash),
         7 => Fault::Leader(Upon::Down(span)),
         8 => Fault::LateWrites(span, 300),
-        9 => Fault::LateReports(span, 300),
+        9 => Fault::DuplicateReports(span, 300),
         10 => Fault::MachinesDeaf(span, rng.random_range(1..4)),
         11 => Fault::StoreSlow(span, rng.random_range(5..25)),
         12 => Fault::LeaderAsleep(span / 2),
--- a/tests/world/upgrades.rs
+++ b/tests/world/upgrades.rs
@@ -1,7 +1,7 @@
 //! Upgrades, during which controllers of two versions run side by side, and lowered limits of the state service.
 
 use super::state::State;
-use super::state::limits::{Refusals, StateLimits, digest};
+use super::state::limits::{Refusals, StateLimits, changes_digest};
 use super::{SETTINGS, Site, World, settings};
 use oatloom_core::controller::Controller;
 use oatloom_core::store::{StoreOp, StoreReply};
@@ -64,19 +64,19 @@
     /// Whether a node runs the current version.
     pub fn is_current(&self, node: usize) -> bool {
         let node = &self.nodes[node];
-        node.core.is_some() && node.version == Version::Current
+        node.controller.is_some() && node.version == Version::Current
     }
 
     /// Whether every running controller knows that no other version is in use.
     pub fn all_know_the_upgrade(&self) -> bool {
-        self.nodes.iter().filter_map(|node| node.core.as_ref()).all(Controller::all_upgraded)
+        self.nodes.iter().filter_map(|node| node.controller.as_ref()).all(Controller::all_upgraded)
     }
 
     /// A node is killed and restarts with the current version this much later.
-    pub(super) fn upgrade(&mut self, node: usize, away: u64) {
+    pub(super) fn upgrade(&mut self, node: usize, down_ms: u64) {
         self.crash(node);
         self.nodes[node].version = Version::Current;
-        self.nodes[node].restart_at = self.now + away;
+        self.nodes[node].restart_at = self.now + down_ms;
     }
 
     /// A controller of its node's present version.
@@ -102,7 +102,12 @@
     }
 
     /// Checks that a write has no field unknown to the previous version while such a controller runs or may be started.
-    pub(super) fn look_at_form(&mut self, node: usize, op: &StoreOp, reply: &StoreReply) {
+    pub(super) fn check_previous_version_fields(
+        &mut self,
+        node: usize,
+        op: &StoreOp,
+        reply: &StoreReply,
+    ) {
         let (StoreOp::Txn(txn), StoreReply::Committed(_)) = (op, reply) else { return };
         if self.all_current() {
             return;
@@ -111,22 +116,24 @@
             if let Change::Put { key, value, .. } = change
                 && let Some(field) = unknown_field(key, value)
             {
-                let text = format!("n-{node} writes {key} with {field:?}: {value}");
+                let text = format!(
+                    "n-{node} writes {key} with field {field:?}, unknown to the previous version: {value}"
+                );
                 self.region.checker.fail(self.now, "new_form", text);
             }
         }
     }
 
     /// After a refusal for size, the same incarnation of a controller must not send the same changes again.
-    pub(super) fn look_at_refusal(&mut self, node: usize, op: &StoreOp, reply: &StoreReply) {
+    pub(super) fn check_repeated_refusal(&mut self, node: usize, op: &StoreOp, reply: &StoreReply) {
         let (StoreOp::Txn(txn), StoreReply::Malformed(why)) = (op, reply) else { return };
         if why == super::state::NO_SUCH_LEASE {
             return;
         }
-        let asked = (node, self.nodes[node].life, digest(txn));
-        if !self.refused_writes.insert(asked) {
+        let write = (node, self.nodes[node].incarnation, changes_digest(txn));
+        if !self.refused_writes.insert(write) {
             let keys: Vec<&str> = txn.changes.iter().map(key_of).collect();
-            let text = format!("n-{node} asks again for {keys:?}: {why}");
+            let text = format!("n-{node} repeats the refused write of {keys:?}: {why}");
             self.region.checker.fail(self.now, "asked_again", text);
         }
     }
