--- a/tests/world/machines.rs
+++ b/tests/world/machines.rs
@@ -218,7 +218,7 @@
                 });
                 if task.phase != TaskPhase::Exited && !held {
                     wrong.push(format!(
-                        "{job}/{index} try {attempt} is on {}, shift {}, and the book of {token} has {:?}",
+                        "{job}/{index} attempt {attempt} is on {}, session {}, but the job table of {token} has {:?}",
                         worker.host,
                         worker.shift,
                         term.book.held(&id)
