--- a/tests/world/graphs.rs
+++ b/tests/world/graphs.rs
@@ -215,7 +215,7 @@
         if self.clients.is_empty() {
             return Vec::new();
         }
-        let mut asks = Vec::new();
+        let mut requests = Vec::new();
         for (at, client) in self.clients.iter_mut().enumerate() {
             if now < client.starts_at
                 || matches!(client.behavior, Behavior::Disappears(t) if now >= t)
@@ -228,7 +228,7 @@
                 client.in_flight.insert(self.last_request_id, (now, heartbeat));
                 // Rotates over the controllers, since two of three may be frozen for longer than a session's lease.
                 client.sent_counts[usize::from(heartbeat)] += 1;
-                asks.push((
+                requests.push((
                     at,
                     self.last_request_id,
                     client.sent_counts[usize::from(heartbeat)] % 3,
@@ -236,15 +236,15 @@
                 ));
             };
             let keyed = Keyed { key: client.key.clone() };
-            let under_way = |client: &Client, heartbeat: bool| {
+            let has_in_flight = |client: &Client, heartbeat: bool| {
                 client.in_flight.values().any(|(_, b)| *b == heartbeat)
             };
-            if client.open && now >= client.next_heartbeat_at && !under_way(client, true) {
+            if client.open && now >= client.next_heartbeat_at && !has_in_flight(client, true) {
                 client.next_heartbeat_at = now + REQUEST_INTERVAL_MS;
                 let session = client.session.clone();
                 ask(client, true, Ask::Beat(session, keyed.clone()));
             }
-            if now < client.next_request_at || under_way(client, false) {
+            if now < client.next_request_at || has_in_flight(client, false) {
                 continue;
             }
             if let Behavior::Cancels(t) = client.behavior
@@ -273,7 +273,7 @@
             }
             ask(client, false, request);
         }
-        asks
+        requests
     }
 
     /// Handles the response to a request.
@@ -533,7 +533,7 @@
 fn additions(graph: GraphId, key: &str, failing: bool, rng: &mut ChaCha8Rng) -> Vec<Ask> {
     let mut names: Vec<String> = Vec::new();
     let count = rng.random_range(1..5);
-    let mut asks = Vec::new();
+    let mut requests = Vec::new();
     for n in 0..count {
         let mut nodes = Vec::new();
         let mut fresh: Vec<String> = Vec::new();
@@ -564,7 +564,7 @@
             serde_json::from_value(json!({"key": key, "addition": format!("add-{n}"),
             "kinds": kinds(), "nodes": nodes, "seal": n + 1 == count}))
             .expect("an addition");
-        asks.push(Ask::Add(graph, add));
+        requests.push(Ask::Add(graph, add));
     }
-    asks
+    requests
 }
--- a/tests/world/limits.rs
+++ b/tests/world/limits.rs
@@ -23,10 +23,10 @@
 
 impl Neglect {
     /// Records which jobs could run now; returns those that have waited for too long.
-    pub fn look(&mut self, now: u64, could: BTreeSet<String>) -> Vec<String> {
-        self.since.retain(|job, _| could.contains(job));
+    pub fn look(&mut self, now: u64, runnable: BTreeSet<String>) -> Vec<String> {
+        self.since.retain(|job, _| runnable.contains(job));
         let mut overdue = Vec::new();
-        for job in could {
+        for job in runnable {
             let waited = now - *self.since.entry(job.clone()).or_insert(now);
             self.longest = self.longest.max(waited);
             if waited > NEGLECTED_MS {
@@ -148,7 +148,7 @@
             })
             .collect();
         let teams = settings(&self.site.settings, 0).facts.teams;
-        let could = |user: &&User| {
+        let can_run = |user: &&User| {
             let spec = &user.spec;
             let id = spec.id.as_str();
             let there = placed.get(id);
@@ -177,7 +177,7 @@
                 && within(team.gpus_max, used.gpus, spec.gpus)
                 && placeable(spec, zones.get(id).unwrap_or(&BTreeMap::new()), &free) >= at_once
         };
-        self.users.iter().filter(could).map(|user| user.spec.id.to_string()).collect()
+        self.users.iter().filter(can_run).map(|user| user.spec.id.to_string()).collect()
     }
 
     /// After all faults, no job waits for long if it could run.
@@ -185,8 +185,8 @@
         if self.now < self.calm_from {
             return;
         }
-        let could = self.runnable_jobs();
-        for job in self.neglect.look(self.now, could) {
+        let runnable = self.runnable_jobs();
+        for job in self.neglect.look(self.now, runnable) {
             let text =
                 format!("{job} could run but waits: {:?}", self.region.outside.specs.get(&job));
             self.region.checker.fail(self.now, "neglected", text);
--- a/tests/world/machines.rs
+++ b/tests/world/machines.rs
@@ -94,7 +94,7 @@
     }
 
     /// The leader term of the node that may issue orders, once it has loaded its job table.
-    pub fn ruling(&self) -> Option<&Reign> {
+    pub fn active_term(&self) -> Option<&Reign> {
         self.leader_term_of(self.leads()?).filter(|term| term.stage == Stage::Ruling)
     }
 
@@ -207,7 +207,7 @@
             return;
         }
         let token = term.token;
-        let mut wrong = Vec::new();
+        let mut violations = Vec::new();
         for worker in self.region.workers.values() {
             for ((job, index, attempt), task) in &worker.tasks {
                 let id = TaskId::new(&JobId::new(job), *index);
@@ -217,7 +217,7 @@
                         && h.shift.0 == worker.shift
                 });
                 if task.phase != TaskPhase::Exited && !held {
-                    wrong.push(format!(
+                    violations.push(format!(
                         "{job}/{index} attempt {attempt} is on {}, session {}, but the job table of {token} has {:?}",
                         worker.host,
                         worker.shift,
@@ -231,12 +231,12 @@
         for (host, shift, tally) in latest {
             let before = self.machines.last_processed.insert(host.clone(), (token, shift, tally));
             if before.is_some_and(|b| b.0 == token && (b.1, b.2) > (shift, tally)) {
-                wrong.push(format!(
+                violations.push(format!(
                     "{host}: went back from {before:?} to {shift:?}, report {tally}"
                 ));
             }
         }
-        for text in wrong {
+        for text in violations {
             self.region.checker.fail(self.now, "book", text);
         }
     }
@@ -253,7 +253,7 @@
 
     /// Assignments in the leader's job table that are not durable yet, to machines that have been up for less than this long.
     pub fn hasty_assignments(&self, up_for_ms: u64) -> usize {
-        let Some(term) = self.ruling() else { return 0 };
+        let Some(term) = self.active_term() else { return 0 };
         let new = |host: &HostId| {
             let worker = self.region.workers.get(host.as_str());
             worker.is_some_and(|w| self.now >= w.up_at && self.now < w.up_at + up_for_ms)
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -41,8 +41,8 @@
 
 pub const STEP_MS: u64 = 50;
 /// How long users wait for a response (protocol).
-const SUBMIT_PATIENCE_MS: u64 = 5_000;
-const POLL_PATIENCE_MS: u64 = 2_000;
+const SUBMIT_RESPONSE_TIMEOUT_MS: u64 = 5_000;
+const POLL_RESPONSE_TIMEOUT_MS: u64 = 2_000;
 /// An accepted job whose user gets no successful response for this long, after all faults, counts as forgotten.
 const FORGOTTEN_MS: u64 = 75_000;
 /// GPU limit of each team in the settings below; 0 means no limit.
@@ -751,7 +751,7 @@
     }
 
     fn event(&mut self, node: usize, event: Event) {
-        let late = self.departure_delay(node);
+        let departure_delay = self.departure_delay(node);
         let clock = self.clock(node);
         let Some(controller) = self.nodes[node].controller.as_mut() else { return };
         let actions = controller.handle(clock, event);
@@ -769,7 +769,7 @@
                         if matches!(from, Sender::Peer { .. }) && self.is_isolated(node) {
                             continue;
                         }
-                        let delay = self.delay() + late;
+                        let delay = self.delay() + departure_delay;
                         self.send(delay, Message::Reply { node, from, reply });
                     }
                 }
@@ -798,13 +798,13 @@
                     let peer = to.as_str()[2..].parse().unwrap_or(0);
                     let request = question.into();
                     let (a, b, until) = self.partitioned_peers;
-                    let cut = self.now < until
+                    let partitioned = self.now < until
                         && (a.min(b), a.max(b)) == (node.min(peer), node.max(peer));
-                    if cut || self.is_isolated(node) || self.is_isolated(peer) {
+                    if partitioned || self.is_isolated(node) || self.is_isolated(peer) {
                         continue;
                     }
                     let from = Sender::Peer { node, incarnation, request_id: id };
-                    let delay = self.delay() + late;
+                    let delay = self.delay() + departure_delay;
                     let ask = Message::Request { node: peer, from, request, forwarded: true };
                     self.send(delay, ask);
                 }
@@ -814,10 +814,10 @@
 
     /// The delay of a request, none if it is lost, and whether its response arrives in time.
     fn draw_delivery(&mut self, node: usize) -> (Option<u64>, bool) {
-        let late = self.departure_delay(node);
-        if late > 0 {
+        let departure_delay = self.departure_delay(node);
+        if departure_delay > 0 {
             // A request is executed even after its caller's timeout.
-            return (Some(late + self.delay()), late < 800);
+            return (Some(departure_delay + self.delay()), departure_delay < 800);
         }
         if self.faults_active() && self.rng.random_bool(0.01) {
             let late = self.rng.random_bool(0.5).then(|| self.rng.random_range(3_000..40_000));
@@ -841,12 +841,12 @@
             return;
         }
         let (mut delay, mut answer) = self.draw_delivery(node);
-        let mut patience = 2_500;
+        let mut timeout = 2_500;
         let of = |share: u32| f64::from(share) / 1e3;
         if self.is_isolated(node) {
             // A request held back by the partition arrives after it.
-            let back = self.nodes[node].isolated_until - self.now;
-            (delay, answer) = (self.rng.random_bool(0.5).then_some(back + 5), false);
+            let remaining = self.nodes[node].isolated_until - self.now;
+            (delay, answer) = (self.rng.random_bool(0.5).then_some(remaining + 5), false);
         } else if matches!(op, StoreOp::Txn(_))
             && self.now < self.delayed_writes.0
             && self.rng.random_bool(of(self.delayed_writes.1))
@@ -860,12 +860,12 @@
         } else if self.now < self.slow_store.0 && answer {
             let usual = if self.rng.random_bool(0.1) { 100..300 } else { 3..12 };
             let took = self.rng.random_range(usual) * u64::from(self.slow_store.1);
-            patience = if lane == Lane::Vital { 1_200 } else { 2_500 };
-            (delay, answer) = (Some(took), took < patience);
+            timeout = if lane == Lane::Vital { 1_200 } else { 2_500 };
+            (delay, answer) = (Some(took), took < timeout);
         }
         if !answer {
             let lost = Event::Store { id, reply: StoreReply::Lost };
-            self.send(patience, Message::Event { node, incarnation, event: lost });
+            self.send(timeout, Message::Event { node, incarnation, event: lost });
         }
         if let Some(delay) = delay {
             self.send(delay, Message::Store { node, incarnation, id, op, answer });
@@ -965,11 +965,11 @@
     ) {
         let now = self.now;
         self.record_command(&addr, answer);
-        let cut = |w: &Worker| {
+        let partitioned = |w: &Worker| {
             now < self.nodes[node].cut_until || self.is_partitioned(node, &w.place.zone)
         };
-        let Some((until, cut)) =
-            self.region.workers.get(&addr).map(|w| (w.hung_until.max(w.cut_until), cut(w)))
+        let Some((until, partitioned)) =
+            self.region.workers.get(&addr).map(|w| (w.hung_until.max(w.cut_until), partitioned(w)))
         else {
             return self
                 .send(800, Message::Event { node, incarnation, event: command_reply(None) });
@@ -978,7 +978,7 @@
             return self
                 .send(800, Message::Event { node, incarnation, event: command_reply(None) });
         }
-        if now < until || cut {
+        if now < until || partitioned {
             let delay = until.max(now + 5_000) - now;
             if answer {
                 self.send(800, Message::Event { node, incarnation, event: command_reply(None) });
@@ -1017,8 +1017,9 @@
                     return;
                 };
                 let good = matches!(reply.status, 200 | 201);
-                let patience = if submission { SUBMIT_PATIENCE_MS } else { POLL_PATIENCE_MS };
-                if good && now <= asked_at + patience {
+                let timeout =
+                    if submission { SUBMIT_RESPONSE_TIMEOUT_MS } else { POLL_RESPONSE_TIMEOUT_MS };
+                if good && now <= asked_at + timeout {
                     user.requests_answered += 1;
                     user.last_answered_at = now;
                 }
@@ -1035,11 +1036,11 @@
             Sender::DuplicateReport => {}
             Sender::HealthProbe => self.probes.push((now, node, reply.status)),
             Sender::Worker { host, report_id, sent_at } => {
-                let cut =
+                let partitioned =
                     |w: &Worker| now < w.cut_until || self.is_partitioned(node, &w.place.zone);
                 if now >= self.nodes[node].cut_until
                     && !self.loses_inbound(&host)
-                    && !self.region.workers.get(&host).is_some_and(cut)
+                    && !self.region.workers.get(&host).is_some_and(partitioned)
                 {
                     let status = reply.status;
                     self.region.answered(now, &host, (report_id, sent_at), status, &reply.body);
@@ -1258,9 +1259,9 @@
                 self.event(node, Event::Tick);
             }
         }
-        let wrong = |n: &Node| n.controller.as_ref()?.reign().map(|reign| reign.wrong_plans);
+        let invalid_starts = |n: &Node| n.controller.as_ref()?.reign().map(|term| term.wrong_plans);
         self.wrong_plans =
-            self.wrong_plans.max(self.nodes.iter().filter_map(wrong).max().unwrap_or(0));
+            self.wrong_plans.max(self.nodes.iter().filter_map(invalid_starts).max().unwrap_or(0));
         if (0..3).filter(|n| self.may_issue_orders(*n)).count() > 1 {
             self.two_leaders.get_or_insert(self.now);
         }
@@ -1358,8 +1359,8 @@
 
     pub fn step(&mut self) {
         self.now += self.step_ms;
-        let before = self.outage_until > 0 && self.now >= self.outage_until;
-        if before {
+        let outage_ends = self.outage_until > 0 && self.now >= self.outage_until;
+        if outage_ends {
             self.state.refill(self.now);
             self.outage_until = 0;
         }
--- a/tests/world/pipelines.rs
+++ b/tests/world/pipelines.rs
@@ -327,7 +327,7 @@
     /// The leader releases a job with dependencies only once their ends are durable, whatever workers have
     /// reported.
     pub(super) fn check_released_jobs(&mut self) {
-        let Some(term) = self.ruling() else { return };
+        let Some(term) = self.active_term() else { return };
         let released = |job: &&Job| {
             !job.spec.dependencies.is_empty()
                 && job.state == JobState::Open
@@ -343,12 +343,12 @@
 
     /// Waiting jobs hold nothing, and the usage that the leader counts against teams' limits equals what jobs hold.
     pub(super) fn check_waiting_jobs(&mut self) {
-        let Some(term) = self.ruling() else { return };
-        let mut wrong = Vec::new();
+        let Some(term) = self.active_term() else { return };
+        let mut violations = Vec::new();
         let mut held: BTreeMap<&str, Usage> = BTreeMap::new();
         for (id, job) in &term.book.jobs {
             if job.state == JobState::Waiting && job.held > 0 {
-                wrong.push(format!("{id} waits but holds {} tasks", job.held));
+                violations.push(format!("{id} waits but holds {} tasks", job.held));
             }
             let usage = held.entry(&job.spec.team).or_default();
             usage.cpus += job.spec.cpus * f64::from(job.held);
@@ -358,10 +358,11 @@
             let held = held.get(team.as_str()).copied().unwrap_or_default();
             let differs = |a: f64, b: f64| (a - b).abs() > EPSILON;
             if differs(counted.gpus, held.gpus) || differs(counted.cpus, held.cpus) {
-                wrong.push(format!("{team} is counted as using {counted:?} but holds {held:?}"));
+                violations
+                    .push(format!("{team} is counted as using {counted:?} but holds {held:?}"));
             }
         }
-        for text in wrong {
+        for text in violations {
             self.region.checker.fail(self.now, "waiting", text);
         }
     }
--- a/tests/world/served.rs
+++ b/tests/world/served.rs
@@ -168,7 +168,7 @@
             let most = self.max_running.get(id).copied().unwrap_or(0);
             let full = if spec.shape == Shape::Array { done } else { done || most == spec.tasks };
             let up = self.up.get(id).copied().unwrap_or_default();
-            let told = checker.over(id) == Some(JobStatus::Done);
+            let known_done = checker.over(id) == Some(JobStatus::Done);
             for name in [format!("class {}", spec.class), format!("team {}", spec.team)] {
                 let served = all.entry(name).or_default();
                 served.accepted.add(1, user.accepted.into());
@@ -192,7 +192,7 @@
                 if came(user.arrives_at, END_MARGIN_MS) && user.abort_at.is_none() {
                     served.started.add(1, full.into());
                     if spec.shape != Shape::Service {
-                        served.done.add(1, told.into());
+                        served.done.add(1, known_done.into());
                     }
                 }
             }
