--- a/tests/world/machines.rs
+++ b/tests/world/machines.rs
@@ -70,9 +70,9 @@
     pub fn mute(&mut self, span: u64, every: usize) -> usize {
         let (now, until) = (self.now, self.now + span);
         let up = self.region.workers.iter().filter(|(_, w)| now >= w.up_at && !w.tasks.is_empty());
-        let struck: Vec<String> = up.map(|(host, _)| host.clone()).step_by(every).collect();
-        let count = struck.len();
-        self.machines.silent_until.extend(struck.into_iter().map(|host| (host, until)));
+        let affected: Vec<String> = up.map(|(host, _)| host.clone()).step_by(every).collect();
+        let count = affected.len();
+        self.machines.silent_until.extend(affected.into_iter().map(|host| (host, until)));
         count
     }
 
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -1139,15 +1139,15 @@
             Fault::NodeCut(node, span) => self.nodes[node].cut_until = now + span,
             Fault::NodeParted(node, span) => self.nodes[node].isolated_until = now + span,
             Fault::LimitsFall => self.lower_limits(),
-            Fault::Upgrade(node, away) => self.upgrade(node, away),
-            Fault::Leader(what) => {
+            Fault::Upgrade(node, down_ms) => self.upgrade(node, down_ms),
+            Fault::Leader(leader_fault) => {
                 // Without a valid leader, the fault hits a node that still considers itself the leader.
                 let believes_to_lead =
                     |n: &usize| self.nodes[*n].controller.as_ref().is_some_and(|c| c.leads());
                 let Some(node) = self.leads().or_else(|| (0..3).find(believes_to_lead)) else {
                     return;
                 };
-                return self.strike(match what {
+                return self.strike(match leader_fault {
                     Upon::Crash => Fault::Crash(node),
                     Upon::Refused(span) => Fault::Refused(node, span),
                     Upon::Cut(span) => Fault::NodeCut(node, span),
@@ -1160,16 +1160,16 @@
             Fault::AnswersLost(span, share) => self.write_replies_lost = (now + span, share),
             Fault::DuplicateReports(span, share) => self.duplicate_reports = (now + span, share),
             Fault::LateCommands(span, share) => self.delayed_commands = (now + span, share),
-            Fault::StoreSlow(span, times) => self.slow_store = (now + span, times),
+            Fault::StoreSlow(span, factor) => self.slow_store = (now + span, factor),
             Fault::MachinesDeaf(span, every) => {
                 let up = self.region.workers.iter().filter(|(_, w)| now >= w.up_at);
-                let struck = up.map(|(host, _)| (host.clone(), now + span));
-                self.inbound_lost_until.extend(struck.step_by(every.max(1) as usize));
+                let affected = up.map(|(host, _)| (host.clone(), now + span));
+                self.inbound_lost_until.extend(affected.step_by(every.max(1) as usize));
             }
-            Fault::PollStorm(span, times) => self.poll_storm = (now + span, times),
-            Fault::Boots(span, pace, never) => {
+            Fault::PollStorm(span, factor) => self.poll_storm = (now + span, factor),
+            Fault::Boots(span, slowdown, never) => {
                 self.slow_boots_until = now + span;
-                self.region.boots = (f64::from(pace) / 1e3, f64::from(never) / 1e3);
+                self.region.boots = (f64::from(slowdown) / 1e3, f64::from(never) / 1e3);
             }
             Fault::Apart(node, zone, span) => self.partitions.push((node, zone, now + span)),
             Fault::Scarce(span) => {
@@ -1208,13 +1208,13 @@
 
     /// Requests in transit are executed or not, and none is answered. Watches end, and leases regain their full time.
     fn restart_store(&mut self) {
-        let under_way: Vec<(u64, u64)> = self
+        let in_transit: Vec<(u64, u64)> = self
             .queue
             .iter()
             .filter(|(_, message)| matches!(message, Message::Store { answer: true, .. }))
             .map(|(at, _)| *at)
             .collect();
-        for at in under_way {
+        for at in in_transit {
             let Some(Message::Store { node, incarnation, id, op, .. }) = self.queue.remove(&at)
             else {
                 continue;
