--- a/tests/world/machines.rs
+++ b/tests/world/machines.rs
@@ -1,5 +1,5 @@
-//! Troubles of machines' reports: copies of old ones that come to the next leader, machines that reach no controller, zones
-//! that are cut off; and what a leader's book has to hold whatever comes.
+//! Faults that concern the reports of machines: duplicates of old ones delivered to the next leader, machines that reach no
+//! controller, isolated zones; and the invariants of a leader's job table under them.
 
 use super::*;
 use oatloom_core::reign::{Reign, Stage};
@@ -7,40 +7,40 @@
 use oatloom_protocol::wire::{Order, TaskPhase};
 use rand::seq::SliceRandom;
 
-/// When copies that were kept for the next leader are given to every controller.
+/// When the reports saved for the next leader are delivered to every controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Given {
-    /// The moment it may give orders, before it has read its book.
+    /// When it may issue orders, before it has loaded its job table.
     AsItBegins,
-    /// Once a worker has obeyed it, over the next three seconds.
+    /// Once a worker has acknowledged its token, spread over three seconds.
     OnceItActed,
 }
 
-/// Copies kept at most; of more a drawn one makes way, so that they are of all ages.
-const KEPT_MOST: usize = 250;
+/// Capacity for saved reports; further ones replace random ones, so that reports of all ages remain.
+const MAX_SAVED_REPORTS: usize = 250;
 
-struct Keep {
+struct SavedReports {
     rng: ChaCha8Rng,
     share: f64,
-    given: Given,
-    kept: Vec<Report>,
-    /// The leader for whom copies were last given.
-    last: Option<Token>,
+    timing: Given,
+    reports: Vec<Report>,
+    /// The token of the leader to which reports were last delivered.
+    last_token: Option<Token>,
 }
 
-/// What came about, so that a test can tell that its meeting did.
+/// Counts of what happened, so that a test can check that it covered its case.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Met {
-    /// Copies given, and those given to a leader that had no report of their machine yet.
+    /// Reports delivered, and those delivered before the leader had any report of their machine.
     pub given: usize,
     pub first: usize,
-    /// Those of an earlier session of their worker, and with an attempt that is not on the machine any more.
+    /// Those of an earlier session of their worker, and those with an attempt that is no longer on the machine.
     pub older_session: usize,
     pub older_attempt: usize,
-    /// Reports of machines that could not be sent.
+    /// Reports that machines could not send.
     pub refused: usize,
-    /// Direct commands that came late: to a worker that has heard a later leader, and to one that has not although there is
-    /// one; the stops of the latter for tasks that are on the machine.
+    /// Direct commands that arrived late: at a worker that has acknowledged a later leader, and at one that has not although
+    /// there is one; and the stop orders of the latter for tasks on the machine.
     pub outranked: usize,
     pub deposed: usize,
     pub stopped: usize,
@@ -48,81 +48,82 @@
 
 #[derive(Default)]
 pub struct Machines {
-    keep: Option<Keep>,
-    mute: BTreeMap<String, u64>,
+    saved: Option<SavedReports>,
+    silent_until: BTreeMap<String, u64>,
     pub met: Met,
-    /// When each mute machine was sent a direct command.
+    /// When direct commands arrived at each silent machine.
     pub told: BTreeMap<String, Vec<u64>>,
-    /// The latest message of each machine that a leader had taken up, with that leader's token.
-    sorted: BTreeMap<HostId, (Token, Shift, u64)>,
+    /// Token, session and number of the latest report of each machine that a leader had processed.
+    last_processed: BTreeMap<HostId, (Token, Shift, u64)>,
 }
 
 impl World {
-    /// From now on copies of a share of the reports are kept for the next leader.
+    /// From now on saves copies of a share of the reports for the next leader.
     pub fn keep_reports(&mut self, share: f64, given: Given) {
         let rng = ChaCha8Rng::seed_from_u64(self.now ^ 0x6d61_6368);
-        let last = self.leads().and_then(|n| self.reign_of(n)).map(|r| r.token);
-        self.machines.keep = Some(Keep { rng, share, given, kept: Vec::new(), last });
+        let last_token = self.leads().and_then(|n| self.leader_term_of(n)).map(|r| r.token);
+        self.machines.saved =
+            Some(SavedReports { rng, share, timing: given, reports: Vec::new(), last_token });
     }
 
-    /// Machines that hold a task and are up reach no controller for so long, every so many-th of them; how many.
+    /// Every n-th of the busy machines that are up reaches no controller for this long; returns how many.
     pub fn mute(&mut self, span: u64, every: usize) -> usize {
         let (now, until) = (self.now, self.now + span);
         let up = self.region.workers.iter().filter(|(_, w)| now >= w.up_at && !w.tasks.is_empty());
-        let struck: Vec<String> = up.map(|(host, _)| host.clone()).step_by(every).collect();
-        let count = struck.len();
-        self.machines.mute.extend(struck.into_iter().map(|host| (host, until)));
+        let affected: Vec<String> = up.map(|(host, _)| host.clone()).step_by(every).collect();
+        let count = affected.len();
+        self.machines.silent_until.extend(affected.into_iter().map(|host| (host, until)));
         count
     }
 
     pub fn is_mute(&self, host: &str) -> bool {
-        self.machines.mute.get(host).is_some_and(|until| self.now < *until)
+        self.machines.silent_until.get(host).is_some_and(|until| self.now < *until)
     }
 
-    /// A zone's machines and its controller reach nothing outside it; users and cloud still reach the controller.
+    /// A zone's machines and its controller reach nothing outside it; users and the cloud still reach the controller.
     pub fn cut_zone(&mut self, zone: usize, span: u64) {
-        self.nodes[zone].parted_until = self.now + span;
+        self.nodes[zone].isolated_until = self.now + span;
         for node in 0..3 {
             let others = (0..3).filter(|z| (*z == zone) != (node == zone));
-            self.apart.extend(others.map(|z| (node, z, self.now + span)));
+            self.partitions.extend(others.map(|z| (node, z, self.now + span)));
         }
     }
 
-    pub fn reign_of(&self, node: usize) -> Option<&Reign> {
-        self.nodes[node].core.as_ref()?.reign()
+    pub fn leader_term_of(&self, node: usize) -> Option<&Reign> {
+        self.nodes[node].controller.as_ref()?.reign()
     }
 
-    /// The reign of the node that may give orders, once it has read its book.
-    pub fn ruling(&self) -> Option<&Reign> {
-        self.reign_of(self.leads()?).filter(|reign| reign.stage == Stage::Ruling)
+    /// The leader term of the node that may issue orders, once it has loaded its job table.
+    pub fn active_term(&self) -> Option<&Reign> {
+        self.leader_term_of(self.leads()?).filter(|term| term.stage == Stage::Ruling)
     }
 
-    /// A report is about to leave its machine: whether it cannot, and whether a copy of it is kept.
-    pub(super) fn before_report(&mut self, host: &str, report: &Report) -> bool {
-        if let Some(keep) = &mut self.machines.keep
-            && keep.rng.random_bool(keep.share)
+    /// A report is about to leave its machine: may save a copy, and returns whether it cannot be sent.
+    pub(super) fn intercept_report(&mut self, host: &str, report: &Report) -> bool {
+        if let Some(saved) = &mut self.machines.saved
+            && saved.rng.random_bool(saved.share)
         {
-            if keep.kept.len() == KEPT_MOST {
-                let at = keep.rng.random_range(0..KEPT_MOST);
-                keep.kept.swap_remove(at);
+            if saved.reports.len() == MAX_SAVED_REPORTS {
+                let at = saved.rng.random_range(0..MAX_SAVED_REPORTS);
+                saved.reports.swap_remove(at);
             }
-            keep.kept.push(report.clone());
+            saved.reports.push(report.clone());
         }
-        let mute = self.is_mute(host);
-        self.machines.met.refused += usize::from(mute);
-        mute
+        let silent = self.is_mute(host);
+        self.machines.met.refused += usize::from(silent);
+        silent
     }
 
-    /// A direct command comes to a machine, in time if its answer is waited for.
-    pub(super) fn note_command(&mut self, host: &str, in_time: bool) {
+    /// A direct command arrives at a machine, in time if its sender still waits for the response.
+    pub(super) fn record_command(&mut self, host: &str, in_time: bool) {
         if in_time && self.is_mute(host) {
             self.machines.told.entry(host.to_owned()).or_default().push(self.now);
         }
     }
 
-    /// A direct command that nobody waits for any more comes to a machine.
-    pub(super) fn note_late_command(&mut self, host: &str, command: &Command) {
-        let leader = self.leads().and_then(|n| self.reign_of(n)).map(|reign| reign.token);
+    /// A direct command whose sender no longer waits arrives at a machine.
+    pub(super) fn record_late_command(&mut self, host: &str, command: &Command) {
+        let leader = self.leads().and_then(|n| self.leader_term_of(n)).map(|term| term.token);
         let Some(worker) = self.region.workers.get(host) else { return };
         let met = &mut self.machines.met;
         if worker.token > command.token.0 {
@@ -143,38 +144,43 @@
         }
     }
 
-    /// Gives kept copies to every controller when a new leader begins, or has acted: as they are, twice to those that do not
-    /// lead, so that they pass them on, and once as if another controller had.
-    pub(super) fn give_reports(&mut self) {
+    /// Delivers saved reports to every controller when a new leader begins or has acted: unchanged, twice to nodes that do
+    /// not lead so that they forward them, and once as if forwarded by another controller.
+    pub(super) fn replay_reports(&mut self) {
         let Some(node) = self.leads() else { return };
-        let Some(token) = self.reign_of(node).map(|reign| reign.token) else { return };
-        let Some(mut keep) = self.machines.keep.take() else { return };
+        let Some(token) = self.leader_term_of(node).map(|term| term.token) else { return };
+        let Some(mut saved) = self.machines.saved.take() else { return };
         let acted = self.region.workers.values().any(|w| w.token == token.0);
-        if keep.last == Some(token) || keep.given == Given::OnceItActed && !acted {
-            self.machines.keep = Some(keep);
+        if saved.last_token == Some(token) || saved.timing == Given::OnceItActed && !acted {
+            self.machines.saved = Some(saved);
             return;
         }
-        keep.last = Some(token);
-        keep.kept.shuffle(&mut keep.rng);
-        for report in &keep.kept {
-            self.note_given(node, report);
-            let span = if keep.given == Given::AsItBegins { 30 } else { 3_000 };
+        saved.last_token = Some(token);
+        saved.reports.shuffle(&mut saved.rng);
+        for report in &saved.reports {
+            self.record_replayed(node, report);
+            let span = if saved.timing == Given::AsItBegins { 30 } else { 3_000 };
             for to in 0..3 {
                 for forwarded in [false, to == node] {
                     let request = Request::Report(Box::new(report.clone()));
-                    let delay = keep.rng.random_range(0..span);
-                    let ask = Message::Request { node: to, from: From::Copy, request, forwarded };
+                    let delay = saved.rng.random_range(0..span);
+                    let ask = Message::Request {
+                        node: to,
+                        from: Sender::DuplicateReport,
+                        request,
+                        forwarded,
+                    };
                     self.send(delay, ask);
                 }
             }
         }
-        // Some come to the leader after next as well.
-        keep.kept.truncate(KEPT_MOST / 4);
-        self.machines.keep = Some(keep);
+        // Some are also delivered to the next leader after this one.
+        saved.reports.truncate(MAX_SAVED_REPORTS / 4);
+        self.machines.saved = Some(saved);
     }
 
-    fn note_given(&mut self, leader: usize, report: &Report) {
-        let machine = self.reign_of(leader).and_then(|r| r.fleet.machines.get(&report.host));
+    fn record_replayed(&mut self, leader: usize, report: &Report) {
+        let machine = self.leader_term_of(leader).and_then(|r| r.fleet.machines.get(&report.host));
         let first = machine.is_none_or(|m| m.last_report.is_none());
         let worker = self.region.workers.get(report.host.as_str());
         let older_session = worker.is_some_and(|w| w.shift > report.shift.0);
@@ -193,47 +199,49 @@
         met.older_attempt += usize::from(older_attempt);
     }
 
-    /// What must hold whatever reports come: the book of the leader holds every task that is on a machine, where it is, and a
-    /// leader never goes back to an older message of a machine. Any rule about where tasks may start rests on it.
-    pub fn look_at_book(&mut self) {
-        let Some(reign) = self.leads().and_then(|n| self.reign_of(n)) else { return };
-        if reign.stage != Stage::Ruling {
+    /// Invariants under any reports: the leader's job table holds every task that is on a machine, with its place, and a leader
+    /// never goes back to an older report of a machine. All rules about where tasks may start depend on them.
+    pub fn check_job_table(&mut self) {
+        let Some(term) = self.leads().and_then(|n| self.leader_term_of(n)) else { return };
+        if term.stage != Stage::Ruling {
             return;
         }
-        let token = reign.token;
-        let mut wrong = Vec::new();
+        let token = term.token;
+        let mut violations = Vec::new();
         for worker in self.region.workers.values() {
             for ((job, index, attempt), task) in &worker.tasks {
                 let id = TaskId::new(&JobId::new(job), *index);
-                let held = reign.book.held(&id).is_some_and(|h| {
+                let held = term.book.held(&id).is_some_and(|h| {
                     h.host.as_str() == worker.host
                         && h.attempt.0 == *attempt
                         && h.shift.0 == worker.shift
                 });
                 if task.phase != TaskPhase::Exited && !held {
-                    wrong.push(format!(
-                        "{job}/{index} try {attempt} is on {}, shift {}, and the book of {token} has {:?}",
+                    violations.push(format!(
+                        "{job}/{index} attempt {attempt} is on {}, session {}, but the job table of {token} has {:?}",
                         worker.host,
                         worker.shift,
-                        reign.book.held(&id)
+                        term.book.held(&id)
                     ));
                 }
             }
         }
         let latest: Vec<(HostId, Shift, u64)> =
-            reign.fleet.machines.values().map(|m| (m.id.clone(), m.shift, m.tally.0)).collect();
+            term.fleet.machines.values().map(|m| (m.id.clone(), m.shift, m.tally.0)).collect();
         for (host, shift, tally) in latest {
-            let before = self.machines.sorted.insert(host.clone(), (token, shift, tally));
+            let before = self.machines.last_processed.insert(host.clone(), (token, shift, tally));
             if before.is_some_and(|b| b.0 == token && (b.1, b.2) > (shift, tally)) {
-                wrong.push(format!("{host}: back from {before:?} to {shift:?} {tally}"));
+                violations.push(format!(
+                    "{host}: went back from {before:?} to {shift:?}, report {tally}"
+                ));
             }
         }
-        for text in wrong {
+        for text in violations {
             self.region.checker.fail(self.now, "book", text);
         }
     }
 
-    /// Tasks on machines whose user was told at least so long ago that their job is cancelled.
+    /// Tasks that are on machines this long or longer after their user learned that the job is cancelled.
     pub fn lingering(&self, for_ms: u64) -> Vec<String> {
         let checker = &self.region.checker;
         let late = |job: &str| {
@@ -243,18 +251,18 @@
         checker.on_machines().filter(|on| late(&on.job)).map(|on| format!("{on:?}")).collect()
     }
 
-    /// Assignments in the leader's book that are not durable yet, to machines that have been up for less than so long.
+    /// Assignments in the leader's job table that are not durable yet, to machines that have been up for less than this long.
     pub fn hasty_assignments(&self, up_for_ms: u64) -> usize {
-        let Some(reign) = self.ruling() else { return 0 };
+        let Some(term) = self.active_term() else { return 0 };
         let new = |host: &HostId| {
             let worker = self.region.workers.get(host.as_str());
             worker.is_some_and(|w| self.now >= w.up_at && self.now < w.up_at + up_for_ms)
         };
-        let jobs = reign.book.jobs.values();
+        let jobs = term.book.jobs.values();
         jobs.flat_map(|j| j.holds().filter(|(i, h)| !j.durable(*i) && new(&h.host))).count()
     }
 
-    /// Every so many-th machine that holds a task is cut off for so long, alone; how many.
+    /// Every n-th machine that holds a task is partitioned for this long; returns how many.
     pub fn cut_machines(&mut self, span: u64, every: usize) -> usize {
         let now = self.now;
         let busy = self.region.workers.values_mut().filter(|w| now >= w.up_at);
@@ -262,11 +270,11 @@
         busy.map(|worker| worker.cut_until = now + span).count()
     }
 
-    /// Lets time pass up to a moment, or to a broken rule; the book is looked at after every step.
+    /// Runs to the given time, or to the first broken rule, and checks the job table after every step.
     pub fn watch_to(&mut self, until: u64) {
         while self.before(until) {
             self.step();
-            self.look_at_book();
+            self.check_job_table();
         }
     }
 }
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -1,5 +1,5 @@
-//! A deterministic world around several controllers: state service, cloud, machines and users as the
-//! protocol describes them, with delays, losses, late deliveries and failures, all from one seed.
+//! A deterministic simulation around several controllers: state service, cloud, machines and users behave as the
+//! protocol describes, with delays, losses, late deliveries and failures, all drawn from one seed.
 
 pub mod graphs;
 pub mod limits;
@@ -31,7 +31,7 @@
 use oatloom_protocol::reply::HttpReply;
 use oatloom_protocol::settings::{Peer, Settings, Team};
 use oatloom_protocol::wire::{Command, Flavor, JobSpec, JobStatus, Rank, Report, Row, Shape};
-use pipelines::Submits;
+use pipelines::SubmitWhen;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -40,13 +40,13 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 pub const STEP_MS: u64 = 50;
-/// How long users wait for an answer (protocol).
-const SUBMIT_PATIENCE_MS: u64 = 5_000;
-const POLL_PATIENCE_MS: u64 = 2_000;
-/// A job about which no question is answered for so long, with all troubles over, counts as forgotten.
+/// How long users wait for a response (protocol).
+const SUBMIT_RESPONSE_TIMEOUT_MS: u64 = 5_000;
+const POLL_RESPONSE_TIMEOUT_MS: u64 = 2_000;
+/// An accepted job whose user gets no successful response for this long, after all faults, counts as forgotten.
 const FORGOTTEN_MS: u64 = 75_000;
-/// Most GPUs of each team, as the settings below have it; 0: none.
-const LIMITS: [(&str, f64); 2] = [("red", 14.0), ("blue", 0.0)];
+/// GPU limit of each team in the settings below; 0 means no limit.
+const TEAM_GPU_LIMITS: [(&str, f64); 2] = [("red", 14.0), ("blue", 0.0)];
 const ZONES: [&str; 3] = ["a", "b", "c"];
 
 pub const SETTINGS: &str = r#"
@@ -90,72 +90,72 @@
 sockets = 1000
 "#;
 
-/// A task by its number, an attempt, and a machine.
-pub type Placed = (u32, u64, HostId);
+/// Task index, attempt and machine.
+pub type Placement = (u32, u64, HostId);
 
 #[derive(Clone, Debug)]
-enum From {
+enum Sender {
     User {
         job: String,
         submission: bool,
         abort: bool,
-        asked: u64,
+        asked_at: u64,
     },
     Worker {
         host: String,
-        report: u64,
-        sent: u64,
+        report_id: u64,
+        sent_at: u64,
     },
     Peer {
         node: usize,
-        life: u64,
-        ask: u64,
+        incarnation: u64,
+        request_id: u64,
     },
-    /// A copy of a report: nobody hears its answer.
-    Copy,
-    /// A client of graphs, and the number of its request.
-    Client(usize, u64),
-    /// A load balancer's probe.
-    Probe,
-    /// Somebody with an odd request, by its number.
-    Odd(usize),
+    /// A duplicate of a report, whose response is dropped.
+    DuplicateReport,
+    /// A task graph client and the number of its request.
+    GraphClient(usize, u64),
+    /// A health probe of the load balancer.
+    HealthProbe,
+    /// A raw HTTP request that belongs to no user's job, by its number.
+    RawRequest(usize),
 }
 
 enum Message {
-    Node {
+    Event {
         node: usize,
-        life: u64,
+        incarnation: u64,
         event: Event,
     },
     Request {
         node: usize,
-        from: From,
+        from: Sender,
         request: Request,
         forwarded: bool,
     },
     Store {
         node: usize,
-        life: u64,
+        incarnation: u64,
         id: OpId,
         op: StoreOp,
         answer: bool,
     },
     Cloud {
         node: usize,
-        life: u64,
+        incarnation: u64,
         id: u64,
         op: CloudOp,
         answer: bool,
     },
     Reply {
         node: usize,
-        from: From,
+        from: Sender,
         reply: HttpReply,
     },
-    /// A direct command on its way, and whether its answer will be waited for.
+    /// A direct command in transit, and whether its sender still waits for the response.
     Command {
         node: usize,
-        life: u64,
+        incarnation: u64,
         addr: String,
         command: Command,
         answer: bool,
@@ -167,12 +167,12 @@
     Crash(usize),
     CrashAll,
     StoreOutage(u64),
-    /// One node alone is refused by the state service.
+    /// The state service refuses all requests of one node.
     Refused(usize, u64),
-    MachineDies,
-    /// Every second machine of those that are up.
+    MachineTerminated,
+    /// Terminates every second machine that is up.
     HalfDie,
-    /// The cloud has half as many machines for so long.
+    /// Halves the cloud's capacity for this long.
     Scarce(u64),
     MachineHangs(u64),
     MachineCut(u64),
@@ -180,50 +180,50 @@
     Apart(usize, usize, u64),
     SpotTaken,
     NodeFrozen(usize, u64),
-    /// The node that leads stands still in the midst of what it does: what it had decided leaves when it goes on.
+    /// The leader is paused while it handles an event: the actions it decided on leave when it resumes.
     LeaderAsleep(u64),
-    /// A node is away, or its whole network is, for so long.
+    /// A node is stopped, or its whole network is partitioned, for this long.
     NodeDown(usize, u64),
     NodeCut(usize, u64),
-    /// Users ask this many times as often.
+    /// Users poll this many times as often.
     PollStorm(u64, u32),
-    /// Machines hired meanwhile boot this many thousandths as slow, and this share of a thousand never does.
+    /// Machines hired meanwhile boot slower by this factor in thousandths; this many of a thousand never boot.
     Boots(u64, u32, u32),
     FaultyMachine,
-    /// The cloud refuses everything.
+    /// The cloud refuses every request.
     CloudOutage(u64),
-    /// The cloud carries out half of what is asked so much later, and its answers are lost.
+    /// The cloud executes half of the requests this much later and sends no response to them.
     CloudLate(u64, u64),
-    /// What the state service executes is not answered.
+    /// The state service executes requests, but its responses are lost.
     StoreLoses(u64),
-    /// What is under way to the state service is executed or not, and in no case answered.
+    /// Each request in transit to the state service is executed or not, and no response is sent.
     StoreRestart,
-    /// This share of a thousand transactions gets no answer and is carried out 2 to 12 s later.
+    /// This many of a thousand transactions get no response and are executed 2 to 12 s later.
     LateWrites(u64, u32),
-    /// This share of a thousand transactions is carried out at once and gets no answer; reads are not concerned.
+    /// This many of a thousand transactions are executed at once and get no response; reads are not affected.
     AnswersLost(u64, u32),
-    /// Of this share of a thousand reports a copy comes again, 2 s to more than twice a lease later.
-    LateReports(u64, u32),
-    /// This share of a thousand direct commands is held up, unanswered, and carried out 2 to 16 s later, if the worker still
-    /// takes it.
+    /// This many of a thousand reports are delivered a second time, 2 s to more than twice a lease later.
+    DuplicateReports(u64, u32),
+    /// This many of a thousand direct commands are delayed, unanswered, and executed 2 to 16 s later if the worker still
+    /// accepts them.
     LateCommands(u64, u32),
-    /// Every so many-th machine that is up: its reports arrive, answers and direct commands to it are lost.
+    /// Every n-th machine that is up: its reports arrive, but responses and direct commands to it are lost.
     MachinesDeaf(u64, u32),
-    /// A node loses the state service and the other nodes, not its workers or users.
+    /// A node loses the state service and the other nodes, but not its workers or users.
     NodeParted(usize, u64),
-    /// Two nodes cannot reach each other, nobody else being concerned.
+    /// Two nodes cannot reach each other; all other links work.
     PeersApart(usize, usize, u64),
-    /// The state service takes so many times as long.
+    /// The state service takes this many times as long.
     StoreSlow(u64, u32),
-    /// The state service has the limits that the settings announce, from now on.
+    /// The state service enforces the lower limits that the settings announce, from now on.
     LimitsFall,
-    /// A node is killed, and comes back with the new version so much later.
+    /// A node is killed and restarts with the new version this much later.
     Upgrade(usize, u64),
-    /// What else strikes, strikes the node that leads at that moment.
+    /// The given fault hits the node that leads at that moment.
     Leader(Upon),
 }
 
-/// What may strike the node that leads.
+/// Faults that can hit the leader.
 #[derive(Clone, Copy, Debug)]
 pub enum Upon {
     Crash,
@@ -234,25 +234,25 @@
 }
 
 struct Node {
-    core: Option<Controller>,
-    /// Which version it comes back with when it is started next.
+    controller: Option<Controller>,
+    /// The version it runs when it is started next.
     version: upgrades::Version,
-    life: u64,
+    incarnation: u64,
     started: u64,
-    drift: f64,
+    clock_drift: f64,
     frozen_until: u64,
-    /// What it decides at this moment leaves only when it goes on.
-    asleep_from: Option<u64>,
+    /// Actions decided at this moment leave the node only when it resumes.
+    paused_at: Option<u64>,
     cut_until: u64,
-    parted_until: u64,
+    isolated_until: u64,
     refused_until: u64,
-    conns: HashMap<ConnId, From>,
+    conns: HashMap<ConnId, Sender>,
     restart_at: u64,
 }
 
-struct Watch {
+struct StoreWatch {
     node: usize,
-    life: u64,
+    incarnation: u64,
     id: OpId,
     prefix: String,
     after: Revision,
@@ -261,157 +261,160 @@
 
 struct User {
     spec: JobSpec,
-    at: u64,
-    give_up: u64,
-    next: u64,
+    arrives_at: u64,
+    give_up_at: u64,
+    next_request_at: u64,
     accepted: bool,
-    /// How long after its first try it was accepted, in milliseconds.
+    /// Time from its first submission until the job was accepted, in milliseconds.
     accepted_after: Option<u64>,
     abort_at: Option<u64>,
     aborted: bool,
-    /// What it waits for before it submits a job that needs others.
-    submits: pipelines::Submits,
-    /// Questions, and those that were answered in time.
-    asked: u32,
-    answered: u32,
-    /// When a question was last answered in time.
-    answered_at: u64,
+    /// What the user waits for before it submits a job with dependencies.
+    submit_when: pipelines::SubmitWhen,
+    /// Requests sent, and those that were answered in time.
+    requests_sent: u32,
+    requests_answered: u32,
+    /// When a request was last answered in time.
+    last_answered_at: u64,
 }
 
 impl User {
     fn new(spec: JobSpec, at: u64, abort_at: Option<u64>) -> Self {
-        let (accepted, accepted_after, aborted, asked, answered) = (false, None, false, 0, 0);
+        let (accepted, accepted_after, aborted, requests_sent, requests_answered) =
+            (false, None, false, 0, 0);
         let needs = !spec.dependencies.is_empty();
         Self {
-            submits: if needs { Submits::OnceAccepted } else { Submits::AtOnce },
+            submit_when: if needs {
+                SubmitWhen::DependenciesAccepted
+            } else {
+                SubmitWhen::Immediately
+            },
             spec,
-            at,
-            give_up: at + 60_000,
+            arrives_at: at,
+            give_up_at: at + 60_000,
             accepted_after,
-            next: at,
+            next_request_at: at,
             accepted,
             abort_at,
             aborted,
-            asked,
-            answered,
-            answered_at: 0,
+            requests_sent,
+            requests_answered,
+            last_answered_at: 0,
         }
     }
 }
 
 pub struct World {
-    /// Of every action of every controller, in order.
+    /// Hash of all actions of all controllers, in order.
     pub digest: u64,
     pub now: u64,
     rng: ChaCha8Rng,
     queue: BTreeMap<(u64, u64), Message>,
-    order: u64,
+    next_sequence: u64,
     state: State,
     outage_until: u64,
     cloud_outage_until: u64,
-    /// Until when the cloud is late, and by how much.
-    cloud_late: (u64, u64),
-    store_loses_until: u64,
-    /// Until when the state service is slow, and how many times as slow.
-    store_slow: (u64, u32),
-    /// Until when this share of a thousand transactions is carried out late, or of reports copied.
-    late_writes: (u64, u32),
-    late_reports: (u64, u32),
-    /// Until when this share of a thousand direct commands is held up.
-    late_commands: (u64, u32),
-    /// Until when the answers of this share of a thousand transactions are lost.
-    answers_lost: (u64, u32),
-    /// How long a step is, in milliseconds: a divisor of [`STEP_MS`].
+    /// Until when the cloud executes requests late, and by how much.
+    cloud_delayed: (u64, u64),
+    store_replies_lost_until: u64,
+    /// Until when the state service is slow, and by which factor.
+    slow_store: (u64, u32),
+    /// Until when this many of a thousand transactions are executed late, or reports duplicated.
+    delayed_writes: (u64, u32),
+    duplicate_reports: (u64, u32),
+    /// Until when this many of a thousand direct commands are delayed.
+    delayed_commands: (u64, u32),
+    /// Until when the responses to this many of a thousand transactions are lost.
+    write_replies_lost: (u64, u32),
+    /// Length of a step in milliseconds, a divisor of [`STEP_MS`].
     pub step_ms: u64,
-    /// Users who look closely.
+    /// Users who send extra requests within milliseconds of a response.
     pub looks: Looks,
     /// Which two nodes cannot reach each other, and until when.
-    peers_apart: (usize, usize, u64),
-    /// Until when machines hear nothing.
-    deaf: BTreeMap<String, u64>,
-    /// Until when users ask so many times as often.
-    storm: (u64, u32),
-    boots_until: u64,
-    scarce_until: u64,
-    /// Whether two nodes ever took themselves for the leader at once, which no order may rest on.
+    partitioned_peers: (usize, usize, u64),
+    /// Until when messages to these machines are lost.
+    inbound_lost_until: BTreeMap<String, u64>,
+    /// Until when users poll this many times as often.
+    poll_storm: (u64, u32),
+    slow_boots_until: u64,
+    reduced_capacity_until: u64,
+    /// When two nodes first considered themselves the leader at the same time, which must never happen.
     pub two_leaders: Option<u64>,
-    /// The most starts of one reign that its plans had and that may not be.
+    /// The most invalid task starts that the plans of one leader term contained.
     pub wrong_plans: u32,
-    /// Whether what a cut holds back may come while it lasts; else it never does.
+    /// Whether messages held back by a partition may be delivered after it; otherwise they are lost.
     pub leaky: bool,
-    /// Whether the load balancer probes each node once a second, and what it was told: when, which node, the status.
+    /// Whether the load balancer probes each node once a second, and the results: time, node, status.
     pub probing: bool,
     pub probes: Vec<(u64, usize, u16)>,
-    /// How long a node that crashed is away.
+    /// How long a crashed node stays down.
     pub restart_ms: u64,
-    /// What the controllers' operators have set.
+    /// The operators' settings of the controllers.
     pub operators: Operators,
-    /// What controllers have accounted, in order, with their number and which of their lives it was.
+    /// Usage accounting entries of the controllers, in order, each with its node and that node's incarnation.
     pub entries: Vec<(usize, u64, Entry)>,
-    /// Whether the state service has its lower limits, and what it refused for its size: by node, its life, and changes.
+    /// Whether the state service enforces its lower limits, and writes refused for size: node, incarnation and digest.
     pub limits_lowered: bool,
     refused_writes: BTreeSet<(usize, u64, u64)>,
-    /// Jobs that needed others and were seen to be released.
+    /// Jobs with dependencies that were seen to be released.
     released: BTreeSet<JobId>,
     site: Site,
-    /// Requests and changes that the state service was asked for, by second.
+    /// Requests and changes sent to the state service, by second.
     pub spent: BTreeMap<u64, (u32, u32)>,
-    /// The node to which the load balancer sends all users, if it has no other.
+    /// The node to which the load balancer sends all requests; any node if none is set.
     pub door: Option<usize>,
-    /// Whether users stop asking once they know how their job ended.
+    /// Whether users stop polling once they know the final state of their job.
     pub quiet: bool,
     nodes: Vec<Node>,
-    watches: Vec<Watch>,
+    watches: Vec<StoreWatch>,
     pub region: Region,
-    /// Jobs that wait though they could run.
+    /// Jobs that wait although they could run.
     pub neglect: Neglect,
-    /// Until when every message takes a time between these, in milliseconds.
+    /// Until when message delays are drawn from this range, in milliseconds.
     pub slow_links: (u64, u64, u64),
-    /// Clients of task graphs, and what must hold for them.
+    /// Task graph clients and the invariants checked for them.
     pub clients: Clients,
-    /// Troubles of machines' reports.
+    /// Faults that concern the reports of machines.
     pub machines: machines::Machines,
     users: Vec<User>,
     faults: Vec<(u64, Fault)>,
-    apart: Vec<(usize, usize, u64)>,
+    partitions: Vec<(usize, usize, u64)>,
     pub calm_from: u64,
 }
 
-/// Shows what controllers say, as far as `LOG_LEVEL` asks for it.
+/// Prints the controllers' log as far as `LOG_LEVEL` asks for it.
 pub fn show_log() {
     let level = std::env::var("LOG_LEVEL").unwrap_or_default();
     let _ = env_logger::Builder::new().parse_filters(&level).is_test(true).try_init();
 }
 
-/// No rule is broken, two never led at once, and no plan had a start that may not be.
+/// Asserts that no rule is broken, two nodes never led at once and no plan contained an invalid start.
 pub fn check(world: &World, what: &str) {
     let broken = &world.region.checker.broken;
-    assert!(broken.is_empty(), "{what}: rules are broken: {broken:#?}");
-    assert_eq!(world.two_leaders, None, "{what}: two led at once");
-    assert_eq!(world.wrong_plans, 0, "{what}: a plan was wrong");
+    assert!(broken.is_empty(), "{what}: broken rules: {broken:#?}");
+    assert_eq!(world.two_leaders, None, "{what}: two nodes led at once");
+    assert_eq!(world.wrong_plans, 0, "{what}: a plan had an invalid start");
 }
 
-/// The same, and every accepted job's user has heard of its end.
+/// The same, and every accepted job's user knows its final state.
 pub fn finished(world: &World, what: &str) {
     check(world, what);
     let unfinished = world.unfinished();
-    assert!(unfinished.is_empty(), "{what} leaves undone: {unfinished:#?}");
+    assert!(unfinished.is_empty(), "{what}: unfinished jobs: {unfinished:#?}");
 }
 
-/// How many days are to be played beyond the fixed ones, as `OATLOOM_SEEDS` has it.
+/// The number of further seeds to run beyond the fixed ones, from `OATLOOM_SEEDS`.
 pub fn more_days() -> u64 {
     let Ok(seeds) = std::env::var("OATLOOM_SEEDS") else { return 0 };
-    seeds
-        .parse()
-        .unwrap_or_else(|e| panic!("OATLOOM_SEEDS is not a number of seeds: {seeds:?}: {e}"))
+    seeds.parse().unwrap_or_else(|e| panic!("OATLOOM_SEEDS must be a number: {seeds:?}: {e}"))
 }
 
-fn obeyed(report: Option<Report>) -> Event {
+fn command_reply(report: Option<Report>) -> Event {
     Event::Obeyed { report: report.map(Box::new) }
 }
 
 pub fn settings(text: &str, node: usize) -> Settings {
-    let mut settings = oatloom::settings::platform(text).expect("sound settings");
+    let mut settings = oatloom::settings::platform(text).expect("valid settings");
     let member = |n: usize| Member::new(&format!("n-{n}"));
     settings.member = member(node);
     let peer = |n| Peer { member: member(n), zone: Zone::new(ZONES[n]), addr: String::new() };
@@ -419,14 +422,14 @@
     settings
 }
 
-/// What is deployed: the platform's settings, and machines of each zone and kind that the cloud has.
+/// What is deployed: the platform's settings, and the cloud's machines per zone and type.
 #[derive(Clone, Debug)]
 pub struct Site {
     pub settings: String,
     pub capacity: u32,
     /// Sizes of its machine types, in GPUs.
     pub sizes: Vec<u8>,
-    /// How often machines do something, in milliseconds.
+    /// Interval between two steps of the workers, in milliseconds.
     pub machines_step_ms: u64,
 }
 
@@ -461,9 +464,9 @@
         boot_ms: (1_000, 12_000),
         never_boots: 0.05,
         late_boots: 0.05,
-        // Between one and two lags old, and so sometimes older than the one before.
+        // One to two times the configured list lag, so that a list may be older than the one before.
         list_age_ms: (2_000, 8_000),
-        // Small pages, so that many are needed.
+        // Small pages, so that a list needs many.
         page: site.capacity as usize,
         fetch_ms: Some((300, 4_000)),
         prices_move: false,
@@ -479,41 +482,41 @@
     Region::new(terms, (&settings.facts.workers).into(), checker, seed)
 }
 
-/// An array of two small tasks that take so many seconds.
+/// An array of two small tasks with this expected duration in seconds.
 pub fn small_array(id: &str, expect_s: u32) -> JobSpec {
     let text = format!(
         r#"{{"nameId":"{id}","jobclass":"slow","owner":"blue","shape":"sweep","rank":"low","shards":2,"cpus":1,"gpus":1,
         "memoryGb":1,"bundle":"i","pullGb":1,"flavors":null,"samePlace":false,"spread":false,"loaners":false,
         "expectS":{expect_s},"snapshotS":0,"flushS":0}}"#
     );
-    serde_json::from_str(&text).expect("a sound description")
+    serde_json::from_str(&text).expect("a valid job description")
 }
 
 impl World {
-    /// Controllers, a state service, a cloud, and no user.
+    /// Controllers, a state service and a cloud, without users.
     pub fn deployed(site: Site, rng: &mut ChaCha8Rng, calm_from: u64) -> Self {
         let mut world = Self {
             digest: 0,
             now: 0,
             queue: BTreeMap::new(),
-            order: 0,
+            next_sequence: 0,
             state: upgrades::limited_state(&site),
             outage_until: 0,
             cloud_outage_until: 0,
-            cloud_late: (0, 0),
-            store_loses_until: 0,
-            store_slow: (0, 1),
-            late_writes: (0, 0),
-            late_reports: (0, 0),
-            late_commands: (0, 0),
-            answers_lost: (0, 0),
+            cloud_delayed: (0, 0),
+            store_replies_lost_until: 0,
+            slow_store: (0, 1),
+            delayed_writes: (0, 0),
+            duplicate_reports: (0, 0),
+            delayed_commands: (0, 0),
+            write_replies_lost: (0, 0),
             step_ms: STEP_MS,
             looks: Looks::default(),
-            peers_apart: (0, 0, 0),
-            deaf: BTreeMap::new(),
-            storm: (0, 1),
-            boots_until: 0,
-            scarce_until: 0,
+            partitioned_peers: (0, 0, 0),
+            inbound_lost_until: BTreeMap::new(),
+            poll_storm: (0, 1),
+            slow_boots_until: 0,
+            reduced_capacity_until: 0,
             two_leaders: None,
             wrong_plans: 0,
             leaky: true,
@@ -538,21 +541,21 @@
             machines: machines::Machines::default(),
             users: Vec::new(),
             faults: Vec::new(),
-            apart: Vec::new(),
+            partitions: Vec::new(),
             calm_from,
             rng: ChaCha8Rng::seed_from_u64(rng.random()),
         };
         for _ in 0..3 {
             world.nodes.push(Node {
-                core: None,
+                controller: None,
                 version: upgrades::Version::Current,
-                life: 0,
+                incarnation: 0,
                 started: 0,
-                drift: rng.random_range(0.0..0.0005),
+                clock_drift: rng.random_range(0.0..0.0005),
                 frozen_until: 0,
-                asleep_from: None,
+                paused_at: None,
                 cut_until: 0,
-                parted_until: 0,
+                isolated_until: 0,
                 refused_until: 0,
                 conns: HashMap::new(),
                 restart_at: 0,
@@ -578,7 +581,7 @@
                     2 => Fault::CrashAll,
                     3 | 4 => Fault::StoreOutage(span),
                     5 => Fault::Refused(node, span),
-                    6 => Fault::MachineDies,
+                    6 => Fault::MachineTerminated,
                     7 => Fault::MachineHangs(span * 2),
                     8 => Fault::MachineCut(span * 2),
                     9 => Fault::Apart(node, rng.random_range(0..3), span),
@@ -593,8 +596,8 @@
         world
     }
 
-    /// A day with these troubles, at set times, and further users of `shape` only if one is given. Calm returns
-    /// when the last trouble is over.
+    /// A simulation with the given faults, and further users with jobs of `shape` if one is given. The recovery phase
+    /// begins at `calm_from`, when the last fault is over.
     pub fn scripted(
         seed: u64,
         faults: Vec<(u64, Fault)>,
@@ -619,43 +622,43 @@
         world
     }
 
-    /// Further troubles, at set times.
+    /// Adds faults at the given times.
     pub fn trouble(&mut self, faults: impl IntoIterator<Item = (u64, Fault)>) {
         self.faults.extend(faults);
         self.faults.sort_by_key(|(at, _)| *at);
     }
 
-    /// No user ever comes but those that are added.
+    /// Removes all users that were added so far.
     pub fn alone(&mut self) {
         self.users.clear();
     }
 
-    /// A user with this job comes now.
+    /// Adds a user who submits this job now.
     pub fn add_job(&mut self, spec: JobSpec) {
         self.add_job_at(spec, self.now);
     }
 
-    /// A user with this job comes then.
+    /// Adds a user who submits this job at the given time.
     pub fn add_job_at(&mut self, spec: JobSpec, at: u64) {
         self.region.outside.specs.insert(spec.id.to_string(), spec.clone());
         self.users.push(User::new(spec, at, None));
     }
 
-    /// The last one that was added cancels the job then.
+    /// The user added last cancels its job at the given time.
     pub fn cancel_last(&mut self, at: u64) {
         if let Some(user) = self.users.last_mut() {
             user.abort_at = Some(at);
         }
     }
 
-    /// A user who never comes.
+    /// Removes the user of a job.
     pub fn drop_user(&mut self, job: &str) {
         self.users.retain(|user| user.spec.id.as_str() != job);
     }
 
-    /// Limits how often tasks of classes may fail; `text`: as operators write it.
+    /// Applies operators' settings, which limit how often tasks of a class may fail; `text` is their TOML.
     pub fn limit(&mut self, text: &str) {
-        self.operators = oatloom::settings::operators(text).expect("sound settings");
+        self.operators = oatloom::settings::operators(text).expect("valid settings");
         let classes = &self.operators.classes;
         for spec in self.region.outside.specs.values() {
             if let Some(allowance) = classes.of(&spec.class) {
@@ -703,7 +706,7 @@
             deadline_s: rng.random_bool(0.3).then_some(60.0),
             dependencies: Vec::new(),
         };
-        // A zone that is the only one, and a spread over several, cannot both be had.
+        // A job cannot both be bound to one zone and be spread over several.
         let spec = JobSpec { spread: spec.spread && spec.zone.is_none(), ..spec };
         let at = rng.random_range(500..calm_from - 20_000);
         let service = shape == Shape::Service;
@@ -715,8 +718,8 @@
     }
 
     fn send(&mut self, delay: u64, message: Message) {
-        self.order += 1;
-        self.queue.insert((self.now + delay, self.order), message);
+        self.next_sequence += 1;
+        self.queue.insert((self.now + delay, self.next_sequence), message);
     }
 
     fn delay(&mut self) -> u64 {
@@ -730,31 +733,31 @@
         }
     }
 
-    fn troubled(&self) -> bool {
+    fn faults_active(&self) -> bool {
         self.now < self.calm_from && !self.faults.is_empty()
     }
 
     fn clock(&self, node: usize) -> Now {
         let n = &self.nodes[node];
-        let steady = (self.now - n.started) as f64 * (1.0 + n.drift);
+        let steady = (self.now - n.started) as f64 * (1.0 + n.clock_drift);
         Now { mono: Mono(CLOCK_START_MS.0 + steady as u64), wall_ms: 1_000_000 + self.now }
     }
 
-    /// How much later than usual what a node decides now leaves it.
-    fn held_back(&self, node: usize) -> u64 {
+    /// How much later than usual the actions of a node leave it.
+    fn departure_delay(&self, node: usize) -> u64 {
         let n = &self.nodes[node];
-        let asleep = if n.asleep_from == Some(self.now) { n.frozen_until } else { 0 };
-        asleep.max(n.cut_until).saturating_sub(self.now)
+        let paused = if n.paused_at == Some(self.now) { n.frozen_until } else { 0 };
+        paused.max(n.cut_until).saturating_sub(self.now)
     }
 
     fn event(&mut self, node: usize, event: Event) {
-        let late = self.held_back(node);
+        let departure_delay = self.departure_delay(node);
         let clock = self.clock(node);
-        let Some(core) = self.nodes[node].core.as_mut() else { return };
-        let actions = core.handle(clock, event);
-        let entries = core.take_entries();
-        let life = self.nodes[node].life;
-        self.entries.extend(entries.into_iter().map(|entry| (node, life, entry)));
+        let Some(controller) = self.nodes[node].controller.as_mut() else { return };
+        let actions = controller.handle(clock, event);
+        let entries = controller.take_entries();
+        let incarnation = self.nodes[node].incarnation;
+        self.entries.extend(entries.into_iter().map(|entry| (node, incarnation, entry)));
         let mut hasher = DefaultHasher::new();
         (self.digest, node, clock.mono.0, format!("{actions:?}")).hash(&mut hasher);
         self.digest = hasher.finish();
@@ -762,41 +765,46 @@
             match action {
                 Action::Reply { conn, reply } => {
                     if let Some(from) = self.nodes[node].conns.remove(&conn) {
-                        self.note_orders(&from, &reply);
-                        if matches!(from, From::Peer { .. }) && self.parted(node) {
+                        self.record_orders(&from, &reply);
+                        if matches!(from, Sender::Peer { .. }) && self.is_isolated(node) {
                             continue;
                         }
-                        let delay = self.delay() + late;
+                        let delay = self.delay() + departure_delay;
                         self.send(delay, Message::Reply { node, from, reply });
                     }
                 }
-                Action::Store { id, lane, op } => self.ask_store(node, life, id, lane, op),
-                Action::Cloud { id, op } => self.ask_cloud(node, life, id, op),
+                Action::Store { id, lane, op } => {
+                    self.send_to_store(node, incarnation, id, lane, op)
+                }
+                Action::Cloud { id, op } => self.send_to_cloud(node, incarnation, id, op),
                 Action::Command { addr, command } => {
-                    let (mut delay, mut answer) = self.fate(node);
-                    let (until, share) = self.late_commands;
+                    let (mut delay, mut answer) = self.draw_delivery(node);
+                    let (until, share) = self.delayed_commands;
                     if self.now < until && self.rng.random_bool(f64::from(share) / 1e3) {
                         (delay, answer) = (Some(self.rng.random_range(2_000..16_000)), false);
                     }
                     if !answer {
                         let event = Event::Obeyed { report: None };
-                        self.send(800, Message::Node { node, life, event });
+                        self.send(800, Message::Event { node, incarnation, event });
                     }
                     if let Some(delay) = delay {
-                        self.send(delay, Message::Command { node, life, addr, command, answer });
+                        self.send(
+                            delay,
+                            Message::Command { node, incarnation, addr, command, answer },
+                        );
                     }
                 }
                 Action::Ask { to, id, question } => {
                     let peer = to.as_str()[2..].parse().unwrap_or(0);
                     let request = question.into();
-                    let (a, b, until) = self.peers_apart;
-                    let cut = self.now < until
+                    let (a, b, until) = self.partitioned_peers;
+                    let partitioned = self.now < until
                         && (a.min(b), a.max(b)) == (node.min(peer), node.max(peer));
-                    if cut || self.parted(node) || self.parted(peer) {
+                    if partitioned || self.is_isolated(node) || self.is_isolated(peer) {
                         continue;
                     }
-                    let from = From::Peer { node, life, ask: id };
-                    let delay = self.delay() + late;
+                    let from = Sender::Peer { node, incarnation, request_id: id };
+                    let delay = self.delay() + departure_delay;
                     let ask = Message::Request { node: peer, from, request, forwarded: true };
                     self.send(delay, ask);
                 }
@@ -804,24 +812,24 @@
         }
     }
 
-    /// A request on its way: lost, late without an answer, or in time.
-    fn fate(&mut self, node: usize) -> (Option<u64>, bool) {
-        let late = self.held_back(node);
-        if late > 0 {
-            // What the caller has given up is carried out all the same.
-            return (Some(late + self.delay()), late < 800);
+    /// The delay of a request, none if it is lost, and whether its response arrives in time.
+    fn draw_delivery(&mut self, node: usize) -> (Option<u64>, bool) {
+        let departure_delay = self.departure_delay(node);
+        if departure_delay > 0 {
+            // A request is executed even after its caller's timeout.
+            return (Some(departure_delay + self.delay()), departure_delay < 800);
         }
-        if self.troubled() && self.rng.random_bool(0.01) {
+        if self.faults_active() && self.rng.random_bool(0.01) {
             let late = self.rng.random_bool(0.5).then(|| self.rng.random_range(3_000..40_000));
             return (late, false);
         }
-        if self.troubled() && self.rng.random_bool(0.005) {
+        if self.faults_active() && self.rng.random_bool(0.005) {
             return (Some(5), false);
         }
         (Some(self.delay()), true)
     }
 
-    fn ask_store(&mut self, node: usize, life: u64, id: OpId, lane: Lane, op: StoreOp) {
+    fn send_to_store(&mut self, node: usize, incarnation: u64, id: OpId, lane: Lane, op: StoreOp) {
         let spent = self.spent.entry(self.now / 1_000).or_default();
         spent.0 += 1;
         spent.1 += if let StoreOp::Txn(txn) = &op { txn.changes.len() as u32 } else { 0 };
@@ -829,107 +837,107 @@
             && let StoreOp::Follow { prefix, after } = op
         {
             let until = self.now + 10_000;
-            self.watches.push(Watch { node, life, id, prefix, after, until });
+            self.watches.push(StoreWatch { node, incarnation, id, prefix, after, until });
             return;
         }
-        let (mut delay, mut answer) = self.fate(node);
-        let mut patience = 2_500;
+        let (mut delay, mut answer) = self.draw_delivery(node);
+        let mut timeout = 2_500;
         let of = |share: u32| f64::from(share) / 1e3;
-        if self.parted(node) {
-            // What the cut holds back arrives after it.
-            let back = self.nodes[node].parted_until - self.now;
-            (delay, answer) = (self.rng.random_bool(0.5).then_some(back + 5), false);
+        if self.is_isolated(node) {
+            // A request held back by the partition arrives after it.
+            let remaining = self.nodes[node].isolated_until - self.now;
+            (delay, answer) = (self.rng.random_bool(0.5).then_some(remaining + 5), false);
         } else if matches!(op, StoreOp::Txn(_))
-            && self.now < self.late_writes.0
-            && self.rng.random_bool(of(self.late_writes.1))
+            && self.now < self.delayed_writes.0
+            && self.rng.random_bool(of(self.delayed_writes.1))
         {
             (delay, answer) = (Some(self.rng.random_range(2_000..12_000)), false);
         } else if matches!(op, StoreOp::Txn(_))
-            && self.now < self.answers_lost.0
-            && self.rng.random_bool(of(self.answers_lost.1))
+            && self.now < self.write_replies_lost.0
+            && self.rng.random_bool(of(self.write_replies_lost.1))
         {
             (delay, answer) = (Some(self.delay()), false);
-        } else if self.now < self.store_slow.0 && answer {
+        } else if self.now < self.slow_store.0 && answer {
             let usual = if self.rng.random_bool(0.1) { 100..300 } else { 3..12 };
-            let took = self.rng.random_range(usual) * u64::from(self.store_slow.1);
-            patience = if lane == Lane::Vital { 1_200 } else { 2_500 };
-            (delay, answer) = (Some(took), took < patience);
+            let took = self.rng.random_range(usual) * u64::from(self.slow_store.1);
+            timeout = if lane == Lane::Vital { 1_200 } else { 2_500 };
+            (delay, answer) = (Some(took), took < timeout);
         }
         if !answer {
             let lost = Event::Store { id, reply: StoreReply::Lost };
-            self.send(patience, Message::Node { node, life, event: lost });
+            self.send(timeout, Message::Event { node, incarnation, event: lost });
         }
         if let Some(delay) = delay {
-            self.send(delay, Message::Store { node, life, id, op, answer });
+            self.send(delay, Message::Store { node, incarnation, id, op, answer });
         }
     }
 
-    fn ask_cloud(&mut self, node: usize, life: u64, id: u64, op: CloudOp) {
-        let (mut delay, mut answer) = self.fate(node);
-        if self.now < self.cloud_late.0 && self.rng.random_bool(0.5) {
-            (delay, answer) = (Some(self.cloud_late.1), false);
+    fn send_to_cloud(&mut self, node: usize, incarnation: u64, id: u64, op: CloudOp) {
+        let (mut delay, mut answer) = self.draw_delivery(node);
+        if self.now < self.cloud_delayed.0 && self.rng.random_bool(0.5) {
+            (delay, answer) = (Some(self.cloud_delayed.1), false);
         }
         if !answer {
             let lost = Event::Cloud { id, reply: CloudReply::Lost };
-            self.send(5_000, Message::Node { node, life, event: lost });
+            self.send(5_000, Message::Event { node, incarnation, event: lost });
         }
         if let Some(delay) = delay {
-            self.send(delay + 100, Message::Cloud { node, life, id, op, answer });
+            self.send(delay + 100, Message::Cloud { node, incarnation, id, op, answer });
         }
     }
 
     fn deliver(&mut self, message: Message) {
         match message {
-            Message::Node { node, life, event } => {
-                if self.nodes[node].life == life {
+            Message::Event { node, incarnation, event } => {
+                if self.nodes[node].incarnation == incarnation {
                     self.event(node, event);
                 }
             }
             Message::Request { node, from, request, forwarded } => {
-                if self.nodes[node].core.is_none() {
+                if self.nodes[node].controller.is_none() {
                     let reply = HttpReply::error(599, "refused");
                     let delay = self.delay();
                     self.send(delay, Message::Reply { node, from, reply });
                     return;
                 }
-                self.order += 1;
-                let conn = ConnId(self.order);
+                self.next_sequence += 1;
+                let conn = ConnId(self.next_sequence);
                 self.nodes[node].conns.insert(conn, from);
                 self.event(node, Event::Request { conn, request, forwarded });
             }
-            Message::Store { node, life, id, op, answer } => {
+            Message::Store { node, incarnation, id, op, answer } => {
                 let out = self.now < self.outage_until || self.now < self.nodes[node].refused_until;
                 let reply = if out { StoreReply::Refused } else { self.state.serve(self.now, &op) };
-                self.look_at_write(node, &op, &reply);
-                self.clients.wrote(self.now, &op, &reply, &mut self.region);
-                let lost = self.now < self.store_loses_until
+                self.check_write(node, &op, &reply);
+                self.clients.observe_write(self.now, &op, &reply, &mut self.region);
+                let lost = self.now < self.store_replies_lost_until
                     || self.now < self.nodes[node].cut_until
-                    || self.parted(node);
+                    || self.is_isolated(node);
                 if answer {
                     let delay = if lost { 2_500 } else { self.delay() };
                     let reply = if lost { StoreReply::Lost } else { reply };
                     let event = Event::Store { id, reply };
-                    self.send(delay, Message::Node { node, life, event });
+                    self.send(delay, Message::Event { node, incarnation, event });
                 }
             }
-            Message::Cloud { node, life, id, op, answer } => {
+            Message::Cloud { node, incarnation, id, op, answer } => {
                 let out = self.now < self.cloud_outage_until;
-                let reply = if out { CloudReply::Busy } else { self.cloud(&op) };
+                let reply = if out { CloudReply::Busy } else { self.execute_cloud_op(&op) };
                 if answer {
                     let lost = self.now < self.nodes[node].cut_until;
                     let (delay, reply) = if lost { (5_000, CloudReply::Lost) } else { (20, reply) };
                     let event = Event::Cloud { id, reply };
-                    self.send(delay, Message::Node { node, life, event });
+                    self.send(delay, Message::Event { node, incarnation, event });
                 }
             }
-            Message::Reply { node, from, reply } => self.answered(node, from, reply),
-            Message::Command { node, life, addr, command, answer } => {
-                self.commanded(node, life, addr, command, answer);
+            Message::Reply { node, from, reply } => self.deliver_reply(node, from, reply),
+            Message::Command { node, incarnation, addr, command, answer } => {
+                self.deliver_command(node, incarnation, addr, command, answer);
             }
         }
     }
 
-    fn cloud(&mut self, op: &CloudOp) -> CloudReply {
+    fn execute_cloud_op(&mut self, op: &CloudOp) -> CloudReply {
         let now = self.now;
         match op {
             CloudOp::Catalog => CloudReply::Catalog(self.region.catalog()),
@@ -946,81 +954,96 @@
         }
     }
 
-    /// A hanging or cut worker takes a command up once it goes on, however late that is.
-    fn commanded(&mut self, node: usize, life: u64, addr: String, command: Command, answer: bool) {
+    /// A hanging or partitioned worker executes a command once it recovers, however late that is.
+    fn deliver_command(
+        &mut self,
+        node: usize,
+        incarnation: u64,
+        addr: String,
+        command: Command,
+        answer: bool,
+    ) {
         let now = self.now;
-        self.note_command(&addr, answer);
-        let cut = |w: &Worker| now < self.nodes[node].cut_until || self.apart(node, &w.place.zone);
-        let Some((until, cut)) =
-            self.region.workers.get(&addr).map(|w| (w.hung_until.max(w.cut_until), cut(w)))
+        self.record_command(&addr, answer);
+        let partitioned = |w: &Worker| {
+            now < self.nodes[node].cut_until || self.is_partitioned(node, &w.place.zone)
+        };
+        let Some((until, partitioned)) =
+            self.region.workers.get(&addr).map(|w| (w.hung_until.max(w.cut_until), partitioned(w)))
         else {
-            return self.send(800, Message::Node { node, life, event: obeyed(None) });
+            return self
+                .send(800, Message::Event { node, incarnation, event: command_reply(None) });
         };
-        if self.is_deaf(&addr) {
-            return self.send(800, Message::Node { node, life, event: obeyed(None) });
+        if self.loses_inbound(&addr) {
+            return self
+                .send(800, Message::Event { node, incarnation, event: command_reply(None) });
         }
-        if now < until || cut {
+        if now < until || partitioned {
             let delay = until.max(now + 5_000) - now;
             if answer {
-                self.send(800, Message::Node { node, life, event: obeyed(None) });
+                self.send(800, Message::Event { node, incarnation, event: command_reply(None) });
             }
-            let late = Message::Command { node, life, addr, command, answer: false };
+            let late = Message::Command { node, incarnation, addr, command, answer: false };
             return self.send(delay, late);
         }
         if !answer {
-            self.note_late_command(&addr, &command);
+            self.record_late_command(&addr, &command);
         }
         let report = self.region.commanded(now, &addr, &command).map(|(_, report)| report);
         if answer {
             let delay = self.delay();
-            self.send(delay, Message::Node { node, life, event: obeyed(report) });
+            self.send(delay, Message::Event { node, incarnation, event: command_reply(report) });
         }
     }
 
-    fn answered(&mut self, node: usize, from: From, reply: HttpReply) {
+    fn deliver_reply(&mut self, node: usize, from: Sender, reply: HttpReply) {
         let now = self.now;
         match from {
-            From::Peer { node, life, ask } => {
-                let told = if reply.status == 599 { None } else { Some(reply) };
-                let event = Event::Told { id: ask, reply: told };
-                self.deliver(Message::Node { node, life, event });
+            Sender::Peer { node, incarnation, request_id } => {
+                let received = if reply.status == 599 { None } else { Some(reply) };
+                let event = Event::Told { id: request_id, reply: received };
+                self.deliver(Message::Event { node, incarnation, event });
             }
-            From::Client(client, number) => self.clients.answered(now, client, number, &reply),
-            From::User { job, submission, abort, asked } => {
+            Sender::GraphClient(client, number) => {
+                self.clients.receive_response(now, client, number, &reply)
+            }
+            Sender::User { job, submission, abort, asked_at } => {
                 if reply.status != 599 {
                     let checker = &mut self.region.checker;
-                    checker.answered(now, asked, &job, reply.status, &reply.body, submission);
+                    checker.answered(now, asked_at, &job, reply.status, &reply.body, submission);
                     self.look_at_answer(&job, &reply, submission);
                 }
                 let Some(user) = self.users.iter_mut().find(|u| u.spec.id.as_str() == job) else {
                     return;
                 };
                 let good = matches!(reply.status, 200 | 201);
-                let patience = if submission { SUBMIT_PATIENCE_MS } else { POLL_PATIENCE_MS };
-                if good && now <= asked + patience {
-                    user.answered += 1;
-                    user.answered_at = now;
+                let timeout =
+                    if submission { SUBMIT_RESPONSE_TIMEOUT_MS } else { POLL_RESPONSE_TIMEOUT_MS };
+                if good && now <= asked_at + timeout {
+                    user.requests_answered += 1;
+                    user.last_answered_at = now;
                 }
                 user.accepted |= good;
                 if good {
-                    user.accepted_after.get_or_insert(now - user.at);
+                    user.accepted_after.get_or_insert(now - user.arrives_at);
                 }
                 user.aborted |= abort && good;
                 if good {
-                    self.heard(&job, &reply.body);
+                    self.receive_status(&job, &reply.body);
                 }
             }
-            From::Odd(number) => self.looks.odd[number].answer = Some((now, reply)),
-            From::Copy => {}
-            From::Probe => self.probes.push((now, node, reply.status)),
-            From::Worker { host, report, sent } => {
-                let cut = |w: &Worker| now < w.cut_until || self.apart(node, &w.place.zone);
+            Sender::RawRequest(number) => self.looks.odd[number].answer = Some((now, reply)),
+            Sender::DuplicateReport => {}
+            Sender::HealthProbe => self.probes.push((now, node, reply.status)),
+            Sender::Worker { host, report_id, sent_at } => {
+                let partitioned =
+                    |w: &Worker| now < w.cut_until || self.is_partitioned(node, &w.place.zone);
                 if now >= self.nodes[node].cut_until
-                    && !self.is_deaf(&host)
-                    && !self.region.workers.get(&host).is_some_and(cut)
+                    && !self.loses_inbound(&host)
+                    && !self.region.workers.get(&host).is_some_and(partitioned)
                 {
                     let status = reply.status;
-                    self.region.answered(now, &host, (report, sent), status, &reply.body);
+                    self.region.answered(now, &host, (report_id, sent_at), status, &reply.body);
                 }
             }
         }
@@ -1029,59 +1052,66 @@
     fn step_workers(&mut self) {
         let now = self.now;
         for Sending { host, id, node, report } in self.region.step(now) {
-            if self.before_report(&host, &report) {
-                let from = From::Worker { host, report: id, sent: now };
+            if self.intercept_report(&host, &report) {
+                let from = Sender::Worker { host, report_id: id, sent_at: now };
                 let reply = HttpReply::error(599, "no connection");
                 self.send(5, Message::Reply { node, from, reply });
                 continue;
             }
             let Some(worker) = self.region.workers.get(&host) else { continue };
-            let held = now < worker.cut_until || self.apart(node, &worker.place.zone);
+            let held = now < worker.cut_until || self.is_partitioned(node, &worker.place.zone);
             let delay = match held {
                 false => self.delay(),
-                // What a cut holds back may come after it, long after its worker gave up.
+                // A report held back by a partition may arrive after it, long after the worker's timeout.
                 true if self.rng.random_bool(0.5) && self.leaky => {
                     self.rng.random_range(5_000..30_000)
                 }
                 true => continue,
             };
-            if now < self.late_reports.0
-                && self.rng.random_bool(f64::from(self.late_reports.1) / 1e3)
+            if now < self.duplicate_reports.0
+                && self.rng.random_bool(f64::from(self.duplicate_reports.1) / 1e3)
             {
                 let later = self.rng.random_range(2_000..60_000);
                 let request = Request::Report(Box::new(report.clone()));
                 let node = self.rng.random_range(0..3);
-                let copy = Message::Request { node, from: From::Copy, request, forwarded: false };
+                let copy = Message::Request {
+                    node,
+                    from: Sender::DuplicateReport,
+                    request,
+                    forwarded: false,
+                };
                 self.send(later, copy);
             }
-            let from = From::Worker { host, report: id, sent: now };
+            let from = Sender::Worker { host, report_id: id, sent_at: now };
             let request = Request::Report(Box::new(report));
             self.send(delay, Message::Request { node, from, request, forwarded: false });
         }
     }
 
     /// Whether a node has lost the state service and the other nodes.
-    fn parted(&self, node: usize) -> bool {
-        self.now < self.nodes[node].parted_until
+    fn is_isolated(&self, node: usize) -> bool {
+        self.now < self.nodes[node].isolated_until
     }
 
-    fn is_deaf(&self, host: &str) -> bool {
-        self.deaf.get(host).is_some_and(|until| self.now < *until)
+    fn loses_inbound(&self, host: &str) -> bool {
+        self.inbound_lost_until.get(host).is_some_and(|until| self.now < *until)
     }
 
-    fn apart(&self, node: usize, zone: &str) -> bool {
-        self.apart.iter().any(|(n, z, until)| *n == node && ZONES[*z] == zone && self.now < *until)
+    fn is_partitioned(&self, node: usize, zone: &str) -> bool {
+        self.partitions
+            .iter()
+            .any(|(n, z, until)| *n == node && ZONES[*z] == zone && self.now < *until)
     }
 
-    /// The node that may give orders, if any.
+    /// The node that may issue orders, if any.
     pub fn leads(&self) -> Option<usize> {
-        (0..3).find(|n| self.gives_orders(*n))
+        (0..3).find(|n| self.may_issue_orders(*n))
     }
 
-    fn gives_orders(&self, node: usize) -> bool {
+    fn may_issue_orders(&self, node: usize) -> bool {
         let n = &self.nodes[node];
-        let core = n.core.as_ref().filter(|_| self.now >= n.frozen_until);
-        core.is_some_and(|core| core.valid(self.clock(node).mono).is_some())
+        let controller = n.controller.as_ref().filter(|_| self.now >= n.frozen_until);
+        controller.is_some_and(|controller| controller.valid(self.clock(node).mono).is_some())
     }
 
     pub fn strike(&mut self, fault: Fault) {
@@ -1097,8 +1127,8 @@
             Fault::LeaderAsleep(span) => {
                 if let Some(node) = self.leads() {
                     let n = &mut self.nodes[node];
-                    (n.frozen_until, n.asleep_from) = (now + span, Some(now));
-                    // Whatever is next is decided, and then nothing for a while.
+                    (n.frozen_until, n.paused_at) = (now + span, Some(now));
+                    // The next event is handled, and then nothing until the node resumes.
                     self.event(node, Event::Tick);
                 }
             }
@@ -1107,14 +1137,17 @@
                 self.nodes[node].restart_at = now + span;
             }
             Fault::NodeCut(node, span) => self.nodes[node].cut_until = now + span,
-            Fault::NodeParted(node, span) => self.nodes[node].parted_until = now + span,
+            Fault::NodeParted(node, span) => self.nodes[node].isolated_until = now + span,
             Fault::LimitsFall => self.lower_limits(),
-            Fault::Upgrade(node, away) => self.upgrade(node, away),
-            Fault::Leader(what) => {
-                // While nobody may lead it strikes the one that does not know yet that it does not.
-                let seated = |n: &usize| self.nodes[*n].core.as_ref().is_some_and(|c| c.leads());
-                let Some(node) = self.leads().or_else(|| (0..3).find(seated)) else { return };
-                return self.strike(match what {
+            Fault::Upgrade(node, down_ms) => self.upgrade(node, down_ms),
+            Fault::Leader(leader_fault) => {
+                // Without a valid leader, the fault hits a node that still considers itself the leader.
+                let believes_to_lead =
+                    |n: &usize| self.nodes[*n].controller.as_ref().is_some_and(|c| c.leads());
+                let Some(node) = self.leads().or_else(|| (0..3).find(believes_to_lead)) else {
+                    return;
+                };
+                return self.strike(match leader_fault {
                     Upon::Crash => Fault::Crash(node),
                     Upon::Refused(span) => Fault::Refused(node, span),
                     Upon::Cut(span) => Fault::NodeCut(node, span),
@@ -1122,28 +1155,28 @@
                     Upon::Down(span) => Fault::NodeDown(node, span),
                 });
             }
-            Fault::PeersApart(a, b, span) => self.peers_apart = (a, b, now + span),
-            Fault::LateWrites(span, share) => self.late_writes = (now + span, share),
-            Fault::AnswersLost(span, share) => self.answers_lost = (now + span, share),
-            Fault::LateReports(span, share) => self.late_reports = (now + span, share),
-            Fault::LateCommands(span, share) => self.late_commands = (now + span, share),
-            Fault::StoreSlow(span, times) => self.store_slow = (now + span, times),
+            Fault::PeersApart(a, b, span) => self.partitioned_peers = (a, b, now + span),
+            Fault::LateWrites(span, share) => self.delayed_writes = (now + span, share),
+            Fault::AnswersLost(span, share) => self.write_replies_lost = (now + span, share),
+            Fault::DuplicateReports(span, share) => self.duplicate_reports = (now + span, share),
+            Fault::LateCommands(span, share) => self.delayed_commands = (now + span, share),
+            Fault::StoreSlow(span, factor) => self.slow_store = (now + span, factor),
             Fault::MachinesDeaf(span, every) => {
                 let up = self.region.workers.iter().filter(|(_, w)| now >= w.up_at);
-                let struck = up.map(|(host, _)| (host.clone(), now + span));
-                self.deaf.extend(struck.step_by(every.max(1) as usize));
+                let affected = up.map(|(host, _)| (host.clone(), now + span));
+                self.inbound_lost_until.extend(affected.step_by(every.max(1) as usize));
             }
-            Fault::PollStorm(span, times) => self.storm = (now + span, times),
-            Fault::Boots(span, pace, never) => {
-                self.boots_until = now + span;
-                self.region.boots = (f64::from(pace) / 1e3, f64::from(never) / 1e3);
+            Fault::PollStorm(span, factor) => self.poll_storm = (now + span, factor),
+            Fault::Boots(span, slowdown, never) => {
+                self.slow_boots_until = now + span;
+                self.region.boots = (f64::from(slowdown) / 1e3, f64::from(never) / 1e3);
             }
-            Fault::Apart(node, zone, span) => self.apart.push((node, zone, now + span)),
+            Fault::Apart(node, zone, span) => self.partitions.push((node, zone, now + span)),
             Fault::Scarce(span) => {
-                self.scarce_until = now + span;
+                self.reduced_capacity_until = now + span;
                 self.region.offer(self.site.capacity / 2);
             }
-            Fault::MachineDies => self.region.take(&host),
+            Fault::MachineTerminated => self.region.take(&host),
             Fault::HalfDie => {
                 let up = |(_, w): &(&String, &Worker)| now >= w.up_at;
                 let half: Vec<String> = self
@@ -1156,11 +1189,11 @@
                     .collect();
                 half.iter().for_each(|host| self.region.take(host));
             }
-            // Some of them are taken without a word.
             Fault::CloudOutage(span) => self.cloud_outage_until = now + span,
-            Fault::CloudLate(span, delay) => self.cloud_late = (now + span, delay),
-            Fault::StoreLoses(span) => self.store_loses_until = now + span,
+            Fault::CloudLate(span, delay) => self.cloud_delayed = (now + span, delay),
+            Fault::StoreLoses(span) => self.store_replies_lost_until = now + span,
             Fault::StoreRestart => self.restart_store(),
+            // Some of them are taken without notice.
             Fault::SpotTaken => _ = self.region.take_spot(now, 3, 6_000),
             _ => {}
         }
@@ -1173,38 +1206,42 @@
         }
     }
 
-    /// Requests under way may have been executed; nobody is told. Watches end, leases regain their time.
+    /// Requests in transit are executed or not, and none is answered. Watches end, and leases regain their full time.
     fn restart_store(&mut self) {
-        let under_way: Vec<(u64, u64)> = self
+        let in_transit: Vec<(u64, u64)> = self
             .queue
             .iter()
             .filter(|(_, message)| matches!(message, Message::Store { answer: true, .. }))
             .map(|(at, _)| *at)
             .collect();
-        for at in under_way {
-            let Some(Message::Store { node, life, id, op, .. }) = self.queue.remove(&at) else {
+        for at in in_transit {
+            let Some(Message::Store { node, incarnation, id, op, .. }) = self.queue.remove(&at)
+            else {
                 continue;
             };
             if self.rng.random_bool(0.5) {
                 let reply = self.state.serve(self.now, &op);
-                self.look_at_write(node, &op, &reply);
+                self.check_write(node, &op, &reply);
             }
             let event = Event::Store { id, reply: StoreReply::Lost };
-            self.send(30, Message::Node { node, life, event });
+            self.send(30, Message::Event { node, incarnation, event });
         }
         for watch in std::mem::take(&mut self.watches) {
             let event = Event::Store { id: watch.id, reply: StoreReply::Lost };
-            self.send(30, Message::Node { node: watch.node, life: watch.life, event });
+            self.send(
+                30,
+                Message::Event { node: watch.node, incarnation: watch.incarnation, event },
+            );
         }
         self.state.refill(self.now);
     }
 
     fn crash(&mut self, node: usize) {
         let n = &mut self.nodes[node];
-        n.core = None;
-        n.life += 1;
+        n.controller = None;
+        n.incarnation += 1;
         n.restart_at = self.now + self.restart_ms;
-        (n.frozen_until, n.asleep_from) = (0, None);
+        (n.frozen_until, n.paused_at) = (0, None);
         for from in std::mem::take(&mut n.conns).into_values() {
             let reply = HttpReply::error(599, "reset");
             self.send(3, Message::Reply { node, from, reply });
@@ -1213,19 +1250,19 @@
 
     fn step_nodes(&mut self) {
         for node in 0..3 {
-            if self.nodes[node].core.is_none() && self.now >= self.nodes[node].restart_at {
+            if self.nodes[node].controller.is_none() && self.now >= self.nodes[node].restart_at {
                 let seed = self.rng.random();
-                self.nodes[node].core = Some(self.controller(node, seed));
+                self.nodes[node].controller = Some(self.controller(node, seed));
                 self.nodes[node].started = self.now;
             }
             if self.now >= self.nodes[node].frozen_until {
                 self.event(node, Event::Tick);
             }
         }
-        let wrong = |n: &Node| n.core.as_ref()?.reign().map(|reign| reign.wrong_plans);
+        let invalid_starts = |n: &Node| n.controller.as_ref()?.reign().map(|term| term.wrong_plans);
         self.wrong_plans =
-            self.wrong_plans.max(self.nodes.iter().filter_map(wrong).max().unwrap_or(0));
-        if (0..3).filter(|n| self.gives_orders(*n)).count() > 1 {
+            self.wrong_plans.max(self.nodes.iter().filter_map(invalid_starts).max().unwrap_or(0));
+        if (0..3).filter(|n| self.may_issue_orders(*n)).count() > 1 {
             self.two_leaders.get_or_insert(self.now);
         }
     }
@@ -1234,24 +1271,24 @@
         if self.now < self.outage_until {
             return;
         }
-        let ready = |w: &Watch, s: &State, now: u64| {
+        let ready = |w: &StoreWatch, s: &State, now: u64| {
             now >= w.until || !s.changes(&w.prefix, w.after).is_empty()
         };
-        let (done, keep): (Vec<Watch>, Vec<Watch>) =
+        let (done, keep): (Vec<StoreWatch>, Vec<StoreWatch>) =
             std::mem::take(&mut self.watches).into_iter().partition(|w| {
-                self.nodes[w.node].life != w.life
+                self.nodes[w.node].incarnation != w.incarnation
                     || self.now
                         >= self.nodes[w.node]
                             .refused_until
                             .max(self.nodes[w.node].cut_until)
-                            .max(self.nodes[w.node].parted_until)
+                            .max(self.nodes[w.node].isolated_until)
                         && ready(w, &self.state, self.now)
             });
         self.watches = keep;
         for w in done {
             let reply = self.state.follow(&w.prefix, w.after);
             let event = Event::Store { id: w.id, reply };
-            self.send(4, Message::Node { node: w.node, life: w.life, event });
+            self.send(4, Message::Event { node: w.node, incarnation: w.incarnation, event });
         }
     }
 
@@ -1259,16 +1296,16 @@
         let now = self.now;
         for at in 0..self.users.len() {
             let user = &self.users[at];
-            if now < user.next || !self.submits_now(at) {
+            if now < user.next_request_at || !self.may_submit(at) {
                 continue;
             }
             let user = &self.users[at];
             if self.quiet && self.region.checker.over(user.spec.id.as_str()).is_some() {
-                self.users[at].next = u64::MAX;
+                self.users[at].next_request_at = u64::MAX;
                 continue;
             }
             let job = user.spec.id.to_string();
-            let submit = !user.accepted && now < user.give_up || self.rng.random_bool(0.1);
+            let submit = !user.accepted && now < user.give_up_at || self.rng.random_bool(0.1);
             let abort = user.accepted
                 && !user.aborted
                 && user.abort_at.is_some_and(|t| now >= t)
@@ -1280,11 +1317,11 @@
             } else {
                 Request::View(user.spec.id.clone())
             };
-            // Until it was accepted there is nothing to ask for.
-            let idle = !submit && !user.accepted && now < user.give_up;
-            let times = if now < self.storm.0 { u64::from(self.storm.1) } else { 1 };
-            self.users[at].next = now + self.rng.random_range(1_000..5_000) / times;
-            if idle || now < self.users[at].at {
+            // An idle user's job was not accepted yet, so there is nothing to ask for.
+            let idle = !submit && !user.accepted && now < user.give_up_at;
+            let times = if now < self.poll_storm.0 { u64::from(self.poll_storm.1) } else { 1 };
+            self.users[at].next_request_at = now + self.rng.random_range(1_000..5_000) / times;
+            if idle || now < self.users[at].arrives_at {
                 continue;
             }
             if submit {
@@ -1293,10 +1330,10 @@
             if abort {
                 self.region.checker.cancel_asked(&job);
             }
-            self.users[at].asked += 1;
+            self.users[at].requests_sent += 1;
             let node = self.rng.random_range(0..3);
             let node = self.door.unwrap_or(node);
-            let from = From::User { job, submission: submit, abort, asked: now };
+            let from = Sender::User { job, submission: submit, abort, asked_at: now };
             let delay = self.delay();
             self.send(delay, Message::Request { node, from, request, forwarded: false });
         }
@@ -1304,7 +1341,7 @@
             for node in 0..3 {
                 let ask = Message::Request {
                     node,
-                    from: From::Probe,
+                    from: Sender::HealthProbe,
                     request: Request::Up,
                     forwarded: false,
                 };
@@ -1315,26 +1352,26 @@
             let job = "req-999999".to_owned();
             let request = Request::View(JobId::new(&job));
             let node = self.rng.random_range(0..3);
-            let from = From::User { job, submission: false, abort: false, asked: now };
+            let from = Sender::User { job, submission: false, abort: false, asked_at: now };
             self.send(5, Message::Request { node, from, request, forwarded: false });
         }
     }
 
     pub fn step(&mut self) {
         self.now += self.step_ms;
-        let before = self.outage_until > 0 && self.now >= self.outage_until;
-        if before {
+        let outage_ends = self.outage_until > 0 && self.now >= self.outage_until;
+        if outage_ends {
             self.state.refill(self.now);
             self.outage_until = 0;
         }
         if self.outage_until == 0 {
             self.state.expire(self.now);
         }
-        if self.boots_until > 0 && self.now >= self.boots_until {
-            (self.boots_until, self.region.boots) = (0, (1.0, 0.0));
+        if self.slow_boots_until > 0 && self.now >= self.slow_boots_until {
+            (self.slow_boots_until, self.region.boots) = (0, (1.0, 0.0));
         }
-        if self.scarce_until > 0 && self.now >= self.scarce_until {
-            self.scarce_until = 0;
+        if self.reduced_capacity_until > 0 && self.now >= self.reduced_capacity_until {
+            self.reduced_capacity_until = 0;
             self.region.offer(self.site.capacity);
         }
         while let Some((_, fault)) = self.faults.first().copied().filter(|(at, _)| *at <= self.now)
@@ -1342,33 +1379,33 @@
             self.faults.remove(0);
             self.strike(fault);
             if self.faults.is_empty() {
-                // Troubles go on in the network until the calm.
+                // Keeps the list non-empty, so that random network faults go on until the recovery phase.
                 self.faults.push((u64::MAX, fault));
             }
         }
         self.step_users();
-        self.step_looks();
+        self.step_aggressive_users();
         for (client, number, node, ask) in self.clients.step(self.now) {
             let request = Request::Graph(Box::new(ask));
             let delay = self.delay();
-            let from = From::Client(client, number);
+            let from = Sender::GraphClient(client, number);
             self.send(delay, Message::Request { node, from, request, forwarded: false });
         }
         if self.now.is_multiple_of(self.site.machines_step_ms) {
             self.step_workers();
         }
         self.step_nodes();
-        self.look_at_released();
-        self.give_reports();
+        self.check_released_jobs();
+        self.replay_reports();
         self.step_watches();
         while let Some(entry) = self.queue.first_entry() {
             if entry.key().0 > self.now {
                 break;
             }
             let message = entry.remove();
-            if let Some(until) = self.frozen(&message) {
-                self.order += 1;
-                self.queue.insert((until, self.order), message);
+            if let Some(until) = self.held_until(&message) {
+                self.next_sequence += 1;
+                self.queue.insert((until, self.next_sequence), message);
                 continue;
             }
             self.deliver(message);
@@ -1376,67 +1413,71 @@
         if self.now.is_multiple_of(1_000) {
             self.region.note_list(self.now);
             self.region.checker.look(self.now);
-            self.look_for_forgotten();
-            self.look_at_waiting();
-            self.look_for_neglected();
+            self.check_forgotten();
+            self.check_waiting_jobs();
+            self.check_neglected();
         }
-        self.clients.look(self.now, &mut self.region);
+        self.clients.check(self.now, &mut self.region);
     }
 
-    /// A frozen node takes nothing up until it goes on; its timers do not fire either. What is sent to one that is cut
-    /// off is held back.
-    fn frozen(&self, message: &Message) -> Option<u64> {
+    /// A frozen node handles nothing, not even its timers, until it resumes. Messages to a partitioned node are
+    /// held back.
+    fn held_until(&self, message: &Message) -> Option<u64> {
         let (node, until) = match message {
-            Message::Node { node, .. } => (node, self.nodes[*node].frozen_until),
+            Message::Event { node, .. } => (node, self.nodes[*node].frozen_until),
             Message::Request { node, .. } => {
                 (node, self.nodes[*node].frozen_until.max(self.nodes[*node].cut_until))
             }
             _ => return None,
         };
-        (self.now < until && self.nodes[*node].core.is_some()).then_some(until)
+        (self.now < until && self.nodes[*node].controller.is_some()).then_some(until)
     }
 
-    /// Whether a moment is still to come: once a rule is broken time stands still. Guards against loops of tests that wait
-    /// for it for ever instead of failing.
+    /// Whether the simulation continues and has not reached `until`: it stops at the first broken rule, so that loops which
+    /// wait for a condition end and the test fails instead of hanging.
     pub fn before(&self, until: u64) -> bool {
         self.now < until && self.region.checker.broken.is_empty()
     }
 
-    /// Plays the day to its end and through a calm in which everything must be finished.
+    /// Runs to the end of the recovery phase, by which all jobs must be finished.
     pub fn play(&mut self) {
         while self.before(self.calm_from + 190_000) {
             self.step();
         }
     }
 
-    /// Accepted jobs whose user has not heard of their end.
+    /// Accepted jobs whose user has not learned their final state.
     pub fn unfinished(&self) -> Vec<String> {
         self.users
             .iter()
             .filter(|u| u.accepted && self.region.checker.over(u.spec.id.as_str()).is_none())
             .map(|u| {
-                let node = self.nodes.iter().find_map(|n| n.core.as_ref()?.reign());
+                let node = self.nodes.iter().find_map(|n| n.controller.as_ref()?.reign());
                 let job = node.and_then(|r| r.book.get(&u.spec.id));
                 format!("{:?}\n   {job:?}", u.spec)
             })
             .collect()
     }
 
-    /// Once all troubles are over, every accepted job that its user has not cancelled is answered for, however
-    /// others fare.
-    fn look_for_forgotten(&mut self) {
+    /// After all faults, every accepted job that its user has not cancelled gets successful responses, whatever happens to
+    /// other jobs.
+    fn check_forgotten(&mut self) {
         let waiting = |u: &&User| {
             let asks = u.accepted && u.abort_at.is_none_or(|at| self.now < at) && !self.quiet;
-            asks && self.now.saturating_sub(u.answered_at.max(self.calm_from)) > FORGOTTEN_MS
+            asks && self.now.saturating_sub(u.last_answered_at.max(self.calm_from)) > FORGOTTEN_MS
         };
         let forgotten: Vec<String> =
             self.users.iter().filter(waiting).map(|u| u.spec.id.to_string()).collect();
         for job in forgotten {
-            self.region.checker.fail(self.now, "forgotten", format!("{job} is not answered for"));
+            self.region.checker.fail(
+                self.now,
+                "forgotten",
+                format!("requests for {job} get no successful response"),
+            );
         }
     }
 
-    /// Users cancel this share of the accepted arrays and gangs at some moment between these.
+    /// Users cancel this share of the arrays and gangs, each at a random time in this range.
     pub fn cancel_some(&mut self, share: f64, from: u64, to: u64) {
         let mut rng = ChaCha8Rng::seed_from_u64(self.rng.random());
         for user in self.users.iter_mut().filter(|u| u.spec.shape != Shape::Service) {
@@ -1445,27 +1486,30 @@
         }
     }
 
-    /// Lets time pass up to a moment, or to a broken rule.
+    /// Runs to the given time, or to the first broken rule.
     pub fn play_to(&mut self, until: u64) {
         while self.before(until) {
             self.step();
         }
     }
 
-    /// The sizes of everything that waits in the controllers, the largest of each.
+    /// The sizes of the controllers' queues, the largest of each.
     pub fn load(&self) -> Load {
-        let loads = self.nodes.iter().filter_map(|n| n.core.as_ref()).map(Controller::waiting);
+        let loads =
+            self.nodes.iter().filter_map(|n| n.controller.as_ref()).map(Controller::waiting);
         loads.fold(Load::default(), Load::larger)
     }
 
-    /// Open tasks that no machine has, though their team's limit leaves room for one more, and machines that
+    /// Open tasks without a machine whose team's limit leaves room for at least one more task, and machines that
     /// are up.
     pub fn unplaced(&self) -> (usize, usize) {
-        let leader = self.nodes.iter().find_map(|n| n.core.as_ref()?.reign());
+        let leader = self.nodes.iter().find_map(|n| n.controller.as_ref()?.reign());
         let pending = leader.map_or(0, |r| {
             let allowed = |j: &&Job| {
-                let most =
-                    LIMITS.iter().find(|(team, _)| *team == j.spec.team).map_or(0.0, |l| l.1);
+                let most = TEAM_GPU_LIMITS
+                    .iter()
+                    .find(|(team, _)| *team == j.spec.team)
+                    .map_or(0.0, |l| l.1);
                 let used = r.book.usage.get(&j.spec.team).map_or(0.0, |usage| usage.gpus);
                 j.state == JobState::Open && (most <= 0.0 || used + j.spec.gpus <= most)
             };
@@ -1475,11 +1519,11 @@
         (pending, up)
     }
 
-    /// Tasks (by number), attempts and machines whose assignment was durable and then was not any more, and how often,
-    /// by all that the state service ever held.
-    pub fn ended_attempts(&self) -> BTreeMap<Placed, usize> {
-        // The shift tells an attempt that its machine was given twice.
-        let mut held: BTreeMap<&str, BTreeSet<(Placed, Shift)>> = BTreeMap::new();
+    /// Task index, attempt and machine of each assignment that was durable and then removed, and how often, from the whole
+    /// history of the state service.
+    pub fn ended_attempts(&self) -> BTreeMap<Placement, usize> {
+        // The worker session distinguishes two assignments of one attempt to the same machine.
+        let mut held: BTreeMap<&str, BTreeSet<(Placement, Shift)>> = BTreeMap::new();
         let mut ended = BTreeMap::new();
         for change in self.state.history() {
             let key = change.put.as_deref().or(change.delete.as_deref()).unwrap_or_default();
@@ -1498,7 +1542,7 @@
         ended
     }
 
-    /// Most failures that were ever durable against each task, by job and number, those on machines found faulty too.
+    /// The highest durable failure count of each task, by job and index, including failures on machines found faulty.
     pub fn charged(&self) -> BTreeMap<(String, u32), u32> {
         let mut most: BTreeMap<(String, u32), u32> = BTreeMap::new();
         for change in self.state.history() {
@@ -1522,13 +1566,13 @@
         most
     }
 
-    /// Most GPUs of each team, 0 for none.
+    /// GPU limit of each team, 0 for none.
     fn gpu_limits(&self) -> BTreeMap<String, f64> {
         let teams = settings(&self.site.settings, 0).facts.teams;
         teams.into_iter().map(|team| (team.name, team.gpus_max)).collect()
     }
 
-    /// The share of probes between two moments that each node answered with 200.
+    /// The share of probes between two times that each node answered with 200.
     pub fn healthy(&self, from: u64, to: u64) -> [f64; 3] {
         let mut counts = [(0.0, 0.0); 3];
         for (at, node, status) in &self.probes {
@@ -1540,28 +1584,31 @@
         counts.map(|(good, all)| if all > 0.0 { good / all } else { 0.0 })
     }
 
-    /// GPUs of all ordinary machines that the cloud has now.
+    /// GPUs of all on-demand machines that the cloud offers now.
     pub fn gpus_offered(&self) -> f64 {
-        let capacity =
-            if self.scarce_until > 0 { self.site.capacity / 2 } else { self.site.capacity };
+        let capacity = if self.reduced_capacity_until > 0 {
+            self.site.capacity / 2
+        } else {
+            self.site.capacity
+        };
         let largest = self.site.sizes.iter().max().copied().unwrap_or(0);
         f64::from(capacity) * ZONES.len() as f64 * f64::from(largest)
     }
 
-    /// How long after their first try jobs were accepted, in milliseconds, sorted; `None`: not yet.
+    /// Times from first submission to acceptance in milliseconds, sorted; `None` if not accepted yet.
     pub fn accepted_after(&self, which: impl Fn(&JobSpec) -> bool) -> Vec<Option<u64>> {
-        let came = self.users.iter().filter(|u| which(&u.spec) && u.at <= self.now);
+        let came = self.users.iter().filter(|u| which(&u.spec) && u.arrives_at <= self.now);
         let mut waits: Vec<Option<u64>> = came.map(|u| u.accepted_after).collect();
         waits.sort_unstable_by_key(|wait| wait.unwrap_or(u64::MAX));
         waits
     }
 
-    /// The largest value that was ever written, in bytes.
+    /// The largest value ever written, in bytes.
     pub fn largest_value(&self) -> usize {
         self.state.history().iter().map(|l| l.value.to_string().len()).max().unwrap_or(0)
     }
 
-    /// What stands in the state service under a prefix.
+    /// The rows of the state service under a prefix.
     pub fn stored(&self, prefix: &str) -> Vec<Row> {
         self.state.rows(prefix)
     }
--- a/tests/world/served.rs
+++ b/tests/world/served.rs
@@ -1,21 +1,21 @@
-//! Who was served: by class and by team, by the strictest reading of the word.
+//! Measures how well each class and team was served, by strict definitions.
 
 use super::World;
 use oatloom_protocol::wire::{JobSpec, JobStatus, Shape};
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
 
-/// Jobs that come so shortly before the end of the day may still wait for a boot, or run, in milliseconds.
-const LATE_MS: u64 = 300_000;
-/// A service's replicas are wanted from so long after its submission: the longest usual boot and a fetch.
-const UP_AFTER_MS: u64 = 90_000;
+/// Jobs that arrive within this time of the end may still wait for a boot, or run, in milliseconds.
+const END_MARGIN_MS: u64 = 300_000;
+/// A service's replicas are expected this long after its submission: the longest usual boot and a fetch, in milliseconds.
+const MAX_SERVICE_START_MS: u64 = 90_000;
 
-/// A class's largest jobs have to begin within this, in milliseconds.
-const BEGIN_MS: u64 = 240_000;
-/// The largest jobs of a class are those of at least as many tasks as this share of its jobs falls short of.
-const LARGEST_FROM: f64 = 0.8;
+/// A class's largest jobs have to begin within this time, in milliseconds.
+const MAX_BEGIN_DELAY_MS: u64 = 240_000;
+/// The largest jobs of a class have at least as many tasks as the job at this quantile of its sizes.
+const LARGEST_QUANTILE: f64 = 0.8;
 
-/// How much of what was wanted, was had.
+/// An amount wanted, and how much of it was received.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Share {
     pub wanted: u64,
@@ -33,30 +33,30 @@
     }
 }
 
-/// One class, or one team.
+/// The results of one class or one team.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Served {
     /// Jobs accepted, of all that were submitted.
     pub accepted: Share,
-    /// Jobs of which all tasks had their places at once (services and gangs) or one after the other (arrays).
+    /// Jobs whose tasks all ran at once (services and gangs) or one after the other (arrays).
     pub started: Share,
-    /// Arrays and gangs whose user was told that they are done.
+    /// Arrays and gangs whose user knows that they are done.
     pub done: Share,
     /// Seconds in which replicas were up.
     pub up: Share,
-    /// Questions that got an answer in time.
+    /// Requests that were answered in time.
     pub answered: Share,
-    /// Of the largest arrays, those that had begun within four minutes, with a task.
+    /// Of the largest arrays, those that began within four minutes, with at least one task.
     pub largest: Share,
-    /// Of the largest services and gangs, those that had begun within four minutes, in full.
+    /// Of the largest services and gangs, those that began within four minutes, with all tasks.
     pub largest_whole: Share,
-    /// The same with arrays in full: each task, or as many as their team's limit allows at once, there or done. Told, and
-    /// not asked for: an array is paced to its deadline and may be in time without it.
+    /// The same including arrays with all tasks: each running or done, or as many as their team's limit allows at once.
+    /// Informational only: an array is paced to its deadline and may be in time without it.
     pub largest_full: Share,
 }
 
 impl Served {
-    /// The least of all readings.
+    /// The lowest of the required shares.
     pub fn least(&self) -> f64 {
         [self.accepted, self.started, self.done, self.up, self.answered, self.largest]
             .into_iter()
@@ -78,26 +78,26 @@
     }
 }
 
-/// What was seen of jobs, a look each second.
+/// Observations of jobs, sampled once a second.
 #[derive(Debug, Default)]
 pub struct Watch {
-    /// Most tasks of each job on machines at once, and seconds of replicas up and wanted.
-    most: HashMap<String, u32>,
-    /// When a job had first begun, and when in full.
-    begun: HashMap<String, u64>,
-    full: HashMap<String, u64>,
+    /// The most tasks of each job on machines at once, and seconds of replicas up and wanted.
+    max_running: HashMap<String, u32>,
+    /// When a job first began, and when it was complete.
+    begun_at: HashMap<String, u64>,
+    complete_at: HashMap<String, u64>,
     up: HashMap<String, Share>,
-    /// Replica seconds that were wanted, and those that all ordinary machines of the cloud together could have had, had
-    /// nothing else been asked of them: services may not use cheap ones.
+    /// Replica seconds wanted, and those that all on-demand machines of the cloud could have provided if they served
+    /// nothing else: services may not use spot machines.
     pub bound: Share,
 }
 
 impl Watch {
-    /// To be called once a second.
+    /// Must be called once a second.
     pub fn look(&mut self, world: &World) {
-        let mut here: HashMap<&str, u32> = HashMap::new();
+        let mut running: HashMap<&str, u32> = HashMap::new();
         for task in world.region.checker.on_machines() {
-            *here.entry(&task.job).or_default() += 1;
+            *running.entry(&task.job).or_default() += 1;
         }
         let limits = world.gpu_limits();
         let at_once = |spec: &JobSpec| match limits.get(&spec.team) {
@@ -105,41 +105,47 @@
             _ => u32::MAX,
         };
         let mut wanted = 0.0;
-        // Of a job that was not submitted yet the checker knows no tasks, all of which count as done: services and gangs were
-        // taken to have begun before they came.
-        for user in world.users.iter().filter(|user| user.at <= world.now) {
+        // The checker knows no tasks of a job that was not submitted yet, so that all of them would count as done and services
+        // and gangs would seem to have begun before they came.
+        for user in world.users.iter().filter(|user| user.arrives_at <= world.now) {
             let id = user.spec.id.as_str();
-            let there = here.get(id).copied().unwrap_or(0).min(user.spec.tasks);
-            let asked = match user.spec.shape {
+            let present = running.get(id).copied().unwrap_or(0).min(user.spec.tasks);
+            let required = match user.spec.shape {
                 Shape::Array => user.spec.tasks.min(at_once(&user.spec)),
                 _ => user.spec.tasks,
             };
             let done = match user.spec.shape {
                 Shape::Array => world.region.checker.done_count(id),
-                _ if world.region.checker.all_done(id) => asked,
+                _ if world.region.checker.all_done(id) => required,
                 _ => 0,
             };
-            if there + done >= asked {
-                self.full.entry(id.to_owned()).or_insert(world.now);
+            if present + done >= required {
+                self.complete_at.entry(id.to_owned()).or_insert(world.now);
             }
-            let first = if user.spec.shape == Shape::Array { 1 } else { asked };
-            if there + done >= first {
-                self.begun.entry(id.to_owned()).or_insert(world.now);
+            let first = if user.spec.shape == Shape::Array { 1 } else { required };
+            if present + done >= first {
+                self.begun_at.entry(id.to_owned()).or_insert(world.now);
             }
             let cancels = user.abort_at.is_some_and(|at| world.now >= at);
-            if there > 0 {
-                let most = self.most.entry(id.to_owned()).or_default();
-                *most = (*most).max(there);
+            if present > 0 {
+                let most = self.max_running.entry(id.to_owned()).or_default();
+                *most = (*most).max(present);
             }
-            if user.spec.shape == Shape::Service && world.now >= user.at + UP_AFTER_MS && !cancels {
-                self.up.entry(id.to_owned()).or_default().add(user.spec.tasks.into(), there.into());
+            if user.spec.shape == Shape::Service
+                && world.now >= user.arrives_at + MAX_SERVICE_START_MS
+                && !cancels
+            {
+                self.up
+                    .entry(id.to_owned())
+                    .or_default()
+                    .add(user.spec.tasks.into(), present.into());
                 wanted += user.spec.gpus * f64::from(user.spec.tasks);
             }
         }
         self.bound.add(wanted as u64, wanted.min(world.gpus_offered()) as u64);
     }
 
-    /// What each class and team got, on a day that ends now.
+    /// The results of each class and team, for a simulation that ends now.
     pub fn served(&self, world: &World) -> BTreeMap<String, Served> {
         let mut all: BTreeMap<String, Served> = BTreeMap::new();
         let came = |at: u64, before: u64| at + before <= world.now;
@@ -152,36 +158,41 @@
         }
         let large = |spec: &JobSpec| {
             let sizes = &sizes[spec.class.as_str()];
-            let from = ((sizes.len() as f64 * LARGEST_FROM) as usize).min(sizes.len() - 1);
+            let from = ((sizes.len() as f64 * LARGEST_QUANTILE) as usize).min(sizes.len() - 1);
             spec.tasks >= sizes[from]
         };
-        for user in world.users.iter().filter(|u| came(u.at, 10_000)) {
+        for user in world.users.iter().filter(|u| came(u.arrives_at, 10_000)) {
             let (spec, checker) = (&user.spec, &world.region.checker);
             let id = spec.id.as_str();
             let done = checker.all_done(id);
-            let most = self.most.get(id).copied().unwrap_or(0);
+            let most = self.max_running.get(id).copied().unwrap_or(0);
             let full = if spec.shape == Shape::Array { done } else { done || most == spec.tasks };
             let up = self.up.get(id).copied().unwrap_or_default();
-            let told = checker.over(id) == Some(JobStatus::Done);
+            let known_done = checker.over(id) == Some(JobStatus::Done);
             for name in [format!("class {}", spec.class), format!("team {}", spec.team)] {
                 let served = all.entry(name).or_default();
                 served.accepted.add(1, user.accepted.into());
-                served.answered.add(user.asked.into(), user.answered.into());
+                served.answered.add(user.requests_sent.into(), user.requests_answered.into());
                 served.up.add(up.wanted, up.had);
-                if came(user.at, BEGIN_MS) && user.abort_at.is_none() && large(spec) {
-                    let soon = |at: Option<&u64>| at.is_some_and(|at| *at <= user.at + BEGIN_MS);
+                if came(user.arrives_at, MAX_BEGIN_DELAY_MS)
+                    && user.abort_at.is_none()
+                    && large(spec)
+                {
+                    let soon = |at: Option<&u64>| {
+                        at.is_some_and(|at| *at <= user.arrives_at + MAX_BEGIN_DELAY_MS)
+                    };
                     let begun = match spec.shape {
                         Shape::Array => &mut served.largest,
                         _ => &mut served.largest_whole,
                     };
-                    begun.add(1, soon(self.begun.get(id)).into());
-                    served.largest_full.add(1, soon(self.full.get(id)).into());
+                    begun.add(1, soon(self.begun_at.get(id)).into());
+                    served.largest_full.add(1, soon(self.complete_at.get(id)).into());
                 }
-                // Cancelled work apart.
-                if came(user.at, LATE_MS) && user.abort_at.is_none() {
+                // Cancelled jobs are left out.
+                if came(user.arrives_at, END_MARGIN_MS) && user.abort_at.is_none() {
                     served.started.add(1, full.into());
                     if spec.shape != Shape::Service {
-                        served.done.add(1, told.into());
+                        served.done.add(1, known_done.into());
                     }
                 }
             }
--- a/tests/world/troubles.rs
+++ b/tests/world/troubles.rs
@@ -1,10 +1,10 @@
-//! Troubles, drawn.
+//! Randomly drawn faults.
 
 use super::{Fault, Upon};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
-/// One trouble, drawn, that lasts about `span`.
+/// Draws a fault that lasts about `span` milliseconds.
 pub fn trouble(rng: &mut ChaCha8Rng, span: u64) -> Fault {
     let node = rng.random_range(0..3);
     match rng.random_range(0..23) {
@@ -17,7 +17,7 @@
         6 => Fault::Leader(Upon::Crash),
         7 => Fault::Leader(Upon::Down(span)),
         8 => Fault::LateWrites(span, 300),
-        9 => Fault::LateReports(span, 300),
+        9 => Fault::DuplicateReports(span, 300),
         10 => Fault::MachinesDeaf(span, rng.random_range(1..4)),
         11 => Fault::StoreSlow(span, rng.random_range(5..25)),
         12 => Fault::LeaderAsleep(span / 2),
