--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -1,5 +1,5 @@
-//! Pipelines in seeded days: jobs of random shape that need each other, under every trouble, alone and together.
-//! `OATLOOM_SEEDS=n` plays n seeds more of each.
+//! Seeded days with pipelines: jobs of random shape that depend on each other, under each kind of fault, alone and combined.
+//! `OATLOOM_SEEDS=n` plays n more seeds of each.
 
 #[allow(dead_code)]
 mod world;
@@ -22,12 +22,12 @@
 use world::upgrades::site_with_next_limits;
 use world::{Fault, Site, Upon, World, finished, more_days, show_log, small_array};
 
-/// Troubles are over from then on, in milliseconds.
-const CALM_MS: u64 = 180_000;
-/// How long a cancellation may take in the usual settings, in milliseconds.
-const CANCEL_MS: u64 = 46_000;
+/// All faults end by this time of the simulation.
+const FAULTS_END_MS: u64 = 180_000;
+/// How long a cancellation may take with the usual settings.
+const MAX_CANCEL_MS: u64 = 46_000;
 
-// --- The checks themselves ------------------------------------------------------------------------
+// --- Tests of the checker ------------------------------------------------------------------------
 
 /// A chain of three arrays of one task, `req-1` to `req-3`.
 fn chain_of_three() -> Vec<JobSpec> {
@@ -39,109 +39,117 @@
     (1..4).map(job).collect()
 }
 
-/// The rules that are broken by what is done to a checker that knows the chain.
-fn caught(act: impl Fn(&mut Checker)) -> Vec<String> {
-    let mut checker = Checker::new([("blue".to_owned(), Limit::gpus(0.0))].into(), CANCEL_MS);
+/// The rules that `act` breaks on a checker that knows the chain of jobs.
+fn violations(act: impl Fn(&mut Checker)) -> Vec<String> {
+    let mut checker = Checker::new([("blue".to_owned(), Limit::gpus(0.0))].into(), MAX_CANCEL_MS);
     chain_of_three().iter().for_each(|spec| checker.submitted(spec));
     act(&mut checker);
     let rule = |broken: &String| broken.split([' ', ':']).nth(2).unwrap_or_default().to_owned();
     checker.broken.iter().map(rule).collect()
 }
 
-fn start(checker: &mut Checker, now: u64, job: &str) {
+fn start_task(checker: &mut Checker, now: u64, job: &str) {
     let on = OnMachine { job: job.into(), index: 0, host: "x".into() };
     let place = Place { flavor: "g4".into(), zone: "a".into(), spot: false };
     checker.started(now, on, place);
 }
 
-/// A question put and answered at the same moment.
-fn told(checker: &mut Checker, now: u64, job: &str, said: &str) {
-    checker.answered(now, now, job, 200, &format!(r#"{{"status":"{said}"}}"#), false);
+/// Passes the checker the answer to a status request that was sent at the same moment.
+fn answer_status(checker: &mut Checker, now: u64, job: &str, job_status: &str) {
+    checker.answered(now, now, job, 200, &format!(r#"{{"status":"{job_status}"}}"#), false);
 }
 
 #[test]
-fn a_start_before_a_dependency_is_done_is_caught() {
-    assert_eq!(caught(|c| start(c, 1, "req-2")), ["too_early"]);
-    let in_order = caught(|c| {
-        start(c, 1, "req-1");
+fn checker_reports_a_start_before_a_dependency_is_done() {
+    assert_eq!(violations(|c| start_task(c, 1, "req-2")), ["too_early"]);
+    let in_order = violations(|c| {
+        start_task(c, 1, "req-1");
         c.task_done("req-1", 0);
-        start(c, 2, "req-2");
+        start_task(c, 2, "req-2");
     });
     assert!(in_order.is_empty());
-    assert_eq!(caught(|c| start(c, 1, "req-3")), ["too_early"], "its own dependency counts");
+    assert_eq!(
+        violations(|c| start_task(c, 1, "req-3")),
+        ["too_early"],
+        "its own dependency counts"
+    );
 }
 
 #[test]
-fn a_job_that_stays_open_after_one_before_it_was_cancelled_is_caught() {
-    let open_at = |job: &'static str, at: u64| {
-        caught(move |c| {
-            told(c, 1, "req-2", "queued");
-            told(c, 1, "req-3", "queued");
+fn checker_reports_a_job_left_open_after_its_dependency_was_cancelled() {
+    let violations_if_open_at = |job: &'static str, at: u64| {
+        violations(move |c| {
+            answer_status(c, 1, "req-2", "queued");
+            answer_status(c, 1, "req-3", "queued");
             c.cancel_asked("req-1");
-            told(c, 10, "req-1", "cancelled");
-            told(c, at, job, "queued");
+            answer_status(c, 10, "req-1", "cancelled");
+            answer_status(c, at, job, "queued");
         })
     };
     for job in ["req-2", "req-3"] {
-        assert!(open_at(job, 10 + CANCEL_MS).is_empty(), "{job}");
-        assert_eq!(open_at(job, 11 + CANCEL_MS), ["orphaned"], "{job}");
+        assert!(violations_if_open_at(job, 10 + MAX_CANCEL_MS).is_empty(), "{job}");
+        assert_eq!(violations_if_open_at(job, 11 + MAX_CANCEL_MS), ["orphaned"], "{job}");
     }
-    let done = caught(|c| {
+    let done = violations(|c| {
         c.cancel_asked("req-1");
         c.task_done("req-1", 0);
-        told(c, 10, "req-1", "done");
-        told(c, 20 + CANCEL_MS, "req-2", "queued");
+        answer_status(c, 10, "req-1", "done");
+        answer_status(c, 20 + MAX_CANCEL_MS, "req-2", "queued");
     });
-    assert!(done.is_empty(), "the cancellation was answered with done");
+    assert!(done.is_empty(), "the cancellation was answered with the status done");
 }
 
 #[test]
-fn ends_of_a_pipeline_that_do_not_agree_are_caught() {
-    let unasked = caught(|c| told(c, 1, "req-2", "cancelled"));
-    assert_eq!(unasked, ["went_back"], "nothing before it was cancelled");
-    let cascade = caught(|c| {
+fn checker_reports_contradictory_final_states_in_a_pipeline() {
+    let not_requested = violations(|c| answer_status(c, 1, "req-2", "cancelled"));
+    assert_eq!(not_requested, ["went_back"], "none of its dependencies was cancelled");
+    let cascade = violations(|c| {
         c.cancel_asked("req-1");
-        told(c, 1, "req-1", "cancelled");
-        told(c, 2, "req-3", "cancelled");
-        told(c, 3, "req-2", "cancelled");
+        answer_status(c, 1, "req-1", "cancelled");
+        answer_status(c, 2, "req-3", "cancelled");
+        answer_status(c, 3, "req-2", "cancelled");
     });
     assert!(cascade.is_empty(), "{cascade:?}");
-    let upwards = caught(|c| {
+    let dependency_cancelled = violations(|c| {
         c.cancel_asked("req-3");
-        told(c, 1, "req-2", "cancelled");
+        answer_status(c, 1, "req-2", "cancelled");
     });
-    assert_eq!(upwards, ["went_back"], "what others need is not cancelled with them");
-    let done_after_all = caught(|c| {
+    assert_eq!(
+        dependency_cancelled,
+        ["went_back"],
+        "a dependency is not cancelled with its dependents"
+    );
+    let done_after_all = violations(|c| {
         c.cancel_asked("req-1");
-        told(c, 1, "req-2", "cancelled");
+        answer_status(c, 1, "req-2", "cancelled");
         c.task_done("req-1", 0);
-        told(c, 2, "req-1", "done");
+        answer_status(c, 2, "req-1", "done");
     });
     assert_eq!(
         done_after_all,
         ["crossed"],
-        "its abort was answered with done, what follows goes on"
+        "its cancellation was answered with the status done, so its dependents go on"
     );
-    let after_done = caught(|c| {
+    let after_done = violations(|c| {
         c.cancel_asked("req-1");
         c.task_done("req-1", 0);
-        told(c, 1, "req-1", "done");
-        told(c, 2, "req-2", "cancelled");
+        answer_status(c, 1, "req-1", "done");
+        answer_status(c, 2, "req-2", "cancelled");
     });
     assert_eq!(after_done, ["went_back"]);
     for cancelled_first in [true, false] {
-        let both = caught(move |c| {
+        let both = violations(move |c| {
             c.cancel_asked("req-1");
             c.task_done("req-2", 0);
             let ends = [("req-1", "cancelled"), ("req-2", "done")];
             let order = if cancelled_first { [0, 1] } else { [1, 0] };
-            order.iter().for_each(|n| told(c, 1, ends[*n].0, ends[*n].1));
+            order.iter().for_each(|n| answer_status(c, 1, ends[*n].0, ends[*n].1));
         });
-        assert_eq!(both, ["crossed"], "one that needs a cancelled job is done");
+        assert_eq!(both, ["crossed"], "a dependent of a cancelled job is done");
     }
 }
 
-/// A world in which no controller runs, with the chain's users.
+/// A world in which no controller runs, with the users of the chain's jobs.
 fn without_controllers() -> World {
     let teams = [Terms { name: "blue", ..Terms::default() }];
     let mut world = World::deployed(site(&teams), &mut ChaCha8Rng::seed_from_u64(1), 0);
@@ -163,9 +171,10 @@
     put(&format!("asg/{job}/0000"), value)
 }
 
-/// The stricter check: an assignment or an order is too early until the ends are durable, whatever workers have done.
+/// An assignment or an order comes too early until the dependencies' final states are durable, even if workers have finished
+/// their tasks.
 #[test]
-fn an_assignment_before_the_ends_are_durable_is_caught() {
+fn checker_reports_an_assignment_before_dependencies_are_durably_done() {
     let broken = |writes: &[StoreOp]| {
         let mut world = without_controllers();
         world.region.checker.task_done("req-1", 0);
@@ -175,41 +184,41 @@
         rules.len()
     };
     let end = |status: &str| put("over/req-1", json!({"s": status, "n": 1}));
-    assert_eq!(broken(&[assignment("req-1", &[0])]), 0, "it needs nothing");
+    assert_eq!(broken(&[assignment("req-1", &[0])]), 0, "it has no dependencies");
     assert_eq!(broken(&[assignment("req-2", &[0])]), 1);
-    assert_eq!(broken(&[assignment("req-2", &[])]), 0, "nothing is given out");
+    assert_eq!(broken(&[assignment("req-2", &[])]), 0, "no task is assigned");
     assert_eq!(broken(&[end("done"), assignment("req-2", &[0])]), 0);
     assert_eq!(broken(&[end("cancelled"), assignment("req-2", &[0])]), 1);
     assert_eq!(broken(&[end("done"), assignment("req-3", &[0])]), 1, "its own dependency counts");
 }
 
-/// Ends that are told before any record shows them, and refusals of what may be submitted.
+/// The checker detects final states that are reported before a record shows them, and refusals of jobs that may be submitted.
 #[test]
-fn answers_that_no_record_bears_out_are_caught() {
-    let rule = |records: &[(&str, &str)], job: &str, status: u16, said: &str| {
+fn checker_reports_answers_without_a_durable_record() {
+    let first_violation = |records: &[(&str, &str)], job: &str, status: u16, job_status: &str| {
         let mut world = without_controllers();
         for (job, end) in records {
             world.write(&put(&format!("over/{job}"), json!({"s": end, "n": 1})));
         }
-        let reply = HttpReply { status, ..HttpReply::json(200, &json!({"status": said})) };
+        let reply = HttpReply { status, ..HttpReply::json(200, &json!({"status": job_status})) };
         world.look_at_answer(job, &reply, status != 200);
         let broken = world.region.checker.broken.first().cloned().unwrap_or_default();
         broken.split([' ', ':']).nth(2).unwrap_or_default().to_owned()
     };
-    assert_eq!(rule(&[], "req-3", 200, "queued"), "");
-    assert_eq!(rule(&[], "req-3", 200, "cancelled"), "not_durable");
-    assert_eq!(rule(&[("req-1", "cancelled")], "req-3", 200, "cancelled"), "");
-    assert_eq!(rule(&[("req-1", "done")], "req-3", 200, "cancelled"), "not_durable");
-    assert_eq!(rule(&[("req-1", "cancelled")], "req-3", 200, "done"), "not_durable");
-    assert_eq!(rule(&[("req-3", "done")], "req-3", 200, "done"), "");
-    assert_eq!(rule(&[("req-3", "cancelled")], "req-3", 200, "done"), "not_durable");
-    assert_eq!(rule(&[], "req-3", 422, ""), "refused");
-    assert_eq!(rule(&[], "req-1", 422, ""), "", "it names no others");
-}
-
-/// A job that waits for others is not neglected, and one whose dependencies are durably done is.
+    assert_eq!(first_violation(&[], "req-3", 200, "queued"), "");
+    assert_eq!(first_violation(&[], "req-3", 200, "cancelled"), "not_durable");
+    assert_eq!(first_violation(&[("req-1", "cancelled")], "req-3", 200, "cancelled"), "");
+    assert_eq!(first_violation(&[("req-1", "done")], "req-3", 200, "cancelled"), "not_durable");
+    assert_eq!(first_violation(&[("req-1", "cancelled")], "req-3", 200, "done"), "not_durable");
+    assert_eq!(first_violation(&[("req-3", "done")], "req-3", 200, "done"), "");
+    assert_eq!(first_violation(&[("req-3", "cancelled")], "req-3", 200, "done"), "not_durable");
+    assert_eq!(first_violation(&[], "req-3", 422, ""), "refused");
+    assert_eq!(first_violation(&[], "req-1", 422, ""), "", "it has no dependencies");
+}
+
+/// A job that waits for its dependencies doesn't count as neglected; once they are durably done, it does.
 #[test]
-fn only_waiting_jobs_may_wait_beside_room() {
+fn a_job_counts_as_neglected_only_after_its_dependencies_are_done() {
     let neglected = |ended: bool| {
         let mut world = without_controllers();
         world.add_machine("i-1", "a", false);
@@ -226,9 +235,9 @@
     assert_eq!(neglected(true), 1);
 }
 
-/// The stand-in for the state service keeps to its limits, and to lower ones from some moment on.
+/// The simulated state service enforces its limits, also after they are lowered.
 #[test]
-fn the_state_service_refuses_what_is_beyond_its_limits() {
+fn simulated_state_service_enforces_its_limits() {
     let facts = |value_kb, txn_ops, write_rps| StateFacts {
         rps: 10.0,
         write_rps,
@@ -237,23 +246,23 @@
         next: None,
     };
     let large = put("k", json!("x".repeat(3_000)));
-    let wide = |n: usize| {
+    let txn_of = |n: usize| {
         let change = |n| Change::Put { key: format!("k/{n}"), value: json!(n), lease: None };
         StoreOp::Txn(Txn { conditions: Vec::new(), changes: (0..n).map(change).collect() })
     };
-    let taken = |reply: &StoreReply| matches!(reply, StoreReply::Committed(_));
+    let committed = |reply: &StoreReply| matches!(reply, StoreReply::Committed(_));
     let mut state = State::default();
     state.limit(StateLimits::new(&facts(8.0, 16, 25.0), 0));
-    assert!(taken(&state.serve(0, &large)));
-    assert!(taken(&state.serve(0, &wide(16))));
-    assert!(matches!(state.serve(0, &wide(17)), StoreReply::Throttled), "the burst is used up");
-    assert!(matches!(state.serve(2_000, &wide(17)), StoreReply::Malformed(_)));
+    assert!(committed(&state.serve(0, &large)));
+    assert!(committed(&state.serve(0, &txn_of(16))));
+    assert!(matches!(state.serve(0, &txn_of(17)), StoreReply::Throttled), "the burst is used up");
+    assert!(matches!(state.serve(2_000, &txn_of(17)), StoreReply::Malformed(_)));
     state.limit(StateLimits::new(&facts(2.0, 5, 18.0), 10_000));
     assert!(matches!(state.serve(10_000, &large), StoreReply::Malformed(_)));
-    assert!(matches!(state.serve(10_000, &wide(6)), StoreReply::Malformed(_)));
-    assert!(taken(&state.serve(11_000, &wide(5))));
+    assert!(matches!(state.serve(10_000, &txn_of(6)), StoreReply::Malformed(_)));
+    assert!(committed(&state.serve(11_000, &txn_of(5))));
     let StoreReply::Found(row) = state.serve(11_000, &StoreOp::Get { key: "k".into() }) else {
-        panic!("what is stored stays readable");
+        panic!("stored values stay readable");
     };
     assert_eq!(row.value, json!("x".repeat(3_000)));
     let touch = StoreOp::Touch { lease: LeaseId(9) };
@@ -263,9 +272,9 @@
     assert!(state.refusals.throttled > 40);
 }
 
-/// Whoever asks again for what was refused for its size is caught.
+/// The checker detects a client that retries a transaction which was refused for its size.
 #[test]
-fn a_refused_transaction_that_is_asked_for_again_is_caught() {
+fn checker_reports_a_retry_of_a_transaction_refused_for_its_size() {
     let large = put("k", json!("x".repeat(9_000)));
     let larger = put("k", json!("x".repeat(9_001)));
     let mut world = without_controllers();
@@ -277,47 +286,47 @@
     assert!(broken.len() == 1 && broken[0].contains(" asked_again: "), "{broken:?}");
 }
 
-// --- Drawn days -----------------------------------------------------------------------------------
+// --- Days with random faults ---------------------------------------------------------------------
 
-/// What came about in days, so that a test can tell that it tried something.
+/// How many jobs reached each state, so that a test can check that it exercised all of them.
 #[derive(Debug, Default)]
-struct Tried {
+struct Outcomes {
     accepted: usize,
     done: usize,
     cancelled: usize,
 }
 
-impl Tried {
+impl Outcomes {
     fn add(&mut self, world: &World) {
         self.accepted += world.accepted_dependents();
         self.done += world.told(JobStatus::Done);
         self.cancelled += world.told(JobStatus::Cancelled);
     }
 
-    fn assert_some(&self, what: &str) {
-        println!("{what}: {self:?}");
-        assert!(self.accepted > 0 && self.done > 0 && self.cancelled > 0, "{what}: {self:?}");
+    fn assert_all_occurred(&self, context: &str) {
+        println!("{context}: {self:?}");
+        assert!(self.accepted > 0 && self.done > 0 && self.cancelled > 0, "{context}: {self:?}");
     }
 }
 
-/// A day with pipelines and some other users' jobs, and these troubles.
-fn day(seed: u64, faults: Vec<(u64, Fault)>, draw: Draw) -> World {
+/// A day with pipelines and some other jobs, and these faults.
+fn pipeline_day(seed: u64, faults: Vec<(u64, Fault)>, draw: Draw) -> World {
     show_log();
-    let mut world = World::scripted(seed, faults, CALM_MS, None);
+    let mut world = World::scripted(seed, faults, FAULTS_END_MS, None);
     world.restart_ms = [50, 300, 1_000, 5_000][(seed % 4) as usize];
     world.add_pipelines(seed, draw);
     world
 }
 
-/// So many troubles at overlapping times, twice a day.
-fn drawn(seed: u64, troubles: u64) -> Vec<(u64, Fault)> {
+/// Random faults at two times of the day, each time this many that overlap.
+fn random_faults(seed: u64, overlapping: u64) -> Vec<(u64, Fault)> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut faults = Vec::new();
     for n in 0..2 {
         let at = 8_000 + n * 50_000 + rng.random_range(0..10_000);
         let longest = rng.random_range(1_000..45_000);
         faults.push((at, trouble(&mut rng, longest)));
-        for k in 1..troubles {
+        for k in 1..overlapping {
             let span = rng.random_range(1_000..30_000);
             faults.push((at + rng.random_range(0..20_000) / k, trouble(&mut rng, span)));
         }
@@ -326,106 +335,114 @@
     faults
 }
 
-fn play_drawn(first: u64, count: u64, troubles: u64) {
-    let mut tried = Tried::default();
-    for seed in first..first + count + more_days() {
-        let faults = drawn(seed, troubles);
-        let mut world = day(seed, faults.clone(), Draw::default());
+fn play_random_days(first_seed: u64, count: u64, overlapping: u64) {
+    let mut outcomes = Outcomes::default();
+    for seed in first_seed..first_seed + count + more_days() {
+        let faults = random_faults(seed, overlapping);
+        let mut world = pipeline_day(seed, faults.clone(), Draw::default());
         world.play();
         finished(&world, &format!("seed {seed}, {faults:?}"));
-        tried.add(&world);
+        outcomes.add(&world);
     }
-    tried.assert_some("drawn days");
+    outcomes.assert_all_occurred("days with random faults");
 }
 
-/// Plays the one seed that `OATLOOM_SEED` names, if any, with as many troubles as `OATLOOM_TROUBLES` says.
+/// Plays the seed given in `OATLOOM_SEED`, if any, with `OATLOOM_TROUBLES` overlapping faults.
 #[test]
 fn one_seed() {
     let number = |name: &str| std::env::var(name).ok().and_then(|text| text.parse::<u64>().ok());
     if let Some(seed) = number("OATLOOM_SEED") {
-        play_drawn(seed, 1, number("OATLOOM_TROUBLES").unwrap_or(2));
+        play_random_days(seed, 1, number("OATLOOM_TROUBLES").unwrap_or(2));
     }
 }
 
 #[test]
-fn calm_days_finish_every_pipeline() {
-    let mut tried = Tried::default();
+fn every_pipeline_finishes_on_days_without_faults() {
+    let mut outcomes = Outcomes::default();
     for seed in 0..4 + more_days() {
-        let mut world = day(seed, Vec::new(), Draw::default());
+        let mut world = pipeline_day(seed, Vec::new(), Draw::default());
         world.play();
         finished(&world, &format!("seed {seed}"));
-        tried.add(&world);
+        outcomes.add(&world);
     }
-    tried.assert_some("calm days");
+    outcomes.assert_all_occurred("days without faults");
 }
 
 #[test]
-fn single_troubles_keep_the_rules_of_pipelines() {
-    play_drawn(10_000, 6, 1);
+fn pipelines_keep_their_rules_under_single_faults() {
+    play_random_days(10_000, 6, 1);
 }
 
 #[test]
-fn drawn_pairs_of_troubles_keep_the_rules_of_pipelines() {
-    play_drawn(20_000, 8, 2);
+fn pipelines_keep_their_rules_under_random_pairs_of_faults() {
+    play_random_days(20_000, 8, 2);
 }
 
 #[test]
-fn drawn_threes_of_troubles_keep_the_rules_of_pipelines() {
-    play_drawn(30_000, 8, 3);
+fn pipelines_keep_their_rules_under_random_triples_of_faults() {
+    play_random_days(30_000, 8, 3);
 }
 
-// --- Cascades of cancellations --------------------------------------------------------------------
+// --- Cascades of cancellations -------------------------------------------------------------------
 
-/// When the job at the head of a pipeline is cancelled, in milliseconds.
+/// When the first job of a pipeline is cancelled.
 const CANCELLED_AT_MS: u64 = 30_000;
-/// Jobs behind the one that is cancelled, and of those, how many are a chain of their own.
-const BEHIND: u32 = 40;
-const CHAINED: u32 = 12;
+/// Jobs that depend on the cancelled one, and how many of them form a chain.
+const DEPENDENTS: u32 = 40;
+const CHAINED_DEPENDENTS: u32 = 12;
 
-fn job(n: u32) -> JobId {
+fn job_id(n: u32) -> JobId {
     JobId::new(&format!("req-{:06}", 500_000 - n))
 }
 
-/// A long job, jobs that need it, and a chain behind the last of those, with nobody else about.
-fn long_head(seed: u64, site: Site) -> World {
+/// A world with only a long job, jobs that depend on it, and a chain that depends on the last of those.
+fn long_job_with_dependents(seed: u64, site: Site) -> World {
     show_log();
-    let mut world = World::deployed(site, &mut ChaCha8Rng::seed_from_u64(seed), CALM_MS);
-    world.add_job_at(small_array(job(0).as_str(), 300), 2_000);
-    for n in 1..=BEHIND {
-        let behind = if n + CHAINED > BEHIND { n - 1 } else { 0 };
-        let spec = JobSpec { dependencies: vec![job(behind)], ..small_array(job(n).as_str(), 2) };
+    let mut world = World::deployed(site, &mut ChaCha8Rng::seed_from_u64(seed), FAULTS_END_MS);
+    world.add_job_at(small_array(job_id(0).as_str(), 300), 2_000);
+    for n in 1..=DEPENDENTS {
+        let dependency = if n + CHAINED_DEPENDENTS > DEPENDENTS { n - 1 } else { 0 };
+        let spec = JobSpec {
+            dependencies: vec![job_id(dependency)],
+            ..small_array(job_id(n).as_str(), 2)
+        };
         world.add_job_at(spec, 3_000);
     }
     world
 }
 
-/// Lets time pass until the user of the first job hears that it is cancelled.
-fn play_until_head_is_cancelled(world: &mut World, what: &str) {
+/// Plays until the user of the first job is told that it is cancelled.
+fn play_until_first_is_cancelled(world: &mut World, context: &str) {
     world.play_to(CANCELLED_AT_MS - 1_000);
-    assert_eq!(world.accepted_dependents(), BEHIND as usize, "{what}: all wait by then");
-    world.cancel(job(0).as_str(), CANCELLED_AT_MS);
-    while !world.told_cancelled(job(0).as_str()) && world.before(CANCELLED_AT_MS + 20_000) {
+    assert_eq!(
+        world.accepted_dependents(),
+        DEPENDENTS as usize,
+        "{context}: all dependents wait by then"
+    );
+    world.cancel(job_id(0).as_str(), CANCELLED_AT_MS);
+    while !world.told_cancelled(job_id(0).as_str()) && world.before(CANCELLED_AT_MS + 20_000) {
         world.step();
     }
 }
 
-/// The leader that decided it ends while the jobs behind are being cancelled, at any phase of that; and once more.
+/// The leader fails while the dependents are being cancelled, at various points of the cascade; in some days its successor
+/// fails too. Guards against a dependent that stays open for ever.
 #[test]
-fn a_takeover_in_the_midst_of_a_cascade_orphans_nobody() {
+fn leader_failover_during_a_cascade_leaves_no_dependent_open() {
     let mut longest = 0;
     let mut interrupted = 0;
     for seed in 0..24 + more_days() {
-        let lowered = seed % 2 == 1;
-        let site = if lowered { site_with_next_limits() } else { Site::default() };
-        let mut world = long_head(seed, site);
-        let what = format!("seed {seed}");
-        if lowered {
+        let lowers_limits = seed % 2 == 1;
+        let site = if lowers_limits { site_with_next_limits() } else { Site::default() };
+        let mut world = long_job_with_dependents(seed, site);
+        let context = format!("seed {seed}");
+        if lowers_limits {
             world.trouble([(20_000, Fault::LimitsFall)]);
         }
-        play_until_head_is_cancelled(&mut world, &what);
+        play_until_first_is_cancelled(&mut world, &context);
         world.play_to(world.now + [0, 50, 150, 400, 1_000, 2_500][(seed % 6) as usize]);
         let before = world.stored("over/").len();
-        interrupted += usize::from(before < 1 + BEHIND as usize);
+        interrupted += usize::from(before < 1 + DEPENDENTS as usize);
         world.strike(Fault::Leader(match seed % 4 {
             0 => Upon::Crash,
             1 => Upon::Down(20_000),
@@ -436,48 +453,49 @@
             world.trouble([(world.now + 6_000, Fault::Leader(Upon::Crash))]);
         }
         world.play();
-        finished(&world, &what);
-        assert_eq!(world.told(JobStatus::Cancelled), 1 + BEHIND as usize, "{what}");
+        finished(&world, &context);
+        assert_eq!(world.told(JobStatus::Cancelled), 1 + DEPENDENTS as usize, "{context}");
         longest = longest.max(world.region.checker.orphaned_ms);
     }
     println!(
-        "{interrupted} interrupted; called open for at most {longest} ms after the cancellation"
+        "{interrupted} cascades interrupted; reported open for at most {longest} ms after the cancellation"
     );
     assert!(interrupted > 4, "{interrupted}");
 }
 
-/// The state service goes away while the jobs behind are being cancelled, for longer than a cancellation may take.
+/// The state service is out while the dependents are being cancelled, for longer than a cancellation may take. Guards against
+/// a dependent that stays open for ever.
 #[test]
-fn an_outage_in_the_midst_of_a_cascade_orphans_nobody() {
+fn state_service_outage_during_a_cascade_leaves_no_dependent_open() {
     for seed in 0..8 + more_days() {
-        let mut world = long_head(seed, Site::default());
-        let what = format!("seed {seed}");
-        play_until_head_is_cancelled(&mut world, &what);
+        let mut world = long_job_with_dependents(seed, Site::default());
+        let context = format!("seed {seed}");
+        play_until_first_is_cancelled(&mut world, &context);
         world.play_to(world.now + [0, 50, 300, 900][(seed % 4) as usize]);
         world.strike(Fault::StoreOutage(60_000));
         if seed % 2 == 0 {
             world.strike(Fault::Leader(Upon::Crash));
         }
         world.play();
-        finished(&world, &what);
-        assert_eq!(world.told(JobStatus::Cancelled), 1 + BEHIND as usize, "{what}");
+        finished(&world, &context);
+        assert_eq!(world.told(JobStatus::Cancelled), 1 + DEPENDENTS as usize, "{context}");
     }
 }
 
-/// Every node is asked for the jobs behind while the cancellation of their head is decided and written, slowly, and the
-/// leader may end meanwhile. Guards against a cascade that is told before it follows from a record.
+/// Every node is asked for the dependents' states while the cancellation of the first job is decided and slowly written; the
+/// leader may fail meanwhile. Guards against a cancellation that is reported before a record implies it.
 #[test]
-fn nothing_is_told_of_a_cascade_before_its_head_is_durable() {
-    let mut looks = 0;
+fn cascaded_cancellations_are_reported_only_after_the_first_is_durable() {
+    let mut requests = 0;
     for seed in 0..8 + more_days() {
-        let mut world = long_head(seed, Site::default());
-        let head = job(0);
+        let mut world = long_job_with_dependents(seed, Site::default());
+        let first = job_id(0);
         world.play_to(CANCELLED_AT_MS);
         world.strike(Fault::StoreSlow(4_000, 4 + (seed % 4) as u32 * 4));
-        world.look(head.as_str(), (seed % 3) as usize, Look::Abort, 0);
+        world.look(first.as_str(), (seed % 3) as usize, Look::Abort, 0);
         for after in (20..1_500).step_by(40) {
-            let behind = job(1 + after as u32 % BEHIND);
-            (0..3).for_each(|node| world.look(behind.as_str(), node, Look::View, after));
+            let dependent = job_id(1 + after as u32 % DEPENDENTS);
+            (0..3).for_each(|node| world.look(dependent.as_str(), node, Look::View, after));
         }
         if seed % 2 == 1 {
             let at = world.now + 50 + 60 * seed;
@@ -486,15 +504,15 @@
         world.play_finely_to(world.now + 3_000);
         world.play();
         finished(&world, &format!("seed {seed}"));
-        looks += world.looks.sent;
+        requests += world.looks.sent;
     }
-    assert!(looks > 500, "{looks}");
+    assert!(requests > 500, "{requests}");
 }
 
-// --- Users who look closely -----------------------------------------------------------------------
+// --- Users who react within milliseconds ---------------------------------------------------------
 
-/// What changes hands, or is lost, while users look.
-fn disturbances(seed: u64) -> Vec<(u64, Fault)> {
+/// Faults while users send requests: leaders that fail or are partitioned, answers or writes that are lost or late.
+fn leader_and_store_faults(seed: u64) -> Vec<(u64, Fault)> {
     match seed % 6 {
         0 => vec![],
         1 => vec![(17_000, Fault::Leader(Upon::Crash)), (25_000, Fault::Leader(Upon::Crash))],
@@ -505,9 +523,9 @@
     }
 }
 
-/// Pipelines alone, in fine steps, whose users ask every node at once whatever they hear.
-fn close_day(seed: u64, draw: Draw, prepare: impl Fn(&mut World)) -> World {
-    let mut world = World::scripted(seed, disturbances(seed), 70_000, None);
+/// A day of pipelines alone, played in fine steps; after each answer the users ask every node at once.
+fn day_of_immediate_requests(seed: u64, draw: Draw, prepare: impl Fn(&mut World)) -> World {
+    let mut world = World::scripted(seed, leader_and_store_faults(seed), 70_000, None);
     world.alone();
     world.restart_ms = [50, 1_000][(seed % 2) as usize];
     world.looks.close = true;
@@ -515,66 +533,69 @@
     world.add_pipelines(seed, draw);
     world.play_finely_to(50_000);
     world.play_to(190_000);
-    finished(&world, &format!("seed {seed}, {:?}", disturbances(seed)));
+    finished(&world, &format!("seed {seed}, {:?}", leader_and_store_faults(seed)));
     world
 }
 
-const CLOSE: Draw =
+const OFTEN_CANCELLED: Draw =
     Draw { count: 7, from: 2_000, to: 30_000, cancelled: 0.6, cancelled_within: 12_000, late: 0.3 };
 
-/// Each job is submitted at any node within milliseconds of the acceptance of those that it needs at another, or of their
-/// being called off. Guards against a need that is judged by one node's memory.
+/// Each job is submitted at any node within milliseconds of the acceptance or cancellation of its dependencies at another
+/// node. Guards against dependencies that are checked against one node's memory.
 #[test]
-fn jobs_named_within_milliseconds_of_their_acceptance_are_known() {
-    let mut tried = Tried::default();
+fn dependencies_accepted_milliseconds_ago_are_known_at_every_node() {
+    let mut outcomes = Outcomes::default();
     for seed in 0..12 + more_days() {
-        let world = close_day(seed, CLOSE, |_| {});
-        tried.add(&world);
+        let world = day_of_immediate_requests(seed, OFTEN_CANCELLED, |_| {});
+        outcomes.add(&world);
     }
-    tried.assert_some("named at once");
+    outcomes.assert_all_occurred("submitted with dependencies just accepted");
 }
 
-/// Jobs are called off at the moment that they are accepted, while others that name them are being submitted.
+/// Jobs are cancelled as soon as they are accepted, while jobs that depend on them are being submitted.
 #[test]
-fn jobs_named_while_they_are_called_off_have_one_outcome() {
-    let mut tried = Tried::default();
+fn dependencies_cancelled_during_submission_have_one_outcome() {
+    let mut outcomes = Outcomes::default();
     for seed in 100..112 + more_days() {
-        let world = close_day(seed, CLOSE, |world| world.looks.abort_at_once = 0.25);
-        tried.add(&world);
+        let world = day_of_immediate_requests(seed, OFTEN_CANCELLED, |world| {
+            world.looks.abort_at_once = 0.25
+        });
+        outcomes.add(&world);
     }
-    tried.assert_some("called off at once");
+    outcomes.assert_all_occurred("cancelled at acceptance");
 }
 
-/// Jobs of pipelines are called off when their last task ends. Either end may be told, and what follows agrees.
+/// Jobs of pipelines are cancelled as their last task ends. Either final state may be reported, and the dependents must agree
+/// with it.
 #[test]
-fn calls_that_meet_the_end_of_the_last_task_of_a_stage_have_one_outcome() {
-    let (mut tried, mut called_off) = (Tried::default(), 0);
+fn cancellation_racing_with_the_last_task_of_a_stage_has_one_outcome() {
+    let (mut outcomes, mut cancelled_at_end) = (Outcomes::default(), 0);
     for seed in 200..216 + more_days() {
         let within = [60, 300, 900, 4_500][(seed % 4) as usize];
         let strike = [None, Some((4, Fault::Leader(Upon::Crash)))][(seed / 2 % 2) as usize];
-        let draw = Draw { cancelled: 0.0, ..CLOSE };
-        let world = close_day(seed, draw, |world| {
+        let draw = Draw { cancelled: 0.0, ..OFTEN_CANCELLED };
+        let world = day_of_immediate_requests(seed, draw, |world| {
             world.looks.abort_at_end = (0.4, within);
             world.looks.strike_at_end = strike;
         });
-        called_off += world.looks.called_off.len();
-        tried.add(&world);
+        cancelled_at_end += world.looks.called_off.len();
+        outcomes.add(&world);
     }
-    tried.assert_some("called off at the end");
-    assert!(called_off > 40, "{called_off}");
+    outcomes.assert_all_occurred("cancelled at the end");
+    assert!(cancelled_at_end > 40, "{cancelled_at_end}");
 }
 
-/// Two jobs of one pipeline are called off at the same moment, at different nodes.
+/// Two jobs of one pipeline are cancelled at the same moment, at different nodes.
 #[test]
-fn two_calls_within_one_pipeline_have_one_outcome() {
+fn two_cancellations_in_one_pipeline_have_one_outcome() {
     for seed in 300..312 + more_days() {
-        let mut world = World::scripted(seed, disturbances(seed), 70_000, None);
+        let mut world = World::scripted(seed, leader_and_store_faults(seed), 70_000, None);
         world.alone();
         world.looks.close = true;
         for n in 0..6 {
             let spec = JobSpec {
-                dependencies: (n > 0).then(|| job(n - 1)).into_iter().collect(),
-                ..small_array(job(n).as_str(), 4)
+                dependencies: (n > 0).then(|| job_id(n - 1)).into_iter().collect(),
+                ..small_array(job_id(n).as_str(), 4)
             };
             world.add_job_at(spec, 2_000);
         }
@@ -582,9 +603,9 @@
         world.play_finely_to(rng.random_range(3_000..30_000));
         let first = rng.random_range(0..5);
         for (n, node) in [(first, 0), (rng.random_range(first + 1..6), 1)] {
-            if world.is_accepted(job(n).as_str()) {
+            if world.is_accepted(job_id(n).as_str()) {
                 let after = rng.random_range(0..40);
-                world.look(job(n).as_str(), node, Look::Abort, after);
+                world.look(job_id(n).as_str(), node, Look::Abort, after);
             }
         }
         world.play_finely_to(45_000);
@@ -593,10 +614,11 @@
     }
 }
 
-/// A job that was never accepted, or that never ends by itself, cannot be named.
+/// A job that was never accepted, or a service, which never ends by itself, is refused as a dependency.
 #[test]
-fn what_was_never_accepted_or_never_ends_is_refused() {
-    let mut world = World::deployed(Site::default(), &mut ChaCha8Rng::seed_from_u64(5), CALM_MS);
+fn dependencies_on_unknown_jobs_and_services_are_refused() {
+    let mut world =
+        World::deployed(Site::default(), &mut ChaCha8Rng::seed_from_u64(5), FAULTS_END_MS);
     let service = JobSpec { shape: Shape::Service, ..small_array("req-000001", 0) };
     world.add_job_at(service, 1_000);
     world.play_to(20_000);
@@ -616,10 +638,10 @@
     assert!(!world.ever_written("req-000002"));
 }
 
-// --- While jobs wait ------------------------------------------------------------------------------
+// --- While jobs wait -----------------------------------------------------------------------------
 
 /// Many pipelines at nearly the same time.
-const CROWD: Draw = Draw {
+const SIMULTANEOUS_PIPELINES: Draw = Draw {
     count: 12,
     from: 2_000,
     to: 20_000,
@@ -628,11 +650,12 @@
     late: 0.1,
 };
 
-/// The state service is away while jobs wait for one whose tasks end meanwhile: nothing starts before its end is written.
+/// The state service is out while jobs wait for one whose tasks end meanwhile. Guards against a job that starts before its
+/// dependency's final state is written.
 #[test]
-fn an_outage_while_jobs_wait_starts_nothing_early() {
+fn an_outage_starts_no_waiting_job_early() {
     for seed in 0..10 + more_days() {
-        let mut world = day(seed, Vec::new(), CROWD);
+        let mut world = pipeline_day(seed, Vec::new(), SIMULTANEOUS_PIPELINES);
         let waiting = world.play_until_waiting(6, 100_000).expect("jobs wait");
         world.strike(Fault::StoreOutage(5_000 + (seed % 5) * 12_000));
         if seed % 3 == 0 {
@@ -643,38 +666,44 @@
     }
 }
 
-/// A gang that needs the whole of its team's limit, and more than the cloud has machines for, waits for a long job.
+/// A gang that needs its team's whole limit, and more machines than the cloud has, waits for a long job. Guards against a
+/// waiting job that blocks the team's others.
 #[test]
-fn a_waiting_job_takes_nothing_of_its_teams_limit() {
+fn a_waiting_job_uses_none_of_its_teams_limit() {
     let teams = [
         Terms { name: "blue", ..Terms::default() },
         Terms { name: "narrow", gpus_max: 4.0, ..Terms::default() },
     ];
     for seed in 0..4 {
         let mut world =
-            World::deployed(site(&teams), &mut ChaCha8Rng::seed_from_u64(seed), CALM_MS);
+            World::deployed(site(&teams), &mut ChaCha8Rng::seed_from_u64(seed), FAULTS_END_MS);
         world.add_job_at(small_array("req-000001", 70), 1_000);
-        let wide = JobSpec {
+        let gang = JobSpec {
             team: "narrow".into(),
             shape: Shape::Gang,
             tasks: 4,
             dependencies: vec![JobId::new("req-000001")],
             ..small_array("req-000002", 4)
         };
-        world.add_job_at(wide, 1_000);
+        world.add_job_at(gang, 1_000);
         for n in 3..7 {
             let id = format!("req-00000{n}");
             let spec = JobSpec { team: "narrow".into(), ..small_array(&id, 4) };
             world.add_job_at(spec, 8_000);
         }
         world.play_to(60_000);
-        assert_eq!(world.told(JobStatus::Done), 4, "seed {seed}: the others are done by now");
+        assert_eq!(
+            world.told(JobStatus::Done),
+            4,
+            "seed {seed}: the team's other jobs are done by now"
+        );
         world.play();
         finished(&world, &format!("seed {seed}"));
     }
 }
 
-/// The last job of a pipeline, long waited for, and one that came later with as much time: one place for both.
+/// The last job of a pipeline and a job submitted later with the same time to its deadline compete for one place. Guards
+/// against a deadline that counts from the end of the dependencies.
 #[test]
 fn a_deadline_counts_from_the_submission() {
     let teams = [
@@ -683,7 +712,7 @@
     ];
     for seed in 0..6 {
         let mut world =
-            World::deployed(site(&teams), &mut ChaCha8Rng::seed_from_u64(seed), CALM_MS);
+            World::deployed(site(&teams), &mut ChaCha8Rng::seed_from_u64(seed), FAULTS_END_MS);
         let narrow = |id: &str, seconds, deadline_s| JobSpec {
             team: "narrow".into(),
             deadline_s,
@@ -695,26 +724,26 @@
             ..narrow("req-000002", 5, Some(110.0))
         };
         world.add_job_at(last, 2_000);
-        // Takes the place until both wait for it.
+        // Occupies the place until both wait for it.
         world.add_job_at(narrow("req-000003", 60, None), 2_000);
         world.add_job_at(narrow("req-000004", 5, Some(110.0)), 20_000);
         world.play();
         finished(&world, &format!("seed {seed}"));
-        let ended = |id: &str| world.region.checker.over_at(id).expect("it is over");
-        let (last, later) = (ended("req-000002"), ended("req-000004"));
+        let finished_at = |id: &str| world.region.checker.over_at(id).expect("it has finished");
+        let (last, later) = (finished_at("req-000002"), finished_at("req-000004"));
         assert!(last < later, "seed {seed}: {last} ms and {later} ms");
     }
 }
 
-/// The limits of the state service fall while jobs wait, and while cancellations pass on.
+/// The limits of the state service are lowered while jobs wait and cancellations cascade.
 #[test]
-fn limits_that_fall_while_jobs_wait_keep_the_rules() {
-    let mut tried = Tried::default();
+fn lowered_state_service_limits_keep_the_rules_of_pipelines() {
+    let mut outcomes = Outcomes::default();
     for seed in 0..10 + more_days() {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut world = World::deployed(site_with_next_limits(), &mut rng, CALM_MS);
+        let mut world = World::deployed(site_with_next_limits(), &mut rng, FAULTS_END_MS);
         world.add_users(8, &mut rng);
-        world.add_pipelines(seed, CROWD);
+        world.add_pipelines(seed, SIMULTANEOUS_PIPELINES);
         world.play_until_waiting(5, 100_000).expect("jobs wait");
         world.strike(Fault::LimitsFall);
         if seed % 2 == 0 {
@@ -724,19 +753,19 @@
         finished(&world, &format!("seed {seed}"));
         let refused = &world.refusals().too_large;
         assert!(refused.is_empty(), "seed {seed}: {refused:?}");
-        tried.add(&world);
+        outcomes.add(&world);
     }
-    tried.assert_some("limits fall");
+    outcomes.assert_all_occurred("limits are lowered");
 }
 
-// --- Many jobs ------------------------------------------------------------------------------------
+// --- Many jobs -----------------------------------------------------------------------------------
 
-/// Short jobs of one task, which are accepted at up to 25 a second.
-fn short(n: u32, dependencies: Vec<JobId>) -> JobSpec {
-    JobSpec { tasks: 1, gpus: 0.0, cpus: 0.1, dependencies, ..small_array(job(n).as_str(), 1) }
+/// A short job of one task; such jobs are accepted at up to 25 a second.
+fn short_job(n: u32, dependencies: Vec<JobId>) -> JobSpec {
+    JobSpec { tasks: 1, gpus: 0.0, cpus: 0.1, dependencies, ..small_array(job_id(n).as_str(), 1) }
 }
 
-/// A world of nobody but the users of these jobs, played to its end.
+/// Plays a world with only these jobs to its end.
 fn play_many(site: Site, jobs: Vec<JobSpec>) -> World {
     show_log();
     let mut world = World::deployed(site, &mut ChaCha8Rng::seed_from_u64(7), 240_000);
@@ -747,74 +776,77 @@
 }
 
 #[test]
-fn a_job_behind_three_hundred_ends() {
-    let mut jobs: Vec<JobSpec> = (1..=300).map(|n| short(n, Vec::new())).collect();
-    jobs.push(short(0, (1..=300).map(job).collect()));
+fn a_job_with_three_hundred_dependencies_finishes() {
+    let mut jobs: Vec<JobSpec> = (1..=300).map(|n| short_job(n, Vec::new())).collect();
+    jobs.push(short_job(0, (1..=300).map(job_id).collect()));
     let world = play_many(Site::default(), jobs);
-    finished(&world, "one behind many");
+    finished(&world, "one job with many dependencies");
     assert_eq!(world.told(JobStatus::Done), 301);
 }
 
 #[test]
-fn three_hundred_jobs_behind_one_end() {
-    let behind = (1..=300).map(|n| short(n, vec![job(0)]));
-    let jobs = std::iter::once(short(0, Vec::new())).chain(behind).collect();
+fn three_hundred_dependents_of_one_job_finish() {
+    let dependents = (1..=300).map(|n| short_job(n, vec![job_id(0)]));
+    let jobs = std::iter::once(short_job(0, Vec::new())).chain(dependents).collect();
     let world = play_many(Site::default(), jobs);
-    finished(&world, "many behind one");
+    finished(&world, "many dependents of one job");
     assert_eq!(world.told(JobStatus::Done), 301);
 }
 
-/// Cancelled at its head when all are accepted, a long chain ends in time, at five changes a transaction.
+/// The first job of a long chain is cancelled once all are accepted, with five changes allowed per transaction.
 #[test]
-fn a_cancelled_chain_of_a_hundred_and_fifty_ends_in_time() {
+fn a_cancelled_chain_of_150_jobs_ends_in_time() {
     show_log();
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     let mut world = World::deployed(site_with_next_limits(), &mut rng, 200_000);
     world.trouble([(10_000, Fault::LimitsFall)]);
-    world.add_job_at(small_array(job(0).as_str(), 400), 2_000);
+    world.add_job_at(small_array(job_id(0).as_str(), 400), 2_000);
     for n in 1..150 {
-        world.add_job_at(short(n, vec![job(n - 1)]), 2_000);
+        world.add_job_at(short_job(n, vec![job_id(n - 1)]), 2_000);
     }
     world.play_to(100_000);
     assert_eq!(world.accepted_dependents(), 149);
-    world.cancel(job(0).as_str(), world.now);
+    world.cancel(job_id(0).as_str(), world.now);
     world.play();
     finished(&world, "a long chain");
     assert_eq!(world.told(JobStatus::Cancelled), 150);
 }
 
-/// Refusals for the rate that may come after the first seconds: three controllers share it without a word to each other.
-const THROTTLED_MOST: u32 = 10;
+/// Requests that the state service may still throttle after the first seconds: three controllers share its rate without
+/// coordination.
+const MAX_LATER_THROTTLED: u32 = 10;
 
-/// Jobs that one names, so many that their ids are longer than a value may be from the fall of the limits on.
-const NAMED: u32 = 250;
+/// So many dependencies of one job that their ids don't fit a value under the lowered limits.
+const DEPENDENCIES: u32 = 250;
 
-/// Guards against a submission that is refused because what it names does not fit one value.
+/// Guards against a submission that is refused because its list of dependencies does not fit one value.
 #[test]
-fn a_job_that_names_more_than_a_value_holds_ends() {
-    let mut jobs: Vec<JobSpec> = (1..=NAMED).map(|n| short(n, Vec::new())).collect();
-    jobs.push(short(0, (1..=NAMED).map(job).collect()));
+fn a_job_with_more_dependencies_than_fit_one_value_finishes() {
+    let mut jobs: Vec<JobSpec> = (1..=DEPENDENCIES).map(|n| short_job(n, Vec::new())).collect();
+    jobs.push(short_job(0, (1..=DEPENDENCIES).map(job_id).collect()));
     let world = play_many(site_with_next_limits(), jobs);
-    finished(&world, "one behind many");
-    assert_eq!(world.told(JobStatus::Done), NAMED as usize + 1);
+    finished(&world, "one job with many dependencies");
+    assert_eq!(world.told(JobStatus::Done), DEPENDENCIES as usize + 1);
 }
 
-/// More is to be written than the lowered rate allows: the pace is that rate's soon after the fall.
+/// More is to be written than the lowered rate allows. Guards against controllers that keep exceeding it.
 #[test]
-fn a_rate_that_falls_is_kept_to_within_seconds() {
+fn a_lowered_rate_is_respected_within_seconds() {
     for seed in 0..3 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut world = World::deployed(site_with_next_limits(), &mut rng, 240_000);
         world.quiet = true;
-        (0..300).for_each(|n| world.add_job_at(short(n, Vec::new()), 2_000));
+        (0..300).for_each(|n| world.add_job_at(short_job(n, Vec::new()), 2_000));
         world.play_to(10_000);
         world.strike(Fault::LimitsFall);
         world.play_to(13_000);
-        let at_first = world.refusals().throttled;
+        let throttled_early = world.refusals().throttled;
         world.play();
         finished(&world, &format!("seed {seed}"));
-        let later = world.refusals().throttled - at_first;
-        println!("seed {seed}: {at_first} refused within 3 s of the fall, {later} later");
-        assert!(later <= THROTTLED_MOST, "seed {seed}: {later}");
+        let later = world.refusals().throttled - throttled_early;
+        println!(
+            "seed {seed}: {throttled_early} throttled within 3 s of the lowering, {later} later"
+        );
+        assert!(later <= MAX_LATER_THROTTLED, "seed {seed}: {later}");
     }
 }
--- a/tests/samples/mod.rs
+++ b/tests/samples/mod.rs
@@ -1,5 +1,5 @@
-//! One sample of each kind of record and message, as text, with the type that it is written and read by. The data file
-//! beside the tests was made by the version in production from these same samples.
+//! One sample of each kind of record and message, as JSON, with the type that writes and reads it. The version in production
+//! wrote `tests/data/production.json` from the same samples.
 
 use oatloom_core::jobs::{ChunkRecord, LiveRecord, OverRecord};
 use oatloom_core::mesh::{Asked, Told};
@@ -9,47 +9,48 @@
 use serde::de::DeserializeOwned;
 use serde_json::{Value, json};
 
-/// A sample: its name, and how its text is written by the types of this version.
+/// A sample, and the functions that write and read it by the types of this version.
 pub struct Sample {
     pub name: &'static str,
     pub text: Value,
+    /// Writes the sample as it is stored or sent.
     pub write: fn(&Value) -> Result<String, String>,
-    /// Reads what was written, and writes it again.
-    pub again: fn(&str) -> Result<String, String>,
+    /// Reads a written sample and writes it again.
+    pub rewrite: fn(&str) -> Result<String, String>,
 }
 
-fn text<T: Serialize + DeserializeOwned>(value: &Value) -> Result<String, String> {
+fn write_json<T: Serialize + DeserializeOwned>(value: &Value) -> Result<String, String> {
     let read: T = serde_json::from_value(value.clone()).map_err(|e| e.to_string())?;
     serde_json::to_string(&read).map_err(|e| e.to_string())
 }
 
-fn text_again<T: Serialize + DeserializeOwned>(written: &str) -> Result<String, String> {
-    text::<T>(&serde_json::from_str(written).map_err(|e| e.to_string())?)
+fn rewrite_json<T: Serialize + DeserializeOwned>(written: &str) -> Result<String, String> {
+    write_json::<T>(&serde_json::from_str(written).map_err(|e| e.to_string())?)
 }
 
-fn hex(value: &impl Serialize) -> Result<String, String> {
+fn cbor_hex(value: &impl Serialize) -> Result<String, String> {
     let mut bytes = Vec::new();
     ciborium::into_writer(value, &mut bytes).map_err(|e| e.to_string())?;
     Ok(bytes.iter().map(|byte| format!("{byte:02x}")).collect())
 }
 
-fn frame<T: Serialize + DeserializeOwned>(value: &Value) -> Result<String, String> {
-    hex(&serde_json::from_value::<T>(value.clone()).map_err(|e| e.to_string())?)
+fn write_cbor<T: Serialize + DeserializeOwned>(value: &Value) -> Result<String, String> {
+    cbor_hex(&serde_json::from_value::<T>(value.clone()).map_err(|e| e.to_string())?)
 }
 
-fn frame_again<T: Serialize + DeserializeOwned>(written: &str) -> Result<String, String> {
+fn rewrite_cbor<T: Serialize + DeserializeOwned>(written: &str) -> Result<String, String> {
     let byte = |at: usize| u8::from_str_radix(&written[at..at + 2], 16);
     let bytes: Result<Vec<u8>, _> = (0..written.len()).step_by(2).map(byte).collect();
     let bytes = bytes.map_err(|e| e.to_string())?;
-    hex(&ciborium::from_reader::<T, _>(bytes.as_slice()).map_err(|e| e.to_string())?)
+    cbor_hex(&ciborium::from_reader::<T, _>(bytes.as_slice()).map_err(|e| e.to_string())?)
 }
 
 fn record<T: Serialize + DeserializeOwned>(name: &'static str, value: Value) -> Sample {
-    Sample { name, text: value, write: text::<T>, again: text_again::<T> }
+    Sample { name, text: value, write: write_json::<T>, rewrite: rewrite_json::<T> }
 }
 
 fn message<T: Serialize + DeserializeOwned>(name: &'static str, value: Value) -> Sample {
-    Sample { name, text: value, write: frame::<T>, again: frame_again::<T> }
+    Sample { name, text: value, write: write_cbor::<T>, rewrite: rewrite_cbor::<T> }
 }
 
 fn spec() -> Value {
@@ -72,7 +73,7 @@
         "words": [{"member": "n-2", "incarnation": {"started_ms": 900, "nonce": 8}, "heard_ms": 300}]})
 }
 
-fn day() -> Value {
+fn usage_by_day() -> Value {
     json!({"20789": [["g8", "a", 1, "done", [3, 9000, 8000, 7000, 0, 1000, 0, 64000, 8000, 512000, 26]]]})
 }
 
@@ -81,16 +82,17 @@
         "causes": [{"host": "i-000231", "cause": "error", "number": 3}, {"cause": "error", "number": 1}]})
 }
 
-fn asked(question: Value) -> Value {
+fn peer_request(question: Value) -> Value {
     json!({"id": 77, "question": question})
 }
 
 pub fn all() -> Vec<Sample> {
-    let held = json!([[3, 43_000_001, "i-000231", 1, "a"], [5, 43_000_002, "i-000007", 2, "b"]]);
+    let assignments =
+        json!([[3, 43_000_001, "i-000231", 1, "a"], [5, 43_000_002, "i-000007", 2, "b"]]);
     let size = json!(["vision", 8.0, 1.0, 64.0, 16]);
     let charges =
         json!({"h": ["i-000231", "i-000007"], "x": [1], "f": [[3, 0, 2], [5, 65_535, 1]], "g": 9});
-    let notes = json!({"token": 41, "leader": "n-0", "images": [["i-000231", [["img-07", 6.2]]]],
+    let leader_hints = json!({"token": 41, "leader": "n-0", "images": [["i-000231", [["img-07", 6.2]]]],
         "shown": [["train", 1.2]], "arrivals": [[spec(), [10, 2000]]], "gossip": gossip(),
         "zones": [{"zone": "a", "lost_ms": 500, "mute": false, "losses": 1, "last_ms": 500}]});
     let key = json!({"key": "secret-key-1"});
@@ -100,21 +102,21 @@
             "live of a graph",
             json!({"s": spec(), "t": 1000, "g": {"n": [[4, 16]], "r": 2, "a": true}}),
         ),
-        record::<ChunkRecord>("assignments", json!({"d": "1", "a": held, "u": size})),
+        record::<ChunkRecord>("assignments", json!({"d": "1", "a": assignments, "u": size})),
         record::<ChunkRecord>(
             "assignments, failures and usage",
-            json!({"d": "0", "a": held, "u": size, "e": charges, "l": day()}),
+            json!({"d": "0", "a": assignments, "u": size, "e": charges, "l": usage_by_day()}),
         ),
         record::<OverRecord>("over, done", json!({"s": "done", "n": 16})),
         record::<OverRecord>(
             "over, cancelled",
-            json!({"s": "cancelled", "n": 3, "u": {"t": "vision", "c": "train", "d": day()}}),
+            json!({"s": "cancelled", "n": 3, "u": {"t": "vision", "c": "train", "d": usage_by_day()}}),
         ),
         record::<OverRecord>(
             "over, failed",
             json!({"s": "failed", "n": 0, "f": failure(), "g": {"n": [[4, 2]], "d": [0], "c": [[1, 4]]}}),
         ),
-        record::<Rollup>("roll-up", json!({"r": 99, "t": day()["20789"], "g": true})),
+        record::<Rollup>("roll-up", json!({"r": 99, "t": usage_by_day()["20789"], "g": true})),
         record::<Cursor>("cursor", json!({"r": 99, "d": 20_788})),
         record::<graph::SessionRecord>(
             "session",
@@ -136,13 +138,16 @@
             "graph over page",
             json!({"n": [["n", 1, "d"], ["m", 2, "f"]], "f": [{"node": "m"}]}),
         ),
-        message::<Asked>("ask: view", asked(json!({"View": "req-000412"}))),
-        message::<Asked>("ask: abort", asked(json!({"Abort": "req-000412"}))),
-        message::<Asked>("ask: submit", asked(json!({"Submit": spec()}))),
-        message::<Asked>("ask: report", asked(json!({"Report": report()}))),
-        message::<Asked>("ask: notes", asked(json!({"Notes": notes}))),
-        message::<Asked>("ask: greet", asked(json!({"Greet": gossip()}))),
-        message::<Asked>("ask: graph", asked(json!({"Graph": {"Cancel": ["graph-7", key]}}))),
+        message::<Asked>("ask: view", peer_request(json!({"View": "req-000412"}))),
+        message::<Asked>("ask: abort", peer_request(json!({"Abort": "req-000412"}))),
+        message::<Asked>("ask: submit", peer_request(json!({"Submit": spec()}))),
+        message::<Asked>("ask: report", peer_request(json!({"Report": report()}))),
+        message::<Asked>("ask: notes", peer_request(json!({"Notes": leader_hints}))),
+        message::<Asked>("ask: greet", peer_request(json!({"Greet": gossip()}))),
+        message::<Asked>(
+            "ask: graph",
+            peer_request(json!({"Graph": {"Cancel": ["graph-7", key]}})),
+        ),
         message::<Told>(
             "told",
             json!({"id": 77, "reply": {"status": 503, "body": "{}", "retry_after_s": 1}}),
--- a/tests/stored.rs
+++ b/tests/stored.rs
@@ -1,5 +1,5 @@
-//! Records and messages of the version in production: this version reads each, and writes each byte for byte as that
-//! version does. `data/production.json` was made by that version from the same samples.
+//! Compatibility with the version in production: this version reads each of its records and messages, and writes each byte
+//! for byte as it does. That version wrote `data/production.json` from the same samples.
 
 mod samples;
 
@@ -12,26 +12,30 @@
 }
 
 #[test]
-fn every_kind_has_a_sample_made_by_production() {
+fn every_sample_has_a_text_written_by_production() {
     let names: Vec<&str> = samples::all().iter().map(|sample| sample.name).collect();
-    let known = production();
-    assert!(names.iter().all(|name| known.contains_key(*name)) && known.len() == names.len());
+    let production_texts = production();
+    assert!(
+        names.iter().all(|name| production_texts.contains_key(*name))
+            && production_texts.len() == names.len()
+    );
 }
 
-/// Guards against an old process that cannot read, or reads as something else, what a new one writes before the switch.
+/// Guards against a process of the old version that cannot read, or misreads, what a new one writes before the switch to the
+/// new formats.
 #[test]
-fn what_is_written_before_the_switch_is_productions_form() {
+fn writes_before_the_switch_match_production() {
     for sample in samples::all() {
         let written = (sample.write)(&sample.text);
         assert_eq!(written.as_ref(), Ok(&production()[sample.name]), "{}", sample.name);
     }
 }
 
-/// Guards against a new process that loses something of what an old one has written.
+/// Guards against a process of the new version that loses part of what an old one has written.
 #[test]
-fn what_production_wrote_is_read_and_nothing_of_it_is_lost() {
+fn texts_of_production_survive_a_round_trip() {
     for sample in samples::all() {
         let old = &production()[sample.name];
-        assert_eq!((sample.again)(old).as_ref(), Ok(old), "{}", sample.name);
+        assert_eq!((sample.rewrite)(old).as_ref(), Ok(old), "{}", sample.name);
     }
 }
