--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,5 +1,5 @@
-//! Teams at their limits, and jobs of many ends, while machines and leaders come and go: each meeting at many phases.
-//! `OATLOOM_SEEDS=n` plays n seeds more of each.
+//! Teams at their limits, and jobs that finish or are cancelled, while machines and leaders fail in many orders and at many
+//! times. `OATLOOM_SEEDS=n` plays n more seeds of each.
 
 #[allow(dead_code)]
 mod world;
@@ -21,19 +21,19 @@
 use world::solo::Solo;
 use world::{Fault, Site, Upon, World, check, more_days, show_log, small_array};
 
-/// Troubles are over from then on, in milliseconds.
-const CALM_MS: u64 = 180_000;
-/// Seconds of work that each team brings, over its limit: with a report, a fetch and the ends, more than the troubles leave
-/// time for.
-const WORK_S: f64 = 150.0;
-/// What a task takes beside its run, about: a fetch, and the reports before and after it.
-const AROUND_S: f64 = 8.0;
+/// All faults end by this time of the simulation.
+const FAULTS_END_MS: u64 = 180_000;
+/// Work that each team submits, in seconds at its limit: with reports, fetches and final steps more than can be done before
+/// the faults end.
+const TEAM_WORK_S: f64 = 150.0;
+/// Approximate time of a task beside its run: a fetch, and the reports before and after it.
+const TASK_OVERHEAD_S: f64 = 8.0;
 
-// --- The check `neglected` itself -----------------------------------------------------------------
+// --- Tests of the check `neglected` --------------------------------------------------------------
 
-/// A world without controllers from the beginning, a machine of four GPUs in zone a, and a job of two tasks of one GPU that
-/// was accepted.
-fn planted(limit: f64, change: impl Fn(&mut JobSpec)) -> World {
+/// A world whose controllers are down from the beginning, with a machine of four GPUs in zone a and an accepted job of two
+/// tasks of one GPU each.
+fn with_waiting_job(limit: f64, change: impl Fn(&mut JobSpec)) -> World {
     let teams = [Terms { name: "blue", gpus_max: limit, ..Terms::default() }];
     let mut world = World::deployed(site(&teams), &mut ChaCha8Rng::seed_from_u64(1), 0);
     (0..3).for_each(|node| world.strike(Fault::NodeDown(node, 1_000_000)));
@@ -46,7 +46,7 @@
     world
 }
 
-/// Whether a job counts as neglected by then, and no other rule is broken.
+/// Whether a job counts as neglected by `until`; no other rule may be broken.
 fn neglected(world: &mut World, until: u64) -> bool {
     world.play_to(until);
     let broken = &world.region.checker.broken;
@@ -54,7 +54,7 @@
     !broken.is_empty()
 }
 
-/// Another job's task has so many GPUs of the machine, for good.
+/// Lets a task of another job hold this many of the machine's GPUs for ever.
 fn occupy(world: &mut World, gpus: f64) {
     let spec = JobSpec { gpus, ..small_array("req-2", 5) };
     world.region.outside.specs.insert("req-2".into(), spec);
@@ -74,16 +74,19 @@
 }
 
 #[test]
-fn a_job_that_could_run_and_waits_is_neglected() {
-    let late = NEGLECTED_MS + 3_000;
-    assert!(!neglected(&mut planted(0.0, |_| {}), NEGLECTED_MS));
-    assert!(neglected(&mut planted(0.0, |_| {}), late));
-    assert!(neglected(&mut planted(0.0, |spec| spec.shape = Shape::Gang), late));
-    assert!(neglected(&mut planted(2.0, |spec| spec.shape = Shape::Gang), late));
-    assert!(neglected(&mut planted(1.0, |_| {}), late), "one task of an array suffices");
+fn a_job_that_waits_although_it_fits_counts_as_neglected() {
+    let past_limit = NEGLECTED_MS + 3_000;
+    assert!(!neglected(&mut with_waiting_job(0.0, |_| {}), NEGLECTED_MS));
+    assert!(neglected(&mut with_waiting_job(0.0, |_| {}), past_limit));
+    assert!(neglected(&mut with_waiting_job(0.0, |spec| spec.shape = Shape::Gang), past_limit));
+    assert!(neglected(&mut with_waiting_job(2.0, |spec| spec.shape = Shape::Gang), past_limit));
     assert!(
-        !neglected(&mut planted(1.0, |spec| spec.shape = Shape::Gang), late),
-        "a gang needs all"
+        neglected(&mut with_waiting_job(1.0, |_| {}), past_limit),
+        "room for one task of an array suffices"
+    );
+    assert!(
+        !neglected(&mut with_waiting_job(1.0, |spec| spec.shape = Shape::Gang), past_limit),
+        "a gang needs room for all tasks"
     );
     for change in [
         |spec: &mut JobSpec| spec.gpus = 5.0,
@@ -93,40 +96,40 @@
         |spec: &mut JobSpec| (spec.shape, spec.spread) = (Shape::Gang, true),
         |spec: &mut JobSpec| (spec.shape, spec.tasks) = (Shape::Gang, 5),
     ] {
-        assert!(!neglected(&mut planted(0.0, change), late), "no machine fits");
+        assert!(!neglected(&mut with_waiting_job(0.0, change), past_limit), "no machine fits");
     }
-    let mut cancelled = planted(0.0, |_| {});
+    let mut cancelled = with_waiting_job(0.0, |_| {});
     cancelled.cancel("req-1", 10_000);
-    assert!(!neglected(&mut cancelled, late));
-    let mut unaccepted = planted(0.0, |_| {});
+    assert!(!neglected(&mut cancelled, past_limit));
+    let mut unaccepted = with_waiting_job(0.0, |_| {});
     unaccepted.add_job(small_array("req-3", 5));
-    assert!(neglected(&mut unaccepted, late));
+    assert!(neglected(&mut unaccepted, past_limit));
     let broken = &unaccepted.region.checker.broken;
     assert!(broken.iter().all(|text| text.contains("req-1")), "{broken:?}");
-    let mut broken = planted(0.0, |_| {});
+    let mut broken = with_waiting_job(0.0, |_| {});
     broken.region.outside.broken.insert("req-1".into(), Broken::Always);
-    assert!(!neglected(&mut broken, late), "it waits since it fails");
-    // Room, and limits, by the truth of the workers.
-    let mut full = planted(0.0, |_| {});
+    assert!(!neglected(&mut broken, past_limit), "it waits because it fails");
+    // Free room and limits are judged by what the workers actually run.
+    let mut full = with_waiting_job(0.0, |_| {});
     occupy(&mut full, 3.5);
-    assert!(!neglected(&mut full, late));
-    let mut roomy = planted(0.0, |_| {});
+    assert!(!neglected(&mut full, past_limit));
+    let mut roomy = with_waiting_job(0.0, |_| {});
     occupy(&mut roomy, 3.0);
-    assert!(neglected(&mut roomy, late));
-    let mut at_limit = planted(3.0, |_| {});
+    assert!(neglected(&mut roomy, past_limit));
+    let mut at_limit = with_waiting_job(3.0, |_| {});
     occupy(&mut at_limit, 2.5);
-    assert!(!neglected(&mut at_limit, late));
+    assert!(!neglected(&mut at_limit, past_limit));
 }
 
-/// The time counts only without a break.
+/// Only an uninterrupted wait counts: it starts anew after the machine hung, was cut off or was a spot machine.
 #[test]
-fn a_break_begins_the_count_anew() {
+fn an_interruption_restarts_the_neglect_period() {
     for trouble in [
         |worker: &mut Worker| worker.hung_until = 62_000,
         |worker: &mut Worker| worker.cut_until = 62_000,
         |worker: &mut Worker| worker.place.spot = true,
     ] {
-        let mut world = planted(0.0, |_| {});
+        let mut world = with_waiting_job(0.0, |_| {});
         assert!(!neglected(&mut world, 60_000));
         trouble(world.region.machine("i-1").expect("the machine"));
         assert!(!neglected(&mut world, 62_500));
@@ -141,7 +144,7 @@
     assert_eq!(neglect.longest, NEGLECTED_MS + 1);
 }
 
-/// Where further tasks of a job could be placed, beside its others.
+/// The number of further tasks of a job that could be placed, given where its others are.
 #[test]
 fn placeable_tasks_are_counted_with_zones() {
     let room = |gpus: f64| oatloom_core::workers::Room { cpus: 64.0, gpus, memory_gb: 64.0 };
@@ -169,26 +172,31 @@
     assert_eq!(count(9, &[], &|spec| spec.gpus = 2.0), 1);
 }
 
-// --- Days on which limits bind ---------------------------------------------------------------------
+// --- Days with teams at their limits -------------------------------------------------------------
 
-/// How limits bind.
+/// The kind of limits that the teams have.
 #[derive(Clone, Copy, Debug)]
-enum Binding {
-    /// Two tasks at once.
+enum LimitKind {
+    /// Room for two tasks at once.
     Tiny,
     OneTask,
-    /// A gang of three has it alone.
+    /// A gang of three uses the whole limit.
     GangAlone,
-    /// By cores and by GPUs in turn.
+    /// Cores and GPUs limit in turn.
     Turns,
-    /// No limits: one team uses what the other has not asked for yet, and has to give it back.
+    /// No limits: one team borrows what the other has not requested yet, and has to give it back.
     Borrowed,
 }
 
-const BINDINGS: [Binding; 5] =
-    [Binding::Tiny, Binding::OneTask, Binding::GangAlone, Binding::Turns, Binding::Borrowed];
+const LIMIT_KINDS: [LimitKind; 5] = [
+    LimitKind::Tiny,
+    LimitKind::OneTask,
+    LimitKind::GangAlone,
+    LimitKind::Turns,
+    LimitKind::Borrowed,
+];
 
-impl Binding {
+impl LimitKind {
     fn teams(self) -> [Terms; 2] {
         let (red, blue) = match self {
             Self::Tiny => ((0.0, 0.0, 1.0, 2.0), (0.0, 0.0, 0.0, 2.0)),
@@ -211,7 +219,7 @@
         Site { capacity: if scarce { 1 } else { 5 }, ..site(&self.teams()) }
     }
 
-    /// Cores and GPUs of a task, drawn.
+    /// Random cores and GPUs of a task.
     fn size(self, rng: &mut ChaCha8Rng) -> (f64, f64) {
         match self {
             Self::Turns if rng.random_bool(0.5) => (3.0, 0.5),
@@ -221,16 +229,17 @@
     }
 }
 
-/// How many tasks of this size a team may have at once; a team without limits as many as these sites have room for.
-fn at_once(team: &Terms, cpus: f64, gpus: f64) -> u32 {
-    let most = |most: f64, each: f64| if most > 0.0 { (most / each + 1e-6) as u32 } else { 8 };
-    most(team.cpus_max, cpus).min(most(team.gpus_max, gpus))
+/// How many tasks of this size a team may run at once: without limits, as many as these sites have room for.
+fn max_concurrent_tasks(team: &Terms, cpus: f64, gpus: f64) -> u32 {
+    let fitting =
+        |limit: f64, each: f64| if limit > 0.0 { (limit / each + 1e-6) as u32 } else { 8 };
+    fitting(team.cpus_max, cpus).min(fitting(team.gpus_max, gpus))
 }
 
-/// One job of a team that its limit allows, drawn.
-fn job(number: u32, binding: Binding, team: &Terms, rng: &mut ChaCha8Rng) -> JobSpec {
-    let (cpus, gpus) = binding.size(rng);
-    let most = at_once(team, cpus, gpus);
+/// A random job that its team's limit allows.
+fn random_job(number: u32, limit_kind: LimitKind, team: &Terms, rng: &mut ChaCha8Rng) -> JobSpec {
+    let (cpus, gpus) = limit_kind.size(rng);
+    let max_tasks = max_concurrent_tasks(team, cpus, gpus);
     let shape = match rng.random_range(0..10) {
         0..6 => Shape::Array,
         6..9 => Shape::Gang,
@@ -238,7 +247,7 @@
     };
     let tasks = match shape {
         Shape::Array => rng.random_range(1..6),
-        Shape::Gang => rng.random_range(1..=most.min(3)),
+        Shape::Gang => rng.random_range(1..=max_tasks.min(3)),
         Shape::Service => 1,
     };
     let saves = rng.random_bool(0.4);
@@ -263,21 +272,22 @@
     }
 }
 
-/// Two teams with more work than their limits let them do before the calm, from the first seconds on.
-fn bound_day(binding: Binding, rng: &mut ChaCha8Rng) -> World {
-    let mut world = World::deployed(binding.site(), rng, CALM_MS);
+/// A day on which two teams have more work than their limits let them do before the faults end, from the first seconds on.
+fn day_at_limits(limit_kind: LimitKind, rng: &mut ChaCha8Rng) -> World {
+    let mut world = World::deployed(limit_kind.site(), rng, FAULTS_END_MS);
     world.region.outside.keeps_results = true;
     let mut number = 0;
-    for team in &binding.teams() {
+    for team in &limit_kind.teams() {
         let mut work_s = 0.0;
-        while work_s < WORK_S {
+        while work_s < TEAM_WORK_S {
             number += 1;
-            let spec = job(number, binding, team, rng);
+            let spec = random_job(number, limit_kind, team, rng);
             let takes_s = if spec.shape == Shape::Service { 30.0 } else { spec.estimate_s };
-            let most = f64::from(at_once(team, spec.cpus, spec.gpus));
-            work_s += f64::from(spec.tasks) * (takes_s + AROUND_S) / most;
-            // Half of it at once, so that the limit binds from the beginning.
-            let at = if work_s < WORK_S / 2.0 { 1_000 } else { rng.random_range(1_000..110_000) };
+            let max_tasks = f64::from(max_concurrent_tasks(team, spec.cpus, spec.gpus));
+            work_s += f64::from(spec.tasks) * (takes_s + TASK_OVERHEAD_S) / max_tasks;
+            // Half of the work comes at once, so that the team is at its limit from the beginning.
+            let at =
+                if work_s < TEAM_WORK_S / 2.0 { 1_000 } else { rng.random_range(1_000..110_000) };
             let service = spec.shape == Shape::Service;
             world.add_job_at(spec, at);
             if service {
@@ -288,8 +298,8 @@
     world
 }
 
-/// How a leader comes to its end, drawn.
-fn leader_ends(rng: &mut ChaCha8Rng) -> Fault {
+/// A random failure of the leader.
+fn leader_failure(rng: &mut ChaCha8Rng) -> Fault {
     let span = rng.random_range(5_000..40_000);
     Fault::Leader(match rng.random_range(0..6) {
         0 | 1 => Upon::Crash,
@@ -300,22 +310,26 @@
     })
 }
 
-/// What happens, in order of time, from one moment on.
+/// An event of a fault scenario.
 enum Step {
-    /// The machines are cut off, or hang, for so long.
+    /// The machines are cut off, or hang, for this many milliseconds.
     Cut(u64),
     Hang(u64),
-    /// The jobs' users cancel them.
+    /// The jobs' users cancel the jobs.
     Cancel,
     Strike(Fault),
 }
 
-/// Some jobs that have tasks on machines now, of each team, and what befalls them: machines that have their tasks are the
-/// ones to be cut off. Returns those that had a task on a machine when they were cancelled.
-fn befall(world: &mut World, rng: &mut ChaCha8Rng, mut steps: Vec<(u64, Step)>) -> Vec<String> {
+/// Plays the steps, at their times after now, on some jobs of each team that have tasks on machines and on the machines of
+/// these tasks. Returns the jobs that had a task on a machine when they were cancelled.
+fn apply_steps(
+    world: &mut World,
+    rng: &mut ChaCha8Rng,
+    mut steps: Vec<(u64, Step)>,
+) -> Vec<String> {
     let from = world.now;
     let mut jobs: Vec<JobSpec> = world.on_machines();
-    // Those that have long to go, so that a cancellation finds them running.
+    // Long jobs first, so that they still run when they are cancelled.
     jobs.sort_by(|a, b| b.estimate_s.total_cmp(&a.estimate_s));
     let mut chosen: Vec<String> = Vec::new();
     for team in ["red", "blue"] {
@@ -324,7 +338,7 @@
     }
     let hosts: BTreeSet<String> = chosen.iter().flat_map(|job| world.machines_of(job)).collect();
     steps.sort_by_key(|(after, _)| *after);
-    let mut had = Vec::new();
+    let mut ran = Vec::new();
     for (after, step) in steps {
         world.play_to(from + after);
         let now = world.now;
@@ -341,7 +355,7 @@
             Step::Cancel => {
                 for job in &chosen {
                     if world.region.checker.on_machines().any(|task| task.job == *job) {
-                        had.push(job.clone());
+                        ran.push(job.clone());
                     }
                     world.cancel(job, now);
                 }
@@ -349,148 +363,161 @@
             Step::Strike(fault) => world.strike(fault),
         }
     }
-    had
+    ran
 }
 
-/// Plays a day to its end: rules, nothing neglected, nothing left undone. Returns how many of these jobs their users were
-/// told are cancelled.
-fn finish(mut world: World, what: &str, cancelled: &[String]) -> usize {
+/// Plays a day to its end: the rules hold, no job is neglected and none is left unfinished. Returns how many of these jobs
+/// were reported as cancelled to their users.
+fn finish(mut world: World, context: &str, cancelled: &[String]) -> usize {
     world.play();
-    check(&world, what);
+    check(&world, context);
     let unfinished = world.unfinished();
-    assert!(unfinished.is_empty(), "{what} leaves undone: {unfinished:#?}");
+    assert!(unfinished.is_empty(), "{context} leaves jobs unfinished: {unfinished:#?}");
     cancelled.iter().filter(|job| world.told_cancelled(job)).count()
 }
 
-/// The one seed that `OATLOOM_SEED` names, if any.
-fn one_day() -> Option<u64> {
+/// The seed given in `OATLOOM_SEED`, if any.
+fn requested_seed() -> Option<u64> {
     std::env::var("OATLOOM_SEED").ok().and_then(|seed| seed.parse().ok())
 }
 
-/// Seeds of the fixed days and of those that are asked for beyond, or of the one that is.
-fn days_of(fixed: u64) -> std::ops::Range<u64> {
-    one_day().map_or(0..fixed + more_days(), |seed| seed..seed + 1)
+/// The fixed seeds and the additional ones of `OATLOOM_SEEDS`, or the one given in `OATLOOM_SEED`.
+fn seeds(fixed: u64) -> std::ops::Range<u64> {
+    requested_seed().map_or(0..fixed + more_days(), |seed| seed..seed + 1)
 }
 
-/// Days of each binding, with a meeting every 40 s.
-fn days(name: &str, seeds: u64, meet: impl Fn(&mut ChaCha8Rng) -> Vec<(u64, Step)>) {
+/// Plays days of each kind of limits, with the steps of one scenario about every 40 s.
+fn play_days(name: &str, fixed: u64, scenario: impl Fn(&mut ChaCha8Rng) -> Vec<(u64, Step)>) {
     show_log();
-    let (mut had, mut told) = (0, 0);
-    for seed in days_of(seeds) {
-        let binding = BINDINGS[seed as usize % BINDINGS.len()];
+    let (mut ran, mut confirmed) = (0, 0);
+    for seed in seeds(fixed) {
+        let limit_kind = LIMIT_KINDS[seed as usize % LIMIT_KINDS.len()];
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut world = bound_day(binding, &mut rng);
+        let mut world = day_at_limits(limit_kind, &mut rng);
         world.restart_ms = [50, 300, 1_000, 5_000][rng.random_range(0..4)];
         let mut cancelled = Vec::new();
         for n in 0..3 {
             world.play_to(20_000 + n * 40_000 + rng.random_range(0..6_000));
-            let steps = meet(&mut rng);
-            cancelled.extend(befall(&mut world, &mut rng, steps));
+            let steps = scenario(&mut rng);
+            cancelled.extend(apply_steps(&mut world, &mut rng, steps));
         }
-        had += cancelled.len();
-        told += finish(world, &format!("{name}, seed {seed}, {binding:?}"), &cancelled);
+        ran += cancelled.len();
+        confirmed += finish(world, &format!("{name}, seed {seed}, {limit_kind:?}"), &cancelled);
     }
-    println!("{name}: {had} jobs had run when they were cancelled, {told} were told cancelled");
-    assert!(one_day().is_some() || had as u64 >= seeds * 2 && told * 2 >= had, "{told} of {had}");
+    println!(
+        "{name}: {ran} jobs were running when they were cancelled, {confirmed} were reported as cancelled"
+    );
+    assert!(
+        requested_seed().is_some() || ran as u64 >= fixed * 2 && confirmed * 2 >= ran,
+        "{confirmed} of {ran}"
+    );
 }
 
-fn cut_or_hang(rng: &mut ChaCha8Rng, least: u64, most: u64) -> Step {
-    let span = rng.random_range(least..most);
+fn cut_or_hang(rng: &mut ChaCha8Rng, min_ms: u64, max_ms: u64) -> Step {
+    let span = rng.random_range(min_ms..max_ms);
     if rng.random_bool(0.5) { Step::Cut(span) } else { Step::Hang(span) }
 }
 
-/// Every team is at its limit, jobs are cancelled whose machines are cut off or hang, and the leader changes, in any order
-/// within seconds.
+/// Within seconds and in any order, teams are at their limits, jobs are cancelled whose machines are cut off or hang, and the
+/// leader fails. Guards against a limit that is exceeded because tasks on unreachable machines no longer count.
 #[test]
-fn limits_hold_while_cancelled_jobs_cannot_be_reached_and_leaders_change() {
-    days("any order", 15, |rng| {
+fn limits_hold_while_cancelled_jobs_are_unreachable_and_leaders_change() {
+    play_days("any order", 15, |rng| {
         vec![
             (rng.random_range(0..5_000), cut_or_hang(rng, 2_000, 60_000)),
             (rng.random_range(0..8_000), Step::Cancel),
-            (rng.random_range(0..8_000), Step::Strike(leader_ends(rng))),
+            (rng.random_range(0..8_000), Step::Strike(leader_failure(rng))),
         ]
     });
 }
 
-/// A new leader has just begun and cannot ask some machines, whose jobs are cancelled while their tasks still count.
+/// Jobs are cancelled when a new leader cannot reach their machines. Guards against a new leader that no longer counts the
+/// tasks on them.
 #[test]
-fn a_new_leader_counts_what_it_cannot_ask() {
-    days("a spell", 15, |rng| {
+fn a_new_leader_counts_tasks_on_unreachable_machines() {
+    play_days("new leader, unreachable machines", 15, |rng| {
         let lead = rng.random_range(500..3_000);
         vec![
             (0, cut_or_hang(rng, 25_000, 60_000)),
-            (lead, Step::Strike(leader_ends(rng))),
+            (lead, Step::Strike(leader_failure(rng))),
             (lead + rng.random_range(0..26_000), Step::Cancel),
         ]
     });
 }
 
-/// Jobs are cancelled and over, their tasks still on machines that cannot be asked, when the leader changes, and changes
-/// again before their leases are over.
+/// The leader fails when cancelled jobs are in their final state while their tasks are still on unreachable machines, and its
+/// successor fails before the machines' leases expire. Guards against a new leader that no longer counts these tasks.
 #[test]
-fn a_new_leader_counts_what_is_over_and_still_there() {
-    days("over and there", 15, |rng| {
+fn a_new_leader_counts_tasks_of_cancelled_jobs_still_on_machines() {
+    play_days("final but still on machines", 15, |rng| {
         let lead = rng.random_range(1_500..9_000);
         vec![
             (0, cut_or_hang(rng, 25_000, 60_000)),
             (200, Step::Cancel),
-            (lead, Step::Strike(leader_ends(rng))),
+            (lead, Step::Strike(leader_failure(rng))),
             (lead + rng.random_range(5_000..14_000), Step::Strike(Fault::Leader(Upon::Crash))),
         ]
     });
 }
 
-/// All controllers are away for longer than a lease and come back at different moments, while machines are cut off; jobs are
-/// cancelled before and after, and what ended meanwhile is known to nobody.
+/// All controllers are down for longer than a lease and come back at different times, while machines are cut off. Jobs are
+/// cancelled before and after, and no controller knows which tasks ended meanwhile.
 #[test]
-fn all_controllers_are_away_for_longer_than_a_lease() {
+fn limits_hold_after_all_controllers_are_down_for_longer_than_a_lease() {
     show_log();
-    let (mut had, mut told, mut left) = (0, 0, 0);
-    for seed in days_of(10) {
-        let binding = BINDINGS[seed as usize % BINDINGS.len()];
+    let (mut ran, mut confirmed, mut left) = (0, 0, 0);
+    for seed in seeds(10) {
+        let limit_kind = LIMIT_KINDS[seed as usize % LIMIT_KINDS.len()];
         let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0xa3a1);
-        let mut world = bound_day(binding, &mut rng);
+        let mut world = day_at_limits(limit_kind, &mut rng);
         let mut cancelled = Vec::new();
         for n in 0..2 {
             world.play_to(18_000 + n * 70_000 + rng.random_range(0..8_000));
-            let gone = rng.random_range(200..3_000);
+            let down_after = rng.random_range(200..3_000);
             let mut steps = vec![
                 (rng.random_range(0..2_500), Step::Cancel),
                 (rng.random_range(0..20_000), cut_or_hang(&mut rng, 5_000, 50_000)),
             ];
             let mut back = u64::MAX;
             for node in 0..3 {
-                let (at, away) =
-                    (gone + rng.random_range(0..300), rng.random_range(27_000..50_000));
-                back = back.min(world.now + at + away);
-                steps.push((at, Step::Strike(Fault::NodeDown(node, away))));
+                let (at, down_ms) =
+                    (down_after + rng.random_range(0..300), rng.random_range(27_000..50_000));
+                back = back.min(world.now + at + down_ms);
+                steps.push((at, Step::Strike(Fault::NodeDown(node, down_ms))));
             }
-            cancelled.extend(befall(&mut world, &mut rng, steps));
+            cancelled.extend(apply_steps(&mut world, &mut rng, steps));
             world.play_to(back);
             left += world.region.checker.on_machines().count();
-            // Some while nobody is there or just after, to whoever is back first.
+            // Some are cancelled while all controllers are down or just after, at whichever is back first.
             for job in world.open_jobs().choose_multiple(&mut rng, 3) {
                 let at = world.now + rng.random_range(0..15_000);
                 world.cancel(job.id.as_str(), at);
             }
         }
-        had += cancelled.len();
-        told += finish(world, &format!("away, seed {seed}, {binding:?}"), &cancelled);
+        ran += cancelled.len();
+        confirmed += finish(
+            world,
+            &format!("all controllers down, seed {seed}, {limit_kind:?}"),
+            &cancelled,
+        );
     }
-    println!("away: {told} of {had} told cancelled");
-    assert!(one_day().is_some() || had >= 20 && told * 2 >= had, "{told} of {had}");
-    assert_eq!(left, 0, "leases ran out");
+    println!("all controllers down: {confirmed} of {ran} reported as cancelled");
+    assert!(
+        requested_seed().is_some() || ran >= 20 && confirmed * 2 >= ran,
+        "{confirmed} of {ran}"
+    );
+    assert_eq!(left, 0, "all leases have expired");
 }
 
-/// Leaders change ten times in two minutes, back after 50 ms to 5 s; in every second day the state service is out for a while
-/// in their midst. Jobs are cancelled all the while.
+/// The leader fails ten times in two minutes and restarts after 50 ms to 5 s each time; in every second day the state service
+/// is out for a while in between. Jobs are cancelled throughout.
 #[test]
-fn leaders_change_ten_times_in_two_minutes() {
+fn limits_hold_through_ten_leader_changes_in_two_minutes() {
     show_log();
-    for seed in days_of(10) {
-        let binding = BINDINGS[seed as usize % BINDINGS.len()];
+    for seed in seeds(10) {
+        let limit_kind = LIMIT_KINDS[seed as usize % LIMIT_KINDS.len()];
         let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x10);
-        let mut world = bound_day(binding, &mut rng);
+        let mut world = day_at_limits(limit_kind, &mut rng);
         let mut cancelled = Vec::new();
         world.play_to(15_000);
         let outage = (seed % 2 == 1).then(|| rng.random_range(2..8));
@@ -501,62 +528,69 @@
                 world.strike(Fault::StoreOutage(rng.random_range(5_000..30_000)));
             }
             let all = rng.random_bool(0.2);
-            let end = if all { Fault::CrashAll } else { Fault::Leader(Upon::Crash) };
-            let mut steps = vec![(rng.random_range(0..2_000), Step::Strike(end))];
+            let failure = if all { Fault::CrashAll } else { Fault::Leader(Upon::Crash) };
+            let mut steps = vec![(rng.random_range(0..2_000), Step::Strike(failure))];
             if n % 3 == 0 {
                 steps.push((rng.random_range(0..3_000), Step::Cancel));
                 steps.push((rng.random_range(0..3_000), cut_or_hang(&mut rng, 2_000, 40_000)));
             }
-            cancelled.extend(befall(&mut world, &mut rng, steps));
+            cancelled.extend(apply_steps(&mut world, &mut rng, steps));
             world.play_to(at + 12_000);
         }
         let terms = world.terms();
         assert!(terms >= if outage.is_some() { 6 } else { 10 }, "seed {seed}: {terms} terms");
         assert!(!cancelled.is_empty());
-        finish(world, &format!("ten leaders, seed {seed}, {binding:?}, {terms} terms"), &cancelled);
+        finish(
+            world,
+            &format!("ten leader changes, seed {seed}, {limit_kind:?}, {terms} terms"),
+            &cancelled,
+        );
     }
 }
 
-/// Jobs of one zone, arrays too, lose machines of that zone, also when it is full.
+/// Jobs that are bound to one zone, arrays too, lose machines of that zone, also when it is full. Guards against a lost task
+/// that keeps its job's other tasks from being placed.
 #[test]
-fn jobs_of_one_zone_lose_their_machines() {
+fn jobs_of_one_zone_finish_after_losing_their_machines() {
     show_log();
     let (mut lost, mut full) = (0, 0);
-    for seed in days_of(16) {
+    for seed in seeds(16) {
         let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x2015);
         let team = Terms { name: "blue", ..Terms::default() };
         let capacity = if seed % 2 == 0 { 2 } else { 4 };
-        let mut world = World::deployed(Site { capacity, ..site(&[team]) }, &mut rng, CALM_MS);
+        let mut world =
+            World::deployed(Site { capacity, ..site(&[team]) }, &mut rng, FAULTS_END_MS);
         world.region.outside.keeps_results = true;
         let mut work_s = 0.0;
         for number in 0.. {
-            let mut spec = job(number, Binding::Tiny, &team, &mut rng);
+            let mut spec = random_job(number, LimitKind::Tiny, &team, &mut rng);
             spec.zone = rng.random_bool(0.7).then(|| Zone::new("a"));
             spec.tasks =
                 if spec.shape == Shape::Array { rng.random_range(1..9) } else { spec.tasks };
-            // Others may go anywhere, but together, or apart: what was lost must not count for good.
+            // The others may run in any zone, but together or spread: lost tasks must not restrict their placement for ever.
             spec.one_zone = spec.zone.is_none() && rng.random_bool(0.5);
             spec.spread = spec.zone.is_none() && !spec.one_zone;
-            work_s += f64::from(spec.tasks) * (spec.estimate_s + AROUND_S);
+            work_s += f64::from(spec.tasks) * (spec.estimate_s + TASK_OVERHEAD_S);
             if work_s > 500.0 * f64::from(capacity) {
                 break;
             }
             let service = spec.shape == Shape::Service;
             world.add_job_at(spec, rng.random_range(1_000..120_000));
             if service {
-                world.cancel_last(CALM_MS - 10_000);
+                world.cancel_last(FAULTS_END_MS - 10_000);
             }
         }
         for n in 0..3 {
             world.play_to(25_000 + n * 40_000 + rng.random_range(0..6_000));
             let now = world.now;
-            let bound = |spec: &JobSpec| spec.zone.is_some();
-            let jobs: Vec<JobSpec> = world.on_machines().into_iter().filter(bound).collect();
+            let bound_to_zone = |spec: &JobSpec| spec.zone.is_some();
+            let jobs: Vec<JobSpec> =
+                world.on_machines().into_iter().filter(bound_to_zone).collect();
             lost += jobs.len();
-            let there: BTreeSet<String> =
+            let hosts: BTreeSet<String> =
                 jobs.iter().flat_map(|spec| world.machines_of(spec.id.as_str())).collect();
             let span = rng.random_range(5_000..60_000);
-            for host in &there {
+            for host in &hosts {
                 match rng.random_range(0..5) {
                     0 | 1 => world.region.take(host),
                     2 => world.region.machine(host).expect("there").cut_until = now + span,
@@ -575,22 +609,24 @@
                 full += 1;
             }
             if rng.random_bool(0.5) {
-                world.strike(leader_ends(&mut rng));
+                world.strike(leader_failure(&mut rng));
             }
         }
         finish(world, &format!("one zone, seed {seed}, capacity {capacity}"), &[]);
     }
-    println!("one zone: {lost} jobs lost machines there, {full} times while the zone had half");
-    assert!(one_day().is_some() || lost > 50 && full > 10, "{lost}, {full}");
+    println!(
+        "one zone: {lost} jobs lost machines of their zone; the zone had half its capacity {full} times"
+    );
+    assert!(requested_seed().is_some() || lost > 50 && full > 10, "{lost}, {full}");
 }
 
-/// Jobs of two or three tasks that end far apart, some before and some after a change of leader: all are told done, and
-/// no task was started again, since no machine was lost.
+/// Jobs of two or three tasks whose tasks finish at very different times, some before and some after the leader fails. All
+/// must finish without a task started again, as no machine is lost. Guards against a new leader that forgets finished tasks.
 #[test]
-fn small_jobs_end_far_apart_across_a_change_of_leader() {
+fn tasks_that_finish_across_a_leader_change_are_not_started_again() {
     show_log();
-    let mut across = 0;
-    for seed in days_of(12) {
+    let mut partly_done_jobs = 0;
+    for seed in seeds(12) {
         let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x7);
         let team = Terms { name: "blue", ..Terms::default() };
         let mut world = World::deployed(site(&[team]), &mut rng, 110_000);
@@ -599,55 +635,58 @@
         for n in 0..24 {
             let mut spec = small_array(&format!("req-{n}"), rng.random_range(2..5));
             spec.tasks = rng.random_range(2..4);
-            // One to a machine, so that machines' paces differ within a job.
+            // One task per machine, so that a job's tasks run at different speeds.
             spec.gpus = 2.0;
             tasks += spec.tasks as usize;
             world.add_job_at(spec, rng.random_range(1_000..60_000));
         }
         world.restart_ms = [50, 300, 1_000, 5_000][rng.random_range(0..4)];
-        let mut ends = BTreeSet::new();
+        let mut failure_times = BTreeSet::new();
         for n in 0..4 {
-            ends.insert(15_000 + n * 20_000 + rng.random_range(0..10_000));
+            failure_times.insert(15_000 + n * 20_000 + rng.random_range(0..10_000));
         }
-        let mut strikes = ends.into_iter().peekable();
+        let mut failures = failure_times.into_iter().peekable();
         while world.before(100_000) {
             world.play_to(world.now + 500);
             for (n, worker) in world.region.workers.values_mut().enumerate() {
                 worker.slowness = if n % 2 == 0 { 1.0 } else { 5.0 };
             }
-            if strikes.peek().is_some_and(|at| world.now >= *at) {
-                strikes.next();
-                let part = |spec: &JobSpec| {
+            if failures.peek().is_some_and(|at| world.now >= *at) {
+                failures.next();
+                let partly_done = |spec: &JobSpec| {
                     let done = world.region.checker.done_count(spec.id.as_str());
                     done > 0 && done < spec.tasks
                 };
-                across += world.open_jobs().iter().filter(|spec| part(spec)).count();
+                partly_done_jobs +=
+                    world.open_jobs().iter().filter(|spec| partly_done(spec)).count();
                 world.strike(Fault::Leader(Upon::Crash));
             }
         }
-        let what = format!("far apart, seed {seed}");
+        let context = format!("tasks finish far apart, seed {seed}");
         world.play();
-        check(&world, &what);
+        check(&world, &context);
         let unfinished = world.unfinished();
-        assert!(unfinished.is_empty(), "{what} leaves undone: {unfinished:#?}");
-        assert_eq!(world.told(JobStatus::Done), 24, "{what}");
-        assert_eq!(world.region.checker.starts, tasks, "{what}: a task was started again");
+        assert!(unfinished.is_empty(), "{context} leaves jobs unfinished: {unfinished:#?}");
+        assert_eq!(world.told(JobStatus::Done), 24, "{context}");
+        assert_eq!(world.region.checker.starts, tasks, "{context}: a task was started again");
     }
-    println!("far apart: {across} jobs were done in part when a leader ended");
-    assert!(one_day().is_some() || across > 30, "{across}");
+    println!(
+        "tasks finish far apart: {partly_done_jobs} jobs were partly done when a leader failed"
+    );
+    assert!(requested_seed().is_some() || partly_done_jobs > 30, "{partly_done_jobs}");
 }
 
-/// A zone is cut off again and again, and what the cuts hold back comes while they last: reports that look like its return.
-/// Once it is back for good, work that may run nowhere else begins soon: a machine is hired there once in 75 s to ask, boots,
-/// and hires wait for 24 s on the way back. Guards against a zone that nobody asks, for minutes: since a machine which was
-/// known by records alone was waited for, or since all that was heard on the zone's way back was gone.
+/// A zone is cut off three times, and delayed reports arrive during the cuts as if it were back. Once it is back for good,
+/// work that may run nowhere else begins soon: every 75 s a machine is hired there as a probe, it boots, and hires wait for
+/// 24 s while the zone recovers. Guards against a zone that is not probed for minutes, because the leader waited for a machine
+/// known from records only, or because everything that had reported from the recovering zone was gone.
 #[test]
 fn work_of_one_zone_begins_soon_after_the_zone_is_back() {
     show_log();
     const BACK_MS: u64 = 165_000;
-    const SOON_S: u64 = 110;
+    const MAX_WAIT_S: u64 = 110;
     let mut waits = Vec::new();
-    for seed in days_of(10) {
+    for seed in seeds(10) {
         let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x20e);
         let team = Terms { name: "blue", ..Terms::default() };
         let mut world = World::deployed(site(&[team]), &mut rng, BACK_MS);
@@ -662,15 +701,15 @@
             world.play_to(from);
             (0..3).for_each(|node| world.strike(Fault::Apart(node, 0, span)));
             if rng.random_bool(0.5) {
-                world.strike(leader_ends(&mut rng));
+                world.strike(leader_failure(&mut rng));
             }
         }
         world.play_to(BACK_MS);
         let open = world.open_jobs().len();
         while !world.open_jobs().is_empty() && world.now < BACK_MS + 190_000 {
             world.play_to(world.now + 1_000);
-            let there = world.region.checker.on_machines().count();
-            let begun = there > 0
+            let running = world.region.checker.on_machines().count();
+            let begun = running > 0
                 && world.open_jobs().iter().all(|spec| {
                     let id = spec.id.as_str();
                     !world.machines_of(id).is_empty() || world.region.checker.done_count(id) > 0
@@ -679,18 +718,26 @@
                 break;
             }
         }
-        check(&world, &format!("one zone is back, seed {seed}"));
+        check(&world, &format!("zone reconnected, seed {seed}"));
         waits.push((world.now - BACK_MS) / 1_000);
-        assert!(one_day().is_some() || open > 0, "seed {seed}: work of the zone waits for it");
+        assert!(
+            requested_seed().is_some() || open > 0,
+            "seed {seed}: work of the zone waits for it"
+        );
     }
-    println!("seconds until all work of a zone that is back has begun: {waits:?}");
-    assert!(waits.iter().all(|wait| *wait <= SOON_S), "{waits:?}");
+    println!("seconds until all work of a reconnected zone has begun: {waits:?}");
+    assert!(waits.iter().all(|wait| *wait <= MAX_WAIT_S), "{waits:?}");
 }
 
-// --- A result that was kept ------------------------------------------------------------------------
+// --- A result that was stored --------------------------------------------------------------------
 
-/// What a machine reports to the only controller, and what it is told.
-fn told(solo: &mut Solo, host: &str, tally: u64, tasks: &[(&str, TaskPhase)]) -> Vec<Order> {
+/// Sends a machine's report to the only controller and returns the orders of the answer.
+fn report_from(
+    solo: &mut Solo,
+    host: &str,
+    report_seq: u64,
+    tasks: &[(&str, TaskPhase)],
+) -> Vec<Order> {
     let token = solo.core.valid(solo.clock().mono).expect("it leads");
     let row = |(task, status): &(&str, TaskPhase)| TaskReport {
         task: (*task).into(),
@@ -707,7 +754,7 @@
         zone: Zone::new("a"),
         spot: false,
         shift: Shift(1),
-        tally: Tally(tally),
+        tally: Tally(report_seq),
         token,
         notice_s: None,
         tasks: tasks.iter().map(row).collect(),
@@ -719,26 +766,26 @@
     answer.orders
 }
 
-/// A gang of which nobody knows that it has completed is started again, and the task that has its image first ends at once
-/// with the result that was kept, while the others are still fetching. They count in their team's limit, and the job is not
-/// done, until their own machines say that they are gone.
+/// A gang whose completion no controller knows of is started again; the first task to have its image exits at once with the
+/// stored result while the others are still fetching. These count in their team's limit, and the job is not done, until their
+/// own machines report that they have exited.
 #[test]
-fn a_gangs_kept_result_frees_only_what_has_ended() {
+fn a_gangs_stored_result_frees_only_tasks_that_have_exited() {
     show_log();
-    for gone in [false, true] {
+    for exited in [false, true] {
         let mut solo = Solo::new();
-        let big = |id: &str, tasks| JobSpec {
+        let four_gpu_job = |id: &str, tasks| JobSpec {
             team: "red".into(),
             tasks,
             gpus: 4.0,
             ..small_array(id, 9)
         };
-        let live = |spec: JobSpec| {
+        let put_live_record = |spec: JobSpec| {
             let key = format!("live/{}", spec.id);
             Change::put(key, json!(LiveRecord { spec, wall_ms: 1_000_000, part: None }))
         };
-        // Twelve of the team's fourteen GPUs.
-        let gang = JobSpec { shape: Shape::Gang, ..big("req-1", 3) };
+        // It uses twelve of the team's fourteen GPUs.
+        let gang = JobSpec { shape: Shape::Gang, ..four_gpu_job("req-1", 3) };
         let held = |index: u32| {
             let host = HostId::new(&format!("i-{}", index + 1));
             (index, Attempt(5), host, Shift(1), Zone::new("a"))
@@ -751,28 +798,29 @@
             usage: Default::default(),
         };
         solo.write(vec![
-            live(gang),
-            // What the first task's end leaves of the limit does not suffice for it.
-            live(JobSpec { shape: Shape::Gang, ..big("req-2", 2) }),
+            put_live_record(gang),
+            // It does not fit what the first task frees of the limit.
+            put_live_record(JobSpec { shape: Shape::Gang, ..four_gpu_job("req-2", 2) }),
             Change::put("asg/req-1/0000".into(), json!(record)),
         ]);
         solo.pass(500);
-        let fetches = |task| [(task, TaskPhase::Fetching)];
-        told(&mut solo, "i-1", 1, &fetches("req-1/0"));
-        told(&mut solo, "i-2", 1, &fetches("req-1/1"));
-        told(&mut solo, "i-3", 1, &fetches("req-1/2"));
-        told(&mut solo, "i-4", 1, &[]);
-        told(&mut solo, "i-1", 2, &[("req-1/0", TaskPhase::Exited)]);
-        let ended = |task| [(task, if gone { TaskPhase::Exited } else { TaskPhase::Fetching })];
+        let fetching = |task| [(task, TaskPhase::Fetching)];
+        report_from(&mut solo, "i-1", 1, &fetching("req-1/0"));
+        report_from(&mut solo, "i-2", 1, &fetching("req-1/1"));
+        report_from(&mut solo, "i-3", 1, &fetching("req-1/2"));
+        report_from(&mut solo, "i-4", 1, &[]);
+        report_from(&mut solo, "i-1", 2, &[("req-1/0", TaskPhase::Exited)]);
+        let last_report =
+            |task| [(task, if exited { TaskPhase::Exited } else { TaskPhase::Fetching })];
         let stops = [("i-2", "req-1/1"), ("i-3", "req-1/2")].map(|(host, task)| {
-            let orders = told(&mut solo, host, 2, &ended(task));
+            let orders = report_from(&mut solo, host, 2, &last_report(task));
             orders.iter().any(|order| matches!(order, Order::Stop { task: t, .. } if t == task))
         });
-        assert_eq!(stops, [!gone; 2], "what is still there is told to stop");
-        let mut orders = told(&mut solo, "i-1", 3, &[]);
-        orders.extend(told(&mut solo, "i-4", 2, &[]));
+        assert_eq!(stops, [!exited; 2], "tasks still on machines are ordered to stop");
+        let mut orders = report_from(&mut solo, "i-1", 3, &[]);
+        orders.extend(report_from(&mut solo, "i-4", 2, &[]));
         let runs = orders.iter().any(|order| matches!(order, Order::Run { .. }));
-        assert_eq!(runs, gone, "the limit counts what is still there: {orders:?}");
-        assert_eq!(!solo.state.rows("over/req-1").is_empty(), gone);
+        assert_eq!(runs, exited, "the limit counts tasks still on machines: {orders:?}");
+        assert_eq!(!solo.state.rows("over/req-1").is_empty(), exited);
     }
 }
--- a/tests/machines.rs
+++ b/tests/machines.rs
@@ -1,5 +1,6 @@
-//! Meetings of machines' reports with changes of leader, each at many phases: old reports, machines that reach nobody or hear
-//! nothing, zones cut off. After every step the rules hold, and the leader's book holds whatever is on a machine.
+//! Machines' reports around changes of leader, at many relative times: old reports, machines that reach no controller or get
+//! no answers, zones that are cut off. After every step the rules hold, and the leader's job table lists every task that is on
+//! a machine.
 
 #[allow(dead_code)]
 mod world;
@@ -19,21 +20,25 @@
 use world::solo::Solo;
 use world::{Fault, Upon, World, check, finished, more_days, show_log, small_array};
 
-const CALM_MS: u64 = 150_000;
+/// All faults end by this time of the simulation.
+const FAULTS_END_MS: u64 = 150_000;
 
-/// An array of a team with a limit: more of these want to run than may.
-fn limited(n: u64, tasks: u32, expect_s: u32) -> JobSpec {
+/// An array of a team with a limit that is too low to run all of its jobs at once.
+fn limited_job(n: u64, tasks: u32, expect_s: u32) -> JobSpec {
     let mut spec = small_array(&format!("req-9{n:05}"), expect_s);
     (spec.team, spec.tasks, spec.spot) = ("red".into(), tasks, n.is_multiple_of(2));
     spec
 }
 
-/// Long work of a team at its limit; half of it is cancelled in the seconds after each of these moments.
-fn crowd(world: &mut World, rng: &mut ChaCha8Rng, changes: &[u64]) {
+/// Long jobs of a team at its limit before each of these times; two of three are cancelled within nine seconds after it.
+fn add_long_jobs_around(world: &mut World, rng: &mut ChaCha8Rng, changes: &[u64]) {
     for (n, at) in (0..).zip(changes) {
         for k in 0..3 {
-            let born = at.saturating_sub(rng.random_range(12_000..20_000));
-            world.add_job_at(limited(n * 10 + k, 5, [25, 60, 200][k as usize]), born.max(1_000));
+            let submitted = at.saturating_sub(rng.random_range(12_000..20_000));
+            world.add_job_at(
+                limited_job(n * 10 + k, 5, [25, 60, 200][k as usize]),
+                submitted.max(1_000),
+            );
             if k > 0 {
                 world.cancel_last(at + rng.random_range(0..9_000));
             }
@@ -41,10 +46,10 @@
     }
 }
 
-/// The leader changes five times, machines are cut off in between and come back in new sessions, some fail what they run;
-/// copies of reports of all ages come to every controller when a new leader begins, or once it has acted.
-fn old_reports_to_a_new_leader(seed: u64, given: Given) -> Met {
-    let what = format!("seed {seed}, {given:?}");
+/// The leader changes five times; in between, machines are cut off and come back in new sessions, and a faulty machine fails
+/// its tasks. Copies of reports of all ages reach every controller when a new leader starts, or after its first orders.
+fn deliver_old_reports(seed: u64, given: Given) -> Met {
+    let context = format!("seed {seed}, {given:?}");
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let changes: Vec<u64> =
         (0..5).map(|n| 25_000 + n * 24_000 + rng.random_range(0..8_000)).collect();
@@ -60,21 +65,21 @@
         faults.push((*at, Fault::Leader(upon)));
     }
     faults.sort_by_key(|(at, _)| *at);
-    let mut world = World::scripted(seed, faults, CALM_MS, None);
-    crowd(&mut world, &mut rng, &changes);
+    let mut world = World::scripted(seed, faults, FAULTS_END_MS, None);
+    add_long_jobs_around(&mut world, &mut rng, &changes);
     world.keep_reports(0.4, given);
-    world.watch_to(CALM_MS + 190_000);
-    finished(&world, &what);
+    world.watch_to(FAULTS_END_MS + 190_000);
+    finished(&world, &context);
     world.machines.met
 }
 
-/// Guards against a new leader that takes what an old report lists, or does not list, for what is there now.
+/// Guards against a new leader that takes the tasks which an old report lists, or doesn't list, for the present state.
 #[test]
-fn old_reports_that_reach_every_controller_as_a_leader_begins_prove_nothing() {
+fn old_reports_delivered_as_a_leader_starts_change_nothing() {
     show_log();
     let mut sum = Met::default();
     for seed in 0..6 + more_days() {
-        let met = old_reports_to_a_new_leader(seed, Given::AsItBegins);
+        let met = deliver_old_reports(seed, Given::AsItBegins);
         assert!(met.given > 100 && met.first > 20, "seed {seed}: {met:?}");
         sum.older_session += met.older_session;
         sum.older_attempt += met.older_attempt;
@@ -82,13 +87,13 @@
     assert!(sum.older_session > 20 && sum.older_attempt > 100, "{sum:?}");
 }
 
-/// The same once the new leader has given orders.
+/// The same after the new leader has given orders.
 #[test]
-fn old_reports_that_arrive_after_a_new_leader_has_acted_prove_nothing() {
+fn old_reports_delivered_after_a_new_leader_has_acted_change_nothing() {
     show_log();
     let mut sum = Met::default();
     for seed in 100..106 + more_days() {
-        let met = old_reports_to_a_new_leader(seed, Given::OnceItActed);
+        let met = deliver_old_reports(seed, Given::OnceItActed);
         assert!(met.given > 100, "seed {seed}: {met:?}");
         sum.older_session += met.older_session;
         sum.older_attempt += met.older_attempt;
@@ -96,37 +101,37 @@
     assert!(sum.older_session > 20 && sum.older_attempt > 100, "{sum:?}");
 }
 
-/// Plays the one seed that `OATLOOM_SEED` names, if any.
+/// Plays the seed given in `OATLOOM_SEED`, if any.
 #[test]
 fn one_seed() {
     show_log();
     if let Some(seed) = std::env::var("OATLOOM_SEED").ok().and_then(|s| s.parse().ok()) {
-        old_reports_to_a_new_leader(seed, Given::AsItBegins);
-        old_reports_to_a_new_leader(seed, Given::OnceItActed);
+        deliver_old_reports(seed, Given::AsItBegins);
+        deliver_old_reports(seed, Given::OnceItActed);
     }
 }
 
-/// A report as a worker sends it.
-fn report(host: &str, zone: &str, shift: u64, tally: u64, token: u64) -> Report {
+/// A worker's report without tasks.
+fn report(host: &str, zone: &str, session: u64, report_seq: u64, token: u64) -> Report {
     Report {
         host: HostId::new(host),
         addr: "10.0.0.9:1".into(),
         flavor: "g4".into(),
         zone: Zone::new(zone),
         spot: false,
-        shift: Shift(shift),
-        tally: Tally(tally),
+        shift: Shift(session),
+        tally: Tally(report_seq),
         token: Token(token),
         notice_s: None,
         tasks: Vec::new(),
     }
 }
 
-/// Old reports come of machines that an earlier leader has returned. Guards against work that is given to them, and against
-/// a zone that counts as lost, and gets no machine for minutes, since they then are silent: in the simulated world a gang
-/// bound to one zone waited for 155 s (seed 134 of the day above).
+/// Old reports arrive from machines that an earlier leader has returned. Guards against tasks that are assigned to them, and
+/// against their zone counting as lost, and getting no machine for minutes, because they are silent afterwards: a gang bound to
+/// one zone waited for 155 s (seed 134 of the old reports above).
 #[test]
-fn machines_that_only_old_reports_know_are_not_reckoned_with() {
+fn machines_known_only_from_old_reports_are_ignored() {
     let mut solo = Solo::new();
     solo.pass(500);
     let token = solo.core.valid(solo.clock().mono).expect("it leads").0;
@@ -135,55 +140,60 @@
     }
     solo.ask(Request::Submit(Submission::Spec(Box::new(small_array("req-1", 9)))));
     let mut placed = false;
-    for tally in 1..20 {
-        let there = report("i-9", "b", 1, tally, if tally > 1 { token } else { 0 });
-        solo.ask(Request::Report(Box::new(there)));
+    for report_seq in 1..20 {
+        let present = report("i-9", "b", 1, report_seq, if report_seq > 1 { token } else { 0 });
+        solo.ask(Request::Report(Box::new(present)));
         solo.pass(1_000);
-        let reign = solo.core.reign().expect("it leads");
-        let (zones, job) = (&reign.fleet.zones, reign.book.get(&JobId::new("req-1")));
-        assert!(!zones.lost(&Zone::new("a")), "{tally}");
+        let leader_term = solo.core.reign().expect("it leads");
+        let (zones, job) = (&leader_term.fleet.zones, leader_term.book.get(&JobId::new("req-1")));
+        assert!(!zones.lost(&Zone::new("a")), "{report_seq}");
         let hosts: Vec<&str> =
             job.iter().flat_map(|j| j.holds()).map(|(_, hold)| hold.host.as_str()).collect();
-        assert!(hosts.iter().all(|host| *host == "i-9"), "{tally}: {hosts:?}");
+        assert!(hosts.iter().all(|host| *host == "i-9"), "{report_seq}: {hosts:?}");
         placed |= !hosts.is_empty();
     }
-    assert!(placed, "its tasks went to the machine that is there");
+    assert!(placed, "its tasks are assigned to the machine that exists");
 }
 
-/// A job of two tasks that run for minutes, and is cancelled then.
-fn long_jobs(world: &mut World, count: u64, born: u64, cancelled: impl Fn(u64) -> Option<u64>) {
+/// Jobs of two tasks that run for minutes, cancelled at the given times.
+fn add_long_jobs(
+    world: &mut World,
+    count: u64,
+    first_at: u64,
+    cancelled_at: impl Fn(u64) -> Option<u64>,
+) {
     for n in 0..count {
         let mut spec = small_array(&format!("req-8{n:05}"), 400);
         (spec.team, spec.tasks) = (if n % 2 == 0 { "red" } else { "blue" }.into(), 2);
-        world.add_job_at(spec, born + n * 50);
-        if let Some(at) = cancelled(n) {
+        world.add_job_at(spec, first_at + n * 50);
+        if let Some(at) = cancelled_at(n) {
             world.cancel_last(at);
         }
     }
 }
 
-/// Tasks of the long jobs that are on machines.
-fn on_machines(world: &World) -> usize {
+/// How many tasks of the long jobs are on machines.
+fn count_long_tasks(world: &World) -> usize {
     world.region.checker.on_machines().filter(|on| on.job.starts_with("req-8")).count()
 }
 
-/// Machines reach no controller for longer than a lease, while direct commands reach them, and their jobs are cancelled; in
-/// some days the first commands are lost as well, in others the leader ends just then, and the next one knows the machines
-/// by the records and the cloud's list alone. Cancelled tasks end long before their leases, what is said directly is said
-/// once in a report period, and the machines come back.
+/// Machines reach no controller for longer than a lease but still get direct commands, and their jobs are cancelled. On some
+/// days the first commands are lost too; on others the leader fails just then, and the next one knows the machines only from
+/// records and the cloud's list. Cancelled tasks stop long before their leases expire, direct commands are sent once per report
+/// period, and the machines come back.
 #[test]
-fn cancelled_tasks_end_on_machines_that_reach_nobody() {
+fn cancelled_tasks_stop_on_machines_that_reach_no_controller() {
     show_log();
     for seed in 0..9 + more_days() {
         let (kind, phase) = (seed % 3, seed * 170 % 1_500);
-        let what = format!("seed {seed}, kind {kind}, phase {phase}");
-        let mut world = World::scripted(seed, Vec::new(), CALM_MS, None);
+        let context = format!("seed {seed}, kind {kind}, phase {phase}");
+        let mut world = World::scripted(seed, Vec::new(), FAULTS_END_MS, None);
         world.alone();
-        long_jobs(&mut world, 8, 2_000, |n| (n < 6).then_some(40_000 + phase));
+        add_long_jobs(&mut world, 8, 2_000, |n| (n < 6).then_some(40_000 + phase));
         world.watch_to(39_000 + phase);
-        let muted = world.mute(45_000, 1);
+        let silenced = world.mute(45_000, 1);
         if kind != 2 {
-            // Else silent machines are returned, and what is on them is gone.
+            // Without a cloud outage silent machines are returned, and their tasks with them.
             world.strike(Fault::CloudOutage(45_000));
         }
         match kind {
@@ -191,36 +201,43 @@
             2 => world.strike(Fault::Leader(Upon::Down(60_000))),
             _ => {}
         }
-        let before = on_machines(&world);
-        assert!(before >= 10 && muted > 2, "{what}: {before} tasks run on {muted} machines");
+        let before = count_long_tasks(&world);
+        assert!(
+            before >= 10 && silenced > 2,
+            "{context}: {before} tasks run on {silenced} machines"
+        );
         let patience = if kind == 0 { 9_000 } else { 15_000 };
         while world.before(84_000 + phase) {
             world.watch_to(world.now + 500);
-            check(&world, &what);
-            assert_eq!(world.lingering(patience), [""; 0], "{what}, at {}", world.now);
+            check(&world, &context);
+            assert_eq!(world.lingering(patience), [""; 0], "{context}, at {}", world.now);
         }
-        let told = &world.machines.told;
-        assert!(told.len() * 2 > muted, "{what}: {} of {muted} were told", told.len());
-        for (host, times) in told {
-            let apart = times.windows(2).map(|w| w[1] - w[0]).min();
-            assert!(apart.is_none_or(|ms| ms >= 2_900), "{what}: {host} at {times:?}");
-            assert!(times.len() < 10, "{what}: {host} at {times:?}");
+        let commanded = &world.machines.told;
+        assert!(
+            commanded.len() * 2 > silenced,
+            "{context}: {} of {silenced} got commands",
+            commanded.len()
+        );
+        for (host, times) in commanded {
+            let min_interval = times.windows(2).map(|w| w[1] - w[0]).min();
+            assert!(min_interval.is_none_or(|ms| ms >= 2_900), "{context}: {host} at {times:?}");
+            assert!(times.len() < 10, "{context}: {host} at {times:?}");
         }
-        // They come back, and what was not cancelled runs again.
-        let back = |world: &World| on_machines(world) >= 4;
+        // The machines come back, and jobs that were not cancelled run again.
+        let running_again = |world: &World| count_long_tasks(world) >= 4;
         world.watch_to(135_000);
-        check(&world, &what);
-        assert!(back(&world), "{what}: {} tasks run", on_machines(&world));
+        check(&world, &context);
+        assert!(running_again(&world), "{context}: {} tasks run", count_long_tasks(&world));
         assert!(world.region.workers.values().all(|w| !world.is_mute(&w.host)));
     }
 }
 
-/// New machines are up within two seconds and get work at once, some of them known by their first report alone since the
-/// hire's answer was lost; writes lag; the leader ends at many phases after the jobs came.
+/// New machines boot within two seconds and get tasks at once, some of them known only by their first report as the cloud's
+/// answer to the hire was lost; writes are slow. The leader fails while these assignments are being written.
 #[test]
-fn a_leader_ends_while_new_machines_get_work_and_writes_lag() {
+fn leader_failure_during_slow_assignments_to_new_machines_keeps_the_rules() {
     show_log();
-    let mut met = 0;
+    let mut interrupted = 0;
     for seed in 0..12 + more_days() {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let lag = if seed % 2 == 0 {
@@ -233,45 +250,52 @@
             (1_500, Fault::CloudLate(120_000, 300)),
             (1_700, lag),
         ];
-        let mut world = World::scripted(seed, faults, CALM_MS, None);
+        let mut world = World::scripted(seed, faults, FAULTS_END_MS, None);
         for wave in 0..5 {
-            let born = 10_000 + wave * 22_000;
+            let submitted = 10_000 + wave * 22_000;
             for n in 0..6 {
-                world.add_job_at(limited(wave * 10 + n, 4, 8), born + rng.random_range(0..400));
+                world.add_job_at(
+                    limited_job(wave * 10 + n, 4, 8),
+                    submitted + rng.random_range(0..400),
+                );
                 if n % 3 == 0 {
-                    world.cancel_last(born + rng.random_range(1_000..9_000));
+                    world.cancel_last(submitted + rng.random_range(1_000..9_000));
                 }
             }
-            world.watch_to(born);
-            // The moment at which work is on its way to a machine that has just come up, and some moments later.
-            while world.before(born + 9_000) && world.hasty_assignments(2_000) == 0 {
+            world.watch_to(submitted);
+            // Until an assignment to a machine that has just booted is being written; the leader fails up to 250 ms later.
+            while world.before(submitted + 9_000) && world.hasty_assignments(2_000) == 0 {
                 world.watch_to(world.now + 50);
             }
             let at = world.now;
             world.watch_to(at + rng.random_range(0..6) * 50);
-            met += usize::from(world.hasty_assignments(2_500) > 0);
-            let spans = [Upon::Crash, Upon::Down(8_000), Upon::Refused(8_000), Upon::Parted(8_000)];
-            world.strike(Fault::Leader(spans[rng.random_range(0..4)]));
+            interrupted += usize::from(world.hasty_assignments(2_500) > 0);
+            let failures =
+                [Upon::Crash, Upon::Down(8_000), Upon::Refused(8_000), Upon::Parted(8_000)];
+            world.strike(Fault::Leader(failures[rng.random_range(0..4)]));
         }
-        world.watch_to(CALM_MS + 190_000);
+        world.watch_to(FAULTS_END_MS + 190_000);
         finished(&world, &format!("seed {seed}"));
     }
-    assert!(met >= 12, "the leader ended {met} times while new machines' work was being written");
+    assert!(
+        interrupted >= 12,
+        "the leader failed {interrupted} times during assignments to new machines"
+    );
 }
 
-/// A zone with its controller, which may lead, is cut off for longer than a lease while jobs that run there are cancelled,
-/// and comes back; users still ask the controller inside.
+/// A zone with its controller, which may be the leader, is cut off for longer than a lease while jobs that run there are
+/// cancelled, and reconnects. Users can still reach the controller inside.
 #[test]
-fn a_zone_with_a_controller_is_cut_off_while_jobs_are_cancelled() {
+fn cutting_off_a_zone_with_a_controller_during_cancellations_keeps_the_rules() {
     show_log();
     let (mut inside, mut led) = (0, 0);
     for seed in 0..9 + more_days() {
         let zone = (seed % 3) as usize;
         let span = 28_000 + seed * 3_700 % 40_000;
-        let what = format!("seed {seed}, zone {zone}, {span} ms");
-        let mut world = World::scripted(seed, Vec::new(), CALM_MS, None);
+        let context = format!("seed {seed}, zone {zone}, {span} ms");
+        let mut world = World::scripted(seed, Vec::new(), FAULTS_END_MS, None);
         for n in 0..9 {
-            let mut spec = limited(n, 2, if n % 3 == 0 { 30 } else { 200 });
+            let mut spec = limited_job(n, 2, if n % 3 == 0 { 30 } else { 200 });
             spec.zone = Some(Zone::new(["a", "b", "c"][(n % 3) as usize]));
             spec.team = if n % 2 == 0 { "red" } else { "blue" }.into();
             world.add_job_at(spec, 2_000 + n * 100);
@@ -281,31 +305,32 @@
         }
         world.watch_to(39_000 + seed * 400 % 3_000);
         led += usize::from(world.leads() == Some(zone));
-        let place = ["a", "b", "c"][zone];
-        let here = |w: &World| -> Vec<(String, u64)> {
-            let there = w.region.workers.values().filter(|m| m.place.zone == place);
-            there.filter(|m| !m.tasks.is_empty()).map(|m| (m.host.clone(), m.shift)).collect()
+        let zone_name = ["a", "b", "c"][zone];
+        let busy_machines = |w: &World| -> Vec<(String, u64)> {
+            let in_zone = w.region.workers.values().filter(|m| m.place.zone == zone_name);
+            in_zone.filter(|m| !m.tasks.is_empty()).map(|m| (m.host.clone(), m.shift)).collect()
         };
-        inside += here(&world).len();
+        inside += busy_machines(&world).len();
         world.cut_zone(zone, span);
-        world.watch_to(CALM_MS + 190_000);
-        finished(&world, &what);
+        world.watch_to(FAULTS_END_MS + 190_000);
+        finished(&world, &context);
     }
-    assert!(inside >= 9 && led >= 2, "{inside} machines had work, {led} leaders were inside");
+    assert!(inside >= 9 && led >= 2, "{inside} machines had tasks, {led} leaders were in the zone");
 }
 
-/// A leader ends while machines with long tasks cannot be reached, or hear no answers, and their team is at its limit; half
-/// of the jobs are cancelled in that spell. What may still run counts, in limits and zones, until it is proven gone.
+/// The leader fails while machines with long tasks are unreachable, or get no answers, and their team is at its limit; half of
+/// the jobs are cancelled meanwhile. Guards against tasks that no longer count, in limits and zones, before they are known to
+/// be gone.
 #[test]
-fn a_leader_ends_while_long_tasks_cannot_be_reached() {
+fn leader_failure_with_unreachable_long_tasks_keeps_the_rules() {
     show_log();
     let (mut struck, mut running) = (0, 0);
     for seed in 0..10 + more_days() {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut world = World::scripted(seed, Vec::new(), CALM_MS, None);
+        let mut world = World::scripted(seed, Vec::new(), FAULTS_END_MS, None);
         world.alone();
         for n in 0..12 {
-            let mut spec = limited(n, 3, if n < 6 { 300 } else { 20 });
+            let mut spec = limited_job(n, 3, if n < 6 { 300 } else { 20 });
             spec.zone = (n % 4 == 0).then(|| Zone::new("b"));
             spec.one_zone = n % 4 == 1;
             spec.spread = n % 4 == 2;
@@ -315,7 +340,7 @@
             }
         }
         world.watch_to(36_000 + rng.random_range(0..5_000));
-        running += on_limit(&world);
+        running += count_limited_tasks(&world);
         if seed % 2 == 0 {
             struck +=
                 world.cut_machines(20_000 + rng.random_range(0..25_000), 1 + seed as usize % 3);
@@ -334,31 +359,32 @@
                 Upon::Down(12_000)
             }));
         }
-        world.watch_to(CALM_MS + 150_000);
+        world.watch_to(FAULTS_END_MS + 150_000);
         finished(&world, &format!("seed {seed}"));
     }
-    assert!(struck >= 12, "{struck} machines were struck");
+    assert!(struck >= 12, "{struck} machines were unreachable or got no answers");
     assert!(running >= 100, "the team was at its limit: {running} tasks over all days");
 }
 
-/// Tasks of the team with a limit that are on machines.
-fn on_limit(world: &World) -> usize {
+/// How many tasks of the limited team are on machines.
+fn count_limited_tasks(world: &World) -> usize {
     world.region.checker.on_machines().filter(|on| on.job.starts_with("req-9")).count()
 }
 
-/// A leader loses the state service and the other controllers, and keeps its workers and users, who ask it every other
-/// second while jobs are cancelled through the new one: it says nothing older, keeps nothing alive and starts nothing.
+/// A leader is partitioned from the state service and the other controllers but not from its workers and users, who ask it in
+/// every other second while jobs are cancelled through the new leader. It reports no older state, keeps no tasks alive and
+/// starts none.
 #[test]
-fn a_leader_that_is_parted_says_nothing_older() {
+fn a_partitioned_leader_reports_no_older_state() {
     show_log();
     let mut cancelled = 0;
     for seed in 0..8 + more_days() {
         let span = [6_000, 20_000, 35_000, 60_000][seed as usize % 4];
-        let mut world = World::scripted(seed, Vec::new(), CALM_MS, None);
+        let mut world = World::scripted(seed, Vec::new(), FAULTS_END_MS, None);
         world.alone();
-        long_jobs(&mut world, 10, 2_000, |n| Some(38_500 + seed * 130 + n * 1_300));
+        add_long_jobs(&mut world, 10, 2_000, |n| Some(38_500 + seed * 130 + n * 1_300));
         for n in 0..6 {
-            world.add_job_at(limited(n, 2, 12), 30_000 + n * 1_500);
+            world.add_job_at(limited_job(n, 2, 12), 30_000 + n * 1_500);
         }
         world.watch_to(38_000 + seed * 370);
         let Some(old) = world.leads() else { panic!("seed {seed}: nobody leads") };
@@ -372,45 +398,45 @@
         }
         cancelled += world.told(JobStatus::Cancelled);
         world.door = None;
-        world.watch_to(CALM_MS);
+        world.watch_to(FAULTS_END_MS);
         finished(&world, &format!("seed {seed}, {span} ms"));
     }
     assert!(cancelled >= 60, "{cancelled} jobs were cancelled meanwhile");
 }
 
-/// A row of a report.
-fn row(attempt: u64, status: TaskPhase) -> TaskReport {
+/// A report's row on task `req-1/0`.
+fn first_task_row(attempt: u64, status: TaskPhase) -> TaskReport {
     let cause = (status == TaskPhase::Exited).then_some(Cause::Stopped);
-    row_of("req-1/0", Attempt(attempt), status, cause)
+    task_row("req-1/0", Attempt(attempt), status, cause)
 }
 
-/// The same of any task.
-fn row_of(task: &str, attempt: Attempt, status: TaskPhase, cause: Option<Cause>) -> TaskReport {
+/// A report's row on any task.
+fn task_row(task: &str, attempt: Attempt, status: TaskPhase, cause: Option<Cause>) -> TaskReport {
     TaskReport { task: task.into(), attempt, status, cause, stored: false, ran_ms: None }
 }
 
-/// While a new leader reads its book, an old report of a machine whose newer one waits is turned away. Guards against one that
-/// takes its place: the worker was refused, and renewed no lease.
+/// While a new leader loads its job table, it rejects an old report of a machine whose newer report is pending. If the old one
+/// replaced it, the worker would be rejected and its lease not renewed.
 #[test]
-fn an_old_report_does_not_take_the_place_of_a_newer_one_that_waits() {
+fn an_old_report_does_not_replace_a_newer_pending_one() {
     let mut solo = Solo::new();
     solo.hold = |op| matches!(op, StoreOp::List { .. });
     solo.pass(500);
-    let ask = |solo: &mut Solo, shift, tally| {
-        solo.ask(Request::Report(Box::new(report("i-1", "a", shift, tally, 0))))
+    let ask = |solo: &mut Solo, session, report_seq| {
+        solo.ask(Request::Report(Box::new(report("i-1", "a", session, report_seq, 0))))
     };
     let newer = ask(&mut solo, 2, 5);
     let old = [ask(&mut solo, 2, 4), ask(&mut solo, 1, 80), ask(&mut solo, 2, 5)];
     assert!(old.iter().all(|conn| solo.reply(*conn).is_some_and(|r| r.status == 409)));
-    assert_eq!(solo.reply(newer), None, "it waits for the book");
+    assert_eq!(solo.reply(newer), None, "it waits for the job table");
     solo.hold = |_| false;
     solo.release();
     solo.pass(100);
     assert_eq!(solo.reply(newer).map(|r| r.status), Some(200));
 }
 
-/// A leader by whose records a task is on a machine, in its second session and with its ninth attempt, and its token.
-fn with_a_held_task() -> (Solo, u64) {
+/// A leader whose records assign attempt 9 of a task to a machine in worker session 2, and the leader's fencing token.
+fn leader_with_assigned_task() -> (Solo, u64) {
     let mut solo = Solo::new();
     let record = ChunkRecord {
         done: String::new(),
@@ -430,18 +456,18 @@
     (solo, token)
 }
 
-/// The attempt that the leader's book holds of that task, and whether it was sent.
-fn held(solo: &Solo) -> Option<(u64, RunSent)> {
+/// The attempt of that task in the leader's job table, and whether it was sent.
+fn assigned_attempt(solo: &Solo) -> Option<(u64, RunSent)> {
     let task = TaskId::new(&JobId::new("req-1"), 0);
-    let hold = solo.core.reign().and_then(|reign| reign.book.held(&task));
+    let hold = solo.core.reign().and_then(|leader_term| leader_term.book.held(&task));
     hold.map(|hold| (hold.attempt.0, hold.run))
 }
 
-/// Answers to direct commands are not ordered among the reports. Guards against one that ends more than what it shows as
-/// ended, of this session, by this attempt, and under this leader's token.
+/// Answers to direct commands are not ordered relative to reports. Guards against an answer that ends anything but an attempt
+/// that it lists as exited, in this worker session and under this leader's fencing token.
 #[test]
-fn a_direct_answer_ends_only_what_it_shows_as_ended() {
-    let exited = |attempt| vec![row(attempt, TaskPhase::Exited)];
+fn a_direct_answer_ends_only_attempts_that_it_lists_as_exited() {
+    let exited = |attempt| vec![first_task_row(attempt, TaskPhase::Exited)];
     let cases: [(u64, bool, Vec<TaskReport>, bool); 6] = [
         (1, true, exited(9), false),
         (3, true, exited(9), false),
@@ -450,24 +476,26 @@
         (2, true, Vec::new(), false),
         (2, true, exited(9), true),
     ];
-    for (shift, knows, tasks, ends) in cases {
-        let what = format!("shift {shift}, knows its token: {knows}, {tasks:?}");
-        let (mut solo, token) = with_a_held_task();
-        let told = row(9, TaskPhase::Running);
-        let there = Report { tasks: vec![told], ..report("i-1", "a", 2, 20, token) };
-        solo.ask(Request::Report(Box::new(there)));
+    for (session, knows_token, tasks, ends) in cases {
+        let context = format!("session {session}, knows its token: {knows_token}, {tasks:?}");
+        let (mut solo, token) = leader_with_assigned_task();
+        let running = first_task_row(9, TaskPhase::Running);
+        let current = Report { tasks: vec![running], ..report("i-1", "a", 2, 20, token) };
+        solo.ask(Request::Report(Box::new(current)));
         solo.pass(100);
-        let answer =
-            Report { tasks, ..report("i-1", "a", shift, 21, if knows { token } else { 0 }) };
+        let answer = Report {
+            tasks,
+            ..report("i-1", "a", session, 21, if knows_token { token } else { 0 })
+        };
         solo.event(Event::Obeyed { report: Some(Box::new(answer)) });
-        assert_eq!(held(&solo).is_none_or(|h| h.0 != 9), ends, "{what}");
+        assert_eq!(assigned_attempt(&solo).is_none_or(|h| h.0 != 9), ends, "{context}");
     }
 }
 
-/// The leader of before ended between the record of a job's last task and the job's own end. Guards against a job that stays
-/// open for ever with nothing left to do.
+/// The previous leader failed after recording a job's last task as done and before recording the job's final state. Guards
+/// against a job that stays open for ever with no tasks left.
 #[test]
-fn a_new_leader_ends_what_was_complete() {
+fn a_new_leader_finishes_a_job_whose_tasks_are_all_done() {
     let mut solo = Solo::new();
     let record = ChunkRecord {
         done: "3".into(),
@@ -482,17 +510,16 @@
         Change::put("asg/req-1/0000".into(), json!(record)),
     ]);
     solo.pass(2_000);
-    let over = solo.state.rows("over/req-1");
-    assert!(!over.is_empty() && solo.state.rows("live/").is_empty(), "{over:?}");
-    assert!(solo.state.rows("asg/").is_empty(), "its records go with it");
+    let final_record = solo.state.rows("over/req-1");
+    assert!(!final_record.is_empty() && solo.state.rows("live/").is_empty(), "{final_record:?}");
+    assert!(solo.state.rows("asg/").is_empty(), "its assignment records are deleted too");
 }
 
-/// By the records a task is on a machine, in its second session and with its ninth attempt. Whatever an old report says, of
-/// an earlier session, with an earlier attempt or token, the task stays where it is; a newer one with this leader's token
-/// that does not list it ends it.
+/// Records assign attempt 9 of a task to a machine in worker session 2. Old reports, of an earlier session or with an earlier
+/// attempt or fencing token, don't end the assignment; a newer report with this leader's token that doesn't list the task does.
 #[test]
-fn old_reports_end_nothing_that_a_new_leader_holds() {
-    let exited = |attempt| vec![row(attempt, TaskPhase::Exited)];
+fn old_reports_end_no_assignment_of_a_new_leader() {
+    let exited = |attempt| vec![first_task_row(attempt, TaskPhase::Exited)];
     let cases: [(u64, u64, bool, Vec<TaskReport>); 5] = [
         (1, 900, true, exited(9)),
         (1, 900, true, Vec::new()),
@@ -500,32 +527,40 @@
         (2, 3, false, Vec::new()),
         (2, 3, false, exited(9)),
     ];
-    for (shift, tally, knows, tasks) in cases {
-        let what = format!("shift {shift}, tally {tally}, knows its token: {knows}, {tasks:?}");
-        let (mut solo, token) = with_a_held_task();
-        let listed = !tasks.is_empty() && tasks[0].attempt.0 == 8;
-        let old =
-            Report { tasks, ..report("i-1", "a", shift, tally, if knows { token } else { 0 }) };
-        // A report that lists an earlier attempt lists the present one too.
+    for (session, report_seq, knows_token, tasks) in cases {
+        let context = format!(
+            "session {session}, report {report_seq}, knows its token: {knows_token}, {tasks:?}"
+        );
+        let (mut solo, token) = leader_with_assigned_task();
+        let lists_earlier_attempt = !tasks.is_empty() && tasks[0].attempt.0 == 8;
+        let old = Report {
+            tasks,
+            ..report("i-1", "a", session, report_seq, if knows_token { token } else { 0 })
+        };
+        // A report that lists an earlier attempt lists the current one too.
         let mut old = old;
-        if listed {
-            old.tasks.push(row(9, TaskPhase::Running));
+        if lists_earlier_attempt {
+            old.tasks.push(first_task_row(9, TaskPhase::Running));
         }
         solo.ask(Request::Report(Box::new(old)));
-        assert_eq!(held(&solo), Some((9, RunSent::Inherited)), "{what}");
-        // Cancelled at once, as the rule has it that hurts most: what was not sent counts as gone.
+        assert_eq!(assigned_attempt(&solo), Some((9, RunSent::Inherited)), "{context}");
+        // Cancelled at once, when the strictest rule applies: an order that was not sent counts as gone.
         solo.ask(Request::Abort(JobId::new("req-1")));
         solo.pass(1_000);
-        assert_eq!(held(&solo).map(|h| h.0), Some(9), "{what}: cancelled");
+        assert_eq!(assigned_attempt(&solo).map(|h| h.0), Some(9), "{context}: cancelled");
         solo.ask(Request::Report(Box::new(report("i-1", "a", 2, 20, token))));
-        assert_eq!(held(&solo), None, "{what}: a newer report does not list it");
+        assert_eq!(
+            assigned_attempt(&solo),
+            None,
+            "{context}: ended by a newer report that does not list it"
+        );
     }
 }
 
-/// The state service is out for longer than a lease, and half of the machines die meanwhile. Guards against work that is
-/// given, again and again, to machines that are not heard of any more: twice a second, for as long as their silence is borne.
+/// The state service is out for longer than a lease, and half of the machines die meanwhile. Guards against tasks that are
+/// assigned to the silent machines twice a second until these count as lost.
 #[test]
-fn nothing_is_given_to_machines_that_died_in_an_outage() {
+fn no_task_is_assigned_to_machines_that_died_in_an_outage() {
     show_log();
     for seed in 0..4 + more_days() {
         let faults = vec![(60_000, Fault::StoreOutage(45_000)), (75_000, Fault::HalfDie)];
@@ -535,37 +570,38 @@
             world.add_job_at(small_array(&format!("req-{n}"), 200), 5_000 + n * 500);
         }
         world.play_to(74_000);
-        let up = |world: &World| -> Vec<String> { world.region.workers.keys().cloned().collect() };
-        let before = up(&world);
+        let machines =
+            |world: &World| -> Vec<String> { world.region.workers.keys().cloned().collect() };
+        let before = machines(&world);
         let running = world.region.checker.on_machines().count();
         assert!(running >= 6, "seed {seed}: {running} tasks run");
         world.play_to(104_000);
-        let left = up(&world);
+        let left = machines(&world);
         world.play_to(170_000);
         let dead = before.iter().filter(|host| !left.contains(host));
         let dead: Vec<HostId> = dead.map(|host| HostId::new(host)).collect();
         assert!(!dead.is_empty(), "seed {seed}: machines died");
-        // Each attempt that was on one of them ends there once.
+        // Each attempt that was on a dead machine ends there only once.
         let ended = world.ended_attempts();
-        let there = ended.iter().filter(|((_, _, host), _)| dead.contains(host));
-        let there: usize = there.map(|(_, times)| times).sum();
+        let on_dead = ended.iter().filter(|((_, _, host), _)| dead.contains(host));
+        let on_dead: usize = on_dead.map(|(_, times)| times).sum();
         assert!(
-            there <= running,
-            "seed {seed}: {there} attempts ended on dead machines, {running} ran before"
+            on_dead <= running,
+            "seed {seed}: {on_dead} attempts ended on dead machines, {running} ran before"
         );
-        let runs = world.region.checker.on_machines().count();
-        assert!(runs >= running, "seed {seed}: {runs} tasks run again");
+        let running_again = world.region.checker.on_machines().count();
+        assert!(running_again >= running, "seed {seed}: {running_again} tasks run again");
         check(&world, &format!("seed {seed}"));
     }
 }
 
-/// Direct commands are held up for seconds while leaders end, are deposed or stand still; jobs are cancelled, preempted and
-/// drained meanwhile.
-fn late_commands_of_former_leaders(seed: u64) -> Met {
+/// Direct commands are delayed for seconds while leaders fail, lose leadership or are paused; jobs are cancelled, preempted
+/// and drained meanwhile.
+fn delay_commands_of_former_leaders(seed: u64) -> Met {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let changes: Vec<u64> =
         (0..5).map(|n| 25_000 + n * 24_000 + rng.random_range(0..8_000)).collect();
-    let mut faults = vec![(5_000, Fault::LateCommands(CALM_MS - 25_000, 950))];
+    let mut faults = vec![(5_000, Fault::LateCommands(FAULTS_END_MS - 25_000, 950))];
     for at in &changes {
         let machine = match rng.random_range(0..3) {
             0 => Fault::SpotTaken,
@@ -582,13 +618,13 @@
         faults.push((*at, upon));
     }
     faults.sort_by_key(|(at, _)| *at);
-    let mut world = World::scripted(seed, faults, CALM_MS, Some(Shape::Gang));
+    let mut world = World::scripted(seed, faults, FAULTS_END_MS, Some(Shape::Gang));
     world.restart_ms = [50, 300, 5_000][rng.random_range(0..3)];
-    crowd(&mut world, &mut rng, &changes);
-    // Machines reach no controller while their jobs are cancelled: stops go to them by direct commands only, again and again.
+    add_long_jobs_around(&mut world, &mut rng, &changes);
+    // Machines reach no controller while their jobs are cancelled: stops reach them by repeated direct commands only.
     for (n, at) in (0..).zip(&changes) {
         for k in 0..4 {
-            world.add_job_at(limited(500 + n * 10 + k, 4, 200), at - 24_000);
+            world.add_job_at(limited_job(500 + n * 10 + k, 4, 200), at - 24_000);
             world.cancel_last(at - rng.random_range(1_000..12_000));
         }
     }
@@ -596,20 +632,19 @@
         world.watch_to(at - 15_000);
         world.mute(rng.random_range(12_000..26_000), 1);
     }
-    world.watch_to(CALM_MS + 190_000);
+    world.watch_to(FAULTS_END_MS + 190_000);
     finished(&world, &format!("seed {seed}"));
     world.machines.met
 }
 
-/// Guards against orders of a leader that has ended or was deposed which undo, or do again, what the next one has decided:
-/// only stops go directly, they name an attempt that no later leader gives again, and a worker that has heard a later leader
-/// refuses them.
+/// Guards against late orders of a failed or deposed leader that undo or repeat decisions of the next one: only stops are sent
+/// directly, they name an attempt that no later leader reuses, and a worker that knows a later leader's token refuses them.
 #[test]
-fn direct_commands_of_a_former_leader_that_come_late_change_nothing_of_the_next_ones() {
+fn late_direct_commands_of_a_former_leader_change_nothing() {
     show_log();
     let mut sum = Met::default();
     for seed in 300..308 + more_days() {
-        let met = late_commands_of_former_leaders(seed);
+        let met = delay_commands_of_former_leaders(seed);
         sum.outranked += met.outranked;
         sum.deposed += met.deposed;
         sum.stopped += met.stopped;
@@ -618,11 +653,11 @@
     assert!(sum.outranked > 20 && sum.deposed > 10 && sum.stopped > 4, "{sum:?}");
 }
 
-/// A worker refuses a task of a gang that gathers. Guards against the same attempt that is given to the same machine once
-/// more: names are never used twice, since a direct answer, which is not ordered among the reports, may still show the
-/// refusal once the task is there, and would end it in the book.
+/// A worker refuses a task of a gang that is being assembled. Guards against the same attempt being assigned to the same
+/// machine again: attempt numbers are never reused, because a direct answer, which is not ordered relative to reports, may
+/// still list the refusal when the task is there, and would end it in the job table.
 #[test]
-fn what_a_machine_refused_is_not_given_to_it_again_under_the_same_attempt() {
+fn a_refused_attempt_is_not_assigned_to_the_same_machine_again() {
     for cause in [Cause::NoRoom, Cause::Busy, Cause::Unknown] {
         let mut solo = Solo::new();
         let spec = JobSpec { shape: Shape::Gang, gpus: 4.0, ..small_array("req-1", 9) };
@@ -646,32 +681,40 @@
         ]);
         solo.pass(500);
         let token = solo.core.valid(solo.clock().mono).expect("it leads").0;
-        // What each machine has: its tasks, as it would report them.
-        let mut there: [Vec<TaskReport>; 2] = [
-            vec![row_of("req-1/0", Attempt(5), TaskPhase::Exited, Some(cause))],
-            vec![row_of("req-1/1", Attempt(5), TaskPhase::Waiting, None)],
+        // The tasks of each machine, as it would report them.
+        let mut machine_tasks: [Vec<TaskReport>; 2] = [
+            vec![task_row("req-1/0", Attempt(5), TaskPhase::Exited, Some(cause))],
+            vec![task_row("req-1/1", Attempt(5), TaskPhase::Waiting, None)],
         ];
-        let mut begun = Vec::new();
-        for tally in 1..40 {
+        let mut started = Vec::new();
+        for report_seq in 1..40 {
             for (at, host) in ["i-1", "i-2"].into_iter().enumerate() {
-                let mut told = report(host, "a", 1, tally, if tally > 1 { token } else { 0 });
-                told.tasks = there[at].clone();
-                let conn = solo.ask(Request::Report(Box::new(told)));
+                let mut machine_report =
+                    report(host, "a", 1, report_seq, if report_seq > 1 { token } else { 0 });
+                machine_report.tasks = machine_tasks[at].clone();
+                let conn = solo.ask(Request::Report(Box::new(machine_report)));
                 solo.pass(1_000);
                 let answer = solo.reply(conn).map(|r| r.body.clone()).unwrap_or_default();
                 let Ok(answer) = serde_json::from_str::<ReportAnswer>(&answer) else { continue };
                 for order in answer.orders {
                     match order {
                         Order::Run { task, attempt } => {
-                            let known = |r: &TaskReport| r.task == task && r.attempt == attempt;
-                            begun.push((host, task.clone(), attempt));
-                            if !there[at].iter().any(known) {
-                                there[at].push(row_of(&task, attempt, TaskPhase::Waiting, None));
+                            let is_same_attempt =
+                                |r: &TaskReport| r.task == task && r.attempt == attempt;
+                            started.push((host, task.clone(), attempt));
+                            if !machine_tasks[at].iter().any(is_same_attempt) {
+                                machine_tasks[at].push(task_row(
+                                    &task,
+                                    attempt,
+                                    TaskPhase::Waiting,
+                                    None,
+                                ));
                             }
                         }
                         Order::Stop { task, attempt, .. } => {
-                            let told = |r: &&mut TaskReport| r.task == task && r.attempt == attempt;
-                            for stopped in there[at].iter_mut().filter(told) {
+                            let stopped_task =
+                                |r: &&mut TaskReport| r.task == task && r.attempt == attempt;
+                            for stopped in machine_tasks[at].iter_mut().filter(stopped_task) {
                                 if stopped.status != TaskPhase::Exited {
                                     stopped.status = TaskPhase::Exited;
                                     stopped.cause = Some(Cause::Stopped);
@@ -679,14 +722,14 @@
                             }
                         }
                         Order::Forget { task, attempt } => {
-                            there[at].retain(|r| r.task != task || r.attempt != attempt);
+                            machine_tasks[at].retain(|r| r.task != task || r.attempt != attempt);
                         }
                     }
                 }
             }
         }
-        let again = begun.iter().any(|(_, _, attempt)| *attempt == Attempt(5));
-        assert!(!again, "{cause:?}: {begun:?}");
-        assert!(begun.len() >= 2, "{cause:?}: it is started anew: {begun:?}");
+        let attempt_reused = started.iter().any(|(_, _, attempt)| *attempt == Attempt(5));
+        assert!(!attempt_reused, "{cause:?}: {started:?}");
+        assert!(started.len() >= 2, "{cause:?}: it is started again: {started:?}");
     }
 }
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -523,8 +523,8 @@
     }
 }
 
-/// A day of pipelines alone, played in fine steps; after each answer the users ask every node at once.
-fn day_of_immediate_requests(seed: u64, draw: Draw, prepare: impl Fn(&mut World)) -> World {
+/// A day of pipelines alone, played in fine steps; users react to each answer by asking every node at once.
+fn reactive_day(seed: u64, draw: Draw, prepare: impl Fn(&mut World)) -> World {
     let mut world = World::scripted(seed, leader_and_store_faults(seed), 70_000, None);
     world.alone();
     world.restart_ms = [50, 1_000][(seed % 2) as usize];
@@ -546,7 +546,7 @@
 fn dependencies_accepted_milliseconds_ago_are_known_at_every_node() {
     let mut outcomes = Outcomes::default();
     for seed in 0..12 + more_days() {
-        let world = day_of_immediate_requests(seed, OFTEN_CANCELLED, |_| {});
+        let world = reactive_day(seed, OFTEN_CANCELLED, |_| {});
         outcomes.add(&world);
     }
     outcomes.assert_all_occurred("submitted with dependencies just accepted");
@@ -557,9 +557,7 @@
 fn dependencies_cancelled_during_submission_have_one_outcome() {
     let mut outcomes = Outcomes::default();
     for seed in 100..112 + more_days() {
-        let world = day_of_immediate_requests(seed, OFTEN_CANCELLED, |world| {
-            world.looks.abort_at_once = 0.25
-        });
+        let world = reactive_day(seed, OFTEN_CANCELLED, |world| world.looks.abort_at_once = 0.25);
         outcomes.add(&world);
     }
     outcomes.assert_all_occurred("cancelled at acceptance");
@@ -574,7 +572,7 @@
         let within = [60, 300, 900, 4_500][(seed % 4) as usize];
         let strike = [None, Some((4, Fault::Leader(Upon::Crash)))][(seed / 2 % 2) as usize];
         let draw = Draw { cancelled: 0.0, ..OFTEN_CANCELLED };
-        let world = day_of_immediate_requests(seed, draw, |world| {
+        let world = reactive_day(seed, draw, |world| {
             world.looks.abort_at_end = (0.4, within);
             world.looks.strike_at_end = strike;
         });
