--- a/tests/looks.rs
+++ b/tests/looks.rs
@@ -1,5 +1,5 @@
-//! Users' questions, repeated submissions and cancellations, at all nodes within milliseconds of what they answer to, while
-//! other troubles hold.
+//! Status requests, repeated submissions and cancellations that users send to all nodes within milliseconds of an answer,
+//! under various faults.
 
 #[allow(dead_code)]
 mod world;
@@ -20,13 +20,13 @@
 use world::solo::Solo;
 use world::{Fault, STEP_MS, Upon, World, finished, more_days, show_log, small_array};
 
-/// So many fixed days and those that `OATLOOM_SEEDS` adds, or the one that `OATLOOM_SEED` names.
+/// The fixed seeds and the additional ones of `OATLOOM_SEEDS`, or the one given in `OATLOOM_SEED`.
 fn seeds(fixed: u64) -> Range<u64> {
-    let named = std::env::var("OATLOOM_SEED").ok().and_then(|s| s.parse().ok());
-    named.map_or(0..fixed + more_days(), |seed: u64| seed..seed + 1)
+    let requested = std::env::var("OATLOOM_SEED").ok().and_then(|s| s.parse().ok());
+    requested.map_or(0..fixed + more_days(), |seed: u64| seed..seed + 1)
 }
 
-fn job(n: u64) -> String {
+fn job_id(n: u64) -> String {
     format!("req-{n}")
 }
 
@@ -35,24 +35,24 @@
     JobSpec { tasks: 1, ..small_array(id, expect_s) }
 }
 
-/// A day of these jobs alone, with troubles at set times.
-fn day(seed: u64, faults: Vec<(u64, Fault)>, calm_from: u64) -> World {
+/// A day without jobs of other users, with faults at the given times.
+fn day(seed: u64, faults: Vec<(u64, Fault)>, faults_end_ms: u64) -> World {
     show_log();
-    let mut world = World::scripted(seed, faults, calm_from, None);
+    let mut world = World::scripted(seed, faults, faults_end_ms, None);
     world.alone();
     world
 }
 
-/// Jobs that come one after the other from two seconds on.
+/// Adds jobs at regular intervals from two seconds on.
 fn add_jobs(world: &mut World, count: u64, every_ms: u64, spec: impl Fn(u64) -> JobSpec) {
     for n in 0..count {
         world.add_job_at(spec(n), 2_000 + n * every_ms);
     }
 }
 
-/// Users of such jobs ask, or submit at other nodes too, before anything was accepted: while the first submission is under
-/// way.
-fn look_early(
+/// Users of these jobs ask for their state, or submit them at other nodes too, while the first submission is still in
+/// progress.
+fn send_requests_before_acceptance(
     world: &mut World,
     seed: u64,
     count: u64,
@@ -64,15 +64,15 @@
         world.play_finely_to(2_000 + n * every_ms);
         world.region.checker.submitted(&spec(n));
         for node in 0..3 {
-            let what = if rng.random_bool(0.5) { Look::Submit } else { Look::View };
+            let request = if rng.random_bool(0.5) { Look::Submit } else { Look::View };
             let after = rng.random_range(0..60);
-            world.look(&job(n), node, what, after);
+            world.look(&job_id(n), node, request, after);
         }
     }
 }
 
-/// What changes hands, or does not, while users look.
-fn changes_of_hands(seed: u64) -> Vec<(u64, Fault)> {
+/// Faults while users send requests: changes of leadership, or a slow state service.
+fn leader_faults(seed: u64) -> Vec<(u64, Fault)> {
     match seed % 6 {
         0 => vec![],
         1 => vec![(17_000, Fault::Leader(Upon::Crash)), (25_000, Fault::Leader(Upon::Crash))],
@@ -83,48 +83,54 @@
     }
 }
 
-/// Users ask all nodes and submit again, within milliseconds of each acceptance, end and confirmed cancellation; some
-/// cancel at the moment of the acceptance. Guards against any memory of a node's own that is older than what another has
-/// said.
+/// Users ask all nodes and submit again within milliseconds of each acceptance, final state and confirmed cancellation; some
+/// cancel a job as soon as it is accepted. Guards against a node that answers from its memory with an older state than another
+/// node has reported.
 #[test]
-fn close_looks_are_told_nothing_older() {
+fn immediate_requests_get_no_older_state() {
     let (mut accepted, mut done, mut cancelled) = (0, 0, 0);
     for seed in seeds(12) {
-        let mut world = day(seed, changes_of_hands(seed), 40_000);
+        let mut world = day(seed, leader_faults(seed), 40_000);
         world.restart_ms = [50, 1_000][seed as usize % 2];
         (world.looks.close, world.looks.abort_at_once) = (true, 0.3);
-        add_jobs(&mut world, 16, 1_800, |n| one_task(&job(n), 1 + n as u32 % 4));
+        add_jobs(&mut world, 16, 1_800, |n| one_task(&job_id(n), 1 + n as u32 % 4));
         world.cancel_some(0.25, 10_000, 38_000);
-        look_early(&mut world, seed, 16, 1_800, |n| one_task(&job(n), 1 + n as u32 % 4));
+        send_requests_before_acceptance(&mut world, seed, 16, 1_800, |n| {
+            one_task(&job_id(n), 1 + n as u32 % 4)
+        });
         world.play_finely_to(45_000);
         world.play_to(150_000);
         finished(&world, &format!("seed {seed}"));
         accepted += world.looks.accepted;
         done += world.looks.done;
         cancelled += world.looks.cancelled;
-        assert!(world.looks.sent > 600, "seed {seed}: {} looks", world.looks.sent);
+        assert!(world.looks.sent > 600, "seed {seed}: {} requests", world.looks.sent);
     }
-    println!("looked at once at {accepted} accepted, {done} done and {cancelled} cancelled jobs");
+    println!(
+        "immediate requests for {accepted} accepted, {done} done and {cancelled} cancelled jobs"
+    );
     assert!(accepted > 150 && done > 60 && cancelled > 40, "{accepted}, {done}, {cancelled}");
 }
 
-/// Transactions are carried out at once and their answers are lost, while every node reads what they wrote. Guards against a
-/// controller that takes what it heard nothing of for not done.
+/// Transactions are committed at once but their answers are lost, while every node reads what they wrote. Guards against a
+/// controller that takes a transaction without an answer for not committed.
 #[test]
-fn answers_of_writes_are_lost_while_others_read_them() {
+fn lost_answers_of_writes_that_others_read_keep_the_rules() {
     let (mut done, mut cancelled) = (0, 0);
     for seed in seeds(10) {
         let share = [200, 500, 800][seed as usize % 3];
         let mut faults = vec![(6_000, Fault::AnswersLost(30_000, share))];
-        faults.extend(changes_of_hands(seed));
+        faults.extend(leader_faults(seed));
         let mut world = day(seed, faults, 50_000);
         (world.looks.close, world.looks.abort_at_once) = (true, 0.2);
-        add_jobs(&mut world, 14, 2_000, |n| one_task(&job(n), 1 + n as u32 % 4));
+        add_jobs(&mut world, 14, 2_000, |n| one_task(&job_id(n), 1 + n as u32 % 4));
         world.cancel_some(0.25, 10_000, 38_000);
-        look_early(&mut world, seed, 14, 2_000, |n| one_task(&job(n), 1 + n as u32 % 4));
+        send_requests_before_acceptance(&mut world, seed, 14, 2_000, |n| {
+            one_task(&job_id(n), 1 + n as u32 % 4)
+        });
         world.play_finely_to(50_000);
         world.play_to(160_000);
-        finished(&world, &format!("seed {seed}, {share} of a thousand"));
+        finished(&world, &format!("seed {seed}, {share} per mille of the answers lost"));
         done += world.told(JobStatus::Done);
         cancelled += world.told(JobStatus::Cancelled);
     }
@@ -132,11 +138,11 @@
     assert!(done > 50 && cancelled > 30, "{done}, {cancelled}");
 }
 
-/// A job is called off, asked for and submitted again at any node while its last task's end is on its way; by this leader,
-/// by followers, or by the next leader. Either end may be told, and none but that one ever after.
+/// A job is cancelled, queried and submitted again at any node, the leader, a follower or the next leader, while the report of
+/// its last task's end is in transit. Either final state may be reported, but it must not change afterwards.
 #[test]
-fn calls_that_meet_the_end_of_the_last_task_get_one_answer() {
-    let (mut met, mut as_done, mut as_cancelled) = (0, 0, 0);
+fn cancellation_racing_with_the_last_task_has_one_outcome() {
+    let (mut raced, mut as_done, mut as_cancelled) = (0, 0, 0);
     for seed in seeds(12) {
         let strike = match seed % 4 {
             0 | 1 => None,
@@ -149,14 +155,14 @@
         world.looks.abort_at_end = (0.8, [60, 300, 900, 4_500][(seed / 4) as usize % 4]);
         world.looks.strike_at_end = strike;
         add_jobs(&mut world, 16, 1_500, |n| match n % 3 {
-            0 => small_array(&job(n), 1 + n as u32 % 5),
-            _ => one_task(&job(n), 1 + n as u32 % 5),
+            0 => small_array(&job_id(n), 1 + n as u32 % 5),
+            _ => one_task(&job_id(n), 1 + n as u32 % 5),
         });
         world.play_finely_to(50_000);
         world.play_to(130_000);
         finished(&world, &format!("seed {seed}"));
         for id in world.looks.called_off.clone() {
-            met += 1;
+            raced += 1;
             match world.region.checker.over(&id) {
                 Some(JobStatus::Done) => as_done += 1,
                 Some(JobStatus::Cancelled) => as_cancelled += 1,
@@ -164,12 +170,14 @@
             }
         }
     }
-    println!("{met} met their last task's end: {as_done} were done, {as_cancelled} cancelled");
-    assert!(met > 70 && as_done > 20 && as_cancelled > 5, "{met}, {as_done}, {as_cancelled}");
+    println!(
+        "{raced} cancellations raced with the last task: {as_done} jobs were done, {as_cancelled} cancelled"
+    );
+    assert!(raced > 70 && as_done > 20 && as_cancelled > 5, "{raced}, {as_done}, {as_cancelled}");
 }
 
-/// One trouble of the controllers or the state service, drawn, that lasts about `span`.
-fn trouble(rng: &mut ChaCha8Rng, span: u64) -> Fault {
+/// A random fault of the controllers or the state service that lasts about `span` milliseconds.
+fn random_fault(rng: &mut ChaCha8Rng, span: u64) -> Fault {
     let node = rng.random_range(0..3);
     match rng.random_range(0..14) {
         0 => Fault::AnswersLost(span, rng.random_range(200..1_000)),
@@ -189,9 +197,10 @@
     }
 }
 
-/// Drawn pairs of troubles while users look closely and call jobs off at once, at their end, and in between.
+/// Random pairs of faults while users send requests after each answer, and cancel jobs at their acceptance, at their end and in
+/// between.
 #[test]
-fn close_looks_in_drawn_troubles() {
+fn immediate_requests_get_no_older_state_under_random_faults() {
     let (mut done, mut cancelled) = (0, 0);
     for seed in seeds(8) {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
@@ -200,23 +209,23 @@
             let at = 10_000 + n * 18_000 + rng.random_range(0..5_000);
             for _ in 0..2 {
                 let span = rng.random_range(500..14_000);
-                faults.push((at + rng.random_range(0..6_000), trouble(&mut rng, span)));
+                faults.push((at + rng.random_range(0..6_000), random_fault(&mut rng, span)));
             }
         }
         faults.sort_by_key(|(at, _)| *at);
-        let what = format!("seed {seed}, {faults:?}");
+        let context = format!("seed {seed}, {faults:?}");
         let mut world = day(seed, faults, 80_000);
         world.restart_ms = [50, 300, 1_000, 5_000][rng.random_range(0..4)];
         (world.looks.close, world.looks.abort_at_once) = (true, 0.15);
         world.looks.abort_at_end = (0.4, rng.random_range(50..3_000));
         add_jobs(&mut world, 30, 1_700, |n| match n % 3 {
-            0 => small_array(&job(n), 1 + n as u32 % 7),
-            _ => one_task(&job(n), 1 + n as u32 % 7),
+            0 => small_array(&job_id(n), 1 + n as u32 % 7),
+            _ => one_task(&job_id(n), 1 + n as u32 % 7),
         });
         world.cancel_some(0.2, 10_000, 70_000);
         world.play_finely_to(75_000);
         world.play_to(190_000);
-        finished(&world, &what);
+        finished(&world, &context);
         done += world.told(JobStatus::Done);
         cancelled += world.told(JobStatus::Cancelled);
     }
@@ -224,28 +233,28 @@
     assert!(done > 60 && cancelled > 40, "{done}, {cancelled}");
 }
 
-/// The last task of a job ends just as its leader loses the state service and its peers: it decides the end and hears
-/// nothing of its write. The job is called off through the next leader, and the former one comes back.
+/// The last task of a job ends just as the leader is partitioned from the state service and its peers: it decides that the job
+/// is done but gets no answer to its write. The job is cancelled through the next leader, and the former one reconnects.
 #[test]
-fn called_off_through_the_next_leader_as_the_former_one_ends_it() {
+fn cancellation_through_the_next_leader_as_the_former_finishes_the_job_has_one_outcome() {
     let (mut done, mut cancelled) = (0, 0);
     for seed in seeds(24) {
         let mut world = day(seed, Vec::new(), 60_000);
         world.looks.close = true;
-        add_jobs(&mut world, 8, 200, |n| one_task(&job(n), 20));
+        add_jobs(&mut world, 8, 200, |n| one_task(&job_id(n), 20));
         world.step_ms = FINE_STEP_MS;
-        while world.now < 50_000 && !(0..8).any(|n| world.region.checker.is_done(&job(n), 0)) {
+        while world.now < 50_000 && !(0..8).any(|n| world.region.checker.is_done(&job_id(n), 0)) {
             world.step();
         }
-        let (at, former) = (world.now, world.leads().expect("somebody leads"));
+        let (at, former) = (world.now, world.leads().expect("a node leads"));
         world.strike(Fault::Leader(Upon::Parted(9_000 + seed * 150)));
         for n in 0..8 {
             for after in (3_500..9_000).step_by(250) {
-                world.look(&job(n), (former + 1 + n as usize % 2) % 3, Look::Abort, after);
+                world.look(&job_id(n), (former + 1 + n as usize % 2) % 3, Look::Abort, after);
             }
         }
         world.play_finely_to(at + 6_000);
-        // It does not hear from the next one either that it leads.
+        // Nor does it learn of the next leader from that leader itself.
         let next = world.leads().filter(|next| *next != former).expect("another leads");
         world.strike(Fault::PeersApart(former, next, 14_000));
         world.play_finely_to(at + 18_000);
@@ -258,67 +267,69 @@
     assert!(cancelled > 20, "{done}, {cancelled}");
 }
 
-/// Jobs that run are called off at the very moment at which the state service refuses the leader alone; a second later it
-/// is out for everybody, for longer than a cancellation may take.
+/// Running jobs are cancelled just as the state service begins to refuse the leader; a second later it is out for all nodes,
+/// for longer than a cancellation may take.
 #[test]
-fn called_off_as_the_leader_is_refused_and_the_store_goes() {
-    let (mut ran, mut told) = (0, 0);
+fn jobs_cancelled_as_the_leader_loses_the_state_service_end_cancelled() {
+    let (mut ran, mut confirmed) = (0, 0);
     for seed in seeds(12) {
         let mut world = day(seed, Vec::new(), 115_000);
         world.looks.close = true;
-        add_jobs(&mut world, 10, 300, |n| small_array(&job(n), 300));
+        add_jobs(&mut world, 10, 300, |n| small_array(&job_id(n), 300));
         let at = 30_000;
         world.play_to(at - 500);
         world.play_finely_to(at);
-        let on = (0..10).filter(|n| world.on_machine(&job(*n))).count();
-        ran += on;
+        let on_machines = (0..10).filter(|n| world.on_machine(&job_id(*n))).count();
+        ran += on_machines;
         // From a little before the refusal to a little after it, and into the outage.
         let phase = seed * 130 % 1_600;
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         for n in 0..10 {
             for node in 0..3 {
                 let after = rng.random_range(phase..phase + 60);
-                world.look(&job(n), node, Look::Abort, after);
+                world.look(&job_id(n), node, Look::Abort, after);
             }
         }
         world.play_finely_to(at + 300);
         world.strike(Fault::Leader(Upon::Refused(14_000)));
         world.play_finely_to(at + 1_300);
-        let told_before = world.told(JobStatus::Cancelled);
+        let confirmed_before = world.told(JobStatus::Cancelled);
         world.strike(Fault::StoreOutage(71_000));
         world.play_finely_to(at + 3_000);
         world.play_to(at + 71_000);
-        told += told_before;
+        confirmed += confirmed_before;
         world.play_to(240_000);
         finished(&world, &format!("seed {seed}, phase {phase} ms"));
-        assert_eq!(world.told(JobStatus::Cancelled), 10, "seed {seed}: all were called off");
+        assert_eq!(world.told(JobStatus::Cancelled), 10, "seed {seed}: all were cancelled");
     }
-    println!("{ran} jobs ran as they were called off, {told} were told so before the outage");
-    assert!(ran > 60 && told > 5, "{ran}, {told}");
+    println!(
+        "{ran} jobs were running when they were cancelled, {confirmed} cancellations were confirmed before the outage"
+    );
+    assert!(ran > 60 && confirmed > 5, "{ran}, {confirmed}");
 }
 
-/// Jobs are called off in the seconds in which the leader's work goes to another node, or back to it.
+/// Jobs are cancelled in the seconds in which leadership passes to another node, or returns to the same one.
 #[test]
-fn called_off_while_the_lead_changes_hands() {
+fn jobs_cancelled_while_leadership_changes_end_cancelled() {
     let (mut ran, mut changed) = (0, 0);
     for seed in seeds(16) {
         let mut world = day(seed, Vec::new(), 60_000);
         world.restart_ms = [50, 300, 1_000, 5_000][seed as usize / 4 % 4];
         world.looks.close = true;
         add_jobs(&mut world, 12, 300, |n| match n % 2 {
-            0 => small_array(&job(n), 200),
-            _ => one_task(&job(n), 200),
+            0 => small_array(&job_id(n), 200),
+            _ => one_task(&job_id(n), 200),
         });
         let at = 30_000;
         world.play_to(at - 2_000);
-        ran += (0..12).filter(|n| world.on_machine(&job(*n))).count();
+        ran += (0..12).filter(|n| world.on_machine(&job_id(*n))).count();
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         for n in 0..12 {
             let first = rng.random_range(1_500..7_500);
             for again in 0..3 {
                 let after = first + again * rng.random_range(1..400);
                 let node = rng.random_range(0..3);
-                world.look(&job(n), node, Look::Abort, after);
+                world.look(&job_id(n), node, Look::Abort, after);
             }
         }
         world.play_finely_to(at);
@@ -337,25 +348,25 @@
         changed += usize::from(after != before);
         world.play_to(140_000);
         finished(&world, &format!("seed {seed}"));
-        assert_eq!(world.told(JobStatus::Cancelled), 12, "seed {seed}: all were called off");
+        assert_eq!(world.told(JobStatus::Cancelled), 12, "seed {seed}: all were cancelled");
     }
     println!(
-        "{ran} jobs ran as they were called off; another node led after {changed} of the days"
+        "{ran} jobs were running when they were cancelled; another node led afterwards on {changed} days"
     );
     assert!(ran > 120 && changed > 4, "{ran}, {changed}");
 }
 
-/// Jobs are called off within milliseconds of the moment at which a task of theirs has its machine: before its start command
-/// leaves, with it, or after it. Guards against a start that leaves once the user was told.
+/// Jobs are cancelled within milliseconds of a task's assignment: before its start order is sent, at the same time or after it.
+/// Guards against a start order that is sent after the user was told of the cancellation.
 #[test]
-fn called_off_as_a_task_gets_its_machine() {
-    let (mut with, mut without) = (0, 0);
+fn jobs_cancelled_as_a_task_is_assigned_are_not_started_afterwards() {
+    let (mut started_jobs, mut unstarted_jobs) = (0, 0);
     for seed in seeds(8) {
-        let mut faults = changes_of_hands(seed);
+        let mut faults = leader_faults(seed);
         faults.retain(|_| seed % 2 == 1);
         let mut world = day(seed, faults, 45_000);
         world.looks.close = true;
-        add_jobs(&mut world, 24, 1_000, |n| one_task(&job(n), 30));
+        add_jobs(&mut world, 24, 1_000, |n| one_task(&job_id(n), 30));
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut placed = BTreeSet::new();
         world.step_ms = FINE_STEP_MS;
@@ -374,22 +385,24 @@
             }
         }
         world.step_ms = STEP_MS;
-        // Those that were never placed end too.
+        // Cancel the jobs that were never placed as well.
         world.cancel_some(1.0, 46_000, 50_000);
         world.play_to(130_000);
         finished(&world, &format!("seed {seed}"));
         for id in placed {
             let started = world.looks.started.contains(&id);
-            *(if started { &mut with } else { &mut without }) += 1;
+            *(if started { &mut started_jobs } else { &mut unstarted_jobs }) += 1;
         }
     }
-    println!("{with} were told to start and then called off, {without} were not told");
-    assert!(with > 20 && without > 20, "{with}, {without}");
+    println!(
+        "{started_jobs} jobs were ordered to start and then cancelled, {unstarted_jobs} were not ordered to start"
+    );
+    assert!(started_jobs > 20 && unstarted_jobs > 20, "{started_jobs}, {unstarted_jobs}");
 }
 
-/// Jobs of one task come four a second, a quarter is called off, and the leader ends in the midst of it.
+/// Four jobs of one task arrive per second, a quarter of them is cancelled, and the leader fails meanwhile.
 #[test]
-fn many_small_jobs_across_a_takeover() {
+fn many_small_jobs_finish_across_a_leader_failover() {
     const JOBS: u64 = 480;
     for seed in seeds(1) {
         let mut world = day(seed, vec![(45_000, Fault::Leader(Upon::Crash))], 100_000);
@@ -398,44 +411,45 @@
         for n in 0..JOBS {
             let class = if n % 2 == 0 { "quick" } else { "slow" };
             let at = 2_000 + n * 250;
-            world.add_job_at(JobSpec { class: class.into(), ..one_task(&job(n), 3) }, at);
+            world.add_job_at(JobSpec { class: class.into(), ..one_task(&job_id(n), 3) }, at);
             if rng.random_bool(0.25) {
                 world.cancel_last(at + rng.random_range(50..8_000));
             }
         }
         world.play_to(200_000);
         finished(&world, &format!("seed {seed}"));
-        // What the leader and the accepting nodes wrote, graphs and the account being off.
+        // Writes of the leader and the accepting nodes; graphs and usage accounting are off.
         let changes: u32 = world.spent.values().map(|(_, changes)| changes).sum();
-        let each = f64::from(changes) / JOBS as f64;
+        let changes_per_job = f64::from(changes) / JOBS as f64;
         let mut classes: BTreeMap<bool, (u64, u64)> = BTreeMap::new();
         for n in 0..JOBS {
-            let (_, after) = world.ended_after(&JobId::new(&job(n))).expect("every job ended");
-            let (all, soon) = classes.entry(n % 2 == 0).or_default();
+            let (_, duration_ms) =
+                world.ended_after(&JobId::new(&job_id(n))).expect("every job ended");
+            let (all, in_time) = classes.entry(n % 2 == 0).or_default();
             *all += 1;
-            *soon += u64::from(after < 40_000);
+            *in_time += u64::from(duration_ms < 40_000);
         }
         println!(
-            "seed {seed}: {each:.2} changes a job; ended within 40 s, by class: {classes:?}; {} cancelled",
+            "seed {seed}: {changes_per_job:.2} changes per job; ended within 40 s, by class: {classes:?}; {} cancelled",
             world.told(JobStatus::Cancelled)
         );
-        assert!(each < 5.5, "seed {seed}: {each} changes a job");
-        for (all, soon) in classes.values() {
-            assert!(soon * 2 > *all, "seed {seed}: {soon} of {all}");
+        assert!(changes_per_job < 5.5, "seed {seed}: {changes_per_job} changes per job");
+        for (all, in_time) in classes.values() {
+            assert!(in_time * 2 > *all, "seed {seed}: {in_time} of {all}");
         }
         assert!(world.told(JobStatus::Cancelled) > 40);
     }
 }
 
-/// A job nobody may get: the fields that make it so, and the status it is to be answered with.
-fn odd_jobs() -> Vec<(serde_json::Value, u16)> {
-    let good = World::text_of(&small_array("req-0", 5));
+/// Texts of jobs that must be refused, with the expected HTTP status.
+fn invalid_jobs() -> Vec<(serde_json::Value, u16)> {
+    let valid = World::text_of(&small_array("req-0", 5));
     let with = |key: &str, value: serde_json::Value| {
-        let mut job = good.clone();
+        let mut job = valid.clone();
         job[key] = value;
         job
     };
-    let mut odd = vec![
+    let mut invalid = vec![
         (with("owner", json!("nobody")), 422),
         (with("gpus", json!(64.0)), 422),
         (with("cpus", json!(4_000.0)), 422),
@@ -453,25 +467,25 @@
         (with("gpus", json!("1")), 400),
         (with("bundle", json!("i".repeat(9_000))), 400),
     ];
-    // One that needs more than its team's limit.
-    let mut gang = good.clone();
-    for (key, value) in odd[7].0.as_object().cloned().unwrap_or_default() {
+    // A gang that needs more than its team's limit.
+    let mut gang = valid.clone();
+    for (key, value) in invalid[7].0.as_object().cloned().unwrap_or_default() {
         gang[key] = value;
     }
-    odd[7].0 = gang;
+    invalid[7].0 = gang;
     for key in ["jobclass", "owner", "shape", "rank", "shards", "cpus", "bundle", "loaners"] {
-        let mut job = good.clone();
+        let mut job = valid.clone();
         job.as_object_mut().expect("an object").remove(key);
-        odd.push((job, 400));
+        invalid.push((job, 400));
     }
-    odd
+    invalid
 }
 
-/// Users repeat submissions of unfinished jobs, also spoilt ones, cancel jobs that are done, and send what is malformed or
-/// can never run, to every node, while the lead changes hands. Guards against an odd request that is accepted or leaves a
-/// record, and against a known job that its repeated submission makes unknown.
+/// Users resubmit unfinished jobs, also with invalid texts, cancel jobs that are done, and send malformed requests and jobs that
+/// can never run, to every node, while leadership changes. Guards against an invalid request that is accepted or leaves a
+/// record, and against a known job that is refused when it is submitted again.
 #[test]
-fn odd_requests_get_the_protocols_answer() {
+fn invalid_requests_get_the_specified_status() {
     let mut counts: BTreeMap<u16, u32> = BTreeMap::new();
     let (mut done_aborted, mut repeated) = (0, 0);
     for seed in seeds(4) {
@@ -484,20 +498,20 @@
         let mut world = day(seed, faults, 50_000);
         world.restart_ms = 1_000;
         for n in 0..8 {
-            // Four that end soon, and then four that go on.
+            // Four jobs that end soon, then four that run for long.
             let (expect_s, at) = if n < 4 { (1, 2_000) } else { (60, 16_000) };
-            world.add_job_at(one_task(&job(n), expect_s), at + n * 200);
+            world.add_job_at(one_task(&job_id(n), expect_s), at + n * 200);
         }
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut sent = Vec::new();
         world.play_to(12_000);
         for round in 0..30 {
             world.play_to(12_000 + round * 1_000);
-            let mut odd: Vec<(usize, (serde_json::Value, u16))> =
-                odd_jobs().into_iter().enumerate().collect();
-            odd.shuffle(&mut rng);
-            // No more than followers may look up in a second.
-            for (n, (text, status)) in odd.into_iter().take(8) {
+            let mut invalid: Vec<(usize, (serde_json::Value, u16))> =
+                invalid_jobs().into_iter().enumerate().collect();
+            invalid.shuffle(&mut rng);
+            // No more lookups than followers may make in a second.
+            for (n, (text, status)) in invalid.into_iter().take(8) {
                 let (node, id) = (rng.random_range(0..3), format!("req-{}", 10_000 + n));
                 let mut text = text;
                 text["nameId"] = json!(id);
@@ -515,8 +529,8 @@
             sent.push(("req-10001".into(), 404));
             for n in 0..8 {
                 let node = rng.random_range(0..3);
-                let known = world.region.checker.over(&job(n));
-                let look = match (known, rng.random_bool(0.5)) {
+                let known = world.region.checker.over(&job_id(n));
+                let request = match (known, rng.random_bool(0.5)) {
                     (Some(JobStatus::Done), true) => {
                         done_aborted += 1;
                         Look::Abort
@@ -524,36 +538,41 @@
                     (_, true) => Look::SubmitBroken,
                     _ => Look::Submit,
                 };
-                if world.is_accepted(&job(n)) {
-                    world.look(&job(n), node, look, 0);
+                if world.is_accepted(&job_id(n)) {
+                    world.look(&job_id(n), node, request, 0);
                     repeated += u32::from(known.is_none());
                 }
             }
         }
         world.play_to(140_000);
         finished(&world, &format!("seed {seed}"));
-        let undecided = |odd: &&Odd| odd.answer.as_ref().is_some_and(|(_, r)| r.status == 503);
-        let undecided = world.looks.odd.iter().filter(undecided).count();
-        assert!(seed % 4 > 0 || undecided * 20 < sent.len(), "seed {seed}: {undecided} undecided");
-        for (odd, (id, status)) in world.looks.odd.iter().zip(&sent) {
-            let (_, reply) = odd.answer.as_ref().unwrap_or_else(|| panic!("no answer to {odd:?}"));
+        let is_unavailable =
+            |request: &&Odd| request.answer.as_ref().is_some_and(|(_, r)| r.status == 503);
+        let unavailable = world.looks.odd.iter().filter(is_unavailable).count();
+        assert!(
+            seed % 4 > 0 || unavailable * 20 < sent.len(),
+            "seed {seed}: {unavailable} answered with 503"
+        );
+        for (request, (id, status)) in world.looks.odd.iter().zip(&sent) {
+            let (_, reply) =
+                request.answer.as_ref().unwrap_or_else(|| panic!("no answer to {request:?}"));
             *counts.entry(reply.status).or_default() += 1;
-            let fits = reply.status == *status || matches!(reply.status, 503 | 599);
-            assert!(fits, "seed {seed}: {odd:?} is to get {status}");
+            let is_expected = reply.status == *status || matches!(reply.status, 503 | 599);
+            assert!(is_expected, "seed {seed}: {request:?} is to get {status}");
             assert!(!world.ever_written(id), "seed {seed}: {id} left a record");
         }
     }
     println!(
-        "{done_aborted} calls for done jobs, {repeated} submissions repeated, answers: {counts:?}"
+        "{done_aborted} cancellations of done jobs, {repeated} repeated submissions, answers: {counts:?}"
     );
     assert!(done_aborted > 40 && repeated > 200, "{done_aborted}, {repeated}");
     assert!([400, 404, 422, 503].iter().all(|status| counts.contains_key(status)), "{counts:?}");
 }
 
-/// Two look-ups for one job are under way at a follower as the job ends: the one that began before the end comes back last,
-/// when the follower knows the end already. Guards against a call that nobody answers, and against the older state.
+/// Two lookups of one job are in progress at a follower as the job ends; the one that began before the end returns last, when
+/// the follower already knows the final state. Guards against a request that is never answered, or with the older state.
 #[test]
-fn a_lookup_that_began_before_the_end_is_answered_with_the_end() {
+fn a_lookup_that_began_before_the_final_state_is_answered_with_it() {
     for abort in [false, true] {
         let mut solo = Solo::new();
         solo.led_by_another();
@@ -561,7 +580,7 @@
         let spec = one_task("req-1", 9);
         let record = LiveRecord { spec: spec.clone(), wall_ms: 1, part: None };
         solo.write(vec![Change::put("live/req-1".into(), json!(record))]);
-        // The leader does not answer, and what is asked is looked up here.
+        // The leader does not answer, so the follower reads the job's records itself.
         let ask = |solo: &mut Solo, request| {
             let conn = solo.ask(request);
             for (id, _) in std::mem::take(&mut solo.asked) {
@@ -574,29 +593,29 @@
         solo.execute_held = true;
         let early = if abort { Request::Abort(id.clone()) } else { Request::View(id.clone()) };
         let early = ask(&mut solo, early);
-        assert_eq!(solo.held.len(), 1, "the first look-up has read the job as open");
+        assert_eq!(solo.held.len(), 1, "the first lookup has read the job as open");
         let status = JobStatus::Cancelled;
-        let over = OverRecord { status, done: 0, failure: None, spent: None, part: None };
-        let live = Change::Delete { key: "live/req-1".into() };
-        solo.write(vec![Change::put("over/req-1".into(), json!(over)), live]);
+        let end = OverRecord { status, done: 0, failure: None, spent: None, part: None };
+        let delete_live = Change::Delete { key: "live/req-1".into() };
+        solo.write(vec![Change::put("over/req-1".into(), json!(end)), delete_live]);
         solo.hold = |_| false;
         let late = ask(&mut solo, Request::View(id));
-        let said = |solo: &Solo, conn| {
+        let answer = |solo: &Solo, conn| {
             solo.reply(conn).map(|reply| (reply.status, reply.body.contains("cancelled")))
         };
-        assert_eq!(said(&solo, late), Some((200, true)));
+        assert_eq!(answer(&solo, late), Some((200, true)));
         solo.release();
-        assert_eq!(said(&solo, early), Some((200, true)), "abort: {abort}");
+        assert_eq!(answer(&solo, early), Some((200, true)), "abort: {abort}");
         let again = ask(&mut solo, Request::Submit(Submission::Spec(Box::new(spec))));
-        assert_eq!(said(&solo, again), Some((200, true)));
+        assert_eq!(answer(&solo, again), Some((200, true)));
     }
 }
 
-/// A known job is submitted again with a text that nobody could keep. Guards against judging the text first: its user would
-/// take the job for refused.
+/// A known job is submitted again with a text that is too long to be stored. Guards against checking the text before the id:
+/// the user would take the accepted job for refused.
 #[test]
-fn a_known_job_is_known_whatever_its_text_is_worth_now() {
-    for over in [false, true] {
+fn resubmission_of_a_known_job_with_an_invalid_text_is_accepted() {
+    for finished in [false, true] {
         let mut solo = Solo::new();
         solo.led_by_another();
         solo.pass(500);
@@ -604,27 +623,28 @@
         let status = JobStatus::Done;
         let end = OverRecord { status, done: 1, failure: None, spent: None, part: None };
         let live = LiveRecord { spec: spec.clone(), wall_ms: 1, part: None };
-        solo.write(vec![match over {
+        solo.write(vec![match finished {
             true => Change::put("over/req-1".into(), json!(end)),
             false => Change::put("live/req-1".into(), json!(live)),
         }]);
-        let long =
+        let with_long_text =
             |id: &str| JobSpec { image: "i".repeat(9_000), id: JobId::new(id), ..spec.clone() };
         let mut submit = |spec: JobSpec| {
             let conn = solo.ask(Request::Submit(Submission::Spec(Box::new(spec))));
             solo.pass(100);
             solo.reply(conn).map(|reply| reply.status)
         };
-        assert_eq!(submit(long("req-1")), Some(200), "over: {over}");
-        assert_eq!(submit(long("req-2")), Some(400));
+        assert_eq!(submit(with_long_text("req-1")), Some(200), "finished: {finished}");
+        assert_eq!(submit(with_long_text("req-2")), Some(400));
         assert!(solo.state.rows("live/req-2").is_empty());
     }
 }
 
-/// A leader hears nothing of the end that it wrote, and before it reads what stands there another leader has written
-/// another end. Guards against telling what was decided here: it went into the memory of final states and was told for ever.
+/// A leader gets no answer to its write of a final state, and before it reads the record, another leader has written a
+/// different one. Guards against reporting the leader's own decision, which would stay in its cache of final states and be
+/// reported for ever.
 #[test]
-fn the_end_that_stands_in_the_store_is_told() {
+fn the_stored_final_state_is_reported() {
     let mut solo = Solo::new();
     let live = LiveRecord { spec: one_task("req-1", 9), wall_ms: 1, part: None };
     solo.write(vec![Change::put("live/req-1".into(), json!(live))]);
@@ -640,11 +660,11 @@
     };
     solo.ask(Request::Abort(id.clone()));
     solo.pass(100);
-    let (op, ..) = solo.held.pop().expect("its end is being written");
+    let (op, ..) = solo.held.pop().expect("its final state is being written");
     let status = JobStatus::Done;
     let end = OverRecord { status, done: 1, failure: None, spent: None, part: None };
-    let gone = Change::Delete { key: "live/req-1".into() };
-    solo.write(vec![Change::put("over/req-1".into(), json!(end)), gone]);
+    let delete_live = Change::Delete { key: "live/req-1".into() };
+    solo.write(vec![Change::put("over/req-1".into(), json!(end)), delete_live]);
     solo.event(Event::Store { id: op, reply: StoreReply::Lost });
     solo.pass(100);
     for request in [Request::View(id.clone()), Request::Abort(id.clone())] {
@@ -655,10 +675,10 @@
     }
 }
 
-/// A repeated submission of an accepted job is answered 200 also while a new leader reads its assignments: that the job is
-/// open was true when its key was read.
+/// A repeated submission of an accepted job is answered with 200 also while a new leader is still loading assignments: the job
+/// was open when its key was read.
 #[test]
-fn a_repeated_submission_is_known_while_a_new_leader_reads() {
+fn a_repeated_submission_is_accepted_while_a_new_leader_loads() {
     let mut solo = Solo::new();
     let spec = one_task("req-1", 9);
     let live = LiveRecord { spec: spec.clone(), wall_ms: 1, part: None };
