--- a/tests/looks.rs
+++ b/tests/looks.rs
@@ -52,7 +52,7 @@
 
 /// Users of these jobs ask for their state, or submit them at other nodes too, while the first submission is still in
 /// progress.
-fn send_requests_before_acceptance(
+fn request_early(
     world: &mut World,
     seed: u64,
     count: u64,
@@ -95,9 +95,7 @@
         (world.looks.close, world.looks.abort_at_once) = (true, 0.3);
         add_jobs(&mut world, 16, 1_800, |n| one_task(&job_id(n), 1 + n as u32 % 4));
         world.cancel_some(0.25, 10_000, 38_000);
-        send_requests_before_acceptance(&mut world, seed, 16, 1_800, |n| {
-            one_task(&job_id(n), 1 + n as u32 % 4)
-        });
+        request_early(&mut world, seed, 16, 1_800, |n| one_task(&job_id(n), 1 + n as u32 % 4));
         world.play_finely_to(45_000);
         world.play_to(150_000);
         finished(&world, &format!("seed {seed}"));
@@ -125,9 +123,7 @@
         (world.looks.close, world.looks.abort_at_once) = (true, 0.2);
         add_jobs(&mut world, 14, 2_000, |n| one_task(&job_id(n), 1 + n as u32 % 4));
         world.cancel_some(0.25, 10_000, 38_000);
-        send_requests_before_acceptance(&mut world, seed, 14, 2_000, |n| {
-            one_task(&job_id(n), 1 + n as u32 % 4)
-        });
+        request_early(&mut world, seed, 14, 2_000, |n| one_task(&job_id(n), 1 + n as u32 % 4));
         world.play_finely_to(50_000);
         world.play_to(160_000);
         finished(&world, &format!("seed {seed}, {share} per mille of the answers lost"));
