--- a/crates/core/src/api.rs
+++ b/crates/core/src/api.rs
@@ -1,10 +1,10 @@
 //! The HTTP API: parses requests before the core processes them.
 
-use crate::notes::Notes;
+use crate::notes::LeaderHints;
 use oatloom_graph::constants::ANSWER_NODES;
 use oatloom_graph::ids::GraphId;
 use oatloom_graph::requests::{Ask, Look};
-use oatloom_ledger::query::Query;
+use oatloom_ledger::query::UsageQuery;
 use oatloom_membership::Gossip;
 use oatloom_protocol::constants::BODY_BYTES;
 use oatloom_protocol::ids::JobId;
@@ -19,7 +19,7 @@
     Spec(Box<JobSpec>),
     /// A malformed submission, with its id if that could be read, since a job that is already known
     /// is reported as such.
-    Bad {
+    Invalid {
         id: Option<JobId>,
         text: String,
     },
@@ -34,21 +34,21 @@
     /// Cancels a job.
     Abort(JobId),
     /// A page of usage.
-    Usage(Box<Query>),
+    Usage(Box<UsageQuery>),
     /// A health probe.
-    Up,
+    HealthProbe,
     /// A worker's report.
     Report(Box<Report>),
     /// A request from a client of graphs.
     Graph(Box<Ask>),
     /// From the leader, over the mesh only.
-    Notes(Box<Notes>),
+    LeaderHints(Box<LeaderHints>),
     /// From a peer, over the mesh only.
-    Greet(Box<Gossip>),
+    Gossip(Box<Gossip>),
 }
 
 fn parse_submission(body: &[u8]) -> Submission {
-    let invalid = |id: Option<JobId>, text: String| Submission::Bad { id, text };
+    let invalid = |id: Option<JobId>, text: String| Submission::Invalid { id, text };
     let value: Value = match serde_json::from_slice(body) {
         Ok(value) => value,
         Err(e) => return invalid(None, format!("not JSON: {e}")),
@@ -128,14 +128,14 @@
     }
     match path {
         "/v2/runs" if method == "POST" => return Ok(Request::Submit(parse_submission(body))),
-        "/up" if method == "GET" || method == "HEAD" => return Ok(Request::Up),
+        "/up" if method == "GET" || method == "HEAD" => return Ok(Request::HealthProbe),
         "/v1/report" if method == "POST" => {
             return serde_json::from_slice(body)
                 .map(|report| Request::Report(Box::new(report)))
                 .map_err(|e| HttpReply::error(400, &format!("report: {e}")));
         }
         "/v2/usage" if method == "GET" => {
-            return Query::parse(query)
+            return UsageQuery::parse(query)
                 .map(|usage_query| Request::Usage(Box::new(usage_query)))
                 .map_err(|e| HttpReply::error(400, &e.to_string()));
         }
@@ -201,7 +201,7 @@
         ];
         for (body, expected_id) in cases {
             match parse("POST", "/v2/runs", body.as_bytes()) {
-                Ok(Request::Submit(Submission::Bad { id, .. })) => {
+                Ok(Request::Submit(Submission::Invalid { id, .. })) => {
                     assert_eq!(id, expected_id, "{body}")
                 }
                 other => panic!("{body}: {other:?}"),
--- a/crates/core/src/cloud.rs
+++ b/crates/core/src/cloud.rs
@@ -31,13 +31,13 @@
 
 /// A kind of machine for which the cloud's capacity is counted.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Kind {
+pub struct MachineKind {
     pub flavor: String,
     pub zone: Zone,
     pub spot: bool,
 }
 
-impl From<&Hire> for Kind {
+impl From<&Hire> for MachineKind {
     fn from(h: &Hire) -> Self {
         Self { flavor: h.flavor.clone(), zone: h.zone.clone(), spot: h.spot }
     }
@@ -45,7 +45,7 @@
 
 /// What a reply means to the rest of the controller.
 #[derive(Clone, Debug, PartialEq)]
-pub enum News {
+pub enum CloudEvent {
     Catalog(Catalog),
     /// A complete list, and when its first page was requested.
     Listing(Vec<Listed>, Mono),
@@ -63,7 +63,7 @@
 
 /// Queues calls to the cloud, limits their rate and tracks what is under way.
 #[derive(Debug)]
-pub struct CloudDesk {
+pub struct CloudClient {
     requests_per_s: f64,
     request_budget: f64,
     refilled_at: Mono,
@@ -78,10 +78,10 @@
     releases: BTreeSet<HostId>,
     release_pending: bool,
     paused_until: Mono,
-    refused: BTreeMap<Kind, Mono>,
+    refused: BTreeMap<MachineKind, Mono>,
 }
 
-impl CloudDesk {
+impl CloudClient {
     pub fn new(facts: &CloudFacts) -> Self {
         Self {
             // A little below the budget: other controllers read the catalogue as well.
@@ -121,11 +121,11 @@
     /// alone and the counter only grows. Unsent requests of the same kind are merged: a few
     /// machines of each kind at every tick used up the request budget, and hundreds of machines
     /// came seconds late.
-    pub fn hire(&mut self, kind: &Kind, number: u32) {
+    pub fn hire(&mut self, kind: &MachineKind, number: u32) {
         let mut number = number;
         for waiting in &mut self.hires {
-            if !waiting.sent && waiting.tries == 0 && Kind::from(&waiting.hire) == *kind {
-                let added = number.min(HIRE_MOST - waiting.hire.number);
+            if !waiting.sent && waiting.tries == 0 && MachineKind::from(&waiting.hire) == *kind {
+                let added = number.min(MAX_HIRE_MACHINES - waiting.hire.number);
                 waiting.hire.number += added;
                 number -= added;
             }
@@ -137,7 +137,7 @@
                 flavor: kind.flavor.clone(),
                 zone: kind.zone.clone(),
                 spot: kind.spot,
-                number: number.min(HIRE_MOST),
+                number: number.min(MAX_HIRE_MACHINES),
             };
             number -= hire.number;
             log::info!("cloud: hiring {kind:?} by request {}", hire.request);
@@ -146,7 +146,7 @@
     }
 
     /// Drops queued hires in a zone that were never sent.
-    pub fn unwish(&mut self, zone: &Zone) {
+    pub fn cancel_unsent_hires(&mut self, zone: &Zone) {
         self.hires.retain(|queued| queued.sent || queued.tries > 0 || queued.hire.zone != *zone);
     }
 
@@ -155,12 +155,12 @@
     }
 
     /// Machines requested but not answered yet.
-    pub fn awaited(&self) -> impl Iterator<Item = (Kind, u32)> + '_ {
-        self.hires.iter().map(|queued| (Kind::from(&queued.hire), queued.hire.number))
+    pub fn pending_hires(&self) -> impl Iterator<Item = (MachineKind, u32)> + '_ {
+        self.hires.iter().map(|queued| (MachineKind::from(&queued.hire), queued.hire.number))
     }
 
     /// Whether a kind was refused lately.
-    pub fn refused(&self, kind: &Kind, now: Mono) -> bool {
+    pub fn refused(&self, kind: &MachineKind, now: Mono) -> bool {
         self.refused.get(kind).is_some_and(|until| now < *until)
     }
 
@@ -175,7 +175,7 @@
         }
         if !self.catalog_pending && now >= self.next_catalog && self.spend() {
             self.catalog_pending = true;
-            let wait = if have_catalog { CATALOG_EVERY_MS } else { Millis(2_000) };
+            let wait = if have_catalog { CATALOG_PERIOD_MS } else { Millis(2_000) };
             self.next_catalog = now.plus(wait);
             ops.push(CloudOp::Catalog);
         }
@@ -184,7 +184,7 @@
         }
         if !self.release_pending && !self.releases.is_empty() && self.spend() {
             self.release_pending = true;
-            let hosts = self.releases.iter().take(RELEASE_MOST).cloned().collect();
+            let hosts = self.releases.iter().take(MAX_RELEASE_MACHINES).cloned().collect();
             ops.push(CloudOp::Release(hosts));
         }
         // One hire at a time: the choice of the next one depends on what this one gets.
@@ -213,7 +213,7 @@
         true
     }
 
-    pub fn answered(&mut self, now: Mono, op: &CloudOp, reply: CloudReply) -> News {
+    pub fn answered(&mut self, now: Mono, op: &CloudOp, reply: CloudReply) -> CloudEvent {
         if matches!(reply, CloudReply::Busy | CloudReply::Lost) {
             self.paused_until = now.plus(CLOUD_PAUSE_MS);
         }
@@ -221,8 +221,8 @@
             CloudOp::Catalog => {
                 self.catalog_pending = false;
                 match reply {
-                    CloudReply::Catalog(catalog) => News::Catalog(catalog),
-                    _ => News::Nothing,
+                    CloudReply::Catalog(catalog) => CloudEvent::Catalog(catalog),
+                    _ => CloudEvent::Nothing,
                 }
             }
             CloudOp::List { .. } => self.on_list(now, reply),
@@ -230,42 +230,42 @@
             CloudOp::Release(hosts) => {
                 self.release_pending = false;
                 if reply != CloudReply::Released {
-                    return News::Nothing;
+                    return CloudEvent::Nothing;
                 }
                 for host in hosts {
                     self.releases.remove(host);
                 }
-                News::Released(hosts.clone())
+                CloudEvent::Released(hosts.clone())
             }
         }
     }
 
-    fn on_list(&mut self, now: Mono, reply: CloudReply) -> News {
+    fn on_list(&mut self, now: Mono, reply: CloudReply) -> CloudEvent {
         self.list_pending = false;
         let CloudReply::List(page) = reply else {
             self.list = None;
             self.next_list = now.plus(CLOUD_PAUSE_MS);
-            return News::Nothing;
+            return CloudEvent::Nothing;
         };
         let Some((mut rows, since)) = self.list.take() else {
-            return News::Nothing;
+            return CloudEvent::Nothing;
         };
         let more = page.more && !page.hosts.is_empty();
         rows.extend(page.hosts);
         if more {
             self.list = Some((rows, since));
-            return News::Nothing;
+            return CloudEvent::Nothing;
         }
-        self.next_list = now.plus(LIST_EVERY_MS);
-        News::Listing(rows, since)
+        self.next_list = now.plus(LIST_PERIOD_MS);
+        CloudEvent::Listing(rows, since)
     }
 
-    fn on_hire(&mut self, now: Mono, hire: &Hire, reply: CloudReply) -> News {
+    fn on_hire(&mut self, now: Mono, hire: &Hire, reply: CloudReply) -> CloudEvent {
         let Some(first) = self.hires.front_mut() else {
-            return News::Nothing;
+            return CloudEvent::Nothing;
         };
         if first.hire.request != hire.request {
-            return News::Nothing;
+            return CloudEvent::Nothing;
         }
         match reply {
             CloudReply::Hired(hosts) => {
@@ -277,28 +277,28 @@
                         hosts.len(),
                         hire.number
                     );
-                    self.refused.insert(Kind::from(hire), now.plus(NO_CAPACITY_PAUSE_MS));
+                    self.refused.insert(MachineKind::from(hire), now.plus(NO_CAPACITY_PAUSE_MS));
                 }
-                News::Hired(hire.clone(), hosts)
+                CloudEvent::Hired(hire.clone(), hosts)
             }
             CloudReply::NoCapacity => {
-                log::info!("cloud: no capacity for {:?}", Kind::from(hire));
+                log::info!("cloud: no capacity for {:?}", MachineKind::from(hire));
                 self.hires.pop_front();
-                self.refused.insert(Kind::from(hire), now.plus(NO_CAPACITY_PAUSE_MS));
-                News::Nothing
+                self.refused.insert(MachineKind::from(hire), now.plus(NO_CAPACITY_PAUSE_MS));
+                CloudEvent::Nothing
             }
             // Retries under the same name: if the hire was carried out, the cloud gives the same
             // answer and rents nothing more. If it is given up, its machines show up in the list
             // and are adopted.
-            CloudReply::Busy | CloudReply::Lost if first.tries < HIRE_TRIES => {
+            CloudReply::Busy | CloudReply::Lost if first.tries < MAX_HIRE_ATTEMPTS => {
                 first.tries += 1;
                 first.sent = false;
-                News::Nothing
+                CloudEvent::Nothing
             }
             other => {
                 log::warn!("cloud: request {} given up: {other:?}", hire.request);
                 self.hires.pop_front();
-                News::Nothing
+                CloudEvent::Nothing
             }
         }
     }
@@ -308,14 +308,14 @@
 mod tests {
     use super::*;
 
-    fn client() -> (CloudDesk, Kind) {
-        let mut client = CloudDesk::new(&CloudFacts { rps: 6.0, list_lag_s: 4.0 });
+    fn client() -> (CloudClient, MachineKind) {
+        let mut client = CloudClient::new(&CloudFacts { rps: 6.0, list_lag_s: 4.0 });
         client.lead(Token(7), Mono(0));
-        let kind = Kind { flavor: "f".into(), zone: Zone::new("a"), spot: true };
+        let kind = MachineKind { flavor: "f".into(), zone: Zone::new("a"), spot: true };
         (client, kind)
     }
 
-    fn next_sent_hire(client: &mut CloudDesk, now: Mono) -> Option<CloudOp> {
+    fn next_sent_hire(client: &mut CloudClient, now: Mono) -> Option<CloudOp> {
         client.tick(now, true, true).into_iter().find(|op| matches!(op, CloudOp::Hire(_)))
     }
 
@@ -341,20 +341,20 @@
     #[test]
     fn unsent_hires_of_a_kind_are_merged() {
         let (mut client, kind) = client();
-        let other = Kind { spot: false, ..kind.clone() };
+        let other = MachineKind { spot: false, ..kind.clone() };
         for _ in 0..30 {
             client.hire(&kind, 3);
             client.hire(&other, 1);
         }
-        assert_eq!(client.awaited().map(|(_, n)| n).sum::<u32>(), 120);
-        assert_eq!(client.awaited().count(), 3);
+        assert_eq!(client.pending_hires().map(|(_, n)| n).sum::<u32>(), 120);
+        assert_eq!(client.pending_hires().count(), 3);
         // A request that was sent, and may have been carried out, stays as it was.
         let first = next_sent_hire(&mut client, Mono(5_000)).unwrap();
         client.answered(Mono(5_100), &first, CloudReply::Lost);
         client.hire(&kind, 20);
         assert_eq!(next_sent_hire(&mut client, Mono(10_000)), Some(first));
-        assert_eq!(client.awaited().map(|(_, n)| n).sum::<u32>(), 140);
-        assert!(client.awaited().all(|(_, n)| n <= HIRE_MOST));
+        assert_eq!(client.pending_hires().map(|(_, n)| n).sum::<u32>(), 140);
+        assert!(client.pending_hires().all(|(_, n)| n <= MAX_HIRE_MACHINES));
     }
 
     #[test]
@@ -375,7 +375,7 @@
             let op = ops.iter().find(|op| matches!(op, CloudOp::List { .. })).unwrap();
             let page = MachineList { hosts: vec![row(n)], more: n < 2 };
             let news = client.answered(now, op, CloudReply::List(page));
-            assert_eq!(matches!(news, News::Listing(ref rows, _) if rows.len() == 3), n == 2);
+            assert_eq!(matches!(news, CloudEvent::Listing(ref rows, _) if rows.len() == 3), n == 2);
             now = now.plus(Millis(1_000));
         }
     }
--- a/crates/core/src/controller/dependencies.rs
+++ b/crates/core/src/controller/dependencies.rs
@@ -4,12 +4,12 @@
 use super::leading::parse_live_record;
 use super::{Controller, LookupReason, Purpose};
 use crate::constants::{
-    DEPENDENCY_LOOK_MS, DEPENDENCY_READS_MOST, DEPENDENCY_RETRY_MS, STORE_PAUSE_MS,
+    DEPENDENCY_RETRY_MS, DEPENDENCY_SCAN_PERIOD_MS, MAX_DEPENDENCY_READS, STORE_THROTTLED_PAUSE_MS,
 };
-use crate::jobs::{self, AcceptedKind, LiveRecord, OverRecord};
+use crate::jobs::{self, FinalRecord, JobLifetime, LiveRecord};
 use crate::reign::Stage;
 use crate::reply::ConnId;
-use crate::store::{Lane, StoreOp, StoreReply};
+use crate::store::{OpClass, StoreOp, StoreReply};
 use oatloom_protocol::ids::{JobId, Mono, Now, Token};
 use oatloom_protocol::reply::HttpReply;
 use oatloom_protocol::wire::{JobSpec, Shape};
@@ -62,10 +62,10 @@
     fn check_dependencies(&mut self, now: Now, mut check: DependencyCheck) {
         while let Some(id) = check.unknown.last() {
             match self.accepted_kind(id) {
-                Some(AcceptedKind::Finite) => {
+                Some(JobLifetime::Finite) => {
                     check.unknown.pop();
                 }
-                Some(AcceptedKind::Service) => {
+                Some(JobLifetime::Service) => {
                     let reply = HttpReply::error(422, "awaits names a service, which never ends");
                     return self.reject_dependencies(now, check, reply);
                 }
@@ -76,9 +76,9 @@
     }
 
     /// What this controller knows for certain about a job that was accepted.
-    fn accepted_kind(&self, id: &JobId) -> Option<AcceptedKind> {
+    fn accepted_kind(&self, id: &JobId) -> Option<JobLifetime> {
         if self.finished_jobs.get(id).is_some() {
-            return Some(AcceptedKind::Finite);
+            return Some(JobLifetime::Finite);
         }
         self.accepted_jobs.get(id).copied()
     }
@@ -87,11 +87,11 @@
         let Some(id) = check.unknown.last() else { return };
         let key = match record {
             DependencyRecord::Live => jobs::live_key(id),
-            DependencyRecord::Final => jobs::over_key(id),
+            DependencyRecord::Final => jobs::final_key(id),
         };
         let conn = check.conn;
         let purpose = Purpose::CheckDependency { check: Box::new(check), record };
-        if self.submit(now.mono, Lane::Open, StoreOp::Get { key }, purpose).is_err() {
+        if self.submit(now.mono, OpClass::General, StoreOp::Get { key }, purpose).is_err() {
             self.reply(conn, HttpReply::later("the state service is busy"));
         }
     }
@@ -111,7 +111,7 @@
             StoreReply::Found(row) => {
                 let kind = match parse_live_record(&row) {
                     Some(record) => accepted_kind_of(&record),
-                    None => AcceptedKind::Finite,
+                    None => JobLifetime::Finite,
                 };
                 if let Some(id) = check.unknown.last() {
                     self.accepted_jobs.insert(id.clone(), kind);
@@ -153,32 +153,33 @@
             return;
         }
         let Some(leader_term) =
-            self.leader_term.as_mut().filter(|leader_term| leader_term.stage == Stage::Ruling)
+            self.leader_term.as_mut().filter(|leader_term| leader_term.stage == Stage::Active)
         else {
             return;
         };
-        self.dependency_reads.next_scan = now.plus(DEPENDENCY_LOOK_MS);
-        let unresolved: Vec<JobId> = leader_term.book.unresolved_dependencies().cloned().collect();
+        self.dependency_reads.next_scan = now.plus(DEPENDENCY_SCAN_PERIOD_MS);
+        let unresolved: Vec<JobId> =
+            leader_term.job_table.unresolved_dependencies().cloned().collect();
         let token = leader_term.token;
         let mut to_read = Vec::new();
         for id in unresolved {
             if let Some(record) = self.finished_jobs.get(&id) {
-                leader_term.book.dependency_ended(&id, record.status, now);
+                leader_term.job_table.dependency_ended(&id, record.status, now);
                 self.dependency_reads.not_before.remove(&id);
             } else if self.dependency_reads.not_before.get(&id).is_none_or(|at| now >= *at) {
                 to_read.push(id);
             }
         }
         for id in to_read {
-            if self.dependency_reads.in_flight >= DEPENDENCY_READS_MOST {
+            if self.dependency_reads.in_flight >= MAX_DEPENDENCY_READS {
                 break;
             }
             self.dependency_reads.in_flight += 1;
             let retry_at = now.plus(DEPENDENCY_RETRY_MS);
             self.dependency_reads.not_before.insert(id.clone(), retry_at);
-            let op = StoreOp::Get { key: jobs::over_key(&id) };
+            let op = StoreOp::Get { key: jobs::final_key(&id) };
             // This lane is never full.
-            let _ = self.submit(now, Lane::Write, op, Purpose::ResolveDependency { token, id });
+            let _ = self.submit(now, OpClass::Write, op, Purpose::ResolveDependency { token, id });
         }
     }
 
@@ -188,12 +189,12 @@
         reads.in_flight = reads.in_flight.saturating_sub(1);
         reads.next_scan = now;
         let record = match reply {
-            StoreReply::Found(row) => serde_json::from_value::<OverRecord>(row.value),
+            StoreReply::Found(row) => serde_json::from_value::<FinalRecord>(row.value),
             // Another controller accepted it a moment ago: its live record will arrive through the
             // watch.
             StoreReply::Missing(_) => return,
             _ => {
-                reads.not_before.insert(id, now.plus(STORE_PAUSE_MS));
+                reads.not_before.insert(id, now.plus(STORE_THROTTLED_PAUSE_MS));
                 return;
             }
         };
@@ -202,7 +203,7 @@
             .leader_term
             .as_mut()
             .filter(|leader_term| leader_term.token == token)
-            .map(|r| &mut r.book);
+            .map(|r| &mut r.job_table);
         match (record, job_table) {
             (Ok(record), job_table) => {
                 if let Some(job_table) = job_table {
@@ -211,7 +212,7 @@
                 self.finished_jobs.insert(id, record);
             }
             (Err(error), Some(job_table)) => {
-                log::error!("state service: {} cannot be decoded: {error}", jobs::over_key(&id));
+                log::error!("state service: {} cannot be decoded: {error}", jobs::final_key(&id));
                 job_table.dependency_unreadable(&id);
             }
             (Err(_), None) => {}
@@ -224,9 +225,9 @@
     }
 }
 
-fn accepted_kind_of(record: &LiveRecord) -> AcceptedKind {
+fn accepted_kind_of(record: &LiveRecord) -> JobLifetime {
     match record.spec.shape {
-        Shape::Service => AcceptedKind::Service,
-        Shape::Array | Shape::Gang => AcceptedKind::Finite,
+        Shape::Service => JobLifetime::Service,
+        Shape::Array | Shape::Gang => JobLifetime::Finite,
     }
 }
--- a/crates/core/src/controller/graphs.rs
+++ b/crates/core/src/controller/graphs.rs
@@ -33,7 +33,7 @@
 
 fn launch_record(launch: &Launch) -> (String, String, Value) {
     let value = serde_json::to_value(live_record_of(launch.clone())).unwrap_or(Value::Null);
-    (jobs::live_key(launch.id()), jobs::over_key(launch.id()), value)
+    (jobs::live_key(launch.id()), jobs::final_key(launch.id()), value)
 }
 
 /// The nodes that a job runs, according to its live or final record.
@@ -59,7 +59,7 @@
             return self.reply(conn, HttpReply::error(404, "no such path"));
         }
         let active = self.leadership.valid(now.mono).is_some()
-            && self.leader_term.as_ref().is_some_and(|r| r.stage == Stage::Ruling);
+            && self.leader_term.as_ref().is_some_and(|r| r.stage == Stage::Active);
         if !active {
             let leader = self.leadership.other_leader().filter(|_| !forwarded).cloned();
             return match leader.filter(|_| self.leadership.token().is_none()) {
@@ -85,8 +85,10 @@
             Verdict::Reply(reply) => self.reply(conn, reply),
             Verdict::Later => {}
             Verdict::Job(id, nodes) => {
-                let job =
-                    self.leader_term.as_ref().and_then(|leader_term| leader_term.book.get(&id));
+                let job = self
+                    .leader_term
+                    .as_ref()
+                    .and_then(|leader_term| leader_term.job_table.get(&id));
                 let reply = match job {
                     Some(job) => HttpReply::json(200, &nodes.with(&job.spec)),
                     None => HttpReply::error(404, "no such job of a graph is open"),
@@ -109,7 +111,7 @@
             request: Box::new(request),
             step: FinalReadStep::Answer,
         };
-        if self.submit(now, Lane::Open, op, purpose).is_err() {
+        if self.submit(now, OpClass::General, op, purpose).is_err() {
             self.reply(conn, HttpReply::later("the state service is busy"));
         }
     }
@@ -158,7 +160,7 @@
                         let op = StoreOp::List { prefix, after };
                         let step = FinalReadStep::Nodes(Box::new(record));
                         let purpose = Purpose::FinishedGraph { conn, request, step };
-                        if self.submit(now, Lane::Open, op, purpose).is_err() {
+                        if self.submit(now, OpClass::General, op, purpose).is_err() {
                             self.reply(conn, HttpReply::later("the state service is busy"));
                         }
                     }
@@ -221,7 +223,7 @@
     }
 
     /// Notifies a job's graph, if it has one, that the job's end is durable.
-    pub(super) fn graph_job_finished(&mut self, id: &JobId, record: &OverRecord) {
+    pub(super) fn graph_job_finished(&mut self, id: &JobId, record: &FinalRecord) {
         let Some(part) = &record.part else { return };
         if let Some(graphs) = self.open_graphs() {
             graphs.job_over(id, part, record.status, record.failure.as_ref());
@@ -232,11 +234,11 @@
     /// the job table has made durable.
     pub(super) fn advance_graphs(&mut self, now: Now) {
         let valid = self.was_valid;
-        let Some(leader_term) = self.leader_term.as_mut().filter(|r| r.stage == Stage::Ruling)
+        let Some(leader_term) = self.leader_term.as_mut().filter(|r| r.stage == Stage::Active)
         else {
             return;
         };
-        let progress = std::mem::take(&mut leader_term.book.progress);
+        let progress = std::mem::take(&mut leader_term.job_table.progress);
         let Some(graphs) = leader_term.graphs.as_mut() else { return };
         for (id, done) in progress {
             graphs.tasks_done(&id, &done);
@@ -262,14 +264,14 @@
                 StoreOp::List { prefix: prefix.clone(), after: after.clone() }
             }
             Read::Ended { after } => StoreOp::List {
-                prefix: format!("{}{}", jobs::OVER, desk::JOBS_PREFIX),
-                after: jobs::over_key(after),
+                prefix: format!("{}{}", jobs::FINAL_PREFIX, desk::JOBS_PREFIX),
+                after: jobs::final_key(after),
             },
         };
         let purpose = Purpose::Graphs { token, read };
-        self.graph_read_in_flight = self.submit(now, Lane::Open, op, purpose).is_ok();
+        self.graph_read_in_flight = self.submit(now, OpClass::General, op, purpose).is_ok();
         if !self.graph_read_in_flight {
-            self.next_graph_read = now.plus(GRAPHS_PAUSE_MS);
+            self.next_graph_read = now.plus(GRAPH_READ_RETRY_PAUSE_MS);
         }
     }
 
@@ -290,10 +292,10 @@
                 graphs.read_rows(page.rows, page.more, now)
             }
             (Read::Ended { .. }, StoreReply::Page(page)) => {
-                let id = |row: &Row| JobId::parse(row.key.strip_prefix(jobs::OVER)?);
+                let id = |row: &Row| JobId::parse(row.key.strip_prefix(jobs::FINAL_PREFIX)?);
                 let last = page.rows.last().and_then(id).filter(|_| page.more);
                 let ended = page.rows.iter().filter_map(|row| {
-                    let read = serde_json::from_value::<OverRecord>(row.value.clone());
+                    let read = serde_json::from_value::<FinalRecord>(row.value.clone());
                     let record = read
                         .map_err(|e| {
                             log::error!("state service: {} cannot be decoded: {e}", row.key)
@@ -307,7 +309,7 @@
                 graphs.read_ended(ended, last, &|graph| leader_term.open_jobs(graph), now.mono);
             }
             // Retried after a pause.
-            _ => self.next_graph_read = now.mono.plus(GRAPHS_PAUSE_MS),
+            _ => self.next_graph_read = now.mono.plus(GRAPH_READ_RETRY_PAUSE_MS),
         }
         if let Some(leader_term) = self.leader_term.as_mut() {
             leader_term.graphs = Some(graphs);
@@ -324,7 +326,7 @@
         };
         let ops = self.limits.max_changes();
         let retried = self.graph_refusals.take_due(now.mono);
-        let max_items = if retried.is_some() { 1 } else { self.graph_refusals.most() };
+        let max_items = if retried.is_some() { 1 } else { self.graph_refusals.max_items() };
         let Some(graphs) = self.open_graphs() else { return false };
         graphs.items_most = max_items;
         retried.into_iter().for_each(|item| graphs.retry(item));
@@ -334,7 +336,7 @@
         self.writer = Writer::Writing;
         self.traffic.changes += txn.changes.len();
         let purpose = Purpose::WriteGraphs { token, written };
-        let _ = self.submit(now.mono, Lane::Write, StoreOp::Txn(txn), purpose);
+        let _ = self.submit(now.mono, OpClass::Write, StoreOp::Txn(txn), purpose);
         true
     }
 
@@ -353,11 +355,11 @@
         match reply {
             StoreReply::Committed(revision) => {
                 graphs.committed(&written, revision);
-                self.graph_refusals.taken(written.iter().map(|wrote| &wrote.item));
+                self.graph_refusals.accepted(written.iter().map(|wrote| &wrote.item));
             }
-            StoreReply::Conflict(failed) if failed.iter().any(|k| k == LEAD_KEY) => {
+            StoreReply::Conflict(failed) if failed.iter().any(|k| k == LEADER_KEY) => {
                 graphs.refused(written);
-                self.leadership.fenced_off();
+                self.leadership.on_fenced_write();
             }
             StoreReply::Conflict(_) | StoreReply::Lost => {
                 log::warn!(
@@ -372,7 +374,7 @@
             StoreReply::Malformed(text) => self.on_graphs_write_refused(now.mono, written, &text),
             _ => {
                 graphs.refused(written);
-                self.next_write = now.mono.plus(STORE_PAUSE_MS);
+                self.next_write = now.mono.plus(STORE_THROTTLED_PAUSE_MS);
             }
         }
         self.apply_graph_effects(now);
@@ -383,7 +385,9 @@
     fn on_graphs_write_refused(&mut self, now: Mono, mut written: Vec<desk::Wrote>, text: &str) {
         if !self.on_write_refused(text) {
             let items: Vec<_> = written.iter().map(|wrote| wrote.item.clone()).collect();
-            if let Some(Refusal::SetAside(item, pause)) = self.graph_refusals.refused(&items, now) {
+            if let Some(RejectionResponse::Deferred(item, pause)) =
+                self.graph_refusals.rejected(&items, now)
+            {
                 log::error!(
                     "state service: refused the graph write {item:?} on its own; retrying in {pause:?}"
                 );
@@ -398,7 +402,7 @@
     /// Reads the keys of writes with an unknown outcome, one after another.
     fn resolve_graphs(&mut self, now: Now, token: Token, mut unresolved: UnresolvedWrites) {
         let live_key = |id: &JobId| jobs::live_key(id);
-        let final_key = |id: &JobId| jobs::over_key(id);
+        let final_key = |id: &JobId| jobs::final_key(id);
         loop {
             let Some(item) = unresolved.items.last().cloned() else {
                 self.writer = Writer::Idle;
@@ -411,7 +415,7 @@
             if let Some(key) = unresolved.keys.get(unresolved.rows.len()).cloned() {
                 self.writer = Writer::ResolvingGraphs(unresolved);
                 let op = StoreOp::Get { key };
-                let _ = self.submit(now.mono, Lane::Write, op, Purpose::ResolveGraphs { token });
+                let _ = self.submit(now.mono, OpClass::Write, op, Purpose::ResolveGraphs { token });
                 return;
             }
             let rows = std::mem::take(&mut unresolved.rows);
--- a/crates/core/src/controller/health.rs
+++ b/crates/core/src/controller/health.rs
@@ -1,7 +1,10 @@
 //! Whether this controller can take requests, as it reports at `/up` and to its peers.
 
 use super::Controller;
-use crate::constants::{APART_FRESH_MS, APART_MS, LEADER_TTL_MS, UP_STORE_SILENCE_MS, UP_TOLD_MS};
+use crate::constants::{
+    LEADER_LEASE_TTL_MS, LEADER_UNREACHABLE_MS, LEADER_UNREACHABLE_TTL_MS,
+    MAX_LEADER_ANSWER_AGE_MS, UNHEALTHY_STORE_SILENCE_MS,
+};
 use oatloom_protocol::ids::{Millis, Mono};
 use oatloom_protocol::reply::HttpReply;
 
@@ -38,7 +41,7 @@
         self.log_health_change(health, now);
         match health {
             Health::Up => {
-                let store_served = self.store_silence(now) <= UP_STORE_SILENCE_MS;
+                let store_served = self.store_silence(now) <= UNHEALTHY_STORE_SILENCE_MS;
                 HttpReply::json(200, &serde_json::json!({ "up": true, "store": store_served }))
             }
             other => HttpReply::later(other.description()),
@@ -63,10 +66,10 @@
 
     /// Returns whether this controller can take requests.
     pub(super) fn health(&self, now: Mono) -> Health {
-        if self.catalog().is_none() || self.store.last_good() == Mono(0) {
+        if self.catalog().is_none() || self.store.last_success() == Mono(0) {
             return Health::Starting;
         }
-        if self.store_silence(now) > UP_STORE_SILENCE_MS {
+        if self.store_silence(now) > UNHEALTHY_STORE_SILENCE_MS {
             if self.refused_by_store(now) {
                 return Health::RefusedByStore;
             }
@@ -81,7 +84,7 @@
 
     /// Time since the state service last served a request of this controller.
     fn store_silence(&self, now: Mono) -> Millis {
-        now.since(self.store.last_good())
+        now.since(self.store.last_success())
     }
 
     /// When the state service last served another controller, as that one reported.
@@ -96,12 +99,15 @@
     /// beginning of an outage, this controller's last request may only have been some seconds
     /// before the others'.
     fn refused_by_store(&self, now: Mono) -> bool {
-        let reported = self.peer_served_at(now).filter(|at| now.since(*at) <= UP_STORE_SILENCE_MS);
-        let leader_replied = now.since(self.last_leader_reply) < UP_TOLD_MS;
-        let renewed =
-            leader_replied.then(|| Mono(self.last_leader_reply.0.saturating_sub(LEADER_TTL_MS.0)));
-        let last_good = self.store.last_good();
-        reported.max(renewed).is_some_and(|served| served.since(last_good) > UP_STORE_SILENCE_MS)
+        let reported =
+            self.peer_served_at(now).filter(|at| now.since(*at) <= UNHEALTHY_STORE_SILENCE_MS);
+        let leader_replied = now.since(self.last_leader_reply) < MAX_LEADER_ANSWER_AGE_MS;
+        let renewed = leader_replied
+            .then(|| Mono(self.last_leader_reply.0.saturating_sub(LEADER_LEASE_TTL_MS.0)));
+        let last_good = self.store.last_success();
+        reported
+            .max(renewed)
+            .is_some_and(|served| served.since(last_good) > UNHEALTHY_STORE_SILENCE_MS)
     }
 
     /// Whether the leader, which alone may report on open jobs, has not responded for long.
@@ -109,7 +115,8 @@
     /// reach the leader.
     fn leader_unreachable(&self, now: Mono) -> bool {
         let ongoing = |(since, last): (Mono, Mono)| {
-            last.since(since) >= APART_MS && now.since(last) < APART_FRESH_MS
+            last.since(since) >= LEADER_UNREACHABLE_MS
+                && now.since(last) < LEADER_UNREACHABLE_TTL_MS
         };
         self.leadership.other_leader().is_some() && self.leader_failures.is_some_and(ongoing)
     }
--- a/crates/core/src/controller/leading.rs
+++ b/crates/core/src/controller/leading.rs
@@ -3,18 +3,24 @@
 use super::*;
 
 impl Controller {
-    pub(super) fn send_leadership_requests(&mut self, now: Mono, requests: Vec<Ask>) {
+    pub(super) fn send_leadership_requests(&mut self, now: Mono, requests: Vec<LeadershipRequest>) {
         for request in requests {
-            let leader_key = || LEAD_KEY.to_owned();
+            let leader_key = || LEADER_KEY.to_owned();
             let (lane, op) = match &request {
-                Ask::Read => (Lane::Vital, StoreOp::Get { key: leader_key() }),
-                Ask::Watch(after) => {
-                    (Lane::Watch, StoreOp::Follow { prefix: leader_key(), after: *after })
+                LeadershipRequest::Read => (OpClass::Lease, StoreOp::Get { key: leader_key() }),
+                LeadershipRequest::Watch(after) => {
+                    (OpClass::Watch, StoreOp::Follow { prefix: leader_key(), after: *after })
+                }
+                LeadershipRequest::Grant => {
+                    (OpClass::Lease, StoreOp::Grant { ttl_ms: LEADER_LEASE_TTL_MS.0 })
+                }
+                LeadershipRequest::Claim(txn) => (OpClass::Lease, StoreOp::Txn(txn.clone())),
+                LeadershipRequest::Renew(lease) => {
+                    (OpClass::Lease, StoreOp::Touch { lease: *lease })
+                }
+                LeadershipRequest::Revoke(lease) => {
+                    (OpClass::Lease, StoreOp::Revoke { lease: *lease })
                 }
-                Ask::Grant => (Lane::Vital, StoreOp::Grant { ttl_ms: LEADER_TTL_MS.0 }),
-                Ask::Claim(txn) => (Lane::Vital, StoreOp::Txn(txn.clone())),
-                Ask::Touch(lease) => (Lane::Vital, StoreOp::Touch { lease: *lease }),
-                Ask::Revoke(lease) => (Lane::Vital, StoreOp::Revoke { lease: *lease }),
             };
             // These lanes are never full.
             let _ = self.submit(now, lane, op, Purpose::Leadership { request, sent: now });
@@ -22,24 +28,25 @@
     }
 
     pub(super) fn follow_leadership(&mut self, now: Now) {
-        match self.leadership.take_turn() {
-            Some(Turn::Elected(token)) => {
+        match self.leadership.take_change() {
+            Some(LeadershipChange::Elected(token)) => {
                 let fleet = std::mem::take(&mut self.fleet);
                 self.fleet.catalog.clone_from(&fleet.catalog);
-                self.leader_term = Some(Reign::new(token, now.mono, fleet, &self.leader_config));
-                self.graph_refusals = Refusals::default();
+                self.leader_term =
+                    Some(LeaderTerm::new(token, now.mono, fleet, &self.leader_config));
+                self.graph_refusals = WriteBackoff::default();
                 self.cloud_client.lead(token, now.mono);
-                self.store.lead(true);
+                self.store.set_leading(true);
                 self.writer = Writer::Idle;
                 self.forget_dependency_reads();
                 self.watch_revision = None;
-                self.load_page(now.mono, jobs::LIVE, String::new(), None);
+                self.load_page(now.mono, jobs::LIVE_PREFIX, String::new(), None);
             }
-            Some(Turn::Deposed) => {
+            Some(LeadershipChange::Deposed) => {
                 if let Some(leader_term) = self.leader_term.take() {
                     self.fleet.catalog = leader_term.fleet.catalog;
                 }
-                self.store.lead(false);
+                self.store.set_leading(false);
                 self.writer = Writer::Idle;
                 self.reject_end_waiters();
             }
@@ -60,8 +67,12 @@
         let op = StoreOp::List { prefix: prefix.to_owned(), after: after.clone() };
         // The writer's lane is idle while the job table is loaded, so the read is neither queued
         // behind users' requests nor dropped.
-        let _ =
-            self.submit(now, Lane::Write, op, Purpose::LoadPage { token, after, first_revision });
+        let _ = self.submit(
+            now,
+            OpClass::Write,
+            op,
+            Purpose::LoadPage { token, after, first_revision },
+        );
     }
 
     pub(super) fn on_load(
@@ -76,7 +87,7 @@
             return;
         };
         let loading_live = leader_term.stage == Stage::LoadingLive;
-        let prefix = if loading_live { jobs::LIVE } else { jobs::ASSIGNED };
+        let prefix = if loading_live { jobs::LIVE_PREFIX } else { jobs::ASSIGNMENT_PREFIX };
         let StoreReply::Page(page) = reply else {
             // Retries the page. The pages read before stay valid: only the leader writes
             // assignments, and this one has not written any yet; jobs accepted since the first page
@@ -97,18 +108,18 @@
         };
         if loading_live {
             self.watch_revision = first_revision;
-            leader_term.begin = first_revision.unwrap_or_default();
+            leader_term.load_revision = first_revision.unwrap_or_default();
             leader_term.enter(Stage::LoadingAssigned);
-            self.load_page(now.mono, jobs::ASSIGNED, String::new(), None);
+            self.load_page(now.mono, jobs::ASSIGNMENT_PREFIX, String::new(), None);
         } else {
-            let recent = |received: &Mono| now.mono.since(*received) < NOTES_OLD_MS;
+            let recent = |received: &Mono| now.mono.since(*received) < MAX_HINT_AGE_MS;
             if let Some((received, hints)) =
                 self.leader_hints.take().filter(|(received, _)| recent(received))
             {
                 leader_term.recall(hints, received);
             }
-            leader_term.enter(Stage::Ruling);
-            leader_term.recall_charges(now.mono);
+            leader_term.enter(Stage::Active);
+            leader_term.restore_charges(now.mono);
         }
     }
 
@@ -119,11 +130,13 @@
         for row in page.rows {
             if let Some((id, chunk)) = jobs::parse_chunk_key(&row.key) {
                 match serde_json::from_value(row.value) {
-                    Ok(record) => leader_term.load_chunk(&id, chunk, record, row.version, now.mono),
+                    Ok(record) => {
+                        leader_term.load_assignments(&id, chunk, record, row.version, now.mono)
+                    }
                     Err(e) => log::error!("state service: {} cannot be decoded: {e}", row.key),
                 }
             } else if let Some(record) = parse_live_record(&row) {
-                leader_term.book.insert(record, row.version, now);
+                leader_term.job_table.insert(record, row.version, now);
             }
         }
     }
@@ -137,8 +150,8 @@
             return;
         }
         self.watch_token = Some(token);
-        let op = StoreOp::Follow { prefix: jobs::LIVE.into(), after };
-        let _ = self.submit(now, Lane::Watch, op, Purpose::Watch { token, after });
+        let op = StoreOp::Follow { prefix: jobs::LIVE_PREFIX.into(), after };
+        let _ = self.submit(now, OpClass::Watch, op, Purpose::Watch { token, after });
     }
 
     /// Processes jobs that other controllers have accepted.
@@ -166,7 +179,7 @@
                 // The job table is not reloaded under the same fencing token: a write still in
                 // flight could be applied after the load, and its response would mark changes
                 // durable that the new table never wrote.
-                self.leadership.fenced_off();
+                self.leadership.on_fenced_write();
                 self.follow_leadership(now);
             }
             _ => {}
@@ -192,14 +205,14 @@
         }
         self.record_accepted(&record);
         if let Some(leader_term) = self.leader_term.as_mut() {
-            leader_term.book.insert(record, stamp, now);
-            leader_term.wake();
+            leader_term.job_table.insert(record, stamp, now);
+            leader_term.request_placement();
         }
     }
 }
 
 pub(super) fn parse_live_record(row: &Row) -> Option<LiveRecord> {
-    if !row.key.starts_with(jobs::LIVE) {
+    if !row.key.starts_with(jobs::LIVE_PREFIX) {
         return None;
     }
     match serde_json::from_value(row.value.clone()) {
--- a/crates/core/src/controller/limits.rs
+++ b/crates/core/src/controller/limits.rs
@@ -43,7 +43,7 @@
     }
 
     pub fn record_limits(&self, form: RecordForm) -> RecordLimits {
-        let bytes = |facts: &StateFacts| (facts.value_kb * 1024.0 * VALUE_SHARE) as usize;
+        let bytes = |facts: &StateFacts| (facts.value_kb * 1024.0 * RECORD_VALUE_SHARE) as usize;
         let facts_in_force = match self.in_force {
             LimitsInForce::Current => &self.current,
             LimitsInForce::Announced => &self.strictest,
@@ -69,7 +69,7 @@
         let form = if self.all_upgraded() { RecordForm::Packed } else { RecordForm::Rows };
         let limits = self.limits.record_limits(form);
         if let Some(leader_term) = self.leader_term.as_mut() {
-            leader_term.book.limits = limits;
+            leader_term.job_table.limits = limits;
         }
     }
 
@@ -78,7 +78,7 @@
     pub(super) fn on_write_refused(&mut self, text: &str) -> bool {
         log::warn!("state service: refused a write: {text}");
         let changed = self.limits.enter(LimitsInForce::Announced, "a write was refused");
-        self.store.keep_to(&self.limits.strictest);
+        self.store.set_limits(&self.limits.strictest);
         self.update_record_limits();
         changed
     }
@@ -86,7 +86,7 @@
     /// Handles a request that the service refused because of its rate limit.
     pub(super) fn on_throttled(&mut self) {
         if self.all_upgraded() {
-            self.store.keep_to(&self.limits.strictest);
+            self.store.set_limits(&self.limits.strictest);
         }
     }
 }
--- a/crates/core/src/controller/members.rs
+++ b/crates/core/src/controller/members.rs
@@ -2,7 +2,7 @@
 
 use super::health::Health;
 use super::*;
-use oatloom_membership::{Gossip, Line, Own, Presence};
+use oatloom_membership::{Gossip, LinkState, LocalStatus, Presence};
 
 impl Controller {
     /// The membership view, created at the first event.
@@ -15,17 +15,17 @@
     /// Builds the gossip message for a peer.
     fn gossip(&mut self, now: Now, to: &Member) -> Gossip {
         let ready = self.health(now.mono) == Health::Up;
-        let store_served_at = self.store.last_good();
+        let store_served_at = self.store.last_success();
         let leading =
             self.leadership.valid(now.mono).map(|token| (self.settings.member.clone(), token));
         let known_leader =
             || Some((self.leadership.other_leader()?.clone(), self.leadership.leader_token()?));
-        let own_state = Own {
+        let own_state = LocalStatus {
             ready,
             store_ms: (store_served_at > Mono(0)).then(|| now.mono.since(store_served_at).0),
             leader: leading.or_else(known_leader),
         };
-        self.members(now).say(to, own_state, now)
+        self.members(now).gossip_for(to, own_state, now)
     }
 
     /// Sends gossip to the peers that have received nothing for a while. No request waits for it.
@@ -33,25 +33,26 @@
         if now.mono < self.next_gossip {
             return;
         }
-        self.next_gossip = now.mono.plus(GREET_LOOK_MS);
+        self.next_gossip = now.mono.plus(PEER_PROBE_CHECK_PERIOD_MS);
         // A response later than this is not awaited and does not count as a broken link: the peer
         // may be slow.
         self.one_way_in_flight.retain(|_, (_, until)| now.mono < *until);
         for to in self.members(now).tick(now.mono) {
             let gossip = self.gossip(now, &to);
-            self.send_one_way(now.mono, to, Question::Greet(Box::new(gossip)));
+            self.send_one_way(now.mono, to, Question::Gossip(Box::new(gossip)));
         }
     }
 
     /// Sends the leader's hints to the other controllers, for the next leader.
     pub(super) fn send_leader_hints(&mut self, now: Now) {
         let mono = now.mono;
-        let active = self.leader_term.as_ref().is_some_and(|r| r.stage == Stage::Ruling);
+        let active = self.leader_term.as_ref().is_some_and(|r| r.stage == Stage::Active);
         if !active || !self.was_valid || mono < self.next_leader_hints {
             return;
         }
-        self.next_leader_hints = mono.plus(NOTES_EVERY_MS);
-        let Some(hints) = self.leader_term.as_mut().map(|leader_term| leader_term.notes(mono))
+        self.next_leader_hints = mono.plus(HINTS_PERIOD_MS);
+        let Some(hints) =
+            self.leader_term.as_mut().map(|leader_term| leader_term.leader_hints(mono))
         else {
             return;
         };
@@ -59,15 +60,15 @@
         let peers: Vec<Member> = self.settings.peers.iter().map(|p| p.member.clone()).collect();
         for to in peers {
             let gossip = Some(self.gossip(now, &to));
-            let hints = Notes { leader: leader.clone(), gossip, ..hints.clone() };
-            self.send_one_way(mono, to, Question::Notes(Box::new(hints)));
+            let hints = LeaderHints { leader: leader.clone(), gossip, ..hints.clone() };
+            self.send_one_way(mono, to, Question::LeaderHints(Box::new(hints)));
         }
     }
 
     fn send_one_way(&mut self, now: Mono, to: Member, peer_request: Question) {
         self.next_id += 1;
-        self.one_way_in_flight.insert(self.next_id, (to.clone(), now.plus(TOLD_PATIENCE_MS)));
-        self.actions.push(Action::Ask { to, id: self.next_id, question: peer_request });
+        self.one_way_in_flight.insert(self.next_id, (to.clone(), now.plus(ONE_WAY_ACK_TIMEOUT_MS)));
+        self.actions.push(Action::Ask { to, id: self.next_id, request: peer_request });
     }
 
     /// Processes the response to a one-way message (`None`: none arrived). Returns false if the id
@@ -83,7 +84,7 @@
             self.record_leader_contact(reply.is_some(), now.mono);
         }
         match reply {
-            None => self.members(now).unreachable(&peer, now.mono),
+            None => self.members(now).record_unreachable(&peer, now.mono),
             // An earlier version responds with a body without gossip.
             Some(reply) => {
                 if let Ok(gossip) = serde_json::from_str::<Gossip>(&reply.body) {
@@ -107,7 +108,7 @@
         {
             // That the leader held this fencing token was true when the message was sent, whoever
             // relays it.
-            self.leadership.heard(leader, *token);
+            self.leadership.on_peer_leader(leader, *token);
             self.follow_leadership(now);
         }
     }
@@ -115,20 +116,20 @@
     /// The leader key exists, which shows by a route of its own that its holder is alive.
     pub(super) fn saw_leader_key(&mut self, now: Now) {
         if let Some(leader) = self.leadership.other_leader().cloned() {
-            self.members(now).key(&leader, now.mono);
+            self.members(now).record_key_seen(&leader, now.mono);
         }
     }
 
     /// Whether requests reach the peer at present, as far as the last one shows.
     pub(super) fn can_reach(&self, peer: &Member, now: Mono) -> bool {
-        let link = self.membership.as_ref().map(|members| members.line(peer));
-        !matches!(link, Some(Line::Cut { since }) if now.since(since) < CUT_PAUSE_MS)
+        let link = self.membership.as_ref().map(|members| members.link(peer));
+        !matches!(link, Some(LinkState::Down { since }) if now.since(since) < UNREACHABLE_PEER_PAUSE_MS)
     }
 
     /// Returns the controller through which to reach a leader that neither a worker nor this
     /// controller reaches; if none is known, the first other one that is not gone.
     pub(super) fn route_around(&self, leader: &Member, now: Mono) -> Option<Member> {
-        let route = self.membership.as_ref().and_then(|members| members.through(leader, now));
+        let route = self.membership.as_ref().and_then(|members| members.relay_for(leader, now));
         let others = || self.settings.peers.iter().map(|p| &p.member).filter(|m| *m != leader);
         let is_gone = |peer: &&Member| {
             let members = self.membership.as_ref();
--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -14,26 +14,28 @@
 mod writing;
 
 use crate::api::{Request, Submission};
-use crate::cloud::{CloudDesk, CloudOp, CloudReply, Kind, News};
+use crate::cloud::{CloudClient, CloudEvent, CloudOp, CloudReply, MachineKind};
 use crate::constants::*;
-use crate::jobs::{self, AcceptedKind, Item, JobMemory, JobState, LiveRecord, OverRecord, Written};
-use crate::leadership::{Ask, LEAD_KEY, Leadership, Turn};
+use crate::jobs::{
+    self, FinalRecord, JobFactCache, JobLifetime, JobState, LiveRecord, PendingWrite, WriteItem,
+};
+use crate::leadership::{LEADER_KEY, Leadership, LeadershipChange, LeadershipRequest};
 use crate::mesh::Question;
-use crate::notes::Notes;
+use crate::notes::LeaderHints;
 use crate::open::OpenRequests;
-use crate::operators::Operators;
+use crate::operators::OperatorSettings;
 use crate::parked::ParkedReports;
 use crate::placement;
-use crate::refusals::{Refusal, Refusals};
-use crate::reign::{Reign, Stage, Terms};
-use crate::relay::{Relays, Way};
+use crate::refusals::{RejectionResponse, WriteBackoff};
+use crate::reign::{LeaderConfig, LeaderTerm, Stage};
+use crate::relay::{ReportRoute, ReportRouter};
 use crate::reply::ConnId;
-use crate::store::{Lane, OpId, StoreClient, StoreOp, StoreReply};
+use crate::store::{OpClass, OpId, StoreClient, StoreOp, StoreReply};
 use crate::workers::Fleet;
 use oatloom_graph::desk::{Read, Wrote};
 use oatloom_graph::requests::Ask as GraphAsk;
-use oatloom_ledger::entry::Entry;
-use oatloom_ledger::query::Query;
+use oatloom_ledger::entry::UsageEntry;
+use oatloom_ledger::query::UsageQuery;
 use oatloom_ledger::rollup::Cursor;
 use oatloom_membership::Membership;
 use oatloom_protocol::ids::*;
@@ -59,7 +61,7 @@
     /// A response of the cloud API.
     Cloud { id: u64, reply: CloudReply },
     /// A worker's response to a direct command; `None` if the worker could not be reached.
-    Obeyed { report: Option<Box<Report>> },
+    CommandReply { report: Option<Box<Report>> },
     /// A peer's response to a request; `None` if the peer could not be reached.
     Told { id: u64, reply: Option<HttpReply> },
 }
@@ -73,7 +75,7 @@
     },
     Store {
         id: OpId,
-        lane: Lane,
+        lane: OpClass,
         op: StoreOp,
     },
     Cloud {
@@ -84,7 +86,7 @@
     Ask {
         to: Member,
         id: u64,
-        question: Question,
+        request: Question,
     },
     /// Orders sent to a worker at once instead of with the reply to its next report.
     Command {
@@ -107,7 +109,7 @@
 #[derive(Debug)]
 enum Purpose {
     Leadership {
-        request: Ask,
+        request: LeadershipRequest,
         sent: Mono,
     },
     LoadPage {
@@ -122,11 +124,11 @@
     },
     Write {
         token: Token,
-        written: Vec<Written>,
+        written: Vec<PendingWrite>,
     },
     Resolve {
         token: Token,
-        item: Item,
+        item: WriteItem,
     },
     Accept {
         conn: ConnId,
@@ -183,7 +185,7 @@
     /// Reads a page of usage for an operator.
     Usage {
         conn: ConnId,
-        query: Box<Query>,
+        query: Box<UsageQuery>,
         cursor: Option<Cursor>,
     },
 }
@@ -194,7 +196,7 @@
     Idle,
     Writing,
     /// The outcome of a transaction is unknown; its keys are being read back.
-    Resolving(Vec<Item>),
+    Resolving(Vec<WriteItem>),
     /// As `Resolving`, for a transaction of graphs.
     ResolvingGraphs(graphs::UnresolvedWrites),
 }
@@ -215,30 +217,30 @@
 
 /// Sizes of a controller's queues, which must stay bounded during an outage.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Load {
+pub struct QueueSizes {
     /// Requests of users and workers without a reply.
-    pub open: usize,
+    pub open_requests: usize,
     /// Operations for the state service, queued or in flight.
-    pub store: usize,
+    pub store_operations: usize,
     /// Cloud calls in flight, and requested machines.
-    pub cloud: usize,
+    pub cloud_calls: usize,
     /// Requests to peers in flight.
-    pub asks: usize,
+    pub peer_requests: usize,
     /// Parked reports, whose replies are held back.
-    pub parked: usize,
+    pub parked_reports: usize,
     /// Changes of the job table that are not yet durable.
     pub unwritten: usize,
 }
 
-impl Load {
+impl QueueSizes {
     /// Returns the maximum of each field.
-    pub fn larger(self, other: Self) -> Self {
+    pub fn field_maximum(self, other: Self) -> Self {
         Self {
-            open: self.open.max(other.open),
-            store: self.store.max(other.store),
-            cloud: self.cloud.max(other.cloud),
-            asks: self.asks.max(other.asks),
-            parked: self.parked.max(other.parked),
+            open_requests: self.open_requests.max(other.open_requests),
+            store_operations: self.store_operations.max(other.store_operations),
+            cloud_calls: self.cloud_calls.max(other.cloud_calls),
+            peer_requests: self.peer_requests.max(other.peer_requests),
+            parked_reports: self.parked_reports.max(other.parked_reports),
             unwritten: self.unwritten.max(other.unwritten),
         }
     }
@@ -249,25 +251,25 @@
     traffic: Traffic,
     next_traffic_log: Mono,
     settings: Settings,
-    operators: Operators,
-    leader_config: Terms,
+    operators: OperatorSettings,
+    leader_config: LeaderConfig,
     rng: ChaCha8Rng,
     leadership: Leadership,
     store: StoreClient<Purpose>,
-    cloud_client: CloudDesk,
+    cloud_client: CloudClient,
     /// Machines and catalog while no leader term is active; followers use the catalog too.
     fleet: Fleet,
-    leader_term: Option<Reign>,
+    leader_term: Option<LeaderTerm>,
     /// Final states, cached so that polling needs no read.
-    finished_jobs: JobMemory<OverRecord>,
+    finished_jobs: JobFactCache<FinalRecord>,
     /// Jobs that are known to be accepted durably, so that submissions that depend on them need no
     /// read.
-    accepted_jobs: JobMemory<AcceptedKind>,
+    accepted_jobs: JobFactCache<JobLifetime>,
     dependency_reads: dependencies::DependencyReads,
     open_requests: OpenRequests,
     end_waiters: BTreeMap<JobId, Vec<ConnId>>,
     peer_requests: BTreeMap<u64, (ConnId, Question, Mono)>,
-    relays: Relays,
+    relays: ReportRouter,
     parked: ParkedReports,
     /// Whether a parked report may have become due, and when the watched ones are checked next.
     parked_may_be_due: bool,
@@ -295,7 +297,7 @@
     /// Whether the writer serves graphs next.
     graphs_write_next: bool,
     /// The latest hints from a leader, and when they arrived.
-    leader_hints: Option<(Mono, Notes)>,
+    leader_hints: Option<(Mono, LeaderHints)>,
     next_leader_hints: Mono,
     /// When a leader last replied to a request of this controller.
     last_leader_reply: Mono,
@@ -311,31 +313,31 @@
     versions: versions::Versions,
     limits: limits::Limits,
     /// Writes of graphs that the state service refused.
-    graph_refusals: Refusals<oatloom_graph::desk::Item>,
+    graph_refusals: WriteBackoff<oatloom_graph::desk::Item>,
     actions: Vec<Action>,
 }
 
 impl Controller {
     /// Creates a controller; `seed` initializes its random numbers.
-    pub fn new(settings: Settings, operators: Operators, seed: u64) -> Self {
+    pub fn new(settings: Settings, operators: OperatorSettings, seed: u64) -> Self {
         let limits = limits::Limits::new(&settings.facts.state);
         Self {
             leadership: Leadership::new(settings.member.clone(), settings.bound_alone()),
             store: StoreClient::new(&settings.facts.state, settings.peers.len() + 1),
-            cloud_client: CloudDesk::new(&settings.facts.cloud),
+            cloud_client: CloudClient::new(&settings.facts.cloud),
             rng: ChaCha8Rng::seed_from_u64(seed),
-            leader_config: Terms::new(&settings, &operators),
+            leader_config: LeaderConfig::new(&settings, &operators),
             settings,
             operators,
             fleet: Fleet::default(),
             leader_term: None,
-            finished_jobs: JobMemory::new(OVER_CACHE),
-            accepted_jobs: JobMemory::new(ACCEPTED_CACHE),
+            finished_jobs: JobFactCache::new(MAX_CACHED_FINAL_STATES),
+            accepted_jobs: JobFactCache::new(MAX_CACHED_ACCEPTED_JOBS),
             dependency_reads: dependencies::DependencyReads::default(),
             open_requests: OpenRequests::default(),
             end_waiters: BTreeMap::new(),
             peer_requests: BTreeMap::new(),
-            relays: Relays::default(),
+            relays: ReportRouter::default(),
             parked: ParkedReports::default(),
             parked_may_be_due: false,
             queue_delay: Millis(0),
@@ -366,41 +368,43 @@
             next_gossip: Mono(0),
             versions: versions::Versions::default(),
             limits,
-            graph_refusals: Refusals::default(),
+            graph_refusals: WriteBackoff::default(),
             actions: Vec::new(),
         }
     }
 
     /// The current leader term, for tests and logs.
-    pub fn reign(&self) -> Option<&Reign> {
+    pub fn leader_term(&self) -> Option<&LeaderTerm> {
         self.leader_term.as_ref()
     }
 
     /// Usage entries since the last call, as far as they are retained; for tests.
-    pub fn take_entries(&mut self) -> Vec<Entry> {
-        let usage =
-            self.leader_term.as_mut().and_then(|leader_term| leader_term.book.account.as_mut());
-        usage.map(|usage| usage.latest.drain(..).collect()).unwrap_or_default()
+    pub fn take_usage_entries(&mut self) -> Vec<UsageEntry> {
+        let usage = self
+            .leader_term
+            .as_mut()
+            .and_then(|leader_term| leader_term.job_table.usage_accounting.as_mut());
+        usage.map(|usage| usage.recent_entries.drain(..).collect()).unwrap_or_default()
     }
 
     /// Returns the sizes of the queues.
-    pub fn waiting(&self) -> Load {
-        Load {
-            open: self.open_requests.len(),
-            store: self.store.len(),
-            cloud: self.cloud_ops.len() + self.cloud_client.awaited().count(),
-            asks: self.peer_requests.len() + self.one_way_in_flight.len(),
-            parked: self.parked.len(),
+    pub fn waiting(&self) -> QueueSizes {
+        QueueSizes {
+            open_requests: self.open_requests.len(),
+            store_operations: self.store.len(),
+            cloud_calls: self.cloud_ops.len() + self.cloud_client.pending_hires().count(),
+            peer_requests: self.peer_requests.len() + self.one_way_in_flight.len(),
+            parked_reports: self.parked.len(),
             unwritten: self.leader_term.as_ref().map_or(0, |leader_term| {
                 let graphs = leader_term.graphs.as_ref().map_or(0, |graphs| graphs.sizes().2);
-                leader_term.book.unwritten() + graphs
+                leader_term.job_table.unwritten_count() + graphs
             }),
         }
     }
 
     /// Number of checks of parked reports, for tests: it must not grow with events times reports.
-    pub fn parked_looks(&self) -> u64 {
-        self.parked.looks()
+    pub fn parked_checks(&self) -> u64 {
+        self.parked.checked_reports()
     }
 
     /// Fencing token of the current leader, as far as it is known.
@@ -409,23 +413,25 @@
     }
 
     /// Fencing token of this controller, if it leads and its lease is valid.
-    pub fn valid(&self, now: Mono) -> Option<Token> {
+    pub fn valid_token(&self, now: Mono) -> Option<Token> {
         self.leadership.valid(now)
     }
 
     /// Whether this controller holds the leader key as far as it knows, with a valid lease or not.
-    pub fn leads(&self) -> bool {
+    pub fn holds_leader_key(&self) -> bool {
         self.leadership.token().is_some()
     }
 
     /// Sets how long the request of the next event has waited in the queue.
-    pub fn lags(&mut self, delay: Millis) {
+    pub fn set_queue_delay(&mut self, delay: Millis) {
         self.queue_delay = delay;
     }
 
     /// Processes one event and returns the resulting actions. This is the only entry point.
     pub fn handle(&mut self, now: Now, event: Event) -> Vec<Action> {
-        if let Some(usage) = self.leader_term.as_mut().and_then(|r| r.book.account.as_mut()) {
+        if let Some(usage) =
+            self.leader_term.as_mut().and_then(|r| r.job_table.usage_accounting.as_mut())
+        {
             usage.wall_ms = now.wall_ms;
         }
         // Runs before the event is processed. Otherwise a process that was suspended would answer
@@ -439,7 +445,7 @@
             Event::Store { id, reply } => self.on_store(now, id, reply),
             Event::Cloud { id, reply } => self.on_cloud(now.mono, id, reply),
             Event::Told { id, reply } => self.on_peer_reply(now, id, reply),
-            Event::Obeyed { report } => self.on_command_reply(now.mono, report),
+            Event::CommandReply { report } => self.on_command_reply(now.mono, report),
         }
         self.queue_delay = Millis(0);
         self.advance(now);
@@ -454,22 +460,22 @@
         self.follow_leadership(now);
         let valid = self.leadership.valid(mono).is_some();
         let leader_reachable = self.leadership.other_leader().is_some_and(|leader| {
-            let link = self.membership.as_ref().map(|members| members.line(leader));
-            !matches!(link, Some(oatloom_membership::Line::Cut { .. }))
+            let link = self.membership.as_ref().map(|members| members.link(leader));
+            !matches!(link, Some(oatloom_membership::LinkState::Down { .. }))
         });
-        if !self.store.throttled_lately(mono) {
-            self.store.leaderless(!leader_reachable && self.leadership.token().is_none());
+        if !self.store.recently_throttled(mono) {
+            self.store.set_leaderless(!leader_reachable && self.leadership.token().is_none());
         }
         self.update_record_limits();
         if let Some(leader_term) = self.leader_term.as_mut() {
             if valid && !self.was_valid {
                 // Reports were rejected while the leadership was not valid; workers need time to
                 // return.
-                leader_term.heard_from = mono;
+                leader_term.silence_counted_from = mono;
                 if let Some(graphs) = leader_term.graphs.as_mut() {
                     graphs.deaf_until(mono);
                 }
-                leader_term.wake();
+                leader_term.request_placement();
             }
             if valid {
                 leader_term.tick(&self.settings, &self.operators, &mut self.cloud_client, mono);
@@ -477,7 +483,7 @@
         }
         self.was_valid = valid;
         if mono >= self.next_traffic_log {
-            self.next_traffic_log = mono.plus(TRAFFIC_EVERY_MS);
+            self.next_traffic_log = mono.plus(TRAFFIC_LOG_PERIOD_MS);
             // The counters are reset whatever the log level, so that they do not grow without
             // bound.
             let traffic = std::mem::take(&mut self.traffic);
@@ -511,7 +517,7 @@
         }
     }
 
-    fn send(&mut self, operations: Vec<(OpId, Lane, StoreOp)>) {
+    fn send(&mut self, operations: Vec<(OpId, OpClass, StoreOp)>) {
         for (id, lane, op) in operations {
             self.actions.push(Action::Store { id, lane, op });
         }
@@ -520,7 +526,7 @@
     fn submit(
         &mut self,
         now: Mono,
-        lane: Lane,
+        lane: OpClass,
         op: StoreOp,
         purpose: Purpose,
     ) -> Result<(), Purpose> {
@@ -538,7 +544,7 @@
 
     /// Replies to requests that have waited too long with a retryable error.
     fn expire(&mut self, now: Now) {
-        for id in self.store.expired(now.mono) {
+        for id in self.store.take_expired(now.mono) {
             self.on_store(now, id, StoreReply::Unsent);
         }
         // All requests to peers have the same timeout, so the oldest ones expire first.
@@ -554,7 +560,7 @@
 
     fn on_store(&mut self, now: Now, id: OpId, reply: StoreReply) {
         let jitter = self.rng.random::<f64>();
-        let Some(purpose) = self.store.answered(now.mono, id, &reply, jitter) else {
+        let Some(purpose) = self.store.complete(now.mono, id, &reply, jitter) else {
             return;
         };
         if reply == StoreReply::Throttled {
@@ -564,7 +570,7 @@
             Purpose::Leadership { request, sent } => {
                 let random = self.rng.random::<u64>() >> 12;
                 let requests = self.leadership.answered(now.mono, &request, sent, &reply, random);
-                if matches!((&request, &reply), (Ask::Read, StoreReply::Found(_))) {
+                if matches!((&request, &reply), (LeadershipRequest::Read, StoreReply::Found(_))) {
                     self.saw_leader_key(now);
                 }
                 self.follow_leadership(now);
@@ -618,9 +624,9 @@
         {
             self.cloud_client.answered(now, &op, reply)
         } else {
-            News::Nothing
+            CloudEvent::Nothing
         };
-        if let News::Catalog(catalog) = update {
+        if let CloudEvent::Catalog(catalog) = update {
             let fleet = match self.leader_term.as_mut() {
                 Some(leader_term) => &mut leader_term.fleet,
                 None => &mut self.fleet,
@@ -632,13 +638,15 @@
             return;
         };
         match update {
-            News::Listing(rows, _) => {
+            CloudEvent::Listing(rows, _) => {
                 let list_lag = self.settings.facts.cloud.list_lag_s;
-                leader_term.listing(&rows, list_lag, &mut self.cloud_client, now);
+                leader_term.apply_machine_list(&rows, list_lag, &mut self.cloud_client, now);
+            }
+            CloudEvent::Hired(hire, hosts) => {
+                leader_term.machines_hired(&MachineKind::from(&hire), &hosts, now)
             }
-            News::Hired(hire, hosts) => leader_term.hired(&Kind::from(&hire), &hosts, now),
-            News::Released(hosts) => leader_term.released(&hosts, now),
-            News::Catalog(_) | News::Nothing => {}
+            CloudEvent::Released(hosts) => leader_term.machines_released(&hosts, now),
+            CloudEvent::Catalog(_) | CloudEvent::Nothing => {}
         }
     }
 }
--- a/crates/core/src/controller/reports.rs
+++ b/crates/core/src/controller/reports.rs
@@ -1,7 +1,7 @@
 //! Workers' reports, parked replies, and direct commands.
 
 use super::*;
-use crate::parked::{Look, Parked};
+use crate::parked::{ParkedReport, ParkedScan};
 
 /// Reply to a report that is older than another one, or whose machine was released.
 const OUTDATED: &str = "an older report, or a machine that was returned";
@@ -18,8 +18,8 @@
         let token = self.leadership.valid(now);
         if let (Some(token), Some(leader_term)) = (token, self.leader_term.as_mut()) {
             if report.token > token {
-                self.leadership.outranked(report.token);
-            } else if leader_term.stage != Stage::Ruling {
+                self.leadership.on_higher_token(report.token);
+            } else if leader_term.stage != Stage::Active {
                 // The reply to a report extends the lease of its machine's tasks, so it must be
                 // known first which of them were cancelled. The report is parked unprocessed until
                 // the job table is loaded; a relayed one is refused, since its relay does not wait
@@ -37,7 +37,7 @@
                 let may_park = answer.orders.is_empty()
                     && report.token == token
                     && !forwarded
-                    && leader_term.may_wait(&self.settings, &report.host, now);
+                    && leader_term.may_park_report(&self.settings, &report.host, now);
                 if !may_park {
                     leader_term.answered(&report.host, now);
                 }
@@ -56,18 +56,20 @@
             return Some(HttpReply::error(503, "no leader is known"));
         };
         let acknowledged = self.leadership.leader_token() == Some(report.token);
-        match self.relays.way(&report.host, acknowledged, now) {
-            Way::PassOn => {
+        match self.relays.route(&report.host, acknowledged, now) {
+            ReportRoute::Forward => {
                 self.traffic.relayed += 1;
                 self.ask_peer(now, conn, leader, Question::Report(Box::new(report.clone())));
                 None
             }
-            Way::SendOn => Some(HttpReply::json(421, &Redirect { leader: Some(leader) })),
-            Way::Elsewhere => {
+            ReportRoute::Redirect => Some(HttpReply::json(421, &Redirect { leader: Some(leader) })),
+            ReportRoute::TryOther => {
                 let leader = self.route_around(&leader, now);
                 Some(HttpReply::json(421, &Redirect { leader }))
             }
-            Way::Wait => Some(HttpReply::error(503, "the leader takes no reports at present")),
+            ReportRoute::RetryLater => {
+                Some(HttpReply::error(503, "the leader takes no reports at present"))
+            }
         }
     }
 
@@ -83,13 +85,16 @@
         self.traffic.parked += 1;
         let (session, sequence) = (report.shift, report.tally);
         // The worker has already waited for the time that the request was queued.
-        let until = now.plus(Millis(PARK_MS.0.saturating_sub(self.queue_delay.0)));
+        let until = now.plus(Millis(MAX_PARK_MS.0.saturating_sub(self.queue_delay.0)));
         self.parked.park(report.host.clone(), conn, session, sequence, until, unprocessed);
-        if self.leader_term.as_ref().is_some_and(|leader_term| leader_term.has_unsent(&report.host))
+        if self
+            .leader_term
+            .as_ref()
+            .is_some_and(|leader_term| leader_term.has_pending_orders(&report.host))
         {
             self.parked.watch(&report.host);
         }
-        self.open_requests.insert(conn, now.plus(REPORT_DROP_MS));
+        self.open_requests.insert(conn, now.plus(WORKER_ANSWER_TIMEOUT_MS));
     }
 
     /// Drops the parked report of a worker. A worker has one report in flight, so it has given up
@@ -109,30 +114,30 @@
             }
             return;
         };
-        let active = leader_term.stage == Stage::Ruling;
+        let active = leader_term.stage == Stage::Active;
         for host in leader_term.take_changed_machines() {
             self.parked_may_be_due = true;
             self.parked.watch(&host);
         }
         let changed = std::mem::take(&mut self.parked_may_be_due) || now >= self.next_parked_check;
-        let check = if active && changed { Look::Watched } else { Look::Deadlines };
-        if check == Look::Watched {
-            self.next_parked_check = now.plus(PARKED_LOOK_MS);
+        let check = if active && changed { ParkedScan::Watched } else { ParkedScan::Expired };
+        if check == ParkedScan::Watched {
+            self.next_parked_check = now.plus(PARKED_CHECK_PERIOD_MS);
         }
-        let ready = |host: &HostId, p: &Parked| {
-            active && (p.unread.is_some() || leader_term.has_orders(host))
+        let ready = |host: &HostId, p: &ParkedReport| {
+            active && (p.unapplied.is_some() || leader_term.has_sendable_orders(host))
         };
         let due = self.parked.due(now, check, ready);
         // Reports beyond this batch must not wait for the next periodic check.
-        self.parked_may_be_due = due.len() >= PARKED_AT_ONCE;
+        self.parked_may_be_due = due.len() >= MAX_PARKED_ANSWERS_PER_EVENT;
         for host in due {
             let (Some(leader_term), Some(parked)) =
                 (self.leader_term.as_mut(), self.parked.take(&host))
             else {
                 continue;
             };
-            let answer = match &parked.unread {
-                None => leader_term.answer_late(&host, parked.shift, parked.tally, now),
+            let answer = match &parked.unapplied {
+                None => leader_term.answer_parked_report(&host, parked.shift, parked.tally, now),
                 Some(_) if !active => {
                     self.reply(parked.conn, HttpReply::error(503, "the book is being read"));
                     continue;
@@ -160,8 +165,8 @@
             return;
         }
         let Some(leader_term) = self.leader_term.as_mut() else { return };
-        while self.commands_in_flight < COMMANDS_MOST
-            && let Some((host, addr, command)) = leader_term.next_command()
+        while self.commands_in_flight < MAX_COMMANDS_INFLIGHT
+            && let Some((host, addr, command)) = leader_term.next_direct_stop()
         {
             log::debug!(
                 "machine {host}: sent a direct command with {} orders",
@@ -172,8 +177,8 @@
         }
         // Fewer in flight here: machines that do not report are mostly unreachable too, and urgent
         // commands must not wait for their timeouts.
-        while self.commands_in_flight < OVERDUE_COMMANDS_MOST
-            && let Some((host, addr, command)) = leader_term.next_overdue(now)
+        while self.commands_in_flight < MAX_OVERDUE_COMMANDS
+            && let Some((host, addr, command)) = leader_term.next_overdue_stop(now)
         {
             log::debug!(
                 "machine {host}: does not report; sent a direct command to stop finished tasks"
@@ -189,7 +194,7 @@
         if let (Some(report), Some(leader_term)) =
             (report, self.leader_term.as_mut().filter(|_| valid))
         {
-            leader_term.on_obeyed(&report, now);
+            leader_term.on_command_answer(&report, now);
         }
     }
 }
--- a/crates/core/src/controller/usage.rs
+++ b/crates/core/src/controller/usage.rs
@@ -3,7 +3,7 @@
 
 use super::*;
 use oatloom_ledger::query::UsagePage;
-use oatloom_ledger::rollup::{CURSOR, Knowledge, ROLLUPS, Rollup};
+use oatloom_ledger::rollup::{CURSOR_KEY, LoadProgress, ROLLUP_PREFIX, Rollup};
 
 /// What is read next.
 #[derive(Clone, Debug)]
@@ -20,8 +20,8 @@
     key: &str,
     value: serde_json::Value,
     stamp: Revision,
-) -> Option<(JobId, OverRecord, Revision)> {
-    let id = JobId::parse(key.strip_prefix(jobs::OVER)?)?;
+) -> Option<(JobId, FinalRecord, Revision)> {
+    let id = JobId::parse(key.strip_prefix(jobs::FINAL_PREFIX)?)?;
     let read = serde_json::from_value(value);
     let record =
         read.map_err(|e| log::error!("state service: {key} cannot be decoded: {e}")).ok()?;
@@ -34,34 +34,34 @@
         if self.usage_read_in_flight || now < self.next_usage_read || !self.was_valid {
             return;
         }
-        let Some(leader_term) = self.leader_term.as_ref().filter(|r| r.stage == Stage::Ruling)
+        let Some(leader_term) = self.leader_term.as_ref().filter(|r| r.stage == Stage::Active)
         else {
             return;
         };
-        let Some(usage) = &leader_term.book.account else { return };
-        let step = match usage.rollups.knowledge() {
-            Knowledge::None => ReadStep::Cursor,
+        let Some(usage) = &leader_term.job_table.usage_accounting else { return };
+        let step = match usage.rollups.load_progress() {
+            LoadProgress::None => ReadStep::Cursor,
             // One page at a time, so that requests of users and workers are not delayed.
-            Knowledge::After(from) => match self.final_state_scan.take() {
+            LoadProgress::After(from) => match self.final_state_scan.take() {
                 Some((after, at)) if after == from => ReadStep::Scan(after, at),
                 _ => ReadStep::Changes(from),
             },
-            Knowledge::All => return,
+            LoadProgress::All => return,
         };
         self.submit_usage_read(now, step);
     }
 
     fn submit_usage_read(&mut self, now: Mono, step: ReadStep) {
         let Some(token) = self.leadership.token() else { return };
-        let prefix = jobs::OVER.to_owned();
+        let prefix = jobs::FINAL_PREFIX.to_owned();
         let op = match &step {
-            ReadStep::Cursor => StoreOp::Get { key: CURSOR.to_owned() },
+            ReadStep::Cursor => StoreOp::Get { key: CURSOR_KEY.to_owned() },
             ReadStep::Changes(after) => StoreOp::Changes { prefix, after: *after },
             ReadStep::Scan(_, after) => StoreOp::List { prefix, after: after.clone() },
         };
         self.usage_read_in_flight =
-            self.submit(now, Lane::Open, op, Purpose::UsageState { token, step }).is_ok();
-        self.next_usage_read = now.plus(ACCOUNT_PAUSE_MS);
+            self.submit(now, OpClass::General, op, Purpose::UsageState { token, step }).is_ok();
+        self.next_usage_read = now.plus(USAGE_ACCOUNTING_PAUSE_MS);
     }
 
     pub(super) fn on_usage_state(&mut self, token: Token, step: ReadStep, reply: StoreReply) {
@@ -69,20 +69,20 @@
         let Some(leader_term) = self.leader_term.as_mut().filter(|r| r.token == token) else {
             return;
         };
-        let begin = leader_term.begin;
-        let Some(usage) = leader_term.book.account.as_mut() else { return };
+        let begin = leader_term.load_revision;
+        let Some(usage) = leader_term.job_table.usage_accounting.as_mut() else { return };
         match (step, reply) {
             // A response to a read of an earlier load, which has been restarted since.
             (ReadStep::Changes(_) | ReadStep::Scan(..), _)
-                if !matches!(usage.rollups.knowledge(), Knowledge::After(_)) => {}
+                if !matches!(usage.rollups.load_progress(), LoadProgress::After(_)) => {}
             (ReadStep::Cursor, StoreReply::Missing(_)) => {
                 usage.set_cursor(None, begin);
-                usage.rollups.enter(Knowledge::All);
+                usage.rollups.enter(LoadProgress::All);
             }
             (ReadStep::Cursor, StoreReply::Found(row)) => match serde_json::from_value(row.value) {
                 Ok(cursor) => {
                     usage.set_cursor(Some((cursor, row.version)), begin);
-                    usage.rollups.enter(Knowledge::After(cursor.through));
+                    usage.rollups.enter(LoadProgress::After(cursor.through));
                 }
                 Err(e) => {
                     // Nothing may be counted twice, so counting restarts here.
@@ -91,13 +91,13 @@
                     );
                     let restarted = Cursor { through: begin, closed_before: 0 };
                     usage.set_cursor(Some((restarted, row.version)), begin);
-                    usage.rollups.enter(Knowledge::After(begin));
+                    usage.rollups.enter(LoadProgress::After(begin));
                 }
             },
             (ReadStep::Changes(_), StoreReply::Changes(Changes { log, .. })) => {
                 let read =
                     log.into_iter().filter_map(|c| parse_final_row(&c.put?, c.value, c.version));
-                leader_term.book.catch_up(read, true);
+                leader_term.job_table.catch_up(read, true);
             }
             (ReadStep::Changes(after), StoreReply::TooOld) => {
                 log::warn!("ledger: the changes are no longer retained; reading all final states");
@@ -108,7 +108,7 @@
                 let read = page.rows.into_iter().filter(|row| row.version > after);
                 let read = read.filter_map(|row| parse_final_row(&row.key, row.value, row.version));
                 let next = last.filter(|_| page.more);
-                leader_term.book.catch_up(read, next.is_none());
+                leader_term.job_table.catch_up(read, next.is_none());
                 self.final_state_scan = next.map(|next| (after, next));
             }
             // Retried after the pause; a scan continues where it was.
@@ -117,13 +117,13 @@
         }
     }
 
-    pub(super) fn on_usage_request(&mut self, now: Mono, conn: ConnId, query: Box<Query>) {
-        if self.leader_config.accounted.is_none() {
+    pub(super) fn on_usage_request(&mut self, now: Mono, conn: ConnId, query: Box<UsageQuery>) {
+        if self.leader_config.usage_classes.is_none() {
             return self.reply(conn, HttpReply::error(404, "no account of usage is kept here"));
         }
-        let op = StoreOp::Get { key: CURSOR.to_owned() };
+        let op = StoreOp::Get { key: CURSOR_KEY.to_owned() };
         let purpose = Purpose::Usage { conn, query, cursor: None };
-        if self.submit(now, Lane::Open, op, purpose).is_err() {
+        if self.submit(now, OpClass::General, op, purpose).is_err() {
             self.reply(conn, HttpReply::later("the state service is busy"));
         }
     }
@@ -132,7 +132,7 @@
         &mut self,
         now: Mono,
         conn: ConnId,
-        query: Box<Query>,
+        query: Box<UsageQuery>,
         cursor: Option<Cursor>,
         reply: StoreReply,
     ) {
@@ -148,9 +148,9 @@
             }
             _ => return self.reply(conn, HttpReply::later("the state service cannot be reached")),
         };
-        let op = StoreOp::List { prefix: ROLLUPS.to_owned(), after: query.start() };
+        let op = StoreOp::List { prefix: ROLLUP_PREFIX.to_owned(), after: query.start_key() };
         let purpose = Purpose::Usage { conn, query, cursor: Some(cursor) };
-        if self.submit(now, Lane::Open, op, purpose).is_err() {
+        if self.submit(now, OpClass::General, op, purpose).is_err() {
             self.reply(conn, HttpReply::later("the state service is busy"));
         }
     }
--- a/crates/core/src/controller/users.rs
+++ b/crates/core/src/controller/users.rs
@@ -6,9 +6,9 @@
 
 impl Controller {
     pub(super) fn on_request(&mut self, now: Now, conn: ConnId, request: Request, forwarded: bool) {
-        self.open_requests.insert(conn, now.mono.plus(REQUEST_PATIENCE_MS));
+        self.open_requests.insert(conn, now.mono.plus(USER_REQUEST_TIMEOUT_MS));
         match request {
-            Request::Up => {
+            Request::HealthProbe => {
                 self.traffic.probes += 1;
                 let reply = self.health_reply(now.mono);
                 self.reply(conn, reply);
@@ -25,9 +25,9 @@
                     self.reply(conn, reply);
                 }
             }
-            Request::Notes(hints) => {
+            Request::LeaderHints(hints) => {
                 if let Some(leader) = &hints.leader {
-                    self.leadership.heard(leader, hints.token);
+                    self.leadership.on_peer_leader(leader, hints.token);
                     self.follow_leadership(now);
                 }
                 let reply = match &hints.gossip {
@@ -35,10 +35,10 @@
                     None => HttpReply::json(200, &serde_json::json!({})),
                 };
                 let previous = self.leader_hints.take().map(|(_, previous)| previous);
-                self.leader_hints = Some((now.mono, Notes::joined(previous, *hints)));
+                self.leader_hints = Some((now.mono, LeaderHints::merge(previous, *hints)));
                 self.reply(conn, reply);
             }
-            Request::Greet(gossip) => {
+            Request::Gossip(gossip) => {
                 let reply = self.answer_gossip(now, &gossip);
                 self.reply(conn, reply);
             }
@@ -72,24 +72,26 @@
 
     /// Maximum number of users' requests in flight.
     fn user_inflight(&self) -> usize {
-        let max_requests = self.settings.facts.limits.connections() as f64 * USER_INFLIGHT_SHARE;
-        (max_requests as usize).max(USER_INFLIGHT_LEAST)
+        let max_requests =
+            self.settings.facts.limits.connections() as f64 * MAX_USER_INFLIGHT_SHARE;
+        (max_requests as usize).max(MIN_USER_INFLIGHT_LIMIT)
     }
 
     /// Records whether a request to the leader got any response. An error response counts as
     /// contact too, also from a leader that may not answer at present.
     pub(super) fn record_leader_contact(&mut self, got_response: bool, now: Mono) {
         // Two failures far apart with no request in between do not count as one long outage.
-        let ongoing = self.leader_failures.filter(|(_, last)| now.since(*last) <= APART_GAP_MS);
+        let ongoing =
+            self.leader_failures.filter(|(_, last)| now.since(*last) <= MAX_UNANSWERED_GAP_MS);
         let since = ongoing.map_or(now, |(since, _)| since);
         self.leader_failures = (!got_response).then_some((since, now));
     }
 
     pub(super) fn ask_peer(&mut self, now: Mono, conn: ConnId, to: Member, peer_request: Question) {
         self.next_id += 1;
-        let until = now.plus(ASK_TIMEOUT_MS);
+        let until = now.plus(LEADER_QUERY_TIMEOUT_MS);
         self.peer_requests.insert(self.next_id, (conn, peer_request.clone(), until));
-        self.actions.push(Action::Ask { to, id: self.next_id, question: peer_request });
+        self.actions.push(Action::Ask { to, id: self.next_id, request: peer_request });
     }
 
     /// Returns what this controller may report of a job without a request to another.
@@ -98,8 +100,8 @@
             return Some(record.view(id));
         }
         self.leadership.valid(now)?;
-        let leader_term = self.leader_term.as_ref().filter(|r| r.stage == Stage::Ruling)?;
-        leader_term.book.view(id)
+        let leader_term = self.leader_term.as_ref().filter(|r| r.stage == Stage::Active)?;
+        leader_term.job_table.view(id)
     }
 
     pub(super) fn on_submit(
@@ -114,7 +116,7 @@
                 (Some(spec.id.clone()), Some(HttpReply::error(400, "ids of this form are graphs'")))
             }
             Submission::Spec(spec) => (Some(spec.id.clone()), self.rejection(spec)),
-            Submission::Bad { id, text } => (id.clone(), Some(HttpReply::error(400, text))),
+            Submission::Invalid { id, text } => (id.clone(), Some(HttpReply::error(400, text))),
         };
         if let Some(view) = id.as_ref().and_then(|id| self.known_view(now.mono, id)) {
             self.reply(conn, HttpReply::json(200, &view));
@@ -151,7 +153,7 @@
         let Some(team) = self.settings.team(&spec.team) else {
             return unprocessable("unknown team");
         };
-        if !placement::fits_some(spec, &catalog.flavors) {
+        if !placement::fits_any_flavor(spec, &catalog.flavors) {
             return unprocessable("a task fits no allowed machine type");
         }
         let concurrent_tasks = match spec.shape {
@@ -178,7 +180,7 @@
         // busy, the load balancer sends nearly all submissions to one follower, whose share of the
         // write rate is small, while the leader's share is unused.
         let leader_reachable = |leader: &Member| {
-            self.store.change_waits(now.mono) > HAND_ON_AFTER_MS && self.can_reach(leader, now.mono)
+            self.store.change_wait(now.mono) > FORWARD_AFTER_MS && self.can_reach(leader, now.mono)
         };
         if (self.store.paused(now.mono)
             || self.leadership.other_leader().is_some_and(leader_reachable))
@@ -199,12 +201,12 @@
             return self.lookup(now.mono, conn, id.clone(), LookupReason::Submit(reply));
         }
         let txn = Txn {
-            conditions: vec![absent(jobs::live_key(id)), absent(jobs::over_key(id))],
+            conditions: vec![absent(jobs::live_key(id)), absent(jobs::final_key(id))],
             changes: vec![Change::put(jobs::live_key(id), value)],
         };
         let sent_under = self.leadership.token();
         let purpose = Purpose::Accept { conn, record: Box::new(record), forwarded, sent_under };
-        if self.submit(now.mono, Lane::Open, StoreOp::Txn(txn), purpose).is_err() {
+        if self.submit(now.mono, OpClass::General, StoreOp::Txn(txn), purpose).is_err() {
             self.reply(conn, HttpReply::later("the state service is busy"));
         }
     }
@@ -267,7 +269,7 @@
             return self.reply(conn, reply);
         }
         let active = self.leadership.valid(now.mono).is_some()
-            && self.leader_term.as_ref().is_some_and(|r| r.stage == Stage::Ruling);
+            && self.leader_term.as_ref().is_some_and(|r| r.stage == Stage::Active);
         if active {
             return self.answer_as_leader(now, conn, request);
         }
@@ -289,7 +291,7 @@
         match request {
             Question::View(id) => self.lookup(now, conn, id, LookupReason::View),
             Question::Abort(id) => self.lookup(now, conn, id, LookupReason::Abort),
-            Question::Notes(_) | Question::Greet(_) => {}
+            Question::LeaderHints(_) | Question::Gossip(_) => {}
             Question::Graph(ask) => self.read_graph(now, conn, *ask),
             Question::Submit(_) => {
                 self.reply(conn, HttpReply::later("the state service cannot be reached"));
@@ -311,7 +313,7 @@
             && now.mono < until
             && let Some(leader) = self.leadership.other_leader().cloned()
         {
-            self.members(now).unreachable(&leader, now.mono);
+            self.members(now).record_unreachable(&leader, now.mono);
         }
         if matches!(request, Question::Report(_)) {
             self.relays.told(reply.as_ref().map(|reply| reply.status), now.mono);
@@ -332,20 +334,22 @@
             return;
         };
         match request {
-            Question::Report(_) | Question::Notes(_) | Question::Greet(_) => {}
+            Question::Report(_) | Question::LeaderHints(_) | Question::Gossip(_) => {}
             Question::Submit(_) | Question::Graph(_) => {}
-            Question::View(id) => match (leader_term.book.view(&id), leader_term.book.get(&id)) {
-                (Some(view), _) => self.reply(conn, HttpReply::json(200, &view)),
-                (None, Some(job)) if job.state != JobState::Over => {
-                    self.reply(conn, HttpReply::later("its state is being written or read"));
+            Question::View(id) => {
+                match (leader_term.job_table.view(&id), leader_term.job_table.get(&id)) {
+                    (Some(view), _) => self.reply(conn, HttpReply::json(200, &view)),
+                    (None, Some(job)) if job.state != JobState::Finished => {
+                        self.reply(conn, HttpReply::later("its state is being written or read"));
+                    }
+                    _ => self.lookup(now.mono, conn, id, LookupReason::View),
                 }
-                _ => self.lookup(now.mono, conn, id, LookupReason::View),
-            },
+            }
             Question::Abort(id) => {
-                let ended = leader_term.book.view(&id).filter(|view| view.status.is_final());
-                match (ended, leader_term.book.get(&id).map(|j| j.state)) {
+                let ended = leader_term.job_table.view(&id).filter(|view| view.status.is_final());
+                match (ended, leader_term.job_table.get(&id).map(|j| j.state)) {
                     (Some(view), _) => self.reply(conn, HttpReply::json(200, &view)),
-                    (None, None | Some(JobState::Over)) => {
+                    (None, None | Some(JobState::Finished)) => {
                         self.lookup(now.mono, conn, id, LookupReason::Abort)
                     }
                     (None, Some(_)) => {
@@ -382,10 +386,10 @@
         reason: LookupReason,
         final_record: bool,
     ) {
-        let key = if final_record { jobs::over_key(&id) } else { jobs::live_key(&id) };
+        let key = if final_record { jobs::final_key(&id) } else { jobs::live_key(&id) };
         let sent_under = self.leadership.token();
         let purpose = Purpose::Lookup { conn, id, reason, final_record, sent_under };
-        if self.submit(now, Lane::Open, StoreOp::Get { key }, purpose).is_err() {
+        if self.submit(now, OpClass::General, StoreOp::Get { key }, purpose).is_err() {
             self.reply(conn, HttpReply::later("the state service is busy"));
         }
     }
@@ -411,7 +415,7 @@
                 self.reply(conn, reply);
             }
             StoreReply::Found(row) if final_record => {
-                match serde_json::from_value::<OverRecord>(row.value) {
+                match serde_json::from_value::<FinalRecord>(row.value) {
                     Ok(record) => {
                         self.reply(conn, HttpReply::json(200, &record.view(&id)));
                         self.finished_jobs.insert(id.clone(), record);
@@ -441,7 +445,7 @@
     /// Whether this controller leads and has the job in its job table, where its end may be being
     /// written.
     fn in_job_table(&self, id: &JobId) -> bool {
-        self.leader_term.as_ref().is_some_and(|leader_term| leader_term.book.get(id).is_some())
+        self.leader_term.as_ref().is_some_and(|leader_term| leader_term.job_table.get(id).is_some())
     }
 
     pub(super) fn on_live_record(
@@ -470,7 +474,7 @@
             return;
         }
         if let LookupReason::Abort = reason
-            && self.leader_term.as_ref().is_some_and(|r| r.book.get(&id).is_some())
+            && self.leader_term.as_ref().is_some_and(|r| r.job_table.get(&id).is_some())
             && self.leadership.valid(now.mono).is_some()
         {
             return self.answer_as_leader(now, conn, Question::Abort(id));
--- a/crates/core/src/controller/versions.rs
+++ b/crates/core/src/controller/versions.rs
@@ -68,7 +68,9 @@
 fn upgraded_members(rows: &[Row]) -> impl Iterator<Item = &str> {
     rows.iter().filter_map(|row| {
         let record = serde_json::from_value::<VersionRecord>(row.value.clone()).ok()?;
-        (record.version >= VERSION_RECORD).then(|| row.key.strip_prefix(VERSION_PREFIX)).flatten()
+        (record.version >= ANNOUNCED_VERSION)
+            .then(|| row.key.strip_prefix(VERSION_PREFIX))
+            .flatten()
     })
 }
 
@@ -77,7 +79,11 @@
     /// ignores announced limits, writes no version key and never learns the members' versions, so
     /// it keeps the earlier record forms.
     #[doc(hidden)]
-    pub fn new_previous_version(mut settings: Settings, operators: Operators, seed: u64) -> Self {
+    pub fn new_previous_version(
+        mut settings: Settings,
+        operators: OperatorSettings,
+        seed: u64,
+    ) -> Self {
         settings.facts.state.next = None;
         let mut controller = Self::new(settings, operators, seed);
         controller.versions.emulates_previous = true;
@@ -94,7 +100,7 @@
     pub(super) fn check_versions(&mut self, now: Mono) {
         if self.versions.next_check == Mono(0) {
             // A starting process reads the leader key first.
-            self.versions.next_check = now.plus(VERSIONS_EVERY_MS);
+            self.versions.next_check = now.plus(VERSION_READ_PERIOD_MS);
         }
         let versions = &self.versions;
         if versions.emulates_previous
@@ -109,8 +115,8 @@
     }
 
     fn submit_version_operation(&mut self, now: Mono, op: StoreOp, operation: Operation) {
-        self.versions.next_check = now.plus(VERSIONS_EVERY_MS);
-        let submitted = self.submit(now, Lane::Open, op, Purpose::Versions { operation });
+        self.versions.next_check = now.plus(VERSION_READ_PERIOD_MS);
+        let submitted = self.submit(now, OpClass::General, op, Purpose::Versions { operation });
         self.versions.in_flight = submitted.is_ok();
     }
 
@@ -144,7 +150,7 @@
         let key = version_key(&self.settings.member);
         let found = rows.iter().find(|row| row.key == key);
         let version = found.map_or(Revision(0), |row| row.version);
-        let value = serde_json::json!(VersionRecord { version: VERSION_RECORD });
+        let value = serde_json::json!(VersionRecord { version: ANNOUNCED_VERSION });
         let txn = Txn {
             conditions: vec![Condition { key: key.clone(), version }],
             changes: vec![Change::put(key, value)],
--- a/crates/core/src/controller/writing.rs
+++ b/crates/core/src/controller/writing.rs
@@ -24,17 +24,18 @@
         let (Some(token), Some(fence)) = (self.leadership.token(), self.leadership.fence()) else {
             return false;
         };
-        let Some(leader_term) = self.leader_term.as_mut().filter(|r| r.stage == Stage::Ruling)
+        let Some(leader_term) = self.leader_term.as_mut().filter(|r| r.stage == Stage::Active)
         else {
             return false;
         };
         let ops = self.limits.max_changes();
-        let Some((txn, written)) = leader_term.book.next_txn(fence, ops, now) else {
+        let Some((txn, written)) = leader_term.job_table.next_txn(fence, ops, now) else {
             return false;
         };
         self.writer = Writer::Writing;
         self.traffic.changes += txn.changes.len();
-        let _ = self.submit(now, Lane::Write, StoreOp::Txn(txn), Purpose::Write { token, written });
+        let _ =
+            self.submit(now, OpClass::Write, StoreOp::Txn(txn), Purpose::Write { token, written });
         true
     }
 
@@ -42,7 +43,7 @@
         &mut self,
         now: Mono,
         token: Token,
-        written: Vec<Written>,
+        written: Vec<PendingWrite>,
         reply: StoreReply,
     ) {
         let Some(leader_term) = self.leader_term.as_mut().filter(|r| r.token == token) else {
@@ -51,29 +52,29 @@
         self.writer = Writer::Idle;
         match reply {
             StoreReply::Committed(revision) => {
-                let ended = leader_term.book.committed(&written, revision);
+                let ended = leader_term.job_table.committed(&written, revision);
                 self.publish_ends(ended);
             }
-            StoreReply::Conflict(failed) if failed.iter().any(|k| k == LEAD_KEY) => {
-                leader_term.book.requeue(written);
-                self.leadership.fenced_off();
+            StoreReply::Conflict(failed) if failed.iter().any(|k| k == LEADER_KEY) => {
+                leader_term.job_table.requeue(written);
+                self.leadership.on_fenced_write();
             }
             reply @ (StoreReply::Conflict(_) | StoreReply::Lost) => {
                 log::warn!(
                     "state service: the outcome of a write is unknown; reading back {} keys",
                     written.len()
                 );
-                let mut items: Vec<Item> = written.iter().map(|w| w.item().clone()).collect();
+                let mut items: Vec<WriteItem> = written.iter().map(|w| w.item().clone()).collect();
                 // A live key that conflicts may belong to a job that has ended and that this job
                 // table does not know. Unless its record is read, the transaction could never be
                 // written, and nothing after it.
                 if let StoreReply::Conflict(failed) = &reply {
-                    let live = |key: &String| JobId::parse(key.strip_prefix(jobs::LIVE)?);
-                    items.extend(failed.iter().filter_map(live).map(Item::End));
+                    let live = |key: &String| JobId::parse(key.strip_prefix(jobs::LIVE_PREFIX)?);
+                    items.extend(failed.iter().filter_map(live).map(WriteItem::FinalRecord));
                     items.sort();
                     items.dedup();
                 }
-                leader_term.book.requeue(written);
+                leader_term.job_table.requeue(written);
                 self.resolve(now, token, items);
                 self.reject_end_waiters();
             }
@@ -81,15 +82,15 @@
                 let stricter = self.on_write_refused(&text);
                 let Some(leader_term) = self.leader_term.as_mut() else { return };
                 if stricter {
-                    leader_term.book.requeue(written);
+                    leader_term.job_table.requeue(written);
                 } else {
-                    leader_term.book.refused(written, now);
+                    leader_term.job_table.rejected(written, now);
                 }
                 self.reject_end_waiters();
             }
             _ => {
-                leader_term.book.requeue(written);
-                self.next_write = now.plus(STORE_PAUSE_MS);
+                leader_term.job_table.requeue(written);
+                self.next_write = now.plus(STORE_THROTTLED_PAUSE_MS);
                 self.reject_end_waiters();
             }
         }
@@ -104,17 +105,23 @@
         }
     }
 
-    pub(super) fn resolve(&mut self, now: Mono, token: Token, items: Vec<Item>) {
+    pub(super) fn resolve(&mut self, now: Mono, token: Token, items: Vec<WriteItem>) {
         let Some(item) = items.last().cloned() else {
             self.writer = Writer::Idle;
             return;
         };
         self.writer = Writer::Resolving(items);
-        let op = StoreOp::Get { key: jobs::Book::key_of(&item) };
-        let _ = self.submit(now, Lane::Write, op, Purpose::Resolve { token, item });
+        let op = StoreOp::Get { key: jobs::JobTable::key_of(&item) };
+        let _ = self.submit(now, OpClass::Write, op, Purpose::Resolve { token, item });
     }
 
-    pub(super) fn on_resolved(&mut self, now: Mono, token: Token, item: Item, reply: StoreReply) {
+    pub(super) fn on_resolved(
+        &mut self,
+        now: Mono,
+        token: Token,
+        item: WriteItem,
+        reply: StoreReply,
+    ) {
         let Some(leader_term) = self.leader_term.as_mut().filter(|r| r.token == token) else {
             return;
         };
@@ -127,7 +134,7 @@
             _ => None,
         };
         if let Some(found) = found {
-            let ended = leader_term.book.resolved(&item, found);
+            let ended = leader_term.job_table.resolved(&item, found);
             items.pop();
             self.publish_ends(ended);
         }
@@ -135,7 +142,7 @@
     }
 
     /// Publishes ends of jobs that have become durable.
-    pub(super) fn publish_ends(&mut self, ended: impl IntoIterator<Item = (JobId, OverRecord)>) {
+    pub(super) fn publish_ends(&mut self, ended: impl IntoIterator<Item = (JobId, FinalRecord)>) {
         for (id, record) in ended {
             self.finished_jobs.insert(id.clone(), record.clone());
             self.graph_job_finished(&id, &record);
--- a/crates/core/src/estimate.rs
+++ b/crates/core/src/estimate.rs
@@ -1,7 +1,7 @@
 //! The Kalman filter of the Dithen paper, which estimates the cost of one task of a job in
 //! core-seconds.
 
-use crate::constants::{MEASURE_VARIANCE, PROCESS_VARIANCE};
+use crate::constants::{MEASUREMENT_VARIANCE, PROCESS_VARIANCE};
 
 /// Estimate of a job's cost per task. Starts with b and p at 0, as in the Dithen paper.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -16,7 +16,7 @@
     /// One filter step with the last tick's measurement, in core-seconds per task.
     pub fn update(&mut self, measurement: f64) {
         let prior = self.p + PROCESS_VARIANCE;
-        let gain = prior / (prior + MEASURE_VARIANCE);
+        let gain = prior / (prior + MEASUREMENT_VARIANCE);
         self.b += gain * (measurement - self.b);
         self.p = (1.0 - gain) * prior;
         self.measured = true;
@@ -70,7 +70,7 @@
         let mut filter = Kalman::default();
         (0..50).for_each(|_| filter.update(0.0));
         let prior = filter.p + PROCESS_VARIANCE;
-        let gain = prior / (prior + MEASURE_VARIANCE);
+        let gain = prior / (prior + MEASUREMENT_VARIANCE);
         assert!((gain - 0.618).abs() < 0.001, "{gain}");
     }
 
--- a/crates/core/src/inbox.rs
+++ b/crates/core/src/inbox.rs
@@ -20,7 +20,7 @@
     /// The same of a machine that has acknowledged the current leader.
     KnownReport,
     /// A query about a job, or its cancellation: mostly answered from memory.
-    Question,
+    Query,
     /// The submission of a job.
     Submission,
     /// The report of a machine without tasks: nothing is lost by a delay.
@@ -34,7 +34,7 @@
         Self::Control,
         Self::Report,
         Self::KnownReport,
-        Self::Question,
+        Self::Query,
         Self::Submission,
         Self::IdleReport,
         Self::Other,
@@ -43,11 +43,11 @@
     /// Classifies a request. `leader`: token of the current leader, if known.
     pub fn of(request: &Request, leader: Option<Token>) -> Self {
         match request {
-            Request::Up | Request::Notes(_) | Request::Greet(_) => Self::Control,
+            Request::HealthProbe | Request::LeaderHints(_) | Request::Gossip(_) => Self::Control,
             Request::Report(report) if report.tasks.is_empty() => Self::IdleReport,
             Request::Report(report) if Some(report.token) == leader => Self::KnownReport,
             Request::Report(_) => Self::Report,
-            Request::View(_) | Request::Abort(_) => Self::Question,
+            Request::View(_) | Request::Abort(_) => Self::Query,
             Request::Submit(_) => Self::Submission,
             Request::Graph(_) | Request::Usage(_) => Self::Other,
         }
@@ -60,7 +60,7 @@
             Self::Control => 8,
             Self::Report => 8,
             Self::KnownReport => 8,
-            Self::Question => 6,
+            Self::Query => 6,
             Self::Submission => 3,
             Self::IdleReport => 2,
             Self::Other => 1,
@@ -69,13 +69,13 @@
 
     /// How long an input may wait and still be worth an answer. `forwarded`: it came from a peer, whose timeout is
     /// shorter.
-    pub fn patience(self, forwarded: bool) -> Millis {
+    pub fn max_wait(self, forwarded: bool) -> Millis {
         match self {
-            Self::Control => CONTROL_AGE_MS,
-            _ if forwarded => FORWARDED_AGE_MS,
-            Self::Report | Self::KnownReport | Self::IdleReport => REPORT_AGE_MS,
-            Self::Question => QUESTION_AGE_MS,
-            Self::Submission | Self::Other => SUBMISSION_AGE_MS,
+            Self::Control => MAX_CONTROL_AGE_MS,
+            _ if forwarded => MAX_FORWARDED_AGE_MS,
+            Self::Report | Self::KnownReport | Self::IdleReport => MAX_REPORT_AGE_MS,
+            Self::Query => MAX_QUESTION_AGE_MS,
+            Self::Submission | Self::Other => MAX_SUBMISSION_AGE_MS,
         }
     }
 }
@@ -89,7 +89,7 @@
 
 impl DroppedReports {
     /// Classifies a request, taking into account whether its machine's last report was dropped.
-    pub fn kind_of(&self, request: &Request, leader: Option<Token>) -> InputKind {
+    pub fn classify(&self, request: &Request, leader: Option<Token>) -> InputKind {
         match (InputKind::of(request, leader), request) {
             (InputKind::KnownReport, Request::Report(report))
                 if self.machines.contains(&report.host) =>
@@ -101,7 +101,7 @@
     }
 
     /// Records that a request was dropped.
-    pub fn dropped(&mut self, request: &Request) {
+    pub fn record_dropped(&mut self, request: &Request) {
         if let Request::Report(report) = request {
             self.machines.insert(report.host.clone());
         }
@@ -169,7 +169,7 @@
     ) -> Option<Admitted<T>> {
         let queue = &mut self.queues[kind as usize];
         let oldest = (queue.len() >= self.max_per_kind).then(|| queue.pop_front()).flatten();
-        let deadline = now.plus(kind.patience(forwarded));
+        let deadline = now.plus(kind.max_wait(forwarded));
         queue.push_back(QueuedInput { item, queued_at: now, deadline });
         oldest.map(|oldest| self.drop_one(oldest.item))
     }
--- a/crates/core/src/inbox/tests.rs
+++ b/crates/core/src/inbox/tests.rs
@@ -68,13 +68,13 @@
             let answered = outcome.answered[&kind];
             assert!(answered > 450, "{overloaded:?} starves {kind:?}: {answered} of some 600");
         }
-        assert!(outcome.longest_wait_ms < REPORT_AGE_MS.0, "{}", outcome.longest_wait_ms);
+        assert!(outcome.longest_wait_ms < MAX_REPORT_AGE_MS.0, "{}", outcome.longest_wait_ms);
         assert!(outcome.longest_queue <= CALLERS + 600, "{}", outcome.longest_queue);
         assert!(outcome.dropped > 0 && outcome.answered[&overloaded] > 5_000, "{outcome:?}");
     }
     // Reports and queries both exceed the capacity: each keeps its share.
-    let outcome = simulate(9, &[(Report, 5_000.0), (Question, 5_000.0)], 1_000, 20_000);
-    assert!(outcome.answered[&Question] > 7_000 && outcome.answered[&Report] > 7_000);
+    let outcome = simulate(9, &[(Report, 5_000.0), (Query, 5_000.0)], 1_000, 20_000);
+    assert!(outcome.answered[&Query] > 7_000 && outcome.answered[&Report] > 7_000);
 }
 
 /// After an overload its inputs are dropped as soon as they expire, and new ones are answered again.
@@ -82,11 +82,11 @@
 fn an_overloaded_inbox_recovers() {
     let mut inbox = Inbox::new(CALLERS);
     for n in 0..10_000 {
-        inbox.push(Mono(0), InputKind::Question, false, n);
+        inbox.push(Mono(0), InputKind::Query, false, n);
     }
     assert_eq!(inbox.len(), CALLERS);
-    let later = Mono(QUESTION_AGE_MS.0);
-    inbox.push(later, InputKind::Question, false, 77);
+    let later = Mono(MAX_QUESTION_AGE_MS.0);
+    inbox.push(later, InputKind::Query, false, 77);
     let mut retries_by_second: BTreeMap<u32, u32> = BTreeMap::new();
     loop {
         match inbox.pop(later) {
@@ -109,14 +109,17 @@
 fn expired_reports_and_forwarded_queries_are_dropped_with_a_retry_time() {
     let mut inbox = Inbox::new(CALLERS);
     inbox.push(Mono(0), InputKind::Report, false, 1);
-    inbox.push(Mono(0), InputKind::Question, true, 2);
-    let now = Mono(FORWARDED_AGE_MS.0);
-    assert_eq!(inbox.pop(now), Some(Admitted::Take(1, FORWARDED_AGE_MS)));
+    inbox.push(Mono(0), InputKind::Query, true, 2);
+    let now = Mono(MAX_FORWARDED_AGE_MS.0);
+    assert_eq!(inbox.pop(now), Some(Admitted::Take(1, MAX_FORWARDED_AGE_MS)));
     assert!(matches!(inbox.pop(now), Some(Admitted::Drop(2, _))));
     inbox.push(now, InputKind::IdleReport, false, 3);
-    let expired = now.plus(REPORT_AGE_MS);
+    let expired = now.plus(MAX_REPORT_AGE_MS);
     assert!(matches!(inbox.pop(expired), Some(Admitted::Drop(3, 1..=RETRY_SPREAD_S))));
-    assert!(FORWARDED_AGE_MS < ASK_TIMEOUT_MS && REPORT_AGE_MS < REPORT_DROP_MS);
+    assert!(
+        MAX_FORWARDED_AGE_MS < LEADER_QUERY_TIMEOUT_MS
+            && MAX_REPORT_AGE_MS < WORKER_ANSWER_TIMEOUT_MS
+    );
 }
 
 /// A machine whose last report was dropped has priority over machines that were answered, until its report is taken.
@@ -131,10 +134,10 @@
     };
     let leader = Some(Token(7));
     let mut dropped = DroppedReports::default();
-    assert_eq!(dropped.kind_of(&report("i-1"), leader), InputKind::KnownReport);
-    dropped.dropped(&report("i-1"));
-    assert_eq!(dropped.kind_of(&report("i-1"), leader), InputKind::Report);
-    assert_eq!(dropped.kind_of(&report("i-2"), leader), InputKind::KnownReport);
+    assert_eq!(dropped.classify(&report("i-1"), leader), InputKind::KnownReport);
+    dropped.record_dropped(&report("i-1"));
+    assert_eq!(dropped.classify(&report("i-1"), leader), InputKind::Report);
+    assert_eq!(dropped.classify(&report("i-2"), leader), InputKind::KnownReport);
     dropped.taken(&report("i-1"));
-    assert_eq!(dropped.kind_of(&report("i-1"), leader), InputKind::KnownReport);
+    assert_eq!(dropped.classify(&report("i-1"), leader), InputKind::KnownReport);
 }
--- a/crates/core/src/jobs/dependencies.rs
+++ b/crates/core/src/jobs/dependencies.rs
@@ -4,7 +4,7 @@
 //! state service. The dependents of a cancelled job are therefore cancelled from that moment on, before their own
 //! final records are written, and each later leader derives the same result.
 
-use super::{Book, Item, Job, JobState};
+use super::{Job, JobState, JobTable, WriteItem};
 use crate::jobs::writing::WritePriority;
 use oatloom_protocol::ids::{JobId, Mono, Revision};
 use oatloom_protocol::wire::{JobStatus, Rank};
@@ -32,23 +32,23 @@
     released: bool,
 }
 
-impl Book {
+impl JobTable {
     /// Registers the dependencies of a newly inserted job.
     pub(super) fn await_dependencies(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         if job.spec.dependencies.is_empty() {
             return;
         }
-        job.unmet = job.spec.dependencies.iter().cloned().collect();
+        job.unmet_dependencies = job.spec.dependencies.iter().cloned().collect();
         job.set_state(JobState::Waiting, "waiting for its dependencies");
-        let (accepted, unmet) = (job.live_revision, job.unmet.clone());
+        let (accepted, unmet) = (job.live_revision, job.unmet_dependencies.clone());
         self.dependencies.waiting.insert((accepted, id.clone()));
         for dependency in unmet {
             let dependents = self.dependencies.dependents.entry(dependency.clone()).or_default();
             dependents.insert(id.clone());
             match self.jobs.get(&dependency) {
                 Some(known) if known.cancelled_by.is_some() => self.cancel_dependents(&dependency),
-                Some(known) if known.state != JobState::Over => {
+                Some(known) if known.state != JobState::Finished => {
                     if known.live_revision >= accepted {
                         log::error!("job {id}: depends on {dependency}, which was accepted later");
                     }
@@ -87,8 +87,8 @@
         }
         for dependent in self.dependencies.dependents.remove(id).unwrap_or_default() {
             let Some(job) = self.jobs.get_mut(&dependent) else { continue };
-            job.unmet.remove(id);
-            if job.unmet.is_empty() {
+            job.unmet_dependencies.remove(id);
+            if job.unmet_dependencies.is_empty() {
                 self.release(&dependent, now, "all its dependencies are done");
             }
         }
@@ -100,7 +100,7 @@
             return;
         };
         job.released = now;
-        job.unmet.clear();
+        job.unmet_dependencies.clear();
         job.set_state(JobState::Open, reason);
         let (accepted, spec) = (job.live_revision, job.spec.clone());
         self.dependencies.waiting.remove(&(accepted, id.clone()));
@@ -132,7 +132,10 @@
                         );
                         let accepted = job.live_revision;
                         self.dependencies.waiting.remove(&(accepted, dependent.clone()));
-                        self.enqueue(Item::End(dependent.clone()), WritePriority::Immediate);
+                        self.enqueue(
+                            WriteItem::FinalRecord(dependent.clone()),
+                            WritePriority::Immediate,
+                        );
                     }
                     JobState::Ending(JobStatus::Cancelled) => {}
                     state => {
@@ -165,7 +168,7 @@
             return true;
         }
         let mut visited: BTreeSet<&JobId> = BTreeSet::new();
-        let mut to_visit: Vec<&JobId> = job.unmet.iter().collect();
+        let mut to_visit: Vec<&JobId> = job.unmet_dependencies.iter().collect();
         while let Some(id) = to_visit.pop() {
             if self.dependencies.unresolved.contains(id) {
                 return false;
@@ -173,7 +176,7 @@
             if visited.insert(id)
                 && let Some(job) = self.jobs.get(id)
             {
-                to_visit.extend(&job.unmet);
+                to_visit.extend(&job.unmet_dependencies);
             }
         }
         true
@@ -193,7 +196,8 @@
             self.dependencies.waiting.iter().rev().map(|(_, id)| id.clone()).collect();
         for id in waiting {
             let Some(job) = self.jobs.get(&id) else { continue };
-            let (rank, latest_start, unmet) = (job.rank(), latest_start(job), job.unmet.clone());
+            let (rank, latest_start, unmet) =
+                (job.rank(), latest_start(job), job.unmet_dependencies.clone());
             for dependency in unmet {
                 if let Some(job) = self.jobs.get_mut(&dependency) {
                     job.inherited.merge(rank, latest_start);
--- a/crates/core/src/jobs/fitting.rs
+++ b/crates/core/src/jobs/fitting.rs
@@ -1,7 +1,7 @@
 //! Reduces records to the value limit of the state service: details are dropped first, assignments never.
 
 use super::*;
-use oatloom_ledger::constants::TIGHT_ROWS;
+use oatloom_ledger::constants::REDUCED_DAY_ROWS;
 use oatloom_protocol::wire::FailureCause;
 use serde_json::Value;
 
@@ -17,7 +17,11 @@
 
 impl Default for RecordLimits {
     fn default() -> Self {
-        Self { form: RecordForm::Rows, value: VALUE_BYTES, most: VALUE_BYTES }
+        Self {
+            form: RecordForm::Rows,
+            value: DEFAULT_MAX_VALUE_BYTES,
+            most: DEFAULT_MAX_VALUE_BYTES,
+        }
     }
 }
 
@@ -40,35 +44,35 @@
 /// Reductions of an assignment record, applied in this order until it fits; sums and counts stay the same.
 const CHUNK_REDUCTIONS: [fn(&mut ChunkRecord); 4] = [
     |_| {},
-    |record| record.usage.shrink(TIGHT_ROWS),
-    |record| record.usage.join_days(),
-    |record| record.charges.forget_hosts(),
+    |record| record.usage.merge_rows(REDUCED_DAY_ROWS),
+    |record| record.usage.merge_days(),
+    |record| record.charges.merge_hosts(),
 ];
 
 /// The same for a final record.
-const FINAL_RECORD_REDUCTIONS: [fn(&mut OverRecord); 6] = [
+const FINAL_RECORD_REDUCTIONS: [fn(&mut FinalRecord); 6] = [
     |_| {},
-    |record| shrink_spent(record, FINAL_ROWS),
-    |record| shrink_spent(record, TIGHT_ROWS),
-    |record| limit_causes(record, CAUSES_FEW),
+    |record| shrink_spent(record, REDUCED_USAGE_ROWS),
+    |record| shrink_spent(record, REDUCED_DAY_ROWS),
+    |record| limit_causes(record, REDUCED_FAILURE_HOSTS),
     |record| join_spent_days(record),
     |record| limit_causes(record, 0),
 ];
 
-fn shrink_spent(record: &mut OverRecord, rows: usize) {
+fn shrink_spent(record: &mut FinalRecord, rows: usize) {
     if let Some(spent) = record.spent.as_mut() {
-        Arc::make_mut(spent).days.shrink(rows);
+        Arc::make_mut(spent).days.merge_rows(rows);
     }
 }
 
-fn join_spent_days(record: &mut OverRecord) {
+fn join_spent_days(record: &mut FinalRecord) {
     if let Some(spent) = record.spent.as_mut() {
-        Arc::make_mut(spent).days.join_days();
+        Arc::make_mut(spent).days.merge_days();
     }
 }
 
 /// Keeps the first `limit` causes of a failure and merges the rest into one.
-fn limit_causes(record: &mut OverRecord, limit: usize) {
+fn limit_causes(record: &mut FinalRecord, limit: usize) {
     let Some(failure) = record.failure.as_mut().filter(|f| f.causes.len() > limit + 1) else {
         return;
     };
@@ -93,20 +97,20 @@
     last.filter(|value| size(value) <= limits.most)
 }
 
-impl Book {
+impl JobTable {
     /// The stored value of an assignment record; `None` if it does not fit.
     pub(super) fn chunk_value(&self, job: &Job, chunk: u32) -> Option<Value> {
-        fitted_chunk(job.record(chunk), chunk * CHUNK_TASKS, &self.limits)
+        fitted_chunk(job.record(chunk), chunk * TASKS_PER_CHUNK, &self.limits)
     }
 
     /// A job's final record, reduced to the target size. Repeated calls give the same record.
-    pub(super) fn over_record(
+    pub(super) fn final_record(
         &self,
         job: &Job,
         status: JobStatus,
-        spent: Option<Arc<oatloom_ledger::rollup::Spent>>,
-    ) -> OverRecord {
-        let mut record = job.over_record(status, spent);
+        spent: Option<Arc<oatloom_ledger::rollup::JobUsage>>,
+    ) -> FinalRecord {
+        let mut record = job.final_record(status, spent);
         for reduce in FINAL_RECORD_REDUCTIONS {
             reduce(&mut record);
             if serde_json::to_string(&record).is_ok_and(|text| text.len() <= self.limits.value) {
@@ -123,25 +127,31 @@
 
     /// Whether the record of a task's chunk has room for one more assignment. Guards against a record that grows too
     /// large to be written: its tasks would never start, and the ends of its tasks would never become durable.
-    pub(super) fn record_has_room(&mut self, id: &JobId, index: u32, hold: &Hold) -> bool {
+    pub(super) fn record_has_room(
+        &mut self,
+        id: &JobId,
+        index: u32,
+        hold: &TaskAssignment,
+    ) -> bool {
         let Some(job) = self.jobs.get(id) else { return false };
-        let chunk = index / CHUNK_TASKS;
+        let chunk = index / TASKS_PER_CHUNK;
         let limit = self.limits.chunk().saturating_sub(USAGE_RESERVE_BYTES);
         let range = job.chunk_range(chunk);
-        let max_bytes = |hold: &Hold| {
-            2 * (hold.host.as_str().len() + hold.zone.as_str().len()) + ASSIGNMENT_BYTES_MOST
+        let max_bytes = |hold: &TaskAssignment| {
+            2 * (hold.host.as_str().len() + hold.zone.as_str().len()) + MAX_ASSIGNMENT_BYTES
         };
         let held_bytes: usize =
-            range.clone().filter_map(|task| job.hold(task)).map(max_bytes).sum();
-        if !self.limited && held_bytes + max_bytes(hold) + CHUNK_HEAD_BYTES <= limit {
+            range.clone().filter_map(|task| job.assignment(task)).map(max_bytes).sum();
+        if !self.failures_limited && held_bytes + max_bytes(hold) + MAX_CHUNK_HEADER_BYTES <= limit
+        {
             return true;
         }
         let mut record = job.record(chunk);
         record.usage = Default::default();
-        record.charges.forget_hosts();
+        record.charges.merge_hosts();
         let (host, zone) = (hold.host.clone(), hold.zone.clone());
-        record.held.push((index, hold.attempt, host, hold.shift, zone));
-        let fits = size(&record.value(self.limits.form, chunk * CHUNK_TASKS)) <= limit;
+        record.held.push((index, hold.attempt, host, hold.session, zone));
+        let fits = size(&record.value(self.limits.form, chunk * TASKS_PER_CHUNK)) <= limit;
         if !fits && !self.full_record_logged {
             self.full_record_logged = true;
             let held = record.held.len() - 1;
--- a/crates/core/src/jobs/fitting/tests.rs
+++ b/crates/core/src/jobs/fitting/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::jobs::tests::spec;
-use oatloom_ledger::entry::{End, Entry};
+use oatloom_ledger::entry::{End, UsageEntry};
 use oatloom_protocol::wire::Cause;
 
 const SMALL: RecordLimits = RecordLimits { form: RecordForm::Packed, value: 1_884, most: 1_884 };
@@ -11,32 +11,32 @@
     Condition { key: "lead".into(), version: Revision(1) }
 }
 
-fn hold(host: &str, attempt: u64) -> Hold {
-    Hold {
+fn hold(host: &str, attempt: u64) -> TaskAssignment {
+    TaskAssignment {
         host: HostId::new(host),
-        shift: Shift(1),
+        session: Shift(1),
         zone: Zone::new("kalamaria"),
         attempt: Attempt(attempt),
-        version: 0,
-        run: RunSent::No,
+        chunk_version: 0,
+        run_sent: RunSent::No,
         phase: None,
-        since: Mono(0),
+        assigned_at: Mono(0),
         running_since: None,
-        told_ms: None,
+        reported_run_ms: None,
         stop: None,
     }
 }
 
-fn job_table(tasks: u32, limits: RecordLimits) -> (Book, JobId) {
-    let mut job_table = Book { limits, ..Book::default() };
+fn job_table(tasks: u32, limits: RecordLimits) -> (JobTable, JobId) {
+    let mut job_table = JobTable { limits, ..JobTable::default() };
     let now = Now { mono: Mono(1000), wall_ms: 1000 };
     let record = LiveRecord { spec: spec("req-1", Shape::Array, tasks), wall_ms: 900, part: None };
     job_table.insert(record, Revision(5), now);
     (job_table, JobId::new("req-1"))
 }
 
-fn entry(task: u32, flavor: &str, day: u64) -> Entry {
-    Entry {
+fn entry(task: u32, flavor: &str, day: u64) -> UsageEntry {
+    UsageEntry {
         task: TaskId::new(&JobId::new("req-1"), task),
         attempt: Attempt(1),
         team: "t".into(),
@@ -52,14 +52,14 @@
         ran_ms: 88_888_888,
         unseen_ms: 0,
         end: End::Seen(Cause::Stopped),
-        stored: true,
+        progress_saved: true,
         goes_on: true,
         checkpoint_ms: 30_000,
         cpus: 12.0,
         gpus: 4.0,
         memory_gb: 150.0,
-        price: 11.6,
-        share: 0.25,
+        hourly_price: 11.6,
+        machine_share: 0.25,
     }
 }
 
@@ -67,7 +67,7 @@
 #[test]
 fn a_full_chunk_fits_two_kib() {
     let (mut job_table, id) = job_table(100_000, SMALL);
-    job_table.account = Some(Account::default());
+    job_table.usage_accounting = Some(UsageAccounting::default());
     for task in 960..1_056 {
         assert!(job_table.hold(&id, task, hold(&format!("i-{:06}", task * 37 % 4_000), 7 << 41)));
     }
@@ -101,9 +101,9 @@
     let Change::Put { value, .. } = &txn.changes[0] else { panic!("{txn:?}") };
     assert!(size(value) <= SMALL.value);
     job_table.committed(&written, Revision(9));
-    assert_eq!((0..96).filter(|n| job_table.jobs[&id].durable(*n)).count(), held);
+    assert_eq!((0..96).filter(|n| job_table.jobs[&id].assignment_durable(*n)).count(), held);
     // A task that has ended makes room for another.
-    job_table.free(&id, 0, true);
+    job_table.unassign(&id, 0, true);
     assert!(job_table.hold(&id, 95, hold(&name(95), 6)));
 }
 
@@ -121,16 +121,16 @@
         let mut now = Mono(10_000);
         let mut smallest = 96;
         for task in 0..96 {
-            new.free(&id, task, true);
+            new.unassign(&id, task, true);
             now = now.plus(Millis(70_000));
             if let Some((txn, written)) = new.next_txn(fence(), 5, now) {
                 let Change::Put { value, .. } = &txn.changes[0] else { panic!("{txn:?}") };
                 assert!(size(value) <= SMALL.value, "written above the limit");
                 new.committed(&written, Revision(100 + u64::from(task)));
                 smallest = smallest.min(95 - task);
-                assert!(new.jobs[&id].settled(task));
+                assert!(new.jobs[&id].all_durable(task));
             } else {
-                assert!(!new.jobs[&id].settled(task), "settled without a write");
+                assert!(!new.jobs[&id].all_durable(task), "settled without a write");
             }
         }
         assert_eq!(smallest, 0);
@@ -145,7 +145,7 @@
 #[test]
 fn a_final_record_fits_two_kib() {
     let (mut job_table, id) = job_table(10, SMALL);
-    job_table.account = Some(Account::default());
+    job_table.usage_accounting = Some(UsageAccounting::default());
     for n in 0..40u32 {
         job_table.account(&entry(0, &format!("kivotos-{}", n % 20), 20_000 + u64::from(n % 2)));
     }
@@ -203,19 +203,20 @@
         if txn.changes.iter().any(|c| matches!(c, Change::Put { key, .. } if *key == rejected_key))
         {
             rejected_sizes.push(txn.changes.len());
-            job_table.refused(written, now);
+            job_table.rejected(written, now);
         } else {
             revision += 1;
             job_table.committed(&written, Revision(revision));
         }
     }
-    let durable = (0..960).step_by(96).filter(|task| job_table.jobs[&id].durable(*task));
+    let durable = (0..960).step_by(96).filter(|task| job_table.jobs[&id].assignment_durable(*task));
     assert_eq!(durable.count(), 9, "all others are durable");
     assert_eq!(rejected_sizes[..3], [4, 2, 1], "{rejected_sizes:?}");
     assert!(rejected_sizes.len() <= 7, "repeated too often: {rejected_sizes:?}");
     // Once the service accepts it, it is written.
-    let (txn, written) = job_table.next_txn(fence(), 5, now.plus(REFUSED_PAUSE_MAX_MS)).unwrap();
+    let (txn, written) =
+        job_table.next_txn(fence(), 5, now.plus(MAX_REFUSED_RETRY_PAUSE_MS)).unwrap();
     assert_eq!(txn.changes.len(), 1);
     job_table.committed(&written, Revision(99));
-    assert!(job_table.jobs[&id].durable(288) && job_table.unwritten() == 0);
+    assert!(job_table.jobs[&id].assignment_durable(288) && job_table.unwritten_count() == 0);
 }
--- a/crates/core/src/jobs/job.rs
+++ b/crates/core/src/jobs/job.rs
@@ -1,14 +1,14 @@
 //! One job: its tasks, their assignments, and the state of its gang.
 
 use super::dependencies::Inherited;
-use super::records::{ChunkRecord, OverRecord, to_hex};
+use super::records::{ChunkRecord, FinalRecord, to_hex};
 use crate::constants::*;
 use crate::estimate::{Kalman, Measurement};
 use oatloom_graph::records::{Part, PartEnd};
-use oatloom_ledger::rollup::{Days, Spent};
+use oatloom_ledger::rollup::{JobUsage, UsageByDay};
 use oatloom_policy::charges::Charges;
-use oatloom_policy::classes::{Allowance, OnExhausted};
-use oatloom_policy::constants::BURNT_MOST;
+use oatloom_policy::classes::{OnExhausted, RetryPolicy};
+use oatloom_policy::constants::MAX_FAILED_HOSTS;
 use oatloom_protocol::constants::MAX_TASKS;
 use oatloom_protocol::ids::*;
 use oatloom_protocol::wire::{Failure, JobSpec, JobStatus, JobView, Rank, Shape, TaskPhase};
@@ -27,8 +27,8 @@
 
 /// Why a task is stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum StopWhy {
-    JobOver,
+pub enum StopReason {
+    JobFinished,
     Preempted,
     Draining,
     /// A replica that moves to another machine so that this one can be returned.
@@ -39,35 +39,35 @@
 /// A stop request for a task.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Stop {
-    pub why: StopWhy,
+    pub reason: StopReason,
     pub grace_s: f64,
     pub since: Mono,
 }
 
 /// Assignment of a task to a machine. It counts as running there until proven gone.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Hold {
+pub struct TaskAssignment {
     pub host: HostId,
-    pub shift: Shift,
+    pub session: Shift,
     pub zone: Zone,
     pub attempt: Attempt,
     /// First version of the chunk that contains the assignment. The start command is sent only once that
     /// version is durable.
-    pub version: u64,
-    pub run: RunSent,
+    pub chunk_version: u64,
+    pub run_sent: RunSent,
     pub phase: Option<TaskPhase>,
-    pub since: Mono,
+    pub assigned_at: Mono,
     pub running_since: Option<Mono>,
     /// Run time in the worker's latest report, in milliseconds.
-    pub told_ms: Option<u64>,
+    pub reported_run_ms: Option<u64>,
     pub stop: Option<Stop>,
 }
 
 /// State of one task.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Task {
+pub enum TaskState {
     Pending,
-    Held(Box<Hold>),
+    Assigned(Box<TaskAssignment>),
     Done,
 }
 
@@ -95,12 +95,12 @@
     Ending(JobStatus),
     /// Its final record is durable. The job stays in memory while tasks may still be on machines; its
     /// reported status comes from the state service.
-    Over,
+    Finished,
 }
 
 /// State of a gang's current attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Gang {
+pub enum GangState {
     /// No attempt; all tasks are proven gone from their machines.
     Idle,
     /// Its tasks are being placed or wait for each other; lost tasks are placed again.
@@ -118,7 +118,7 @@
     /// When it could first start: at its submission, or once all its dependencies were done.
     pub released: Mono,
     /// Dependencies that are not known to be done.
-    pub unmet: BTreeSet<JobId>,
+    pub unmet_dependencies: BTreeSet<JobId>,
     /// The cancelled dependency, if there is one. The job is then cancelled too, even before its own final record
     /// is written.
     pub cancelled_by: Option<JobId>,
@@ -127,40 +127,40 @@
     /// Revision of the live key.
     pub(super) live_revision: Revision,
     pub state: JobState,
-    pub tasks: Vec<Task>,
+    pub tasks: Vec<TaskState>,
     pub(super) chunks: Vec<ChunkState>,
     pub done: u32,
-    pub held: u32,
+    pub assigned: u32,
     pub zones: BTreeMap<Zone, u32>,
-    pub gang: Gang,
+    pub gang: GangState,
     /// Whether all its tasks were reported running at once; a service was then up.
-    pub up: bool,
+    pub was_up: bool,
     /// When one of its tasks was last assigned, as far as this leader knows.
     pub(super) placed_at: Option<Mono>,
     /// When one of its tasks was last lost.
     pub lost_at: Mono,
     pub cost: Kalman,
     pub measured: Measurement,
-    pub errors: u32,
+    pub error_count: u32,
     /// Machines on which it failed; failures on more than one point to the job rather than the machines.
     pub error_hosts: BTreeSet<HostId>,
     pub paused_until: Mono,
     /// Retries allowed to its tasks; `None`: unlimited.
-    pub allowance: Option<Allowance>,
+    pub allowance: Option<RetryPolicy>,
     /// Failures charged to its tasks, if they are limited.
     pub charges: Charges,
     /// Earliest start of delayed tasks: after a failure, or until the cause of a failure is known. One delayed
     /// task of a gang delays the whole gang.
-    pub withheld: BTreeMap<u32, Mono>,
+    pub delayed_until: BTreeMap<u32, Mono>,
     /// Set until a task succeeds. Once such a job has failed on as many machines as one job may make suspect
     /// ([`BURNT_MOST`]), it may only run on those of them that remain.
-    pub confined: bool,
+    pub unproven: bool,
     /// When it last failed, if failures are limited.
     pub failed_at: Mono,
     /// Number of machines on which it failed, including those that no longer exist.
-    pub burnt: usize,
+    pub failed_host_count: usize,
     /// Usage of its attempts by chunk, if usage accounting is enabled.
-    pub usage: BTreeMap<u32, Days>,
+    pub usage: BTreeMap<u32, UsageByDay>,
     /// Why it is failing or has failed.
     pub failure: Option<Arc<Failure>>,
     /// The part of a graph that it runs, if any.
@@ -171,36 +171,36 @@
 
 impl Job {
     pub(super) fn new(spec: JobSpec, submitted: Mono, live_revision: Revision) -> Self {
-        let chunks = spec.tasks.div_ceil(CHUNK_TASKS) as usize;
+        let chunks = spec.tasks.div_ceil(TASKS_PER_CHUNK) as usize;
         Self {
-            tasks: vec![Task::Pending; spec.tasks as usize],
+            tasks: vec![TaskState::Pending; spec.tasks as usize],
             chunks: vec![ChunkState::default(); chunks],
             spec: Arc::new(spec),
             submitted,
             released: submitted,
-            unmet: BTreeSet::new(),
+            unmet_dependencies: BTreeSet::new(),
             cancelled_by: None,
             inherited: Inherited::default(),
             live_revision,
             state: JobState::Open,
             done: 0,
-            held: 0,
+            assigned: 0,
             zones: BTreeMap::new(),
-            gang: Gang::Idle,
-            up: false,
+            gang: GangState::Idle,
+            was_up: false,
             placed_at: None,
             lost_at: Mono(0),
             cost: Kalman::default(),
             measured: Measurement::default(),
-            errors: 0,
+            error_count: 0,
             error_hosts: BTreeSet::new(),
             paused_until: Mono(0),
             allowance: None,
             charges: Charges::default(),
-            withheld: BTreeMap::new(),
-            confined: false,
+            delayed_until: BTreeMap::new(),
+            unproven: false,
             failed_at: Mono(0),
-            burnt: 0,
+            failed_host_count: 0,
             usage: BTreeMap::new(),
             failure: None,
             part: None,
@@ -209,7 +209,7 @@
     }
 
     /// A placeholder for a forecast job with that many tasks.
-    pub fn expected(spec: &JobSpec, tasks: u32, now: Mono) -> Self {
+    pub fn forecast(spec: &JobSpec, tasks: u32, now: Mono) -> Self {
         Self::new(JobSpec { tasks, ..spec.clone() }, now, Revision(0))
     }
 
@@ -220,7 +220,7 @@
     }
 
     /// Changes the gang's state; all transitions go through here.
-    pub fn gang_enter(&mut self, gang: Gang, reason: &str) {
+    pub fn set_gang_state(&mut self, gang: GangState, reason: &str) {
         if self.gang != gang {
             log::debug!("gang {}: {:?} -> {:?} ({reason})", self.spec.id, self.gang, gang);
             self.gang = gang;
@@ -230,20 +230,20 @@
     /// Whether the job must not be placed on the machine. A failure is mostly the machine's fault, so the job
     /// is retried elsewhere; a job that fails on many machines may run anywhere again.
     pub fn avoids(&self, host: &HostId) -> bool {
-        if self.held_to_burnt() {
+        if self.confined_to_failed_hosts() {
             return !self.error_hosts.contains(host);
         }
-        self.error_hosts.len() < OWN_FAULT_HOSTS && self.error_hosts.contains(host)
+        self.error_hosts.len() < FAULTY_JOB_HOSTS && self.error_hosts.contains(host)
     }
 
     /// Whether it may only run on machines on which it has failed.
-    pub fn held_to_burnt(&self) -> bool {
-        self.confined && self.burnt >= BURNT_MOST && !self.error_hosts.is_empty()
+    pub fn confined_to_failed_hosts(&self) -> bool {
+        self.unproven && self.failed_host_count >= MAX_FAILED_HOSTS && !self.error_hosts.is_empty()
     }
 
     /// Pending tasks that may start now.
     pub fn startable(&self, now: Mono) -> u32 {
-        let delayed = self.withheld.values().filter(|until| now < **until).count() as u32;
+        let delayed = self.delayed_until.values().filter(|until| now < **until).count() as u32;
         match self.spec.shape {
             Shape::Gang if delayed > 0 => 0,
             _ => self.pending().saturating_sub(delayed),
@@ -251,27 +251,27 @@
     }
 
     /// The task whose failures count against the limit; `None` for a gang, where those of all tasks count.
-    pub fn judged(&self, index: u32) -> Option<u32> {
+    pub fn charge_scope(&self, index: u32) -> Option<u32> {
         (self.spec.shape != Shape::Gang).then_some(index)
     }
 
     /// Whether it is an array that has waited long with no task done or assigned and none assigned recently. A
     /// recent assignment matters because the task may have been stopped before it ran.
-    pub fn unbegun(&self, now: Mono) -> bool {
+    pub fn is_starved(&self, now: Mono) -> bool {
         let waited = |since: Mono, limit_s: f64| now.since(since).secs() > limit_s;
         self.spec.shape == Shape::Array
-            && self.done + self.held == 0
-            && waited(self.released, BEGIN_S)
-            && self.placed_at.is_none_or(|at| waited(at, BEGIN_AGAIN_S))
+            && self.done + self.assigned == 0
+            && waited(self.released, FIRST_TASK_WAIT_S)
+            && self.placed_at.is_none_or(|at| waited(at, FIRST_TASK_RETRY_S))
     }
 
     /// Whether its remaining tasks may still run: the job is open, or failing but finishing the rest.
-    pub fn goes_on(&self) -> bool {
+    pub fn may_continue(&self) -> bool {
         matches!(self.state, JobState::Open | JobState::Failing(OnExhausted::FinishRest))
     }
 
     pub fn pending(&self) -> u32 {
-        self.spec.tasks - self.done - self.held
+        self.spec.tasks - self.done - self.assigned
     }
 
     /// Up to `limit` pending tasks that may start now, in order from the first one found by the last search.
@@ -283,8 +283,8 @@
         let mut found = Vec::new();
         let mut index = self.search_start % count;
         for _ in 0..count {
-            let delayed = self.withheld.get(&index).is_some_and(|until| now < *until);
-            if self.tasks[index as usize] == Task::Pending && !delayed {
+            let delayed = self.delayed_until.get(&index).is_some_and(|until| now < *until);
+            if self.tasks[index as usize] == TaskState::Pending && !delayed {
                 if found.is_empty() {
                     self.search_start = index;
                 }
@@ -298,37 +298,37 @@
         found
     }
 
-    pub fn hold(&self, index: u32) -> Option<&Hold> {
+    pub fn assignment(&self, index: u32) -> Option<&TaskAssignment> {
         match self.tasks.get(index as usize) {
-            Some(Task::Held(hold)) => Some(hold),
+            Some(TaskState::Assigned(hold)) => Some(hold),
             _ => None,
         }
     }
 
-    pub fn hold_mut(&mut self, index: u32) -> Option<&mut Hold> {
+    pub fn assignment_mut(&mut self, index: u32) -> Option<&mut TaskAssignment> {
         match self.tasks.get_mut(index as usize) {
-            Some(Task::Held(hold)) => Some(hold),
+            Some(TaskState::Assigned(hold)) => Some(hold),
             _ => None,
         }
     }
 
-    pub fn holds(&self) -> impl Iterator<Item = (u32, &Hold)> {
+    pub fn assignments(&self) -> impl Iterator<Item = (u32, &TaskAssignment)> {
         self.tasks.iter().enumerate().filter_map(|(i, t)| match t {
-            Task::Held(hold) => Some((i as u32, &**hold)),
+            TaskState::Assigned(hold) => Some((i as u32, &**hold)),
             _ => None,
         })
     }
 
     /// Whether the task's assignment is durable, so that it may be sent to the worker.
-    pub fn durable(&self, index: u32) -> bool {
-        let chunk = &self.chunks[(index / CHUNK_TASKS) as usize];
-        self.hold(index).is_some_and(|hold| hold.version <= chunk.durable)
+    pub fn assignment_durable(&self, index: u32) -> bool {
+        let chunk = &self.chunks[(index / TASKS_PER_CHUNK) as usize];
+        self.assignment(index).is_some_and(|hold| hold.chunk_version <= chunk.durable)
     }
 
     /// Whether all known changes of the task are durable, so that its worker may discard its result.
-    pub fn settled(&self, index: u32) -> bool {
+    pub fn all_durable(&self, index: u32) -> bool {
         self.chunks
-            .get((index / CHUNK_TASKS) as usize)
+            .get((index / TASKS_PER_CHUNK) as usize)
             .is_none_or(|chunk| chunk.version == chunk.durable)
     }
 
@@ -339,7 +339,7 @@
     }
 
     pub fn running(&self) -> u32 {
-        self.holds()
+        self.assignments()
             .filter(|(_, h)| matches!(h.phase, Some(TaskPhase::Running | TaskPhase::Saving)))
             .count() as u32
     }
@@ -356,19 +356,23 @@
             JobState::Ending(JobStatus::Cancelled) if self.cancelled_by.is_some() => {
                 (JobStatus::Cancelled, 0)
             }
-            JobState::Ending(_) | JobState::Over => return None,
+            JobState::Ending(_) | JobState::Finished => return None,
         };
-        let unmet = self.unmet.iter().take(SHOWN_DEPENDENCIES).cloned();
+        let unmet = self.unmet_dependencies.iter().take(MAX_SHOWN_DEPENDENCIES).cloned();
         let waits_for = if self.state == JobState::Waiting { unmet.collect() } else { Vec::new() };
         let queued = JobView::queued(self.spec.id.clone());
         Some(JobView { status, done: self.done, running, waits_for, ..queued })
     }
 
     /// The final record, which is kept permanently.
-    pub(super) fn over_record(&self, status: JobStatus, spent: Option<Arc<Spent>>) -> OverRecord {
+    pub(super) fn final_record(
+        &self,
+        status: JobStatus,
+        spent: Option<Arc<JobUsage>>,
+    ) -> FinalRecord {
         let failure = self.failure.clone().filter(|_| status == JobStatus::Failed);
         let part = self.part.as_ref().map(|part| Arc::new(self.part_end(part, status)));
-        OverRecord { status, done: self.done, failure, spent, part }
+        FinalRecord { status, done: self.done, failure, spent, part }
     }
 
     /// How the graph nodes that it ran ended, with the failures charged to those that did not complete.
@@ -377,12 +381,12 @@
         if status == JobStatus::Done || !part.batch() {
             return PartEnd { nodes, done: Vec::new(), charged: Vec::new() };
         }
-        let is_done = |task: &u32| self.tasks.get(*task as usize) == Some(&Task::Done);
+        let is_done = |task: &u32| self.tasks.get(*task as usize) == Some(&TaskState::Done);
         let charged = self.charges.tasks().filter(|task| !is_done(task));
         PartEnd {
             nodes,
             done: (0..self.spec.tasks).filter(is_done).collect(),
-            charged: charged.map(|task| (task, self.charges.failures(Some(task)))).collect(),
+            charged: charged.map(|task| (task, self.charges.failure_count(Some(task)))).collect(),
         }
     }
 
@@ -392,34 +396,34 @@
     }
 
     /// Whether its tasks are to run on different machines: `true` if they must, `false` if they should.
-    pub fn apart(&self) -> Option<bool> {
+    pub fn anti_affinity(&self) -> Option<bool> {
         self.part.as_ref().and_then(|part| part.apart)
     }
 
     /// Index range of a chunk's tasks.
     pub(super) fn chunk_range(&self, chunk: u32) -> std::ops::Range<u32> {
-        let first = chunk.saturating_mul(CHUNK_TASKS);
-        first..first.saturating_add(CHUNK_TASKS).min(self.spec.tasks)
+        let first = chunk.saturating_mul(TASKS_PER_CHUNK);
+        first..first.saturating_add(TASKS_PER_CHUNK).min(self.spec.tasks)
     }
 
     /// The complete assignment record of a chunk, regardless of its size.
     pub(super) fn record(&self, chunk: u32) -> ChunkRecord {
-        let first = (chunk * CHUNK_TASKS) as usize;
-        let end = (first + CHUNK_TASKS as usize).min(self.tasks.len());
+        let first = (chunk * TASKS_PER_CHUNK) as usize;
+        let end = (first + TASKS_PER_CHUNK as usize).min(self.tasks.len());
         let slice = &self.tasks[first..end];
-        let charges = self.charges.record(first as u32..end as u32);
+        let charges = self.charges.to_record(first as u32..end as u32);
         let usage = self.usage.get(&chunk).cloned().unwrap_or_default();
         ChunkRecord {
-            done: to_hex(slice.iter().map(|t| *t == Task::Done)),
+            done: to_hex(slice.iter().map(|t| *t == TaskState::Done)),
             held: slice
                 .iter()
                 .enumerate()
                 .filter_map(|(i, t)| match t {
-                    Task::Held(h) => Some((
+                    TaskState::Assigned(h) => Some((
                         (first + i) as u32,
                         h.attempt,
                         h.host.clone(),
-                        h.shift,
+                        h.session,
                         h.zone.clone(),
                     )),
                     _ => None,
@@ -464,7 +468,7 @@
             dependencies: Vec::new(),
         };
         let mut job = Self::new(spec, Mono(0), Revision(0));
-        job.state = JobState::Over;
+        job.state = JobState::Finished;
         job
     }
 }
--- a/crates/core/src/jobs/memory.rs
+++ b/crates/core/src/jobs/memory.rs
@@ -8,7 +8,7 @@
 
 /// How an accepted job ends, which never changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AcceptedKind {
+pub enum JobLifetime {
     /// It ends by itself, so others may wait for it.
     Finite,
     /// It runs until it is cancelled.
@@ -18,13 +18,13 @@
 /// Facts by job. The oldest are evicted beyond the capacity, so the absence of a job says nothing about it.
 #[allow(clippy::disallowed_types)]
 #[derive(Debug)]
-pub struct JobMemory<T> {
+pub struct JobFactCache<T> {
     facts: HashMap<JobId, T>,
     order: VecDeque<JobId>,
     capacity: usize,
 }
 
-impl<T> JobMemory<T> {
+impl<T> JobFactCache<T> {
     /// A cache of at most `capacity` jobs.
     pub fn new(capacity: usize) -> Self {
         Self { facts: Default::default(), order: VecDeque::new(), capacity }
--- a/crates/core/src/jobs/mod.rs
+++ b/crates/core/src/jobs/mod.rs
@@ -18,15 +18,15 @@
 pub use dependencies::Inherited;
 pub use fitting::RecordLimits;
 pub use job::*;
-pub use memory::{AcceptedKind, JobMemory};
+pub use memory::{JobFactCache, JobLifetime};
 pub use records::*;
-pub use usage::Account;
+pub use usage::UsageAccounting;
 use writing::WritePriority;
-pub use writing::{Item, Written};
+pub use writing::{PendingWrite, WriteItem};
 
 use crate::constants::*;
-use crate::refusals::{Refusal, Refusals};
-use oatloom_policy::classes::{Allowance, Classes, OnExhausted};
+use crate::refusals::{RejectionResponse, WriteBackoff};
+use oatloom_policy::classes::{Classes, OnExhausted, RetryPolicy};
 use oatloom_protocol::ids::*;
 use oatloom_protocol::wire::{
     Change, Condition, Failure, JobSpec, JobStatus, JobView, Row, Shape, Txn,
@@ -36,24 +36,24 @@
 
 /// Resources in use by a team, counted against its limits.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Usage {
+pub struct TeamUsage {
     pub cpus: f64,
     pub gpus: f64,
 }
 
 /// All jobs that the leader manages.
 #[derive(Debug, Default)]
-pub struct Book {
+pub struct JobTable {
     pub jobs: BTreeMap<JobId, Job>,
-    pub usage: BTreeMap<String, Usage>,
+    pub usage: BTreeMap<String, TeamUsage>,
     /// Retry allowance of each job class.
     pub classes: Arc<Classes>,
     /// Whether a class or a graph node may limit the number of failures.
-    pub limited: bool,
+    pub failures_limited: bool,
     /// Tasks that run graph nodes and whose completion became durable since this list was last taken.
     pub progress: Vec<(JobId, Vec<u32>)>,
     /// Usage accounting, if enabled.
-    pub account: Option<Account>,
+    pub usage_accounting: Option<UsageAccounting>,
     /// Dependencies between the jobs.
     dependencies: Dependencies,
     /// Time of the last request for a transaction.
@@ -61,28 +61,28 @@
     /// Recently arrived jobs, oldest first.
     pub arrivals: VecDeque<(Mono, Arc<JobSpec>)>,
     /// Final records, which users wait for.
-    end_queue: VecDeque<Item>,
+    end_queue: VecDeque<WriteItem>,
     /// Assignment records with new assignments, which workers wait for.
-    assignment_queue: VecDeque<Item>,
+    assignment_queue: VecDeque<WriteItem>,
     /// Records that nobody waits for, each with its due time. The delay lets several changes of a key
     /// share a write, or the end of the job make the write unnecessary.
-    deferred_queue: VecDeque<(Mono, Item)>,
+    deferred_queue: VecDeque<(Mono, WriteItem)>,
     /// Deferred records of jobs that run graph nodes, with a shorter delay.
-    node_queue: VecDeque<(Mono, Item)>,
-    queued: BTreeMap<Item, WritePriority>,
+    node_queue: VecDeque<(Mono, WriteItem)>,
+    queued: BTreeMap<WriteItem, WritePriority>,
     /// Size limits and form of stored records.
     pub limits: RecordLimits,
     /// Items that the state service rejected on their own, or that do not fit into a value yet.
-    backoff: Refusals<Item>,
+    backoff: WriteBackoff<WriteItem>,
     /// Whether the warning about a full assignment record was logged.
     full_record_logged: bool,
 }
 
-impl Book {
+impl JobTable {
     /// Creates an empty job table. `graphs` says whether graph nodes may limit failures as well.
-    pub fn new(classes: Arc<Classes>, account: Option<Account>, graphs: bool) -> Self {
+    pub fn new(classes: Arc<Classes>, account: Option<UsageAccounting>, graphs: bool) -> Self {
         let limited = graphs || !classes.is_empty();
-        Self { classes, limited, account, ..Self::default() }
+        Self { classes, failures_limited: limited, usage_accounting: account, ..Self::default() }
     }
 
     pub fn get(&self, id: &JobId) -> Option<&Job> {
@@ -105,14 +105,15 @@
             record.spec.team
         );
         let mut job = Job::new(record.spec, submitted, revision);
-        job.allowance = self.classes.of(&job.spec.class);
+        job.allowance = self.classes.policy_for(&job.spec.class);
         if let Some(part) = record.part {
             // A node's own retry limit never exceeds that of its class. An array of nodes continues with the other
             // nodes when one has failed.
             let node_allowance = part.repeats.map(|repeats| {
-                let max_retries = job.allowance.map_or(repeats, |class| class.repeats.min(repeats));
+                let max_retries =
+                    job.allowance.map_or(repeats, |class| class.max_retries.min(repeats));
                 let on_exhausted = job.allowance.map_or(OnExhausted::FailJob, |a| a.on_exhausted);
-                Allowance { repeats: max_retries, on_exhausted }
+                RetryPolicy { max_retries: max_retries, on_exhausted }
             });
             job.allowance = node_allowance.or(job.allowance);
             if let Some(allowance) = job.allowance.as_mut().filter(|_| part.batch()) {
@@ -145,35 +146,35 @@
             self.release(id, now, "released by an earlier leader");
         }
         let Some(job) = self.jobs.get_mut(id) else { return Vec::new() };
-        let finished = job.state == JobState::Over;
+        let finished = job.state == JobState::Finished;
         let Some(slot) = job.chunks.get_mut(chunk as usize) else {
             return Vec::new();
         };
         slot.key_version = revision;
-        job.charges.load(record.charges);
-        if !record.usage.is_empty() && self.account.is_some() {
+        job.charges.restore(record.charges);
+        if !record.usage.is_empty() && self.usage_accounting.is_some() {
             job.usage.insert(chunk, record.usage);
         }
-        let first_task = chunk * CHUNK_TASKS;
+        let first_task = chunk * TASKS_PER_CHUNK;
         for (offset, done) in from_hex(&record.done).enumerate() {
             if done && let Some(task) = job.tasks.get_mut(first_task as usize + offset) {
-                *task = Task::Done;
+                *task = TaskState::Done;
                 job.done += 1;
             }
         }
         let mut held = Vec::new();
         for (index, attempt, host, shift, zone) in record.held {
-            let hold = Hold {
+            let hold = TaskAssignment {
                 host: host.clone(),
-                shift,
+                session: shift,
                 zone,
                 attempt,
-                version: 0,
-                run: RunSent::Inherited,
+                chunk_version: 0,
+                run_sent: RunSent::Inherited,
                 phase: None,
-                since: now,
+                assigned_at: now,
                 running_since: None,
-                told_ms: None,
+                reported_run_ms: None,
                 stop: None,
             };
             if self.hold_in_memory(id, index, hold) {
@@ -181,43 +182,43 @@
             }
         }
         if finished {
-            self.enqueue(Item::Chunk(id.clone(), chunk), WritePriority::Deferred);
+            self.enqueue(WriteItem::Chunk(id.clone(), chunk), WritePriority::Deferred);
         }
         held
     }
 
-    fn hold_in_memory(&mut self, id: &JobId, index: u32, hold: Hold) -> bool {
+    fn hold_in_memory(&mut self, id: &JobId, index: u32, hold: TaskAssignment) -> bool {
         let Some(job) = self.jobs.get_mut(id) else { return false };
         let Some(task) = job.tasks.get_mut(index as usize) else { return false };
         // Guards against a plan that places a task twice, which made it run on two machines at once.
-        if *task != Task::Pending {
+        if *task != TaskState::Pending {
             log::error!("task {id}/{index}: not pending; ignoring the new assignment");
             return false;
         }
         if job.spec.shape == Shape::Gang {
             match job.gang {
-                Gang::Idle => job.gang = Gang::Gathering(hold.attempt),
-                Gang::Gathering(attempt) if attempt == hold.attempt => {}
-                _ => job.gang = Gang::Clearing(hold.attempt),
+                GangState::Idle => job.gang = GangState::Gathering(hold.attempt),
+                GangState::Gathering(attempt) if attempt == hold.attempt => {}
+                _ => job.gang = GangState::Clearing(hold.attempt),
             }
         }
-        job.held += 1;
-        job.placed_at = Some(hold.since);
+        job.assigned += 1;
+        job.placed_at = Some(hold.assigned_at);
         *job.zones.entry(hold.zone.clone()).or_default() += 1;
         let usage = self.usage.entry(job.spec.team.clone()).or_default();
         usage.cpus += job.spec.cpus;
         usage.gpus += job.spec.gpus;
-        *task = Task::Held(Box::new(hold));
+        *task = TaskState::Assigned(Box::new(hold));
         true
     }
 
     /// Assigns a task to a machine, if the assignment record has room; the assignment still has to become durable.
-    pub fn hold(&mut self, id: &JobId, index: u32, mut hold: Hold) -> bool {
+    pub fn hold(&mut self, id: &JobId, index: u32, mut hold: TaskAssignment) -> bool {
         if !self.record_has_room(id, index, &hold) {
             return false;
         }
         let Some(job) = self.jobs.get(id) else { return false };
-        hold.version = job.chunks[(index / CHUNK_TASKS) as usize].version + 1;
+        hold.chunk_version = job.chunks[(index / TASKS_PER_CHUNK) as usize].version + 1;
         let held = self.hold_in_memory(id, index, hold);
         if held {
             self.mark_changed(id, index, WritePriority::Immediate);
@@ -226,7 +227,7 @@
     }
 
     /// Releases an assigned task that is proven gone from its machine: it is done, or becomes pending again.
-    pub fn free(&mut self, id: &JobId, index: u32, done: bool) {
+    pub fn unassign(&mut self, id: &JobId, index: u32, done: bool) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -234,8 +235,8 @@
             return;
         };
         match task {
-            Task::Held(hold) => {
-                job.held -= 1;
+            TaskState::Assigned(hold) => {
+                job.assigned -= 1;
                 if let Some(count) = job.zones.get_mut(&hold.zone) {
                     *count -= 1;
                     if *count == 0 {
@@ -247,15 +248,15 @@
                     usage.gpus -= job.spec.gpus;
                 }
             }
-            Task::Pending if done => {}
+            TaskState::Pending if done => {}
             _ => return,
         }
-        *task = if done { Task::Done } else { Task::Pending };
+        *task = if done { TaskState::Done } else { TaskState::Pending };
         if done {
             job.done += 1;
         }
-        if job.held == 0 && job.gang != Gang::Idle {
-            job.gang_enter(Gang::Idle, "all tasks are gone from their machines");
+        if job.assigned == 0 && job.gang != GangState::Idle {
+            job.set_gang_state(GangState::Idle, "all tasks are gone from their machines");
         }
         self.mark_changed(id, index, WritePriority::Deferred);
     }
@@ -268,12 +269,12 @@
             JobState::Open => status != JobStatus::Failed,
             JobState::Waiting => status == JobStatus::Cancelled,
             JobState::Failing(_) => matches!(status, JobStatus::Failed | JobStatus::Cancelled),
-            JobState::Ending(_) | JobState::Over => false,
+            JobState::Ending(_) | JobState::Finished => false,
         };
         if open {
             job.set_state(JobState::Ending(status), reason);
             self.stop_waiting(id);
-            self.enqueue(Item::End(id.clone()), WritePriority::Immediate);
+            self.enqueue(WriteItem::FinalRecord(id.clone()), WritePriority::Immediate);
         }
     }
 
@@ -304,13 +305,13 @@
     }
 
     /// Schedules an immediate write after the failures charged to a task have changed.
-    pub fn charged(&mut self, id: &JobId, index: u32) {
+    pub fn charges_changed(&mut self, id: &JobId, index: u32) {
         self.mark_changed(id, index, WritePriority::Immediate);
     }
 
     /// The assignment of a task, if it has one.
-    pub fn held(&self, task: &TaskId) -> Option<&Hold> {
-        self.jobs.get(&task.job)?.hold(task.index)
+    pub fn held(&self, task: &TaskId) -> Option<&TaskAssignment> {
+        self.jobs.get(&task.job)?.assignment(task.index)
     }
 
     /// The view of an unfinished job that may be reported to users. `None` if no status may be reported yet.
--- a/crates/core/src/jobs/packed.rs
+++ b/crates/core/src/jobs/packed.rs
@@ -4,8 +4,8 @@
 //! Machine names that differ only in a number at their end are stored as that number. Rows are sorted by attempt
 //! number, so that the differences between rows are mostly small.
 
-use super::records::Assignment;
-use crate::constants::CHUNK_TASKS;
+use super::records::AssignmentRow;
+use crate::constants::TASKS_PER_CHUNK;
 use base64::Engine;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use oatloom_policy::charges::ChargeRecord;
@@ -112,13 +112,13 @@
 /// Assignments and failures of a chunk.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct Unpacked {
-    pub held: Vec<Assignment>,
+    pub held: Vec<AssignmentRow>,
     pub charges: ChargeRecord,
 }
 
 /// Packs the assignments and failures of a chunk whose first task is `first`.
-pub(super) fn pack(first: u32, held: &[Assignment], charges: &ChargeRecord) -> String {
-    let mut sorted: Vec<&Assignment> = held.iter().collect();
+pub(super) fn pack(first: u32, held: &[AssignmentRow], charges: &ChargeRecord) -> String {
+    let mut sorted: Vec<&AssignmentRow> = held.iter().collect();
     sorted.sort_by_key(|(task, attempt, ..)| (*attempt, *task));
     let pattern = NamePattern::of(sorted.iter().map(|(_, _, host, ..)| host.as_str()));
     let mut packed =
@@ -162,7 +162,7 @@
         hosts: charges.hosts.clone(),
         excused: charges.excused.clone(),
         rows: charges.rows.iter().map(row).collect(),
-        counted: charges.counted,
+        counted: charges.last_gang_attempt,
     }
 }
 
@@ -184,7 +184,7 @@
         attempt = attempt.checked_add(row.attempt).ok_or(invalid("attempt"))?;
         host = host.checked_add(row.host).ok_or(invalid("machine"))?;
         shift = shift.wrapping_add(row.shift);
-        let task = Some(row.task).filter(|task| *task < CHUNK_TASKS).ok_or(invalid("task"))?;
+        let task = Some(row.task).filter(|task| *task < TASKS_PER_CHUNK).ok_or(invalid("task"))?;
         let name = named.remove(&(index as u32));
         let name = name.unwrap_or_else(|| HostId::new(&packed.pattern.name(host)));
         held.push((
@@ -208,7 +208,7 @@
         hosts: packed.hosts,
         excused: packed.excused,
         rows: packed.rows.into_iter().map(row).collect(),
-        counted: packed.counted,
+        last_gang_attempt: packed.counted,
     }
 }
 
--- a/crates/core/src/jobs/packed/tests.rs
+++ b/crates/core/src/jobs/packed/tests.rs
@@ -4,15 +4,17 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-fn assignment(task: u32, attempt: u64, host: &str, zone: &str) -> Assignment {
+fn assignment(task: u32, attempt: u64, host: &str, zone: &str) -> AssignmentRow {
     (task, Attempt(attempt), HostId::new(host), Shift(1), Zone::new(zone))
 }
 
-fn random_assignments(rng: &mut ChaCha8Rng, first: u32) -> Vec<Assignment> {
+fn random_assignments(rng: &mut ChaCha8Rng, first: u32) -> Vec<AssignmentRow> {
     let names = ["i-", "m", "", "węzeł-", "a-b-0"];
     let prefix = names[rng.random_range(0..names.len())];
     let mut held = Vec::new();
-    for task in (first..first + CHUNK_TASKS).filter(|_| rng.random_bool(0.7)).collect::<Vec<_>>() {
+    for task in
+        (first..first + TASKS_PER_CHUNK).filter(|_| rng.random_bool(0.7)).collect::<Vec<_>>()
+    {
         let number: u64 = rng.random::<u64>() >> rng.random_range(0..64);
         let host = match rng.random_range(0..6) {
             0 => format!("odd.{number}.name"),
@@ -36,8 +38,8 @@
     ChargeRecord {
         hosts: vec![HostId::new("i-7"), HostId::new("i-8")],
         excused: vec![1],
-        rows: (0..rng.random_range(0..CHUNK_TASKS)).map(row).collect(),
-        counted: rng.random_bool(0.5).then(|| Attempt(rng.random())),
+        rows: (0..rng.random_range(0..TASKS_PER_CHUNK)).map(row).collect(),
+        last_gang_attempt: rng.random_bool(0.5).then(|| Attempt(rng.random())),
     }
 }
 
@@ -45,7 +47,7 @@
 fn packed_records_round_trip() {
     for seed in 0..500 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let first = rng.random_range(0..1_041) * CHUNK_TASKS;
+        let first = rng.random_range(0..1_041) * TASKS_PER_CHUNK;
         let held = random_assignments(&mut rng, first);
         let charges = random_charges(&mut rng, first);
         let text = pack(first, &held, &charges);
@@ -58,7 +60,7 @@
 fn a_full_chunk_packs_small() {
     for seed in 0..100 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let held: Vec<Assignment> = (0..CHUNK_TASKS)
+        let held: Vec<AssignmentRow> = (0..TASKS_PER_CHUNK)
             .map(|task| {
                 let leader = if rng.random_bool(0.5) { 412u64 } else { 91_234 };
                 let attempt = (leader << 20) + rng.random_range(0..20_000u64);
--- a/crates/core/src/jobs/records.rs
+++ b/crates/core/src/jobs/records.rs
@@ -2,9 +2,9 @@
 
 use super::dependency_list::{self, DependencyListError};
 use super::packed::{self, PackedError};
-use crate::constants::DEPENDENCIES_AS_TEXT;
+use crate::constants::MAX_TEXT_DEPENDENCIES;
 use oatloom_graph::records::{Part, PartEnd};
-use oatloom_ledger::rollup::{Days, Spent};
+use oatloom_ledger::rollup::{JobUsage, UsageByDay};
 use oatloom_policy::charges::ChargeRecord;
 use oatloom_protocol::ids::*;
 use oatloom_protocol::wire::{Failure, JobSpec, JobStatus, JobView};
@@ -13,22 +13,22 @@
 use std::sync::Arc;
 
 /// Key prefix of the descriptions of unfinished jobs.
-pub const LIVE: &str = "live/";
+pub const LIVE_PREFIX: &str = "live/";
 /// Key prefix of final records.
-pub const OVER: &str = "over/";
+pub const FINAL_PREFIX: &str = "over/";
 /// Key prefix of assignment records.
-pub const ASSIGNED: &str = "asg/";
+pub const ASSIGNMENT_PREFIX: &str = "asg/";
 
 pub fn live_key(id: &JobId) -> String {
-    format!("{LIVE}{id}")
+    format!("{LIVE_PREFIX}{id}")
 }
 
-pub fn over_key(id: &JobId) -> String {
-    format!("{OVER}{id}")
+pub fn final_key(id: &JobId) -> String {
+    format!("{FINAL_PREFIX}{id}")
 }
 
 pub fn chunk_key(id: &JobId, chunk: u32) -> String {
-    format!("{ASSIGNED}{id}/{chunk:04}")
+    format!("{ASSIGNMENT_PREFIX}{id}/{chunk:04}")
 }
 
 /// Value of a live key.
@@ -60,7 +60,7 @@
 impl From<LiveRecord> for StoredLive {
     fn from(record: LiveRecord) -> Self {
         let LiveRecord { mut spec, wall_ms, part } = record;
-        let many = spec.dependencies.len() > DEPENDENCIES_AS_TEXT;
+        let many = spec.dependencies.len() > MAX_TEXT_DEPENDENCIES;
         let dependencies = many.then(|| dependency_list::pack(&spec.dependencies));
         if many {
             spec.dependencies.clear();
@@ -83,7 +83,7 @@
 
 /// The final record: value of an `over/` key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OverRecord {
+pub struct FinalRecord {
     #[serde(rename = "s")]
     pub status: JobStatus,
     #[serde(rename = "n")]
@@ -97,13 +97,13 @@
         skip_serializing_if = "Option::is_none",
         deserialize_with = "or_default"
     )]
-    pub spent: Option<Arc<Spent>>,
+    pub spent: Option<Arc<JobUsage>>,
     /// How the graph nodes that it ran ended, if any.
     #[serde(rename = "g", default, skip_serializing_if = "Option::is_none")]
     pub part: Option<Arc<PartEnd>>,
 }
 
-impl OverRecord {
+impl FinalRecord {
     pub fn view(&self, id: &JobId) -> JobView {
         let failure = self.failure.clone();
         let queued = JobView::queued(id.clone());
@@ -112,7 +112,7 @@
 }
 
 /// Task, attempt, host, shift, zone.
-pub type Assignment = (u32, Attempt, HostId, Shift, Zone);
+pub type AssignmentRow = (u32, Attempt, HostId, Shift, Zone);
 
 /// Form in which assignment records are written. Both are always readable.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -132,7 +132,7 @@
     #[serde(rename = "d", default)]
     pub done: String,
     #[serde(rename = "a", default)]
-    pub held: Vec<Assignment>,
+    pub held: Vec<AssignmentRow>,
     /// Team, cores, GPUs, memory and number of tasks, so that a later leader can count tasks that are
     /// still on machines when the description is deleted.
     #[serde(rename = "u")]
@@ -141,8 +141,8 @@
     #[serde(rename = "e", default, skip_serializing_if = "ChargeRecord::is_empty")]
     pub charges: ChargeRecord,
     /// Usage of its attempts.
-    #[serde(rename = "l", default, skip_serializing_if = "Days::is_empty")]
-    pub usage: Days,
+    #[serde(rename = "l", default, skip_serializing_if = "UsageByDay::is_empty")]
+    pub usage: UsageByDay,
 }
 
 /// A chunk record as read, in either form.
@@ -151,14 +151,14 @@
     #[serde(rename = "d", default)]
     done: String,
     #[serde(rename = "a", default)]
-    held: Vec<Assignment>,
+    held: Vec<AssignmentRow>,
     #[serde(rename = "u")]
     size: (String, f64, f64, f64, u32),
     #[serde(rename = "e", default)]
     charges: ChargeRecord,
     /// Unreadable usage is logged and dropped, so that the job continues.
     #[serde(rename = "l", default, deserialize_with = "or_default")]
-    usage: Days,
+    usage: UsageByDay,
     #[serde(rename = "p", default)]
     packed: Option<String>,
 }
@@ -234,7 +234,7 @@
 
 /// Parses a key `asg/{id}/{chunk}`.
 pub fn parse_chunk_key(key: &str) -> Option<(JobId, u32)> {
-    let (id, chunk) = key.strip_prefix(ASSIGNED)?.rsplit_once('/')?;
+    let (id, chunk) = key.strip_prefix(ASSIGNMENT_PREFIX)?.rsplit_once('/')?;
     Some((JobId::parse(id)?, chunk.parse().ok()?))
 }
 
--- a/crates/core/src/jobs/tests.rs
+++ b/crates/core/src/jobs/tests.rs
@@ -32,8 +32,8 @@
 }
 
 /// The next transaction once everything is due.
-fn next(job_table: &mut Book) -> Option<(Txn, Vec<Written>)> {
-    let now = job_table.now.plus(LAZY_WRITE_MS);
+fn next(job_table: &mut JobTable) -> Option<(Txn, Vec<PendingWrite>)> {
+    let now = job_table.now.plus(MAX_TASK_END_WRITE_DELAY_MS);
     job_table.next_txn(fence(), 16, now)
 }
 
@@ -41,24 +41,24 @@
     Condition { key: "lead".into(), version: Revision(1) }
 }
 
-fn hold(host: &str) -> Hold {
-    Hold {
+fn hold(host: &str) -> TaskAssignment {
+    TaskAssignment {
         host: HostId::new(host),
-        shift: Shift(1),
+        session: Shift(1),
         zone: Zone::new("a"),
         attempt: Attempt(1),
-        version: 0,
-        run: RunSent::No,
+        chunk_version: 0,
+        run_sent: RunSent::No,
         phase: None,
-        since: Mono(0),
+        assigned_at: Mono(0),
         running_since: None,
-        told_ms: None,
+        reported_run_ms: None,
         stop: None,
     }
 }
 
-fn job_table(tasks: u32) -> (Book, JobId) {
-    let mut job_table = Book::default();
+fn job_table(tasks: u32) -> (JobTable, JobId) {
+    let mut job_table = JobTable::default();
     let now = Now { mono: Mono(1000), wall_ms: 1000 };
     let record = LiveRecord { spec: spec("req-1", Shape::Array, tasks), wall_ms: 900, part: None };
     job_table.insert(record, Revision(5), now);
@@ -92,14 +92,14 @@
     job_table.hold(&id, 0, hold("i-1"));
     let (_, first) = next(&mut job_table).unwrap();
     job_table.hold(&id, 1, hold("i-2"));
-    assert!(!job_table.get(&id).unwrap().durable(0));
+    assert!(!job_table.get(&id).unwrap().assignment_durable(0));
     job_table.committed(&first, Revision(7));
     let job = job_table.get(&id).unwrap();
-    assert!(job.durable(0) && !job.durable(1) && !job.settled(0));
+    assert!(job.assignment_durable(0) && !job.assignment_durable(1) && !job.all_durable(0));
     let (txn, second) = next(&mut job_table).unwrap();
     assert_eq!(txn.conditions[1].version, Revision(7));
     job_table.committed(&second, Revision(8));
-    assert!(job_table.get(&id).unwrap().durable(1));
+    assert!(job_table.get(&id).unwrap().assignment_durable(1));
 }
 
 /// A plan that assigns a task twice takes effect only once.
@@ -110,7 +110,7 @@
     assert!(job_table.hold(&id, 0, hold("i-1")));
     assert!(!job_table.hold(&id, 0, hold("i-2")));
     let job = job_table.get(&id).unwrap();
-    assert_eq!((job.held, job.hold(0).unwrap().host.as_str()), (1, "i-1"));
+    assert_eq!((job.assigned, job.assignment(0).unwrap().host.as_str()), (1, "i-1"));
 }
 
 /// The end moves the job from `live/` to `over/` in one transaction and is reported only after its commit.
@@ -132,7 +132,7 @@
     let (_, written) = next(&mut job_table).unwrap();
     job_table.committed(&written, Revision(8));
     assert_eq!(job_table.usage["t"].cpus, 1.0);
-    job_table.free(&id, 0, false);
+    job_table.unassign(&id, 0, false);
     assert_eq!(job_table.usage["t"].cpus, 0.0);
     let (txn, written) = next(&mut job_table).unwrap();
     assert!(matches!(txn.changes[0], Change::Delete { .. }));
@@ -148,13 +148,13 @@
     (0..3).for_each(|i| assert!(job_table.hold(&id, i, hold("i-1"))));
     let (_, written) = job_table.next_txn(fence(), 16, Mono(0)).unwrap();
     job_table.committed(&written, Revision(6));
-    job_table.free(&id, 0, true);
+    job_table.unassign(&id, 0, true);
     assert!(job_table.next_txn(fence(), 16, Mono(1)).is_none(), "nobody waits for it");
     let (txn, written) = next(&mut job_table).unwrap();
     assert_eq!(txn.changes.len(), 1);
     job_table.committed(&written, Revision(7));
-    job_table.free(&id, 1, true);
-    job_table.free(&id, 2, true);
+    job_table.unassign(&id, 1, true);
+    job_table.unassign(&id, 2, true);
     job_table.end(&id, JobStatus::Done, "test");
     let (txn, written) = job_table.next_txn(fence(), 16, Mono(2)).unwrap();
     assert_eq!(txn.changes.len(), 3, "{txn:?}");
@@ -169,7 +169,7 @@
     let (mut job_table, id) = job_table(1);
     job_table.hold(&id, 0, hold("i-1"));
     job_table.end(&id, JobStatus::Cancelled, "test");
-    job_table.free(&id, 0, false);
+    job_table.unassign(&id, 0, false);
     let (_, written) = job_table.next_txn(fence(), 16, Mono(0)).unwrap();
     job_table.committed(&written, Revision(6));
     let (txn, written) = next(&mut job_table).unwrap();
@@ -183,14 +183,14 @@
 fn records_reload_as_written() {
     let (mut original, id) = job_table(200);
     original.hold(&id, 100, hold("i-7"));
-    original.free(&id, 101, true);
+    original.unassign(&id, 101, true);
     let record = original.get(&id).unwrap().record(1);
     let (mut reloaded, _) = job_table(200);
     let held = reloaded.load_chunk(&id, 1, record.clone(), Revision(3), Mono(5));
-    assert_eq!(held, vec![(100, HostId::new("i-7"), hold("i-7").shift)]);
+    assert_eq!(held, vec![(100, HostId::new("i-7"), hold("i-7").session)]);
     let job = reloaded.get(&id).unwrap();
-    assert_eq!((job.done, job.held), (1, 1));
-    assert_eq!(job.hold(100).unwrap().run, RunSent::Inherited);
+    assert_eq!((job.done, job.assigned), (1, 1));
+    assert_eq!(job.assignment(100).unwrap().run_sent, RunSent::Inherited);
     assert_eq!(job.record(1), record);
 }
 
@@ -205,7 +205,7 @@
 }
 
 /// Writes a job's end and returns its final status and whether the final record contains a failure.
-fn written_end(job_table: &mut Book) -> (JobStatus, bool) {
+fn written_end(job_table: &mut JobTable) -> (JobStatus, bool) {
     let (_, written) = next(job_table).unwrap();
     let finished = job_table.committed(&written, Revision(7));
     (finished[0].1.status, finished[0].1.failure.is_some())
@@ -250,9 +250,9 @@
     job_table.hold(&id, 100, hold("i-7"));
     let (_, written) = next(&mut job_table).unwrap();
     job_table.committed(&written, Revision(6));
-    job_table.free(&id, 100, false);
+    job_table.unassign(&id, 100, false);
     job_table.jobs.get_mut(&id).unwrap().charges.add(100, &HostId::new("i-7"));
-    job_table.charged(&id, 100);
+    job_table.charges_changed(&id, 100);
     let (txn, written) = job_table.next_txn(fence(), 16, Mono(0)).unwrap();
     let [Change::Put { value, .. }] = &txn.changes[..] else { panic!("{txn:?}") };
     let record: ChunkRecord = serde_json::from_value(value.clone()).unwrap();
@@ -260,7 +260,7 @@
     job_table.committed(&written, Revision(7));
     let (mut later, _) = super::tests::job_table(200);
     later.load_chunk(&id, 1, record, Revision(7), Mono(5));
-    assert_eq!(later.get(&id).unwrap().charges.failures(Some(100)), 1);
+    assert_eq!(later.get(&id).unwrap().charges.failure_count(Some(100)), 1);
     let without_failures = later.get(&id).unwrap().record(0);
     assert!(
         !serde_json::to_string(&without_failures).unwrap().contains("\"e\""),
@@ -272,9 +272,9 @@
 /// on many machine types.
 #[test]
 fn a_full_chunk_with_failures_and_usage_fits_a_value() {
-    let (mut job_table, id) = job_table(CHUNK_TASKS);
-    job_table.account = Some(Account::default());
-    for index in 0..CHUNK_TASKS {
+    let (mut job_table, id) = job_table(TASKS_PER_CHUNK);
+    job_table.usage_accounting = Some(UsageAccounting::default());
+    for index in 0..TASKS_PER_CHUNK {
         let mut full = hold(&format!("i-{index:06}"));
         full.attempt = Attempt(1 << 40);
         job_table.hold(&id, index, full);
@@ -290,13 +290,13 @@
     let text = serde_json::to_string(&record).unwrap();
     assert!(text.len() < 8 * 1024, "{} bytes", text.len());
     let attempts: u64 = record.usage.days().map(|(_, tally)| tally.total().attempts).sum();
-    assert_eq!(attempts, u64::from(CHUNK_TASKS));
+    assert_eq!(attempts, u64::from(TASKS_PER_CHUNK));
 }
 
 /// The usage entry of an attempt whose end was not reported.
-fn entry_of(job_table: &Book, id: &JobId, index: u32) -> oatloom_ledger::entry::Entry {
+fn entry_of(job_table: &JobTable, id: &JobId, index: u32) -> oatloom_ledger::entry::UsageEntry {
     let job = job_table.get(id).unwrap();
-    oatloom_ledger::entry::Entry {
+    oatloom_ledger::entry::UsageEntry {
         task: TaskId::new(id, index),
         attempt: Attempt(1),
         team: job.spec.team.clone(),
@@ -312,14 +312,14 @@
         ran_ms: 10,
         unseen_ms: 0,
         end: oatloom_ledger::entry::End::Unseen,
-        stored: false,
+        progress_saved: false,
         goes_on: true,
         checkpoint_ms: 0,
         cpus: 1.0,
         gpus: 0.0,
         memory_gb: 1.0,
-        price: 1.0,
-        share: 1.0,
+        hourly_price: 1.0,
+        machine_share: 1.0,
     }
 }
 
@@ -334,7 +334,7 @@
     assert!(needs(&first, live_key(&id)));
     job_table.committed(&written, Revision(6));
     job_table.hold(&id, 0, hold("i-1"));
-    job_table.free(&id, 0, false);
+    job_table.unassign(&id, 0, false);
     let (later, _) = next(&mut job_table).unwrap();
     assert!(!needs(&later, live_key(&id)), "the record's own version is the condition");
 }
@@ -343,34 +343,34 @@
 /// transaction that deletes the assignment record. No assignment record is written beside that final record.
 #[test]
 fn usage_moves_with_the_write_that_deletes_its_record() {
-    use oatloom_ledger::rollup::{Cursor, Knowledge};
-    let account_attempt = |job_table: &mut Book, id: &JobId, index| {
+    use oatloom_ledger::rollup::{Cursor, LoadProgress};
+    let account_attempt = |job_table: &mut JobTable, id: &JobId, index| {
         let e = entry_of(job_table, id, index);
         job_table.account(&e);
     };
     let with_accounting = |tasks| {
         let (plain, id) = job_table(tasks);
-        let mut account = Account::new(Arc::default(), Millis(30_000));
+        let mut account = UsageAccounting::new(Arc::default(), Millis(30_000));
         account.set_cursor(Some((Cursor::default(), Revision(2))), Revision(1));
-        account.rollups.enter(Knowledge::All);
-        (Book { account: Some(account), ..plain }, id)
+        account.rollups.enter(LoadProgress::All);
+        (JobTable { usage_accounting: Some(account), ..plain }, id)
     };
     // The job ends with no task assigned: one transaction moves the usage, and nothing else is written.
     let (mut job_table, id) = with_accounting(1);
     job_table.hold(&id, 0, hold("i-1"));
     account_attempt(&mut job_table, &id, 0);
-    job_table.free(&id, 0, true);
+    job_table.unassign(&id, 0, true);
     job_table.end(&id, JobStatus::Done, "test");
     let (txn, written) = job_table.next_txn(fence(), 16, Mono(0)).unwrap();
     let [Change::Put { value, .. }, Change::Delete { .. }] = &txn.changes[..] else {
         panic!("{txn:?}")
     };
-    let record: OverRecord = serde_json::from_value(value.clone()).unwrap();
+    let record: FinalRecord = serde_json::from_value(value.clone()).unwrap();
     let spent = record.spent.expect("its usage");
     assert_eq!(spent.days.days().map(|(_, t)| t.total().ran_ms).sum::<u64>(), 10);
     job_table.committed(&written, Revision(7));
     assert!(job_table.get(&id).is_none());
-    assert_eq!(job_table.account.as_ref().unwrap().rollups.pending(), 1);
+    assert_eq!(job_table.usage_accounting.as_ref().unwrap().rollups.pending_count(), 1);
     // The job ends with a task assigned: once the task is gone, its record is deleted and the roll-up written with it.
     let (mut job_table, id) = with_accounting(1);
     job_table.hold(&id, 0, hold("i-1"));
@@ -380,12 +380,14 @@
     let (_, written) = job_table.next_txn(fence(), 16, Mono(0)).unwrap();
     job_table.committed(&written, Revision(7));
     account_attempt(&mut job_table, &id, 0);
-    job_table.free(&id, 0, false);
-    let (txn, written) = job_table.next_txn(fence(), 16, Mono(LAZY_WRITE_MS.0 * 2)).unwrap();
+    job_table.unassign(&id, 0, false);
+    let (txn, written) =
+        job_table.next_txn(fence(), 16, Mono(MAX_TASK_END_WRITE_DELAY_MS.0 * 2)).unwrap();
     assert!(matches!(&txn.changes[..], [Change::Delete { .. }, Change::Put { .. }]), "{txn:?}");
     job_table.committed(&written, Revision(8));
     assert!(
-        job_table.get(&id).is_none() && job_table.account.as_ref().unwrap().rollups.pending() == 0
+        job_table.get(&id).is_none()
+            && job_table.usage_accounting.as_ref().unwrap().rollups.pending_count() == 0
     );
 }
 
@@ -393,27 +395,27 @@
 /// reported. A damaged roll-up is copied to another key and restarted, marked as having a gap.
 #[test]
 fn damaged_usage_is_ignored_and_the_job_continues() {
-    use oatloom_ledger::rollup::{Cursor, Knowledge, Rollup, Slot};
+    use oatloom_ledger::rollup::{Cursor, LoadProgress, Rollup, RollupId};
     let record = r#"{"d":"1","a":[[1,7,"i-1",1,"a"]],"u":["t",1.0,0.0,1.0,2],"l":{"x":[[3]]}}"#;
     let record: ChunkRecord = serde_json::from_str(record).unwrap();
     assert!(record.usage.is_empty() && record.held.len() == 1);
     let final_record = r#"{"s":"done","n":2,"u":{"t":"red","c":7}}"#;
-    let final_record: OverRecord = serde_json::from_str(final_record).unwrap();
+    let final_record: FinalRecord = serde_json::from_str(final_record).unwrap();
     assert_eq!((final_record.status, final_record.spent), (JobStatus::Done, None));
     let (plain, id) = job_table(1);
-    let mut account = Account::new(Arc::default(), Millis(30_000));
+    let mut account = UsageAccounting::new(Arc::default(), Millis(30_000));
     account.set_cursor(Some((Cursor::default(), Revision(2))), Revision(1));
-    account.rollups.enter(Knowledge::All);
-    let mut job_table = Book { account: Some(account), ..plain };
-    let slot = Slot { day: 0, team: "t".into(), class: "other".into() };
+    account.rollups.enter(LoadProgress::All);
+    let mut job_table = JobTable { usage_accounting: Some(account), ..plain };
+    let slot = RollupId { day: 0, team: "t".into(), class: "other".into() };
     let found = |value: Value| Row { key: slot.key(), value, version: Revision(9), lease: None };
-    let item = Item::Rollup(slot.clone());
+    let item = WriteItem::Rollup(slot.clone());
     assert!(job_table.resolved(&item, Some(found(serde_json::json!({"t": "what?"})))).is_none());
     // The next roll-up transaction stores the copy and the restarted roll-up together.
     job_table.hold(&id, 0, hold("i-1"));
     let e = entry_of(&job_table, &id, 0);
     job_table.account(&e);
-    job_table.free(&id, 0, true);
+    job_table.unassign(&id, 0, true);
     job_table.end(&id, JobStatus::Done, "test");
     let (_, written) = job_table.next_txn(fence(), 16, Mono(0)).unwrap();
     job_table.committed(&written, Revision(10));
@@ -425,7 +427,7 @@
         })
     };
     let rollup: Rollup = serde_json::from_value(put("use/").unwrap()).unwrap();
-    assert!(rollup.gap && rollup.tally.total().attempts == 1);
+    assert!(rollup.incomplete && rollup.tally.total().attempts == 1);
     assert_eq!(put("use-damaged/use/"), Some(serde_json::json!({"t": "what?"})));
 }
 
@@ -436,17 +438,17 @@
     let (mut job_table, id) = job_table(2);
     assert!(job_table.hold(&id, 0, hold("i-1")));
     let status = JobStatus::Cancelled;
-    let record = OverRecord { status, done: 0, failure: None, spent: None, part: None };
+    let record = FinalRecord { status, done: 0, failure: None, spent: None, part: None };
     let row = Row {
-        key: over_key(&id),
+        key: final_key(&id),
         value: serde_json::json!(record),
         version: Revision(40),
         lease: None,
     };
-    let finished = job_table.resolved(&Item::End(id.clone()), Some(row));
+    let finished = job_table.resolved(&WriteItem::FinalRecord(id.clone()), Some(row));
     assert_eq!(finished, Some((id.clone(), record)));
-    assert_eq!(job_table.get(&id).map(|job| job.state), Some(JobState::Over));
+    assert_eq!(job_table.get(&id).map(|job| job.state), Some(JobState::Finished));
     // The task counts until it is proven gone, and no assignment record is created for it.
-    assert_eq!(job_table.get(&id).map(|job| job.held), Some(1));
+    assert_eq!(job_table.get(&id).map(|job| job.assigned), Some(1));
     assert!(next(&mut job_table).is_none());
 }
