--- a/crates/core/src/jobs/usage.rs
+++ b/crates/core/src/jobs/usage.rs
@@ -5,11 +5,13 @@
 //! record's usage moves to the roll-ups in the transaction that deletes that record. So the usage of an attempt is in
 //! exactly one durable place, and in none before the end of the attempt is durable.
 
-use super::writing::{Item, Written};
+use super::writing::{PendingWrite, WriteItem};
 use super::*;
-use oatloom_ledger::constants::{CLOSE_AFTER_MS, DAY_MS, ROLLUP_BYTES};
-use oatloom_ledger::entry::Entry;
-use oatloom_ledger::rollup::{CURSOR, Cursor, Days, Knowledge, Rollup, Rollups, Slot, Spent};
+use oatloom_ledger::constants::{DAY_CLOSE_DELAY_MS, DAY_MS, MAX_ROLLUP_BYTES};
+use oatloom_ledger::entry::UsageEntry;
+use oatloom_ledger::rollup::{
+    CURSOR_KEY, Cursor, JobUsage, LoadProgress, Rollup, RollupId, Rollups, UsageByDay,
+};
 use serde_json::json;
 use std::collections::BTreeSet;
 
@@ -18,7 +20,7 @@
 
 /// The leader's usage accounting.
 #[derive(Clone, Debug, Default)]
-pub struct Account {
+pub struct UsageAccounting {
     pub rollups: Rollups,
     /// Classes that are counted separately.
     classes: Arc<BTreeSet<String>>,
@@ -29,30 +31,30 @@
     /// The revision at which counting starts if no cursor is stored yet.
     start_revision: Revision,
     /// The latest entries, for tests; the oldest are dropped first.
-    pub latest: VecDeque<Entry>,
+    pub recent_entries: VecDeque<UsageEntry>,
     /// Values of roll-ups that could not be read; the next transaction stores a copy under another key.
-    damaged: BTreeMap<Slot, serde_json::Value>,
+    damaged: BTreeMap<RollupId, serde_json::Value>,
     /// State of roll-up transactions that the state service rejected.
-    backoff: Refusals<()>,
+    backoff: WriteBackoff<()>,
     /// Since when roll-ups are postponed in favor of writes that users or workers wait for.
     postponed_since: Option<Mono>,
 }
 
-impl Account {
+impl UsageAccounting {
     /// Accounting that counts these classes separately and writes roll-ups at this interval.
     pub fn new(classes: Arc<BTreeSet<String>>, flush_interval: Millis) -> Self {
         Self { classes, rollups: Rollups::new(flush_interval), ..Self::default() }
     }
 
     /// Limits the size of roll-up values.
-    pub fn within(self, value_bytes: usize) -> Self {
-        Self { rollups: self.rollups.within(value_bytes), ..self }
+    pub fn with_value_limit(self, value_bytes: usize) -> Self {
+        Self { rollups: self.rollups.with_value_limit(value_bytes), ..self }
     }
 
     /// Whether roll-ups are postponed in favor of writes that somebody waits for, for at most [`POSTPONED_MS`].
     fn postpone(&mut self, now: Mono, awaited: bool) -> bool {
         let since = *self.postponed_since.get_or_insert(now);
-        awaited && now.since(since) < POSTPONED_MS
+        awaited && now.since(since) < MAX_ROLLUP_DELAY_MS
     }
 
     /// The class under which jobs of a class are counted.
@@ -62,13 +64,14 @@
 
     /// The first day that is still open; usage of earlier days is counted on it.
     fn open_from(&self) -> u64 {
-        (self.wall_ms.saturating_sub(CLOSE_AFTER_MS) / DAY_MS).saturating_sub(1)
+        (self.wall_ms.saturating_sub(DAY_CLOSE_DELAY_MS) / DAY_MS).saturating_sub(1)
     }
 
     /// Whether final records include usage: not if it is known that no durable cursor says where counting starts.
     /// While the cursor is unread they do; guards against a new leader that had not read it yet and left usage out.
     fn includes_usage(&self) -> bool {
-        self.rollups.knowledge() == Knowledge::None || self.rollups.cursor_stamp() > Revision(0)
+        self.rollups.load_progress() == LoadProgress::None
+            || self.rollups.cursor_revision() > Revision(0)
     }
 
     /// Sets the stored cursor that a new leader has read; without one, counting starts at `start_revision`.
@@ -78,62 +81,65 @@
     }
 }
 
-impl Book {
+impl JobTable {
     /// Counts an attempt that has ended in the assignment record of its task; its end and its usage become durable in
     /// the same write.
-    pub fn account(&mut self, entry: &Entry) {
-        let Some(account) = self.account.as_mut() else { return };
-        account.latest.push_back(entry.clone());
-        if account.latest.len() > LATEST_MOST {
-            account.latest.pop_front();
+    pub fn account(&mut self, entry: &UsageEntry) {
+        let Some(account) = self.usage_accounting.as_mut() else { return };
+        account.recent_entries.push_back(entry.clone());
+        if account.recent_entries.len() > MAX_LATEST_USAGE_ENTRIES {
+            account.recent_entries.pop_front();
         }
         log::debug!(target: "usage", "{}", usage_line(entry));
         if let Some(job) = self.jobs.get_mut(&entry.task.job) {
-            let chunk = entry.task.index / CHUNK_TASKS;
+            let chunk = entry.task.index / TASKS_PER_CHUNK;
             job.usage.entry(chunk).or_default().add(entry);
         }
     }
 
     /// The usage for a job's final record, if its assignment records are deleted in the same transaction.
-    pub(super) fn spent(&self, job: &Job, with_records: bool) -> Option<Arc<Spent>> {
-        let account = self.account.as_ref().filter(|a| with_records && a.includes_usage())?;
-        let mut days = Days::default();
+    pub(super) fn spent(&self, job: &Job, with_records: bool) -> Option<Arc<JobUsage>> {
+        let account =
+            self.usage_accounting.as_ref().filter(|a| with_records && a.includes_usage())?;
+        let mut days = UsageByDay::default();
         job.usage.values().for_each(|chunk_usage| days.merge(chunk_usage));
-        days.reopen_from(account.open_from());
+        days.move_closed_days(account.open_from());
         let (team, class) = (job.spec.team.clone(), account.class(&job.spec.class));
-        (!days.is_empty()).then(|| Arc::new(Spent { team, class, days }))
+        (!days.is_empty()).then(|| Arc::new(JobUsage { team, class, days }))
     }
 
     /// Moves the usage of an assignment record to the roll-ups, when the record is deleted after the final record of
     /// its job was written.
     pub(super) fn move_usage_to_rollups(&mut self, id: &JobId, chunk: u32) {
-        let Some(account) = self.account.as_mut().filter(|a| a.includes_usage()) else { return };
+        let Some(account) = self.usage_accounting.as_mut().filter(|a| a.includes_usage()) else {
+            return;
+        };
         let Some(job) = self.jobs.get(id) else { return };
         let Some(mut days) = job.usage.get(&chunk).cloned() else { return };
-        days.reopen_from(account.open_from());
+        days.move_closed_days(account.open_from());
         let class = account.class(&job.spec.class);
-        account.rollups.spill(&job.spec.team, &class, &days);
+        account.rollups.add_usage(&job.spec.team, &class, &days);
     }
 
     /// Number of roll-ups that the transaction under construction changes.
     pub(super) fn rollups_touched(&self) -> usize {
-        self.account.as_ref().map_or(0, |account| account.rollups.touched())
+        self.usage_accounting.as_ref().map_or(0, |account| account.rollups.write_count())
     }
 
     /// Adds the writes of roll-ups to a transaction.
-    pub(super) fn write_rollups(&mut self, txn: &mut Txn, written: &mut Vec<Written>) {
-        let Some(account) = &self.account else { return };
+    pub(super) fn write_rollups(&mut self, txn: &mut Txn, written: &mut Vec<PendingWrite>) {
+        let Some(account) = &self.usage_accounting else { return };
         for (slot, version, rollup) in account.rollups.writes() {
             let key = slot.key();
             txn.conditions.push(Condition { key: key.clone(), version });
             txn.changes.push(Change::put(key, json!(rollup)));
-            written.push(Written::of(Item::Rollup(slot.clone())));
+            written.push(PendingWrite::of(WriteItem::Rollup(slot.clone())));
         }
         if let Some(cursor) = account.cursor {
-            let version = account.rollups.cursor_stamp();
-            txn.conditions.push(Condition { key: CURSOR.to_owned(), version });
-            txn.changes.push(Change::put(CURSOR.to_owned(), json!(cursor)));
-            written.push(Written::of(Item::Cursor));
+            let version = account.rollups.cursor_revision();
+            txn.conditions.push(Condition { key: CURSOR_KEY.to_owned(), version });
+            txn.changes.push(Change::put(CURSOR_KEY.to_owned(), json!(cursor)));
+            written.push(PendingWrite::of(WriteItem::Cursor));
         }
     }
 
@@ -144,8 +150,8 @@
         ops: usize,
         now: Mono,
         awaited: bool,
-    ) -> Option<(Txn, Vec<Written>)> {
-        let account = self.account.as_mut()?;
+    ) -> Option<(Txn, Vec<PendingWrite>)> {
+        let account = self.usage_accounting.as_mut()?;
         let open_from = account.open_from();
         if account.backoff.holds(&()) && account.backoff.take_due(now).is_none()
             || !account.rollups.flush_due(now, open_from)
@@ -154,8 +160,8 @@
             return None;
         }
         account.postponed_since = None;
-        let max_rollups = ops.saturating_sub(1).clamp(1, TXN_BYTES / ROLLUP_BYTES);
-        let max_rollups = max_rollups.min(account.backoff.most());
+        let max_rollups = ops.saturating_sub(1).clamp(1, MAX_TXN_BYTES / MAX_ROLLUP_BYTES);
+        let max_rollups = max_rollups.min(account.backoff.max_items());
         account.cursor = account.rollups.flush(max_rollups, now, open_from);
         let (mut txn, mut written) =
             (Txn { conditions: vec![fence], changes: Vec::new() }, Vec::new());
@@ -166,42 +172,44 @@
 
     /// Handles a rejected transaction of roll-ups: the next one is smaller or delayed.
     pub(super) fn rollups_refused(&mut self, now: Mono) {
-        let Some(account) = self.account.as_mut() else { return };
-        let rollups = vec![(); account.rollups.touched().max(1)];
-        if let Some(Refusal::SetAside((), pause)) = account.backoff.refused(&rollups, now) {
+        let Some(account) = self.usage_accounting.as_mut() else { return };
+        let rollups = vec![(); account.rollups.write_count().max(1)];
+        if let Some(RejectionResponse::Deferred((), pause)) =
+            account.backoff.rejected(&rollups, now)
+        {
             log::error!("ledger: roll-up rejected on its own; retrying in {pause:?}");
         }
     }
 
     /// Adds copies of unreadable values under other keys to a transaction, for later inspection.
     fn write_damaged_copies(&mut self, txn: &mut Txn, ops: usize) {
-        let Some(account) = self.account.as_mut() else { return };
+        let Some(account) = self.usage_accounting.as_mut() else { return };
         while txn.changes.len() < ops
             && let Some((slot, value)) = account.damaged.pop_first()
         {
-            txn.changes.push(Change::put(format!("{}{}", DAMAGED, slot.key()), value));
+            txn.changes.push(Change::put(format!("{}{}", DAMAGED_PREFIX, slot.key()), value));
         }
     }
 
     /// Applies the commit of a roll-up or of the cursor.
-    pub(super) fn rollup_committed(&mut self, item: &Item, revision: Revision) {
-        let Some(account) = self.account.as_mut() else { return };
+    pub(super) fn rollup_committed(&mut self, item: &WriteItem, revision: Revision) {
+        let Some(account) = self.usage_accounting.as_mut() else { return };
         match item {
-            Item::Rollup(slot) => account.rollups.committed(slot, revision),
-            Item::Cursor => {
-                account.backoff.taken([()].iter());
+            WriteItem::Rollup(slot) => account.rollups.mark_committed(slot, revision),
+            WriteItem::Cursor => {
+                account.backoff.accepted([()].iter());
                 if let Some(cursor) = account.cursor.take() {
-                    account.rollups.cursor_committed(cursor, revision);
+                    account.rollups.mark_cursor_committed(cursor, revision);
                 }
             }
-            Item::End(_) | Item::Chunk(..) => {}
+            WriteItem::FinalRecord(_) | WriteItem::Chunk(..) => {}
         }
     }
 
     /// Abandons the roll-up writes in flight, whose transaction failed or has an unknown outcome.
     pub(super) fn rollups_abandoned(&mut self) {
-        if let Some(account) = self.account.as_mut() {
-            account.rollups.abandoned();
+        if let Some(account) = self.usage_accounting.as_mut() {
+            account.rollups.discard_writes();
             account.cursor = None;
         }
     }
@@ -209,31 +217,31 @@
     /// Takes the stored roll-up or cursor, read after a write with an unknown outcome.
     pub(super) fn rollup_resolved(
         &mut self,
-        item: &Item,
+        item: &WriteItem,
         row: Option<(&serde_json::Value, Revision)>,
     ) {
-        let Some(account) = self.account.as_mut() else { return };
+        let Some(account) = self.usage_accounting.as_mut() else { return };
         match item {
-            Item::Rollup(slot) => {
+            WriteItem::Rollup(slot) => {
                 let found = row.map(|(value, revision)| {
                     let read = serde_json::from_value::<Rollup>(value.clone());
                     let rollup = read.unwrap_or_else(|e| {
                         log::error!("ledger: {} is damaged; storing a copy: {e}", slot.key());
                         account.damaged.insert(slot.clone(), value.clone());
-                        Rollup { gap: true, ..Rollup::default() }
+                        Rollup { incomplete: true, ..Rollup::default() }
                     });
                     (rollup, revision)
                 });
-                account.rollups.resolved(slot, found);
+                account.rollups.set_stored(slot, found);
             }
-            Item::Cursor => {
+            WriteItem::Cursor => {
                 let read = |(value, revision): (&serde_json::Value, Revision)| {
                     Some((serde_json::from_value(value.clone()).ok()?, revision))
                 };
                 let start_revision = account.start_revision;
                 account.rollups.set_cursor(row.and_then(read), start_revision);
             }
-            Item::End(_) | Item::Chunk(..) => {}
+            WriteItem::FinalRecord(_) | WriteItem::Chunk(..) => {}
         }
     }
 
@@ -241,35 +249,35 @@
     pub(super) fn count_final_record(
         &mut self,
         id: &JobId,
-        record: &OverRecord,
+        record: &FinalRecord,
         revision: Revision,
     ) {
-        if let (Some(account), Some(spent)) = (self.account.as_mut(), &record.spent) {
-            account.rollups.over(id, spent, revision);
+        if let (Some(account), Some(spent)) = (self.usage_accounting.as_mut(), &record.spent) {
+            account.rollups.add_final_state(id, spent, revision);
         }
     }
 
     /// Counts final records that earlier leaders wrote after the cursor. `complete` says that these are the last.
     pub fn catch_up(
         &mut self,
-        records: impl IntoIterator<Item = (JobId, OverRecord, Revision)>,
+        records: impl IntoIterator<Item = (JobId, FinalRecord, Revision)>,
         complete: bool,
     ) {
         for (id, record, revision) in records {
             self.count_final_record(&id, &record, revision);
         }
-        if let Some(account) = self.account.as_mut().filter(|_| complete) {
-            account.rollups.enter(Knowledge::All);
+        if let Some(account) = self.usage_accounting.as_mut().filter(|_| complete) {
+            account.rollups.enter(LoadProgress::All);
         }
     }
 }
 
 /// Key prefix of copies of roll-ups that could not be read.
-pub const DAMAGED: &str = "use-damaged/";
+pub const DAMAGED_PREFIX: &str = "use-damaged/";
 
 /// The log line of an attempt's entry; tools parse it.
-fn usage_line(e: &Entry) -> String {
-    let worth = e.worth();
+fn usage_line(e: &UsageEntry) -> String {
+    let worth = e.run_time_breakdown();
     format!(
         "{} try {} team {} class {} {:?} on {} ({} {} spot {}): {} after {} ms, ran {} (useful {}, repeated {}, \
          lost {}, unseen {}), price {} share {:.3}",
@@ -282,14 +290,14 @@
         e.flavor,
         e.zone,
         e.spot,
-        oatloom_ledger::tally::word(e.end),
+        oatloom_ledger::tally::end_name(e.end),
         e.held_ms,
         e.ran_ms,
         worth.useful_ms,
         worth.repeated_ms,
         worth.lost_ms,
         e.unseen_ms,
-        e.price,
-        e.share
+        e.hourly_price,
+        e.machine_share
     )
 }
--- a/crates/core/src/jobs/writing.rs
+++ b/crates/core/src/jobs/writing.rs
@@ -2,41 +2,41 @@
 //! has made durable.
 
 use super::*;
-use oatloom_ledger::constants::ROLLUP_BYTES;
-use oatloom_ledger::rollup::{CURSOR, Slot, Spent};
+use oatloom_ledger::constants::MAX_ROLLUP_BYTES;
+use oatloom_ledger::rollup::{CURSOR_KEY, JobUsage, RollupId};
 use serde_json::Value;
 
 /// A key to be written.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Item {
+pub enum WriteItem {
     /// The final record of a job.
-    End(JobId),
+    FinalRecord(JobId),
     /// The assignment record of a chunk.
     Chunk(JobId, u32),
     /// A usage roll-up. Never queued: the writes are generated for each transaction.
-    Rollup(Slot),
+    Rollup(RollupId),
     /// The cursor of usage accounting.
     Cursor,
 }
 
 /// An item in a transaction in flight, and what its commit makes durable.
 #[derive(Clone, Debug)]
-pub struct Written {
-    item: Item,
+pub struct PendingWrite {
+    item: WriteItem,
     version: u64,
     deletes: bool,
     /// The usage contained in the final record.
-    spent: Option<Arc<Spent>>,
+    spent: Option<Arc<JobUsage>>,
     /// The completed tasks in a record whose tasks are graph nodes.
     done: Vec<u32>,
 }
 
-impl Written {
-    pub(super) fn of(item: Item) -> Self {
+impl PendingWrite {
+    pub(super) fn of(item: WriteItem) -> Self {
         Self { item, version: 0, deletes: false, spent: None, done: Vec::new() }
     }
 
-    pub fn item(&self) -> &Item {
+    pub fn item(&self) -> &WriteItem {
         &self.item
     }
 }
@@ -48,23 +48,23 @@
     Immediate,
 }
 
-impl Book {
+impl JobTable {
     /// Number of items that are not written yet.
-    pub fn unwritten(&self) -> usize {
-        self.queued.len() + self.backoff.waiting()
+    pub fn unwritten_count(&self) -> usize {
+        self.queued.len() + self.backoff.deferred_count()
     }
 
     /// Marks the chunk of a task as changed.
     pub(super) fn mark_changed(&mut self, id: &JobId, index: u32, priority: WritePriority) {
-        let chunk = index / CHUNK_TASKS;
+        let chunk = index / TASKS_PER_CHUNK;
         if let Some(job) = self.jobs.get_mut(id) {
             job.chunks[chunk as usize].version += 1;
         }
-        self.enqueue(Item::Chunk(id.clone(), chunk), priority);
+        self.enqueue(WriteItem::Chunk(id.clone(), chunk), priority);
     }
 
     /// Queues an item for writing.
-    pub(super) fn enqueue(&mut self, item: Item, priority: WritePriority) {
+    pub(super) fn enqueue(&mut self, item: WriteItem, priority: WritePriority) {
         // Raising the priority of a queued item leaves a stale entry in the other queue, which `pop_due` skips.
         // An item that the state service rejected on its own is retried without being queued.
         let is_queued = self.queued.get(&item).is_some_and(|queued| *queued >= priority);
@@ -74,27 +74,27 @@
         self.queued.insert(item.clone(), priority);
         let runs_nodes = |id: &JobId| self.jobs.get(id).is_some_and(Job::is_batch);
         match (&item, priority) {
-            (Item::End(_), _) => self.end_queue.push_back(item),
+            (WriteItem::FinalRecord(_), _) => self.end_queue.push_back(item),
             (_, WritePriority::Immediate) => self.assignment_queue.push_back(item),
             // Other nodes of the graph wait for the ends of these tasks.
-            (Item::Chunk(id, _), WritePriority::Deferred) if runs_nodes(id) => {
-                self.node_queue.push_back((self.now.plus(BATCH_WRITE_MS), item));
+            (WriteItem::Chunk(id, _), WritePriority::Deferred) if runs_nodes(id) => {
+                self.node_queue.push_back((self.now.plus(MAX_NODE_END_WRITE_DELAY_MS), item));
             }
             (_, WritePriority::Deferred) => {
-                self.deferred_queue.push_back((self.now.plus(LAZY_WRITE_MS), item))
+                self.deferred_queue.push_back((self.now.plus(MAX_TASK_END_WRITE_DELAY_MS), item))
             }
         }
     }
 
     /// The item to be written next, if one is due.
-    pub(super) fn pop_due(&mut self) -> Option<Item> {
+    pub(super) fn pop_due(&mut self) -> Option<WriteItem> {
         loop {
             let (item, priority) = if let Some(item) = self.end_queue.pop_front() {
                 (item, WritePriority::Immediate)
             } else if let Some(item) = self.assignment_queue.pop_front() {
                 (item, WritePriority::Immediate)
             } else {
-                let due = |queue: &VecDeque<(Mono, Item)>| {
+                let due = |queue: &VecDeque<(Mono, WriteItem)>| {
                     queue.front().is_some_and(|(due, _)| *due <= self.now)
                 };
                 let queue = if due(&self.node_queue) {
@@ -120,7 +120,7 @@
         fence: Condition,
         ops: usize,
         now: Mono,
-    ) -> Option<(Txn, Vec<Written>)> {
+    ) -> Option<(Txn, Vec<PendingWrite>)> {
         self.now = now;
         let awaited = !self.end_queue.is_empty() || !self.assignment_queue.is_empty();
         if let Some(rollups) = self.next_rollup_txn(fence.clone(), ops, now, awaited) {
@@ -134,24 +134,24 @@
         let room = |job_table: &Self, txn: &Txn| {
             ops.saturating_sub(txn.changes.len() + job_table.rollups_touched())
         };
-        let min_room = if self.account.is_some() { 3.min(ops) } else { 2 };
+        let min_room = if self.usage_accounting.is_some() { 3.min(ops) } else { 2 };
         let full = |job_table: &Self, bytes: usize| {
-            bytes + job_table.rollups_touched() * ROLLUP_BYTES >= TXN_BYTES
+            bytes + job_table.rollups_touched() * MAX_ROLLUP_BYTES >= MAX_TXN_BYTES
         };
         // An item that was rejected on its own is retried on its own.
         let mut retried = self.backoff.take_due(now);
-        let max_items = if retried.is_some() { 1 } else { self.backoff.most() };
+        let max_items = if retried.is_some() { 1 } else { self.backoff.max_items() };
         let mut items = 0;
         while items < max_items && room(self, &txn) >= min_room && !full(self, bytes) {
             let Some(item) = retried.take().or_else(|| self.pop_due()) else { break };
             items += 1;
-            let Item::End(id) = &item else {
+            let WriteItem::FinalRecord(id) = &item else {
                 let Some(write) = self.write_chunk(&item, &mut txn, &mut bytes) else {
                     items -= 1;
                     continue;
                 };
                 if write.deletes
-                    && let Item::Chunk(id, chunk) = &item
+                    && let WriteItem::Chunk(id, chunk) = &item
                 {
                     self.move_usage_to_rollups(id, *chunk);
                 }
@@ -165,17 +165,17 @@
                 items -= 1;
                 continue;
             };
-            if chunks.is_some() && self.account.is_some() {
+            if chunks.is_some() && self.usage_accounting.is_some() {
                 // Guards against an assignment record that is first written beside the final record that already
                 // contains its usage: its deletion would count the usage again.
                 let all = self.jobs.get(id).map_or(0, |job| job.chunks.len() as u32);
                 for chunk in 0..all {
-                    self.queued.remove(&Item::Chunk(id.clone(), chunk));
+                    self.queued.remove(&WriteItem::Chunk(id.clone(), chunk));
                 }
             }
             written.push(write);
             for chunk in chunks.unwrap_or_default() {
-                let item = Item::Chunk(id.clone(), chunk);
+                let item = WriteItem::Chunk(id.clone(), chunk);
                 self.queued.remove(&item);
                 written.extend(self.delete_chunk(id, chunk, &mut txn));
             }
@@ -188,17 +188,17 @@
     /// of the chunk is assigned.
     pub(super) fn write_chunk(
         &mut self,
-        item: &Item,
+        item: &WriteItem,
         txn: &mut Txn,
         bytes: &mut usize,
-    ) -> Option<Written> {
+    ) -> Option<PendingWrite> {
         match item {
-            Item::End(_) | Item::Rollup(_) | Item::Cursor => None,
-            Item::Chunk(id, chunk) => {
+            WriteItem::FinalRecord(_) | WriteItem::Rollup(_) | WriteItem::Cursor => None,
+            WriteItem::Chunk(id, chunk) => {
                 let job = self.jobs.get(id)?;
                 let slot = job.chunks.get(*chunk as usize)?;
-                let empty = job.chunk_range(*chunk).all(|task| job.hold(task).is_none());
-                if job.state == JobState::Over && empty {
+                let empty = job.chunk_range(*chunk).all(|task| job.assignment(task).is_none());
+                if job.state == JobState::Finished && empty {
                     return self.delete_chunk(id, *chunk, txn);
                 }
                 let Some(value) = self.chunk_value(job, *chunk) else {
@@ -208,7 +208,7 @@
                 let key = chunk_key(id, *chunk);
                 txn.conditions.push(Condition { key: key.clone(), version: slot.key_version });
                 if slot.key_version == Revision(0) {
-                    if job.state == JobState::Over {
+                    if job.state == JobState::Finished {
                         // Assignments sent to a worker are already in a record. None is created for a finished job,
                         // since its live key, which the second condition needs, no longer exists.
                         return None;
@@ -221,11 +221,11 @@
                 }
                 *bytes += 60 + value.to_string().len();
                 txn.changes.push(Change::put(key, value));
-                let range = chunk * CHUNK_TASKS..(chunk + 1).saturating_mul(CHUNK_TASKS);
-                let is_done = |task: &u32| job.tasks.get(*task as usize) == Some(&Task::Done);
+                let range = chunk * TASKS_PER_CHUNK..(chunk + 1).saturating_mul(TASKS_PER_CHUNK);
+                let is_done = |task: &u32| job.tasks.get(*task as usize) == Some(&TaskState::Done);
                 let done =
                     if job.is_batch() { range.filter(is_done).collect() } else { Vec::new() };
-                Some(Written { version: slot.version, done, ..Written::of(item.clone()) })
+                Some(PendingWrite { version: slot.version, done, ..PendingWrite::of(item.clone()) })
             }
         }
     }
@@ -238,29 +238,34 @@
         with_records: bool,
         txn: &mut Txn,
         bytes: &mut usize,
-    ) -> Option<Written> {
+    ) -> Option<PendingWrite> {
         let condition = |key: String, version| Condition { key, version };
         let job = self.jobs.get(id)?;
         let JobState::Ending(status) = job.state else {
             return None;
         };
         let spent = self.spent(job, with_records);
-        let record = self.over_record(job, status, spent.clone());
+        let record = self.final_record(job, status, spent.clone());
         let value = serde_json::to_value(record).unwrap_or(Value::Null);
         if !self.fits_limit(&value) {
-            self.defer_oversized(Item::End(id.clone()));
+            self.defer_oversized(WriteItem::FinalRecord(id.clone()));
             return None;
         }
-        txn.conditions.push(condition(over_key(id), Revision(0)));
+        txn.conditions.push(condition(final_key(id), Revision(0)));
         txn.conditions.push(condition(live_key(id), job.live_revision));
         *bytes += 60 + value.to_string().len();
-        txn.changes.push(Change::put(over_key(id), value));
+        txn.changes.push(Change::put(final_key(id), value));
         txn.changes.push(Change::Delete { key: live_key(id) });
-        Some(Written { spent, ..Written::of(Item::End(id.clone())) })
+        Some(PendingWrite { spent, ..PendingWrite::of(WriteItem::FinalRecord(id.clone())) })
     }
 
     /// Adds the deletion of an assignment record to a transaction, if the record exists.
-    pub(super) fn delete_chunk(&self, id: &JobId, chunk: u32, txn: &mut Txn) -> Option<Written> {
+    pub(super) fn delete_chunk(
+        &self,
+        id: &JobId,
+        chunk: u32,
+        txn: &mut Txn,
+    ) -> Option<PendingWrite> {
         let slot = self.jobs.get(id)?.chunks.get(chunk as usize)?;
         if slot.key_version == Revision(0) {
             return None;
@@ -268,14 +273,14 @@
         let key = chunk_key(id, chunk);
         txn.conditions.push(Condition { key: key.clone(), version: slot.key_version });
         txn.changes.push(Change::Delete { key });
-        let item = Item::Chunk(id.clone(), chunk);
-        Some(Written { version: slot.version, deletes: true, ..Written::of(item) })
+        let item = WriteItem::Chunk(id.clone(), chunk);
+        Some(PendingWrite { version: slot.version, deletes: true, ..PendingWrite::of(item) })
     }
 
     /// Chunks whose records can be deleted together with the write of the final record, since no task of the job is
     /// assigned. This saves the write of the last completed tasks. `None` if that takes more than `limit` deletions.
     pub(super) fn deletable_chunks(&self, id: &JobId, limit: usize) -> Option<Vec<u32>> {
-        let job = self.jobs.get(id).filter(|job| job.held == 0)?;
+        let job = self.jobs.get(id).filter(|job| job.assigned == 0)?;
         let chunks = job.stored_chunks();
         (chunks.len() <= limit).then_some(chunks)
     }
@@ -283,22 +288,24 @@
     /// Applies the commit of a transaction at `revision`. Returns the jobs whose final record is now durable.
     pub fn committed(
         &mut self,
-        written: &[Written],
+        written: &[PendingWrite],
         revision: Revision,
-    ) -> Vec<(JobId, OverRecord)> {
-        self.backoff.taken(written.iter().map(|write| &write.item));
+    ) -> Vec<(JobId, FinalRecord)> {
+        self.backoff.accepted(written.iter().map(|write| &write.item));
         let mut finished = Vec::new();
         // Assignment records go before final records: guards against dropping a job whose assignment record was
         // written in the same transaction as its final record, and which would then never be deleted.
-        let (ends, chunks): (Vec<&Written>, Vec<&Written>) =
-            written.iter().partition(|write| matches!(write.item, Item::End(_)));
+        let (ends, chunks): (Vec<&PendingWrite>, Vec<&PendingWrite>) =
+            written.iter().partition(|write| matches!(write.item, WriteItem::FinalRecord(_)));
         for write in chunks.into_iter().chain(ends) {
             match &write.item {
-                Item::Rollup(_) | Item::Cursor => self.rollup_committed(&write.item, revision),
-                Item::End(id) => {
+                WriteItem::Rollup(_) | WriteItem::Cursor => {
+                    self.rollup_committed(&write.item, revision)
+                }
+                WriteItem::FinalRecord(id) => {
                     finished.extend(self.end_committed(id, write.spent.clone(), revision))
                 }
-                Item::Chunk(id, chunk) => {
+                WriteItem::Chunk(id, chunk) => {
                     let Some(job) = self.jobs.get_mut(id) else {
                         continue;
                     };
@@ -324,22 +331,22 @@
     pub(super) fn end_committed(
         &mut self,
         id: &JobId,
-        spent: Option<Arc<Spent>>,
+        spent: Option<Arc<JobUsage>>,
         revision: Revision,
-    ) -> Option<(JobId, OverRecord)> {
+    ) -> Option<(JobId, FinalRecord)> {
         let job = self.jobs.get_mut(id)?;
         let JobState::Ending(status) = job.state else {
             return None;
         };
-        job.set_state(JobState::Over, "its final record is durable");
+        job.set_state(JobState::Finished, "its final record is durable");
         self.stop_waiting(id);
         let job = self.jobs.get(id)?;
-        let record = self.over_record(job, status, spent);
+        let record = self.final_record(job, status, spent);
         self.count_final_record(id, &record, revision);
         self.dependency_ended(id, status, self.now);
         let job = self.jobs.get(id)?;
         for chunk in job.stored_chunks() {
-            self.enqueue(Item::Chunk(id.clone(), chunk), WritePriority::Deferred);
+            self.enqueue(WriteItem::Chunk(id.clone(), chunk), WritePriority::Deferred);
         }
         self.drop_if_unneeded(id);
         Some((id.clone(), record))
@@ -348,8 +355,8 @@
     /// Removes a finished job from memory once it has neither assigned tasks nor assignment records.
     pub(super) fn drop_if_unneeded(&mut self, id: &JobId) {
         let unneeded = self.jobs.get(id).is_some_and(|job| {
-            job.state == JobState::Over
-                && job.held == 0
+            job.state == JobState::Finished
+                && job.assigned == 0
                 && job.chunks.iter().all(|c| c.key_version == Revision(0))
         });
         if unneeded {
@@ -358,31 +365,33 @@
     }
 
     /// Queues the items of a transaction again that failed or whose outcome is unknown.
-    pub fn requeue(&mut self, written: Vec<Written>) {
+    pub fn requeue(&mut self, written: Vec<PendingWrite>) {
         self.rollups_abandoned();
         for write in written {
-            if matches!(write.item, Item::End(_) | Item::Chunk(..)) {
+            if matches!(write.item, WriteItem::FinalRecord(_) | WriteItem::Chunk(..)) {
                 self.enqueue(write.item, WritePriority::Immediate);
             }
         }
     }
 
     /// Handles a transaction that the state service rejected because of its content; it is not repeated unchanged.
-    pub fn refused(&mut self, written: Vec<Written>, now: Mono) {
-        let is_job_item = |write: &&Written| matches!(write.item, Item::End(_) | Item::Chunk(..));
-        let mut items: Vec<Item> =
+    pub fn rejected(&mut self, written: Vec<PendingWrite>, now: Mono) {
+        let is_job_item = |write: &&PendingWrite| {
+            matches!(write.item, WriteItem::FinalRecord(_) | WriteItem::Chunk(..))
+        };
+        let mut items: Vec<WriteItem> =
             written.iter().filter(is_job_item).map(|write| write.item.clone()).collect();
         // Final records sort first. A rejected one is retried without the deletion of assignment records.
         items.sort();
-        match self.backoff.refused(&items, now) {
+        match self.backoff.rejected(&items, now) {
             None => self.rollups_refused(now),
-            Some(Refusal::Smaller) => {
+            Some(RejectionResponse::Split) => {
                 log::warn!(
                     "store: transaction rejected; limiting transactions to {} items",
-                    self.backoff.most()
+                    self.backoff.max_items()
                 );
             }
-            Some(Refusal::SetAside(item, pause)) => {
+            Some(RejectionResponse::Deferred(item, pause)) => {
                 log::error!(
                     "store: write of {} rejected on its own; retrying in {pause:?}",
                     Self::key_of(&item)
@@ -393,8 +402,8 @@
     }
 
     /// Delays a write that exceeds the value limit: by the retry some of its tasks may have ended.
-    fn defer_oversized(&mut self, item: Item) {
-        let pause = self.backoff.set_aside(item.clone(), self.now);
+    fn defer_oversized(&mut self, item: WriteItem) {
+        let pause = self.backoff.defer(item.clone(), self.now);
         log::error!(
             "store: value of {} exceeds the size limit; retrying in {pause:?}",
             Self::key_of(&item)
@@ -403,21 +412,22 @@
 
     /// Takes the stored row of an item whose write had an unknown outcome. Returns the job and its final record if
     /// that is now known to be durable.
-    pub fn resolved(&mut self, item: &Item, row: Option<Row>) -> Option<(JobId, OverRecord)> {
+    pub fn resolved(&mut self, item: &WriteItem, row: Option<Row>) -> Option<(JobId, FinalRecord)> {
         let revision = row.as_ref().map_or(Revision(0), |row| row.version);
         match item {
-            Item::Rollup(_) | Item::Cursor => {
+            WriteItem::Rollup(_) | WriteItem::Cursor => {
                 let found = row.as_ref().map(|row| (&row.value, row.version));
                 self.rollup_resolved(item, found);
                 None
             }
-            Item::End(id) if revision > Revision(0) => {
-                let read = row.and_then(|row| serde_json::from_value::<OverRecord>(row.value).ok());
+            WriteItem::FinalRecord(id) if revision > Revision(0) => {
+                let read =
+                    row.and_then(|row| serde_json::from_value::<FinalRecord>(row.value).ok());
                 // The stored final record wins over a decision made here. Guards against a partitioned leader that
                 // finds the final record of a later leader before it learns of that leader: it kept reporting its
                 // own decision.
                 if let (Some(record), Some(job)) = (&read, self.jobs.get_mut(id))
-                    && !matches!(job.state, JobState::Over)
+                    && !matches!(job.state, JobState::Finished)
                     && job.state != JobState::Ending(record.status)
                 {
                     log::warn!(
@@ -431,15 +441,16 @@
                 let (id, computed) = self.end_committed(id, spent, revision)?;
                 Some((id, read.unwrap_or(computed)))
             }
-            Item::End(_) => None,
-            Item::Chunk(id, chunk) => {
+            WriteItem::FinalRecord(_) => None,
+            WriteItem::Chunk(id, chunk) => {
                 if let Some(slot) =
                     self.jobs.get_mut(id).and_then(|job| job.chunks.get_mut(*chunk as usize))
                 {
                     slot.key_version = revision;
                 }
                 if revision == Revision(0)
-                    && let Some(job) = self.jobs.get_mut(id).filter(|j| j.state == JobState::Over)
+                    && let Some(job) =
+                        self.jobs.get_mut(id).filter(|j| j.state == JobState::Finished)
                 {
                     // The deletion was applied, and with it the move of the usage.
                     job.usage.remove(chunk);
@@ -451,12 +462,12 @@
     }
 
     /// Key of an item in the state service.
-    pub fn key_of(item: &Item) -> String {
+    pub fn key_of(item: &WriteItem) -> String {
         match item {
-            Item::End(id) => over_key(id),
-            Item::Chunk(id, chunk) => chunk_key(id, *chunk),
-            Item::Rollup(slot) => slot.key(),
-            Item::Cursor => CURSOR.to_owned(),
+            WriteItem::FinalRecord(id) => final_key(id),
+            WriteItem::Chunk(id, chunk) => chunk_key(id, *chunk),
+            WriteItem::Rollup(slot) => slot.key(),
+            WriteItem::Cursor => CURSOR_KEY.to_owned(),
         }
     }
 }
--- a/crates/core/src/leadership.rs
+++ b/crates/core/src/leadership.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Key in the state service that the leader holds.
-pub const LEAD_KEY: &str = "lead";
+pub const LEADER_KEY: &str = "lead";
 
 /// Content of the leader key.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
@@ -39,7 +39,7 @@
 
 /// A request to the state service.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Ask {
+pub enum LeadershipRequest {
     /// Read the leader key.
     Read,
     /// Watch the leader key for changes after a revision.
@@ -49,14 +49,14 @@
     /// Create the leader key if it is free.
     Claim(Txn),
     /// Renew a lease.
-    Touch(LeaseId),
+    Renew(LeaseId),
     /// Revoke a lease.
     Revoke(LeaseId),
 }
 
 /// A change of leadership that the rest of the controller has to handle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Turn {
+pub enum LeadershipChange {
     /// This controller leads now, with this fencing token.
     Elected(Token),
     /// This controller no longer leads.
@@ -87,13 +87,13 @@
     pending_read: Option<Mono>,
     /// Replies to reads sent before this are outdated: a later read was answered, or a claim was begun since.
     oldest_valid_read: Mono,
-    change: Option<Turn>,
+    change: Option<LeadershipChange>,
 }
 
 /// End of validity of a lease whose last successful renewal was sent at `sent`.
 pub(crate) fn lease_end(sent: Mono) -> Mono {
-    let ttl = LEADER_TTL_MS.0 as f64 * (1.0 - DRIFT);
-    sent.plus(Millis(ttl as u64 - VALIDITY_MARGIN_MS.0))
+    let ttl = LEADER_LEASE_TTL_MS.0 as f64 * (1.0 - MAX_CLOCK_DRIFT);
+    sent.plus(Millis(ttl as u64 - LEASE_VALIDITY_MARGIN_MS.0))
 }
 
 impl Leadership {
@@ -137,7 +137,7 @@
 
     /// The condition that fences every write of the leader.
     pub fn fence(&self) -> Option<Condition> {
-        self.token().map(|token| Condition { key: LEAD_KEY.into(), version: Revision(token.0) })
+        self.token().map(|token| Condition { key: LEADER_KEY.into(), version: Revision(token.0) })
     }
 
     /// The leader, as far as known, if it is another controller.
@@ -158,13 +158,13 @@
                 log::info!("leadership: leading with token {token} ({why})");
                 self.leader = Some((self.member.clone(), *token));
                 self.highest_token = self.highest_token.max(*token);
-                self.change = Some(Turn::Elected(*token));
+                self.change = Some(LeadershipChange::Elected(*token));
             }
             Role::Leader { .. } => {}
             _ if was_leader => {
                 log::warn!("leadership: no longer leading ({why})");
                 self.leader = None;
-                self.change = Some(Turn::Deposed);
+                self.change = Some(LeadershipChange::Deposed);
             }
             other => log::debug!("leadership: {other:?} ({why})"),
         }
@@ -172,33 +172,33 @@
     }
 
     /// The change of leadership since the last call, if any.
-    pub fn take_turn(&mut self) -> Option<Turn> {
+    pub fn take_change(&mut self) -> Option<LeadershipChange> {
         self.change.take()
     }
 
     /// Returns the requests that are due now.
-    pub fn tick(&mut self, now: Mono) -> Vec<Ask> {
+    pub fn tick(&mut self, now: Mono) -> Vec<LeadershipRequest> {
         let mut requests = Vec::new();
         match self.role.clone() {
             Role::Follower => {
                 if self.key_is_free && now >= self.next_claim {
                     self.enter(Role::Granting, "the leader key is free");
                     self.oldest_valid_read = now;
-                    requests.push(Ask::Grant);
+                    requests.push(LeadershipRequest::Grant);
                 } else if self.read_due(now) {
                     self.pending_read = Some(now);
-                    self.next_read = now.plus(LEADER_POLL_MS);
-                    requests.push(Ask::Read);
+                    self.next_read = now.plus(LEADER_KEY_POLL_PERIOD_MS);
+                    requests.push(LeadershipRequest::Read);
                 }
             }
             Role::Claiming { until, lease, .. } if now >= until => {
                 // The claim may still be applied late under this lease, so the lease is revoked first.
                 self.enter(Role::Follower, "the claim timed out");
-                requests.push(Ask::Revoke(lease));
+                requests.push(LeadershipRequest::Revoke(lease));
             }
             Role::Leader { lease, .. } if now >= self.next_renewal => {
-                self.next_renewal = now.plus(RENEW_MS);
-                requests.push(Ask::Touch(lease));
+                self.next_renewal = now.plus(LEASE_RENEWAL_PERIOD_MS);
+                requests.push(LeadershipRequest::Renew(lease));
             }
             _ => {}
         }
@@ -209,13 +209,13 @@
     /// controller that sends no other requests would take two lost replies for a state service that refuses it.
     fn read_due(&self, now: Mono) -> bool {
         match self.pending_read {
-            Some(sent) => now.since(sent) >= READ_AGAIN_MS,
+            Some(sent) => now.since(sent) >= LEADER_KEY_READ_RETRY_MS,
             None => now >= self.next_read,
         }
     }
 
     /// Steps down if a worker has shown a higher token of another leader.
-    pub fn outranked(&mut self, token: Token) {
+    pub fn on_higher_token(&mut self, token: Token) {
         if self.token().is_some_and(|mine| token > mine) {
             self.enter(Role::Follower, "a worker reported a higher token");
             self.next_read = Mono(0);
@@ -225,7 +225,7 @@
     /// Handles a peer's message that it leads. A controller that only the state service refuses would
     /// otherwise take itself for the leader for as long as that lasts, and turn away users and workers
     /// that the new leader could serve.
-    pub fn heard(&mut self, leader: &Member, token: Token) {
+    pub fn on_peer_leader(&mut self, leader: &Member, token: Token) {
         if token <= self.highest_token || *leader == self.member {
             return;
         }
@@ -242,7 +242,7 @@
     }
 
     /// Steps down because a fenced write failed on the leader key.
-    pub fn fenced_off(&mut self) {
+    pub fn on_fenced_write(&mut self) {
         if matches!(self.role, Role::Leader { .. }) {
             self.enter(Role::Follower, "a fenced write was rejected");
             self.next_read = Mono(0);
@@ -253,30 +253,30 @@
     pub fn answered(
         &mut self,
         now: Mono,
-        ask: &Ask,
+        ask: &LeadershipRequest,
         sent: Mono,
         reply: &StoreReply,
         random: u64,
-    ) -> Vec<Ask> {
+    ) -> Vec<LeadershipRequest> {
         match ask {
-            Ask::Read => self.on_read(now, sent, reply),
-            Ask::Watch(after) => self.on_watch(now, *after, reply),
-            Ask::Grant => self.on_grant(now, sent, reply, random),
-            Ask::Claim(_) => self.on_claim(now, reply),
-            Ask::Touch(lease) => self.on_renewal(sent, *lease, reply),
-            Ask::Revoke(_) => Vec::new(),
+            LeadershipRequest::Read => self.on_read(now, sent, reply),
+            LeadershipRequest::Watch(after) => self.on_watch(now, *after, reply),
+            LeadershipRequest::Grant => self.on_grant(now, sent, reply, random),
+            LeadershipRequest::Claim(_) => self.on_claim(now, reply),
+            LeadershipRequest::Renew(lease) => self.on_renewal(sent, *lease, reply),
+            LeadershipRequest::Revoke(_) => Vec::new(),
         }
     }
 
-    fn watch(&mut self, after: Revision) -> Vec<Ask> {
+    fn watch(&mut self, after: Revision) -> Vec<LeadershipRequest> {
         if self.watching {
             return Vec::new();
         }
         self.watching = true;
-        vec![Ask::Watch(after)]
+        vec![LeadershipRequest::Watch(after)]
     }
 
-    fn on_read(&mut self, now: Mono, sent: Mono, reply: &StoreReply) -> Vec<Ask> {
+    fn on_read(&mut self, now: Mono, sent: Mono, reply: &StoreReply) -> Vec<LeadershipRequest> {
         let answered = matches!(reply, StoreReply::Found(_) | StoreReply::Missing(_));
         if answered || self.pending_read.is_none_or(|latest| latest <= sent) {
             self.pending_read = None;
@@ -306,7 +306,7 @@
         }
     }
 
-    fn on_row(&mut self, now: Mono, row: &Row) -> Vec<Ask> {
+    fn on_row(&mut self, now: Mono, row: &Row) -> Vec<LeadershipRequest> {
         self.key_is_free = false;
         let token = Token(row.version.0);
         self.highest_token = self.highest_token.max(token);
@@ -336,7 +336,7 @@
                 self.enter(Role::Follower, "another claim was first");
                 self.leader = Some((record.member, token));
                 let mut requests = self.watch(row.version);
-                requests.push(Ask::Revoke(lease));
+                requests.push(LeadershipRequest::Revoke(lease));
                 requests
             }
             Role::Leader { token: mine, .. } => {
@@ -363,7 +363,12 @@
     /// waiting for it to expire. That process has ended: it had bound the address that this one has bound now. Its
     /// pending writes are fenced by the key, which is deleted with the lease. The other controllers, which know more of
     /// the fleet, may claim first.
-    fn revoke_former_lease(&mut self, now: Mono, record: &LeaderRecord, row: &Row) -> Vec<Ask> {
+    fn revoke_former_lease(
+        &mut self,
+        now: Mono,
+        record: &LeaderRecord,
+        row: &Row,
+    ) -> Vec<LeadershipRequest> {
         let own = record.member == self.member
             && self.bound_address.is_some()
             && record.address == self.bound_address;
@@ -375,11 +380,16 @@
             "leadership: an earlier incarnation of this controller holds the key; revoking its lease"
         );
         self.revoked_lease = Some(lease);
-        self.next_claim = now.plus(CLAIM_PAUSE_MS);
-        vec![Ask::Revoke(lease)]
+        self.next_claim = now.plus(CLAIM_RETRY_PAUSE_MS);
+        vec![LeadershipRequest::Revoke(lease)]
     }
 
-    fn on_watch(&mut self, now: Mono, after: Revision, reply: &StoreReply) -> Vec<Ask> {
+    fn on_watch(
+        &mut self,
+        now: Mono,
+        after: Revision,
+        reply: &StoreReply,
+    ) -> Vec<LeadershipRequest> {
         self.watching = false;
         if !matches!(self.role, Role::Follower) {
             return Vec::new();
@@ -387,13 +397,13 @@
         match reply {
             StoreReply::Changes(changes) => {
                 for change in &changes.log {
-                    if change.delete.as_deref() == Some(LEAD_KEY) {
+                    if change.delete.as_deref() == Some(LEADER_KEY) {
                         log::info!("leadership: the leader key was deleted");
                         self.leader = None;
                         self.key_is_free = true;
-                    } else if change.put.as_deref() == Some(LEAD_KEY) {
+                    } else if change.put.as_deref() == Some(LEADER_KEY) {
                         let row = Row {
-                            key: LEAD_KEY.into(),
+                            key: LEADER_KEY.into(),
                             value: change.value.clone(),
                             version: change.version,
                             lease: None,
@@ -410,14 +420,20 @@
         }
     }
 
-    fn on_grant(&mut self, now: Mono, sent: Mono, reply: &StoreReply, random: u64) -> Vec<Ask> {
+    fn on_grant(
+        &mut self,
+        now: Mono,
+        sent: Mono,
+        reply: &StoreReply,
+        random: u64,
+    ) -> Vec<LeadershipRequest> {
         if self.role != Role::Granting {
             return Vec::new();
         }
         let StoreReply::Granted(lease) = *reply else {
             self.enter(Role::Follower, "no lease was granted");
             self.key_is_free = false;
-            self.next_read = now.plus(CLAIM_PAUSE_MS);
+            self.next_read = now.plus(CLAIM_RETRY_PAUSE_MS);
             return Vec::new();
         };
         let until = lease_end(sent);
@@ -427,17 +443,17 @@
             nonce: random,
             address: self.bound_address.clone(),
         };
-        vec![Ask::Claim(Txn {
-            conditions: vec![Condition { key: LEAD_KEY.into(), version: Revision(0) }],
+        vec![LeadershipRequest::Claim(Txn {
+            conditions: vec![Condition { key: LEADER_KEY.into(), version: Revision(0) }],
             changes: vec![Change::Put {
-                key: LEAD_KEY.into(),
+                key: LEADER_KEY.into(),
                 value: serde_json::to_value(&record).unwrap_or_default(),
                 lease: Some(lease),
             }],
         })]
     }
 
-    fn on_claim(&mut self, now: Mono, reply: &StoreReply) -> Vec<Ask> {
+    fn on_claim(&mut self, now: Mono, reply: &StoreReply) -> Vec<LeadershipRequest> {
         let Role::Claiming { lease, until, .. } = self.role.clone() else {
             return Vec::new();
         };
@@ -452,19 +468,24 @@
             // The outcome is unknown until the key is read. The claim's timeout bounds the wait.
             StoreReply::Lost => {
                 self.pending_read = Some(now);
-                vec![Ask::Read]
+                vec![LeadershipRequest::Read]
             }
             _ => {
                 self.enter(Role::Follower, "the claim failed");
                 self.key_is_free = false;
                 self.next_read = now;
-                self.next_claim = now.plus(CLAIM_PAUSE_MS);
-                vec![Ask::Revoke(lease)]
+                self.next_claim = now.plus(CLAIM_RETRY_PAUSE_MS);
+                vec![LeadershipRequest::Revoke(lease)]
             }
         }
     }
 
-    fn on_renewal(&mut self, sent: Mono, renewed_lease: LeaseId, reply: &StoreReply) -> Vec<Ask> {
+    fn on_renewal(
+        &mut self,
+        sent: Mono,
+        renewed_lease: LeaseId,
+        reply: &StoreReply,
+    ) -> Vec<LeadershipRequest> {
         let Role::Leader { lease, until, token } = self.role.clone() else {
             return Vec::new();
         };
@@ -492,12 +513,18 @@
 
     fn elected() -> Leadership {
         let mut leadership = Leadership::new(Member::new("a"), Some("10.0.0.1:80".into()));
-        assert_eq!(leadership.tick(Mono(0)), vec![Ask::Read]);
-        let requests =
-            leadership.answered(Mono(1), &Ask::Read, Mono(0), &StoreReply::Missing(Revision(1)), 7);
-        assert_eq!(requests, vec![Ask::Grant]);
+        assert_eq!(leadership.tick(Mono(0)), vec![LeadershipRequest::Read]);
+        let requests = leadership.answered(
+            Mono(1),
+            &LeadershipRequest::Read,
+            Mono(0),
+            &StoreReply::Missing(Revision(1)),
+            7,
+        );
+        assert_eq!(requests, vec![LeadershipRequest::Grant]);
         let granted = StoreReply::Granted(LeaseId(3));
-        let requests = leadership.answered(Mono(50), &Ask::Grant, Mono(10), &granted, 7);
+        let requests =
+            leadership.answered(Mono(50), &LeadershipRequest::Grant, Mono(10), &granted, 7);
         let committed = StoreReply::Committed(Revision(9));
         leadership.answered(Mono(60), &requests[0], Mono(50), &committed, 7);
         leadership
@@ -508,14 +535,17 @@
     #[test]
     fn a_peer_with_a_higher_token_ends_a_leader_term() {
         let mut leadership = elected();
-        leadership.take_turn();
+        leadership.take_change();
         let peer = Member::new("b");
-        leadership.heard(&peer, Token(9));
+        leadership.on_peer_leader(&peer, Token(9));
         assert_eq!(leadership.token(), Some(Token(9)));
-        leadership.heard(&peer, Token(12));
-        assert_eq!((leadership.token(), leadership.take_turn()), (None, Some(Turn::Deposed)));
+        leadership.on_peer_leader(&peer, Token(12));
+        assert_eq!(
+            (leadership.token(), leadership.take_change()),
+            (None, Some(LeadershipChange::Deposed))
+        );
         assert_eq!(leadership.other_leader(), Some(&peer));
-        leadership.heard(&Member::new("c"), Token(11));
+        leadership.on_peer_leader(&Member::new("c"), Token(11));
         assert_eq!(leadership.other_leader(), Some(&peer));
     }
 
@@ -523,15 +553,15 @@
     #[test]
     fn validity_counts_from_the_sending() {
         let mut leadership = elected();
-        assert_eq!(leadership.take_turn(), Some(Turn::Elected(Token(9))));
+        assert_eq!(leadership.take_change(), Some(LeadershipChange::Elected(Token(9))));
         let end = lease_end(Mono(10));
-        assert!(end < Mono(10).plus(LEADER_TTL_MS));
+        assert!(end < Mono(10).plus(LEADER_LEASE_TTL_MS));
         assert_eq!(leadership.valid(Mono(end.0 - 1)), Some(Token(9)));
         assert_eq!(leadership.valid(end), None);
         // After a late renewal, as after an outage, the same token is valid again.
         leadership.answered(
             Mono(9_000),
-            &Ask::Touch(LeaseId(3)),
+            &LeadershipRequest::Renew(LeaseId(3)),
             Mono(8_990),
             &StoreReply::Touched,
             0,
@@ -542,21 +572,21 @@
     #[test]
     fn an_ended_lease_or_a_higher_token_deposes() {
         let mut leadership = elected();
-        leadership.take_turn();
+        leadership.take_change();
         leadership.answered(
             Mono(70),
-            &Ask::Touch(LeaseId(3)),
+            &LeadershipRequest::Renew(LeaseId(3)),
             Mono(65),
             &StoreReply::NoSuchLease,
             0,
         );
-        assert_eq!(leadership.take_turn(), Some(Turn::Deposed));
+        assert_eq!(leadership.take_change(), Some(LeadershipChange::Deposed));
         let mut leadership = elected();
-        leadership.take_turn();
-        leadership.outranked(Token(9));
-        assert_eq!(leadership.take_turn(), None);
-        leadership.outranked(Token(10));
-        assert_eq!(leadership.take_turn(), Some(Turn::Deposed));
+        leadership.take_change();
+        leadership.on_higher_token(Token(9));
+        assert_eq!(leadership.take_change(), None);
+        leadership.on_higher_token(Token(10));
+        assert_eq!(leadership.take_change(), Some(LeadershipChange::Deposed));
     }
 
     /// A restarted controller revokes the lease of its earlier incarnation once, and no other lease: not another
@@ -564,7 +594,7 @@
     #[test]
     fn only_the_lease_of_an_earlier_incarnation_is_revoked() {
         let row = |member: &str, at: Option<&str>, lease| Row {
-            key: LEAD_KEY.into(),
+            key: LEADER_KEY.into(),
             value: serde_json::json!({"member": member, "nonce": 7, "at": at}),
             version: Revision(9),
             lease,
@@ -584,11 +614,13 @@
                     Leadership::new(Member::new("a"), bound_address.map(str::to_owned));
                 leadership.tick(Mono(0));
                 let found = StoreReply::Found(row.clone());
-                let requests = leadership.answered(Mono(1), &Ask::Read, Mono(0), &found, 7);
-                let revokes = requests.contains(&Ask::Revoke(LeaseId(5)));
+                let requests =
+                    leadership.answered(Mono(1), &LeadershipRequest::Read, Mono(0), &found, 7);
+                let revokes = requests.contains(&LeadershipRequest::Revoke(LeaseId(5)));
                 assert_eq!(revokes, *ends && bound_address.is_some(), "{row:?}");
-                let again = leadership.answered(Mono(2), &Ask::Read, Mono(1), &found, 7);
-                assert!(!again.contains(&Ask::Revoke(LeaseId(5))));
+                let again =
+                    leadership.answered(Mono(2), &LeadershipRequest::Read, Mono(1), &found, 7);
+                assert!(!again.contains(&LeadershipRequest::Revoke(LeaseId(5))));
                 // It does not lead before its own claim has succeeded.
                 assert_eq!(leadership.valid(Mono(3)), None);
             }
@@ -600,7 +632,7 @@
     #[test]
     fn an_undecodable_leader_record_names_no_leader() {
         let row = |version| Row {
-            key: LEAD_KEY.into(),
+            key: LEADER_KEY.into(),
             value: serde_json::json!({"member": 7, "of": "the future"}),
             version: Revision(version),
             lease: Some(LeaseId(5)),
@@ -609,7 +641,7 @@
         for (version, count) in [(21, 1), (21, 1), (22, 2)] {
             let requests = leadership.answered(
                 Mono(80),
-                &Ask::Read,
+                &LeadershipRequest::Read,
                 Mono(79),
                 &StoreReply::Found(row(version)),
                 7,
@@ -620,7 +652,10 @@
                     && leadership.other_leader().is_none()
             );
             assert_eq!(leadership.undecodable, (Token(version), count));
-            assert!(!leadership.tick(Mono(81)).contains(&Ask::Grant), "the key is not free either");
+            assert!(
+                !leadership.tick(Mono(81)).contains(&LeadershipRequest::Grant),
+                "the key is not free either"
+            );
         }
     }
 
@@ -630,24 +665,36 @@
         for (nonce, wins) in [(7, true), (8, false)] {
             let mut leadership = Leadership::new(Member::new("a"), Some("10.0.0.1:80".into()));
             leadership.tick(Mono(0));
-            leadership.answered(Mono(1), &Ask::Read, Mono(0), &StoreReply::Missing(Revision(1)), 7);
+            leadership.answered(
+                Mono(1),
+                &LeadershipRequest::Read,
+                Mono(0),
+                &StoreReply::Missing(Revision(1)),
+                7,
+            );
             let requests = leadership.answered(
                 Mono(2),
-                &Ask::Grant,
+                &LeadershipRequest::Grant,
                 Mono(1),
                 &StoreReply::Granted(LeaseId(3)),
                 7,
             );
             let requests =
                 leadership.answered(Mono(3), &requests[0], Mono(2), &StoreReply::Lost, 0);
-            assert_eq!(requests, vec![Ask::Read]);
+            assert_eq!(requests, vec![LeadershipRequest::Read]);
             let row = Row {
-                key: LEAD_KEY.into(),
+                key: LEADER_KEY.into(),
                 value: serde_json::json!({"member": "a", "nonce": nonce}),
                 version: Revision(5),
                 lease: None,
             };
-            leadership.answered(Mono(4), &Ask::Read, Mono(3), &StoreReply::Found(row), 0);
+            leadership.answered(
+                Mono(4),
+                &LeadershipRequest::Read,
+                Mono(3),
+                &StoreReply::Found(row),
+                0,
+            );
             assert_eq!(leadership.valid(Mono(5)).is_some(), wins);
         }
     }
--- a/crates/core/src/mesh.rs
+++ b/crates/core/src/mesh.rs
@@ -2,7 +2,7 @@
 //! one-way message, and the response.
 
 use crate::api::{Request, Submission};
-use crate::notes::Notes;
+use crate::notes::LeaderHints;
 use oatloom_graph::requests::Ask;
 use oatloom_membership::Gossip;
 use oatloom_protocol::ids::JobId;
@@ -23,14 +23,14 @@
     Report(Box<Report>),
     /// One-way: hints from the leader that the next leader would otherwise lack.
     #[serde(rename = "Notes")]
-    Notes(Box<Notes>),
+    LeaderHints(Box<LeaderHints>),
     /// A request from a client of graphs.
     Graph(Box<Ask>),
     /// One-way: gossip about which controllers are alive, for peers that have received nothing for
     /// a while. Sent only to peers that send it themselves, since earlier versions cannot decode
     /// it.
     #[serde(rename = "Greet")]
-    Greet(Box<Gossip>),
+    Gossip(Box<Gossip>),
 }
 
 impl From<Question> for Request {
@@ -40,19 +40,19 @@
             Question::Abort(job) => Self::Abort(job),
             Question::Submit(spec) => Self::Submit(Submission::Spec(spec)),
             Question::Report(report) => Self::Report(report),
-            Question::Notes(hints) => Self::Notes(hints),
+            Question::LeaderHints(hints) => Self::LeaderHints(hints),
             Question::Graph(request) => Self::Graph(request),
-            Question::Greet(gossip) => Self::Greet(gossip),
+            Question::Gossip(gossip) => Self::Gossip(gossip),
         }
     }
 }
 
 /// A message with the id that its response carries.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Asked {
+pub struct PeerRequestFrame {
     pub id: u64,
     #[serde(rename = "question")]
-    pub question: Question,
+    pub request: Question,
 }
 
 /// The response to the message with the same id.
--- a/crates/core/src/notes.rs
+++ b/crates/core/src/notes.rs
@@ -1,16 +1,16 @@
 //! Hints that a leader sends to its peers for the next leader.
 
-use crate::constants::NOTES_MACHINES_KEPT;
+use crate::constants::MAX_KEPT_HINT_MACHINES;
 use oatloom_membership::Gossip;
 use oatloom_protocol::ids::{HostId, Member, Token};
 use oatloom_protocol::wire::JobSpec;
-use oatloom_zones::Told;
+use oatloom_zones::ZoneReport;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
 /// What a leader knows beyond the durable state. Losing it costs time but breaks no guarantee.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Notes {
+pub struct LeaderHints {
     /// Fencing token of the leader.
     pub token: Token,
     /// The leader that holds this fencing token.
@@ -20,7 +20,7 @@
     pub images: Vec<(HostId, Vec<(String, f64)>)>,
     /// For each class, the mean ratio of actual to estimated run time.
     #[serde(rename = "shown")]
-    pub shown: Vec<(String, f64)>,
+    pub run_time_ratios: Vec<(String, f64)>,
     /// For each class its latest job, and how long ago (ms) its jobs arrived.
     pub arrivals: Vec<(JobSpec, Vec<u64>)>,
     /// Gossip of the leader about itself and the other controllers.
@@ -28,20 +28,20 @@
     pub gossip: Option<Gossip>,
     /// Zones that are lost or were lost recently.
     #[serde(default)]
-    pub zones: Vec<Told>,
+    pub zones: Vec<ZoneReport>,
 }
 
-impl Notes {
+impl LeaderHints {
     /// Merges new hints into earlier ones of the same leader. Each message covers a part of the
     /// fleet, so that its size does not grow with the fleet.
-    pub fn joined(previous: Option<Self>, mut latest: Self) -> Self {
+    pub fn merge(previous: Option<Self>, mut latest: Self) -> Self {
         let Some(mut previous) = previous.filter(|previous| previous.token == latest.token) else {
             return latest;
         };
         let renewed: BTreeSet<HostId> =
             latest.images.iter().map(|(host, _)| host.clone()).collect();
         previous.images.retain(|(host, _)| !renewed.contains(host));
-        let remaining = NOTES_MACHINES_KEPT.saturating_sub(latest.images.len());
+        let remaining = MAX_KEPT_HINT_MACHINES.saturating_sub(latest.images.len());
         let first_kept = previous.images.len().saturating_sub(remaining);
         latest.images.splice(..0, previous.images.drain(first_kept..));
         latest
@@ -56,17 +56,19 @@
     /// Hints about the whole fleet in one message exceeded the frame size.
     #[test]
     fn partial_hints_accumulate_up_to_a_bound() {
-        let hints = |token, hosts: std::ops::Range<usize>| Notes {
+        let hints = |token, hosts: std::ops::Range<usize>| LeaderHints {
             token: Token(token),
             images: hosts.map(|n| (HostId::new(&format!("i-{n:06}")), Vec::new())).collect(),
-            ..Notes::default()
+            ..LeaderHints::default()
         };
-        let previous = Notes::joined(Some(hints(1, 0..100)), hints(1, 50..200));
+        let previous = LeaderHints::merge(Some(hints(1, 0..100)), hints(1, 50..200));
         assert_eq!(previous.images.len(), 200);
-        let previous = Notes::joined(Some(previous), hints(1, 200..2 * NOTES_MACHINES_KEPT));
-        assert!(previous.images.len() >= NOTES_MACHINES_KEPT);
-        let previous = Notes::joined(Some(hints(1, 0..NOTES_MACHINES_KEPT)), hints(1, 0..90));
-        assert_eq!(previous.images.len(), NOTES_MACHINES_KEPT);
-        assert_eq!(Notes::joined(Some(previous), hints(2, 0..3)).images.len(), 3);
+        let previous =
+            LeaderHints::merge(Some(previous), hints(1, 200..2 * MAX_KEPT_HINT_MACHINES));
+        assert!(previous.images.len() >= MAX_KEPT_HINT_MACHINES);
+        let previous =
+            LeaderHints::merge(Some(hints(1, 0..MAX_KEPT_HINT_MACHINES)), hints(1, 0..90));
+        assert_eq!(previous.images.len(), MAX_KEPT_HINT_MACHINES);
+        assert_eq!(LeaderHints::merge(Some(previous), hints(2, 0..3)).images.len(), 3);
     }
 }
--- a/crates/core/src/operators.rs
+++ b/crates/core/src/operators.rs
@@ -2,7 +2,7 @@
 
 use crate::constants;
 use oatloom_graph::limits::Limits;
-use oatloom_ledger::constants::FLUSH_MS;
+use oatloom_ledger::constants::USAGE_FLUSH_PERIOD_MS;
 use oatloom_policy::classes::Classes;
 use oatloom_protocol::ids::Millis;
 use oatloom_protocol::settings::{BadField, Settings};
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 #[cfg_attr(feature = "schema", schemars(rename = "Operators"))]
-pub struct Operators {
+pub struct OperatorSettings {
     /// `error`, `warn`, `info`, `debug` or `trace`; the environment variable `LOG_LEVEL` takes precedence.
     pub log_level: String,
     /// Period of the control loop, in milliseconds.
@@ -43,25 +43,25 @@
     pub graph_limits: Limits,
 }
 
-impl Default for Operators {
+impl Default for OperatorSettings {
     fn default() -> Self {
         Self {
             log_level: "info".into(),
-            tick_ms: constants::TICK_MS.0,
+            tick_ms: constants::TICK_PERIOD_MS.0,
             beta: constants::BETA,
             max_cores: 0.0,
-            silent_reports: constants::SILENT_REPORTS,
-            idle_keep_ms: constants::IDLE_KEEP_MS.0,
+            silent_reports: constants::SILENT_REPORT_PERIODS,
+            idle_keep_ms: constants::MIN_IDLE_KEEP_MS.0,
             classes: Classes::default(),
             ledger: false,
-            ledger_every_ms: FLUSH_MS.0,
+            ledger_every_ms: USAGE_FLUSH_PERIOD_MS.0,
             graphs: false,
             graph_limits: Limits::default(),
         }
     }
 }
 
-impl Operators {
+impl OperatorSettings {
     /// Checks the ranges of the values.
     ///
     /// # Errors
--- a/crates/core/src/owners.rs
+++ b/crates/core/src/owners.rs
@@ -169,25 +169,25 @@
         let mut requests = Vec::new();
         match self.lease {
             Lease::None if now >= self.next_grant => {
-                self.next_grant = now.plus(CLAIM_PAUSE_MS);
+                self.next_grant = now.plus(CLAIM_RETRY_PAUSE_MS);
                 self.set_lease(Lease::Granting, "requesting a lease");
                 requests.push(StoreRequest::GrantLease);
             }
             Lease::Held { id, .. } if now >= self.next_renewal => {
-                self.next_renewal = now.plus(RENEW_MS);
+                self.next_renewal = now.plus(LEASE_RENEWAL_PERIOD_MS);
                 requests.push(StoreRequest::RenewLease(id));
             }
             _ => {}
         }
         if !self.list_in_progress && now >= self.next_list {
             // The watch may be stuck, so the keys are also polled, as is the leader key.
-            self.next_list = now.plus(LEADER_POLL_MS);
+            self.next_list = now.plus(LEADER_KEY_POLL_PERIOD_MS);
             self.list_in_progress = true;
             requests.push(StoreRequest::ListKeys { after: String::new(), first_revision: None });
         }
         if now >= self.next_reconcile && self.lease_valid(now) {
-            self.next_reconcile = now.plus(OWNERS_AGAIN_MS);
-            self.lapsed_members.retain(|_, since| now.since(*since) < LAPSED_MS);
+            self.next_reconcile = now.plus(OWNERS_CHECK_PERIOD_MS);
+            self.lapsed_members.retain(|_, since| now.since(*since) < LAPSED_OWNER_EXCLUSION_MS);
             self.reconcile(now, present, &mut requests);
         }
         requests
@@ -237,8 +237,10 @@
     ) -> Option<MemberIndex> {
         // Controllers with different maps may each consider another one the owner of a share. One
         // that stays free for long goes to whichever controller claims it first.
-        let unclaimed =
-            self.unclaimed_since.get(&share).is_some_and(|at| now.since(*at) >= UNCLAIMED_MS);
+        let unclaimed = self
+            .unclaimed_since
+            .get(&share)
+            .is_some_and(|at| now.since(*at) >= UNOWNED_CLAIM_DELAY_MS);
         if unclaimed || self.newer_offers.contains_key(&share) {
             return Some(self.me);
         }
@@ -357,7 +359,7 @@
                 StoreReply::Granted(id) => {
                     let until = lease_end(sent);
                     self.set_lease(Lease::Held { id, nonce: random, until }, "granted");
-                    self.next_renewal = now.plus(RENEW_MS);
+                    self.next_renewal = now.plus(LEASE_RENEWAL_PERIOD_MS);
                     self.next_list = now;
                 }
                 // If the lease was granted after all, it ends by itself.
--- a/crates/core/src/parked.rs
+++ b/crates/core/src/parked.rs
@@ -2,7 +2,9 @@
 //! orders are sent only with the answer to a report, so a machine that has just been answered would
 //! get its next task a whole report period later; one whose report is still open gets it at once.
 
-use crate::constants::{PARKED_AT_ONCE, PARKED_FEW, PARKED_SWEEP_MS};
+use crate::constants::{
+    MAX_PARKED_ANSWERS_PER_EVENT, MAX_PARKED_FULL_SCAN, PARKED_SWEEP_PERIOD_MS,
+};
 use crate::reply::ConnId;
 use oatloom_protocol::ids::{HostId, Mono, Shift, Tally};
 use oatloom_protocol::wire::Report;
@@ -10,22 +12,22 @@
 
 /// A report that has not been answered yet.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Parked {
+pub struct ParkedReport {
     pub conn: ConnId,
     pub shift: Shift,
     pub tally: Tally,
     /// Latest time of its answer, well before its worker times out.
     pub deadline: Mono,
     /// The report itself, if it has not been applied yet.
-    pub unread: Option<Box<Report>>,
+    pub unapplied: Option<Box<Report>>,
 }
 
 /// Which parked reports are checked. Checking all of them at every event cost a leader of thousands of machines more than
 /// handling its reports, growing with the number of parked reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Look {
+pub enum ParkedScan {
     /// Only those whose deadline has passed.
-    Deadlines,
+    Expired,
     /// Also those of watched machines.
     Watched,
 }
@@ -33,7 +35,7 @@
 /// Parked reports by machine and by deadline.
 #[derive(Debug, Default)]
 pub struct ParkedReports {
-    waiting: BTreeMap<HostId, Parked>,
+    waiting: BTreeMap<HostId, ParkedReport>,
     by_deadline: BTreeSet<(Mono, HostId)>,
     /// Machines for which there may be orders before their deadline.
     watched: BTreeSet<HostId>,
@@ -58,7 +60,7 @@
             self.watched.insert(host.clone());
         }
         self.by_deadline.insert((deadline, host.clone()));
-        self.waiting.insert(host, Parked { conn, shift, tally, deadline, unread });
+        self.waiting.insert(host, ParkedReport { conn, shift, tally, deadline, unapplied: unread });
     }
 
     /// Watches a machine for which there may be orders now or soon.
@@ -69,7 +71,7 @@
     }
 
     /// Number of reports checked so far.
-    pub fn looks(&self) -> u64 {
+    pub fn checked_reports(&self) -> u64 {
         self.checked_reports
     }
 
@@ -88,7 +90,7 @@
     }
 
     /// Removes a machine's parked report: a newer one has come, or it is being answered.
-    pub fn take(&mut self, host: &HostId) -> Option<Parked> {
+    pub fn take(&mut self, host: &HostId) -> Option<ParkedReport> {
         let parked = self.waiting.remove(host)?;
         self.by_deadline.remove(&(parked.deadline, host.clone()));
         self.watched.remove(host);
@@ -96,7 +98,7 @@
     }
 
     /// Removes all parked reports, to be answered because this controller no longer leads.
-    pub fn take_all(&mut self) -> BTreeMap<HostId, Parked> {
+    pub fn take_all(&mut self) -> BTreeMap<HostId, ParkedReport> {
         self.by_deadline.clear();
         self.watched.clear();
         std::mem::take(&mut self.waiting)
@@ -107,29 +109,29 @@
     pub fn due(
         &mut self,
         now: Mono,
-        look: Look,
-        ready: impl Fn(&HostId, &Parked) -> bool,
+        look: ParkedScan,
+        ready: impl Fn(&HostId, &ParkedReport) -> bool,
     ) -> Vec<HostId> {
-        if self.waiting.len() <= PARKED_FEW {
+        if self.waiting.len() <= MAX_PARKED_FULL_SCAN {
             self.checked_reports += self.waiting.len() as u64;
-            let due = |(host, p): &(&HostId, &Parked)| now >= p.deadline || ready(host, p);
+            let due = |(host, p): &(&HostId, &ParkedReport)| now >= p.deadline || ready(host, p);
             return self.waiting.iter().filter(due).map(|(host, _)| host.clone()).collect();
         }
         let expired = self.by_deadline.iter().take_while(|(deadline, _)| now >= *deadline);
         let mut due: Vec<HostId> =
-            expired.take(PARKED_AT_ONCE).map(|(_, host)| host.clone()).collect();
+            expired.take(MAX_PARKED_ANSWERS_PER_EVENT).map(|(_, host)| host.clone()).collect();
         let sweep_due = now >= self.next_sweep;
         if sweep_due {
-            self.next_sweep = now.plus(PARKED_SWEEP_MS);
+            self.next_sweep = now.plus(PARKED_SWEEP_PERIOD_MS);
         }
         let to_check: Box<dyn Iterator<Item = &HostId>> = match look {
             _ if sweep_due => Box::new(self.waiting.keys()),
-            Look::Watched => Box::new(self.watched.iter()),
-            Look::Deadlines => return due,
+            ParkedScan::Watched => Box::new(self.watched.iter()),
+            ParkedScan::Expired => return due,
         };
         let mut checked = 0;
         for host in to_check {
-            if due.len() >= PARKED_AT_ONCE {
+            if due.len() >= MAX_PARKED_ANSWERS_PER_EVENT {
                 break;
             }
             checked += 1;
--- a/crates/core/src/placement/exchange.rs
+++ b/crates/core/src/placement/exchange.rs
@@ -3,8 +3,10 @@
 
 use super::slots::{Availability, Search, accepts_tasks};
 use super::{Need, Pass};
-use crate::constants::{DOWN_FETCH_S, EXCHANGE_SEARCHES_MOST, EXCHANGE_TARGETS, SETTLED_S};
-use crate::jobs::{Book, Job, StopWhy};
+use crate::constants::{
+    MAX_DOWN_REPLICA_FETCH_S, MAX_EXCHANGE_SEARCHES, MAX_EXCHANGE_TARGETS, MIN_REPLICA_RUN_S,
+};
+use crate::jobs::{Job, JobTable, StopReason};
 use crate::workers::Machine;
 use oatloom_protocol::ids::TaskId;
 use oatloom_protocol::wire::Shape;
@@ -23,9 +25,9 @@
     /// room is being made. Without it, when the last free room of a region lies in one zone, for
     /// example after an outage of that zone, each further service gets half of its replicas and
     /// none is ever fully up.
-    pub(super) fn exchange_replica(&mut self, need: &Need, job_table: &Book) -> bool {
+    pub(super) fn exchange_replica(&mut self, need: &Need, job_table: &JobTable) -> bool {
         let job = need.job;
-        if job.spec.shape != Shape::Service || self.exchange_searches >= EXCHANGE_SEARCHES_MOST {
+        if job.spec.shape != Shape::Service || self.exchange_searches >= MAX_EXCHANGE_SEARCHES {
             return false;
         }
         let targets = self.exchange_targets(need);
@@ -37,7 +39,7 @@
         let Some(best) = self.best_move(need, &targets, job_table) else { return false };
         let Some(moved) = job_table.get(&best.task.job) else { return false };
         let Some(target) = self.slot_pool.slots[best.to].machine else { return false };
-        self.plan.stops.push((best.task, StopWhy::Moved, moved.spec.save_s));
+        self.plan.stops.push((best.task, StopReason::Moved, moved.spec.save_s));
         self.reserve(best.from, job);
         self.reserve(target, moved);
         self.slot_pool.occupy(&mut Search::default(), best.to, &Need::new(self.settings, moved));
@@ -57,7 +59,7 @@
                 continue;
             }
             let same = |other: &&usize| self.slot_pool.slots[**other].kind() == slot.kind();
-            if found.iter().filter(same).count() < EXCHANGE_TARGETS {
+            if found.iter().filter(same).count() < MAX_EXCHANGE_TARGETS {
                 found.push(slot_index);
             }
         }
@@ -70,26 +72,26 @@
         &self,
         need: &Need,
         targets: &[usize],
-        job_table: &Book,
+        job_table: &JobTable,
     ) -> Option<ReplicaMove<'a>> {
         let zones = self.zones(need.job);
         let mut best: Option<ReplicaMove> = None;
         for machine in self.fleet.machines.values() {
             let eligible = accepts_tasks(self.fleet, machine, self.now)
-                && machine.kept_for(self.now).is_none()
-                && self.plan.reserve.iter().all(|(host, _)| *host != machine.id)
+                && machine.reserved_for(self.now).is_none()
+                && self.plan.reservations.iter().all(|(host, _)| *host != machine.id)
                 && need.allows(&machine.flavor, &machine.zone, machine.spot)
                 && need.allows_zone(&machine.zone, &zones)
                 && !need.job.avoids(&machine.id);
             if !eligible {
                 continue;
             }
-            let mut free = self.fleet.free_room(machine);
+            let mut free = self.fleet.free_resources(machine);
             if let Some(taken) = self.room_taken.get(&machine.id) {
-                free.take(taken);
+                free.subtract(taken);
             }
             let fetch_s = self.fleet.fetch_s(machine, &need.job.spec);
-            for (task, room) in &machine.held {
+            for (task, room) in &machine.assigned {
                 let mut left = free;
                 left.add(room);
                 let Some(moved) = job_table.get(&task.job).filter(|_| left.fits(&need.room)) else {
@@ -113,12 +115,12 @@
     /// Whether the replica belongs to a service that is fully up with no replica being stopped, and
     /// has run long enough: a replica that is moved again and again is of no use.
     fn is_settled(&self, job: &Job, index: u32) -> bool {
-        let settled = |at| self.now.since(at).secs() >= SETTLED_S;
+        let settled = |at| self.now.since(at).secs() >= MIN_REPLICA_RUN_S;
         job.spec.shape == Shape::Service
-            && job.held == job.spec.tasks
-            && job.holds().all(|(_, hold)| hold.stop.is_none())
+            && job.assigned == job.spec.tasks
+            && job.assignments().all(|(_, hold)| hold.stop.is_none())
             && self.plan.stops.iter().all(|(task, _, _)| task.job != job.spec.id)
-            && job.hold(index).and_then(|hold| hold.running_since).is_some_and(settled)
+            && job.assignment(index).and_then(|hold| hold.running_since).is_some_and(settled)
     }
 
     /// The slot to which the replica on `from` can move with the shortest image fetch, and the
@@ -142,6 +144,6 @@
             .iter()
             .filter(allowed)
             .map(|slot_index| (*slot_index, self.slot_pool.fetch_s(*slot_index, &need)));
-        fetches.filter(|(_, s)| *s <= DOWN_FETCH_S).min_by(|a, b| a.1.total_cmp(&b.1))
+        fetches.filter(|(_, s)| *s <= MAX_DOWN_REPLICA_FETCH_S).min_by(|a, b| a.1.total_cmp(&b.1))
     }
 }
--- a/crates/core/src/placement/gangs.rs
+++ b/crates/core/src/placement/gangs.rs
@@ -7,24 +7,24 @@
     pub(super) fn preemptible_places(
         &mut self,
         need: &Need,
-        job_table: &Book,
+        job_table: &JobTable,
     ) -> BTreeMap<Zone, usize> {
         let mut zones = BTreeMap::new();
         for m in self.fleet.machines.values() {
             if !accepts_tasks(self.fleet, m, self.now) || !need.allows(&m.flavor, &m.zone, m.spot) {
                 continue;
             }
-            let mut room = Room::default();
-            for (task, held) in &m.held {
+            let mut room = Resources::default();
+            for (task, held) in &m.assigned {
                 let lower = |j: &Job| j.spec.shape == Shape::Array && j.rank() < need.job.rank();
                 if job_table.get(&task.job).is_some_and(lower) {
                     room.add(held);
                 }
             }
-            self.plan.steps += m.held.len() as u64;
+            self.plan.steps += m.assigned.len() as u64;
             let mut places = 0;
             while room.fits(&need.room) {
-                room.take(&need.room);
+                room.subtract(&need.room);
                 places += 1;
             }
             *zones.entry(m.zone.clone()).or_default() += places;
@@ -74,7 +74,7 @@
     }
 
     /// Places a gang as a whole or not at all.
-    pub(super) fn place_gang(&mut self, job: &Job, tasks: &[u32], job_table: &Book) {
+    pub(super) fn place_gang(&mut self, job: &Job, tasks: &[u32], job_table: &JobTable) {
         let need = Need::new(self.settings, job);
         if (self.tasks_within_limit(job)) < job.spec.tasks || tasks.len() < job.spec.tasks as usize
         {
@@ -92,13 +92,13 @@
             for (index, slot_index) in tasks.iter().zip(places) {
                 self.start(job, *index, slot_index);
             }
-            self.plan.placed_kept |= self.slot_pool.has_reserved(&job.spec.id);
+            self.plan.used_reservation |= self.slot_pool.has_reserved(&job.spec.id);
             return;
         }
         // Machines that are being cleared are reserved for the gang and come sooner than new ones.
         // The wait is limited, since that room may never come.
         let clearing = self.make_room(&need, job_table, false, &sites);
-        if clearing && self.now.since(job.released) < RESERVE_MS {
+        if clearing && self.now.since(job.released) < RESERVATION_TTL_MS {
             return;
         }
         // It cannot start now: reserves live room first, then machines that boot or are to be
@@ -151,7 +151,7 @@
         let placed = (0..count).all(|_| {
             picker.take_live(self, need).is_some() || picker.take_pending(self, need, true)
         });
-        let price = |(kind, _): &(Kind, bool)| {
+        let price = |(kind, _): &(MachineKind, bool)| {
             let flavor = self.fleet.flavor(&kind.flavor);
             flavor.map_or(0.0, |f| self.slot_pool.weighted_price(f, &kind.zone, kind.spot))
         };
@@ -162,7 +162,7 @@
         None
     }
 
-    pub(super) fn savepoint(&self, job: &Job) -> (slots::Savepoint, Option<Usage>, usize) {
+    pub(super) fn savepoint(&self, job: &Job) -> (slots::Savepoint, Option<TeamUsage>, usize) {
         let usage = self.usage.get(&job.spec.team).copied();
         (self.slot_pool.savepoint(), usage, self.plan.hires.len())
     }
@@ -170,7 +170,7 @@
     pub(super) fn roll_back(
         &mut self,
         job: &Job,
-        (savepoint, usage, hires): (slots::Savepoint, Option<Usage>, usize),
+        (savepoint, usage, hires): (slots::Savepoint, Option<TeamUsage>, usize),
     ) {
         self.slot_pool.roll_back(savepoint);
         self.usage.insert(job.spec.team.clone(), usage.unwrap_or_default());
--- a/crates/core/src/placement/limits.rs
+++ b/crates/core/src/placement/limits.rs
@@ -5,7 +5,7 @@
 use oatloom_protocol::wire::JobSpec;
 
 /// How many more tasks of this size the team's limit allows on top of `used`.
-pub(super) fn tasks_allowed(team: &Team, used: Usage, spec: &JobSpec) -> u32 {
+pub(super) fn tasks_allowed(team: &Team, used: TeamUsage, spec: &JobSpec) -> u32 {
     let more = |cap: f64, used: f64, each: f64| {
         if cap <= 0.0 || each <= 0.0 {
             f64::MAX
@@ -21,11 +21,11 @@
 /// Usage of each team that has a limit, including tasks counted by [`Headroom::take`].
 #[derive(Debug)]
 pub struct Headroom<'a> {
-    used: BTreeMap<&'a str, (&'a Team, Usage)>,
+    used: BTreeMap<&'a str, (&'a Team, TeamUsage)>,
 }
 
 impl<'a> Headroom<'a> {
-    pub fn new(settings: &'a Settings, job_table: &Book) -> Self {
+    pub fn new(settings: &'a Settings, job_table: &JobTable) -> Self {
         let limited = |t: &&Team| t.cpus_max > 0.0 || t.gpus_max > 0.0;
         let used = |t: &'a Team| (t, job_table.usage.get(&t.name).copied().unwrap_or_default());
         let teams = settings.facts.teams.iter().filter(limited);
@@ -33,7 +33,7 @@
     }
 
     /// Whether no team has a limit.
-    pub fn boundless(&self) -> bool {
+    pub fn is_unlimited(&self) -> bool {
         self.used.is_empty()
     }
 
@@ -43,7 +43,7 @@
     }
 
     /// Counts this many more tasks as used.
-    pub fn take(&mut self, spec: &JobSpec, tasks: u32) {
+    pub fn subtract(&mut self, spec: &JobSpec, tasks: u32) {
         if let Some((_, used)) = self.used.get_mut(spec.team.as_str()) {
             used.cpus += spec.cpus * f64::from(tasks);
             used.gpus += spec.gpus * f64::from(tasks);
@@ -52,9 +52,9 @@
 }
 
 /// Open jobs with tasks that may start now, in placement order, each with its latest start time.
-pub fn in_order(
+pub fn placement_order(
     settings: &Settings,
-    job_table: &Book,
+    job_table: &JobTable,
     guaranteed: &BTreeMap<JobId, ()>,
     now: Mono,
 ) -> Vec<(JobId, Mono)> {
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -12,15 +12,17 @@
 mod slots;
 mod standby;
 
-use crate::cloud::Kind;
+use crate::cloud::MachineKind;
 use crate::constants::*;
-use crate::jobs::{Book, Gang, Hold, Job, JobState, StopWhy, Usage};
-use crate::workers::{Fleet, Life, Machine, Room};
-pub use limits::{Headroom, in_order};
+use crate::jobs::{GangState, Job, JobState, JobTable, StopReason, TaskAssignment, TeamUsage};
+use crate::workers::{Fleet, Machine, MachineState, Resources};
+pub use limits::{Headroom, placement_order};
 use oatloom_protocol::ids::*;
 use oatloom_protocol::settings::Settings;
 use oatloom_protocol::wire::{Flavor, JobSpec, Shape};
-pub use objectives::{any_eager, due, eager, guaranteed, latest_release, objective};
+pub use objectives::{
+    any_urgent_class, deadline, guaranteed_jobs, latest_release, objective_s, urgent_wait_s,
+};
 use objectives::{array_tasks_left, latest_start};
 use services::ServiceTurns;
 use slot_picker::SlotPicker;
@@ -30,45 +32,45 @@
 
 /// The decisions of one placement pass.
 #[derive(Debug, Default)]
-pub struct Plan {
+pub struct PlacementPlan {
     /// Tasks to start: the job, the task's index and the machine.
     pub starts: Vec<(JobId, u32, HostId)>,
     /// Tasks to stop to make room, why, and the seconds that each is given to save its state.
-    pub stops: Vec<(TaskId, StopWhy, f64)>,
+    pub stops: Vec<(TaskId, StopReason, f64)>,
     /// Machines to reserve, and for which job.
-    pub reserve: Vec<(HostId, JobId)>,
+    pub reservations: Vec<(HostId, JobId)>,
     /// Machines to hire; `true` if the bound of the control loop does not apply.
-    pub hires: Vec<(Kind, bool)>,
+    pub hires: Vec<(MachineKind, bool)>,
     /// Gangs to checkpoint and restart on spot machines, which are reserved for them.
-    pub moves: Vec<JobId>,
+    pub moves_to_spot: Vec<JobId>,
     /// Live machines whose room is kept free for jobs that are likely to arrive.
-    pub ready: BTreeSet<HostId>,
+    pub ready_machines: BTreeSet<HostId>,
     /// Whether a gang was placed on machines that had been reserved for it.
-    pub placed_kept: bool,
+    pub used_reservation: bool,
     /// Slots examined: the cost of the pass.
     pub steps: u64,
 }
 
 /// What a placement pass needs to know.
-pub struct Inputs<'a> {
+pub struct PlacementInputs<'a> {
     pub now: Mono,
     pub settings: &'a Settings,
-    pub book: &'a mut Book,
+    pub job_table: &'a mut JobTable,
     pub fleet: &'a Fleet,
     /// Tasks that each array may run at once by its rate.
-    pub paced: &'a BTreeMap<JobId, u32>,
+    pub array_task_limits: &'a BTreeMap<JobId, u32>,
     /// Machines requested from the cloud but not answered yet.
-    pub awaited: Vec<(Kind, u32)>,
+    pub pending_hires: Vec<(MachineKind, u32)>,
     /// Jobs that are likely to arrive before a machine hired for them would be up, and how many.
     pub expected: &'a [(Job, u32)],
     /// Whether the cloud refused a kind of machine lately.
-    pub refused: &'a dyn Fn(&Kind) -> bool,
+    pub refused: &'a dyn Fn(&MachineKind) -> bool,
 }
 
 /// What a task of a job needs and where it may run.
 struct Need<'a> {
     job: &'a Job,
-    room: Room,
+    room: Resources,
     /// Seconds of image fetch, or of waiting for a report, that weigh as much as a whole free
     /// machine.
     delay_weight_s: f64,
@@ -76,9 +78,9 @@
 
 impl<'a> Need<'a> {
     fn new(settings: &Settings, job: &'a Job) -> Self {
-        let within = eager(settings, &job.spec.class).unwrap_or(FETCH_WEIGHT_S);
+        let within = urgent_wait_s(settings, &job.spec.class).unwrap_or(FETCH_WEIGHT_S);
         let delay_weight_s = within.clamp(1.0, FETCH_WEIGHT_S);
-        Self { job, room: Room::from(&*job.spec), delay_weight_s }
+        Self { job, room: Resources::from(&*job.spec), delay_weight_s }
     }
 
     fn allows(&self, flavor: &str, zone: &Zone, spot: bool) -> bool {
@@ -105,16 +107,16 @@
     spec: &'a JobSpec,
     flavors: &'a [Flavor],
 ) -> impl Iterator<Item = &'a Flavor> + use<'a> {
-    let need = Room::from(spec);
+    let need = Resources::from(spec);
     flavors.iter().filter(move |f| {
         spec.flavors.as_ref().is_none_or(|list| list.contains(&f.label))
             && spec.zone.as_ref().is_none_or(|z| f.zones.contains(z))
-            && Room::from(*f).fits(&need)
+            && Resources::from(*f).fits(&need)
     })
 }
 
 /// Whether a task of the job fits any machine type that it may use.
-pub fn fits_some(spec: &JobSpec, flavors: &[Flavor]) -> bool {
+pub fn fits_any_flavor(spec: &JobSpec, flavors: &[Flavor]) -> bool {
     fitting_flavors(spec, flavors).next().is_some()
 }
 
@@ -125,7 +127,7 @@
         Some(only) => only == zone,
         // A job that fits no machine type needs no zone.
         None => {
-            fits_some(spec, flavors)
+            fits_any_flavor(spec, flavors)
                 && fitting_flavors(spec, flavors).all(|f| f.zones.iter().all(|z| z == zone))
         }
     }
@@ -134,7 +136,7 @@
 /// Whether one more task of the job may be placed on the machine: its own constraints, the zones of
 /// its other tasks and its team's limit. Checked again for every single start, whatever the plan
 /// says.
-pub fn permitted(settings: &Settings, job_table: &Book, job: &Job, machine: &Machine) -> bool {
+pub fn may_place(settings: &Settings, job_table: &JobTable, job: &Job, machine: &Machine) -> bool {
     let need = Need::new(settings, job);
     let Some(team) = settings.team(&job.spec.team) else { return false };
     let used = job_table.usage.get(&job.spec.team).copied().unwrap_or_default();
@@ -144,7 +146,7 @@
     let within =
         |most: f64, used: f64, each: f64| most <= 0.0 || each <= 0.0 || used + each <= most + 1e-6;
     need.allows(&machine.flavor, &machine.zone, machine.spot)
-        && (job.apart() != Some(true) || !machine.holds_of(&job.spec.id))
+        && (job.anti_affinity() != Some(true) || !machine.has_task_of(&job.spec.id))
         && need.allows_zone(&machine.zone, &job.zones)
         && within(team.cpus_max, used.cpus, job.spec.cpus)
         && within(team.gpus_max, used.gpus, job.spec.gpus)
@@ -154,14 +156,14 @@
     now: Mono,
     settings: &'a Settings,
     fleet: &'a Fleet,
-    is_refused: &'a dyn Fn(&Kind) -> bool,
+    is_refused: &'a dyn Fn(&MachineKind) -> bool,
     slot_pool: SlotPool<'a>,
-    usage: BTreeMap<String, Usage>,
+    usage: BTreeMap<String, TeamUsage>,
     /// Tasks of each job that this pass has started, by zone, so that an array's second turn in the
     /// pass takes its first into account.
     started: BTreeMap<JobId, BTreeMap<Zone, u32>>,
     /// Room taken on each machine by the starts of this pass.
-    room_taken: BTreeMap<&'a HostId, Room>,
+    room_taken: BTreeMap<&'a HostId, Resources>,
     preemption_searches: usize,
     /// The tasks on each machine, cached once a search has needed them.
     placed_tasks: Option<preemption::PlacedTasks<'a>>,
@@ -169,23 +171,23 @@
     image_searches: usize,
     /// Searches made so far for replicas that could change zone.
     exchange_searches: usize,
-    plan: Plan,
+    plan: PlacementPlan,
 }
 
 /// Runs one placement pass over all jobs.
-pub fn plan(inputs: Inputs) -> Plan {
-    let Inputs {
+pub fn plan(inputs: PlacementInputs) -> PlacementPlan {
+    let PlacementInputs {
         now,
         settings,
-        book: job_table,
+        job_table: job_table,
         fleet,
-        paced,
-        awaited,
+        array_task_limits: paced,
+        pending_hires: awaited,
         expected,
         refused: is_refused,
     } = inputs;
-    let guaranteed = guaranteed(settings, job_table);
-    let order = in_order(settings, job_table, &guaranteed, now);
+    let guaranteed = guaranteed_jobs(settings, job_table);
+    let order = placement_order(settings, job_table, &guaranteed, now);
     let mut pass = Pass {
         now,
         settings,
@@ -199,14 +201,16 @@
         placed_tasks: None,
         image_searches: 0,
         exchange_searches: 0,
-        plan: Plan::default(),
+        plan: PlacementPlan::default(),
     };
     // An array that has waited long without starting anything gets one task placed first, whatever
     // its rank: in the Dithen paper, too, one task of a kind runs first. Otherwise the largest jobs
     // of a class never begin beside a stream of others. Nothing is preempted for it.
     let mut first_tasks: BTreeMap<JobId, u32> = BTreeMap::new();
     for (id, _) in &order {
-        let Some(job) = job_table.jobs.get_mut(id).filter(|job| job.unbegun(now)) else { continue };
+        let Some(job) = job_table.jobs.get_mut(id).filter(|job| job.is_starved(now)) else {
+            continue;
+        };
         let task = job.pending_tasks(1, now);
         let before = pass.plan.starts.len();
         pass.place_independent(&job_table.jobs[id], &task, false, job_table, false);
@@ -218,7 +222,7 @@
     let mut beyond_rate = Vec::new();
     let mut services = ServiceTurns::new(&order, job_table, &guaranteed, now);
     for (id, _) in &order {
-        if pass.plan.starts.len() >= PLACE_BATCH {
+        if pass.plan.starts.len() >= MAX_STARTS_PER_PASS {
             break;
         }
         let is_service = job_table.get(id).is_some_and(|job| job.spec.shape == Shape::Service);
@@ -234,7 +238,7 @@
             Shape::Array => {
                 let by_rate = paced.get(id).copied().unwrap_or(1).max(1);
                 let startable = job.startable(now);
-                let allowed_now = by_rate.saturating_sub(job.held).min(startable);
+                let allowed_now = by_rate.saturating_sub(job.assigned).min(startable);
                 if allowed_now < startable {
                     beyond_rate.push((id.clone(), allowed_now));
                 }
@@ -242,24 +246,24 @@
             }
             _ => job.startable(now),
         };
-        let mut tasks = job.pending_tasks((allowed_tasks as usize).min(PLACE_BATCH), now);
+        let mut tasks = job.pending_tasks((allowed_tasks as usize).min(MAX_STARTS_PER_PASS), now);
         tasks.retain(|task| first_tasks.get(id) != Some(task));
         let job_table = &*job_table;
         let Some(job) = job_table.get(id) else { continue };
-        if job.spec.shape == Shape::Gang && job.gang == Gang::Idle {
+        if job.spec.shape == Shape::Gang && job.gang == GangState::Idle {
             pass.place_gang(job, &tasks, job_table);
-        } else if !matches!(job.gang, Gang::Running(_) | Gang::Clearing(_)) {
+        } else if !matches!(job.gang, GangState::Running(_) | GangState::Clearing(_)) {
             pass.place_independent(job, &tasks, true, job_table, guaranteed.contains_key(id));
         }
     }
     for (id, taken) in beyond_rate {
-        if pass.plan.starts.len() >= PLACE_BATCH {
+        if pass.plan.starts.len() >= MAX_STARTS_PER_PASS {
             break;
         }
         let Some(job) = job_table.jobs.get_mut(&id) else {
             continue;
         };
-        let tasks = job.pending_tasks(PLACE_BATCH, now);
+        let tasks = job.pending_tasks(MAX_STARTS_PER_PASS, now);
         let already_started = |task: &u32| first_tasks.get(&id) == Some(task);
         let rest: Vec<u32> =
             tasks.into_iter().skip(taken as usize).filter(|task| !already_started(task)).collect();
@@ -276,17 +280,17 @@
 
 /// Whether the services on a machine would find room on other live machines that have their images.
 /// Its other tasks are left to end by themselves.
-pub fn room_elsewhere(
+pub fn services_fit_elsewhere(
     now: Mono,
     settings: &Settings,
-    job_table: &Book,
+    job_table: &JobTable,
     fleet: &Fleet,
     host: &HostId,
 ) -> bool {
     let Some(machine) = fleet.machines.get(host) else { return false };
     let mut slot_pool = SlotPool::new(fleet, &[], 0.0, now);
-    slot_pool.exclude_live(|m| m.id == *host || m.life == Life::Closing);
-    machine.held.keys().all(|task| {
+    slot_pool.exclude_live(|m| m.id == *host || m.state == MachineState::Closing);
+    machine.assigned.keys().all(|task| {
         let Some(job) = job_table.get(&task.job) else { return true };
         if job.spec.shape != Shape::Service {
             return true;
@@ -337,7 +341,7 @@
     fn start(&mut self, job: &Job, index: u32, slot_index: usize) {
         let Some(machine) = self.slot_pool.slots[slot_index].machine else { return };
         self.plan.starts.push((job.spec.id.clone(), index, machine.id.clone()));
-        self.room_taken.entry(&machine.id).or_default().add(&Room::from(&*job.spec));
+        self.room_taken.entry(&machine.id).or_default().add(&Resources::from(&*job.spec));
         let zones = self.started.entry(job.spec.id.clone()).or_default();
         *zones.entry(machine.zone.clone()).or_default() += 1;
     }
@@ -348,7 +352,7 @@
         job: &Job,
         tasks: &[u32],
         hire: bool,
-        job_table: &Book,
+        job_table: &JobTable,
         is_guaranteed: bool,
     ) {
         let need = Need::new(self.settings, job);
@@ -357,13 +361,13 @@
         let mut lacks_room = false;
         let mut nothing_to_hire = false;
         let mut urgent = None;
-        let was_up = job.spec.shape == Shape::Service && job.up;
+        let was_up = job.spec.shape == Shape::Service && job.was_up;
         for index in tasks.iter().take(limit) {
             // Without this a replica that was up waits up to a minute for its image while machines
             // that have the image run work of lower rank.
             if was_up && let Some(slot_index) = picker.peek_live(self, &need) {
                 let fetch_s = self.slot_pool.fetch_s(slot_index, &need);
-                if fetch_s > DOWN_FETCH_S
+                if fetch_s > MAX_DOWN_REPLICA_FETCH_S
                     && (self.make_room_at_image(&need, job_table)
                         || self.await_image_room(&need, fetch_s))
                 {
@@ -400,9 +404,9 @@
     /// returned.
     fn starved(&self, need: &Need) -> bool {
         let job = need.job;
-        job.held == 0
-            && (self.now.since(job.released).secs() > STARVED_S
-                || !job.held_to_burnt()
+        job.assigned == 0
+            && (self.now.since(job.released).secs() > STARVATION_S
+                || !job.confined_to_failed_hosts()
                     && !self
                         .slot_pool
                         .any_usable(need, &self.slot_pool.mask(need, &job.zones, None)))
@@ -412,11 +416,12 @@
     fn cheapest_kind(&self, need: &Need, mask: &[bool]) -> Option<usize> {
         let mut best: Option<(f64, usize)> = None;
         for (slot_index, (flavor, zone, spot)) in self.slot_pool.kinds.iter().enumerate() {
-            let capacity = Room::from(*flavor);
+            let capacity = Resources::from(*flavor);
             if !mask[slot_index] || !capacity.fits(&need.room) || !flavor.zones.contains(zone) {
                 continue;
             }
-            let kind = Kind { flavor: flavor.label.clone(), zone: zone.clone(), spot: *spot };
+            let kind =
+                MachineKind { flavor: flavor.label.clone(), zone: zone.clone(), spot: *spot };
             if (self.is_refused)(&kind) {
                 continue;
             }
--- a/crates/core/src/placement/objectives.rs
+++ b/crates/core/src/placement/objectives.rs
@@ -5,7 +5,7 @@
 
 /// Shortest time in seconds within which an objective of this kind (`wait`, `finished`) wants jobs
 /// of the class started or finished, if there is one.
-pub fn objective(settings: &Settings, class: &str, kind: &str) -> Option<f64> {
+pub fn objective_s(settings: &Settings, class: &str, kind: &str) -> Option<f64> {
     settings
         .facts
         .objectives
@@ -17,12 +17,12 @@
 
 /// Seconds within which users want the class started, if that is so few report periods that waiting
 /// for a machine's next report would make the job late.
-pub fn eager(settings: &Settings, class: &str) -> Option<f64> {
-    objective(settings, class, "wait").filter(|within| *within <= urgent_within_s(settings))
+pub fn urgent_wait_s(settings: &Settings, class: &str) -> Option<f64> {
+    objective_s(settings, class, "wait").filter(|within| *within <= urgent_within_s(settings))
 }
 
 /// Whether any class is that urgent.
-pub fn any_eager(settings: &Settings) -> bool {
+pub fn any_urgent_class(settings: &Settings) -> bool {
     let soon = |within: f64| within <= urgent_within_s(settings);
     let objectives = settings.facts.objectives.iter();
     objectives
@@ -31,16 +31,16 @@
 }
 
 pub(super) fn urgent_within_s(settings: &Settings) -> f64 {
-    settings.facts.workers.report_s * EAGER_REPORTS
+    settings.facts.workers.report_s * URGENT_REPORT_PERIODS
 }
 
 /// When the job should be finished.
-pub fn due(settings: &Settings, job: &Job) -> Mono {
+pub fn deadline(settings: &Settings, job: &Job) -> Mono {
     let spec = &job.spec;
     let within = spec
         .deadline_s
-        .or_else(|| objective(settings, &spec.class, "finished"))
-        .unwrap_or(UNDATED_S);
+        .or_else(|| objective_s(settings, &spec.class, "finished"))
+        .unwrap_or(DEFAULT_DEADLINE_S);
     let counted_from = if spec.deadline_s.is_some() { job.submitted } else { job.released };
     let own = counted_from.plus(Millis::from_secs(within));
     job.inherited.latest_end.map_or(own, |latest| latest.min(own))
@@ -72,7 +72,7 @@
         Shape::Service => 0.0,
         _ => spec.estimate_s,
     };
-    let finish = due(settings, job).0 as f64 / 1000.0 - run_s - overhead_s;
+    let finish = deadline(settings, job).0 as f64 / 1000.0 - run_s - overhead_s;
     let next = waits
         .map(|within| job.released.0 as f64 / 1000.0 + within - overhead_s)
         .chain([finish])
@@ -81,7 +81,7 @@
     if next.is_finite() {
         Mono((next * 1000.0) as u64)
     } else {
-        job.released.plus(Millis::from_secs(LATE_AFTER_S))
+        job.released.plus(Millis::from_secs(MISSED_OBJECTIVES_START_S))
     }
 }
 
@@ -94,8 +94,8 @@
 }
 
 /// Unfinished jobs that fit into their team's guarantee together with the team's earlier jobs.
-pub fn guaranteed(settings: &Settings, job_table: &Book) -> BTreeMap<JobId, ()> {
-    let mut sums: BTreeMap<&str, Usage> = BTreeMap::new();
+pub fn guaranteed_jobs(settings: &Settings, job_table: &JobTable) -> BTreeMap<JobId, ()> {
+    let mut sums: BTreeMap<&str, TeamUsage> = BTreeMap::new();
     let mut jobs: Vec<(&JobId, &Job)> =
         job_table.jobs.iter().filter(|(_, j)| j.state == JobState::Open).collect();
     jobs.sort_by_key(|(id, j)| (j.submitted, (*id).clone()));
--- a/crates/core/src/placement/preemption.rs
+++ b/crates/core/src/placement/preemption.rs
@@ -10,7 +10,7 @@
 #[derive(Debug)]
 pub(super) struct PlacedTask<'m> {
     task: &'m TaskId,
-    room: &'m Room,
+    room: &'m Resources,
     spec: Arc<JobSpec>,
     rank: Rank,
     /// Whether it is being stopped already.
@@ -30,23 +30,23 @@
 }
 
 /// Collects the tasks on all machines for the searches of a pass.
-fn placed_tasks<'m>(fleet: &'m Fleet, job_table: &Book, now: Mono) -> PlacedTasks<'m> {
-    let placed_task = |(task, room): (&'m TaskId, &'m Room)| {
+fn placed_tasks<'m>(fleet: &'m Fleet, job_table: &JobTable, now: Mono) -> PlacedTasks<'m> {
+    let placed_task = |(task, room): (&'m TaskId, &'m Resources)| {
         let job = job_table.get(&task.job)?;
-        let hold = job.hold(task.index)?;
+        let hold = job.assignment(task.index)?;
         let ran = hold.running_since.map_or(0.0, |t| now.since(t).secs());
         let lost = if job.spec.checkpoint_s > 0.0 { job.spec.save_s } else { ran };
         let loss = lost * room.cpus.max(0.1);
         let (spec, stopping) = (job.spec.clone(), hold.stop.is_some());
         Some(PlacedTask { task, room, spec, rank: job.rank(), stopping, loss })
     };
-    fleet.machines.values().map(|m| m.held.iter().filter_map(placed_task).collect()).collect()
+    fleet.machines.values().map(|m| m.assigned.iter().filter_map(placed_task).collect()).collect()
 }
 
 impl Pass<'_> {
     /// Whether a machine that has to boot first would be up in time for the job's objective.
     pub(super) fn can_wait_for_boot(&self, job: &Job) -> bool {
-        let Some(within) = objective(self.settings, &job.spec.class, "wait") else {
+        let Some(within) = objective_s(self.settings, &job.spec.class, "wait") else {
             return false;
         };
         let left = within - self.now.since(job.released).secs();
@@ -63,8 +63,8 @@
     /// Reserves a machine for a job.
     pub(super) fn reserve(&mut self, machine: &Machine, job: &Job) {
         let keep = (machine.id.clone(), job.spec.id.clone());
-        if !self.plan.reserve.contains(&keep) {
-            self.plan.reserve.push(keep);
+        if !self.plan.reservations.contains(&keep) {
+            self.plan.reservations.push(keep);
         }
     }
 
@@ -74,7 +74,7 @@
     pub(super) fn make_room(
         &mut self,
         need: &Need,
-        job_table: &Book,
+        job_table: &JobTable,
         is_guaranteed: bool,
         sites: &[Option<Zone>],
     ) -> bool {
@@ -84,31 +84,31 @@
         }
         let id = &job.spec.id;
         let kept =
-            self.slot_pool.has_reserved(id) || self.plan.reserve.iter().any(|(_, j)| j == id);
+            self.slot_pool.has_reserved(id) || self.plan.reservations.iter().any(|(_, j)| j == id);
         // A search goes through every task on every machine; jobs beyond the limit are searched for
         // in the next pass.
-        if kept || self.preemption_searches >= MAKE_ROOM_MOST {
+        if kept || self.preemption_searches >= MAX_PREEMPTION_SEARCHES {
             return kept;
         }
         self.preemption_searches += 1;
-        self.plan.steps += VICTIM_STEPS * self.fleet.machines.len() as u64;
+        self.plan.steps += PREEMPTION_SEARCH_STEPS * self.fleet.machines.len() as u64;
         self.preempt_cheapest(need, job_table, is_guaranteed, sites, |_| true)
     }
 
     /// Stops tasks of lower rank on a machine that has the image of a replica that is down. Returns
     /// whether room is being made.
-    pub(super) fn make_room_at_image(&mut self, need: &Need, job_table: &Book) -> bool {
+    pub(super) fn make_room_at_image(&mut self, need: &Need, job_table: &JobTable) -> bool {
         let (id, image) = (&need.job.spec.id, &need.job.spec.image);
-        if self.plan.reserve.iter().any(|(_, j)| j == id) {
+        if self.plan.reservations.iter().any(|(_, j)| j == id) {
             return true;
         }
         if self.slot_pool.has_reserved(id) {
             // A machine may have been reserved while none with the image was available; waiting for
             // that one would not help.
-            let kept = |m: &Machine| m.kept_for(self.now) == Some(id);
+            let kept = |m: &Machine| m.reserved_for(self.now) == Some(id);
             return self.fleet.machines.values().any(|m| kept(m) && m.has_image(image));
         }
-        if self.image_searches >= IMAGE_SEARCHES_MOST {
+        if self.image_searches >= MAX_IMAGE_SEARCHES {
             return false;
         }
         self.image_searches += 1;
@@ -121,7 +121,7 @@
     /// limited to a part of the fetch time.
     pub(super) fn await_image_room(&mut self, need: &Need, fetch_s: f64) -> bool {
         let job = need.job;
-        let wait_s = DOWN_WAIT_S.min(fetch_s * DOWN_WAIT_PART);
+        let wait_s = MAX_DOWN_REPLICA_WAIT_S.min(fetch_s * MAX_DOWN_REPLICA_WAIT_SHARE);
         if self.now.since(job.lost_at).secs() >= wait_s {
             return false;
         }
@@ -139,7 +139,7 @@
     fn preempt_cheapest(
         &mut self,
         need: &Need,
-        job_table: &Book,
+        job_table: &JobTable,
         is_guaranteed: bool,
         sites: &[Option<Zone>],
         selects: impl Fn(&Machine) -> bool,
@@ -151,19 +151,19 @@
             .take()
             .unwrap_or_else(|| placed_tasks(self.fleet, job_table, self.now));
         let started: BTreeSet<&HostId> = self.plan.starts.iter().map(|(_, _, h)| h).collect();
-        let reserved: BTreeSet<&HostId> = self.plan.reserve.iter().map(|(h, _)| h).collect();
+        let reserved: BTreeSet<&HostId> = self.plan.reservations.iter().map(|(h, _)| h).collect();
         let teams_over_guarantee = is_guaranteed.then(|| self.teams_over_guarantee(job_table));
         let mut options: Vec<PreemptionOption> = Vec::new();
         for (m, placed_tasks) in self.fleet.machines.values().zip(&placed_tasks) {
             if !selects(m)
-                || m.kept_for(self.now).is_some()
+                || m.reserved_for(self.now).is_some()
                 || !need.allows(&m.flavor, &m.zone, m.spot)
                 || !accepts_tasks(self.fleet, m, self.now)
                 || reserved.contains(&m.id)
                 || count > 1 && started.contains(&m.id)
                 || job.avoids(&m.id)
                 || !need.allows_zone(&m.zone, &job.zones)
-                || !self.fleet.room_of(m).fits(&need.room)
+                || !self.fleet.capacity_of(m).fits(&need.room)
             {
                 continue;
             }
@@ -202,7 +202,7 @@
         for option in found {
             for task in &option.victims {
                 let grace_s = job_table.get(&task.job).map_or(0.0, |j| j.spec.save_s);
-                self.plan.stops.push((task.clone(), StopWhy::Preempted, grace_s));
+                self.plan.stops.push((task.clone(), StopReason::Preempted, grace_s));
             }
             self.reserve(option.machine, job);
         }
@@ -222,11 +222,11 @@
     ) {
         // Room that this pass has given away already does not count: a machine reserved for it was
         // kept until the reservation expired while the job waited in vain.
-        let mut free = self.fleet.free_room(m);
+        let mut free = self.fleet.free_resources(m);
         if let Some(taken) = self.room_taken.get(&m.id) {
-            free.take(taken);
+            free.subtract(taken);
         }
-        let mut candidates: Vec<(f64, &TaskId, &Room)> = Vec::new();
+        let mut candidates: Vec<(f64, &TaskId, &Resources)> = Vec::new();
         for PlacedTask { task, room, spec, rank, stopping, loss } in placed_tasks {
             let lower = *rank < need.job.rank();
             let borrowed = spec.shape != Shape::Service
@@ -256,7 +256,7 @@
                 cost += lost;
                 victims.push(task.clone());
             }
-            free.take(&need.room);
+            free.subtract(&need.room);
             // The costs must not decrease, so that sorting by cost keeps the order of a machine's
             // offers.
             least = f64::max(least, cost);
@@ -265,13 +265,13 @@
     }
 
     /// Teams in the settings that use more than their guarantee.
-    fn teams_over_guarantee(&self, job_table: &Book) -> BTreeSet<&str> {
+    fn teams_over_guarantee(&self, job_table: &JobTable) -> BTreeSet<&str> {
         let teams = self.settings.facts.teams.iter().map(|team| &*team.name);
         teams.filter(|team| self.is_over_guarantee(team, job_table)).collect()
     }
 
     /// Whether a team uses more than its guarantee.
-    pub(super) fn is_over_guarantee(&self, team: &str, job_table: &Book) -> bool {
+    pub(super) fn is_over_guarantee(&self, team: &str, job_table: &JobTable) -> bool {
         let Some(facts) = self.settings.team(team) else {
             return true;
         };
--- a/crates/core/src/placement/services.rs
+++ b/crates/core/src/placement/services.rs
@@ -2,7 +2,7 @@
 //! services that have some replicas are completed before others get a part of theirs.
 
 use super::{Need, Pass};
-use crate::jobs::{Book, Job};
+use crate::jobs::{Job, JobTable};
 use oatloom_protocol::ids::{JobId, Mono};
 use oatloom_protocol::wire::{Rank, Shape};
 use std::collections::{BTreeMap, VecDeque};
@@ -35,7 +35,7 @@
     /// `order` holds all jobs of the pass in placement order.
     pub fn new(
         order: &[(JobId, Mono)],
-        job_table: &Book,
+        job_table: &JobTable,
         guaranteed: &BTreeMap<JobId, ()>,
         now: Mono,
     ) -> Self {
@@ -47,7 +47,7 @@
             };
             let group = (job.rank(), guaranteed.contains_key(id));
             let services = waiting.entry(group).or_default();
-            if job.held == 0 {
+            if job.assigned == 0 {
                 services.without_replicas.push_back(id.clone());
             } else {
                 partly_placed.entry(group).or_default().push((job.startable(now), id.clone()));
@@ -69,7 +69,7 @@
         &mut self,
         id: &JobId,
         pass: &mut Pass,
-        job_table: &Book,
+        job_table: &JobTable,
         guaranteed: bool,
     ) -> Option<JobId> {
         let rank = job_table.get(id)?.rank();
@@ -126,7 +126,7 @@
 
     /// Whether a machine is reserved for the job, or will be by this pass.
     fn has_reserved_room(&self, id: &JobId) -> bool {
-        self.slot_pool.has_reserved(id) || self.plan.reserve.iter().any(|(_, job)| job == id)
+        self.slot_pool.has_reserved(id) || self.plan.reservations.iter().any(|(_, job)| job == id)
     }
 
     /// Whether any kind of machine could be hired for the job.
--- a/crates/core/src/placement/slot_picker.rs
+++ b/crates/core/src/placement/slot_picker.rs
@@ -70,7 +70,7 @@
                 let Some(kind) = pass.cheapest_kind(need, &self.mask) else { return false };
                 let (flavor, zone, spot) = &pass.slot_pool.kinds[kind];
                 let (flavor, zone, spot) = (flavor.label.clone(), zone.clone(), *spot);
-                pass.plan.hires.push((Kind { flavor, zone, spot }, urgent));
+                pass.plan.hires.push((MachineKind { flavor, zone, spot }, urgent));
                 pass.slot_pool.add_pending(kind)
             }
         };
--- a/crates/core/src/placement/slots.rs
+++ b/crates/core/src/placement/slots.rs
@@ -3,9 +3,9 @@
 //! nowhere is remembered for the rest of the pass. Every slot examined counts as a step.
 
 use super::Need;
-use crate::cloud::Kind;
+use crate::cloud::MachineKind;
 use crate::constants::*;
-use crate::workers::{Fleet, Life, Machine, Room};
+use crate::workers::{Fleet, Machine, MachineState, Resources};
 use oatloom_protocol::ids::{JobId, Mono, Zone};
 use oatloom_protocol::wire::{Flavor, JobSpec};
 use std::cmp::Ordering;
@@ -19,8 +19,8 @@
     /// Being emptied: reused only before another machine would be hired.
     closing: bool,
     kind: usize,
-    free: Room,
-    capacity: Room,
+    free: Resources,
+    capacity: Resources,
     reserved: Option<&'a JobId>,
     fetch_gb_per_s: f64,
     /// Seconds until the machine's next report, whose answer can carry a start; 0 if a report is
@@ -45,7 +45,7 @@
         self.reserved.is_none()
     }
 
-    pub fn has_room(&self, room: &Room) -> bool {
+    pub fn has_room(&self, room: &Resources) -> bool {
         self.free.fits(room)
     }
 }
@@ -93,7 +93,7 @@
 #[derive(Debug)]
 struct NoFit {
     availability: Availability,
-    room: Room,
+    room: Resources,
     mask: KindMask,
     count: usize,
 }
@@ -102,7 +102,7 @@
 #[derive(Debug)]
 struct UndoEntry {
     slot_index: usize,
-    free: Room,
+    free: Resources,
     fetches: usize,
 }
 
@@ -132,14 +132,14 @@
 
 /// Whether new tasks may be placed on the machine.
 pub(super) fn accepts_tasks(fleet: &Fleet, machine: &Machine, now: Mono) -> bool {
-    matches!(machine.life, Life::Live | Life::Closing)
-        && !machine.lapsed
+    matches!(machine.state, MachineState::Live | MachineState::Closing)
+        && !machine.lease_lapsed
         && now >= machine.paused_until
-        && !fleet.zones.lost(&machine.zone)
+        && !fleet.zones.is_lost(&machine.zone)
 }
 
 impl<'a> SlotPool<'a> {
-    pub fn new(fleet: &'a Fleet, awaited: &[(Kind, u32)], report_s: f64, now: Mono) -> Self {
+    pub fn new(fleet: &'a Fleet, awaited: &[(MachineKind, u32)], report_s: f64, now: Mono) -> Self {
         let mut slot_pool = Self {
             kinds: Vec::new(),
             slots: Vec::with_capacity(fleet.machines.len()),
@@ -164,36 +164,43 @@
             // After an outage longer than a lease every machine is expected to report again within
             // seconds. Until then no task is placed on those that may have died in the outage, and
             // no replacement is hired.
-            let expected_back = m.lapsed && matches!(m.life, Life::Live | Life::Closing);
+            let expected_back =
+                m.lease_lapsed && matches!(m.state, MachineState::Live | MachineState::Closing);
             // Machines that boot in a zone that is cut off cannot report, so they are not waited
             // for.
-            if !live && (m.life != Life::Booting && !expected_back || fleet.zones.lost(&m.zone)) {
+            if !live
+                && (m.state != MachineState::Booting && !expected_back
+                    || fleet.zones.is_lost(&m.zone))
+            {
                 continue;
             }
             let Some(flavor) = flavors().find(|f| f.label == m.flavor) else { continue };
             // A machine that takes too long to boot is not waited for; another one can be hired.
-            if !live && !expected_back && now.since(m.born).secs() > flavor.boot_s * BOOT_SPREAD {
+            if !live
+                && !expected_back
+                && now.since(m.created_at).secs() > flavor.boot_s * MAX_BOOT_FACTOR
+            {
                 continue;
             }
-            let reserved = m.kept_for(now);
+            let reserved = m.reserved_for(now);
             slot_pool.reserved_jobs.extend(reserved);
             let kind = slot_pool.kind_index(flavor, &m.zone, m.spot);
             let availability = if live { Availability::Live } else { Availability::Pending };
             let slot = Slot {
                 machine: Some(m),
                 availability,
-                closing: m.life == Life::Closing,
+                closing: m.state == MachineState::Closing,
                 kind,
-                free: fleet.free_room(m),
-                capacity: Room::from(flavor),
+                free: fleet.free_resources(m),
+                capacity: Resources::from(flavor),
                 reserved,
                 fetch_gb_per_s: flavor.fetch_gb_per_s,
-                report_in_s: m.report_in(report_s, now),
+                report_in_s: m.next_report_in_s(report_s, now),
                 fetching: m.fetching(),
             };
             slot_pool.push(slot);
         }
-        for (kind, number) in awaited.iter().filter(|(kind, _)| !fleet.zones.lost(&kind.zone)) {
+        for (kind, number) in awaited.iter().filter(|(kind, _)| !fleet.zones.is_lost(&kind.zone)) {
             let Some(flavor) = flavors().find(|f| f.label == kind.flavor) else { continue };
             let kind = slot_pool.kind_index(flavor, &kind.zone, kind.spot);
             for _ in 0..*number {
@@ -233,8 +240,8 @@
             availability: Availability::Pending,
             closing: false,
             kind,
-            free: Room::from(flavor),
-            capacity: Room::from(flavor),
+            free: Resources::from(flavor),
+            capacity: Resources::from(flavor),
             reserved: None,
             fetch_gb_per_s: flavor.fetch_gb_per_s,
             report_in_s: 0.0,
@@ -253,7 +260,7 @@
     /// whose failures are limited, machines that the job avoids don't count: applied to all jobs,
     /// this rule cost the steady day of the kitchen-loom deployment 0.05 with the same seed.
     pub fn any_usable(&self, need: &Need, mask: &KindMask) -> bool {
-        let failures_limited = need.job.burnt > 0;
+        let failures_limited = need.job.failed_host_count > 0;
         let allowed =
             |slot: &Slot| !failures_limited || slot.machine.is_none_or(|m| !need.job.avoids(&m.id));
         self.slots
@@ -320,7 +327,7 @@
     ) {
         // A job with machines to avoid, or with reserved ones, says nothing about other jobs.
         if need.job.error_hosts.is_empty()
-            && need.job.apart().is_none()
+            && need.job.anti_affinity().is_none()
             && !self.has_reserved(&need.job.spec.id)
             && !self.known_not_to_fit(need, mask, availability, count)
         {
@@ -382,7 +389,8 @@
                 && slot.free.fits(&need.room)
                 && slot.reserved.is_none_or(|job| job == id)
                 && slot.machine.is_none_or(|m| !need.job.avoids(&m.id))
-                && (need.job.apart() != Some(true) || slot.machine.is_none_or(|m| !m.holds_of(id)))
+                && (need.job.anti_affinity() != Some(true)
+                    || slot.machine.is_none_or(|m| !m.has_task_of(id)))
         };
         list.iter()
             .filter(fits)
@@ -399,12 +407,12 @@
         let cached = self.cached(slot_index, &spec.image);
         let slot = &mut self.slots[slot_index];
         self.undo_log.push(UndoEntry { slot_index, free: slot.free, fetches: slot.fetching.len() });
-        slot.free.take(&need.room);
+        slot.free.subtract(&need.room);
         if !cached && slot.fetching.iter().all(|(name, _)| *name != spec.image) {
             slot.fetching.push((spec.image.clone(), spec.image_gb));
         }
         // A job whose tasks must be on different machines gets no second task here.
-        if need.job.apart() != Some(true) && self.slots[slot_index].free.fits(&need.room) {
+        if need.job.anti_affinity() != Some(true) && self.slots[slot_index].free.fits(&need.room) {
             self.steps += 1;
             self.add_candidate(search, slot_index, need);
         }
@@ -412,7 +420,7 @@
 
     /// Adds a slot to the candidates for the job's next task.
     pub fn add_candidate(&self, search: &mut Search, slot_index: usize, need: &Need) {
-        let same_job = if need.job.apart().is_some() { APART_WEIGHT } else { 0.0 };
+        let same_job = if need.job.anti_affinity().is_some() { SAME_MACHINE_WEIGHT } else { 0.0 };
         let candidate =
             Candidate { score: self.score(need, &self.slots[slot_index]) + same_job, slot_index };
         let heap = match self.slots[slot_index].availability {
@@ -444,7 +452,8 @@
     /// zone, so that among equal prices the zone with fewer machines wins and the loss of a zone
     /// costs less.
     pub fn weighted_price(&self, flavor: &Flavor, zone: &Zone, spot: bool) -> f64 {
-        flavor.price_as(spot) * (1.0 + f64::from(self.machines_in_zone(zone)) / ZONE_EVENNESS)
+        flavor.price_as(spot)
+            * (1.0 + f64::from(self.machines_in_zone(zone)) / ZONE_PRICE_DOUBLING_MACHINES)
     }
 
     /// Undoes all placements and all planned hires since the mark.
@@ -491,7 +500,7 @@
         let spec: &JobSpec = &need.job.spec;
         let fetch_s = self.fetch_s_to(need, slot);
         let mut left = slot.free;
-        left.take(&need.room);
+        left.subtract(&need.room);
         let spare = left.share_of(&slot.capacity);
         let on_demand = if spec.spot && !self.kinds[slot.kind].2 { 0.5 } else { 0.0 };
         let reopened = if slot.closing { REOPEN_WEIGHT } else { 0.0 };
@@ -499,9 +508,9 @@
         // tasks of others for no gain.
         let urgent = need.delay_weight_s < FETCH_WEIGHT_S;
         let report_s = if urgent { slot.report_in_s } else { 0.0 };
-        let shared = need.job.apart().is_some()
-            && slot.machine.is_some_and(|m| m.holds_of(&need.job.spec.id));
-        let same_job = if shared { APART_WEIGHT } else { 0.0 };
+        let shared = need.job.anti_affinity().is_some()
+            && slot.machine.is_some_and(|m| m.has_task_of(&need.job.spec.id));
+        let same_job = if shared { SAME_MACHINE_WEIGHT } else { 0.0 };
         (fetch_s + report_s) / need.delay_weight_s + spare + on_demand + reopened + same_job
     }
 }
--- a/crates/core/src/placement/standby.rs
+++ b/crates/core/src/placement/standby.rs
@@ -9,13 +9,13 @@
 /// leaves out teams whose limit would not let the jobs start.
 pub fn expected(
     settings: &Settings,
-    job_table: &Book,
+    job_table: &JobTable,
     fleet: &Fleet,
     now: Mono,
     since: Mono,
     headroom: &Headroom,
 ) -> Vec<(Job, u32)> {
-    let Some(boot_s) = fleet.least_boot_s() else { return Vec::new() };
+    let Some(boot_s) = fleet.min_boot_s() else { return Vec::new() };
     let window_s = now.since(since).secs().min(ARRIVAL_WINDOW_S);
     if !boot_s.is_finite() || window_s < boot_s {
         return Vec::new();
@@ -29,24 +29,24 @@
         // a new leader finds, must not be taken for the rate of further arrivals.
         let bucket = buckets.entry((&spec.class, at.0 / ARRIVAL_BUCKET_MS.0)).or_default();
         *bucket += 1;
-        if now.since(*at).secs() <= window_s && *bucket <= ARRIVAL_BUCKET_MOST {
+        if now.since(*at).secs() <= window_s && *bucket <= MAX_ARRIVALS_PER_BUCKET {
             let entry = classes.entry(&spec.class).or_insert((0, 0, 0, spec));
             *entry = (entry.0 + 1, entry.1 + spec.tasks, entry.2.max(spec.tasks), spec);
         }
     }
     let mut list = Vec::new();
     for (class, (jobs, tasks, largest, spec)) in classes {
-        let Some(within) = objective(settings, class, "wait") else { continue };
-        if within > boot_s * BOOT_SPREAD + settings.facts.workers.report_s {
+        let Some(within) = objective_s(settings, class, "wait") else { continue };
+        if within > boot_s * MAX_BOOT_FACTOR + settings.facts.workers.report_s {
             continue;
         }
-        let mean = f64::from(jobs) / window_s * boot_s * BOOT_SPREAD;
-        let jobs_ready = READY_MEAN * mean + READY_DEVIATIONS * mean.sqrt();
+        let mean = f64::from(jobs) / window_s * boot_s * MAX_BOOT_FACTOR;
+        let jobs_ready = READY_MEAN_FACTOR * mean + READY_DEVIATIONS * mean.sqrt();
         let count = jobs_ready * f64::from(tasks) / f64::from(jobs);
         // A gang needs its room in one piece.
         let group = if spec.shape == Shape::Gang { largest } else { 1 };
         let groups = (count / f64::from(group)).round() as u32;
-        list.push((Job::expected(spec, group, now), groups));
+        list.push((Job::forecast(spec, group, now), groups));
     }
     list.sort_by_key(|(job, _)| std::cmp::Reverse(job.spec.rank));
     list
@@ -55,7 +55,7 @@
 impl Pass<'_> {
     /// Keeps room for jobs that are likely to arrive: where work of lower rank could be preempted,
     /// on live machines, on booting ones, or on further ones to be hired.
-    pub(super) fn keep_ready(&mut self, job: &Job, count: u32, job_table: &Book) {
+    pub(super) fn keep_ready(&mut self, job: &Job, count: u32, job_table: &JobTable) {
         let need = Need::new(self.settings, job);
         let tasks = job.spec.tasks as usize;
         let sites = self.candidate_sites(job);
@@ -78,7 +78,7 @@
             let savepoint = self.slot_pool.savepoint();
             self.place_gang_later(&need, tasks, site.as_ref(), spot);
             self.plan
-                .ready
+                .ready_machines
                 .extend(self.slot_pool.live_machines_since(savepoint).map(|m| m.id.clone()));
         }
     }
@@ -86,7 +86,7 @@
     /// While no machine is wanted, moves the gang that saves most to spot machines, or hires those
     /// for it. In a burst gangs start wherever there is room, which keeps on-demand machines rented
     /// long afterwards.
-    pub(super) fn move_to_spot(&mut self, job_table: &Book) {
+    pub(super) fn move_to_spot(&mut self, job_table: &JobTable) {
         if !self.plan.hires.is_empty()
             || self.preemption_searches > 0
             || !self.plan.starts.is_empty()
@@ -99,18 +99,21 @@
                 && spec.spot
                 && spec.checkpoint_s > 0.0
                 && job.state == JobState::Open
-                && matches!(job.gang, Gang::Running(_))
-                && job.held == spec.tasks;
-            let ran = |h: &Hold| h.running_since.map_or(0.0, |t| self.now.since(t).secs());
-            let settled = |h: &Hold| h.stop.is_none() && ran(h) >= MOVE_SETTLED_S;
-            if !movable || !job.holds().all(|(_, h)| settled(h)) {
+                && matches!(job.gang, GangState::Running(_))
+                && job.assigned == spec.tasks;
+            let ran =
+                |h: &TaskAssignment| h.running_since.map_or(0.0, |t| self.now.since(t).secs());
+            let settled = |h: &TaskAssignment| h.stop.is_none() && ran(h) >= MIN_RUN_BEFORE_MOVE_S;
+            if !movable || !job.assignments().all(|(_, h)| settled(h)) {
                 return None;
             }
-            let on_demand = |h: &Hold| self.fleet.machines.get(&h.host).is_some_and(|m| !m.spot);
-            let on_demand = job.holds().filter(|(_, h)| on_demand(h)).count();
-            let longest = job.holds().map(|(_, h)| ran(h)).fold(0.0, f64::max);
+            let on_demand =
+                |h: &TaskAssignment| self.fleet.machines.get(&h.host).is_some_and(|m| !m.spot);
+            let on_demand = job.assignments().filter(|(_, h)| on_demand(h)).count();
+            let longest = job.assignments().map(|(_, h)| ran(h)).fold(0.0, f64::max);
             let left_s = spec.estimate_s - longest - spec.save_s;
-            (on_demand > 0 && left_s >= MOVE_WORTH_S).then_some(on_demand as f64 * left_s)
+            (on_demand > 0 && left_s >= MIN_REMAINING_RUN_FOR_MOVE_S)
+                .then_some(on_demand as f64 * left_s)
         };
         let jobs = job_table.jobs.values().filter_map(|job| Some((saved_cost(job)?, job)));
         let best = jobs.max_by(|a, b| a.0.total_cmp(&b.0));
@@ -130,11 +133,11 @@
                         self.reserve(m, job);
                     }
                 }
-                self.plan.moves.push(job.spec.id.clone());
+                self.plan.moves_to_spot.push(job.spec.id.clone());
             }
             None => {
                 // Computed as if the gang ran nowhere yet: it may go to another zone.
-                let unplaced = Job::expected(&job.spec, job.spec.tasks, job.submitted);
+                let unplaced = Job::forecast(&job.spec, job.spec.tasks, job.submitted);
                 let need = Need::new(self.settings, &unplaced);
                 if let Some(site) = self.cheapest_site(&need, tasks, &sites, Some(true)) {
                     self.place_gang_later(&need, tasks, site.as_ref(), Some(true));
@@ -158,7 +161,7 @@
         let machines =
             found.iter().filter_map(|slot_index| self.slot_pool.slots[*slot_index].machine);
         let fetch_s = machines.map(|m| self.fleet.fetch_s(m, &need.job.spec)).fold(0.0, f64::max);
-        if found.len() == count && fetch_s <= MOVE_FETCH_S {
+        if found.len() == count && fetch_s <= MAX_MOVE_FETCH_S {
             return Some((found, fetch_s));
         }
         self.roll_back(need.job, savepoint);
--- a/crates/core/src/refusals.rs
+++ b/crates/core/src/refusals.rs
@@ -18,31 +18,31 @@
 
 /// How a rejected transaction is handled.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Refusal<I> {
+pub enum RejectionResponse<I> {
     /// Its items are written again in smaller transactions.
-    Smaller,
+    Split,
     /// The item is retried after this pause; the other items of the transaction are written again.
-    SetAside(I, Millis),
+    Deferred(I, Millis),
 }
 
 /// The maximum number of items per transaction, and the items that wait for a retry.
 #[derive(Clone, Debug)]
-pub struct Refusals<I> {
+pub struct WriteBackoff<I> {
     max_items: usize,
     /// Transactions accepted since the last rejected one, or since the maximum last grew.
     accepted: u32,
     backoffs: BTreeMap<I, Backoff>,
 }
 
-impl<I> Default for Refusals<I> {
+impl<I> Default for WriteBackoff<I> {
     fn default() -> Self {
-        Self { max_items: ITEMS_MOST, accepted: 0, backoffs: BTreeMap::new() }
+        Self { max_items: MAX_TXN_ITEMS, accepted: 0, backoffs: BTreeMap::new() }
     }
 }
 
-impl<I: Ord + Clone> Refusals<I> {
+impl<I: Ord + Clone> WriteBackoff<I> {
     /// Current maximum number of items per transaction.
-    pub fn most(&self) -> usize {
+    pub fn max_items(&self) -> usize {
         self.max_items
     }
 
@@ -52,27 +52,27 @@
     }
 
     /// Number of items that wait for a retry.
-    pub fn waiting(&self) -> usize {
+    pub fn deferred_count(&self) -> usize {
         self.backoffs.values().filter(|backoff| backoff.waiting).count()
     }
 
     /// Handles the rejection of a transaction of these items; the first one is the item that it was made for.
-    pub fn refused(&mut self, items: &[I], now: Mono) -> Option<Refusal<I>> {
+    pub fn rejected(&mut self, items: &[I], now: Mono) -> Option<RejectionResponse<I>> {
         self.accepted = 0;
         let first = items.first()?.clone();
         if self.max_items > 1 && items.len() > 1 {
             self.max_items = (self.max_items.min(items.len()) / 2).max(1);
-            return Some(Refusal::Smaller);
+            return Some(RejectionResponse::Split);
         }
-        let pause = self.set_aside(first.clone(), now);
-        Some(Refusal::SetAside(first, pause))
+        let pause = self.defer(first.clone(), now);
+        Some(RejectionResponse::Deferred(first, pause))
     }
 
     /// Defers writing the item; returns the pause.
-    pub fn set_aside(&mut self, item: I, now: Mono) -> Millis {
+    pub fn defer(&mut self, item: I, now: Mono) -> Millis {
         let last = self.backoffs.get(&item).map(|backoff| backoff.pause);
-        let doubled = |pause: Millis| Millis((pause.0 * 2).min(REFUSED_PAUSE_MAX_MS.0));
-        let pause = last.map_or(REFUSED_PAUSE_MS, doubled);
+        let doubled = |pause: Millis| Millis((pause.0 * 2).min(MAX_REFUSED_RETRY_PAUSE_MS.0));
+        let pause = last.map_or(REFUSED_RETRY_PAUSE_MS, doubled);
         self.backoffs.insert(item, Backoff { until: now.plus(pause), pause, waiting: true });
         pause
     }
@@ -87,13 +87,13 @@
     }
 
     /// Notes that a transaction of these items was accepted.
-    pub fn taken<'a>(&mut self, items: impl Iterator<Item = &'a I>)
+    pub fn accepted<'a>(&mut self, items: impl Iterator<Item = &'a I>)
     where
         I: 'a,
     {
         items.for_each(|item| _ = self.backoffs.remove(item));
         self.accepted += 1;
-        if self.accepted >= GROW_AFTER && self.max_items < ITEMS_MOST {
+        if self.accepted >= BATCH_GROWTH_SUCCESSES && self.max_items < MAX_TXN_ITEMS {
             self.accepted = 0;
             self.max_items *= 2;
         }
--- a/crates/core/src/reign/capacity.rs
+++ b/crates/core/src/reign/capacity.rs
@@ -21,46 +21,46 @@
 /// (Doyle et al., IC2E 2016) sums s = r/d of all jobs and has no team limits.
 fn apply_team_limits<'s>(
     settings: &'s Settings,
-    book: &Book,
+    book: &JobTable,
     guaranteed: &BTreeMap<JobId, ()>,
     demands: &mut BTreeMap<&JobId, JobDemand>,
     now: Mono,
 ) -> Headroom<'s> {
     let mut headroom = Headroom::new(settings, book);
-    if headroom.boundless() {
+    if headroom.is_unlimited() {
         return headroom;
     }
-    for (id, _) in placement::in_order(settings, book, guaranteed, now) {
+    for (id, _) in placement::placement_order(settings, book, guaranteed, now) {
         let Some(demand) = demands.get_mut(&id) else { continue };
         let spec = &demand.job.spec;
         let Some(max_tasks) = headroom.tasks(spec) else { continue };
         let requested_tasks = (demand.rate / demand.task_cores).ceil() as u32;
-        let additional = requested_tasks.saturating_sub(demand.job.held);
+        let additional = requested_tasks.saturating_sub(demand.job.assigned);
         let granted = match spec.shape {
             // A gang runs as a whole or not at all.
             Shape::Gang if max_tasks < additional => 0,
             _ => additional.min(max_tasks),
         };
-        headroom.take(spec, granted);
+        headroom.subtract(spec, granted);
         if granted < additional {
-            demand.rate = demand.task_cores * f64::from(demand.job.held + granted);
+            demand.rate = demand.task_cores * f64::from(demand.job.assigned + granted);
         }
     }
     headroom
 }
 
-impl Reign {
+impl LeaderTerm {
     /// Cores that a task counts as, by its dominant resource: a task that takes a quarter of a
     /// machine's GPUs counts as a quarter of its cores.
     pub(super) fn core_equivalents(&self, spec: &JobSpec) -> f64 {
-        let need = Room::from(spec);
+        let need = Resources::from(spec);
         self.fleet
             .catalog
             .iter()
             .flat_map(|c| c.flavors.iter())
             .filter(|f| spec.flavors.as_ref().is_none_or(|l| l.contains(&f.label)))
-            .filter(|f| Room::from(*f).fits(&need))
-            .map(|f| need.share_of(&Room::from(f)) * f.cpus)
+            .filter(|f| Resources::from(*f).fits(&need))
+            .map(|f| need.share_of(&Resources::from(f)) * f.cpus)
             .reduce(f64::min)
             .unwrap_or(spec.cpus)
     }
@@ -93,7 +93,7 @@
         let Some(task_cost) = self.expected_cost(job, task_cores) else {
             return UNMEASURED_CAP_CORES.min(most);
         };
-        let deadline = placement::due(settings, job);
+        let deadline = placement::deadline(settings, job);
         let left_s =
             (deadline.0 as f64 - now.0 as f64) / 1000.0 - self.overhead_s(settings, &job.spec);
         // Only time in which whole tasks fit counts. The end of it, in which the longest tasks still
@@ -107,20 +107,20 @@
 
     /// Time that a task needs besides its run: a boot, reports before and after it, and the image fetch.
     pub(super) fn overhead_s(&self, settings: &Settings, spec: &JobSpec) -> f64 {
-        let boot_s = self.fleet.least_boot_s().unwrap_or(0.0);
+        let boot_s = self.fleet.min_boot_s().unwrap_or(0.0);
         self.stage_overhead_s(settings, spec) + boot_s
     }
 
     /// Passes ranks and deadlines from jobs to their dependencies, deadlines less the run times expected with the class
     /// bias: the filter and the control loop treat a pipeline as work with one deadline.
     fn inherit_urgency(&mut self, settings: &Settings) {
-        let mut book = std::mem::take(&mut self.book);
+        let mut book = std::mem::take(&mut self.job_table);
         book.inherit(|job| {
             let bias = self.class_bias(&job.spec).recent_max;
             let overhead_s = self.stage_overhead_s(settings, &job.spec);
             placement::latest_release(job, bias, overhead_s)
         });
-        self.book = book;
+        self.job_table = book;
     }
 
     /// Time that a job needs besides its run if machines are up when it is released: a report before and after it, and
@@ -142,20 +142,20 @@
         settings: &'s Settings,
         tick_s: f64,
         now: Mono,
-    ) -> (f64, f64, Vec<(JobId, Claim)>, Headroom<'s>) {
+    ) -> (f64, f64, Vec<(JobId, ArrayDemand)>, Headroom<'s>) {
         self.inherit_urgency(settings);
-        let guaranteed = placement::guaranteed(settings, &self.book);
-        for job in self.book.jobs.values_mut() {
+        let guaranteed = placement::guaranteed_jobs(settings, &self.job_table);
+        for job in self.job_table.jobs.values_mut() {
             if let Some(measured) = job.measured.take() {
                 job.cost.update(measured);
             }
         }
         let mut demands: BTreeMap<&JobId, JobDemand> = BTreeMap::new();
-        for (id, job) in self.book.jobs.iter().filter(|(_, j)| j.state == JobState::Open) {
+        for (id, job) in self.job_table.jobs.iter().filter(|(_, j)| j.state == JobState::Open) {
             let task_cores = self.core_equivalents(&job.spec).max(1e-3);
             // Tasks that wait for a retry claim no capacity.
             let tasks_left = match job.spec.shape {
-                Shape::Array => job.held + job.startable(now),
+                Shape::Array => job.assigned + job.startable(now),
                 _ => job.spec.tasks - job.done,
             };
             let full = task_cores * f64::from(tasks_left);
@@ -167,7 +167,7 @@
             };
             demands.insert(id, JobDemand { job, task_cores, tasks_left, rate, in_floor });
         }
-        let headroom = apply_team_limits(settings, &self.book, &guaranteed, &mut demands, now);
+        let headroom = apply_team_limits(settings, &self.job_table, &guaranteed, &mut demands, now);
         let (mut target, mut floor) = (0.0, 0.0);
         let mut claims = Vec::new();
         for (id, demand) in demands {
@@ -176,10 +176,10 @@
                 floor += demand.rate;
             }
             if demand.job.spec.shape == Shape::Array {
-                let claim = Claim {
+                let claim = ArrayDemand {
                     rate: demand.rate,
                     task_cores: demand.task_cores,
-                    left: demand.tasks_left,
+                    tasks_left: demand.tasks_left,
                 };
                 claims.push((id.clone(), claim));
             }
@@ -195,7 +195,7 @@
 
     /// Whether a machine is empty and unreachable because its zone is lost.
     fn is_empty_and_unreachable(&self, m: &Machine) -> bool {
-        m.life == Life::Silent && m.empty() && self.fleet.zones.lost(&m.zone)
+        m.state == MachineState::Silent && m.is_empty() && self.fleet.zones.is_lost(&m.zone)
     }
 
     fn cores_where(&self, predicate: impl Fn(&Machine) -> bool) -> f64 {
@@ -205,36 +205,40 @@
 
     /// Rented cores that can run work.
     pub(super) fn rented_cores(&self) -> f64 {
-        self.cores_where(|m| m.life != Life::Releasing && !self.is_empty_and_unreachable(m))
+        self.cores_where(|m| {
+            m.state != MachineState::Releasing && !self.is_empty_and_unreachable(m)
+        })
     }
 
     /// One period of the control loop.
     pub(super) fn scale(
         &mut self,
         settings: &Settings,
-        ops: &Operators,
-        cloud: &mut CloudDesk,
+        ops: &OperatorSettings,
+        cloud: &mut CloudClient,
         now: Mono,
     ) {
         let (target, floor, claims, headroom) = self.demand(settings, ops.tick().secs(), now);
         self.expected_jobs = {
-            let first_arrival = self.book.arrivals.iter().map(|(at, _)| *at).min();
+            let first_arrival = self.job_table.arrivals.iter().map(|(at, _)| *at).min();
             let since = first_arrival.unwrap_or(self.since).min(self.since);
-            placement::expected(settings, &self.book, &self.fleet, now, since, &headroom)
+            placement::expected(settings, &self.job_table, &self.fleet, now, since, &headroom)
         };
         let awaited: f64 = cloud
-            .awaited()
+            .pending_hires()
             .filter_map(|(k, n)| Some(self.fleet.flavor(&k.flavor)?.cpus * f64::from(n)))
             .sum();
         let rented = self.rented_cores() + awaited;
         let factor = scaling::rate_factor(target, rented, ops.beta);
-        let (ids, claims): (Vec<JobId>, Vec<Claim>) = claims.into_iter().unzip();
+        let (ids, claims): (Vec<JobId>, Vec<ArrayDemand>) = claims.into_iter().unzip();
         let tasks =
-            |(claim, share): (&Claim, f64)| (share / claim.task_cores).ceil().max(1.0) as u32;
-        let shares = scaling::shares(&claims, factor);
+            |(claim, share): (&ArrayDemand, f64)| (share / claim.task_cores).ceil().max(1.0) as u32;
+        let shares = scaling::scaled_rates(&claims, factor);
         self.task_limits = ids.into_iter().zip(claims.iter().zip(shares).map(tasks)).collect();
-        let bounds =
-            Bounds { min: floor, max: if ops.max_cores > 0.0 { ops.max_cores } else { f64::MAX } };
+        let bounds = CoreBounds {
+            min: floor,
+            max: if ops.max_cores > 0.0 { ops.max_cores } else { f64::MAX },
+        };
         // Machines are larger than a step: the part of earlier steps that no whole machine covers yet
         // is carried from tick to tick, but not beyond the target.
         let carried = if rented <= target {
@@ -243,8 +247,8 @@
             self.planned_cores.min(rented)
         };
         // β is the factor per cut period, spread evenly over its ticks.
-        let beta = ops.beta.powf(ops.tick().secs() / CUT_PERIOD_MS.secs());
-        let next = scaling::step(carried, target, bounds, beta);
+        let beta = ops.beta.powf(ops.tick().secs() / DECREASE_PERIOD_MS.secs());
+        let next = scaling::aimd_step(carried, target, bounds, beta);
         self.planned_cores = if rented <= target { next } else { next.max(target.min(rented)) };
         log::debug!(
             "scaling: N* {target:.0}, floor {floor:.0}, rented {rented:.0}, planned {:.0}",
@@ -264,20 +268,20 @@
     }
 
     /// Logs one line on the capacity of the fleet, and one for each team that has a limit.
-    pub(super) fn log_fleet(&self, settings: &Settings, plan: &Plan) {
+    pub(super) fn log_fleet(&self, settings: &Settings, plan: &PlacementPlan) {
         let mut by_state: BTreeMap<String, (u32, f64, f64)> = BTreeMap::new();
         for m in self.fleet.machines.values() {
-            let room = self.fleet.free_room(m);
+            let room = self.fleet.free_resources(m);
             let kind = if m.spot { "spot" } else { "ordinary" };
-            let entry = by_state.entry(format!("{:?} {kind}", m.life)).or_default();
+            let entry = by_state.entry(format!("{:?} {kind}", m.state)).or_default();
             *entry = (entry.0 + 1, entry.1 + room.cpus, entry.2 + room.gpus);
         }
         // Shows why a job of such a team waits although machines have room.
         for team in settings.facts.teams.iter().filter(|t| t.cpus_max > 0.0 || t.gpus_max > 0.0) {
-            let used = self.book.usage.get(&team.name).copied().unwrap_or_default();
+            let used = self.job_table.usage.get(&team.name).copied().unwrap_or_default();
             let waits =
                 |j: &&Job| j.spec.team == team.name && j.state == JobState::Open && j.pending() > 0;
-            let waiting = self.book.jobs.values().filter(waits).count();
+            let waiting = self.job_table.jobs.values().filter(waits).count();
             log::debug!(
                 "team {}: {} of {} cores, {} of {} GPUs taken (0: no limit); {waiting} jobs wait",
                 team.name,
@@ -290,16 +294,22 @@
         let expected: u32 = self.expected_jobs.iter().map(|(job, n)| job.spec.tasks * n).sum();
         log::debug!(
             "fleet: machines, free cores and GPUs {by_state:?}; ready for {expected} on {}; requested {}",
-            plan.ready.len(),
+            plan.ready_machines.len(),
             plan.hires.len()
         );
     }
 
     /// Hires the machines that the placement pass requested: those for services, gangs and guarantees
     /// in any case, those for arrays up to the planned cores.
-    pub(super) fn hire(&mut self, plan: Plan, rented: f64, max_cores: f64, cloud: &mut CloudDesk) {
+    pub(super) fn hire(
+        &mut self,
+        plan: PlacementPlan,
+        rented: f64,
+        max_cores: f64,
+        cloud: &mut CloudClient,
+    ) {
         let mut cores = rented;
-        let mut counts: BTreeMap<Kind, u32> = BTreeMap::new();
+        let mut counts: BTreeMap<MachineKind, u32> = BTreeMap::new();
         for (kind, urgent) in plan.hires {
             let Some(flavor) = self.fleet.flavor(&kind.flavor) else {
                 continue;
@@ -312,9 +322,11 @@
         }
         let mut probed_zones: BTreeSet<Zone> = BTreeSet::new();
         for (kind, number) in counts {
-            match self.fleet.zones.hires(&kind.zone) {
-                Hires::OneAtATime if probed_zones.insert(kind.zone.clone()) => cloud.hire(&kind, 1),
-                Hires::OneAtATime => {}
+            match self.fleet.zones.hire_policy(&kind.zone) {
+                HirePolicy::OneAtATime if probed_zones.insert(kind.zone.clone()) => {
+                    cloud.hire(&kind, 1)
+                }
+                HirePolicy::OneAtATime => {}
                 _ => cloud.hire(&kind, number),
             }
         }
@@ -323,9 +335,9 @@
     /// Releases idle machines, the most expensive first, while more cores are rented than planned.
     pub(super) fn release_idle(
         &mut self,
-        plan: &Plan,
-        ops: &Operators,
-        cloud: &mut CloudDesk,
+        plan: &PlacementPlan,
+        ops: &OperatorSettings,
+        cloud: &mut CloudClient,
         now: Mono,
     ) {
         let keep = Millis(ops.idle_keep_ms);
@@ -334,10 +346,12 @@
             .fleet
             .machines
             .values()
-            .filter(|m| m.life == Life::Live && m.empty() && now.since(m.idle_since) >= keep)
-            .filter(|m| now.since(m.born) >= LEAST_CHARGE_MS)
-            .filter(|m| !plan.ready.contains(&m.id))
-            .filter(|m| m.kept_for(now).is_none())
+            .filter(|m| {
+                m.state == MachineState::Live && m.is_empty() && now.since(m.idle_since) >= keep
+            })
+            .filter(|m| now.since(m.created_at) >= MIN_CHARGE_MS)
+            .filter(|m| !plan.ready_machines.contains(&m.id))
+            .filter(|m| m.reserved_for(now).is_none())
             .filter_map(|m| {
                 let f = self.fleet.flavor(&m.flavor)?;
                 Some((f.price_as(m.spot) / f.cpus.max(1.0), f.cpus, m.id.clone()))
@@ -350,7 +364,7 @@
             }
             rented -= cpus;
             if let Some(m) = self.fleet.machines.get_mut(&host) {
-                m.enter(Life::Releasing, "idle");
+                m.set_state(MachineState::Releasing, "idle");
                 cloud.release(&host);
             }
         }
@@ -361,13 +375,15 @@
     pub(super) fn consolidate(
         &mut self,
         settings: &Settings,
-        plan: &Plan,
-        cloud: &mut CloudDesk,
+        plan: &PlacementPlan,
+        cloud: &mut CloudClient,
         now: Mono,
     ) {
-        for host in &plan.ready {
-            if let Some(m) = self.fleet.machines.get_mut(host).filter(|m| m.life == Life::Closing) {
-                m.enter(Life::Live, "kept ready");
+        for host in &plan.ready_machines {
+            if let Some(m) =
+                self.fleet.machines.get_mut(host).filter(|m| m.state == MachineState::Closing)
+            {
+                m.set_state(MachineState::Live, "kept ready");
             }
         }
         let cpus = |m: &Machine| self.fleet.flavor(&m.flavor).map_or(0.0, |f| f.cpus);
@@ -375,7 +391,7 @@
             .fleet
             .machines
             .values()
-            .filter(|m| m.life == Life::Closing)
+            .filter(|m| m.state == MachineState::Closing)
             .map(|m| m.id.clone())
             .collect();
         let closing_cpus: f64 =
@@ -383,54 +399,55 @@
         let remaining_cores = self.rented_cores() - closing_cpus;
         if remaining_cores < self.planned_cores {
             if let Some(m) = closing.first().and_then(|h| self.fleet.machines.get_mut(h)) {
-                m.enter(Life::Live, "needed again");
+                m.set_state(MachineState::Live, "needed again");
                 self.placement_needed = true;
             }
             return;
         }
-        let has_room_elsewhere =
-            |host: &HostId| placement::room_elsewhere(now, settings, &self.book, &self.fleet, host);
+        let has_room_elsewhere = |host: &HostId| {
+            placement::services_fit_elsewhere(now, settings, &self.job_table, &self.fleet, host)
+        };
         let mut least_used: Vec<(f64, HostId)> = self
             .fleet
             .machines
             .values()
-            .filter(|m| m.life == Life::Live && !m.empty() && m.strays.is_empty())
-            .filter(|m| !plan.ready.contains(&m.id))
-            .filter(|m| m.kept_for(now).is_none())
+            .filter(|m| m.state == MachineState::Live && !m.is_empty() && m.strays.is_empty())
+            .filter(|m| !plan.ready_machines.contains(&m.id))
+            .filter(|m| m.reserved_for(now).is_none())
             .filter(|m| remaining_cores - cpus(m) >= self.planned_cores)
-            .filter(|_| closing.len() < CLOSING_MOST)
-            .map(|m| (m.used.share_of(&self.fleet.room_of(m)), m.id.clone()))
+            .filter(|_| closing.len() < MAX_CLOSING_MACHINES)
+            .map(|m| (m.used.share_of(&self.fleet.capacity_of(m)), m.id.clone()))
             .collect();
         least_used.sort_by(|a, b| a.0.total_cmp(&b.0));
         // Each check scans the whole fleet, so only a few machines are checked.
         let least_used = least_used
             .into_iter()
             .map(|(_, host)| host)
-            .take(EMPTY_TRIES)
+            .take(EMPTYING_CHECKS_PER_TICK)
             .find(|host| has_room_elsewhere(host));
         let task_to_move = closing
             .iter()
-            .filter(|_| now.since(self.last_service_move) >= MOVE_EVERY_MS)
+            .filter(|_| now.since(self.last_service_move) >= MIN_MOVE_INTERVAL_MS)
             .filter(|host| has_room_elsewhere(host))
-            .flat_map(|host| self.fleet.machines[host].held.keys())
+            .flat_map(|host| self.fleet.machines[host].assigned.keys())
             .find(|task| {
-                self.book.get(&task.job).is_some_and(|j| {
+                self.job_table.get(&task.job).is_some_and(|j| {
                     j.spec.shape == Shape::Service
-                        && j.hold(task.index)
+                        && j.assignment(task.index)
                             .is_some_and(|h| h.running_since.is_some() && h.stop.is_none())
                 })
             })
             .cloned();
         if let Some(m) = least_used.and_then(|host| self.fleet.machines.get_mut(&host)) {
-            m.enter(Life::Closing, "more cores are rented than planned");
+            m.set_state(MachineState::Closing, "more cores are rented than planned");
         }
         if let Some(task) = task_to_move {
             self.last_service_move = now;
-            self.stop(&task, StopWhy::Moved, 0.0, now);
+            self.stop(&task, StopReason::Moved, 0.0, now);
         }
         for host in closing {
-            if let Some(m) = self.fleet.machines.get_mut(&host).filter(|m| m.empty()) {
-                m.enter(Life::Releasing, "emptied");
+            if let Some(m) = self.fleet.machines.get_mut(&host).filter(|m| m.is_empty()) {
+                m.set_state(MachineState::Releasing, "emptied");
                 cloud.release(&host);
             }
         }
--- a/crates/core/src/reign/graphs.rs
+++ b/crates/core/src/reign/graphs.rs
@@ -9,7 +9,7 @@
 pub(super) type NodeCosts = BTreeMap<(GraphId, u16), (Kalman, Measurement)>;
 
 /// The task graphs of a new leader term; `None` if graphs are not served.
-pub(super) fn desk(terms: &Terms, token: Token, now: Mono) -> Option<Desk> {
+pub(super) fn desk(terms: &LeaderConfig, token: Token, now: Mono) -> Option<Desk> {
     let (limits, record_space) = terms.graphs.clone()?;
     Some(Desk::new(limits, token, record_space, now))
 }
@@ -18,13 +18,13 @@
 pub(super) fn record_space(settings: &Settings) -> RecordRoom {
     let state = settings.facts.state.strictest();
     let value = (state.value_kb * 1024.0) as usize;
-    RecordRoom { value, values: state.txn_ops.saturating_sub(GRAPH_OPS_KEPT).max(1) }
+    RecordRoom { value, values: state.txn_ops.saturating_sub(GRAPH_RESERVED_TXN_OPS).max(1) }
 }
 
-impl Reign {
+impl LeaderTerm {
     /// Records the run time of a task that belongs to a graph.
     pub(super) fn record_node_time(&mut self, id: &JobId, ran_s: f64) {
-        let graph_part = self.book.get(id).and_then(|job| job.part.clone());
+        let graph_part = self.job_table.get(id).and_then(|job| job.part.clone());
         let kind = graph_part.and_then(|graph_part| self.graphs.as_ref()?.kind_of(id, &graph_part));
         if let Some(kind) = kind {
             self.node_costs.entry(kind).or_default().1.add(ran_s);
@@ -42,7 +42,8 @@
             }
         }
         for class in desk.classes() {
-            let allowed = self.book.classes.of(&class).map(|allowance| allowance.repeats);
+            let allowed =
+                self.job_table.classes.policy_for(&class).map(|allowance| allowance.max_retries);
             let bias = self.class_biases.get(&class).copied().unwrap_or_default().mean;
             desk.learn_class(&class, allowed, bias);
         }
@@ -50,13 +51,13 @@
 
     /// The unfinished jobs of a graph, with their tasks that are durably done.
     pub fn open_jobs(&self, graph: GraphId) -> Vec<OpenJob> {
-        let jobs = self.book.jobs.range(graph.first_job()..=graph.last_job());
-        let open = jobs.filter(|(_, job)| job.state != JobState::Over);
+        let jobs = self.job_table.jobs.range(graph.first_job()..=graph.last_job());
+        let open = jobs.filter(|(_, job)| job.state != JobState::Finished);
         open.filter_map(|(id, job)| {
             let (_, seq) = GraphId::of_job(id)?;
             let part = (**job.part.as_ref()?).clone();
             let is_done =
-                |task: &u32| job.tasks[*task as usize] == Task::Done && job.settled(*task);
+                |task: &u32| job.tasks[*task as usize] == TaskState::Done && job.all_durable(*task);
             let done = (0..job.spec.tasks).filter(is_done).collect();
             Some(OpenJob { seq, part, done })
         })
--- a/crates/core/src/reign/machines.rs
+++ b/crates/core/src/reign/machines.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Reign {
+impl LeaderTerm {
     /// Removes a machine that is provably gone, with everything on it.
     pub(super) fn machine_gone(&mut self, host: &HostId, why: &str, now: Mono) {
         for (id, index) in self.tasks_assigned_to(host, |_| true) {
@@ -12,37 +12,43 @@
             log::info!("machine {host}: gone ({why})");
         }
         // A job confined to the machines on which it failed must not wait for one that is gone.
-        for job in self.book.jobs.values_mut().filter(|job| job.confined) {
+        for job in self.job_table.jobs.values_mut().filter(|job| job.unproven) {
             job.error_hosts.remove(host);
         }
         self.placement_needed = true;
     }
 
     /// Removes machines whose release the cloud has confirmed.
-    pub fn released(&mut self, hosts: &[HostId], now: Mono) {
+    pub fn machines_released(&mut self, hosts: &[HostId], now: Mono) {
         for host in hosts {
             self.machine_gone(host, "released", now);
         }
     }
 
     /// Adds machines that the cloud has hired.
-    pub fn hired(&mut self, kind: &Kind, hosts: &[HostId], now: Mono) {
+    pub fn machines_hired(&mut self, kind: &MachineKind, hosts: &[HostId], now: Mono) {
         for host in hosts {
-            if !self.fleet.gone.contains_key(host) {
-                let m = self.fleet.adopt(host, &kind.flavor, &kind.zone, kind.spot, now, now);
+            if !self.fleet.tombstones.contains_key(host) {
+                let m = self.fleet.add_machine(host, &kind.flavor, &kind.zone, kind.spot, now, now);
                 // The answer to a hire may arrive after the machine's first report; they agree.
                 m.flavor.clone_from(&kind.flavor);
-                m.attested = true;
+                m.existence_confirmed = true;
             }
         }
         self.placement_needed = true;
     }
 
     /// Applies a complete machine list. It may be older than the previous one, so a missing machine proves nothing.
-    pub fn listing(&mut self, rows: &[Listed], lag_s: f64, cloud: &mut CloudDesk, now: Mono) {
+    pub fn apply_machine_list(
+        &mut self,
+        rows: &[Listed],
+        lag_s: f64,
+        cloud: &mut CloudClient,
+        now: Mono,
+    ) {
         self.machines_listed = true;
         for row in rows {
-            if let Some(at) = self.fleet.gone.get(&row.host) {
+            if let Some(at) = self.fleet.tombstones.get(&row.host) {
                 // Listed long after its release: the hire took effect late, or the release had no effect.
                 if now.since(*at).secs() > 3.0 * lag_s + 40.0 {
                     cloud.release(&row.host);
@@ -51,8 +57,9 @@
             }
             let age = Millis::from_secs(row.age_s);
             let born = Mono(now.0.saturating_sub(age.0));
-            let machine = self.fleet.adopt(&row.host, &row.flavor, &row.zone, row.spot, born, now);
-            machine.attested = true;
+            let machine =
+                self.fleet.add_machine(&row.host, &row.flavor, &row.zone, row.spot, born, now);
+            machine.existence_confirmed = true;
             if machine.addr.is_empty() {
                 machine.addr.clone_from(&row.addr);
             }
@@ -62,10 +69,10 @@
                 self.placement_needed = true;
             }
             if row.status == MachineStatus::Running {
-                machine.listed_up.get_or_insert(now);
+                machine.listed_up_since.get_or_insert(now);
             }
             if row.status == MachineStatus::Failed {
-                machine.enter(Life::Releasing, "the cloud lists it as failed");
+                machine.set_state(MachineState::Releasing, "the cloud lists it as failed");
                 cloud.release(&row.host);
             }
         }
@@ -74,7 +81,7 @@
     /// Whether enough is known of the existing machines to hire more. At the start of a term this avoids duplicates of
     /// machines that exist already, and hires in zones whose listed machines should be reporting but do not.
     pub(super) fn may_hire(&self, now: Mono) -> bool {
-        self.machines_listed || now.since(self.since) > FIRST_LIST_MS
+        self.machines_listed || now.since(self.since) > FIRST_LIST_TIMEOUT_MS
     }
 
     /// Initializes the zone states once the machine list is known: if no earlier leader sent hints but machines were left
@@ -85,11 +92,11 @@
             return;
         }
         self.zones_initialized = true;
-        let inherited = |m: &Machine| m.was_up() || m.born < self.since;
+        let inherited = |m: &Machine| m.was_up() || m.created_at < self.since;
         if !self.hints_applied && self.fleet.machines.values().any(inherited) {
             let zones: BTreeSet<&Zone> =
                 catalog.flavors.iter().flat_map(|flavor| &flavor.zones).collect();
-            self.fleet.zones.begin_unheard(zones);
+            self.fleet.zones.mark_unknown(zones);
         }
     }
 
@@ -97,17 +104,17 @@
     pub(super) fn check_machines(
         &mut self,
         settings: &Settings,
-        ops: &Operators,
-        cloud: &mut CloudDesk,
+        ops: &OperatorSettings,
+        cloud: &mut CloudClient,
         now: Mono,
     ) {
         let workers = &settings.facts.workers;
         let silent_after = Millis::from_secs(workers.report_s * ops.silent_reports);
-        let early_silence = Millis::from_secs(silent_after.secs() * EARLY_SILENCE);
-        let taken_after = Millis::from_secs(workers.report_s * TAKEN_REPORTS);
-        let leader_known_by = self.heard_from.plus(Millis::from_secs(REDIRECT_S));
+        let early_silence = Millis::from_secs(silent_after.secs() * EARLY_SILENCE_SHARE);
+        let taken_after = Millis::from_secs(workers.report_s * RECLAIMED_REPORT_PERIODS);
+        let leader_known_by = self.silence_counted_from.plus(Millis::from_secs(MAX_REDIRECT_S));
         let silence = |m: &Machine| {
-            let from = m.last_report.unwrap_or(m.born).max(leader_known_by.min(now));
+            let from = m.last_report.unwrap_or(m.created_at).max(leader_known_by.min(now));
             now.since(from)
         };
         let observations = self.zone_observations(early_silence, leader_known_by.min(now), now);
@@ -116,13 +123,14 @@
         let mut expired = Vec::new();
         let catalog = self.fleet.catalog.as_ref();
         for m in self.fleet.machines.values_mut() {
-            let horizon = Fleet::horizon(m, self.since, workers.lease_s);
-            if now > horizon && !m.held.is_empty() {
+            let horizon = Fleet::tasks_gone_by(m, self.since, workers.lease_s);
+            if now > horizon && !m.assigned.is_empty() {
                 expired.push(m.id.clone());
             }
             // Only if no controller could answer it until its lease ran out; a machine silent by itself is handled below.
-            m.lapsed = horizon < self.heard_from && m.last_report.is_some_and(|at| at <= horizon);
-            if m.life == Life::Releasing {
+            m.lease_lapsed = horizon < self.silence_counted_from
+                && m.last_report.is_some_and(|at| at <= horizon);
+            if m.state == MachineState::Releasing {
                 continue;
             }
             let lease_expired = now > horizon;
@@ -130,44 +138,47 @@
             // replacement would take: a boot and the fetch of their images.
             let mut kept_in_lost_zone = |m: &Machine| {
                 let sentinel = self.fleet.zones.keeps_sentinel(&m.zone, now);
-                m.taken_at.is_none()
-                    && self.fleet.zones.lost(&m.zone)
+                m.reclaimed_at.is_none()
+                    && self.fleet.zones.is_lost(&m.zone)
                     && (sentinel && sentinels.insert(m.zone.clone())
-                        || now <= horizon.plus(Millis::from_secs(m.again_s(catalog))))
+                        || now <= horizon.plus(Millis::from_secs(m.replacement_s(catalog))))
             };
             if m.last_report.is_none() {
                 let flavor = catalog.and_then(|c| c.flavor(&m.flavor));
                 let boot_s = flavor.map_or(30.0, |f| f.boot_s);
-                let boot_timeout = Millis::from_secs(boot_s * BOOT_PATIENCE + workers.lease_s);
-                let had_time_to_report = now.since(self.heard_from) > silent_after;
+                let boot_timeout =
+                    Millis::from_secs(boot_s * MAX_BOOT_WAIT_FACTOR + workers.lease_s);
+                let had_time_to_report = now.since(self.silence_counted_from) > silent_after;
                 // Machines that were up before this term began are not released as never booted while no machine of
                 // their zone reports yet: their tasks may run on until their leases end.
-                let none_reports = observations.get(&m.zone).is_some_and(Seen::nobody_heard);
+                let none_reports =
+                    observations.get(&m.zone).is_some_and(ZoneObservation::nobody_heard);
                 let may_be_up =
                     m.was_up() && none_reports && (!lease_expired || kept_in_lost_zone(m));
-                if now.since(m.born) > boot_timeout && had_time_to_report && !may_be_up {
-                    m.enter(Life::Releasing, "never reported");
+                if now.since(m.created_at) > boot_timeout && had_time_to_report && !may_be_up {
+                    m.set_state(MachineState::Releasing, "never reported");
                     cloud.release(&m.id);
                 }
                 continue;
             }
             // A machine that the cloud had announced to take back is gone once it is silent.
             let taken_back =
-                m.taken_at.is_some() && silence(m) > taken_after && now > leader_known_by;
+                m.reclaimed_at.is_some() && silence(m) > taken_after && now > leader_known_by;
             let silent =
                 taken_back || silence(m) > silent_after && now > leader_known_by.plus(silent_after);
-            if silent && matches!(m.life, Life::Live | Life::Closing) {
-                m.enter(Life::Silent, "no reports");
+            if silent && matches!(m.state, MachineState::Live | MachineState::Closing) {
+                m.set_state(MachineState::Silent, "no reports");
             }
             // A network partition between zones must not pass for the loss of all their machines: they
             // are kept until their leases have run out.
-            let partitioned = observations.get(&m.zone).is_some_and(Seen::cut);
+            let partitioned = observations.get(&m.zone).is_some_and(ZoneObservation::is_cut);
             let keep = silent && kept_in_lost_zone(m);
             if silent && (!partitioned || lease_expired) && !keep {
-                m.enter(Life::Releasing, "silent for too long");
+                m.set_state(MachineState::Releasing, "silent for too long");
                 cloud.release(&m.id);
-            } else if m.life == Life::Draining && m.empty() && m.taken_at.is_none() {
-                m.enter(Life::Releasing, "drained");
+            } else if m.state == MachineState::Draining && m.is_empty() && m.reclaimed_at.is_none()
+            {
+                m.set_state(MachineState::Releasing, "drained");
                 cloud.release(&m.id);
             }
         }
@@ -184,18 +195,20 @@
     pub(super) fn collect_overdue_machines(&mut self, settings: &Settings, now: Mono) {
         let report_s = settings.facts.workers.report_s;
         let (repeat_after, overdue_after) =
-            (Millis::from_secs(report_s), Millis::from_secs(report_s * OVERDUE_REPORTS));
+            (Millis::from_secs(report_s), Millis::from_secs(report_s * OVERDUE_REPORT_PERIODS));
         let of_finished_job =
-            |task: &TaskId| self.book.get(&task.job).is_some_and(|job| !job.goes_on());
+            |task: &TaskId| self.job_table.get(&task.job).is_some_and(|job| !job.may_continue());
         let overdue = |m: &&Machine| {
-            let last_heard = m.last_report.unwrap_or(self.heard_from).max(self.heard_from);
+            let last_heard =
+                m.last_report.unwrap_or(self.silence_counted_from).max(self.silence_counted_from);
             !m.addr.is_empty()
                 && now.since(last_heard) > overdue_after
-                && now.since(m.told_at) >= repeat_after
-                && m.held.keys().any(of_finished_job)
+                && now.since(m.last_direct_command) >= repeat_after
+                && m.assigned.keys().any(of_finished_job)
         };
         let machines = self.fleet.machines.values().filter(overdue);
-        let mut found: Vec<(Mono, HostId)> = machines.map(|m| (m.told_at, m.id.clone())).collect();
+        let mut found: Vec<(Mono, HostId)> =
+            machines.map(|m| (m.last_direct_command, m.id.clone())).collect();
         found.sort_unstable_by(|a, b| b.cmp(a));
         self.overdue_machines = found.into_iter().map(|(_, host)| host).collect();
     }
@@ -204,14 +217,15 @@
     /// Repeated once per report period until the tasks are known to have ended. Otherwise, on machines that reach no
     /// controller but can be reached, cancelled work would run on for the rest of a lease and count against its team's
     /// limit.
-    pub fn next_overdue(&mut self, now: Mono) -> Option<(HostId, String, Command)> {
+    pub fn next_overdue_stop(&mut self, now: Mono) -> Option<(HostId, String, Command)> {
         loop {
             let host = self.overdue_machines.pop()?;
-            let of_finished_job =
-                |(id, _): &(JobId, u32)| self.book.get(id).is_some_and(|job| !job.goes_on());
+            let of_finished_job = |(id, _): &(JobId, u32)| {
+                self.job_table.get(id).is_some_and(|job| !job.may_continue())
+            };
             let tasks = self.tasks_assigned_to(&host, |_| true).into_iter().filter(of_finished_job);
             let stop = |(id, index): (JobId, u32)| {
-                let attempt = self.book.get(&id)?.hold(index)?.attempt;
+                let attempt = self.job_table.get(&id)?.assignment(index)?.attempt;
                 Some(Order::Stop {
                     task: TaskId::new(&id, index).to_string(),
                     attempt,
@@ -222,8 +236,8 @@
             let Some(m) = self.fleet.machines.get_mut(&host).filter(|_| !orders.is_empty()) else {
                 continue;
             };
-            m.told_at = now;
-            let command = Command { token: self.token, shift: m.shift, orders };
+            m.last_direct_command = now;
+            let command = Command { token: self.token, shift: m.session, orders };
             return Some((host, m.addr.clone(), command));
         }
     }
@@ -236,13 +250,13 @@
         early_silence: Millis,
         leader_known_by: Mono,
         now: Mono,
-    ) -> BTreeMap<Zone, Seen> {
-        let mut zones: BTreeMap<Zone, Seen> = BTreeMap::new();
-        let counts = |m: &&Machine| m.attested && m.life != Life::Releasing;
+    ) -> BTreeMap<Zone, ZoneObservation> {
+        let mut zones: BTreeMap<Zone, ZoneObservation> = BTreeMap::new();
+        let counts = |m: &&Machine| m.existence_confirmed && m.state != MachineState::Releasing;
         for m in self.fleet.machines.values().filter(counts) {
             let observation = zones.entry(m.zone.clone()).or_default();
             // The stored assignments show that it was up when this term began, whatever the machine list says.
-            let expected = m.listed_up.or((!m.held.is_empty()).then_some(self.since));
+            let expected = m.listed_up_since.or((!m.assigned.is_empty()).then_some(self.since));
             let overdue = |at: Mono| u32::from(now.since(at.max(leader_known_by)) > early_silence);
             if let Some(at) = m.last_report {
                 observation.known += 1;
@@ -262,32 +276,36 @@
     pub(super) fn zones_awaiting_machine(
         &self,
         settings: &Settings,
-        cloud: &CloudDesk,
+        cloud: &CloudClient,
         now: Mono,
     ) -> BTreeSet<Zone> {
         let lease_s = settings.facts.workers.lease_s;
         let recently_hired = |m: &&Machine| {
             let boot_s = self.fleet.flavor(&m.flavor).map_or(0.0, |f| f.boot_s);
-            m.life == Life::Booting && now.since(m.born).secs() < boot_s * BOOT_SPREAD + lease_s
+            m.state == MachineState::Booting
+                && now.since(m.created_at).secs() < boot_s * MAX_BOOT_FACTOR + lease_s
         };
         let hired = self.fleet.machines.values().filter(recently_hired).map(|m| m.zone.clone());
-        hired.chain(cloud.awaited().map(|(kind, _)| kind.zone)).collect()
+        hired.chain(cloud.pending_hires().map(|(kind, _)| kind.zone)).collect()
     }
 
     /// Whether work is waiting that may run in this zone only.
     fn has_work_only_for_zone(&self, zone: &Zone, now: Mono) -> bool {
         let flavors = self.fleet.catalog.as_ref().map_or(&[][..], |c| &c.flavors);
         let waits = |j: &Job| j.state == JobState::Open && j.startable(now) > 0;
-        self.book.jobs.values().any(|j| waits(j) && placement::needs_zone(&j.spec, flavors, zone))
+        self.job_table
+            .jobs
+            .values()
+            .any(|j| waits(j) && placement::needs_zone(&j.spec, flavors, zone))
     }
 
     /// Hires one machine in a lost zone now and then to probe whether the zone is back, unless one is booting there; hire
     /// requests for lost zones that were not sent yet are dropped. A silent machine does not replace the probe: it may be
     /// dead, and work that could run only there waited five minutes for it. The probe is postponed, not skipped, while a
     /// machine boots or all kinds are refused.
-    pub(super) fn probe_zones(&mut self, settings: &Settings, cloud: &mut CloudDesk, now: Mono) {
-        for zone in self.fleet.zones.all_lost() {
-            cloud.unwish(zone);
+    pub(super) fn probe_zones(&mut self, settings: &Settings, cloud: &mut CloudClient, now: Mono) {
+        for zone in self.fleet.zones.lost_zones() {
+            cloud.cancel_unsent_hires(zone);
         }
         let due_zones =
             self.fleet.zones.due_probes(now, |zone| self.has_work_only_for_zone(zone, now));
@@ -300,8 +318,8 @@
         };
         for zone in due_zones {
             // While the zone recovers, the reports of its live machines show whether it stays up; no probe is needed.
-            let returning = !self.fleet.zones.lost(&zone);
-            let live = |m: &Machine| m.zone == zone && m.life == Life::Live;
+            let returning = !self.fleet.zones.is_lost(&zone);
+            let live = |m: &Machine| m.zone == zone && m.state == MachineState::Live;
             if awaiting_machine.contains(&zone)
                 || returning && self.fleet.machines.values().any(live)
             {
@@ -311,7 +329,7 @@
             let flavors_here = flavors.filter(|f| f.zones.contains(&zone));
             let kinds = flavors_here.flat_map(|f| [true, false].map(|spot| (f, spot)));
             let priced_kinds = kinds.map(|(f, spot)| {
-                let kind = Kind { flavor: f.label.clone(), zone: zone.clone(), spot };
+                let kind = MachineKind { flavor: f.label.clone(), zone: zone.clone(), spot };
                 (f.price_as(spot), kind)
             });
             let cheapest = priced_kinds
@@ -320,7 +338,7 @@
             if let Some((_, kind)) = cheapest {
                 log::info!("zone {zone}: hiring one machine to probe whether the zone is back");
                 cloud.hire(&kind, 1);
-                self.fleet.zones.probed(&zone, now);
+                self.fleet.zones.record_probe(&zone, now);
             }
         }
     }
@@ -329,37 +347,38 @@
     pub(super) fn stop_draining_tasks(&mut self, now: Mono) {
         let mut stops = Vec::new();
         for m in self.fleet.machines.values() {
-            if m.life != Life::Draining {
+            if m.state != MachineState::Draining {
                 continue;
             }
-            for task in m.held.keys() {
-                let Some(job) = self.book.get(&task.job) else {
+            for task in m.assigned.keys() {
+                let Some(job) = self.job_table.get(&task.job) else {
                     continue;
                 };
                 let spec = &job.spec;
-                let Some(hold) = job.hold(task.index) else {
+                let Some(hold) = job.assignment(task.index) else {
                     continue;
                 };
                 // Before the cloud takes a machine, a task that cannot save its progress runs on if it
                 // may finish in time; otherwise it is stopped at once and starts again elsewhere.
                 let ran_s = hold.running_since.map_or(0.0, |t| now.since(t).secs());
                 let remaining_s = spec.estimate_s - ran_s;
-                let may_finish_in_time = m.taken_at.is_some_and(|at| {
+                let may_finish_in_time = m.reclaimed_at.is_some_and(|at| {
                     spec.checkpoint_s <= 0.0
                         && spec.shape != Shape::Service
                         && remaining_s < at.since(now).secs()
                 });
-                if hold.stop.is_none() && !(may_finish_in_time && hold.run != RunSent::No) {
+                if hold.stop.is_none() && !(may_finish_in_time && hold.run_sent != RunSent::No) {
                     stops.push((task.clone(), spec.save_s));
                 }
             }
         }
         for (task, grace) in stops {
-            if matches!(self.book.get(&task.job).map(|j| j.gang), Some(Gang::Running(_))) {
-                self.stop_gang(&task.job, StopWhy::Draining, now);
-            } else if self.book.held(&task).is_some_and(|hold| hold.stop.is_none()) {
+            if matches!(self.job_table.get(&task.job).map(|j| j.gang), Some(GangState::Running(_)))
+            {
+                self.stop_gang(&task.job, StopReason::Draining, now);
+            } else if self.job_table.held(&task).is_some_and(|hold| hold.stop.is_none()) {
                 // Otherwise it was stopped along with another task of its gang.
-                self.stop(&task, StopWhy::Draining, grace, now);
+                self.stop(&task, StopReason::Draining, grace, now);
             }
         }
     }
