--- a/crates/core/src/reign/mod.rs
+++ b/crates/core/src/reign/mod.rs
@@ -10,15 +10,15 @@
 mod reports;
 mod usage;
 
-use crate::cloud::{CloudDesk, Kind};
+use crate::cloud::{CloudClient, MachineKind};
 use crate::constants::*;
 use crate::estimate::{Kalman, Measurement};
 use crate::jobs::*;
-use crate::notes::Notes;
-use crate::operators::Operators;
-use crate::placement::{self, Inputs, Plan};
-use crate::scaling::{self, Bounds, Claim, Demand};
-use crate::workers::{Fleet, Freshness, Image, Life, Machine, Room};
+use crate::notes::LeaderHints;
+use crate::operators::OperatorSettings;
+use crate::placement::{self, PlacementInputs, PlacementPlan};
+use crate::scaling::{self, ArrayDemand, CoreBounds, Demand};
+use crate::workers::{Fleet, Freshness, Image, Machine, MachineState, Resources};
 use oatloom_graph::desk::Desk;
 use oatloom_graph::limits::Limits;
 use oatloom_graph::model::Room as RecordRoom;
@@ -30,7 +30,7 @@
     Cause, Command, JobSpec, JobStatus, Listed, MachineStatus, Order, Report, ReportAnswer, Shape,
     TaskPhase, TaskReport,
 };
-use oatloom_zones::{Hires, Seen, Zones};
+use oatloom_zones::{HirePolicy, ZoneObservation, ZoneStates};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
 use std::sync::Arc;
@@ -43,7 +43,7 @@
     /// Reads their assignments.
     LoadingAssigned,
     /// Everything is loaded: the leader handles reports, places tasks and scales.
-    Ruling,
+    Active,
 }
 
 /// Error of the owners' run time estimates for one job class.
@@ -69,28 +69,28 @@
     fn observe(&mut self, ratio: f64) {
         let ratio = ratio.clamp(0.1, 10.0);
         self.mean += BIAS_GAIN * (ratio - self.mean);
-        self.recent_max = (self.recent_max * LONGEST_KEPT).max(ratio);
+        self.recent_max = (self.recent_max * LONGEST_RUN_DECAY).max(ratio);
     }
 }
 
 /// Operator configuration that applies to every leader term.
 #[derive(Clone, Debug, Default)]
-pub struct Terms {
+pub struct LeaderConfig {
     /// Retry allowances by job class.
     pub classes: Arc<Classes>,
     /// Classes that usage accounting reports separately; `None` if accounting is off.
-    pub accounted: Option<Arc<BTreeSet<String>>>,
+    pub usage_classes: Option<Arc<BTreeSet<String>>>,
     /// How often finished attempts are added to the stored usage totals.
-    pub account_every: Millis,
+    pub usage_flush_interval: Millis,
     /// Limits on task graphs and on the size of their records; `None` if graphs are not served.
     pub graphs: Option<(Limits, RecordRoom)>,
     /// Maximum size of a stored value in bytes, under the current and any announced limits.
-    pub value_bytes: usize,
+    pub max_value_bytes: usize,
 }
 
-impl Terms {
+impl LeaderConfig {
     /// Derives the configuration from the settings and the operators' values.
-    pub fn new(settings: &Settings, ops: &Operators) -> Self {
+    pub fn new(settings: &Settings, ops: &OperatorSettings) -> Self {
         let objective_classes = settings.facts.objectives.iter().filter_map(|o| o.class.clone());
         let limited_classes = ops.classes.names().map(str::to_owned);
         let accounted =
@@ -99,25 +99,34 @@
         let graphs = ops.graphs.then(|| (ops.graph_limits.clone(), graphs::record_space(settings)));
         let value_bytes = (settings.facts.state.strictest().value_kb * 1024.0) as usize;
         let classes = Arc::new(ops.classes.clone());
-        Self { classes, accounted, account_every, graphs, value_bytes }
+        Self {
+            classes,
+            usage_classes: accounted,
+            usage_flush_interval: account_every,
+            graphs,
+            max_value_bytes: value_bytes,
+        }
     }
 
-    fn usage_accounting(&self) -> Option<Account> {
-        let classes = self.accounted.clone()?;
-        Some(Account::new(classes, self.account_every).within(self.value_bytes))
+    fn usage_accounting(&self) -> Option<UsageAccounting> {
+        let classes = self.usage_classes.clone()?;
+        Some(
+            UsageAccounting::new(classes, self.usage_flush_interval)
+                .with_value_limit(self.max_value_bytes),
+        )
     }
 }
 
 /// State of one leader term.
 #[derive(Debug)]
-pub struct Reign {
+pub struct LeaderTerm {
     /// Fencing token of the term.
     pub token: Token,
     /// Start of the term.
     pub since: Mono,
     /// Start of the term, or the latest moment at which the lease became valid again after a lapse.
     /// The silence of machines is counted from here at the earliest.
-    pub heard_from: Mono,
+    pub silence_counted_from: Mono,
     pub stage: Stage,
     /// Whether the cloud's machine list has been read in this term.
     machines_listed: bool,
@@ -126,10 +135,10 @@
     /// Whether the state of the zones has been initialized.
     zones_initialized: bool,
     /// Store revision at which the job table was read.
-    pub begin: Revision,
+    pub load_revision: Revision,
     /// Number of planned assignments that the placement rules forbid. Each is a bug in the planner; tests check it.
-    pub wrong_plans: u32,
-    pub book: Book,
+    pub invalid_assignments: u32,
+    pub job_table: JobTable,
     pub fleet: Fleet,
     attempt_count: u64,
     /// Core count planned by the control loop.
@@ -165,23 +174,23 @@
     next_tick: Mono,
 }
 
-impl Reign {
+impl LeaderTerm {
     /// Starts a term with an empty job table; of `fleet` only the catalog is kept.
-    pub fn new(token: Token, now: Mono, mut fleet: Fleet, terms: &Terms) -> Self {
+    pub fn new(token: Token, now: Mono, mut fleet: Fleet, terms: &LeaderConfig) -> Self {
         fleet.machines.clear();
-        fleet.gone.clear();
-        fleet.zones = Zones::default();
+        fleet.tombstones.clear();
+        fleet.zones = ZoneStates::default();
         Self {
             token,
             since: now,
-            heard_from: now,
+            silence_counted_from: now,
             stage: Stage::LoadingLive,
             machines_listed: false,
             hints_applied: false,
             zones_initialized: false,
-            begin: Revision(0),
-            wrong_plans: 0,
-            book: Book::new(
+            load_revision: Revision(0),
+            invalid_assignments: 0,
+            job_table: JobTable::new(
                 terms.classes.clone(),
                 terms.usage_accounting(),
                 terms.graphs.is_some(),
@@ -216,27 +225,28 @@
             self.token,
             self.stage,
             stage,
-            self.book.jobs.len()
+            self.job_table.jobs.len()
         );
         self.stage = stage;
         self.placement_needed = true;
-        if stage == Stage::Ruling {
+        if stage == Stage::Active {
             // An earlier leader may have stopped between writing the last task and the end of the job.
             let complete =
                 |(_, j): &(&JobId, &Job)| j.state == JobState::Open && j.done == j.spec.tasks;
             let ids: Vec<JobId> =
-                self.book.jobs.iter().filter(complete).map(|(id, _)| id.clone()).collect();
+                self.job_table.jobs.iter().filter(complete).map(|(id, _)| id.clone()).collect();
             for id in ids {
-                self.book.end(&id, JobStatus::Done, "all tasks were already done");
+                self.job_table.end(&id, JobStatus::Done, "all tasks were already done");
             }
         }
     }
 
     /// Builds a hint with the state that is not stored and that a new leader would have to learn again:
     /// the images of the next few machines, and class biases, arrivals and zone states in full.
-    pub fn notes(&mut self, now: Mono) -> Notes {
+    pub fn leader_hints(&mut self, now: Mono) -> LeaderHints {
         let after = (Bound::Excluded(self.last_hinted_machine.clone()), Bound::Unbounded);
-        let max_machines = self.fleet.machines.len().div_ceil(NOTES_ROUND).max(NOTES_MACHINES);
+        let max_machines =
+            self.fleet.machines.len().div_ceil(HINTS_PER_ROUND).max(MIN_HINT_MACHINES);
         let mut bytes = 0;
         let machines = self.fleet.machines.range(after).map(|(_, m)| m);
         let images: Vec<(HostId, Vec<(String, f64)>)> = machines
@@ -247,62 +257,62 @@
                 (m.id.clone(), ready.map(|i| (i.name.clone(), i.gb)).collect())
             })
             .take_while(|(_, images): &(HostId, Vec<(String, f64)>)| {
-                let size = |(name, _): &(String, f64)| name.len() + NOTES_IMAGE_BYTES;
+                let size = |(name, _): &(String, f64)| name.len() + HINT_IMAGE_BYTES;
                 let bytes_before = bytes;
-                bytes += NOTES_MACHINE_BYTES + images.iter().map(size).sum::<usize>();
-                bytes_before == 0 || bytes <= NOTES_BYTES
+                bytes += HINT_MACHINE_BYTES + images.iter().map(size).sum::<usize>();
+                bytes_before == 0 || bytes <= MAX_HINT_IMAGES_BYTES
             })
             .collect();
         let last_included =
-            images.last().filter(|_| images.len() == max_machines || bytes > NOTES_BYTES);
+            images.last().filter(|_| images.len() == max_machines || bytes > MAX_HINT_IMAGES_BYTES);
         self.last_hinted_machine =
             last_included.map_or_else(|| HostId::new(""), |(host, _)| host.clone());
         let mut arrivals: BTreeMap<&str, (JobSpec, Vec<u64>)> = BTreeMap::new();
-        for (arrived_at, spec) in &self.book.arrivals {
+        for (arrived_at, spec) in &self.job_table.arrivals {
             let entry =
                 arrivals.entry(&spec.class).or_insert_with(|| ((**spec).clone(), Vec::new()));
             entry.1.push(now.since(*arrived_at).0);
         }
-        Notes {
+        LeaderHints {
             token: self.token,
             leader: None,
             images,
-            shown: self
+            run_time_ratios: self
                 .class_biases
                 .iter()
                 .map(|(class, bias)| (class.clone(), bias.mean))
                 .collect(),
             arrivals: arrivals.into_values().collect(),
             gossip: None,
-            zones: self.fleet.zones.told(now),
+            zones: self.fleet.zones.report(now),
         }
     }
 
     /// Applies the hints that an earlier leader sent at `hinted_at`.
-    pub fn recall(&mut self, hints: Notes, hinted_at: Mono) {
+    pub fn recall(&mut self, hints: LeaderHints, hinted_at: Mono) {
         self.hints_applied = true;
         self.fleet.zones.recall(&hints.zones, hinted_at);
         for (host, images) in hints.images {
             let ready = |(name, gb)| Image { name, gb, ready: true };
             self.inherited_images.insert(host, images.into_iter().map(ready).collect());
         }
-        for (class, factor) in hints.shown {
+        for (class, factor) in hints.run_time_ratios {
             self.class_biases.insert(class, ClassBias::new(factor));
         }
         // The job table lacks jobs that arrived before the hints were sent and have finished since.
         let mut arrivals: Vec<(Mono, Arc<JobSpec>)> =
-            self.book.arrivals.drain(..).filter(|(at, _)| *at > hinted_at).collect();
+            self.job_table.arrivals.drain(..).filter(|(at, _)| *at > hinted_at).collect();
         for (spec, ages) in hints.arrivals {
             let spec = Arc::new(spec);
             let at = |age: u64| Mono(hinted_at.0.saturating_sub(age));
             arrivals.extend(ages.into_iter().map(|age| (at(age), spec.clone())));
         }
         arrivals.sort_by_key(|(at, _)| *at);
-        self.book.arrivals.extend(arrivals);
+        self.job_table.arrivals.extend(arrivals);
     }
 
     /// Requests a placement pass.
-    pub fn wake(&mut self) {
+    pub fn request_placement(&mut self) {
         self.placement_needed = true;
     }
 
@@ -313,7 +323,7 @@
     }
 
     /// Loads an assignment record from the store.
-    pub fn load_chunk(
+    pub fn load_assignments(
         &mut self,
         id: &JobId,
         chunk: u32,
@@ -323,8 +333,8 @@
     ) {
         let zones: BTreeMap<HostId, Zone> =
             record.held.iter().map(|(_, _, host, _, zone)| (host.clone(), zone.clone())).collect();
-        for (index, host, shift) in self.book.load_chunk(id, chunk, record, stamp, now) {
-            let Some(job) = self.book.get(id) else {
+        for (index, host, shift) in self.job_table.load_chunk(id, chunk, record, stamp, now) {
+            let Some(job) = self.job_table.get(id) else {
                 continue;
             };
             let spec = job.spec.clone();
@@ -332,13 +342,13 @@
                 continue;
             };
             // The machine list or the machine's report supplies the flavor.
-            let machine = self.fleet.adopt(&host, "", zone, false, now, now);
-            machine.attested = true;
+            let machine = self.fleet.add_machine(&host, "", zone, false, now, now);
+            machine.existence_confirmed = true;
             // Marks reports of earlier sessions as stale; direct commands also have to name the session.
-            machine.shift = machine.shift.max(shift);
+            machine.session = machine.session.max(shift);
             machine.hold(
                 TaskId::new(id, index),
-                Room::from(&*spec),
+                Resources::from(&*spec),
                 &spec.image,
                 spec.image_gb,
                 f64::MAX,
@@ -348,51 +358,54 @@
 
     /// Releases the assignment of a task that has provably left its machine.
     fn release_task(&mut self, id: &JobId, index: u32, done: bool, now: Mono) {
-        if let Some(host) = self.book.get(id).and_then(|j| j.hold(index)).map(|h| h.host.clone())
+        if let Some(host) =
+            self.job_table.get(id).and_then(|j| j.assignment(index)).map(|h| h.host.clone())
             && let Some(machine) = self.fleet.machines.get_mut(&host)
         {
-            machine.free(&TaskId::new(id, index), now);
+            machine.unassign(&TaskId::new(id, index), now);
         }
         // A gang has completed as soon as one of its tasks is done, however the others end.
         let completed = |job: &Job| {
             job.spec.shape == Shape::Gang && job.done > 0 && job.state == JobState::Open
         };
-        let done = done || self.book.get(id).is_some_and(completed);
-        self.book.free(id, index, done);
+        let done = done || self.job_table.get(id).is_some_and(completed);
+        self.job_table.unassign(id, index, done);
         self.placement_needed = true;
-        let complete =
-            self.book.get(id).is_some_and(|j| j.state == JobState::Open && j.done == j.spec.tasks);
+        let complete = self
+            .job_table
+            .get(id)
+            .is_some_and(|j| j.state == JobState::Open && j.done == j.spec.tasks);
         if complete {
-            self.book.end(id, JobStatus::Done, "all tasks are done");
+            self.job_table.end(id, JobStatus::Done, "all tasks are done");
         }
         self.end_if_failed(id);
     }
 
     /// Abandons a gang's current attempt and stops its remaining tasks.
     fn abandon_gang(&mut self, id: &JobId, why: &str, now: Mono) {
-        let Some(job) = self.book.jobs.get_mut(id) else {
+        let Some(job) = self.job_table.jobs.get_mut(id) else {
             return;
         };
-        let (Gang::Gathering(attempt) | Gang::Running(attempt)) = job.gang else {
+        let (GangState::Gathering(attempt) | GangState::Running(attempt)) = job.gang else {
             return;
         };
-        if job.held == 0 {
-            job.gang_enter(Gang::Idle, why);
+        if job.assigned == 0 {
+            job.set_gang_state(GangState::Idle, why);
             return;
         }
-        job.gang_enter(Gang::Clearing(attempt), why);
-        self.stop_all(id, StopWhy::GangFailed, 0.0, now);
+        job.set_gang_state(GangState::Clearing(attempt), why);
+        self.stop_all(id, StopReason::GangFailed, 0.0, now);
     }
 
     /// Requests the end of an assigned task. One whose start order was never sent is released at once.
-    fn stop(&mut self, task: &TaskId, why: StopWhy, grace_s: f64, now: Mono) {
-        let Some(job) = self.book.jobs.get_mut(&task.job) else {
+    fn stop(&mut self, task: &TaskId, why: StopReason, grace_s: f64, now: Mono) {
+        let Some(job) = self.job_table.jobs.get_mut(&task.job) else {
             return;
         };
-        let Some(hold) = job.hold_mut(task.index) else {
+        let Some(hold) = job.assignment_mut(task.index) else {
             return;
         };
-        if hold.run == RunSent::No {
+        if hold.run_sent == RunSent::No {
             self.release_task(&task.job, task.index, false, now);
             return;
         }
@@ -402,9 +415,9 @@
             log::debug!("task {task}: stopping ({why:?}, grace {grace_s} s)");
         }
         let since = hold.stop.as_ref().map_or(now, |s| s.since);
-        hold.stop = Some(Stop { why, grace_s, since });
+        hold.stop = Some(Stop { reason: why, grace_s, since });
         self.changed_machines.push(hold.host.clone());
-        if matches!(why, StopWhy::Preempted | StopWhy::Draining | StopWhy::Moved) {
+        if matches!(why, StopReason::Preempted | StopReason::Draining | StopReason::Moved) {
             let (host, attempt) = (hold.host.clone(), hold.attempt);
             let orders = self.direct_stops.entry(host).or_default();
             if orders.len() < MAX_ORDERS {
@@ -414,9 +427,9 @@
     }
 
     /// Requests the end of all assigned tasks of a job.
-    fn stop_all(&mut self, id: &JobId, why: StopWhy, grace_s: f64, now: Mono) {
-        let Some(job) = self.book.get(id) else { return };
-        let held: Vec<u32> = job.holds().map(|(i, _)| i).collect();
+    fn stop_all(&mut self, id: &JobId, why: StopReason, grace_s: f64, now: Mono) {
+        let Some(job) = self.job_table.get(id) else { return };
+        let held: Vec<u32> = job.assignments().map(|(i, _)| i).collect();
         for index in held {
             self.stop(&TaskId::new(id, index), why, grace_s, now);
         }
@@ -425,26 +438,32 @@
     /// Stops a running gang so that its progress is saved: all its tasks must receive the stop within
     /// `gang_peer_s`, with a grace period long enough to save. Clearing the gang here avoids a second
     /// stop without grace, which a failed gang gets.
-    fn stop_gang(&mut self, id: &JobId, why: StopWhy, now: Mono) {
-        let Some(job) = self.book.jobs.get_mut(id) else { return };
-        let Gang::Running(attempt) = job.gang else { return };
-        job.gang_enter(Gang::Clearing(attempt), "stopped to save its progress");
+    fn stop_gang(&mut self, id: &JobId, why: StopReason, now: Mono) {
+        let Some(job) = self.job_table.jobs.get_mut(id) else { return };
+        let GangState::Running(attempt) = job.gang else { return };
+        job.set_gang_state(GangState::Clearing(attempt), "stopped to save its progress");
         let grace_s = job.spec.save_s;
         self.stop_all(id, why, grace_s, now);
     }
 
     /// Ends a job: none of its tasks may start any more, and those on machines are stopped.
     pub fn end_job(&mut self, id: &JobId, status: JobStatus, why: &str, now: Mono) {
-        self.book.end(id, status, why);
-        self.stop_all(id, StopWhy::JobOver, 0.0, now);
+        self.job_table.end(id, status, why);
+        self.stop_all(id, StopReason::JobFinished, 0.0, now);
     }
 
     /// Runs the periodic work; called for every event while the token is valid.
-    pub fn tick(&mut self, settings: &Settings, ops: &Operators, cloud: &mut CloudDesk, now: Mono) {
-        if self.stage != Stage::Ruling {
+    pub fn tick(
+        &mut self,
+        settings: &Settings,
+        ops: &OperatorSettings,
+        cloud: &mut CloudClient,
+        now: Mono,
+    ) {
+        if self.stage != Stage::Active {
             return;
         }
-        self.placement_needed |= self.book.take_released();
+        self.placement_needed |= self.job_table.take_released();
         if now >= self.next_tick && now >= self.next_placement.min(self.next_tick.plus(ops.tick()))
         {
             self.next_tick = now.plus(ops.tick());
@@ -456,11 +475,15 @@
             self.review_retries(now);
             self.update_node_costs();
             self.scale(settings, ops, cloud, now);
-            self.fleet.forget_old(now);
+            self.fleet.expire_tombstones(now);
             let arrival_window = Millis::from_secs(ARRIVAL_WINDOW_S);
-            while self.book.arrivals.front().is_some_and(|(at, _)| now.since(*at) > arrival_window)
+            while self
+                .job_table
+                .arrivals
+                .front()
+                .is_some_and(|(at, _)| now.since(*at) > arrival_window)
             {
-                self.book.arrivals.pop_front();
+                self.job_table.arrivals.pop_front();
             }
         } else if self.placement_needed && now >= self.next_placement {
             self.run_placement(settings, cloud, now);
--- a/crates/core/src/reign/reports.rs
+++ b/crates/core/src/reign/reports.rs
@@ -9,15 +9,19 @@
 /// the reports: with the old number, a late answer that shows the refusal would end a task that has started since.
 const TASK_REFUSED: &str = "a task was refused";
 
-impl Reign {
+impl LeaderTerm {
     /// Returns stop orders to send to a machine directly, with its address. Stops are harmless however
     /// late they arrive, and are repeated in answers to reports. Start orders are never sent this way.
-    pub fn next_command(&mut self) -> Option<(HostId, String, Command)> {
+    pub fn next_direct_stop(&mut self) -> Option<(HostId, String, Command)> {
         loop {
             let (host, orders) = self.direct_stops.pop_first()?;
             let Some(m) = self.fleet.machines.get(&host) else { continue };
-            if matches!(m.life, Life::Live | Life::Closing | Life::Draining) && !m.addr.is_empty() {
-                let command = Command { token: self.token, shift: m.shift, orders };
+            if matches!(
+                m.state,
+                MachineState::Live | MachineState::Closing | MachineState::Draining
+            ) && !m.addr.is_empty()
+            {
+                let command = Command { token: self.token, shift: m.session, orders };
                 return Some((host, m.addr.clone(), command));
             }
         }
@@ -26,10 +30,10 @@
     /// Applies a worker's answer to a direct command. It is not ordered among the reports and may
     /// precede the answer to the worker's open report, so a task missing from it proves nothing. A task
     /// that it shows as ended has ended.
-    pub fn on_obeyed(&mut self, report: &Report, now: Mono) {
+    pub fn on_command_answer(&mut self, report: &Report, now: Mono) {
         let same_session =
-            self.fleet.machines.get(&report.host).is_some_and(|m| m.shift == report.shift);
-        if !same_session || report.token != self.token || self.stage != Stage::Ruling {
+            self.fleet.machines.get(&report.host).is_some_and(|m| m.session == report.shift);
+        if !same_session || report.token != self.token || self.stage != Stage::Active {
             return;
         }
         for row in report.tasks.iter().filter(|row| row.status == TaskPhase::Exited) {
@@ -43,22 +47,22 @@
     /// Applies a report and returns its answer; `None` if it must not be answered with 200.
     pub fn on_report(&mut self, report: &Report, now: Mono) -> Option<ReportAnswer> {
         // A late report of a machine whose release was confirmed.
-        if self.fleet.gone.contains_key(&report.host) {
+        if self.fleet.tombstones.contains_key(&report.host) {
             return None;
         }
         let before = self.fleet.machines.get(&report.host);
         let answered = before.is_some_and(|m| m.last_answer.is_some());
-        let freshness = self.fleet.take_report(report, self.token, now);
+        let freshness = self.fleet.record_report(report, self.token, now);
         if freshness == Freshness::Stale {
             return None;
         }
         if let Some(images) = self.inherited_images.remove(&report.host)
             && let Some(machine) = self.fleet.machines.get_mut(&report.host)
         {
-            machine.recall(images);
+            machine.restore_images(images);
         }
         let mut orders = Vec::new();
-        if self.stage == Stage::Ruling {
+        if self.stage == Stage::Active {
             self.release_old_sessions(report, now);
             let lost = self.reconcile(report, freshness, &mut orders, now);
             self.count_lost_answers(
@@ -78,59 +82,59 @@
     /// its reports arrive but the answers are lost.
     fn count_lost_answers(&mut self, host: &HostId, missed: bool, now: Mono) {
         let Some(machine) = self.fleet.machines.get_mut(host) else { return };
-        machine.unheard = if missed { machine.unheard + 1 } else { 0 };
-        if machine.unheard < UNHEARD_MOST {
+        machine.missed_answers = if missed { machine.missed_answers + 1 } else { 0 };
+        if machine.missed_answers < MAX_MISSED_ANSWERS {
             return;
         }
-        if machine.unheard == UNHEARD_MOST {
+        if machine.missed_answers == MAX_MISSED_ANSWERS {
             log::info!("machine {host}: receives no answers to its reports");
         }
-        machine.paused_until = machine.paused_until.max(now.plus(UNHEARD_PAUSE_MS));
-        for (id, index) in self.tasks_assigned_to(host, |hold| hold.run == RunSent::No) {
+        machine.paused_until = machine.paused_until.max(now.plus(MISSED_ANSWERS_PAUSE_MS));
+        for (id, index) in self.tasks_assigned_to(host, |hold| hold.run_sent == RunSent::No) {
             self.release_task(&id, index, false, now);
         }
     }
 
     /// Whether the answer to a machine's report may be delayed until there are orders: the machine is
     /// reserved for a job, or has room for one that must start soon and nothing on it is likely to end.
-    pub fn may_wait(&self, settings: &Settings, host: &HostId, now: Mono) -> bool {
-        if self.stage != Stage::Ruling || !placement::any_eager(settings) {
+    pub fn may_park_report(&self, settings: &Settings, host: &HostId, now: Mono) -> bool {
+        if self.stage != Stage::Active || !placement::any_urgent_class(settings) {
             return false;
         }
         let Some(m) = self.fleet.machines.get(host) else { return false };
-        if m.life != Life::Live || !m.strays.is_empty() || m.paused_until > now {
+        if m.state != MachineState::Live || !m.strays.is_empty() || m.paused_until > now {
             return false;
         }
-        let reserved = m.kept_for(now).is_some();
-        let start_unsent = |hold: &Hold| hold.run == RunSent::No;
+        let reserved = m.reserved_for(now).is_some();
+        let start_unsent = |hold: &TaskAssignment| hold.run_sent == RunSent::No;
         let unlikely_to_end = |task: &TaskId| {
-            self.book.get(&task.job).is_some_and(|j| {
-                let is_running = |hold: &Hold| hold.phase == Some(TaskPhase::Running);
+            self.job_table.get(&task.job).is_some_and(|j| {
+                let is_running = |hold: &TaskAssignment| hold.phase == Some(TaskPhase::Running);
                 j.spec.shape != Shape::Array
-                    && j.hold(task.index)
+                    && j.assignment(task.index)
                         .is_some_and(|h| h.stop.is_none() && (start_unsent(h) || is_running(h)))
             })
         };
         let has_room = || {
-            let free = self.fleet.free_room(m);
-            self.expected_jobs.iter().any(|(job, _)| free.fits(&Room::from(&*job.spec)))
+            let free = self.fleet.free_resources(m);
+            self.expected_jobs.iter().any(|(job, _)| free.fits(&Resources::from(&*job.spec)))
         };
         let has_unsent_start =
-            || m.held.keys().any(|task| self.book.held(task).is_some_and(start_unsent));
-        reserved || has_unsent_start() || m.held.keys().all(unlikely_to_end) && has_room()
+            || m.assigned.keys().any(|task| self.job_table.held(task).is_some_and(start_unsent));
+        reserved || has_unsent_start() || m.assigned.keys().all(unlikely_to_end) && has_room()
     }
 
     /// Whether there are start or stop orders that can be sent to a machine now.
-    pub fn has_orders(&self, host: &HostId) -> bool {
+    pub fn has_sendable_orders(&self, host: &HostId) -> bool {
         let Some(machine) = self.fleet.machines.get(host) else { return true };
-        machine.life != Life::Live
-            || machine.held.keys().any(|task| {
-                self.book.get(&task.job).is_some_and(|job| {
-                    job.hold(task.index).is_some_and(|hold| {
+        machine.state != MachineState::Live
+            || machine.assigned.keys().any(|task| {
+                self.job_table.get(&task.job).is_some_and(|job| {
+                    job.assignment(task.index).is_some_and(|hold| {
                         hold.stop.is_some()
-                            || hold.run == RunSent::No
+                            || hold.run_sent == RunSent::No
                                 && job.state == JobState::Open
-                                && job.durable(task.index)
+                                && job.assignment_durable(task.index)
                     })
                 })
             })
@@ -142,10 +146,11 @@
     }
 
     /// Whether a machine has tasks to start or stop, now or once their assignment is durable.
-    pub fn has_unsent(&self, host: &HostId) -> bool {
-        let order_pending = |hold: &Hold| hold.run == RunSent::No || hold.stop.is_some();
+    pub fn has_pending_orders(&self, host: &HostId) -> bool {
+        let order_pending =
+            |hold: &TaskAssignment| hold.run_sent == RunSent::No || hold.stop.is_some();
         self.fleet.machines.get(host).is_some_and(|machine| {
-            machine.held.keys().any(|task| self.book.held(task).is_some_and(order_pending))
+            machine.assigned.keys().any(|task| self.job_table.held(task).is_some_and(order_pending))
         })
     }
 
@@ -157,7 +162,7 @@
     }
 
     /// Returns the answer to a parked report, unless a newer report has arrived or the machine is gone.
-    pub fn answer_late(
+    pub fn answer_parked_report(
         &mut self,
         host: &HostId,
         shift: Shift,
@@ -165,16 +170,16 @@
         now: Mono,
     ) -> Option<ReportAnswer> {
         let machine = self.fleet.machines.get_mut(host)?;
-        if (machine.shift, machine.tally) != (shift, tally) {
+        if (machine.session, machine.report_seq) != (shift, tally) {
             return None;
         }
         machine.last_answer = Some(now);
         let mut orders = Vec::new();
         for (id, index) in
-            self.tasks_assigned_to(host, |hold| hold.stop.is_some() && hold.run != RunSent::No)
+            self.tasks_assigned_to(host, |hold| hold.stop.is_some() && hold.run_sent != RunSent::No)
         {
             let task = TaskId::new(&id, index);
-            let stop = self.book.held(&task).and_then(|h| Some((h.stop?.grace_s, h.attempt)));
+            let stop = self.job_table.held(&task).and_then(|h| Some((h.stop?.grace_s, h.attempt)));
             if let Some((grace_s, attempt)) = stop {
                 self.push_order(
                     &mut orders,
@@ -188,7 +193,8 @@
 
     /// Releases the tasks of older worker sessions: a newer session proves that they are gone.
     pub(super) fn release_old_sessions(&mut self, report: &Report, now: Mono) {
-        for (id, index) in self.tasks_assigned_to(&report.host, |hold| hold.shift < report.shift) {
+        for (id, index) in self.tasks_assigned_to(&report.host, |hold| hold.session < report.shift)
+        {
             log::info!("task {id}/{index}: gone, {} has a new worker session", report.host);
             self.task_lost(&id, index, now);
         }
@@ -196,24 +202,24 @@
 
     /// Whether the job table assigns this attempt of a task to the worker session that reports it.
     fn is_assigned_here(&self, task: &TaskId, attempt: Attempt, report: &Report) -> bool {
-        self.book.held(task).is_some_and(|h| {
-            h.host == report.host && h.attempt == attempt && h.shift == report.shift
+        self.job_table.held(task).is_some_and(|h| {
+            h.host == report.host && h.attempt == attempt && h.session == report.shift
         })
     }
 
     pub(super) fn tasks_assigned_to(
         &self,
         host: &HostId,
-        predicate: impl Fn(&Hold) -> bool,
+        predicate: impl Fn(&TaskAssignment) -> bool,
     ) -> Vec<(JobId, u32)> {
         let Some(machine) = self.fleet.machines.get(host) else {
             return Vec::new();
         };
         machine
-            .held
+            .assigned
             .keys()
             .filter(|task| {
-                self.book.held(task).is_some_and(|hold| hold.host == *host && predicate(hold))
+                self.job_table.held(task).is_some_and(|hold| hold.host == *host && predicate(hold))
             })
             .map(|task| (task.job.clone(), task.index))
             .collect()
@@ -222,11 +228,11 @@
     /// Releases a task that is provably gone and whose end was not reported.
     pub(super) fn task_lost(&mut self, id: &JobId, index: u32, now: Mono) {
         self.record_usage(id, index, End::Unseen, (false, None), now);
-        if let Some(job) = self.book.jobs.get_mut(id) {
+        if let Some(job) = self.job_table.jobs.get_mut(id) {
             job.lost_at = now;
         }
         self.release_task(id, index, false, now);
-        if matches!(self.book.get(id).map(|j| j.gang), Some(Gang::Running(_))) {
+        if matches!(self.job_table.get(id).map(|j| j.gang), Some(GangState::Running(_))) {
             self.abandon_gang(id, "a task was lost", now);
         }
     }
@@ -260,8 +266,11 @@
                 continue;
             }
             if !exited {
-                let need =
-                    self.book.get(&task.job).map(|j| Room::from(&*j.spec)).unwrap_or_default();
+                let need = self
+                    .job_table
+                    .get(&task.job)
+                    .map(|j| Resources::from(&*j.spec))
+                    .unwrap_or_default();
                 log::warn!("machine {host}: {task} try {} is not assigned there", row.attempt);
                 strays.insert((task, row.attempt), need);
                 self.push_order(
@@ -274,7 +283,7 @@
                 self.task_done_elsewhere(&task, now);
             }
             // The worker may forget the result only once it is durable.
-            if self.book.get(&task.job).is_none_or(|j| j.settled(task.index)) {
+            if self.job_table.get(&task.job).is_none_or(|j| j.all_durable(task.index)) {
                 forgets.push(Order::Forget { task: row.task.clone(), attempt: row.attempt });
             }
         }
@@ -294,10 +303,10 @@
 
     /// Counts a result kept by a worker whose assignment had been given up.
     pub(super) fn task_done_elsewhere(&mut self, task: &TaskId, now: Mono) {
-        let pending = self.book.get(&task.job).is_some_and(|j| {
+        let pending = self.job_table.get(&task.job).is_some_and(|j| {
             j.state == JobState::Open
                 && j.spec.shape != Shape::Service
-                && j.tasks.get(task.index as usize) == Some(&Task::Pending)
+                && j.tasks.get(task.index as usize) == Some(&TaskState::Pending)
         });
         if pending {
             self.task_done(&task.job, task.index, None, now);
@@ -308,26 +317,26 @@
     /// again. Gang tasks that were not seen running in the same attempt are done too, but stay assigned until they are
     /// provably gone: the result was one kept from an earlier attempt, and theirs may still be starting.
     pub(super) fn task_done(&mut self, id: &JobId, index: u32, ran_ms: Option<u64>, now: Mono) {
-        let Some(job) = self.book.get(id) else { return };
+        let Some(job) = self.job_table.get(id) else { return };
         let others: Vec<u32> = match job.spec.shape {
             Shape::Gang => (0..job.spec.tasks)
-                .filter(|i| *i != index && job.tasks[*i as usize] != Task::Done)
+                .filter(|i| *i != index && job.tasks[*i as usize] != TaskState::Done)
                 .collect(),
             _ => Vec::new(),
         };
-        let attempt = job.hold(index).map(|hold| hold.attempt);
+        let attempt = job.assignment(index).map(|hold| hold.attempt);
         let is_still_assigned = |i: &u32| {
-            let ran = |hold: &Hold| {
+            let ran = |hold: &TaskAssignment| {
                 let runs = matches!(hold.phase, Some(TaskPhase::Running | TaskPhase::Saving));
                 runs && Some(hold.attempt) == attempt
             };
-            job.hold(*i).is_some_and(|hold| !ran(hold))
+            job.assignment(*i).is_some_and(|hold| !ran(hold))
         };
         let (still_assigned, others): (Vec<u32>, Vec<u32>) =
             others.into_iter().partition(is_still_assigned);
         self.release_task(id, index, true, now);
         for other in still_assigned {
-            self.stop(&TaskId::new(id, other), StopWhy::JobOver, 0.0, now);
+            self.stop(&TaskId::new(id, other), StopReason::JobFinished, 0.0, now);
         }
         for other in others {
             // These started and ended together with the reported task.
@@ -346,39 +355,39 @@
         now: Mono,
     ) {
         let phase = row.status;
-        let Some(job) = self.book.jobs.get_mut(&task.job) else {
+        let Some(job) = self.job_table.jobs.get_mut(&task.job) else {
             return;
         };
         if job.spec.shape == Shape::Gang
             && phase == TaskPhase::Running
-            && let Gang::Gathering(attempt) = job.gang
+            && let GangState::Gathering(attempt) = job.gang
         {
-            job.gang_enter(Gang::Running(attempt), "its tasks run");
+            job.set_gang_state(GangState::Running(attempt), "its tasks run");
         }
-        let job_finished = !job.goes_on();
+        let job_finished = !job.may_continue();
         if phase != TaskPhase::Fetching
             && let Some(machine) = self.fleet.machines.get_mut(&report.host)
         {
-            machine.fetched(&job.spec.image);
+            machine.mark_fetched(&job.spec.image);
         }
-        let Some(hold) = job.hold_mut(task.index) else {
+        let Some(hold) = job.assignment_mut(task.index) else {
             return;
         };
-        hold.told_ms = row.ran_ms.or(hold.told_ms);
+        hold.reported_run_ms = row.ran_ms.or(hold.reported_run_ms);
         let phase_changed = hold.phase != Some(phase);
         if phase_changed {
             log::debug!("task {task}: {phase:?} on {}", report.host);
             hold.phase = Some(phase);
         }
-        if hold.run == RunSent::No {
+        if hold.run_sent == RunSent::No {
             // A start order of an earlier leader did arrive.
-            hold.run = RunSent::Inherited;
+            hold.run_sent = RunSent::Inherited;
         }
         if phase == TaskPhase::Running && hold.running_since.is_none() {
             hold.running_since = Some(now);
         }
         if job_finished && hold.stop.is_none() {
-            hold.stop = Some(Stop { why: StopWhy::JobOver, grace_s: 0.0, since: now });
+            hold.stop = Some(Stop { reason: StopReason::JobFinished, grace_s: 0.0, since: now });
         }
         if let Some(stop) = hold.stop {
             let attempt = hold.attempt;
@@ -394,9 +403,9 @@
 
     /// Marks a job as fully up once all of its tasks run at the same time.
     fn mark_if_fully_running(&mut self, id: &JobId) {
-        let Some(job) = self.book.jobs.get_mut(id) else { return };
-        let running = |(_, hold): (u32, &Hold)| hold.phase == Some(TaskPhase::Running);
-        job.up |= job.held == job.spec.tasks && job.holds().all(running);
+        let Some(job) = self.job_table.jobs.get_mut(id) else { return };
+        let running = |(_, hold): (u32, &TaskAssignment)| hold.phase == Some(TaskPhase::Running);
+        job.was_up |= job.assigned == job.spec.tasks && job.assignments().all(running);
     }
 
     /// Handles the reported end of an assigned task.
@@ -414,12 +423,12 @@
         self.record_usage(id, index, End::Seen(cause), (row.stored, row.ran_ms), now);
         match cause {
             Cause::Done => {
-                if let Some(job) = self.book.get(id)
+                if let Some(job) = self.job_table.get(id)
                     && let Some(machine) = self.fleet.machines.get_mut(host)
                 {
-                    machine.fetched(&job.spec.image);
+                    machine.mark_fetched(&job.spec.image);
                 }
-                if !self.book.limited {
+                if !self.job_table.failures_limited {
                     self.blame_machines(id);
                 } else {
                     self.task_succeeded(id, host, now);
@@ -429,9 +438,12 @@
             }
             Cause::Stopped => {
                 // A gang that has not started waits for a replacement of a task stopped by a drain.
-                let replaced = self.book.get(id).is_some_and(|j| {
-                    let drained = |h: &Hold| h.stop.is_some_and(|s| s.why == StopWhy::Draining);
-                    matches!(j.gang, Gang::Gathering(_)) && j.hold(index).is_some_and(drained)
+                let replaced = self.job_table.get(id).is_some_and(|j| {
+                    let drained = |h: &TaskAssignment| {
+                        h.stop.is_some_and(|s| s.reason == StopReason::Draining)
+                    };
+                    matches!(j.gang, GangState::Gathering(_))
+                        && j.assignment(index).is_some_and(drained)
                 });
                 self.release_task(id, index, false, now);
                 gang_failure = (!replaced).then_some("a task was stopped");
@@ -441,10 +453,10 @@
                 gang_failure = Some("its tasks lost each other");
             }
             Cause::Error => {
-                let failed = self.book.held(task).map(|hold| FailedAttempt::of(hold, now));
+                let failed = self.job_table.held(task).map(|hold| FailedAttempt::of(hold, now));
                 self.release_task(id, index, false, now);
                 match failed {
-                    Some(failed) if self.book.limited => {
+                    Some(failed) if self.job_table.failures_limited => {
                         self.charge_failure(task, &failed, host, now);
                     }
                     _ => self.task_failed(id, host, now),
@@ -462,8 +474,8 @@
             Cause::Busy | Cause::Unknown => {
                 log::warn!("machine {host}: refused {task}, {cause:?}");
                 self.release_task(id, index, false, now);
-                if let Some(job) = self.book.jobs.get_mut(id) {
-                    job.paused_until = now.plus(ERROR_PAUSE_MS);
+                if let Some(job) = self.job_table.jobs.get_mut(id) {
+                    job.paused_until = now.plus(ERROR_RETRY_PAUSE_MS);
                 }
                 gang_failure = Some(TASK_REFUSED);
             }
@@ -475,55 +487,59 @@
 
     /// Handles a task error: the machine is blamed, unless the job has failed on other machines too.
     pub(super) fn task_failed(&mut self, id: &JobId, host: &HostId, now: Mono) {
-        let Some(job) = self.book.jobs.get_mut(id) else {
+        let Some(job) = self.job_table.jobs.get_mut(id) else {
             return;
         };
-        job.errors += 1;
+        job.error_count += 1;
         job.error_hosts.insert(host.clone());
-        let doublings = job.errors.saturating_sub(1).min(16);
-        let pause = (ERROR_PAUSE_MS.0 << doublings).min(ERROR_PAUSE_MAX_MS.0);
+        let doublings = job.error_count.saturating_sub(1).min(16);
+        let pause = (ERROR_RETRY_PAUSE_MS.0 << doublings).min(MAX_ERROR_RETRY_PAUSE_MS.0);
         job.paused_until = now.plus(Millis(pause));
-        let own_fault = job.error_hosts.len() >= OWN_FAULT_HOSTS;
+        let own_fault = job.error_hosts.len() >= FAULTY_JOB_HOSTS;
         let hosts: Vec<HostId> = job.error_hosts.iter().cloned().collect();
-        log::info!("job {id}: error number {} on {host}, next try in {pause} ms", job.errors);
+        log::info!("job {id}: error number {} on {host}, next try in {pause} ms", job.error_count);
         if own_fault {
             // Keeps one broken job from marking every machine as faulty.
             for host in hosts {
                 if let Some(machine) = self.fleet.machines.get_mut(&host) {
-                    machine.faults.remove(id);
+                    machine.failed_jobs.remove(id);
                 }
             }
             return;
         }
         if let Some(machine) = self.fleet.machines.get_mut(host) {
-            machine.faults.insert(id.clone());
+            machine.failed_jobs.insert(id.clone());
             machine.paused_until = now.plus(Millis(pause));
-            if machine.faults.len() >= FAULTY_ERRORS {
-                machine.enter(Life::Draining, "different jobs fail on it");
+            if machine.failed_jobs.len() >= FAULTY_MACHINE_ERRORS {
+                machine.set_state(MachineState::Draining, "different jobs fail on it");
             }
         }
     }
 
     /// Blames the machines on which a job failed once it has succeeded on another machine.
     pub(super) fn blame_machines(&mut self, id: &JobId) {
-        let Some(job) = self.book.get(id) else { return };
-        if job.error_hosts.len() >= OWN_FAULT_HOSTS {
+        let Some(job) = self.job_table.get(id) else { return };
+        if job.error_hosts.len() >= FAULTY_JOB_HOSTS {
             return;
         }
         for host in &job.error_hosts {
             if let Some(machine) = self.fleet.machines.get_mut(host) {
-                machine.enter(Life::Draining, "jobs that fail on it succeed on other machines");
+                machine.set_state(
+                    MachineState::Draining,
+                    "jobs that fail on it succeed on other machines",
+                );
             }
         }
     }
 
     /// Records a completed task's cost in core-equivalent seconds.
     pub(super) fn record_task_cost(&mut self, task: &TaskId, now: Mono) {
-        let task_cores = self.book.get(&task.job).map_or(0.0, |j| self.core_equivalents(&j.spec));
-        let Some(job) = self.book.jobs.get_mut(&task.job) else {
+        let task_cores =
+            self.job_table.get(&task.job).map_or(0.0, |j| self.core_equivalents(&j.spec));
+        let Some(job) = self.job_table.jobs.get_mut(&task.job) else {
             return;
         };
-        let Some(running_since) = job.hold(task.index).and_then(|h| h.running_since) else {
+        let Some(running_since) = job.assignment(task.index).and_then(|h| h.running_since) else {
             return;
         };
         let ran_s = now.since(running_since).secs();
@@ -548,20 +564,20 @@
         now: Mono,
     ) -> bool {
         let mut lost_start = false;
-        for (id, index) in self.tasks_assigned_to(&report.host, |h| h.shift == report.shift) {
+        for (id, index) in self.tasks_assigned_to(&report.host, |h| h.session == report.shift) {
             let task = TaskId::new(&id, index);
             if listed.contains(&task) {
                 continue;
             }
-            let Some(job) = self.book.jobs.get_mut(&id) else {
+            let Some(job) = self.job_table.jobs.get_mut(&id) else {
                 continue;
             };
             let open = job.state == JobState::Open;
             let gang = job.gang;
-            let Some(hold) = job.hold_mut(index) else {
+            let Some(hold) = job.assignment_mut(index) else {
                 continue;
             };
-            let sent = match hold.run {
+            let sent = match hold.run_sent {
                 RunSent::No => false,
                 RunSent::At(tally) => tally < report.tally,
                 RunSent::Inherited => true,
@@ -576,14 +592,14 @@
             if hold.stop.is_some()
                 || was_seen
                 || !open
-                || !matches!(gang, Gang::Idle | Gang::Gathering(_))
+                || !matches!(gang, GangState::Idle | GangState::Gathering(_))
             {
                 log::info!("task {task}: gone from {}", report.host);
                 self.task_lost(&id, index, now);
             } else {
                 // The start order was lost in transit: the same attempt may be sent again.
-                lost_start |= matches!(hold.run, RunSent::At(_));
-                hold.run = RunSent::No;
+                lost_start |= matches!(hold.run_sent, RunSent::At(_));
+                hold.run_sent = RunSent::No;
             }
         }
         lost_start
@@ -600,25 +616,28 @@
         let Some(machine) = self.fleet.machines.get(host) else {
             return;
         };
-        if !matches!(machine.life, Life::Live | Life::Closing) {
+        if !matches!(machine.state, MachineState::Live | MachineState::Closing) {
             return;
         }
         let strays: Vec<TaskId> = machine.strays.keys().map(|(t, _)| t.clone()).collect();
-        for (id, index) in self.tasks_assigned_to(host, |h| h.run == RunSent::No) {
-            let Some(job) = self.book.jobs.get_mut(&id) else {
+        for (id, index) in self.tasks_assigned_to(host, |h| h.run_sent == RunSent::No) {
+            let Some(job) = self.job_table.jobs.get_mut(&id) else {
                 continue;
             };
             let task = TaskId::new(&id, index);
-            if job.state != JobState::Open || !job.durable(index) || strays.contains(&task) {
+            if job.state != JobState::Open
+                || !job.assignment_durable(index)
+                || strays.contains(&task)
+            {
                 continue;
             }
-            let Some(hold) = job.hold_mut(index) else {
+            let Some(hold) = job.assignment_mut(index) else {
                 continue;
             };
-            if hold.shift != shift || hold.stop.is_some() || orders.len() >= MAX_ORDERS {
+            if hold.session != shift || hold.stop.is_some() || orders.len() >= MAX_ORDERS {
                 continue;
             }
-            hold.run = RunSent::At(tally);
+            hold.run_sent = RunSent::At(tally);
             log::debug!("task {task}: run on {host} try {}", hold.attempt);
             orders.push(Order::Run { task: task.to_string(), attempt: hold.attempt });
         }
--- a/crates/core/src/reign/usage.rs
+++ b/crates/core/src/reign/usage.rs
@@ -1,9 +1,9 @@
 //! Usage accounting: builds the entry of an attempt that is provably gone.
 
 use super::*;
-use oatloom_ledger::entry::{End, Entry};
+use oatloom_ledger::entry::{End, UsageEntry};
 
-impl Reign {
+impl LeaderTerm {
     /// Records the usage of an attempt that is about to be released, if it may have been on its machine. `ran_ms`: run
     /// time reported by the worker with the end.
     pub(super) fn record_usage(
@@ -14,27 +14,29 @@
         (stored, ran_ms): (bool, Option<u64>),
         now: Mono,
     ) {
-        let Some(account) = &self.book.account else { return };
+        let Some(account) = &self.job_table.usage_accounting else { return };
         let wall_ms = account.wall_ms;
-        let Some(job) = self.book.get(id) else { return };
-        let Some(hold) = job.hold(index).filter(|hold| hold.run != RunSent::No) else { return };
+        let Some(job) = self.job_table.get(id) else { return };
+        let Some(hold) = job.assignment(index).filter(|hold| hold.run_sent != RunSent::No) else {
+            return;
+        };
         let spec = &job.spec;
         let machine = self.fleet.machines.get(&hold.host);
         // An assignment made by an earlier leader is only known to be no older than its job.
-        let since = match hold.run {
+        let since = match hold.run_sent {
             // A finished job is known from its records alone, which lack the submission time.
             RunSent::Inherited if job.submitted > Mono(0) => job.submitted,
-            _ => hold.since,
+            _ => hold.assigned_at,
         };
         let seen_ms = hold.running_since.map_or(0, |since| now.since(since).0);
         let seen_ms = if end == End::Unseen { 0 } else { seen_ms };
-        let ran_ms = ran_ms.or(hold.told_ms).unwrap_or(seen_ms);
+        let ran_ms = ran_ms.or(hold.reported_run_ms).unwrap_or(seen_ms);
         // Reports may arrive late, so only the proof that the task is gone bounds how long it ran after the last one.
         let unseen_ms =
             if end == End::Unseen { now.since(since).0.saturating_sub(ran_ms) } else { 0 };
         let flavor = machine.and_then(|m| self.fleet.flavor(&m.flavor));
         let spot = machine.is_some_and(|m| m.spot);
-        let entry = Entry {
+        let entry = UsageEntry {
             task: TaskId::new(id, index),
             attempt: hold.attempt,
             team: spec.team.clone(),
@@ -46,19 +48,20 @@
             zone: hold.zone.clone(),
             spot,
             ended_ms: wall_ms,
-            held_ms: now.since(hold.since).0.max(ran_ms),
+            held_ms: now.since(hold.assigned_at).0.max(ran_ms),
             ran_ms,
             unseen_ms,
             end,
-            stored,
+            progress_saved: stored,
             goes_on: matches!(job.state, JobState::Open) || end == End::Seen(Cause::Done),
             checkpoint_ms: Millis::from_secs(spec.checkpoint_s).0,
             cpus: spec.cpus,
             gpus: spec.gpus,
             memory_gb: spec.memory_gb,
-            price: flavor.map_or(0.0, |f| f.price_as(spot)),
-            share: flavor.map_or(0.0, |f| Room::from(&**spec).share_of(&Room::from(f))),
+            hourly_price: flavor.map_or(0.0, |f| f.price_as(spot)),
+            machine_share: flavor
+                .map_or(0.0, |f| Resources::from(&**spec).share_of(&Resources::from(f))),
         };
-        self.book.account(&entry);
+        self.job_table.account(&entry);
     }
 }
--- a/crates/core/src/relay.rs
+++ b/crates/core/src/relay.rs
@@ -7,15 +7,15 @@
 
 /// What to do with a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum ReportRoute {
     /// Redirect the worker to the leader.
-    SendOn,
+    Redirect,
     /// Forward the report to the leader.
-    PassOn,
+    Forward,
     /// Send the worker to another controller: neither it nor this controller can reach the leader.
-    Elsewhere,
+    TryOther,
     /// The leader accepts no reports at present: the worker retries in a second.
-    Wait,
+    RetryLater,
 }
 
 /// State of the link to the leader, by the result of the last forwarded report.
@@ -39,20 +39,20 @@
 
 /// Workers that lately reported to this follower, and the link to the leader.
 #[derive(Debug)]
-pub struct Relays {
+pub struct ReportRouter {
     workers: BTreeMap<HostId, RecentWorker>,
     forwarding: usize,
     link: LinkState,
     last_sweep: Mono,
 }
 
-impl Default for Relays {
+impl Default for ReportRouter {
     fn default() -> Self {
         Self { workers: BTreeMap::new(), forwarding: 0, link: LinkState::Up, last_sweep: Mono(0) }
     }
 }
 
-impl Relays {
+impl ReportRouter {
     /// Changes the state of the link; all its changes go through here.
     fn enter(&mut self, link: LinkState) {
         if std::mem::discriminant(&self.link) != std::mem::discriminant(&link) {
@@ -63,7 +63,7 @@
 
     /// Records the leader's status for a forwarded report; `None` if the leader was unreachable.
     pub fn told(&mut self, status: Option<u16>, now: Mono) {
-        let until = now.plus(LINE_PAUSE_MS);
+        let until = now.plus(RELAY_FAILURE_PAUSE_MS);
         self.enter(match status {
             Some(503) => LinkState::Refusing(until),
             Some(_) => LinkState::Up,
@@ -76,52 +76,54 @@
     /// leader, and one that had acknowledged this leader's token would still report to it if it could.
     /// Of the latter only a limited number is forwarded at once: after an outage all workers of a
     /// fleet arrive here, and forwarding what they could report themselves used up both processors.
-    pub fn way(&mut self, host: &HostId, acknowledged: bool, now: Mono) -> Way {
+    pub fn route(&mut self, host: &HostId, acknowledged: bool, now: Mono) -> ReportRoute {
         self.sweep(now);
         match self.link {
             // Prevents a retry storm: workers redirected back and forth between followers returned
             // twice a second while the leader accepted no reports.
-            LinkState::Refusing(until) if now < until => return Way::Wait,
+            LinkState::Refusing(until) if now < until => return ReportRoute::RetryLater,
             LinkState::Unreachable(until) if now < until => {
-                let expires_at = now.plus(COME_BACK_MS);
+                let expires_at = now.plus(REDIRECT_RETURN_WINDOW_MS);
                 let returned = self.workers.contains_key(host);
                 let worker = self
                     .workers
                     .entry(host.clone())
                     .or_insert(RecentWorker { forwarded_since: None, expires_at });
                 worker.expires_at = expires_at;
-                return if returned { Way::Elsewhere } else { Way::SendOn };
+                return if returned { ReportRoute::TryOther } else { ReportRoute::Redirect };
             }
             _ => {}
         }
-        let expires_at = now.plus(COME_BACK_MS);
+        let expires_at = now.plus(REDIRECT_RETURN_WINDOW_MS);
         match self.workers.get_mut(host) {
             Some(worker)
-                if worker.forwarded_since.is_some_and(|since| now.since(since) >= RELAY_MS) =>
+                if worker
+                    .forwarded_since
+                    .is_some_and(|since| now.since(since) >= RELAY_PERIOD_MS) =>
             {
                 *worker = RecentWorker { forwarded_since: None, expires_at };
                 self.forwarding -= 1;
-                Way::SendOn
+                ReportRoute::Redirect
             }
             Some(worker) => {
                 self.forwarding += usize::from(worker.forwarded_since.is_none());
                 worker.forwarded_since.get_or_insert(now);
                 worker.expires_at = expires_at;
-                Way::PassOn
+                ReportRoute::Forward
             }
             None => {
-                let forward = acknowledged && self.forwarding < RELAY_AT_ONCE;
+                let forward = acknowledged && self.forwarding < MAX_FIRST_VISIT_RELAYS;
                 self.forwarding += usize::from(forward);
                 let worker = RecentWorker { forwarded_since: forward.then_some(now), expires_at };
                 self.workers.insert(host.clone(), worker);
-                if forward { Way::PassOn } else { Way::SendOn }
+                if forward { ReportRoute::Forward } else { ReportRoute::Redirect }
             }
         }
     }
 
     /// Forgets workers that have not returned; runs once a second.
     fn sweep(&mut self, now: Mono) {
-        if now.since(self.last_sweep) >= RELAY_SWEEP_MS {
+        if now.since(self.last_sweep) >= RELAY_SWEEP_PERIOD_MS {
             self.last_sweep = now;
             self.workers.retain(|_, worker| now < worker.expires_at);
             self.forwarding =
@@ -141,32 +143,33 @@
     /// After an outage a whole fleet reports to a follower: most workers are redirected instead of forwarded.
     #[test]
     fn only_a_limited_number_of_workers_is_forwarded_at_once() {
-        let mut relays = Relays::default();
+        let mut relays = ReportRouter::default();
         let now = Mono(10_000);
-        let forwarded =
-            (0..1_000).filter(|n| relays.way(&host(*n), true, now) == Way::PassOn).count();
-        assert_eq!(forwarded, RELAY_AT_ONCE);
+        let forwarded = (0..1_000)
+            .filter(|n| relays.route(&host(*n), true, now) == ReportRoute::Forward)
+            .count();
+        assert_eq!(forwarded, MAX_FIRST_VISIT_RELAYS);
         // Workers that return could not reach the leader.
-        assert_eq!(relays.way(&host(999), true, Mono(14_000)), Way::PassOn);
+        assert_eq!(relays.route(&host(999), true, Mono(14_000)), ReportRoute::Forward);
         // After a while they are redirected again, to try the leader themselves.
-        let later = Mono(14_000 + RELAY_MS.0);
-        relays.way(&host(999), true, Mono(20_000));
-        assert_eq!(relays.way(&host(999), true, later), Way::SendOn);
+        let later = Mono(14_000 + RELAY_PERIOD_MS.0);
+        relays.route(&host(999), true, Mono(20_000));
+        assert_eq!(relays.route(&host(999), true, later), ReportRoute::Redirect);
     }
 
     /// After the leader refuses a report, no report of any worker is forwarded for a while.
     #[test]
     fn a_refusal_by_the_leader_pauses_all_forwarding() {
-        let mut relays = Relays::default();
-        assert_eq!(relays.way(&host(1), true, Mono(10_000)), Way::PassOn);
+        let mut relays = ReportRouter::default();
+        assert_eq!(relays.route(&host(1), true, Mono(10_000)), ReportRoute::Forward);
         relays.told(Some(503), Mono(10_010));
-        assert_eq!(relays.way(&host(2), true, Mono(10_020)), Way::Wait);
-        let later = Mono(10_010 + LINE_PAUSE_MS.0);
-        assert_eq!(relays.way(&host(2), true, later), Way::PassOn);
+        assert_eq!(relays.route(&host(2), true, Mono(10_020)), ReportRoute::RetryLater);
+        let later = Mono(10_010 + RELAY_FAILURE_PAUSE_MS.0);
+        assert_eq!(relays.route(&host(2), true, later), ReportRoute::Forward);
         relays.told(None, later);
-        assert_eq!(relays.way(&host(3), true, later), Way::SendOn);
-        assert_eq!(relays.way(&host(3), true, later), Way::Elsewhere);
+        assert_eq!(relays.route(&host(3), true, later), ReportRoute::Redirect);
+        assert_eq!(relays.route(&host(3), true, later), ReportRoute::TryOther);
         relays.told(Some(200), later);
-        assert_eq!(relays.way(&host(2), true, later), Way::PassOn);
+        assert_eq!(relays.route(&host(2), true, later), ReportRoute::Forward);
     }
 }
--- a/crates/core/src/scaling.rs
+++ b/crates/core/src/scaling.rs
@@ -36,23 +36,23 @@
 
 /// An array's demand for rented cores.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Claim {
+pub struct ArrayDemand {
     /// Its rate in cores.
     pub rate: f64,
     /// Core equivalents of a task.
     pub task_cores: f64,
     /// Tasks left.
-    pub left: u32,
+    pub tasks_left: u32,
 }
 
 /// The rate that each array gets when the sum is scaled by `factor`. A factor above 1 applies to
 /// all alike. A factor below 1 cuts the sum: the arrays with the least work left get their full
 /// rates and the others take longer, since with an even cut all of them were late.
-pub fn shares(claims: &[Claim], factor: f64) -> Vec<f64> {
+pub fn scaled_rates(claims: &[ArrayDemand], factor: f64) -> Vec<f64> {
     if factor >= 1.0 {
         return claims.iter().map(|claim| claim.rate * factor).collect();
     }
-    let work = |index: usize| claims[index].task_cores * f64::from(claims[index].left);
+    let work = |index: usize| claims[index].task_cores * f64::from(claims[index].tasks_left);
     let mut order: Vec<usize> = (0..claims.len()).collect();
     order.sort_by(|a, b| work(*a).total_cmp(&work(*b)));
     let mut remaining = factor * claims.iter().map(|claim| claim.rate).sum::<f64>();
@@ -66,13 +66,13 @@
 
 /// Bounds of rented cores.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Bounds {
+pub struct CoreBounds {
     pub min: f64,
     pub max: f64,
 }
 
 /// One AIMD step: the N of the next tick.
-pub fn step(rented: f64, target: f64, bounds: Bounds, beta: f64) -> f64 {
+pub fn aimd_step(rented: f64, target: f64, bounds: CoreBounds, beta: f64) -> f64 {
     let next =
         if rented <= target { (rented + ALPHA_CORES).min(bounds.max) } else { beta * rented };
     next.max(bounds.min.min(bounds.max))
@@ -85,11 +85,11 @@
     /// When scaled down, the sum is that of the Dithen paper; the least work left is served first.
     #[test]
     fn reduced_rates_serve_least_work_first() {
-        let claim = |rate, left| Claim { rate, task_cores: 2.0, left };
+        let claim = |rate, left| ArrayDemand { rate, task_cores: 2.0, tasks_left: left };
         let claims = [claim(40.0, 900), claim(10.0, 20), claim(30.0, 100)];
-        assert_eq!(shares(&claims, 0.5), [0.0, 10.0, 30.0]);
-        assert_eq!(shares(&claims, 0.9), [32.0, 10.0, 30.0]);
-        assert_eq!(shares(&claims, 1.5), [60.0, 15.0, 45.0]);
+        assert_eq!(scaled_rates(&claims, 0.5), [0.0, 10.0, 30.0]);
+        assert_eq!(scaled_rates(&claims, 0.9), [32.0, 10.0, 30.0]);
+        assert_eq!(scaled_rates(&claims, 1.5), [60.0, 15.0, 45.0]);
     }
 
     #[test]
@@ -113,11 +113,11 @@
 
     #[test]
     fn steps_add_alpha_or_cut_by_beta_within_bounds() {
-        let bounds = Bounds { min: 20.0, max: 52.0 };
-        assert_eq!(step(40.0, 40.0, bounds, 0.9), 45.0);
-        assert_eq!(step(50.0, 90.0, bounds, 0.9), 52.0);
-        assert_eq!(step(50.0, 10.0, bounds, 0.9), 45.0);
-        assert_eq!(step(21.0, 10.0, bounds, 0.9), 20.0);
-        assert_eq!(step(0.0, 10.0, bounds, 0.9), 20.0);
+        let bounds = CoreBounds { min: 20.0, max: 52.0 };
+        assert_eq!(aimd_step(40.0, 40.0, bounds, 0.9), 45.0);
+        assert_eq!(aimd_step(50.0, 90.0, bounds, 0.9), 52.0);
+        assert_eq!(aimd_step(50.0, 10.0, bounds, 0.9), 45.0);
+        assert_eq!(aimd_step(21.0, 10.0, bounds, 0.9), 20.0);
+        assert_eq!(aimd_step(0.0, 10.0, bounds, 0.9), 20.0);
     }
 }
--- a/crates/core/src/store.rs
+++ b/crates/core/src/store.rs
@@ -66,15 +66,15 @@
 
 /// Which queue an operation belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Lane {
+pub enum OpClass {
     /// Leases and the leader key. Never paced, since they are few.
-    Vital,
+    Lease,
     /// Long polls. Never paced, since they are few.
     Watch,
     /// The writer of the leader, and its own reads.
     Write,
     /// Submissions, reads for users, and loading.
-    Open,
+    General,
 }
 
 /// Identifies an operation of this client.
@@ -114,7 +114,7 @@
 #[derive(Debug)]
 struct QueuedOp {
     id: OpId,
-    lane: Lane,
+    lane: OpClass,
     op: StoreOp,
     expires_at: Mono,
 }
@@ -128,7 +128,7 @@
     rates: (f64, f64),
     queue: VecDeque<QueuedOp>,
     /// Queued and sent operations that are not answered yet.
-    purposes: BTreeMap<OpId, (Lane, P)>,
+    purposes: BTreeMap<OpId, (OpClass, P)>,
     open_inflight: usize,
     /// Changes sent by the writer in excess of those sent for submissions.
     writer_lead: f64,
@@ -160,8 +160,8 @@
     pub fn new(facts: &StateFacts, controllers: usize) -> Self {
         let rates = (facts.rps, facts.write_rps);
         Self {
-            requests: TokenBucket::new(rates.0 * FOLLOWER_SHARE),
-            changes: TokenBucket::new(rates.1 * FOLLOWER_SHARE),
+            requests: TokenBucket::new(rates.0 * FOLLOWER_BUDGET_SHARE),
+            changes: TokenBucket::new(rates.1 * FOLLOWER_BUDGET_SHARE),
             rates,
             queue: VecDeque::new(),
             purposes: BTreeMap::new(),
@@ -178,7 +178,7 @@
     }
 
     /// Sets whether this controller leads, and with that its share of the budgets.
-    pub fn lead(&mut self, leading: bool) {
+    pub fn set_leading(&mut self, leading: bool) {
         self.leading = leading;
         // The balance of an earlier leader term does not matter any more.
         self.writer_lead = 0.0;
@@ -187,7 +187,7 @@
     }
 
     /// Sets whether there seems to be no leader.
-    pub fn leaderless(&mut self, leaderless: bool) {
+    pub fn set_leaderless(&mut self, leaderless: bool) {
         if leaderless != self.leaderless && !self.leading {
             log::debug!("store: leaderless: {leaderless}");
             self.leaderless = leaderless;
@@ -196,7 +196,7 @@
     }
 
     /// Adopts limits that the service is known to apply now or soon. Tokens beyond the new capacity are lost.
-    pub fn keep_to(&mut self, facts: &StateFacts) {
+    pub fn set_limits(&mut self, facts: &StateFacts) {
         let rates = (facts.rps, facts.write_rps);
         if rates != self.rates {
             log::info!(
@@ -212,11 +212,11 @@
     /// Sets the refill rates to this controller's share of the budgets.
     fn update_rates(&mut self) {
         let share = if self.leading {
-            LEADER_SHARE
+            LEADER_BUDGET_SHARE
         } else if self.leaderless {
-            (LEADERLESS_SHARE / self.controllers as f64).max(FOLLOWER_SHARE)
+            (LEADERLESS_BUDGET_SHARE / self.controllers as f64).max(FOLLOWER_BUDGET_SHARE)
         } else {
-            FOLLOWER_SHARE
+            FOLLOWER_BUDGET_SHARE
         };
         self.requests.rate = self.rates.0 * share;
         self.changes.rate = self.rates.1 * share;
@@ -228,8 +228,8 @@
     }
 
     /// Whether the service has returned 429 recently, so that the other controllers need their shares.
-    pub fn throttled_lately(&self, now: Mono) -> bool {
-        self.throttled_at.is_some_and(|at| now.since(at) < THROTTLED_MS)
+    pub fn recently_throttled(&self, now: Mono) -> bool {
+        self.throttled_at.is_some_and(|at| now.since(at) < THROTTLED_PERIOD_MS)
     }
 
     /// Number of operations queued or in flight.
@@ -242,7 +242,7 @@
     }
 
     /// When the service last gave an answer other than 429 or 503.
-    pub fn last_good(&self) -> Mono {
+    pub fn last_success(&self) -> Mono {
         self.last_success
     }
 
@@ -250,27 +250,30 @@
     pub fn submit(
         &mut self,
         now: Mono,
-        lane: Lane,
+        lane: OpClass,
         op: StoreOp,
         purpose: P,
-        out: &mut Vec<(OpId, Lane, StoreOp)>,
+        out: &mut Vec<(OpId, OpClass, StoreOp)>,
     ) -> Result<OpId, (QueueFull, P)> {
-        let max_queued =
-            if change_count(&op) > 0.0 { STORE_QUEUE } else { STORE_QUEUE - READS_LEAVE_QUEUED };
-        if lane == Lane::Open && self.queue.len() >= max_queued {
+        let max_queued = if change_count(&op) > 0.0 {
+            MAX_STORE_QUEUE
+        } else {
+            MAX_STORE_QUEUE - SUBMISSION_RESERVED_QUEUE
+        };
+        if lane == OpClass::General && self.queue.len() >= max_queued {
             return Err((QueueFull, purpose));
         }
         let id = OpId(self.next_id);
         self.next_id += 1;
         self.purposes.insert(id, (lane, purpose));
-        if matches!(lane, Lane::Vital | Lane::Watch) {
+        if matches!(lane, OpClass::Lease | OpClass::Watch) {
             out.push((id, lane, op));
         } else {
             self.queue.push_back(QueuedOp {
                 id,
                 lane,
                 op,
-                expires_at: now.plus(STORE_PATIENCE_MS),
+                expires_at: now.plus(MAX_STORE_WAIT_MS),
             });
             self.pump(now, out);
         }
@@ -278,12 +281,16 @@
     }
 
     /// Moves the queued operations that the budgets allow to `out`.
-    pub fn pump(&mut self, now: Mono, out: &mut Vec<(OpId, Lane, StoreOp)>) {
+    pub fn pump(&mut self, now: Mono, out: &mut Vec<(OpId, OpClass, StoreOp)>) {
         self.requests.refill(now);
         self.changes.refill(now);
         if self.leading {
             // The leader also uses the changes that followers leave, unless the service has throttled recently.
-            let share = if self.throttled_lately(now) { LEADER_SHARE } else { LEADER_CHANGES };
+            let share = if self.recently_throttled(now) {
+                LEADER_BUDGET_SHARE
+            } else {
+                LEADER_CHANGE_SHARE
+            };
             self.changes.rate = self.rates.1 * share;
         }
         if now < self.paused_until {
@@ -296,13 +303,14 @@
             let changes = change_count(&item.op);
             self.requests.level -= 1.0;
             self.changes.level -= changes;
-            if item.lane == Lane::Open {
+            if item.lane == OpClass::General {
                 self.open_inflight += 1;
                 self.writer_lead -= changes;
             } else {
                 self.writer_lead += changes;
             }
-            self.writer_lead = self.writer_lead.clamp(-AHEAD_MOST, AHEAD_MOST);
+            self.writer_lead =
+                self.writer_lead.clamp(-MAX_WRITER_LEAD_CHANGES, MAX_WRITER_LEAD_CHANGES);
             out.push((item.id, item.lane, item.op));
         }
     }
@@ -317,13 +325,13 @@
     /// polls).
     fn next_index(&self) -> Option<usize> {
         let find = |wanted: &dyn Fn(&QueuedOp) -> bool| self.queue.iter().position(wanted);
-        let is_own = |queued: &QueuedOp| queued.lane != Lane::Open;
+        let is_own = |queued: &QueuedOp| queued.lane != OpClass::General;
         if let Some(read) = find(&|queued| is_own(queued) && change_count(&queued.op) <= 0.0) {
             return Some(read);
         }
         let write = find(&is_own);
         let submission = find(&|queued| !is_own(queued) && change_count(&queued.op) > 0.0)
-            .filter(|_| self.open_inflight < STORE_INFLIGHT);
+            .filter(|_| self.open_inflight < MAX_STORE_INFLIGHT);
         let change =
             if self.writer_lead > 0.0 { submission.or(write) } else { write.or(submission) };
         // A transaction larger than the bucket's capacity is sent once the bucket is full.
@@ -333,52 +341,52 @@
         };
         change.filter(affordable).or_else(|| {
             find(&|queued| !is_own(queued) && change_count(&queued.op) <= 0.0)
-                .filter(|_| self.open_inflight < STORE_INFLIGHT - READS_LEAVE)
+                .filter(|_| self.open_inflight < MAX_STORE_INFLIGHT - SUBMISSION_RESERVED_INFLIGHT)
         })
     }
 
     /// How long one more change would wait for the change budget if it were queued now.
-    pub fn change_waits(&self, now: Mono) -> Millis {
+    pub fn change_wait(&self, now: Mono) -> Millis {
         let queued: f64 = self.queue.iter().map(|queued| change_count(&queued.op)).sum();
         let missing = queued + 1.0 - self.changes.level_at(now);
         Millis::from_secs(missing / self.changes.rate.max(1e-3))
     }
 
     /// Whether an operation is still queued, so that its result will be newer than now.
-    pub fn waits(&self, id: OpId) -> bool {
+    pub fn is_queued(&self, id: OpId) -> bool {
         self.queue.iter().any(|queued| queued.id == id)
     }
 
     /// Removes the operations that waited too long for the pacer; they were never sent.
-    pub fn expired(&mut self, now: Mono) -> Vec<OpId> {
+    pub fn take_expired(&mut self, now: Mono) -> Vec<OpId> {
         // All have the same time-out, so the first one queued expires first. Checking only that one keeps this cheap:
         // it is called at every event.
-        let first = self.queue.iter().find(|queued| queued.lane != Lane::Write);
+        let first = self.queue.iter().find(|queued| queued.lane != OpClass::Write);
         if first.is_none_or(|queued| now < queued.expires_at) {
             return Vec::new();
         }
         let (remaining, expired): (VecDeque<_>, VecDeque<_>) = self
             .queue
             .drain(..)
-            .partition(|queued| now < queued.expires_at || queued.lane == Lane::Write);
+            .partition(|queued| now < queued.expires_at || queued.lane == OpClass::Write);
         self.queue = remaining;
         expired.into_iter().map(|queued| queued.id).collect()
     }
 
     /// Handles the reply to an operation and returns the operation's purpose.
-    pub fn answered(&mut self, now: Mono, id: OpId, reply: &StoreReply, jitter: f64) -> Option<P> {
+    pub fn complete(&mut self, now: Mono, id: OpId, reply: &StoreReply, jitter: f64) -> Option<P> {
         let (lane, purpose) = self.purposes.remove(&id)?;
-        if lane == Lane::Open && *reply != StoreReply::Unsent {
+        if lane == OpClass::General && *reply != StoreReply::Unsent {
             self.open_inflight = self.open_inflight.saturating_sub(1);
         }
         match reply {
             StoreReply::Throttled | StoreReply::Refused => {
-                let pause = Millis((STORE_PAUSE_MS.0 as f64 * (1.0 + jitter)) as u64);
+                let pause = Millis((STORE_THROTTLED_PAUSE_MS.0 as f64 * (1.0 + jitter)) as u64);
                 self.paused_until = self.paused_until.max(now.plus(pause));
                 if *reply == StoreReply::Throttled {
                     self.throttled_at = Some(now);
                     // Most likely there is a leader that this controller cannot reach.
-                    self.leaderless(false);
+                    self.set_leaderless(false);
                 }
             }
             StoreReply::Lost | StoreReply::Unsent => {}
@@ -408,24 +416,24 @@
         for ms in (0..10_000).step_by(10) {
             let now = Mono(ms);
             let get = StoreOp::Get { key: "live/a".into() };
-            let _ = store.submit(now, Lane::Open, get, 1, &mut sent);
-            for late in store.expired(now) {
-                assert!(store.answered(now, late, &StoreReply::Unsent, 0.0).is_some());
+            let _ = store.submit(now, OpClass::General, get, 1, &mut sent);
+            for late in store.take_expired(now) {
+                assert!(store.complete(now, late, &StoreReply::Unsent, 0.0).is_some());
             }
             for (id, _, _) in sent.split_off(0) {
-                assert!(store.answered(now, id, &StoreReply::Lost, 0.0).is_some());
+                assert!(store.complete(now, id, &StoreReply::Lost, 0.0).is_some());
                 sent.clear();
             }
         }
         assert!(store.next_id >= 1000);
-        assert!(store.queue.len() < STORE_QUEUE);
+        assert!(store.queue.len() < MAX_STORE_QUEUE);
     }
 
     /// A submission waits for at most one transaction of the writer, and a read for none.
     #[test]
     fn submissions_and_the_writer_take_turns() {
         let mut store = client();
-        store.lead(true);
+        store.set_leading(true);
         let txn = |n: usize| {
             let delete = |i| oatloom_protocol::wire::Change::Delete { key: format!("asg/{i}") };
             StoreOp::Txn(Txn { conditions: Vec::new(), changes: (0..n).map(delete).collect() })
@@ -435,20 +443,20 @@
         for ms in (0..60_000).step_by(10) {
             let now = Mono(ms);
             // A transaction is always waiting, and four submissions arrive per second.
-            if !store.queue.iter().any(|queued| queued.lane == Lane::Write) {
-                assert!(store.submit(now, Lane::Write, txn(16), 1, &mut sent).is_ok());
+            if !store.queue.iter().any(|queued| queued.lane == OpClass::Write) {
+                assert!(store.submit(now, OpClass::Write, txn(16), 1, &mut sent).is_ok());
             }
             if ms % 250 == 0 {
-                assert!(store.submit(now, Lane::Open, txn(1), 2, &mut sent).is_ok());
+                assert!(store.submit(now, OpClass::General, txn(1), 2, &mut sent).is_ok());
             }
             store.pump(now, &mut sent);
-            for late in store.expired(now) {
+            for late in store.take_expired(now) {
                 expired += 1;
-                let _ = store.answered(now, late, &StoreReply::Unsent, 0.0);
+                let _ = store.complete(now, late, &StoreReply::Unsent, 0.0);
             }
             for (id, lane, op) in sent.split_off(0) {
-                changes[usize::from(lane == Lane::Open)] += change_count(&op) as u32;
-                assert!(store.answered(now, id, &StoreReply::Touched, 0.0).is_some());
+                changes[usize::from(lane == OpClass::General)] += change_count(&op) as u32;
+                assert!(store.complete(now, id, &StoreReply::Touched, 0.0).is_some());
             }
         }
         assert_eq!(expired, 0, "submissions expired");
@@ -457,7 +465,9 @@
         let now = Mono(60_000);
         store.changes.level = -10.0;
         assert!(
-            store.submit(now, Lane::Open, StoreOp::Get { key: "k".into() }, 3, &mut sent).is_ok()
+            store
+                .submit(now, OpClass::General, StoreOp::Get { key: "k".into() }, 3, &mut sent)
+                .is_ok()
         );
         assert_eq!(sent.len(), 1);
     }
@@ -467,7 +477,7 @@
     #[test]
     fn user_reads_have_the_lowest_priority() {
         let mut store = client();
-        store.lead(true);
+        store.set_leading(true);
         store.writer_lead = 30.0;
         let mut sent = Vec::new();
         let (mut own, mut submitted, mut reads) = (0, 0, 0);
@@ -476,30 +486,34 @@
             // 200 reads per second, four times what the request budget allows.
             for _ in 0..2 {
                 let get = StoreOp::Get { key: "live/a".into() };
-                let _ = store.submit(now, Lane::Open, get, 1, &mut sent);
+                let _ = store.submit(now, OpClass::General, get, 1, &mut sent);
             }
             if ms % 1_000 == 0 {
                 let list = StoreOp::List { prefix: "live/".into(), after: String::new() };
-                assert!(store.submit(now, Lane::Write, list, 2, &mut sent).is_ok());
+                assert!(store.submit(now, OpClass::Write, list, 2, &mut sent).is_ok());
             }
             if ms % 500 == 0 {
                 let delete = oatloom_protocol::wire::Change::Delete { key: "k".into() };
                 let txn = || Txn { conditions: Vec::new(), changes: vec![delete.clone()] };
-                assert!(store.submit(now, Lane::Write, StoreOp::Txn(txn()), 3, &mut sent).is_ok());
-                assert!(store.submit(now, Lane::Open, StoreOp::Txn(txn()), 4, &mut sent).is_ok());
+                assert!(
+                    store.submit(now, OpClass::Write, StoreOp::Txn(txn()), 3, &mut sent).is_ok()
+                );
+                assert!(
+                    store.submit(now, OpClass::General, StoreOp::Txn(txn()), 4, &mut sent).is_ok()
+                );
             }
             store.pump(now, &mut sent);
-            for late in store.expired(now) {
-                assert_eq!(store.answered(now, late, &StoreReply::Unsent, 0.0), Some(1));
+            for late in store.take_expired(now) {
+                assert_eq!(store.complete(now, late, &StoreReply::Unsent, 0.0), Some(1));
             }
             for (id, _, _) in sent.split_off(0) {
-                match store.answered(now, id, &StoreReply::Touched, 0.0) {
+                match store.complete(now, id, &StoreReply::Touched, 0.0) {
                     Some(1) => reads += 1,
                     Some(4) => submitted += 1,
                     _ => own += 1,
                 }
             }
-            assert!(store.queue.iter().filter(|queued| queued.lane == Lane::Write).count() <= 3);
+            assert!(store.queue.iter().filter(|queued| queued.lane == OpClass::Write).count() <= 3);
         }
         assert!(own >= 58 && submitted >= 39, "{own} of the leader, {submitted} submissions");
         assert!(reads > 700, "{reads} reads");
@@ -510,22 +524,24 @@
     #[test]
     fn the_leader_uses_the_remaining_changes() {
         let mut store = client();
-        store.lead(true);
+        store.set_leading(true);
         let mut sent = Vec::new();
         store.pump(Mono(0), &mut sent);
-        assert_eq!(store.changes.rate, 25.0 * LEADER_CHANGES);
+        assert_eq!(store.changes.rate, 25.0 * LEADER_CHANGE_SHARE);
         assert!(
-            store.submit(Mono(1), Lane::Write, StoreOp::Txn(Txn::default()), 1, &mut sent).is_ok()
+            store
+                .submit(Mono(1), OpClass::Write, StoreOp::Txn(Txn::default()), 1, &mut sent)
+                .is_ok()
         );
         let id = sent[0].0;
-        store.answered(Mono(2), id, &StoreReply::Throttled, 0.0);
+        store.complete(Mono(2), id, &StoreReply::Throttled, 0.0);
         store.pump(Mono(3), &mut sent);
-        assert_eq!(store.changes.rate, 25.0 * LEADER_SHARE);
-        store.pump(Mono(2).plus(THROTTLED_MS), &mut sent);
-        assert_eq!(store.changes.rate, 25.0 * LEADER_CHANGES);
-        store.lead(false);
+        assert_eq!(store.changes.rate, 25.0 * LEADER_BUDGET_SHARE);
+        store.pump(Mono(2).plus(THROTTLED_PERIOD_MS), &mut sent);
+        assert_eq!(store.changes.rate, 25.0 * LEADER_CHANGE_SHARE);
+        store.set_leading(false);
         store.pump(Mono(90_000), &mut sent);
-        assert_eq!(store.changes.rate, 25.0 * FOLLOWER_SHARE);
+        assert_eq!(store.changes.rate, 25.0 * FOLLOWER_BUDGET_SHARE);
     }
 
     /// Without a leader, all controllers share the leader's part of the budgets until a 429 shows that there is one.
@@ -533,17 +549,17 @@
     #[test]
     fn the_leaders_share_is_used_while_there_is_no_leader() {
         let mut store = client();
-        store.leaderless(true);
-        assert_eq!(store.changes.rate, 25.0 * LEADERLESS_SHARE / 3.0);
+        store.set_leaderless(true);
+        assert_eq!(store.changes.rate, 25.0 * LEADERLESS_BUDGET_SHARE / 3.0);
         let mut sent = Vec::new();
         let txn = StoreOp::Txn(Txn::default());
-        assert!(store.submit(Mono(1), Lane::Open, txn, 1, &mut sent).is_ok());
-        store.answered(Mono(2), sent[0].0, &StoreReply::Throttled, 0.0);
-        assert_eq!(store.changes.rate, 25.0 * FOLLOWER_SHARE);
-        store.leaderless(true);
-        store.lead(true);
-        store.leaderless(true);
-        assert_eq!(store.changes.rate, 25.0 * LEADER_SHARE);
+        assert!(store.submit(Mono(1), OpClass::General, txn, 1, &mut sent).is_ok());
+        store.complete(Mono(2), sent[0].0, &StoreReply::Throttled, 0.0);
+        assert_eq!(store.changes.rate, 25.0 * FOLLOWER_BUDGET_SHARE);
+        store.set_leaderless(true);
+        store.set_leading(true);
+        store.set_leaderless(true);
+        assert_eq!(store.changes.rate, 25.0 * LEADER_BUDGET_SHARE);
     }
 
     /// The wait of a further change is predicted. Guards against submissions that queue at one follower while the
@@ -552,7 +568,7 @@
     fn the_wait_of_a_change_is_predicted() {
         let mut store = client();
         let mut sent = Vec::new();
-        assert_eq!(store.change_waits(Mono(1)), Millis(0));
+        assert_eq!(store.change_wait(Mono(1)), Millis(0));
         let put = || {
             StoreOp::Txn(Txn {
                 conditions: Vec::new(),
@@ -560,12 +576,12 @@
             })
         };
         for _ in 0..5 {
-            assert!(store.submit(Mono(1), Lane::Open, put(), 1, &mut sent).is_ok());
+            assert!(store.submit(Mono(1), OpClass::General, put(), 1, &mut sent).is_ok());
         }
         // 3.5 changes per second, and a full bucket of 1.75.
-        let waits = store.change_waits(Mono(1));
+        let waits = store.change_wait(Mono(1));
         assert!(waits > Millis(1_000) && waits < Millis(1_500), "{waits:?}");
-        assert!(store.change_waits(Mono(501)) < waits);
+        assert!(store.change_wait(Mono(501)) < waits);
     }
 
     #[test]
@@ -573,13 +589,13 @@
         let mut store = client();
         let mut sent = Vec::new();
         let get = || StoreOp::Get { key: "live/a".into() };
-        let rejected = (0..2 * STORE_QUEUE)
-            .filter(|_| store.submit(Mono(0), Lane::Open, get(), 1, &mut sent).is_err())
+        let rejected = (0..2 * MAX_STORE_QUEUE)
+            .filter(|_| store.submit(Mono(0), OpClass::General, get(), 1, &mut sent).is_err())
             .count();
-        assert!(rejected >= STORE_QUEUE - STORE_INFLIGHT);
+        assert!(rejected >= MAX_STORE_QUEUE - MAX_STORE_INFLIGHT);
         sent.clear();
         let touch = StoreOp::Touch { lease: LeaseId(1) };
-        assert!(store.submit(Mono(0), Lane::Vital, touch, 2, &mut sent).is_ok());
+        assert!(store.submit(Mono(0), OpClass::Lease, touch, 2, &mut sent).is_ok());
         assert_eq!(sent.len(), 1);
     }
 }
--- a/crates/core/src/workers.rs
+++ b/crates/core/src/workers.rs
@@ -5,12 +5,12 @@
 use oatloom_protocol::ids::*;
 use oatloom_protocol::settings::WorkerFacts;
 use oatloom_protocol::wire::{Catalog, Flavor, Report};
-use oatloom_zones::Zones;
+use oatloom_zones::ZoneStates;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Amounts of resources that a machine has or a task needs.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Room {
+pub struct Resources {
     pub cpus: f64,
     pub gpus: f64,
     pub memory_gb: f64,
@@ -19,27 +19,27 @@
 /// Tolerance for rounding errors in sums of decimal amounts.
 const EPSILON: f64 = 1e-6;
 
-impl Room {
-    pub fn fits(&self, need: &Room) -> bool {
+impl Resources {
+    pub fn fits(&self, need: &Resources) -> bool {
         need.cpus <= self.cpus + EPSILON
             && need.gpus <= self.gpus + EPSILON
             && need.memory_gb <= self.memory_gb + EPSILON
     }
 
-    pub fn add(&mut self, other: &Room) {
+    pub fn add(&mut self, other: &Resources) {
         self.cpus += other.cpus;
         self.gpus += other.gpus;
         self.memory_gb += other.memory_gb;
     }
 
-    pub fn take(&mut self, other: &Room) {
+    pub fn subtract(&mut self, other: &Resources) {
         self.cpus -= other.cpus;
         self.gpus -= other.gpus;
         self.memory_gb -= other.memory_gb;
     }
 
     /// The largest share of any resource of `whole` that this takes.
-    pub fn share_of(&self, whole: &Room) -> f64 {
+    pub fn share_of(&self, whole: &Resources) -> f64 {
         let share = |a: f64, b: f64| if b > 0.0 { a / b } else { 0.0 };
         share(self.cpus, whole.cpus)
             .max(share(self.gpus, whole.gpus))
@@ -47,13 +47,13 @@
     }
 }
 
-impl From<&Flavor> for Room {
+impl From<&Flavor> for Resources {
     fn from(f: &Flavor) -> Self {
         Self { cpus: f.cpus, gpus: f.gpus, memory_gb: f.memory_gb }
     }
 }
 
-impl From<&oatloom_protocol::wire::JobSpec> for Room {
+impl From<&oatloom_protocol::wire::JobSpec> for Resources {
     fn from(s: &oatloom_protocol::wire::JobSpec) -> Self {
         Self { cpus: s.cpus, gpus: s.gpus, memory_gb: s.memory_gb }
     }
@@ -61,7 +61,7 @@
 
 /// State of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Life {
+pub enum MachineState {
     /// Hired or listed by the cloud, but has not reported to this leader yet.
     Booting,
     /// Reports regularly.
@@ -94,51 +94,58 @@
     pub zone: Zone,
     pub spot: bool,
     pub addr: String,
-    pub life: Life,
-    pub born: Mono,
-    pub shift: Shift,
-    pub tally: Tally,
+    pub state: MachineState,
+    pub created_at: Mono,
+    pub session: Shift,
+    pub report_seq: Tally,
     pub last_report: Option<Mono>,
     /// Whether anything but a possibly stale report shows that it exists: the cloud's list, the
     /// records, or a report with this leader's fencing token.
-    pub attested: bool,
+    pub existence_confirmed: bool,
     /// When the cloud's list first showed it as up.
-    pub listed_up: Option<Mono>,
+    pub listed_up_since: Option<Mono>,
     /// When this leader last answered a report with 200.
     pub last_answer: Option<Mono>,
-    pub held: BTreeMap<TaskId, Room>,
-    pub used: Room,
+    pub assigned: BTreeMap<TaskId, Resources>,
+    pub used: Resources,
     /// Reported tasks that the job table does not hold there, and what they take.
-    pub strays: BTreeMap<(TaskId, Attempt), Room>,
-    pub taken_at: Option<Mono>,
+    pub strays: BTreeMap<(TaskId, Attempt), Resources>,
+    pub reclaimed_at: Option<Mono>,
     pub idle_since: Mono,
-    pub faults: BTreeSet<JobId>,
+    pub failed_jobs: BTreeSet<JobId>,
     pub paused_until: Mono,
     /// Images by last use, newest last.
     pub images: Vec<Image>,
-    pub reserved: Option<(JobId, Mono)>,
+    pub reservation: Option<(JobId, Mono)>,
     /// When it was last sent a direct command to stop tasks of finished jobs, since it did not
     /// report.
-    pub told_at: Mono,
+    pub last_direct_command: Mono,
     /// Consecutive answers that did not reach it, as its next report showed.
-    pub unheard: u32,
+    pub missed_answers: u32,
     /// Whether its lease ran out while this leader could answer nobody and it has not reported
     /// since: its tasks are gone, and it may be gone too.
-    pub lapsed: bool,
+    pub lease_lapsed: bool,
 }
 
 impl Machine {
     /// Changes the state; no other code does.
-    pub fn enter(&mut self, life: Life, why: &str) {
-        if self.life != life && self.life != Life::Releasing {
-            log::info!("machine {}: {:?} -> {:?} ({why})", self.id, self.life, life);
-            self.life = life;
+    pub fn set_state(&mut self, life: MachineState, why: &str) {
+        if self.state != life && self.state != MachineState::Releasing {
+            log::info!("machine {}: {:?} -> {:?} ({why})", self.id, self.state, life);
+            self.state = life;
         }
     }
 
-    pub fn hold(&mut self, task: TaskId, need: Room, image: &str, image_gb: f64, cache_gb: f64) {
+    pub fn hold(
+        &mut self,
+        task: TaskId,
+        need: Resources,
+        image: &str,
+        image_gb: f64,
+        cache_gb: f64,
+    ) {
         self.used.add(&need);
-        self.held.insert(task, need);
+        self.assigned.insert(task, need);
         let ready = self.has_image(image);
         self.images.retain(|i| i.name != image);
         self.images.push(Image { name: image.to_owned(), gb: image_gb, ready });
@@ -150,40 +157,40 @@
 
     /// Whether the cloud's list or the records show that it has been up.
     pub fn was_up(&self) -> bool {
-        self.listed_up.is_some() || !self.held.is_empty()
+        self.listed_up_since.is_some() || !self.assigned.is_empty()
     }
 
     /// The job for which it is reserved, if any.
-    pub fn kept_for(&self, now: Mono) -> Option<&JobId> {
-        self.reserved.as_ref().filter(|(_, until)| now < *until).map(|(job, _)| job)
+    pub fn reserved_for(&self, now: Mono) -> Option<&JobId> {
+        self.reservation.as_ref().filter(|(_, until)| now < *until).map(|(job, _)| job)
     }
 
     /// Whether any task of the job is placed here.
-    pub fn holds_of(&self, job: &JobId) -> bool {
+    pub fn has_task_of(&self, job: &JobId) -> bool {
         let all = TaskId::new(job, 0)..=TaskId::new(job, u32::MAX);
-        self.held.range(all).next().is_some()
+        self.assigned.range(all).next().is_some()
     }
 
-    pub fn free(&mut self, task: &TaskId, now: Mono) {
-        if let Some(need) = self.held.remove(task) {
-            self.used.take(&need);
+    pub fn unassign(&mut self, task: &TaskId, now: Mono) {
+        if let Some(need) = self.assigned.remove(task) {
+            self.used.subtract(&need);
         }
-        if self.held.is_empty() {
-            self.used = Room::default();
+        if self.assigned.is_empty() {
+            self.used = Resources::default();
             self.idle_since = now;
             // The worker gives up a fetch when no task waits for it.
             self.images.retain(|i| i.ready);
         }
     }
 
-    pub fn fetched(&mut self, image: &str) {
+    pub fn mark_fetched(&mut self, image: &str) {
         if let Some(found) = self.images.iter_mut().find(|i| i.name == image) {
             found.ready = true;
         }
     }
 
     /// Adds images that an earlier leader knew to be there.
-    pub fn recall(&mut self, images: Vec<Image>) {
+    pub fn restore_images(&mut self, images: Vec<Image>) {
         for image in images {
             self.images.retain(|i| i.name != image.name);
             self.images.push(image);
@@ -201,7 +208,7 @@
 
     /// Seconds that it would take to replace the machine by one of the same type with the same
     /// images: a boot and the fetches.
-    pub fn again_s(&self, catalog: Option<&Catalog>) -> f64 {
+    pub fn replacement_s(&self, catalog: Option<&Catalog>) -> f64 {
         let flavor = catalog.and_then(|c| c.flavor(&self.flavor));
         let gb: f64 = self.images.iter().filter(|i| i.ready).map(|i| i.gb).sum();
         let fetch_s = |rate: f64| if rate > 0.0 { gb / rate } else { 0.0 };
@@ -209,27 +216,27 @@
     }
 
     /// Whether its last report has not been answered yet.
-    pub fn report_open(&self) -> bool {
+    pub fn awaits_answer(&self) -> bool {
         self.last_report.is_some_and(|at| self.last_answer.is_none_or(|answer| answer < at))
     }
 
     /// Seconds until its next report is due; 0 if one waits for its answer.
-    pub fn report_in(&self, report_s: f64, now: Mono) -> f64 {
+    pub fn next_report_in_s(&self, report_s: f64, now: Mono) -> f64 {
         match self.last_report {
-            Some(at) if !self.report_open() => (report_s - now.since(at).secs()).max(0.0),
+            Some(at) if !self.awaits_answer() => (report_s - now.since(at).secs()).max(0.0),
             _ => 0.0,
         }
     }
 
-    pub fn empty(&self) -> bool {
-        self.held.is_empty() && self.strays.is_empty()
+    pub fn is_empty(&self) -> bool {
+        self.assigned.is_empty() && self.strays.is_empty()
     }
 }
 
 /// How long after sending its last answered report a worker may keep its tasks, by any steady
 /// clock.
 pub fn lease_span(lease_s: f64) -> Millis {
-    Millis::from_secs(lease_s * (1.0 + 2.0 * DRIFT) + LEASE_SLACK_MS.secs())
+    Millis::from_secs(lease_s * (1.0 + 2.0 * MAX_CLOCK_DRIFT) + LEASE_SLACK_MS.secs())
 }
 
 /// The cancellation bound: how long a task can still be on a machine after its user was told that
@@ -237,7 +244,7 @@
 /// whose final record it has read. Whoever may answer a report from then on knows of it: an earlier
 /// leader's validity ends before a later one gets the key, and a new leader answers no report
 /// before it has read the job table. Answers sent before leave one lease.
-pub fn cancel_bound(facts: &WorkerFacts) -> Millis {
+pub fn cancellation_bound(facts: &WorkerFacts) -> Millis {
     lease_span(facts.lease_s)
 }
 
@@ -256,10 +263,10 @@
 #[derive(Debug, Default)]
 pub struct Fleet {
     pub machines: BTreeMap<HostId, Machine>,
-    pub gone: BTreeMap<HostId, Mono>,
+    pub tombstones: BTreeMap<HostId, Mono>,
     pub catalog: Option<Catalog>,
     /// State of each zone, as far as its machines' reports show it.
-    pub zones: Zones,
+    pub zones: ZoneStates,
 }
 
 impl Fleet {
@@ -268,7 +275,7 @@
     }
 
     /// Usual boot time of the type that boots fastest.
-    pub fn least_boot_s(&self) -> Option<f64> {
+    pub fn min_boot_s(&self) -> Option<f64> {
         self.catalog.iter().flat_map(|c| &c.flavors).map(|f| f.boot_s).reduce(f64::min)
     }
 
@@ -278,21 +285,21 @@
         if rate > 0.0 && !machine.has_image(&spec.image) { spec.image_gb / rate } else { 0.0 }
     }
 
-    pub fn room_of(&self, machine: &Machine) -> Room {
-        self.flavor(&machine.flavor).map(Room::from).unwrap_or_default()
+    pub fn capacity_of(&self, machine: &Machine) -> Resources {
+        self.flavor(&machine.flavor).map(Resources::from).unwrap_or_default()
     }
 
     /// Free room on a machine, with stray tasks counted.
-    pub fn free_room(&self, machine: &Machine) -> Room {
-        let mut free = self.room_of(machine);
-        free.take(&machine.used);
+    pub fn free_resources(&self, machine: &Machine) -> Resources {
+        let mut free = self.capacity_of(machine);
+        free.subtract(&machine.used);
         for need in machine.strays.values() {
-            free.take(need);
+            free.subtract(need);
         }
         free
     }
 
-    pub fn adopt(
+    pub fn add_machine(
         &mut self,
         id: &HostId,
         flavor: &str,
@@ -309,76 +316,78 @@
                 zone: zone.clone(),
                 spot,
                 addr: String::new(),
-                life: Life::Booting,
-                born,
-                shift: Shift(0),
-                tally: Tally(0),
+                state: MachineState::Booting,
+                created_at: born,
+                session: Shift(0),
+                report_seq: Tally(0),
                 last_report: None,
-                attested: false,
-                listed_up: None,
+                existence_confirmed: false,
+                listed_up_since: None,
                 last_answer: None,
-                held: BTreeMap::new(),
-                used: Room::default(),
+                assigned: BTreeMap::new(),
+                used: Resources::default(),
                 strays: BTreeMap::new(),
-                taken_at: None,
+                reclaimed_at: None,
                 idle_since: now,
-                faults: BTreeSet::new(),
+                failed_jobs: BTreeSet::new(),
                 paused_until: Mono(0),
-                told_at: Mono(0),
-                unheard: 0,
+                last_direct_command: Mono(0),
+                missed_answers: 0,
                 images: Vec::new(),
-                reserved: None,
-                lapsed: false,
+                reservation: None,
+                lease_lapsed: false,
             }
         })
     }
 
     /// Orders a report among those seen before and records what it says of the machine itself. The
     /// caller compares the tasks that it lists.
-    pub fn take_report(&mut self, report: &Report, token: Token, now: Mono) -> Freshness {
+    pub fn record_report(&mut self, report: &Report, token: Token, now: Mono) -> Freshness {
         let fresh = self
             .machines
             .get(&report.host)
-            .is_none_or(|m| (report.shift, report.tally) > (m.shift, m.tally));
+            .is_none_or(|m| (report.shift, report.tally) > (m.session, m.report_seq));
         if !fresh {
             return Freshness::Stale;
         }
-        let m = self.adopt(&report.host, &report.flavor, &report.zone, report.spot, now, now);
+        let m = self.add_machine(&report.host, &report.flavor, &report.zone, report.spot, now, now);
         m.flavor.clone_from(&report.flavor);
         m.zone = report.zone.clone();
         m.spot = report.spot;
         m.addr.clone_from(&report.addr);
-        m.shift = report.shift;
-        m.tally = report.tally;
+        m.session = report.shift;
+        m.report_seq = report.tally;
         m.last_report = Some(now);
-        m.lapsed = false;
+        m.lease_lapsed = false;
         let confirmed = report.token == token;
-        m.attested |= confirmed;
-        m.taken_at = report.notice_s.map(|s| now.plus(Millis::from_secs(s)));
-        if m.taken_at.is_some() {
-            m.enter(Life::Draining, "the cloud announced to reclaim it");
-        } else if matches!(m.life, Life::Booting | Life::Silent) && m.attested {
+        m.existence_confirmed |= confirmed;
+        m.reclaimed_at = report.notice_s.map(|s| now.plus(Millis::from_secs(s)));
+        if m.reclaimed_at.is_some() {
+            m.set_state(MachineState::Draining, "the cloud announced to reclaim it");
+        } else if matches!(m.state, MachineState::Booting | MachineState::Silent)
+            && m.existence_confirmed
+        {
             // Without this, an old report of a machine that an earlier leader has returned would
             // get it new tasks.
-            m.enter(Life::Live, "reported");
+            m.set_state(MachineState::Live, "reported");
         }
         if confirmed { Freshness::Confirmed } else { Freshness::Unconfirmed }
     }
 
     /// When a machine's tasks are certainly gone if it is not heard from again: its lease, with
     /// clock drift, from the latest time at which a valid leader can have answered it.
-    pub fn horizon(m: &Machine, lead_since: Mono, lease_s: f64) -> Mono {
+    pub fn tasks_gone_by(m: &Machine, lead_since: Mono, lease_s: f64) -> Mono {
         let from = m.last_answer.unwrap_or(lead_since).max(lead_since);
         from.plus(lease_span(lease_s))
     }
 
     pub fn remove(&mut self, id: &HostId, now: Mono) -> Option<Machine> {
-        self.gone.insert(id.clone(), now);
+        self.tombstones.insert(id.clone(), now);
         self.machines.remove(id)
     }
 
-    pub fn forget_old(&mut self, now: Mono) {
-        self.gone.retain(|_, at| now.since(*at) < TOMBSTONE_MS);
+    pub fn expire_tombstones(&mut self, now: Mono) {
+        self.tombstones.retain(|_, at| now.since(*at) < TOMBSTONE_TTL_MS);
     }
 }
 
--- a/crates/core/src/workers/tests.rs
+++ b/crates/core/src/workers/tests.rs
@@ -18,7 +18,7 @@
 #[test]
 fn reports_are_ordered_by_session_and_sequence_number() {
     let mut fleet = Fleet::default();
-    let mut take = |s, t, k| fleet.take_report(&report(s, t, k), Token(4), Mono(1));
+    let mut take = |s, t, k| fleet.record_report(&report(s, t, k), Token(4), Mono(1));
     assert_eq!(take(1, 5, 3), Freshness::Unconfirmed);
     assert_eq!(take(1, 6, 4), Freshness::Confirmed);
     assert_eq!(take(1, 6, 4), Freshness::Stale);
@@ -31,27 +31,27 @@
 #[test]
 fn horizon_lies_beyond_any_lease() {
     let mut fleet = Fleet::default();
-    fleet.take_report(&report(1, 1, 1), Token(1), Mono(5_000));
+    fleet.record_report(&report(1, 1, 1), Token(1), Mono(5_000));
     let m = fleet.machines.get_mut(&HostId::new("i-1")).unwrap();
-    assert!(Fleet::horizon(m, Mono(9_000), 26.0) >= Mono(35_013));
+    assert!(Fleet::tasks_gone_by(m, Mono(9_000), 26.0) >= Mono(35_013));
     m.last_answer = Some(Mono(20_000));
-    assert!(Fleet::horizon(m, Mono(9_000), 26.0) >= Mono(46_013));
+    assert!(Fleet::tasks_gone_by(m, Mono(9_000), 26.0) >= Mono(46_013));
 }
 
 #[test]
 fn image_cache_keeps_most_recently_used() {
     let mut fleet = Fleet::default();
-    fleet.take_report(&report(1, 1, 1), Token(1), Mono(0));
+    fleet.record_report(&report(1, 1, 1), Token(1), Mono(0));
     let m = fleet.machines.get_mut(&HostId::new("i-1")).unwrap();
     let task = |i| TaskId::new(&JobId::new("req-1"), i);
-    m.hold(task(0), Room::default(), "x", 30.0, 60.0);
+    m.hold(task(0), Resources::default(), "x", 30.0, 60.0);
     assert!(!m.has_image("x") && m.fetching().len() == 1);
-    m.fetched("x");
-    m.hold(task(1), Room::default(), "y", 20.0, 60.0);
-    m.fetched("y");
-    m.hold(task(2), Room::default(), "x", 30.0, 60.0);
-    m.hold(task(3), Room::default(), "z", 25.0, 60.0);
-    m.fetched("z");
+    m.mark_fetched("x");
+    m.hold(task(1), Resources::default(), "y", 20.0, 60.0);
+    m.mark_fetched("y");
+    m.hold(task(2), Resources::default(), "x", 30.0, 60.0);
+    m.hold(task(3), Resources::default(), "z", 25.0, 60.0);
+    m.mark_fetched("z");
     assert!(m.has_image("x") && m.has_image("z") && !m.has_image("y"));
 }
 
@@ -69,7 +69,7 @@
     for (lease_s, cancel_s, holds) in [(26.0, 46.0, true), (45.0, 45.2, false), (60.0, 46.0, false)]
     {
         let facts = facts(lease_s, cancel_s);
-        assert!(cancel_bound(&facts) >= Millis::from_secs(lease_s * 1.0005));
-        assert_eq!(cancel_bound(&facts) < Millis::from_secs(cancel_s), holds);
+        assert!(cancellation_bound(&facts) >= Millis::from_secs(lease_s * 1.0005));
+        assert_eq!(cancellation_bound(&facts) < Millis::from_secs(cancel_s), holds);
     }
 }
--- a/crates/core/tests/dependencies.rs
+++ b/crates/core/tests/dependencies.rs
@@ -1,7 +1,7 @@
 //! Dependencies between jobs: release, cancellation along with a dependency, takeover by a new leader, and inherited
 //! ranks and deadlines.
 
-use oatloom_core::jobs::{Book, ChunkRecord, JobState, LiveRecord, OverRecord};
+use oatloom_core::jobs::{ChunkRecord, FinalRecord, JobState, JobTable, LiveRecord};
 use oatloom_protocol::ids::{Attempt, HostId, JobId, Mono, Now, Revision, Shift, Zone};
 use oatloom_protocol::wire::{Change, Condition, JobSpec, JobStatus, Rank, Shape, Txn};
 use rand::seq::SliceRandom;
@@ -47,17 +47,17 @@
 }
 
 /// Inserts a job that was accepted at the revision `number`.
-fn insert(job_table: &mut Book, spec: JobSpec, number: u32) {
+fn insert(job_table: &mut JobTable, spec: JobSpec, number: u32) {
     let record = LiveRecord { spec, wall_ms: 1_000, part: None };
     job_table.insert(record, Revision(u64::from(number)), now(1_000));
 }
 
-fn add(job_table: &mut Book, number: u32, dependencies: &[u32]) {
+fn add(job_table: &mut JobTable, number: u32, dependencies: &[u32]) {
     insert(job_table, spec(number, dependencies), number);
 }
 
 /// Commits the leader's next transaction, and returns it.
-fn commit_one(job_table: &mut Book, at: Mono) -> Option<Txn> {
+fn commit_one(job_table: &mut JobTable, at: Mono) -> Option<Txn> {
     let fence = Condition { key: "lead".into(), version: Revision(1) };
     let (txn, written) = job_table.next_txn(fence, CHANGES_PER_TXN, at)?;
     job_table.committed(&written, Revision(1_000_000));
@@ -65,28 +65,28 @@
 }
 
 /// Commits all pending transactions, and returns them.
-fn commit_all(job_table: &mut Book, at: Mono) -> Vec<Txn> {
+fn commit_all(job_table: &mut JobTable, at: Mono) -> Vec<Txn> {
     std::iter::from_fn(|| commit_one(job_table, at)).collect()
 }
 
-fn state(job_table: &Book, number: u32) -> Option<JobState> {
+fn state(job_table: &JobTable, number: u32) -> Option<JobState> {
     job_table.get(&id(number)).map(|job| job.state)
 }
 
-fn reported(job_table: &Book, number: u32) -> Option<JobStatus> {
+fn reported(job_table: &JobTable, number: u32) -> Option<JobStatus> {
     job_table.view(&id(number)).map(|view| view.status)
 }
 
 /// A dependency that is done only in memory does not release its dependents.
 #[test]
 fn a_job_is_released_once_the_ends_of_its_dependencies_are_durable() {
-    let mut job_table = Book::default();
+    let mut job_table = JobTable::default();
     add(&mut job_table, 1, &[]);
     add(&mut job_table, 2, &[]);
     add(&mut job_table, 3, &[1, 2]);
     assert_eq!(reported(&job_table, 3), Some(JobStatus::Queued));
     for done in [1, 2] {
-        job_table.free(&id(done), 0, true);
+        job_table.unassign(&id(done), 0, true);
         job_table.end(&id(done), JobStatus::Done, "all tasks are done");
         assert_eq!(state(&job_table, 3), Some(JobState::Waiting));
         assert!(commit_one(&mut job_table, Mono(2_000)).is_some());
@@ -101,7 +101,7 @@
 /// there are and however few changes a transaction may have.
 #[test]
 fn dependents_of_a_cancelled_job_are_reported_cancelled_at_once() {
-    let mut job_table = Book::default();
+    let mut job_table = JobTable::default();
     add(&mut job_table, 1, &[]);
     for number in 2..=300 {
         add(&mut job_table, number, &[number - 1]);
@@ -131,10 +131,10 @@
 /// A dependency that is done before its cancellation is requested releases its dependents.
 #[test]
 fn the_first_decision_about_a_dependency_decides_for_its_dependents() {
-    let mut job_table = Book::default();
+    let mut job_table = JobTable::default();
     add(&mut job_table, 1, &[]);
     add(&mut job_table, 2, &[1]);
-    job_table.free(&id(1), 0, true);
+    job_table.unassign(&id(1), 0, true);
     job_table.end(&id(1), JobStatus::Done, "all tasks are done");
     job_table.end(&id(1), JobStatus::Cancelled, "cancelled by its user");
     commit_all(&mut job_table, Mono(2_000));
@@ -144,10 +144,10 @@
 /// The stored final record of a dependency wins over a different decision of this leader.
 #[test]
 fn the_stored_end_of_a_dependency_wins_over_the_decided_one() {
-    let mut job_table = Book::default();
+    let mut job_table = JobTable::default();
     add(&mut job_table, 1, &[]);
     add(&mut job_table, 2, &[1]);
-    job_table.free(&id(1), 0, true);
+    job_table.unassign(&id(1), 0, true);
     job_table.end(&id(1), JobStatus::Done, "all tasks are done");
     let fence = Condition { key: "lead".into(), version: Revision(1) };
     let (_, written) = job_table.next_txn(fence, CHANGES_PER_TXN, Mono(2_000)).unwrap();
@@ -168,7 +168,7 @@
 /// earlier leader may have reported the job as cancelled.
 #[test]
 fn no_status_is_reported_before_the_dependencies_are_known() {
-    let mut job_table = Book::default();
+    let mut job_table = JobTable::default();
     add(&mut job_table, 2, &[1]);
     add(&mut job_table, 3, &[2]);
     assert_eq!((reported(&job_table, 2), reported(&job_table, 3)), (None, None));
@@ -182,12 +182,12 @@
 /// A dependency that is inserted after its dependent is unfinished, so its final record is not read.
 #[test]
 fn a_dependency_inserted_after_its_dependent_is_awaited() {
-    let mut job_table = Book::default();
+    let mut job_table = JobTable::default();
     add(&mut job_table, 2, &[1]);
     add(&mut job_table, 1, &[]);
     assert_eq!(job_table.unresolved_dependencies().count(), 0);
     assert_eq!(reported(&job_table, 2), Some(JobStatus::Queued));
-    job_table.free(&id(1), 0, true);
+    job_table.unassign(&id(1), 0, true);
     job_table.end(&id(1), JobStatus::Done, "all tasks are done");
     commit_all(&mut job_table, Mono(2_000));
     assert_eq!(state(&job_table, 2), Some(JobState::Open));
@@ -196,7 +196,7 @@
 /// A damaged final record releases nothing; the dependents wait until their users cancel them.
 #[test]
 fn an_unreadable_dependency_keeps_its_dependents_waiting() {
-    let mut job_table = Book::default();
+    let mut job_table = JobTable::default();
     add(&mut job_table, 2, &[1]);
     job_table.dependency_unreadable(&id(1));
     assert_eq!(reported(&job_table, 2), Some(JobStatus::Queued));
@@ -209,7 +209,7 @@
 /// Assignments are written only after the release, so a new leader need not read the dependencies of such a job.
 #[test]
 fn an_assignment_record_shows_that_its_job_was_released() {
-    let mut job_table = Book::default();
+    let mut job_table = JobTable::default();
     add(&mut job_table, 2, &[1]);
     let record = ChunkRecord {
         done: String::new(),
@@ -220,13 +220,13 @@
     };
     job_table.load_chunk(&id(2), 0, record, Revision(8), Mono(2_000));
     assert_eq!(state(&job_table, 2), Some(JobState::Open));
-    assert_eq!(job_table.get(&id(2)).unwrap().held, 1);
+    assert_eq!(job_table.get(&id(2)).unwrap().assigned, 1);
 }
 
 /// The last job's deadline and rank are inherited through a chain of any length in one pass.
 #[test]
 fn deadlines_and_ranks_are_inherited_through_a_chain() {
-    let mut job_table = Book::default();
+    let mut job_table = JobTable::default();
     add(&mut job_table, 1, &[]);
     for number in 2..300 {
         add(&mut job_table, number, &[number - 1]);
@@ -261,7 +261,7 @@
             match change {
                 Change::Put { key, value, .. } => {
                     if let Some(id) = key.strip_prefix("over/") {
-                        let record: OverRecord = serde_json::from_value(value.clone()).unwrap();
+                        let record: FinalRecord = serde_json::from_value(value.clone()).unwrap();
                         let earlier = self.over.insert(JobId::new(id), record.status);
                         assert!(earlier.is_none(), "{id} ended twice");
                     }
@@ -276,8 +276,8 @@
     }
 
     /// The job table that a new leader loads.
-    fn load(&self) -> Book {
-        let mut job_table = Book::default();
+    fn load(&self) -> JobTable {
+        let mut job_table = JobTable::default();
         for (spec, number) in self.live.values() {
             insert(&mut job_table, spec.clone(), *number);
         }
@@ -309,7 +309,7 @@
         let count = rng.random_range(2..40);
         let mut specs: BTreeMap<JobId, JobSpec> = BTreeMap::new();
         let mut stored = Stored::default();
-        let mut job_table = Book::default();
+        let mut job_table = JobTable::default();
         let mut reported_cancelled: BTreeSet<JobId> = BTreeSet::new();
         let mut next = 1;
         for _ in 0..4_000 {
@@ -339,7 +339,7 @@
                     let done = |id: &JobId| stored.over.get(id) == Some(&JobStatus::Done);
                     assert!(dependencies.iter().all(done), "seed {seed}: {id} was released early");
                     if rng.random_bool(0.1) {
-                        job_table.free(&id, 0, true);
+                        job_table.unassign(&id, 0, true);
                         job_table.end(&id, JobStatus::Done, "all tasks are done");
                     }
                 }
--- a/crates/core/tests/pacing.rs
+++ b/crates/core/tests/pacing.rs
@@ -1,6 +1,6 @@
 //! Three paced clients of one state service whose change budget is reduced without notice.
 
-use oatloom_core::store::{Lane, StoreClient, StoreOp, StoreReply};
+use oatloom_core::store::{OpClass, StoreClient, StoreOp, StoreReply};
 use oatloom_protocol::ids::{LeaseId, Mono, Revision};
 use oatloom_protocol::settings::{NextStateFacts, StateFacts};
 use oatloom_protocol::wire::{Change, Txn};
@@ -60,7 +60,7 @@
         StateFacts { rps: 80.0, write_rps: 25.0, value_kb: 8.0, txn_ops: 16, next: Some(next) };
     let mut clients: Vec<StoreClient<Purpose>> =
         (0..3).map(|_| StoreClient::new(&facts, 3)).collect();
-    clients[0].lead(true);
+    clients[0].set_leading(true);
     let mut budget = Budget { rate: facts.write_rps, level: facts.write_rps };
     let mut outcome = Outcome::default();
     let mut writing = false;
@@ -75,23 +75,28 @@
             let mut sent = Vec::new();
             if index == 0 && !writing {
                 writing = true;
-                let _ = client.submit(now, Lane::Write, changes(5), Purpose::Write, &mut sent);
+                let _ = client.submit(now, OpClass::Write, changes(5), Purpose::Write, &mut sent);
             }
             if rng.random_bool(0.008) {
-                let submitted =
-                    client.submit(now, Lane::Open, changes(1), Purpose::Submission, &mut sent);
+                let submitted = client.submit(
+                    now,
+                    OpClass::General,
+                    changes(1),
+                    Purpose::Submission,
+                    &mut sent,
+                );
                 outcome.rejected += u32::from(submitted.is_err());
             }
             if ms % 1_000 == 0 {
                 let before = sent.len();
                 let touch = StoreOp::Touch { lease: LeaseId(1) };
-                let _ = client.submit(now, Lane::Vital, touch, Purpose::Renewal, &mut sent);
+                let _ = client.submit(now, OpClass::Lease, touch, Purpose::Renewal, &mut sent);
                 outcome.renewals_delayed += u32::from(sent.len() == before);
             }
             client.pump(now, &mut sent);
-            for id in client.expired(now) {
+            for id in client.take_expired(now) {
                 outcome.rejected += 1;
-                let _ = client.answered(now, id, &StoreReply::Unsent, 0.0);
+                let _ = client.complete(now, id, &StoreReply::Unsent, 0.0);
             }
             for (id, _, op) in sent {
                 let change_count = if let StoreOp::Txn(txn) = &op { txn.changes.len() } else { 0 };
@@ -101,10 +106,10 @@
                 } else {
                     StoreReply::Throttled
                 };
-                let purpose = client.answered(now, id, &reply, rng.random());
+                let purpose = client.complete(now, id, &reply, rng.random());
                 writing &= purpose != Some(Purpose::Write);
                 if !accepted {
-                    client.keep_to(&facts.strictest());
+                    client.set_limits(&facts.strictest());
                     outcome.throttled_late += u32::from(late);
                 } else if purpose == Some(Purpose::Write) && late {
                     outcome.written_late += change_count;
--- a/crates/ctl/src/schemas.rs
+++ b/crates/ctl/src/schemas.rs
@@ -1,6 +1,6 @@
 //! JSON Schemas of what is said over HTTP, made from the types that read and write it.
 
-use oatloom_core::operators::Operators;
+use oatloom_core::operators::OperatorSettings;
 use oatloom_graph::answers::{GraphView, JobNodes, SessionView};
 use oatloom_graph::requests::{AddNodes, CreateGraph, OpenSession};
 use oatloom_ledger::query::UsagePage;
@@ -20,7 +20,7 @@
         ("submission", of::<JobSpec>()),
         ("job", of::<JobView>()),
         ("usage", of::<UsagePage>()),
-        ("operators", of::<Operators>()),
+        ("operators", of::<OperatorSettings>()),
         ("session-open", of::<OpenSession>()),
         ("session", of::<SessionView>()),
         ("graph-create", of::<CreateGraph>()),
@@ -75,7 +75,7 @@
                 {"class":[{"name":["quick"]},{"repeats":[3]},{"on-exhausted":["finish-rest"]}]},
                 {"default":[{"repeats":[5]}]}]});
         let takes = |value: &Value| {
-            serde_json::from_value::<Operators>(value.clone())
+            serde_json::from_value::<OperatorSettings>(value.clone())
                 .is_ok_and(|read| read.check().is_ok())
         };
         assert!(takes(&whole) && schema.is_valid(&whole));
--- a/crates/ledger/src/entry.rs
+++ b/crates/ledger/src/entry.rs
@@ -17,7 +17,7 @@
 /// Usage of an attempt, recorded at its end. Times are measured by the worker if it reported them, otherwise by
 /// the leader.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
+pub struct UsageEntry {
     pub task: TaskId,
     pub attempt: Attempt,
     pub team: String,
@@ -38,7 +38,7 @@
     pub unseen_ms: u64,
     pub end: End,
     /// Whether its progress was saved when it was stopped.
-    pub stored: bool,
+    pub progress_saved: bool,
     /// Whether its job continues, so that lost work has to be run again.
     pub goes_on: bool,
     /// Checkpoint interval in milliseconds; 0: no checkpoints.
@@ -47,9 +47,9 @@
     pub gpus: f64,
     pub memory_gb: f64,
     /// Hourly price of the machine at the end.
-    pub price: f64,
+    pub hourly_price: f64,
     /// Share of the machine that the attempt occupied.
-    pub share: f64,
+    pub machine_share: f64,
 }
 
 /// An attempt's run time by its use. The parts sum to the run time.
@@ -63,7 +63,7 @@
     pub lost_ms: u64,
 }
 
-impl Entry {
+impl UsageEntry {
     /// The day on which the attempt is counted, in days since 1970-01-01.
     pub fn day(&self) -> u64 {
         self.ended_ms / DAY_MS
@@ -71,12 +71,12 @@
 
     /// Splits the run time by its use. Useful work is run time of tasks that completed, saved progress and run time
     /// of replicas (protocol, "How aims are counted"). An attempt is assumed to start at a checkpoint.
-    pub fn worth(&self) -> RunTimeBreakdown {
+    pub fn run_time_breakdown(&self) -> RunTimeBreakdown {
         let ran = self.ran_ms;
         let useful_ms = match self.end {
             _ if self.shape == Shape::Service => ran,
             End::Seen(Cause::Done) => ran,
-            End::Seen(Cause::Stopped) if self.stored => ran,
+            End::Seen(Cause::Stopped) if self.progress_saved => ran,
             _ if !self.goes_on => 0,
             _ => ran.checked_div(self.checkpoint_ms).unwrap_or(0) * self.checkpoint_ms,
         };
@@ -90,7 +90,8 @@
     /// Cost of its share of the machine from assignment to end, in millionths of a unit of money.
     pub fn cost_micros(&self) -> u64 {
         let hours = self.held_ms as f64 / 3_600_000.0;
-        (hours * self.price.max(0.0) * self.share.clamp(0.0, 1.0) * MICROS_PER_UNIT).round() as u64
+        (hours * self.hourly_price.max(0.0) * self.machine_share.clamp(0.0, 1.0) * MICROS_PER_UNIT)
+            .round() as u64
     }
 }
 
@@ -99,8 +100,8 @@
     use super::*;
     use oatloom_protocol::ids::JobId;
 
-    pub fn entry(end: End, ran_ms: u64) -> Entry {
-        Entry {
+    pub fn entry(end: End, ran_ms: u64) -> UsageEntry {
+        UsageEntry {
             task: TaskId::new(&JobId::new("req-1"), 0),
             attempt: Attempt(1),
             team: "red".into(),
@@ -116,34 +117,35 @@
             ran_ms,
             unseen_ms: 0,
             end,
-            stored: false,
+            progress_saved: false,
             goes_on: true,
             checkpoint_ms: 0,
             cpus: 2.0,
             gpus: 1.0,
             memory_gb: 8.0,
-            price: 3.6,
-            share: 0.25,
+            hourly_price: 3.6,
+            machine_share: 0.25,
         }
     }
 
     #[test]
     fn run_time_is_useful_repeated_or_lost() {
-        let breakdown_of = |e: Entry| {
-            let breakdown = e.worth();
+        let breakdown_of = |e: UsageEntry| {
+            let breakdown = e.run_time_breakdown();
             assert_eq!(breakdown.useful_ms + breakdown.repeated_ms + breakdown.lost_ms, e.ran_ms);
             (breakdown.useful_ms, breakdown.repeated_ms, breakdown.lost_ms)
         };
         assert_eq!(breakdown_of(entry(End::Seen(Cause::Done), 900)), (900, 0, 0));
         assert_eq!(breakdown_of(entry(End::Seen(Cause::Error), 900)), (0, 900, 0));
         assert_eq!(breakdown_of(entry(End::Unseen, 900)), (0, 900, 0));
-        let job_ended = Entry { goes_on: false, ..entry(End::Seen(Cause::Stopped), 900) };
+        let job_ended = UsageEntry { goes_on: false, ..entry(End::Seen(Cause::Stopped), 900) };
         assert_eq!(breakdown_of(job_ended), (0, 0, 900));
-        let with_checkpoints = Entry { checkpoint_ms: 400, ..entry(End::Unseen, 900) };
+        let with_checkpoints = UsageEntry { checkpoint_ms: 400, ..entry(End::Unseen, 900) };
         assert_eq!(breakdown_of(with_checkpoints.clone()), (800, 100, 0));
-        let saved = Entry { stored: true, end: End::Seen(Cause::Stopped), ..with_checkpoints };
+        let saved =
+            UsageEntry { progress_saved: true, end: End::Seen(Cause::Stopped), ..with_checkpoints };
         assert_eq!(breakdown_of(saved), (900, 0, 0));
-        let replica = Entry { shape: Shape::Service, ..entry(End::Unseen, 900) };
+        let replica = UsageEntry { shape: Shape::Service, ..entry(End::Unseen, 900) };
         assert_eq!(breakdown_of(replica), (900, 0, 0));
     }
 
@@ -153,6 +155,6 @@
         let mut e = entry(End::Seen(Cause::Done), 0);
         e.held_ms = 3_600_000;
         assert_eq!(e.cost_micros(), 900_000);
-        assert_eq!(Entry { price: -1.0, ..e }.cost_micros(), 0);
+        assert_eq!(UsageEntry { hourly_price: -1.0, ..e }.cost_micros(), 0);
     }
 }
--- a/crates/ledger/src/query.rs
+++ b/crates/ledger/src/query.rs
@@ -1,7 +1,7 @@
 //! Usage queries: `GET /v2/usage?team=&class=&from=&to=`, with paged results.
 
 use crate::constants::*;
-use crate::rollup::{Cursor, ROLLUPS, Rollup, Slot};
+use crate::rollup::{Cursor, ROLLUP_PREFIX, Rollup, RollupId};
 use crate::tally::Line;
 use serde::{Deserialize, Serialize};
 use time::Date;
@@ -24,7 +24,7 @@
 
 /// Selects roll-ups.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Query {
+pub struct UsageQuery {
     pub team: Option<String>,
     pub class: Option<String>,
     /// First and last day, as days since 1970-01-01.
@@ -53,7 +53,7 @@
     date.map_or_else(|| day.to_string(), |date| date.to_string())
 }
 
-impl Query {
+impl UsageQuery {
     /// Parses the query string of a URL.
     ///
     /// # Errors
@@ -72,7 +72,7 @@
                 "from" => query.from = parse_day(&value).ok_or(QueryError::InvalidDay("from"))?,
                 "to" => query.to = parse_day(&value).ok_or(QueryError::InvalidDay("to"))?,
                 "after" => {
-                    Slot::parse(&value).ok_or(QueryError::InvalidAfter)?;
+                    RollupId::parse(&value).ok_or(QueryError::InvalidAfter)?;
                     query.start_after = Some(value);
                 }
                 "most" => {
@@ -90,11 +90,11 @@
     }
 
     /// The key after which roll-ups are to be read.
-    pub fn start(&self) -> String {
-        self.start_after.clone().unwrap_or_else(|| format!("{ROLLUPS}{:06}", self.from))
+    pub fn start_key(&self) -> String {
+        self.start_after.clone().unwrap_or_else(|| format!("{ROLLUP_PREFIX}{:06}", self.from))
     }
 
-    fn matches(&self, rollup_id: &Slot) -> bool {
+    fn matches(&self, rollup_id: &RollupId) -> bool {
         self.team.as_ref().is_none_or(|team| *team == rollup_id.team)
             && self.class.as_ref().is_none_or(|class| *class == rollup_id.class)
     }
@@ -137,7 +137,7 @@
     /// Builds a page from stored roll-ups in key order, with `None` for unreadable values. `more` says whether the
     /// store has further roll-ups.
     pub fn of(
-        query: &Query,
+        query: &UsageQuery,
         found: impl IntoIterator<Item = (String, Option<Rollup>)>,
         more: bool,
         cursor: Cursor,
@@ -145,7 +145,7 @@
         let mut page = Self::default();
         let mut last = None;
         for (key, rollup) in found {
-            let Some(rollup_id) = Slot::parse(&key) else { continue };
+            let Some(rollup_id) = RollupId::parse(&key) else { continue };
             if rollup_id.day > query.to {
                 return page;
             }
@@ -162,7 +162,7 @@
                 page.gaps.push(key);
                 continue;
             };
-            if rollup.gap {
+            if rollup.incomplete {
                 page.gaps.push(key);
             }
             let row = |(bucket, sums): (&crate::tally::UsageBucket, &Line)| UsageRow {
@@ -202,17 +202,17 @@
 
     #[test]
     fn invalid_parameters_are_distinguished() {
-        let error = |text: &str| Query::parse(text).unwrap_err();
+        let error = |text: &str| UsageQuery::parse(text).unwrap_err();
         assert_eq!(error("from=soon"), QueryError::InvalidDay("from"));
         assert_eq!(error("from=2026-02-01&to=2026-01-01"), QueryError::InvalidSpan);
         assert_eq!(error("from=1980-01-01&to=2026-01-01"), QueryError::InvalidSpan);
         assert_eq!(error("most=0"), QueryError::InvalidMost);
         assert_eq!(error("after=live/req-1"), QueryError::InvalidAfter);
         assert_eq!(error("tem=red"), QueryError::Unknown("tem".into()));
-        assert!(Query::parse("team=&class=&from=&to=").is_ok());
-        let query = Query::parse("team=a%20b&from=2026-11-01&to=2026-11-30").unwrap();
+        assert!(UsageQuery::parse("team=&class=&from=&to=").is_ok());
+        let query = UsageQuery::parse("team=a%20b&from=2026-11-01&to=2026-11-30").unwrap();
         assert_eq!(query.team.as_deref(), Some("a b"));
-        assert!(query.start().starts_with("use/0207"));
+        assert!(query.start_key().starts_with("use/0207"));
     }
 
     /// Pages of any size return each row exactly once and name unreadable roll-ups.
@@ -225,7 +225,7 @@
                 for cause in [Cause::Done, Cause::Error] {
                     rollup.tally.add(&entry(End::Seen(cause), 7));
                 }
-                let rollup_id = Slot { day, team: team.into(), class: "c".into() };
+                let rollup_id = RollupId { day, team: team.into(), class: "c".into() };
                 store.push((rollup_id.key(), Some(rollup)));
             }
         }
@@ -233,10 +233,11 @@
         store[3].1 = None;
         let cursor = Cursor { closed_before: 12, ..Cursor::default() };
         for (max_rows, page_size) in [(1, 3), (2, 2), (3, 8), (200, 1), (200, 500)] {
-            let mut query = Query { max_rows, ..Query::parse("team=red&to=1970-01-13").unwrap() };
+            let mut query =
+                UsageQuery { max_rows, ..UsageQuery::parse("team=red&to=1970-01-13").unwrap() };
             let (mut rows, mut gaps, mut pages) = (Vec::new(), Vec::new(), 0);
             loop {
-                let start = query.start();
+                let start = query.start_key();
                 let rest: Vec<_> = store.iter().filter(|(key, _)| *key > start).collect();
                 let found = rest.iter().take(page_size).map(|(k, r)| (k.clone(), r.clone()));
                 let page = UsagePage::of(&query, found, rest.len() > page_size, cursor);
--- a/crates/ledger/src/rollup.rs
+++ b/crates/ledger/src/rollup.rs
@@ -5,31 +5,31 @@
 //! attempts that end later, or that outgrows its record, is moved from the assignment record.
 
 use crate::constants::*;
-use crate::entry::Entry;
-use crate::tally::Tally;
+use crate::entry::UsageEntry;
+use crate::tally::UsageByBucket;
 use oatloom_protocol::ids::{JobId, Millis, Mono, Revision};
 use percent_encoding::{AsciiSet, NON_ALPHANUMERIC, percent_decode_str, utf8_percent_encode};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Key prefix of all roll-ups.
-pub const ROLLUPS: &str = "use/";
+pub const ROLLUP_PREFIX: &str = "use/";
 /// Key of the cursor.
-pub const CURSOR: &str = "use-cursor";
+pub const CURSOR_KEY: &str = "use-cursor";
 
 /// Characters of a name that are percent-encoded in a key.
 const KEY_ESCAPED: &AsciiSet = &NON_ALPHANUMERIC.remove(b'-').remove(b'_').remove(b'.');
 
 /// Identifies a roll-up: one day of a team and class.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Slot {
+pub struct RollupId {
     /// Days since 1970-01-01.
     pub day: u64,
     pub team: String,
     pub class: String,
 }
 
-impl Slot {
+impl RollupId {
     /// The key under which the roll-up is stored.
     pub fn key(&self) -> String {
         let name = |text: &str| {
@@ -37,11 +37,11 @@
             name.truncate(MAX_KEY_NAME_BYTES);
             name
         };
-        format!("{ROLLUPS}{:06}/{}/{}", self.day, name(&self.team), name(&self.class))
+        format!("{ROLLUP_PREFIX}{:06}/{}/{}", self.day, name(&self.team), name(&self.class))
     }
 
     pub fn parse(key: &str) -> Option<Self> {
-        let mut parts = key.strip_prefix(ROLLUPS)?.split('/');
+        let mut parts = key.strip_prefix(ROLLUP_PREFIX)?.split('/');
         let day = parts.next()?.parse().ok()?;
         let mut name = || Some(percent_decode_str(parts.next()?).decode_utf8_lossy().into_owned());
         Some(Self { day, team: name()?, class: name()? })
@@ -55,10 +55,10 @@
     #[serde(rename = "r", default)]
     pub through: Revision,
     #[serde(rename = "t")]
-    pub tally: Tally,
+    pub tally: UsageByBucket,
     /// An earlier value was unreadable: it is stored under another key and missing from the sums.
     #[serde(rename = "g", default, skip_serializing_if = "std::ops::Not::not")]
-    pub gap: bool,
+    pub incomplete: bool,
 }
 
 /// Stored value of the cursor.
@@ -75,17 +75,17 @@
 /// Usage of a job by day, as stored in assignment records and final states.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Days(BTreeMap<u64, Tally>);
+pub struct UsageByDay(BTreeMap<u64, UsageByBucket>);
 
-impl Days {
+impl UsageByDay {
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    pub fn add(&mut self, entry: &Entry) {
+    pub fn add(&mut self, entry: &UsageEntry) {
         let usage = self.0.entry(entry.day()).or_default();
         usage.add(entry);
-        usage.shrink(MAX_JOB_DAY_ROWS);
+        usage.merge_rows(MAX_JOB_DAY_ROWS);
         while self.0.len() > MAX_JOB_DAYS {
             self.merge_first_day();
         }
@@ -96,39 +96,39 @@
         let Some((_, first)) = self.0.pop_first() else { return };
         if let Some(mut next) = self.0.first_entry() {
             next.get_mut().merge(&first);
-            next.get_mut().shrink(MAX_JOB_DAY_ROWS);
+            next.get_mut().merge_rows(MAX_JOB_DAY_ROWS);
         }
     }
 
     /// Merges all days into the last one.
-    pub fn join_days(&mut self) {
+    pub fn merge_days(&mut self) {
         while self.0.len() > 1 {
             self.merge_first_day();
         }
-        self.shrink(TIGHT_ROWS);
+        self.merge_rows(REDUCED_DAY_ROWS);
     }
 
     /// Moves usage of days before `open` to `open`, because those days may be closed.
-    pub fn reopen_from(&mut self, open: u64) {
+    pub fn move_closed_days(&mut self, open: u64) {
         let closed_days = self.0.iter().take_while(|(day, _)| **day < open);
         let closed_days: Vec<u64> = closed_days.map(|(day, _)| *day).collect();
         for day in closed_days {
             let Some(usage) = self.0.remove(&day) else { continue };
             let target = self.0.entry(open).or_default();
             target.merge(&usage);
-            target.shrink(MAX_JOB_DAY_ROWS);
+            target.merge_rows(MAX_JOB_DAY_ROWS);
         }
     }
 
-    pub fn merge(&mut self, other: &Days) {
+    pub fn merge(&mut self, other: &UsageByDay) {
         for (day, usage) in &other.0 {
             self.0.entry(*day).or_default().merge(usage);
         }
     }
 
     /// Merges rows until each day has at most `max_rows`.
-    pub fn shrink(&mut self, max_rows: usize) {
-        self.0.values_mut().for_each(|usage| usage.shrink(max_rows));
+    pub fn merge_rows(&mut self, max_rows: usize) {
+        self.0.values_mut().for_each(|usage| usage.merge_rows(max_rows));
     }
 
     /// Approximate upper bound of the stored size, in bytes.
@@ -136,25 +136,25 @@
         self.0.values().map(|usage| 20 + usage.len() * MAX_ROW_BYTES).sum()
     }
 
-    pub fn days(&self) -> impl Iterator<Item = (u64, &Tally)> {
+    pub fn days(&self) -> impl Iterator<Item = (u64, &UsageByBucket)> {
         self.0.iter().map(|(day, usage)| (*day, usage))
     }
 }
 
 /// A job's usage, as stored in its final state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Spent {
+pub struct JobUsage {
     #[serde(rename = "t")]
     pub team: String,
     #[serde(rename = "c")]
     pub class: String,
     #[serde(rename = "d")]
-    pub days: Days,
+    pub days: UsageByDay,
 }
 
 /// How far this leader has loaded the final states that are not counted yet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Knowledge {
+pub enum LoadProgress {
     /// The cursor has not been read.
     #[default]
     None,
@@ -169,8 +169,8 @@
 struct Pending {
     revision: Revision,
     job: JobId,
-    id: Slot,
-    usage: Tally,
+    id: RollupId,
+    usage: UsageByBucket,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -183,13 +183,13 @@
 /// conflicts, and the stored value is then read and cached.
 #[derive(Clone, Debug, Default)]
 pub struct Rollups {
-    load_progress: Knowledge,
-    cached_rollups: BTreeMap<Slot, CachedRollup>,
+    load_progress: LoadProgress,
+    cached_rollups: BTreeMap<RollupId, CachedRollup>,
     cursor: (Revision, Cursor),
     /// Final states that are not counted yet, oldest first.
     pending: VecDeque<Pending>,
     /// Roll-ups as the transaction being built or in flight leaves them.
-    in_flight: BTreeMap<Slot, Rollup>,
+    in_flight: BTreeMap<RollupId, Rollup>,
     next_flush: Mono,
     flush_period: Millis,
     /// Maximum number of rows of a roll-up.
@@ -205,17 +205,17 @@
     }
 
     /// Limits roll-ups to values of `value_bytes`.
-    pub fn within(self, value_bytes: usize) -> Self {
+    pub fn with_value_limit(self, value_bytes: usize) -> Self {
         let rows = value_bytes.saturating_sub(ROLLUP_HEADER_BYTES) / MAX_ROW_BYTES;
         Self { max_rows: rows.clamp(1, MAX_ROLLUP_ROWS), ..self }
     }
 
-    pub fn knowledge(&self) -> Knowledge {
+    pub fn load_progress(&self) -> LoadProgress {
         self.load_progress
     }
 
     /// Sets how far the final states are loaded; the state changes only here.
-    pub fn enter(&mut self, load_progress: Knowledge) {
+    pub fn enter(&mut self, load_progress: LoadProgress) {
         self.load_progress = load_progress;
     }
 
@@ -231,10 +231,10 @@
     }
 
     /// Adds a final state that is stored at the given revision.
-    pub fn over(&mut self, job: &JobId, job_usage: &Spent, revision: Revision) {
+    pub fn add_final_state(&mut self, job: &JobId, job_usage: &JobUsage, revision: Revision) {
         self.newest_final = self.newest_final.max(revision);
         for (day, usage) in job_usage.days.days() {
-            let id = Slot { day, team: job_usage.team.clone(), class: job_usage.class.clone() };
+            let id = RollupId { day, team: job_usage.team.clone(), class: job_usage.class.clone() };
             let counted = self
                 .cached_rollups
                 .get(&id)
@@ -250,27 +250,27 @@
     }
 
     /// Number of parts of final states that are not counted yet.
-    pub fn pending(&self) -> usize {
+    pub fn pending_count(&self) -> usize {
         self.pending.len()
     }
 
     /// Number of roll-ups that the transaction being built already writes.
-    pub fn touched(&self) -> usize {
+    pub fn write_count(&self) -> usize {
         self.in_flight.len()
     }
 
     /// Adds usage of an assignment record to the transaction being built.
-    pub fn spill(&mut self, team: &str, class: &str, days: &Days) {
+    pub fn add_usage(&mut self, team: &str, class: &str, days: &UsageByDay) {
         for (day, usage) in days.days() {
-            let rollup_id = Slot { day, team: team.to_owned(), class: class.to_owned() };
+            let rollup_id = RollupId { day, team: team.to_owned(), class: class.to_owned() };
             let mut rollup = self.latest(&rollup_id);
             rollup.tally.merge(usage);
-            rollup.tally.shrink(self.max_rows);
+            rollup.tally.merge_rows(self.max_rows);
             self.in_flight.insert(rollup_id, rollup);
         }
     }
 
-    fn latest(&self, rollup_id: &Slot) -> Rollup {
+    fn latest(&self, rollup_id: &RollupId) -> Rollup {
         let cached = || self.cached_rollups.get(rollup_id).map(|cached| cached.rollup.clone());
         self.in_flight.get(rollup_id).cloned().or_else(cached).unwrap_or_default()
     }
@@ -280,7 +280,7 @@
         let cursor_missing = self.cursor.0 == Revision(0);
         let due = cursor_missing || !self.pending.is_empty() || self.may_close(today);
         let due = now >= self.next_flush && due;
-        self.load_progress == Knowledge::All && (due || self.pending.len() >= MAX_PENDING)
+        self.load_progress == LoadProgress::All && (due || self.pending.len() >= MAX_PENDING)
     }
 
     fn may_close(&self, today: u64) -> bool {
@@ -307,7 +307,7 @@
             if self.pending.iter().any(|p| p.id == *id) {
                 rollup.through = rollup.through.max(self.newest_final);
             }
-            rollup.tally.shrink(self.max_rows);
+            rollup.tally.merge_rows(self.max_rows);
         }
         if left_out {
             self.next_flush = now;
@@ -318,7 +318,7 @@
     }
 
     /// Writes of the transaction being built: roll-up, required stored revision, new value.
-    pub fn writes(&self) -> impl Iterator<Item = (&Slot, Revision, &Rollup)> {
+    pub fn writes(&self) -> impl Iterator<Item = (&RollupId, Revision, &Rollup)> {
         self.in_flight.iter().map(|(rollup_id, rollup)| {
             (
                 rollup_id,
@@ -328,36 +328,36 @@
         })
     }
 
-    pub fn cursor_stamp(&self) -> Revision {
+    pub fn cursor_revision(&self) -> Revision {
         self.cursor.0
     }
 
     /// Records that the transaction was applied.
-    pub fn committed(&mut self, rollup_id: &Slot, revision: Revision) {
+    pub fn mark_committed(&mut self, rollup_id: &RollupId, revision: Revision) {
         if let Some(rollup) = self.in_flight.remove(rollup_id) {
             self.cache(rollup_id.clone(), rollup, revision);
         }
     }
 
-    pub fn cursor_committed(&mut self, cursor: Cursor, revision: Revision) {
+    pub fn mark_cursor_committed(&mut self, cursor: Cursor, revision: Revision) {
         self.cursor = (revision, cursor);
     }
 
     /// Discards the transaction, which was not applied or has an unknown outcome; its writes are rebuilt.
-    pub fn abandoned(&mut self) {
+    pub fn discard_writes(&mut self) {
         self.in_flight.clear();
         self.next_flush = Mono(0);
     }
 
     /// Sets a roll-up as stored, read after a conflict or a transaction with an unknown outcome.
-    pub fn resolved(&mut self, rollup_id: &Slot, found: Option<(Rollup, Revision)>) {
+    pub fn set_stored(&mut self, rollup_id: &RollupId, found: Option<(Rollup, Revision)>) {
         match found {
             Some((rollup, revision)) => self.cache(rollup_id.clone(), rollup, revision),
             None => _ = self.cached_rollups.remove(rollup_id),
         }
     }
 
-    fn cache(&mut self, rollup_id: Slot, rollup: Rollup, revision: Revision) {
+    fn cache(&mut self, rollup_id: RollupId, rollup: Rollup, revision: Revision) {
         let through = rollup.through;
         self.pending.retain(|p| p.id != rollup_id || p.revision > through);
         self.cached_rollups.insert(rollup_id, CachedRollup { revision, rollup });
@@ -380,31 +380,31 @@
     #[test]
     fn keys_round_trip_for_any_name() {
         for name in ["red", "", "a/b c", "ü%"] {
-            let rollup_id = Slot { day: 20_788, team: name.into(), class: "c".into() };
+            let rollup_id = RollupId { day: 20_788, team: name.into(), class: "c".into() };
             let key = rollup_id.key();
             assert!(!key.contains(' ') && key.matches('/').count() == 3, "{key}");
-            assert_eq!(Slot::parse(&key), Some(rollup_id));
+            assert_eq!(RollupId::parse(&key), Some(rollup_id));
         }
-        let long = Slot { day: 1, team: "x".repeat(500), class: "ü".repeat(500) };
+        let long = RollupId { day: 1, team: "x".repeat(500), class: "ü".repeat(500) };
         assert!(long.key().len() <= 200);
-        assert_eq!(Slot::parse("use/x/a/b"), None);
+        assert_eq!(RollupId::parse("use/x/a/b"), None);
     }
 
     /// Simulated state service with the records that accounting uses.
     #[derive(Default)]
     struct Store {
         revision: u64,
-        rollups: BTreeMap<Slot, (Rollup, Revision)>,
+        rollups: BTreeMap<RollupId, (Rollup, Revision)>,
         cursor: Option<(Cursor, Revision)>,
-        final_states: Vec<(Revision, JobId, Spent)>,
+        final_states: Vec<(Revision, JobId, JobUsage)>,
     }
 
     impl Store {
         /// Applies the transaction if every revision matches. Returns whether it was applied.
         fn apply(&mut self, rollups: &Rollups, cursor: Option<Cursor>) -> bool {
-            let revision = |id: &Slot| self.rollups.get(id).map_or(Revision(0), |(_, s)| *s);
+            let revision = |id: &RollupId| self.rollups.get(id).map_or(Revision(0), |(_, s)| *s);
             let matches = rollups.writes().all(|(id, version, _)| revision(id) == version)
-                && self.cursor.map_or(Revision(0), |(_, s)| s) == rollups.cursor_stamp();
+                && self.cursor.map_or(Revision(0), |(_, s)| s) == rollups.cursor_revision();
             if matches {
                 self.revision += 1;
                 for (id, _, rollup) in rollups.writes() {
@@ -425,29 +425,30 @@
         for seed in 0..200 {
             let mut rng = ChaCha8Rng::seed_from_u64(seed);
             let mut store = Store::default();
-            let mut rollups = Rollups::new(FLUSH_MS);
+            let mut rollups = Rollups::new(USAGE_FLUSH_PERIOD_MS);
             let mut expected_ms = 0;
             for step in 0..120u64 {
                 let now = Mono(step * 10_000);
                 match rng.random_range(0..10) {
                     // Leader change: the new leader reads the cursor and the final states after it.
                     0 => {
-                        rollups = Rollups::new(FLUSH_MS);
+                        rollups = Rollups::new(USAGE_FLUSH_PERIOD_MS);
                         rollups.set_cursor(store.cursor, Revision(0));
                         let after = rollups.cursor().through;
                         let uncounted =
                             store.final_states.iter().filter(|(revision, ..)| *revision > after);
-                        uncounted
-                            .for_each(|(revision, job, usage)| rollups.over(job, usage, *revision));
-                        rollups.enter(Knowledge::All);
+                        uncounted.for_each(|(revision, job, usage)| {
+                            rollups.add_final_state(job, usage, *revision)
+                        });
+                        rollups.enter(LoadProgress::All);
                     }
                     1..6 => {
-                        let mut days = Days::default();
+                        let mut days = UsageByDay::default();
                         let mut e = entry(End::Seen(Cause::Done), rng.random_range(1..5_000));
                         e.ended_ms = rng.random_range(0..3) * DAY_MS;
                         days.add(&e);
                         let team = format!("t{}", rng.random_range(0..3));
-                        let job_usage = Spent { team, class: "c".into(), days };
+                        let job_usage = JobUsage { team, class: "c".into(), days };
                         // Several jobs may end in one write, with the same revision.
                         store.revision += 1;
                         let revision = Revision(store.revision);
@@ -455,26 +456,27 @@
                             expected_ms += e.ran_ms;
                             let job = JobId::new(&format!("req-{step}{n}"));
                             store.final_states.push((revision, job.clone(), job_usage.clone()));
-                            if rollups.knowledge() == Knowledge::All {
-                                rollups.over(&job, &job_usage, revision);
+                            if rollups.load_progress() == LoadProgress::All {
+                                rollups.add_final_state(&job, &job_usage, revision);
                             }
                         }
                     }
                     _ if rollups.flush_due(now, 0) => {
                         let cursor = rollups.flush(2, now, 0);
-                        let ids: Vec<Slot> = rollups.writes().map(|(s, ..)| s.clone()).collect();
+                        let ids: Vec<RollupId> =
+                            rollups.writes().map(|(s, ..)| s.clone()).collect();
                         let applied = rng.random_bool(0.8) && store.apply(&rollups, cursor);
                         if applied && rng.random_bool(0.6) {
                             for id in &ids {
-                                rollups.committed(id, Revision(store.revision));
+                                rollups.mark_committed(id, Revision(store.revision));
                             }
                             if let Some(cursor) = cursor {
-                                rollups.cursor_committed(cursor, Revision(store.revision));
+                                rollups.mark_cursor_committed(cursor, Revision(store.revision));
                             }
                         } else {
-                            rollups.abandoned();
+                            rollups.discard_writes();
                             let found = |id| store.rollups.get(id).cloned();
-                            ids.iter().for_each(|id| rollups.resolved(id, found(id)));
+                            ids.iter().for_each(|id| rollups.set_stored(id, found(id)));
                             rollups.set_cursor(store.cursor, Revision(0));
                         }
                     }
@@ -486,22 +488,23 @@
             last.set_cursor(store.cursor, Revision(0));
             let after = last.cursor().through;
             let uncounted = store.final_states.iter().filter(|(revision, ..)| *revision > after);
-            uncounted.for_each(|(revision, job, usage)| last.over(job, usage, *revision));
-            last.enter(Knowledge::All);
+            uncounted
+                .for_each(|(revision, job, usage)| last.add_final_state(job, usage, *revision));
+            last.enter(LoadProgress::All);
             let mut rounds = 0;
-            while last.pending() > 0 {
+            while last.pending_count() > 0 {
                 rounds += 1;
                 assert!(rounds < 50, "seed {seed}: flushing does not finish");
                 let cursor = last.flush(2, Mono(0), 0);
-                let ids: Vec<Slot> = last.writes().map(|(s, ..)| s.clone()).collect();
+                let ids: Vec<RollupId> = last.writes().map(|(s, ..)| s.clone()).collect();
                 if store.apply(&last, cursor) {
                     let revision = Revision(store.revision);
-                    ids.iter().for_each(|id| last.committed(id, revision));
-                    cursor.into_iter().for_each(|c| last.cursor_committed(c, revision));
+                    ids.iter().for_each(|id| last.mark_committed(id, revision));
+                    cursor.into_iter().for_each(|c| last.mark_cursor_committed(c, revision));
                 } else {
-                    last.abandoned();
+                    last.discard_writes();
                     for id in &ids {
-                        last.resolved(id, store.rollups.get(id).cloned());
+                        last.set_stored(id, store.rollups.get(id).cloned());
                     }
                 }
             }
@@ -512,19 +515,19 @@
 
     #[test]
     fn job_usage_stays_small_and_preserves_sums() {
-        let mut days = Days::default();
+        let mut days = UsageByDay::default();
         for n in 0..90u64 {
             let mut e = entry(End::Seen(Cause::Done), 5);
             e.flavor = format!("f{}", n % 30);
             e.ended_ms = n / 30 * DAY_MS;
             days.add(&e);
         }
-        let sums = |days: &Days| -> Vec<(u64, u64)> {
+        let sums = |days: &UsageByDay| -> Vec<(u64, u64)> {
             days.days().map(|(day, usage)| (day, usage.total().attempts)).collect()
         };
         assert_eq!(sums(&days), [(1, 60), (2, 30)]);
         assert!(days.days().all(|(_, usage)| usage.len() <= MAX_JOB_DAY_ROWS));
-        days.reopen_from(9);
+        days.move_closed_days(9);
         assert_eq!(sums(&days), [(9, 90)]);
     }
 }
--- a/crates/ledger/src/tally.rs
+++ b/crates/ledger/src/tally.rs
@@ -1,7 +1,7 @@
 //! Sums of usage entries, as stored in records. All sums are integers, so that the order of addition does not
 //! matter.
 
-use crate::entry::{End, Entry};
+use crate::entry::{End, UsageEntry};
 use oatloom_protocol::wire::Cause;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -97,9 +97,9 @@
     }
 }
 
-impl From<&Entry> for Line {
-    fn from(e: &Entry) -> Self {
-        let breakdown = e.worth();
+impl From<&UsageEntry> for Line {
+    fn from(e: &UsageEntry) -> Self {
+        let breakdown = e.run_time_breakdown();
         // Rounded once per attempt.
         let amount = |a: f64| (a.max(0.0) * e.ran_ms as f64).round() as u64;
         Self {
@@ -119,7 +119,7 @@
 }
 
 /// Name of an end, as in the protocol.
-pub fn word(end: End) -> &'static str {
+pub fn end_name(end: End) -> &'static str {
     match end {
         End::Unseen => "unseen",
         End::Seen(Cause::Done) => "done",
@@ -139,11 +139,11 @@
 /// Sums of usage by bucket.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "Vec<Row>", into = "Vec<Row>")]
-pub struct Tally {
+pub struct UsageByBucket {
     rows: BTreeMap<UsageBucket, Line>,
 }
 
-impl From<Vec<Row>> for Tally {
+impl From<Vec<Row>> for UsageByBucket {
     fn from(rows: Vec<Row>) -> Self {
         let mut usage = Self::default();
         for (flavor, zone, spot, end, sums) in rows {
@@ -154,8 +154,8 @@
     }
 }
 
-impl From<Tally> for Vec<Row> {
-    fn from(usage: Tally) -> Self {
+impl From<UsageByBucket> for Vec<Row> {
+    fn from(usage: UsageByBucket) -> Self {
         let row = |(b, sums): (UsageBucket, Line)| {
             (b.flavor, b.zone, u8::from(b.spot), b.end, sums.as_array())
         };
@@ -163,7 +163,7 @@
     }
 }
 
-impl Tally {
+impl UsageByBucket {
     pub fn is_empty(&self) -> bool {
         self.rows.is_empty()
     }
@@ -176,17 +176,17 @@
         self.rows.entry(bucket).or_default().add(sums);
     }
 
-    pub fn add(&mut self, entry: &Entry) {
+    pub fn add(&mut self, entry: &UsageEntry) {
         let bucket = UsageBucket {
             flavor: entry.flavor.clone(),
             zone: entry.zone.to_string(),
             spot: entry.spot,
-            end: word(entry.end).to_owned(),
+            end: end_name(entry.end).to_owned(),
         };
         self.add_to_bucket(bucket, &Line::from(entry));
     }
 
-    pub fn merge(&mut self, other: &Tally) {
+    pub fn merge(&mut self, other: &UsageByBucket) {
         for (bucket, sums) in &other.rows {
             self.add_to_bucket(bucket.clone(), sums);
         }
@@ -205,7 +205,7 @@
 
     /// Merges rows until at most `max_rows` are left: first flavors and zones, then all other keys
     /// are dropped; the sums are kept.
-    pub fn shrink(&mut self, max_rows: usize) {
+    pub fn merge_rows(&mut self, max_rows: usize) {
         if self.rows.len() <= max_rows {
             return;
         }
@@ -237,19 +237,19 @@
             e.cpus = 0.1 * n as f64;
             entries.push(e);
         }
-        let mut forward = Tally::default();
+        let mut forward = UsageByBucket::default();
         entries.iter().for_each(|e| forward.add(e));
-        let mut parts = (Tally::default(), Tally::default());
+        let mut parts = (UsageByBucket::default(), UsageByBucket::default());
         entries.iter().rev().take(90).for_each(|e| parts.0.add(e));
         entries.iter().take(110).for_each(|e| parts.1.add(e));
         parts.0.merge(&parts.1);
         assert_eq!(forward, parts.0);
         let text = serde_json::to_string(&forward).unwrap();
-        let restored: Tally = serde_json::from_str(&text).unwrap();
+        let restored: UsageByBucket = serde_json::from_str(&text).unwrap();
         assert_eq!(restored, forward);
         for max_rows in [10, 3, 1] {
             let mut reduced = forward.clone();
-            reduced.shrink(max_rows);
+            reduced.merge_rows(max_rows);
             assert!(reduced.len() <= max_rows);
             assert_eq!(reduced.total(), forward.total());
         }
--- a/crates/ledger/tests/month.rs
+++ b/crates/ledger/tests/month.rs
@@ -1,10 +1,12 @@
 //! A month of mixed work through usage accounting, in one process and without a state service: the roll-ups by team,
 //! class and day sum to exactly the usage entered. `OATLOOM_ATTEMPTS` sets the number of attempts.
 
-use oatloom_ledger::constants::{DAY_MS, FLUSH_MS};
-use oatloom_ledger::entry::{End, Entry};
-use oatloom_ledger::query::{Query, UsagePage};
-use oatloom_ledger::rollup::{Cursor, Days, Knowledge, Rollup, Rollups, Slot, Spent};
+use oatloom_ledger::constants::{DAY_MS, USAGE_FLUSH_PERIOD_MS};
+use oatloom_ledger::entry::{End, UsageEntry};
+use oatloom_ledger::query::{UsagePage, UsageQuery};
+use oatloom_ledger::rollup::{
+    Cursor, JobUsage, LoadProgress, Rollup, RollupId, Rollups, UsageByDay,
+};
 use oatloom_ledger::tally::Line;
 use oatloom_protocol::ids::{Attempt, HostId, JobId, Mono, Revision, TaskId, Zone};
 use oatloom_protocol::wire::{Cause, Rank, Shape};
@@ -17,22 +19,22 @@
 #[derive(Default)]
 struct Store {
     revision: u64,
-    rollups: BTreeMap<Slot, (Rollup, Revision)>,
+    rollups: BTreeMap<RollupId, (Rollup, Revision)>,
     cursor: Option<(Cursor, Revision)>,
-    final_states: Vec<(Revision, JobId, Spent)>,
+    final_states: Vec<(Revision, JobId, JobUsage)>,
 }
 
 impl Store {
     /// Accounting of a new leader, which has read the cursor and the final states after it.
     fn leader(&mut self) -> Rollups {
-        let mut rollups = Rollups::new(FLUSH_MS);
+        let mut rollups = Rollups::new(USAGE_FLUSH_PERIOD_MS);
         rollups.set_cursor(self.cursor, Revision(0));
         let after = rollups.cursor().through;
         self.final_states.retain(|(revision, ..)| *revision > after);
         self.final_states
             .iter()
-            .for_each(|(revision, job, usage)| rollups.over(job, usage, *revision));
-        rollups.enter(Knowledge::All);
+            .for_each(|(revision, job, usage)| rollups.add_final_state(job, usage, *revision));
+        rollups.enter(LoadProgress::All);
         rollups
     }
 
@@ -41,13 +43,13 @@
         let mut changes = 0;
         while rollups.flush_due(now, open_from) {
             let cursor = rollups.flush(15, now, open_from);
-            let revision_of = |id: &Slot| self.rollups.get(id).map_or(Revision(0), |(_, s)| *s);
+            let revision_of = |id: &RollupId| self.rollups.get(id).map_or(Revision(0), |(_, s)| *s);
             let matches = rollups.writes().all(|(id, version, _)| revision_of(id) == version);
-            let ids: Vec<Slot> = rollups.writes().map(|(id, ..)| id.clone()).collect();
+            let ids: Vec<RollupId> = rollups.writes().map(|(id, ..)| id.clone()).collect();
             if !matches {
-                rollups.abandoned();
+                rollups.discard_writes();
                 for id in &ids {
-                    rollups.resolved(id, self.rollups.get(id).cloned());
+                    rollups.set_stored(id, self.rollups.get(id).cloned());
                 }
                 continue;
             }
@@ -57,10 +59,10 @@
             for (id, _, rollup) in rollups.writes() {
                 self.rollups.insert(id.clone(), (rollup.clone(), revision));
             }
-            ids.iter().for_each(|id| rollups.committed(id, revision));
+            ids.iter().for_each(|id| rollups.mark_committed(id, revision));
             if let Some(cursor) = cursor {
                 self.cursor = Some((cursor, revision));
-                rollups.cursor_committed(cursor, revision);
+                rollups.mark_cursor_committed(cursor, revision);
                 self.final_states.clear();
             }
         }
@@ -74,7 +76,7 @@
     team: &str,
     class: &str,
     ended_ms: u64,
-) -> Entry {
+) -> UsageEntry {
     let ran_ms = rng.random_range(0..240_000);
     let end = match rng.random_range(0..20) {
         0 => End::Seen(Cause::Error),
@@ -82,7 +84,7 @@
         2 => End::Unseen,
         _ => End::Seen(Cause::Done),
     };
-    Entry {
+    UsageEntry {
         task,
         attempt: Attempt(rng.random()),
         team: team.to_owned(),
@@ -98,14 +100,14 @@
         ran_ms,
         unseen_ms: if end == End::Unseen { 9_000 } else { 0 },
         end,
-        stored: rng.random_bool(0.5),
+        progress_saved: rng.random_bool(0.5),
         goes_on: rng.random_bool(0.9),
         checkpoint_ms: 30_000,
         cpus: 0.1 * f64::from(rng.random_range(1..100)),
         gpus: f64::from(rng.random_range(0..4)),
         memory_gb: 8.0,
-        price: rng.random_range(1.0..12.0),
-        share: rng.random_range(0.0..1.0),
+        hourly_price: rng.random_range(1.0..12.0),
+        machine_share: rng.random_range(0.0..1.0),
     }
 }
 
@@ -114,7 +116,7 @@
     let requested = std::env::var("OATLOOM_ATTEMPTS").ok().and_then(|n| n.parse().ok());
     let attempts: u64 = requested.unwrap_or(60_000);
     let mut rng = ChaCha8Rng::seed_from_u64(30);
-    let (mut store, mut expected) = (Store::default(), BTreeMap::<Slot, Line>::new());
+    let (mut store, mut expected) = (Store::default(), BTreeMap::<RollupId, Line>::new());
     let mut rollups = store.leader();
     let (mut entered, mut changes, mut takeovers, mut jobs) = (0, 0, 0, 0u64);
     let started = Instant::now();
@@ -127,25 +129,25 @@
         let class = format!("class-{}", rng.random_range(0..6));
         jobs += 1;
         let job = JobId::new(&format!("req-{jobs}"));
-        let mut days = Days::default();
+        let mut days = UsageByDay::default();
         for n in 0..tasks {
             let e = random_entry(TaskId::new(&job, n as u32), &mut rng, &team, &class, clock);
-            let id = Slot { day: e.day(), team: team.clone(), class: class.clone() };
+            let id = RollupId { day: e.day(), team: team.clone(), class: class.clone() };
             expected.entry(id).or_default().add(&Line::from(&e));
             days.add(&e);
         }
         entered += tasks;
         store.revision += 1;
-        let job_usage = Spent { team, class, days };
+        let job_usage = JobUsage { team, class, days };
         store.final_states.push((Revision(store.revision), job.clone(), job_usage.clone()));
-        rollups.over(&job, &job_usage, Revision(store.revision));
+        rollups.add_final_state(&job, &job_usage, Revision(store.revision));
         if rng.random_bool(0.002) {
             takeovers += 1;
             rollups = store.leader();
         }
         changes += store.flush(&mut rollups, Mono(clock), (clock / DAY_MS).saturating_sub(1));
     }
-    let after = Mono(clock).plus(FLUSH_MS);
+    let after = Mono(clock).plus(USAGE_FLUSH_PERIOD_MS);
     changes += store.flush(&mut rollups, after, 31);
     let elapsed = started.elapsed();
     println!(
@@ -153,21 +155,22 @@
         store.rollups.len(),
         entered as f64 / elapsed.as_secs_f64()
     );
-    assert_eq!(rollups.pending(), 0);
-    let sums = |(id, (rollup, _)): (&Slot, &(Rollup, Revision))| (id.clone(), rollup.tally.total());
+    assert_eq!(rollups.pending_count(), 0);
+    let sums =
+        |(id, (rollup, _)): (&RollupId, &(Rollup, Revision))| (id.clone(), rollup.tally.total());
     assert_eq!(store.rollups.iter().map(sums).collect::<BTreeMap<_, _>>(), expected);
     assert!(expected.len() <= 4 * 6 * 30, "grows with teams, classes and days only");
     for (rollup, _) in store.rollups.values() {
         assert!(serde_json::to_string(rollup).unwrap().len() < 8 * 1024);
     }
     // The pages of a query sum to the same.
-    let mut query = Query::parse("from=1970-01-02&to=1970-01-20&most=50").unwrap();
+    let mut query = UsageQuery::parse("from=1970-01-02&to=1970-01-20&most=50").unwrap();
     let by_key: BTreeMap<String, &Rollup> =
         store.rollups.iter().map(|(id, (rollup, _))| (id.key(), rollup)).collect();
     let mut reported_cost = 0;
     loop {
         let rest: Vec<_> =
-            by_key.range(query.start()..).filter(|(k, _)| **k > query.start()).collect();
+            by_key.range(query.start_key()..).filter(|(k, _)| **k > query.start_key()).collect();
         let found =
             rest.iter().take(40).map(|(key, rollup)| ((*key).clone(), Some((**rollup).clone())));
         let cursor = store.cursor.unwrap_or_default().0;
--- a/crates/membership/src/constants.rs
+++ b/crates/membership/src/constants.rs
@@ -3,7 +3,7 @@
 use oatloom_protocol::ids::Millis;
 
 /// Version of the gossip messages; messages of other versions are rejected.
-pub const VERSION: u32 = 1;
+pub const GOSSIP_VERSION: u32 = 1;
 /// Idle time after which a peer is sent a greeting. Two greetings fit into [`SUSPECT_AFTER_MS`], so
 /// that one lost message does no harm. The leader's periodic messages to its peers are less
 /// frequent and count as well.
--- a/crates/membership/src/gossip.rs
+++ b/crates/membership/src/gossip.rs
@@ -1,6 +1,6 @@
 //! Gossip messages: what a controller reports about itself and its peers.
 
-use crate::constants::{MAX_REPORTED_PEERS, VERSION};
+use crate::constants::{GOSSIP_VERSION, MAX_REPORTED_PEERS};
 use oatloom_protocol::ids::{Member, Token};
 use serde::{Deserialize, Serialize};
 
@@ -41,34 +41,39 @@
     /// The leader known to the sender, with its fencing token.
     pub leader: Option<(Member, Token)>,
     #[serde(rename = "words")]
-    pub words: Vec<PeerReport>,
+    pub peer_reports: Vec<PeerReport>,
 }
 
 impl Gossip {
-    pub(crate) fn new(from: Member, incarnation: Incarnation, at_ms: u64, own: Own) -> Self {
-        let Own { ready, store_ms, leader } = own;
+    pub(crate) fn new(
+        from: Member,
+        incarnation: Incarnation,
+        at_ms: u64,
+        own: LocalStatus,
+    ) -> Self {
+        let LocalStatus { ready, store_ms, leader } = own;
         Self {
-            version: VERSION,
+            version: GOSSIP_VERSION,
             from,
             incarnation,
             at_ms,
             ready,
             store_ms,
             leader,
-            words: Vec::new(),
+            peer_reports: Vec::new(),
         }
     }
 
     pub(crate) fn add_report(&mut self, report: PeerReport) {
-        if self.words.len() < MAX_REPORTED_PEERS {
-            self.words.push(report);
+        if self.peer_reports.len() < MAX_REPORTED_PEERS {
+            self.peer_reports.push(report);
         }
     }
 }
 
 /// A controller's own state, as it goes into its gossip.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Own {
+pub struct LocalStatus {
     pub ready: bool,
     pub store_ms: Option<u64>,
     pub leader: Option<(Member, Token)>,
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -7,8 +7,8 @@
 mod gossip;
 mod peer;
 
-pub use gossip::{Gossip, Incarnation, Own, PeerReport};
-pub use peer::{Line, Presence};
+pub use gossip::{Gossip, Incarnation, LocalStatus, PeerReport};
+pub use peer::{LinkState, Presence};
 
 use constants::*;
 use oatloom_protocol::ids::{Member, Mono, Now};
@@ -82,7 +82,7 @@
         if !self.peers.contains_key(&gossip.from) {
             return Err(RejectReason::UnknownMember);
         }
-        if gossip.version != VERSION {
+        if gossip.version != GOSSIP_VERSION {
             return Err(RejectReason::VersionMismatch);
         }
         let latest_valid_ms = now.wall_ms.saturating_add(MAX_CLOCK_AHEAD_MS.0);
@@ -101,7 +101,7 @@
             return Err(RejectReason::Stale);
         }
         peer.on_gossip(gossip, now.mono);
-        for report in gossip.words.iter().take(MAX_REPORTED_PEERS) {
+        for report in gossip.peer_reports.iter().take(MAX_REPORTED_PEERS) {
             // The delivery delay of the report is unknown, up to a second or two; the peer can't
             // have been heard later than this.
             let heard_at = Mono(now.mono.0.saturating_sub(report.heard_ms));
@@ -115,17 +115,17 @@
 
     /// Records that a message to a peer was not delivered or not answered. The fault may lie on
     /// this link alone.
-    pub fn unreachable(&mut self, peer: &Member, now: Mono) {
+    pub fn record_unreachable(&mut self, peer: &Member, now: Mono) {
         self.detect_freeze(now);
         if let Some(peer) = self.peers.get_mut(peer) {
-            peer.set_link(Line::Cut { since: now });
+            peer.set_link(LinkState::Down { since: now });
         }
         self.update_presence(now);
     }
 
     /// Records that a read of the state service showed the peer's key, which exists under the
     /// peer's lease.
-    pub fn key(&mut self, peer: &Member, now: Mono) {
+    pub fn record_key_seen(&mut self, peer: &Member, now: Mono) {
         self.detect_freeze(now);
         if let Some(peer) = self.peers.get_mut(peer) {
             peer.key_seen = Some(now);
@@ -160,7 +160,7 @@
     }
 
     /// Builds the gossip message for `to`.
-    pub fn say(&mut self, to: &Member, own: Own, now: Now) -> Gossip {
+    pub fn gossip_for(&mut self, to: &Member, own: LocalStatus, now: Now) -> Gossip {
         if let Some(peer) = self.peers.get_mut(to) {
             peer.last_sent = Some(now.mono);
         }
@@ -185,8 +185,8 @@
     }
 
     /// State of the link to the peer, as of the last message.
-    pub fn line(&self, peer: &Member) -> Line {
-        self.peers.get(peer).map_or(Line::Untried, |peer| peer.link)
+    pub fn link(&self, peer: &Member) -> LinkState {
+        self.peers.get(peer).map_or(LinkState::Untried, |peer| peer.link)
     }
 
     /// When the state service last served any peer, by the peers' own recent messages.
@@ -215,7 +215,7 @@
 
     /// A peer that is alive, reachable from here and has recently heard `target`: messages to
     /// `target` can be relayed by it.
-    pub fn through(&self, target: &Member, now: Mono) -> Option<&Member> {
+    pub fn relay_for(&self, target: &Member, now: Mono) -> Option<&Member> {
         let is_recent = |at: &Mono| now.since(*at) <= SUSPECT_AFTER_MS;
         let is_heard_by = |member: &Member| {
             let last_heard = self.peers.get(target).and_then(|peer| peer.heard_by.get(member));
@@ -224,7 +224,7 @@
         let usable = |(member, peer): &(&Member, &Peer)| {
             *member != target
                 && peer.presence == Presence::Alive
-                && !matches!(peer.link, Line::Cut { .. })
+                && !matches!(peer.link, LinkState::Down { .. })
                 && is_heard_by(member)
         };
         self.peers.iter().find(usable).map(|(member, _)| member)
--- a/crates/membership/src/peer.rs
+++ b/crates/membership/src/peer.rs
@@ -28,12 +28,12 @@
 
 /// State of the link from this controller to a peer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Line {
+pub enum LinkState {
     #[default]
     Untried,
-    Good,
+    Up,
     /// The last message was not delivered or not answered.
-    Cut {
+    Down {
         since: Mono,
     },
 }
@@ -41,7 +41,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Peer {
     pub presence: Presence,
-    pub link: Line,
+    pub link: LinkState,
     pub incarnation: Option<Incarnation>,
     /// When the last message of the peer itself arrived, and its wall-clock time of sending, ms.
     last_received: Option<(Mono, u64)>,
@@ -62,9 +62,9 @@
     }
 
     /// The only place where the link state changes.
-    pub fn set_link(&mut self, link: Line) {
+    pub fn set_link(&mut self, link: LinkState) {
         // A failure that persists keeps the time of its first occurrence.
-        if !matches!((self.link, link), (Line::Cut { .. }, Line::Cut { .. })) {
+        if !matches!((self.link, link), (LinkState::Down { .. }, LinkState::Down { .. })) {
             self.link = link;
         }
     }
@@ -97,7 +97,7 @@
         }
         self.last_received = Some((now, gossip.at_ms));
         self.store_ms = gossip.store_ms;
-        self.set_link(Line::Good);
+        self.set_link(LinkState::Up);
         let next = match (gossip.ready, self.presence) {
             (true, _) => Presence::Alive,
             (false, Presence::Alive) if !restarted => Presence::Alive,
--- a/crates/membership/tests/world.rs
+++ b/crates/membership/tests/world.rs
@@ -4,7 +4,7 @@
 //! messages stay within their size limit.
 
 use oatloom_membership::constants::*;
-use oatloom_membership::{Gossip, Incarnation, Membership, Own, Presence};
+use oatloom_membership::{Gossip, Incarnation, LocalStatus, Membership, Presence};
 use oatloom_protocol::ids::{Member, Mono, Now};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -92,9 +92,9 @@
     fn send(&mut self, from: usize, to: usize) {
         let now = self.clocks(from);
         let ready = self.now > self.nodes[from].running_since + 1_000;
-        let status = Own { ready, store_ms: Some(10), leader: None };
+        let status = LocalStatus { ready, store_ms: Some(10), leader: None };
         let Some(membership) = self.nodes[from].membership.as_mut() else { return };
-        let gossip = membership.say(&member_name(to), status, now);
+        let gossip = membership.gossip_for(&member_name(to), status, now);
         let mut bytes = Vec::new();
         ciborium::into_writer(&gossip, &mut bytes).expect("plain data");
         self.max_message_bytes = self.max_message_bytes.max(bytes.len());
@@ -265,12 +265,15 @@
     use oatloom_membership::RejectReason;
     let now = Now { mono: Mono(50_000), wall_ms: 1_000_000 };
     let mut membership = Membership::new(member_name(0), (0..3).map(member_name), 1, now);
-    let status = || Own { ready: true, ..Own::default() };
+    let status = || LocalStatus { ready: true, ..LocalStatus::default() };
     let mut other = Membership::new(member_name(1), (0..3).map(member_name), 2, now);
-    let good = other.say(&member_name(0), status(), now);
+    let good = other.gossip_for(&member_name(0), status(), now);
     let later = Now { mono: Mono(50_100), wall_ms: 1_000_100 };
     let mut invalid = Vec::new();
-    invalid.push((Gossip { version: VERSION + 1, ..good.clone() }, RejectReason::VersionMismatch));
+    invalid.push((
+        Gossip { version: GOSSIP_VERSION + 1, ..good.clone() },
+        RejectReason::VersionMismatch,
+    ));
     invalid.push((Gossip { from: Member::new("x"), ..good.clone() }, RejectReason::UnknownMember));
     invalid.push((Gossip { from: member_name(0), ..good.clone() }, RejectReason::DuplicateName));
     let ahead = later.wall_ms + MAX_CLOCK_AHEAD_MS.0 + 1;
@@ -305,22 +308,22 @@
     let mut nodes: Vec<Membership> = (0..3)
         .map(|n| Membership::new(member_name(n), (0..3).map(member_name), n as u64, start))
         .collect();
-    let status = || Own { ready: true, store_ms: Some(5), leader: None };
+    let status = || LocalStatus { ready: true, store_ms: Some(5), leader: None };
     for ms in (100..30_000).step_by(100) {
         for (from, to) in [(0, 2), (1, 2), (2, 0), (2, 1)] {
             if ms % 2_000 == 0 {
-                let gossip = nodes[from].say(&member_name(to), status(), at(ms));
+                let gossip = nodes[from].gossip_for(&member_name(to), status(), at(ms));
                 assert_eq!(nodes[to].take(&gossip, at(ms)), Ok(()));
             }
         }
         for node in &mut nodes {
             node.tick(Mono(50_000 + ms));
         }
-        nodes[0].unreachable(&member_name(1), Mono(50_000 + ms));
+        nodes[0].record_unreachable(&member_name(1), Mono(50_000 + ms));
     }
     let present: BTreeSet<&Member> = nodes[0].present();
     assert_eq!(present.len(), 2, "n-1 is heard by n-2");
-    assert_eq!(nodes[0].through(&member_name(1), Mono(79_900)), Some(&member_name(2)));
+    assert_eq!(nodes[0].relay_for(&member_name(1), Mono(79_900)), Some(&member_name(2)));
     assert!(nodes[0].store_serves(5_000, Mono(79_900)));
     // Without reports of the third controller there is no sign of life left.
     for ms in (30_000..70_000).step_by(100) {
@@ -335,7 +338,11 @@
     let start = Now { mono: Mono(50_000), wall_ms: 1_000_000 };
     let mut membership = Membership::new(member_name(0), (0..3).map(member_name), 1, start);
     let mut other = Membership::new(member_name(1), (0..3).map(member_name), 2, start);
-    let gossip = other.say(&member_name(0), Own { ready: true, ..Own::default() }, start);
+    let gossip = other.gossip_for(
+        &member_name(0),
+        LocalStatus { ready: true, ..LocalStatus::default() },
+        start,
+    );
     membership.take(&gossip, start).unwrap();
     membership.tick(Mono(80_000));
     assert_eq!(membership.presence(&member_name(1)), Presence::Alive);
--- a/crates/policy/src/backoff.rs
+++ b/crates/policy/src/backoff.rs
@@ -7,7 +7,7 @@
 
 /// Delay after failure number `failures` (1 for the first), which ended `attempt`. The attempt number seeds the
 /// jitter: attempt numbers are never reused, so each delay is drawn anew, yet the same events give the same delays.
-pub fn pause(failures: u32, attempt: Attempt) -> Millis {
+pub fn delay(failures: u32, attempt: Attempt) -> Millis {
     let doublings = failures.saturating_sub(1).min(16);
     let base_ms = (INITIAL_BACKOFF_MS.0 << doublings).min(MAX_BACKOFF_MS.0) as f64;
     let mut rng = ChaCha8Rng::seed_from_u64(attempt.0);
@@ -22,7 +22,7 @@
     #[test]
     fn delays_grow_are_bounded_and_spread() {
         let mean = |failures: u32| {
-            let delays = (0..200).map(|a| pause(failures, Attempt(a)).0);
+            let delays = (0..200).map(|a| delay(failures, Attempt(a)).0);
             let (min, max) = (delays.clone().min().unwrap(), delays.clone().max().unwrap());
             let base_ms =
                 (INITIAL_BACKOFF_MS.0 << (failures - 1).min(16)).min(MAX_BACKOFF_MS.0) as f64;
@@ -32,6 +32,6 @@
         };
         assert!(mean(1) < mean(2) && mean(2) < mean(4));
         assert!(mean(60) <= MAX_BACKOFF_MS.0 * 11 / 10);
-        assert_eq!(pause(3, Attempt(7)), pause(3, Attempt(7)));
+        assert_eq!(delay(3, Attempt(7)), delay(3, Attempt(7)));
     }
 }
--- a/crates/policy/src/blame.rs
+++ b/crates/policy/src/blame.rs
@@ -57,7 +57,7 @@
 
 impl Evidence {
     /// Records that a task failed on a machine.
-    pub fn failed(&mut self, job: &JobId, task: u32, host: &HostId, now: Mono) {
+    pub fn record_failure(&mut self, job: &JobId, task: u32, host: &HostId, now: Mono) {
         let pair = self.pairs.entry((job.clone(), host.clone())).or_default();
         if pair.machine_cleared {
             // The machine was healthy at that time, so only failures from now on are evidence.
@@ -73,7 +73,7 @@
     }
 
     /// Records that a task succeeded on a machine. Returns whether this changed the evidence.
-    pub fn ended_well(&mut self, job: &JobId, host: &HostId, now: Mono) -> bool {
+    pub fn record_success(&mut self, job: &JobId, host: &HostId, now: Mono) -> bool {
         let failed_jobs = self.jobs_by_host.get(host);
         let first_pair = self.pairs.range((job.clone(), HostId::new(""))..).next();
         let job_has_failed = first_pair.is_some_and(|((first, _), _)| first == job);
@@ -97,13 +97,13 @@
     }
 
     /// Restores from stored records that tasks of the job succeeded under an earlier leader.
-    pub fn known_sound(&mut self, job: &JobId) {
+    pub fn mark_succeeded(&mut self, job: &JobId) {
         self.succeeded_jobs.insert(job.clone());
         self.update_beliefs();
     }
 
     /// Probability that a machine is faulty, judged by failures since the last success there.
-    pub fn machine(&self, host: &HostId) -> f64 {
+    pub fn machine_fault_probability(&self, host: &HostId) -> f64 {
         self.machine_faults.get(host).copied().unwrap_or(0.0)
     }
 
@@ -121,16 +121,19 @@
     }
 
     /// Probability that the machine caused the failures of the job on it.
-    pub fn machines_fault(&self, job: &JobId, host: &HostId) -> f64 {
+    pub fn machine_caused_probability(&self, job: &JobId, host: &HostId) -> f64 {
         match self.pairs.get(&(job.clone(), host.clone())) {
-            Some(pair) if !pair.machine_cleared => self.machine(host),
+            Some(pair) if !pair.machine_cleared => self.machine_fault_probability(host),
             _ => 0.0,
         }
     }
 
     /// Machines whose fault probability reaches [`FAULTY`].
-    pub fn faulty(&self) -> impl Iterator<Item = &HostId> {
-        self.machine_faults.iter().filter(|(_, p)| **p >= FAULTY).map(|(host, _)| host)
+    pub fn faulty_machines(&self) -> impl Iterator<Item = &HostId> {
+        self.machine_faults
+            .iter()
+            .filter(|(_, p)| **p >= MACHINE_FAULTY_PROBABILITY)
+            .map(|(host, _)| host)
     }
 
     /// Number of pairs of job and machine kept as evidence.
@@ -241,7 +244,7 @@
     fn evidence_after(failures: &[(u32, u32, u32)]) -> Evidence {
         let mut evidence = Evidence::default();
         for (index, (j, task, h)) in failures.iter().enumerate() {
-            evidence.failed(&job(*j), *task, &host(*h), Mono(index as u64));
+            evidence.record_failure(&job(*j), *task, &host(*h), Mono(index as u64));
         }
         evidence
     }
@@ -250,53 +253,69 @@
     fn different_jobs_implicate_a_machine_and_different_machines_a_job() {
         let single_failure = evidence_after(&[(1, 0, 1)]);
         assert!(
-            single_failure.machine(&host(1)) < 0.5
+            single_failure.machine_fault_probability(&host(1)) < 0.5
                 && single_failure.job_fault_probability(&job(1)) < 0.5
         );
         let faulty_machine = evidence_after(&[(1, 0, 1), (2, 0, 1), (3, 0, 1)]);
-        assert!(faulty_machine.machine(&host(1)) > FAULTY, "{faulty_machine:?}");
+        assert!(
+            faulty_machine.machine_fault_probability(&host(1)) > MACHINE_FAULTY_PROBABILITY,
+            "{faulty_machine:?}"
+        );
         assert!(
             (1..4).all(|j| faulty_machine.job_fault_probability(&job(j)) < 0.05),
             "{faulty_machine:?}"
         );
-        assert_eq!(faulty_machine.faulty().count(), 1);
+        assert_eq!(faulty_machine.faulty_machines().count(), 1);
         let faulty_job = evidence_after(&[(1, 0, 1), (1, 0, 2), (1, 0, 3)]);
-        assert!(faulty_job.job_fault_probability(&job(1)) > FAULTY, "{faulty_job:?}");
-        assert!((1..4).all(|h| faulty_job.machine(&host(h)) < 0.1), "{faulty_job:?}");
+        assert!(
+            faulty_job.job_fault_probability(&job(1)) > MACHINE_FAULTY_PROBABILITY,
+            "{faulty_job:?}"
+        );
+        assert!(
+            (1..4).all(|h| faulty_job.machine_fault_probability(&host(h)) < 0.1),
+            "{faulty_job:?}"
+        );
     }
 
     /// A hundred failed tasks of one job on one machine count as one observation.
     #[test]
     fn many_tasks_of_one_job_implicate_a_machine_no_more_than_one() {
         let failures: Vec<_> = (0..100).map(|t| (1, t, 1)).collect();
-        assert!(evidence_after(&failures).machine(&host(1)) < 0.5);
+        assert!(evidence_after(&failures).machine_fault_probability(&host(1)) < 0.5);
         // Once the job has succeeded elsewhere, each task counts on its own.
         let mut evidence = evidence_after(&failures[..3]);
-        assert!(evidence.ended_well(&job(1), &host(2), Mono(9)));
-        assert!(evidence.machine(&host(1)) > FAULTY, "{evidence:?}");
+        assert!(evidence.record_success(&job(1), &host(2), Mono(9)));
+        assert!(
+            evidence.machine_fault_probability(&host(1)) > MACHINE_FAULTY_PROBABILITY,
+            "{evidence:?}"
+        );
     }
 
     /// One task that fails on every machine, in an array whose other tasks succeed, makes no machine suspect.
     #[test]
     fn a_task_that_fails_everywhere_is_distinguished_from_its_job() {
         let mut evidence = evidence_after(&[(1, 7, 1), (1, 7, 2)]);
-        assert!(evidence.ended_well(&job(1), &host(3), Mono(9)));
-        assert!((1..3).all(|h| evidence.machine(&host(h)) < 0.1), "{evidence:?}");
+        assert!(evidence.record_success(&job(1), &host(3), Mono(9)));
+        assert!((1..3).all(|h| evidence.machine_fault_probability(&host(h)) < 0.1), "{evidence:?}");
     }
 
     /// A success on a machine invalidates earlier failures there as evidence, but not later ones.
     #[test]
     fn a_success_clears_a_machine_of_earlier_failures() {
         let mut evidence = evidence_after(&[(1, 0, 1), (2, 0, 1), (3, 0, 1)]);
-        assert!(evidence.ended_well(&job(9), &host(1), Mono(9)));
-        assert!(!evidence.ended_well(&job(9), &host(1), Mono(10)), "no new evidence");
-        assert_eq!(evidence.machine(&host(1)), 0.0);
-        assert_eq!(evidence.machines_fault(&job(1), &host(1)), 0.0);
+        assert!(evidence.record_success(&job(9), &host(1), Mono(9)));
+        assert!(!evidence.record_success(&job(9), &host(1), Mono(10)), "no new evidence");
+        assert_eq!(evidence.machine_fault_probability(&host(1)), 0.0);
+        assert_eq!(evidence.machine_caused_probability(&job(1), &host(1)), 0.0);
         for j in 4..7 {
-            evidence.failed(&job(j), 0, &host(1), Mono(20));
+            evidence.record_failure(&job(j), 0, &host(1), Mono(20));
         }
-        assert!(evidence.machine(&host(1)) > FAULTY);
-        assert_eq!(evidence.machines_fault(&job(1), &host(1)), 0.0, "the machine was healthy then");
+        assert!(evidence.machine_fault_probability(&host(1)) > MACHINE_FAULTY_PROBABILITY);
+        assert_eq!(
+            evidence.machine_caused_probability(&job(1), &host(1)),
+            0.0,
+            "the machine was healthy then"
+        );
     }
 
     /// A faulty job does not make a healthy machine suspect, nor a faulty machine the healthy jobs that fail on it.
@@ -305,9 +324,13 @@
         // Job 1 fails on every machine; machine 4 fails jobs 1, 2, 3 and 5.
         let evidence =
             evidence_after(&[(1, 0, 1), (1, 0, 2), (1, 0, 4), (2, 0, 4), (3, 0, 4), (5, 0, 4)]);
-        assert!(evidence.machine(&host(4)) > FAULTY, "{evidence:?}");
         assert!(
-            evidence.job_fault_probability(&job(1)) > 0.5 && evidence.machine(&host(1)) < 0.1,
+            evidence.machine_fault_probability(&host(4)) > MACHINE_FAULTY_PROBABILITY,
+            "{evidence:?}"
+        );
+        assert!(
+            evidence.job_fault_probability(&job(1)) > 0.5
+                && evidence.machine_fault_probability(&host(1)) < 0.1,
             "{evidence:?}"
         );
         assert!(
@@ -320,10 +343,10 @@
     fn evidence_is_bounded_and_expires() {
         let mut evidence = Evidence::default();
         for n in 0..2 * MAX_EVIDENCE_PAIRS as u32 {
-            evidence.failed(&job(n % 40), n, &host(n), Mono(u64::from(n)));
+            evidence.record_failure(&job(n % 40), n, &host(n), Mono(u64::from(n)));
             assert!(evidence.len() <= MAX_EVIDENCE_PAIRS + 1);
         }
-        evidence.failed(&job(1), 0, &host(0), Mono(10_000).plus(EVIDENCE_TTL_MS));
+        evidence.record_failure(&job(1), 0, &host(0), Mono(10_000).plus(EVIDENCE_TTL_MS));
         assert_eq!(evidence.len(), 1);
         assert_eq!(evidence.jobs_by_host.len(), 1);
     }
