--- a/crates/policy/src/charges.rs
+++ b/crates/policy/src/charges.rs
@@ -2,7 +2,7 @@
 //! job's records, so that the next leader continues the counts.
 
 use crate::blame::Evidence;
-use crate::classes::Allowance;
+use crate::classes::RetryPolicy;
 use crate::constants::*;
 use oatloom_protocol::ids::{Attempt, HostId, JobId, Millis};
 use serde::{Deserialize, Serialize};
@@ -23,7 +23,7 @@
     pub rows: Vec<(u32, u16, u32)>,
     /// The last attempt of a gang whose failure was counted.
     #[serde(rename = "g", default, skip_serializing_if = "Option::is_none")]
-    pub counted: Option<Attempt>,
+    pub last_gang_attempt: Option<Attempt>,
 }
 
 impl ChargeRecord {
@@ -32,7 +32,7 @@
     }
 
     /// Merges the failures of each task over all machines. Excused failures are dropped, as they do not count.
-    pub fn forget_hosts(&mut self) {
+    pub fn merge_hosts(&mut self) {
         let mut failures: BTreeMap<u32, u32> = BTreeMap::new();
         for (task, host_index, count) in &self.rows {
             if !self.excused.contains(host_index) {
@@ -48,22 +48,22 @@
 
 /// Whether a task may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum RetryDecision {
     Allowed,
     /// The limit is exceeded, but machines may have caused some of the failures: the task waits for evidence.
-    OnTrial,
+    AwaitingEvidence,
     /// The task failed through its own fault more often than its class allows.
     Exhausted,
 }
 
 /// The fault probability of a machine below which a failure on it counts against the task, after the given wait.
-pub fn certain_below(waited: Millis) -> f64 {
+pub fn fault_threshold(waited: Millis) -> f64 {
     let reached = MACHINE_FAULT_THRESHOLDS.iter().rev().find(|(wait, _)| waited >= *wait);
     reached.map_or(0.0, |(_, fault_threshold)| *fault_threshold)
 }
 
 /// Whether the task has waited for evidence as long as it may.
-pub fn waited_enough(waited: Millis) -> bool {
+pub fn evidence_wait_over(waited: Millis) -> bool {
     MACHINE_FAULT_THRESHOLDS.last().is_some_and(|(wait, _)| waited >= *wait)
 }
 
@@ -99,7 +99,7 @@
     }
 
     /// Clears the failures of a replica that has run long enough.
-    pub fn settle(&mut self, task: u32) {
+    pub fn clear_task(&mut self, task: u32) {
         self.rows.remove(&task);
     }
 
@@ -119,7 +119,7 @@
     }
 
     /// Task, machine and whether the machine is excused, for each recorded place of failure.
-    pub fn hosts(&self) -> impl Iterator<Item = (u32, &HostId, bool)> {
+    pub fn failure_hosts(&self) -> impl Iterator<Item = (u32, &HostId, bool)> {
         self.rows.iter().flat_map(|(task, by_host)| {
             by_host.keys().flatten().map(|host| (*task, host, self.excused.contains(host)))
         })
@@ -134,7 +134,7 @@
     }
 
     /// Number of failures of a task, or with `None` of the whole gang, without excused ones.
-    pub fn failures(&self, task: Option<u32>) -> u32 {
+    pub fn failure_count(&self, task: Option<u32>) -> u32 {
         self.counted_rows(task).map(|(_, count)| count).fold(0, u32::saturating_add)
     }
 
@@ -144,7 +144,7 @@
     }
 
     /// Number of failures of a task, or with `None` of the whole gang, per machine, without excused ones.
-    pub fn causes(&self, task: Option<u32>) -> Vec<(Option<HostId>, u32)> {
+    pub fn failures_by_host(&self, task: Option<u32>) -> Vec<(Option<HostId>, u32)> {
         let mut by_host: BTreeMap<Option<HostId>, u32> = BTreeMap::new();
         for (host, count) in self.counted_rows(task) {
             *by_host.entry(host.cloned()).or_default() += count;
@@ -153,33 +153,34 @@
     }
 
     /// Whether a task, or with `None` the whole gang, may be retried, after it has waited that long for evidence.
-    pub fn standing(
+    pub fn retry_decision(
         &self,
         job: &JobId,
         task: Option<u32>,
-        allowance: Allowance,
+        allowance: RetryPolicy,
         evidence: &Evidence,
         waited: Millis,
-    ) -> Standing {
-        if self.failures(task) <= allowance.repeats {
-            return Standing::Allowed;
+    ) -> RetryDecision {
+        if self.failure_count(task) <= allowance.max_retries {
+            return RetryDecision::Allowed;
         }
-        let fault_threshold = certain_below(waited);
+        let fault_threshold = fault_threshold(waited);
         let is_own_fault = |host: Option<&HostId>| {
-            host.is_none_or(|host| evidence.machines_fault(job, host) < fault_threshold)
+            host.is_none_or(|host| evidence.machine_caused_probability(job, host) < fault_threshold)
         };
         let own_failures = self.counted_rows(task).filter(|(host, _)| is_own_fault(*host));
-        if own_failures.map(|(_, count)| count).fold(0, u32::saturating_add) > allowance.repeats {
-            Standing::Exhausted
+        if own_failures.map(|(_, count)| count).fold(0, u32::saturating_add) > allowance.max_retries
+        {
+            RetryDecision::Exhausted
         } else {
-            Standing::OnTrial
+            RetryDecision::AwaitingEvidence
         }
     }
 
     /// The record to be stored for a range of tasks.
-    pub fn record(&self, tasks: Range<u32>) -> ChargeRecord {
+    pub fn to_record(&self, tasks: Range<u32>) -> ChargeRecord {
         let mut record =
-            ChargeRecord { counted: self.last_gang_attempt, ..ChargeRecord::default() };
+            ChargeRecord { last_gang_attempt: self.last_gang_attempt, ..ChargeRecord::default() };
         let mut rows = self.rows.range(tasks).collect::<Vec<_>>();
         let total: usize = rows.iter().map(|(_, by_host)| by_host.len()).sum();
         // Failures whose machine does not fit into the record are still counted.
@@ -217,8 +218,8 @@
     }
 
     /// Adds the stored charges of an earlier leader, for tasks with no charges yet in memory.
-    pub fn load(&mut self, record: ChargeRecord) {
-        self.last_gang_attempt = self.last_gang_attempt.max(record.counted);
+    pub fn restore(&mut self, record: ChargeRecord) {
+        self.last_gang_attempt = self.last_gang_attempt.max(record.last_gang_attempt);
         let host = |host_index: u16| record.hosts.get(usize::from(host_index));
         self.excused
             .extend(record.excused.iter().filter_map(|host_index| host(*host_index)).cloned());
@@ -240,8 +241,8 @@
         HostId::new(&format!("i-{n:010}"))
     }
 
-    fn allowance(repeats: u32) -> Allowance {
-        Allowance { repeats, on_exhausted: OnExhausted::FailJob }
+    fn allowance(repeats: u32) -> RetryPolicy {
+        RetryPolicy { max_retries: repeats, on_exhausted: OnExhausted::FailJob }
     }
 
     /// Failures on different machines exhaust the limit soon; a single one on a machine without other evidence
@@ -251,24 +252,30 @@
         let (job, mut charges, mut evidence) =
             (JobId::new("req-1"), Charges::default(), Evidence::default());
         let standing_of = |c: &Charges, e: &Evidence, repeats, waited| {
-            c.standing(&job, Some(0), allowance(repeats), e, waited)
+            c.retry_decision(&job, Some(0), allowance(repeats), e, waited)
         };
         let (without_wait, after_short_wait, after_full_wait) =
             (Millis(0), Millis(5_000), Millis(20_000));
-        assert_eq!(standing_of(&charges, &evidence, 0, without_wait), Standing::Allowed);
+        assert_eq!(standing_of(&charges, &evidence, 0, without_wait), RetryDecision::Allowed);
         charges.add(0, &host(1));
-        evidence.failed(&job, 0, &host(1), Mono(1));
-        assert_eq!(standing_of(&charges, &evidence, 1, without_wait), Standing::Allowed);
-        assert_eq!(standing_of(&charges, &evidence, 0, after_short_wait), Standing::OnTrial);
-        assert_eq!(standing_of(&charges, &evidence, 0, after_full_wait), Standing::Exhausted);
+        evidence.record_failure(&job, 0, &host(1), Mono(1));
+        assert_eq!(standing_of(&charges, &evidence, 1, without_wait), RetryDecision::Allowed);
+        assert_eq!(
+            standing_of(&charges, &evidence, 0, after_short_wait),
+            RetryDecision::AwaitingEvidence
+        );
+        assert_eq!(standing_of(&charges, &evidence, 0, after_full_wait), RetryDecision::Exhausted);
         charges.add(0, &host(2));
-        evidence.failed(&job, 0, &host(2), Mono(2));
-        assert_eq!(standing_of(&charges, &evidence, 1, without_wait), Standing::OnTrial);
-        assert_eq!(standing_of(&charges, &evidence, 1, after_short_wait), Standing::Exhausted);
+        evidence.record_failure(&job, 0, &host(2), Mono(2));
+        assert_eq!(
+            standing_of(&charges, &evidence, 1, without_wait),
+            RetryDecision::AwaitingEvidence
+        );
+        assert_eq!(standing_of(&charges, &evidence, 1, after_short_wait), RetryDecision::Exhausted);
         assert_eq!(charges.excuse(&host(1)), [0]);
         assert!(charges.excuse(&host(1)).is_empty(), "excused twice");
-        assert_eq!(standing_of(&charges, &evidence, 1, after_full_wait), Standing::Allowed);
-        assert_eq!(charges.causes(Some(0)), [(Some(host(2)), 1)]);
+        assert_eq!(standing_of(&charges, &evidence, 1, after_full_wait), RetryDecision::Allowed);
+        assert_eq!(charges.failures_by_host(Some(0)), [(Some(host(2)), 1)]);
     }
 
     /// A gang's attempt counts once, whichever of its tasks failed, also across a leader change.
@@ -278,10 +285,10 @@
         assert!(charges.add_gang(3, Attempt(7), &host(1)));
         assert!(!charges.add_gang(5, Attempt(7), &host(2)));
         let mut restored = Charges::default();
-        restored.load(charges.record(0..96));
+        restored.restore(charges.to_record(0..96));
         assert!(!restored.add_gang(9, Attempt(7), &host(3)));
         assert!(restored.add_gang(9, Attempt(8), &host(3)));
-        assert_eq!((charges.failures(None), restored.failures(None)), (1, 2));
+        assert_eq!((charges.failure_count(None), restored.failure_count(None)), (1, 2));
     }
 
     /// Records survive a round trip, stay small and preserve the counts, however many tasks failed.
@@ -298,17 +305,21 @@
             if with_many_hosts {
                 (0..96).for_each(|task| (0..40).for_each(|n| charges.add(task, &host(100 + n))));
             }
-            let record = charges.record(0..96);
+            let record = charges.to_record(0..96);
             let text = serde_json::to_string(&record).unwrap();
             assert!(text.len() < 3_500, "{} bytes", text.len());
             let mut restored = Charges::default();
-            restored.load(serde_json::from_str(&text).unwrap());
+            restored.restore(serde_json::from_str(&text).unwrap());
             for task in 0..96 {
-                assert_eq!(restored.failures(Some(task)), charges.failures(Some(task)), "{task}");
+                assert_eq!(
+                    restored.failure_count(Some(task)),
+                    charges.failure_count(Some(task)),
+                    "{task}"
+                );
             }
         }
-        assert!(charges.record(200..300).is_empty());
-        charges.settle(1);
-        assert_eq!(charges.failures(Some(1)), 0);
+        assert!(charges.to_record(200..300).is_empty());
+        charges.clear_task(1);
+        assert_eq!(charges.failure_count(Some(1)), 0);
     }
 }
--- a/crates/policy/src/classes.rs
+++ b/crates/policy/src/classes.rs
@@ -17,9 +17,9 @@
 
 /// Retry settings of a class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Allowance {
+pub struct RetryPolicy {
     /// How often a task may be retried after a failure of its own; with 0 its first failure ends the job.
-    pub repeats: u32,
+    pub max_retries: u32,
     pub on_exhausted: OnExhausted,
 }
 
@@ -47,8 +47,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(try_from = "Vec<Entry>")]
 pub struct Classes {
-    named: BTreeMap<String, Allowance>,
-    default: Option<Allowance>,
+    named: BTreeMap<String, RetryPolicy>,
+    default: Option<RetryPolicy>,
 }
 
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
@@ -85,7 +85,7 @@
 fn parse_entry(
     fields: Vec<Field>,
     label: &str,
-) -> Result<(Option<String>, Allowance), ClassesError> {
+) -> Result<(Option<String>, RetryPolicy), ClassesError> {
     let (mut name, mut repeats, mut on_exhausted) = (None, None, None);
     for field in fields {
         match field {
@@ -101,7 +101,7 @@
     }
     let on_exhausted = on_exhausted.unwrap_or(OnExhausted::FailJob);
     let repeats = u32::try_from(repeats).map_err(|_| ClassesError::RetriesOutOfRange(label))?;
-    Ok((name, Allowance { repeats, on_exhausted }))
+    Ok((name, RetryPolicy { max_retries: repeats, on_exhausted }))
 }
 
 impl TryFrom<Vec<Entry>> for Classes {
@@ -138,7 +138,7 @@
 
 impl Classes {
     /// Retry settings for jobs of a class; `None` if retries are unlimited.
-    pub fn of(&self, class: &str) -> Option<Allowance> {
+    pub fn policy_for(&self, class: &str) -> Option<RetryPolicy> {
         self.named.get(class).copied().or(self.default)
     }
 
@@ -181,12 +181,12 @@
                 (default (repeats 5) (on-exhausted fail-job)))"#,
         )
         .unwrap();
-        let route_weave = Allowance { repeats: 3, on_exhausted: OnExhausted::FinishRest };
-        assert_eq!(classes.of("route-weave"), Some(route_weave));
-        assert_eq!(classes.of("recount").map(|a| a.repeats), Some(0));
-        assert_eq!(classes.of("other").map(|a| a.repeats), Some(5));
+        let route_weave = RetryPolicy { max_retries: 3, on_exhausted: OnExhausted::FinishRest };
+        assert_eq!(classes.policy_for("route-weave"), Some(route_weave));
+        assert_eq!(classes.policy_for("recount").map(|a| a.max_retries), Some(0));
+        assert_eq!(classes.policy_for("other").map(|a| a.max_retries), Some(5));
         assert_eq!(classes.names().collect::<Vec<_>>(), ["recount", "route-weave"]);
-        assert_eq!(parse("()").unwrap().of("x"), None);
+        assert_eq!(parse("()").unwrap().policy_for("x"), None);
         assert!(Classes::default().is_empty());
     }
 
--- a/crates/policy/src/constants.rs
+++ b/crates/policy/src/constants.rs
@@ -25,7 +25,7 @@
 pub const PROPAGATION_ROUNDS: usize = 4;
 /// Fault probability at which a machine is found faulty and quarantined: failures of two different jobs that have
 /// succeeded nowhere yet give 0.865, less if one of these jobs also failed elsewhere.
-pub const FAULTY: f64 = 0.9;
+pub const MACHINE_FAULTY_PROBABILITY: f64 = 0.9;
 /// Fault probability of a machine below which a failure on it counts against the task, by how long a task over
 /// its retry limit has waited for evidence: other tasks on a faulty machine fail within seconds, and some tasks
 /// end within twenty.
@@ -38,10 +38,10 @@
 /// Failed tasks of one job recorded per machine; more of them add no evidence.
 pub const MAX_TASKS_PER_PAIR: usize = 8;
 /// Machines on which a job that has never succeeded may fail; after that it is confined to these machines.
-pub const BURNT_MOST: usize = 3;
+pub const MAX_FAILED_HOSTS: usize = 3;
 /// How long after its last failure a confined job that finds no room on its machines may use others: long enough
 /// for several reports, so that room that is or becomes free there is noticed.
-pub const CONFINED_MS: Millis = Millis(10_000);
+pub const CONFINEMENT_TIMEOUT_MS: Millis = Millis(10_000);
 
 // --- Charges -----------------------------------------------------------------------
 
@@ -51,7 +51,7 @@
 /// Maximum number of machines named in one record, of some 12 bytes each.
 pub const MAX_CHARGE_HOSTS: usize = 24;
 /// Run time after which earlier failures of a replica are cleared, so that failures months apart do not add up.
-pub const SETTLED_MS: Millis = Millis(600_000);
+pub const CHARGE_RESET_RUN_MS: Millis = Millis(600_000);
 
 // --- Backoff -------------------------------------------------------------------------
 
--- a/crates/zones/src/lib.rs
+++ b/crates/zones/src/lib.rs
@@ -47,7 +47,7 @@
 
 /// What is known of a zone's machines at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Seen {
+pub struct ZoneObservation {
     /// Machines that have reported to this controller before.
     pub known: u32,
     /// Known machines whose next report is overdue.
@@ -64,9 +64,9 @@
     pub unheard: u32,
 }
 
-impl Seen {
+impl ZoneObservation {
     /// Whether most of the known machines are silent together, as in a network partition.
-    pub fn cut(&self) -> bool {
+    pub fn is_cut(&self) -> bool {
         self.silent >= MIN_SILENT_MACHINES && self.silent * 2 > self.known
     }
 
@@ -90,7 +90,7 @@
 
 /// Whether machines may be hired in a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Hires {
+pub enum HirePolicy {
     AsNeeded,
     /// Only if no machine is on its way there already.
     OneAtATime,
@@ -99,7 +99,7 @@
 
 /// What one controller reports to another about a zone that is not healthy.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct ZoneReport {
     pub zone: Zone,
     /// How long it has been lost; `None` if it is recovering.
     pub lost_ms: Option<u64>,
@@ -122,11 +122,11 @@
 
 /// The state of every zone that was ever observed.
 #[derive(Debug, Default)]
-pub struct Zones {
+pub struct ZoneStates {
     records: BTreeMap<Zone, ZoneRecord>,
 }
 
-impl Zones {
+impl ZoneStates {
     /// Changes a zone's state; no other code does.
     fn transition(zone: &Zone, record: &mut ZoneRecord, state: ZoneState, why: &str) {
         log::info!("zone {zone}: {:?} -> {state:?} ({why})", record.state);
@@ -145,7 +145,7 @@
     /// Marks zones of which a newly started controller knows nothing while machines of an earlier
     /// one run. Without it a lost zone whose machines were all returned looks like any other one,
     /// and machines are hired there.
-    pub fn begin_unheard<'z>(&mut self, zones: impl IntoIterator<Item = &'z Zone>) {
+    pub fn mark_unknown<'z>(&mut self, zones: impl IntoIterator<Item = &'z Zone>) {
         for zone in zones {
             let record = self.record_mut(zone);
             if record.state == ZoneState::Healthy {
@@ -157,11 +157,11 @@
     /// Updates all zones by the observations made at `now`. A zone that is not among them has no
     /// machine that could report; its timeouts still apply. A zone is lost only if other zones
     /// report: a controller that hears from nobody knows nothing of any zone.
-    pub fn observe(&mut self, seen: &BTreeMap<Zone, Seen>, now: Mono) {
+    pub fn observe(&mut self, seen: &BTreeMap<Zone, ZoneObservation>, now: Mono) {
         let heard: u32 = seen.values().map(|s| s.heard).sum();
         let empty: Vec<Zone> =
             self.records.keys().filter(|zone| !seen.contains_key(zone)).cloned().collect();
-        let nothing = Seen::default();
+        let nothing = ZoneObservation::default();
         for (zone, view) in seen.iter().chain(empty.iter().map(|zone| (zone, &nothing))) {
             let record = self.record_mut(zone);
             let missing = if heard > 0 { view.missing() } else { 0 };
@@ -208,8 +208,10 @@
                 _ if missing > 0 => {
                     Some((ZoneState::Silent { heard: None }, "its few machines are silent"))
                 }
-                ZoneState::Healthy if view.cut() => Some((ZoneState::Suspected, "most are silent")),
-                ZoneState::Suspected if !view.cut() => Some((ZoneState::Healthy, "most report")),
+                ZoneState::Healthy if view.is_cut() => {
+                    Some((ZoneState::Suspected, "most are silent"))
+                }
+                ZoneState::Suspected if !view.is_cut() => Some((ZoneState::Healthy, "most report")),
                 ZoneState::AwaitingReports => Some((ZoneState::Healthy, "no more are expected")),
                 ZoneState::Unknown => None,
                 ZoneState::Healthy | ZoneState::Suspected => None,
@@ -225,22 +227,22 @@
     }
 
     /// Whether nothing in the zone reports.
-    pub fn lost(&self, zone: &Zone) -> bool {
+    pub fn is_lost(&self, zone: &Zone) -> bool {
         self.state(zone).is_lost()
     }
 
     /// The zones in which nothing reports.
-    pub fn all_lost(&self) -> impl Iterator<Item = &Zone> {
+    pub fn lost_zones(&self) -> impl Iterator<Item = &Zone> {
         self.records.iter().filter(|(_, record)| record.state.is_lost()).map(|(zone, _)| zone)
     }
 
     /// Whether machines may be hired there.
-    pub fn hires(&self, zone: &Zone) -> Hires {
+    pub fn hire_policy(&self, zone: &Zone) -> HirePolicy {
         match self.state(zone) {
-            ZoneState::Healthy | ZoneState::Suspected => Hires::AsNeeded,
-            ZoneState::Silent { .. } | ZoneState::Unknown => Hires::OneAtATime,
+            ZoneState::Healthy | ZoneState::Suspected => HirePolicy::AsNeeded,
+            ZoneState::Silent { .. } | ZoneState::Unknown => HirePolicy::OneAtATime,
             ZoneState::AwaitingReports | ZoneState::Lost { .. } | ZoneState::Recovering { .. } => {
-                Hires::None
+                HirePolicy::None
             }
         }
     }
@@ -268,18 +270,18 @@
     }
 
     /// Records that a probe was hired.
-    pub fn probed(&mut self, zone: &Zone, now: Mono) {
+    pub fn record_probe(&mut self, zone: &Zone, now: Mono) {
         self.record_mut(zone).next_probe = now.plus(PROBE_PERIOD_MS);
     }
 
     /// What the next leader should know: otherwise a zone whose machines were all returned looks
     /// empty instead of lost.
-    pub fn told(&self, now: Mono) -> Vec<Told> {
+    pub fn report(&self, now: Mono) -> Vec<ZoneReport> {
         let unstable = |(_, record): &(&Zone, &ZoneRecord)| {
             let lately = record.losses > 0 && now.since(record.last_loss) <= FLAP_WINDOW_MS;
             lately || matches!(record.state, ZoneState::Silent { .. })
         };
-        let report = |(zone, record): (&Zone, &ZoneRecord)| Told {
+        let report = |(zone, record): (&Zone, &ZoneRecord)| ZoneReport {
             zone: zone.clone(),
             lost_ms: match record.state {
                 ZoneState::Lost { since } => Some(now.since(since).0),
@@ -294,7 +296,7 @@
 
     /// Takes over what an earlier leader reported at `noted`. That leader may have been the one
     /// that was cut off, so later observations take precedence.
-    pub fn recall(&mut self, told: &[Told], noted: Mono) {
+    pub fn recall(&mut self, told: &[ZoneReport], noted: Mono) {
         let ago = |ms: u64| Mono(noted.0.saturating_sub(ms));
         for report in told {
             let record = self.record_mut(&report.zone);
@@ -322,47 +324,52 @@
         Zone::new(name)
     }
 
-    fn seen(a: Seen, b: Seen) -> BTreeMap<Zone, Seen> {
+    fn seen(a: ZoneObservation, b: ZoneObservation) -> BTreeMap<Zone, ZoneObservation> {
         [(zone("a"), a), (zone("b"), b)].into()
     }
 
     /// All machines report, the last one at `at`.
-    fn all_reporting(known: u32, at: u64) -> Seen {
-        Seen { known, heard: known, latest: Some(Mono(at)), ..Seen::default() }
+    fn all_reporting(known: u32, at: u64) -> ZoneObservation {
+        ZoneObservation {
+            known,
+            heard: known,
+            latest: Some(Mono(at)),
+            ..ZoneObservation::default()
+        }
     }
 
-    fn all_silent(known: u32) -> Seen {
-        Seen { known, silent: known, ..Seen::default() }
+    fn all_silent(known: u32) -> ZoneObservation {
+        ZoneObservation { known, silent: known, ..ZoneObservation::default() }
     }
 
     /// Guards against 472 machines hired in a zone that was cut off: it stays lost after its silent
     /// machines have been returned and none is left that could be silent.
     #[test]
     fn lost_zone_without_machines_stays_lost() {
-        let mut zones = Zones::default();
+        let mut zones = ZoneStates::default();
         zones.observe(&seen(all_reporting(250, 900), all_reporting(100, 900)), Mono(1_000));
-        assert_eq!(zones.hires(&zone("a")), Hires::AsNeeded);
+        assert_eq!(zones.hire_policy(&zone("a")), HirePolicy::AsNeeded);
         zones.observe(&seen(all_silent(250), all_reporting(100, 19_000)), Mono(20_000));
-        assert!(zones.lost(&zone("a")) && zones.hires(&zone("b")) == Hires::AsNeeded);
-        zones.observe(&seen(Seen::default(), all_reporting(100, 59_000)), Mono(60_000));
+        assert!(zones.is_lost(&zone("a")) && zones.hire_policy(&zone("b")) == HirePolicy::AsNeeded);
+        zones.observe(&seen(ZoneObservation::default(), all_reporting(100, 59_000)), Mono(60_000));
         zones.observe(&[(zone("b"), all_reporting(100, 60_000))].into(), Mono(60_500));
-        assert!(zones.lost(&zone("a")));
+        assert!(zones.is_lost(&zone("a")));
         // New machines that are up but silent change nothing; the first report does.
-        let silent = Seen { unheard: 2, ..Seen::default() };
+        let silent = ZoneObservation { unheard: 2, ..ZoneObservation::default() };
         zones.observe(&seen(silent, all_reporting(100, 60_500)), Mono(61_000));
-        assert!(zones.lost(&zone("a")));
+        assert!(zones.is_lost(&zone("a")));
         zones.observe(&seen(all_reporting(1, 90_000), all_reporting(100, 90_000)), Mono(90_000));
-        assert!(!zones.lost(&zone("a")) && zones.hires(&zone("a")) == Hires::None);
+        assert!(!zones.is_lost(&zone("a")) && zones.hire_policy(&zone("a")) == HirePolicy::None);
         let later = Mono(90_000).plus(RECOVERY_MS);
         zones.observe(&seen(all_reporting(1, 94_000), all_reporting(100, 95_000)), later);
-        assert_eq!(zones.hires(&zone("a")), Hires::AsNeeded);
+        assert_eq!(zones.hire_policy(&zone("a")), HirePolicy::AsNeeded);
     }
 
     /// A report delayed by a partition may arrive at any time, once: guards against hiring because
     /// of a single report that was minutes old.
     #[test]
     fn single_late_report_does_not_end_a_loss() {
-        let mut zones = Zones::default();
+        let mut zones = ZoneStates::default();
         zones.observe(&seen(all_silent(9), all_reporting(100, 20_000)), Mono(20_000));
         zones.observe(&seen(all_reporting(1, 40_000), all_reporting(100, 40_000)), Mono(40_000));
         let later = Mono(40_000).plus(RECOVERY_MS);
@@ -375,7 +382,7 @@
     /// whose awaited machines never reported.
     #[test]
     fn zone_emptied_during_recovery_is_probed_again() {
-        let mut zones = Zones::default();
+        let mut zones = ZoneStates::default();
         let others = || [(zone("b"), all_reporting(100, 500_000))].into();
         zones.observe(&seen(all_silent(9), all_reporting(100, 20_000)), Mono(20_000));
         zones.observe(&seen(all_reporting(1, 200_000), all_reporting(100, 200_000)), Mono(200_000));
@@ -385,67 +392,77 @@
             [zone("a")],
             "before the recovery time is over"
         );
-        assert_eq!(zones.hires(&zone("a")), Hires::None);
+        assert_eq!(zones.hire_policy(&zone("a")), HirePolicy::None);
         let later = Mono(200_000).plus(RECOVERY_MS);
         zones.observe(&others(), later);
-        assert!(zones.lost(&zone("a")));
+        assert!(zones.is_lost(&zone("a")));
         assert_eq!(zones.due_probes(Mono(500_000), |_| false), [zone("a")]);
-        let awaited = Seen { expected: MIN_SILENT_MACHINES, ..Seen::default() };
-        let mut zones = Zones::default();
+        let awaited =
+            ZoneObservation { expected: MIN_SILENT_MACHINES, ..ZoneObservation::default() };
+        let mut zones = ZoneStates::default();
         zones.observe(&seen(awaited, all_reporting(100, 20_000)), Mono(20_000));
-        assert_eq!(zones.hires(&zone("a")), Hires::None);
+        assert_eq!(zones.hire_policy(&zone("a")), HirePolicy::None);
         zones.observe(&others(), Mono(21_000));
-        assert_eq!(zones.hires(&zone("a")), Hires::AsNeeded);
+        assert_eq!(zones.hire_policy(&zone("a")), HirePolicy::AsNeeded);
     }
 
     /// A controller that hears from nobody was cut off itself, or an outage has just ended.
     #[test]
     fn silence_of_all_zones_is_no_evidence() {
-        let mut zones = Zones::default();
+        let mut zones = ZoneStates::default();
         zones.observe(&seen(all_silent(250), all_silent(100)), Mono(20_000));
-        assert!(["a", "b"].iter().all(|name| zones.hires(&zone(name)) == Hires::AsNeeded));
+        assert!(
+            ["a", "b"].iter().all(|name| zones.hire_policy(&zone(name)) == HirePolicy::AsNeeded)
+        );
     }
 
     /// Some machines that fail at once, or a partition of a part of the zone, leave it open.
     #[test]
     fn zone_with_any_report_is_not_lost() {
-        let mut zones = Zones::default();
-        let some = Seen { silent: 249, heard: 1, ..all_reporting(250, 20_000) };
+        let mut zones = ZoneStates::default();
+        let some = ZoneObservation { silent: 249, heard: 1, ..all_reporting(250, 20_000) };
         zones.observe(&seen(some, all_reporting(100, 20_000)), Mono(20_000));
         assert_eq!(zones.state(&zone("a")), ZoneState::Suspected);
-        assert!(some.cut() && zones.hires(&zone("a")) == Hires::AsNeeded);
+        assert!(some.is_cut() && zones.hire_policy(&zone("a")) == HirePolicy::AsNeeded);
         zones.observe(&seen(all_silent(2), all_reporting(100, 40_000)), Mono(40_000));
-        assert_eq!(zones.hires(&zone("a")), Hires::OneAtATime, "two machines are little evidence");
+        assert_eq!(
+            zones.hire_policy(&zone("a")),
+            HirePolicy::OneAtATime,
+            "two machines are little evidence"
+        );
     }
 
     /// Guards against hiring machine after machine where the only ones fell silent: one at a time,
     /// until one reports or enough of them have not.
     #[test]
     fn few_silent_machines_allow_one_hire_at_a_time() {
-        let one = Seen { unheard: 1, ..Seen::default() };
+        let one = ZoneObservation { unheard: 1, ..ZoneObservation::default() };
         for comes_up in [true, false] {
-            let mut zones = Zones::default();
+            let mut zones = ZoneStates::default();
             zones.observe(&seen(all_silent(1), all_reporting(100, 20_000)), Mono(20_000));
-            assert_eq!(zones.hires(&zone("a")), Hires::OneAtATime);
-            zones.observe(&seen(Seen::default(), all_reporting(100, 60_000)), Mono(60_000));
-            assert_eq!(zones.hires(&zone("a")), Hires::OneAtATime);
+            assert_eq!(zones.hire_policy(&zone("a")), HirePolicy::OneAtATime);
+            zones.observe(
+                &seen(ZoneObservation::default(), all_reporting(100, 60_000)),
+                Mono(60_000),
+            );
+            assert_eq!(zones.hire_policy(&zone("a")), HirePolicy::OneAtATime);
             zones.observe(&seen(one, all_reporting(100, 90_000)), Mono(90_000));
-            assert_eq!(zones.hires(&zone("a")), Hires::OneAtATime);
+            assert_eq!(zones.hire_policy(&zone("a")), HirePolicy::OneAtATime);
             if comes_up {
                 zones.observe(
                     &seen(all_reporting(1, 95_000), all_reporting(100, 95_000)),
                     Mono(95_000),
                 );
-                assert_eq!(zones.hires(&zone("a")), Hires::OneAtATime);
+                assert_eq!(zones.hire_policy(&zone("a")), HirePolicy::OneAtATime);
                 zones.observe(
                     &seen(all_reporting(1, 98_000), all_reporting(100, 98_000)),
                     Mono(98_000),
                 );
-                assert_eq!(zones.hires(&zone("a")), Hires::AsNeeded);
+                assert_eq!(zones.hire_policy(&zone("a")), HirePolicy::AsNeeded);
             } else {
-                let three = Seen { unheard: 3, expected: 3, ..one };
+                let three = ZoneObservation { unheard: 3, expected: 3, ..one };
                 zones.observe(&seen(three, all_reporting(100, 120_000)), Mono(120_000));
-                assert!(zones.lost(&zone("a")));
+                assert!(zones.is_lost(&zone("a")));
             }
         }
     }
@@ -454,33 +471,36 @@
     /// controllers ended at once: where machines should be, it waits for the first report.
     #[test]
     fn leader_without_state_waits_for_first_report() {
-        let expecting = Seen { expected: 9, ..Seen::default() };
-        let mut zones = Zones::default();
+        let expecting = ZoneObservation { expected: 9, ..ZoneObservation::default() };
+        let mut zones = ZoneStates::default();
         zones.observe(&seen(expecting, expecting), Mono(1_000));
-        assert_eq!(zones.hires(&zone("a")), Hires::None);
+        assert_eq!(zones.hire_policy(&zone("a")), HirePolicy::None);
         zones.observe(&seen(expecting, all_reporting(3, 2_000)), Mono(2_000));
-        assert_eq!(zones.hires(&zone("a")), Hires::None);
-        assert_eq!(zones.hires(&zone("b")), Hires::AsNeeded);
-        let overdue = Seen { unheard: 9, ..expecting };
+        assert_eq!(zones.hire_policy(&zone("a")), HirePolicy::None);
+        assert_eq!(zones.hire_policy(&zone("b")), HirePolicy::AsNeeded);
+        let overdue = ZoneObservation { unheard: 9, ..expecting };
         zones.observe(&seen(overdue, all_reporting(9, 19_000)), Mono(20_000));
-        assert!(zones.lost(&zone("a")));
+        assert!(zones.is_lost(&zone("a")));
         // Few machines, or none that is expected to report, delay nothing; nor do those that turn
         // out to be gone.
-        let mut zones = Zones::default();
-        zones.observe(&seen(Seen { expected: 2, ..Seen::default() }, expecting), Mono(1_000));
-        assert_eq!(zones.hires(&zone("a")), Hires::AsNeeded);
-        zones.observe(&seen(Seen::default(), Seen::default()), Mono(2_000));
-        assert_eq!(zones.hires(&zone("b")), Hires::AsNeeded);
+        let mut zones = ZoneStates::default();
+        zones.observe(
+            &seen(ZoneObservation { expected: 2, ..ZoneObservation::default() }, expecting),
+            Mono(1_000),
+        );
+        assert_eq!(zones.hire_policy(&zone("a")), HirePolicy::AsNeeded);
+        zones.observe(&seen(ZoneObservation::default(), ZoneObservation::default()), Mono(2_000));
+        assert_eq!(zones.hire_policy(&zone("b")), HirePolicy::AsNeeded);
         // Silence everywhere is no evidence, and delays hires no longer than reports take.
-        let mut zones = Zones::default();
+        let mut zones = ZoneStates::default();
         zones.observe(&seen(expecting, expecting), Mono(1_000));
         zones.observe(&seen(overdue, overdue), Mono(20_000));
-        assert_eq!(zones.hires(&zone("a")), Hires::AsNeeded);
+        assert_eq!(zones.hire_policy(&zone("a")), HirePolicy::AsNeeded);
     }
 
     #[test]
     fn recovery_time_doubles_with_each_loss() {
-        let mut zones = Zones::default();
+        let mut zones = ZoneStates::default();
         let (mut now, mut last) = (10_000, 0);
         for _ in 0..8 {
             zones.observe(&seen(all_silent(9), all_reporting(9, now)), Mono(now));
@@ -506,30 +526,30 @@
     /// A takeover keeps the state of zones, and a wrong state does not bind the next leader.
     #[test]
     fn next_leader_takes_over_lost_zones() {
-        let mut zones = Zones::default();
+        let mut zones = ZoneStates::default();
         zones.observe(&seen(all_silent(9), all_reporting(9, 10_000)), Mono(10_000));
-        let told = zones.told(Mono(25_000));
-        let mut next = Zones::default();
+        let told = zones.report(Mono(25_000));
+        let mut next = ZoneStates::default();
         next.recall(&told, Mono(1_000_000));
         assert_eq!(next.state(&zone("a")), ZoneState::Lost { since: Mono(985_000) });
         assert!(next.due_probes(Mono(1_000_000), |_| true).is_empty());
         let probe = Mono(985_000).plus(PROBE_PERIOD_MS);
         assert_eq!(next.due_probes(probe, |_| true), [zone("a")]);
-        next.probed(&zone("a"), probe);
+        next.record_probe(&zone("a"), probe);
         assert!(next.due_probes(probe, |_| true).is_empty(), "one probe per period");
         next.observe(
             &seen(all_reporting(4, 1_000_001), all_reporting(9, 1_000_001)),
             Mono(1_000_001),
         );
-        assert!(!next.lost(&zone("a")));
+        assert!(!next.is_lost(&zone("a")));
         // The same with few machines.
-        let mut zones = Zones::default();
+        let mut zones = ZoneStates::default();
         zones.observe(&seen(all_silent(1), all_reporting(9, 10_000)), Mono(10_000));
-        let mut next = Zones::default();
-        next.recall(&zones.told(Mono(25_000)), Mono(1_000_000));
-        assert_eq!(next.hires(&zone("a")), Hires::OneAtATime);
+        let mut next = ZoneStates::default();
+        next.recall(&zones.report(Mono(25_000)), Mono(1_000_000));
+        assert_eq!(next.hire_policy(&zone("a")), HirePolicy::OneAtATime);
         // A clock whose reading is below the reported ages does no harm.
-        Zones::default().recall(&told, Mono(3));
+        ZoneStates::default().recall(&told, Mono(3));
     }
 
     /// Whatever is observed, a zone with reports is never lost, and a lost zone without reports is
@@ -539,7 +559,7 @@
         const NAMES: [&str; 3] = ["a", "b", "c"];
         for seed in 0..200 {
             let mut rng = ChaCha8Rng::seed_from_u64(seed);
-            let mut zones = Zones::default();
+            let mut zones = ZoneStates::default();
             let mut now = Mono(1_000_000);
             for _ in 0..300 {
                 now = now.plus(Millis(rng.random_range(100..15_000)));
@@ -554,7 +574,7 @@
                     let latest = (heard > 0).then_some(now);
                     let unheard = rng.random_range(0..3);
                     let expected = unheard + rng.random_range(0..3);
-                    let seen = Seen { known, silent, heard, latest, expected, unheard };
+                    let seen = ZoneObservation { known, silent, heard, latest, expected, unheard };
                     view.insert(zone(name), seen);
                 }
                 let before = NAMES.map(|name| zones.state(&zone(name)));
@@ -565,7 +585,11 @@
                     let lost = |s: ZoneState| matches!(s, ZoneState::Lost { .. });
                     assert!(!(lost(after) && heard > 0), "seed {seed}: {name} reports and is lost");
                     if lost(before) {
-                        assert_eq!(zones.hires(&zone(name)), Hires::None, "seed {seed}: {name}");
+                        assert_eq!(
+                            zones.hire_policy(&zone(name)),
+                            HirePolicy::None,
+                            "seed {seed}: {name}"
+                        );
                         assert!(
                             heard > 0 || after == before,
                             "seed {seed}: {name} is open without reports"
--- a/crates/zones/tests/unknown_state.rs
+++ b/crates/zones/tests/unknown_state.rs
@@ -2,24 +2,24 @@
 //! earlier controller run.
 
 use oatloom_protocol::ids::{Mono, Zone};
-use oatloom_zones::{Hires, Seen, ZoneState, Zones};
+use oatloom_zones::{HirePolicy, ZoneObservation, ZoneState, ZoneStates};
 use std::collections::BTreeMap;
 
 fn zone(name: &str) -> Zone {
     Zone::new(name)
 }
 
-fn seen(a: Seen, b: Seen) -> BTreeMap<Zone, Seen> {
+fn seen(a: ZoneObservation, b: ZoneObservation) -> BTreeMap<Zone, ZoneObservation> {
     [(zone("a"), a), (zone("b"), b)].into()
 }
 
-fn reporting(known: u32, at: u64) -> Seen {
-    Seen { known, heard: known, latest: Some(Mono(at)), ..Seen::default() }
+fn reporting(known: u32, at: u64) -> ZoneObservation {
+    ZoneObservation { known, heard: known, latest: Some(Mono(at)), ..ZoneObservation::default() }
 }
 
-fn started_without_state() -> Zones {
-    let mut zones = Zones::default();
-    zones.begin_unheard(&[zone("a"), zone("b")]);
+fn started_without_state() -> ZoneStates {
+    let mut zones = ZoneStates::default();
+    zones.mark_unknown(&[zone("a"), zone("b")]);
     zones
 }
 
@@ -29,12 +29,16 @@
 fn one_hire_at_a_time_until_first_report() {
     for left in [0, 1, 2] {
         let mut zones = started_without_state();
-        let few = Seen { expected: left, ..Seen::default() };
+        let few = ZoneObservation { expected: left, ..ZoneObservation::default() };
         zones.observe(&seen(few, reporting(9, 2_000)), Mono(2_000));
-        assert_eq!(zones.hires(&zone("b")), Hires::AsNeeded, "zone b reports");
-        assert_eq!(zones.hires(&zone("a")), Hires::OneAtATime, "{left} machines are left");
+        assert_eq!(zones.hire_policy(&zone("b")), HirePolicy::AsNeeded, "zone b reports");
+        assert_eq!(
+            zones.hire_policy(&zone("a")),
+            HirePolicy::OneAtATime,
+            "{left} machines are left"
+        );
         zones.observe(&seen(reporting(1, 9_000), reporting(9, 9_000)), Mono(9_000));
-        assert_eq!(zones.hires(&zone("a")), Hires::AsNeeded);
+        assert_eq!(zones.hire_policy(&zone("a")), HirePolicy::AsNeeded);
     }
 }
 
@@ -42,23 +46,23 @@
 #[test]
 fn silence_of_several_machines_is_a_loss() {
     let mut zones = started_without_state();
-    let three = Seen { expected: 3, ..Seen::default() };
+    let three = ZoneObservation { expected: 3, ..ZoneObservation::default() };
     zones.observe(&seen(three, reporting(9, 2_000)), Mono(2_000));
     assert_eq!(zones.state(&zone("a")), ZoneState::AwaitingReports);
-    let overdue = Seen { unheard: 3, ..three };
+    let overdue = ZoneObservation { unheard: 3, ..three };
     zones.observe(&seen(overdue, reporting(9, 19_000)), Mono(20_000));
-    assert!(zones.lost(&zone("a")));
+    assert!(zones.is_lost(&zone("a")));
 }
 
 /// The report of an earlier leader takes precedence, and a zone that is already known keeps its
 /// state.
 #[test]
 fn known_state_is_kept() {
-    let mut zones = Zones::default();
-    let silent = Seen { silent: 9, known: 9, ..Seen::default() };
+    let mut zones = ZoneStates::default();
+    let silent = ZoneObservation { silent: 9, known: 9, ..ZoneObservation::default() };
     zones.observe(&seen(silent, reporting(9, 900)), Mono(1_000));
-    assert!(zones.lost(&zone("a")));
-    zones.begin_unheard(&[zone("a"), zone("c")]);
-    assert!(zones.lost(&zone("a")));
-    assert_eq!(zones.hires(&zone("c")), Hires::OneAtATime);
+    assert!(zones.is_lost(&zone("a")));
+    zones.mark_unknown(&[zone("a"), zone("c")]);
+    assert!(zones.is_lost(&zone("a")));
+    assert_eq!(zones.hire_policy(&zone("c")), HirePolicy::OneAtATime);
 }
--- a/src/edge/clients.rs
+++ b/src/edge/clients.rs
@@ -6,7 +6,7 @@
 use oatloom_core::cloud::{CloudOp, CloudReply};
 use oatloom_core::constants::*;
 use oatloom_core::controller::Event;
-use oatloom_core::store::{Lane, OpId, StoreOp, StoreReply};
+use oatloom_core::store::{OpClass, OpId, StoreOp, StoreReply};
 use oatloom_protocol::ids::Millis;
 use oatloom_protocol::settings::Endpoints;
 use oatloom_protocol::wire::{Changes, Command, Epoch, Grant, Hosts, Page, Row};
@@ -24,26 +24,26 @@
 
 impl Clients {
     pub fn start(endpoints: &Endpoints, events: &Sender<Event>) -> Result<Self, EdgeError> {
-        let hold = Millis(FOLLOW_HOLD_MS.0 + STORE_TIMEOUT_MS.0);
+        let hold = Millis(WATCH_HOLD_MS.0 + STORE_TIMEOUT_MS.0);
         let state = &endpoints.state;
         let store =
             |name, threads, timeout| pool(name, threads, state, timeout, events, call_store);
         Ok(Self {
-            vital: store("lease", VITAL_INFLIGHT, RENEW_TIMEOUT_MS)?,
+            vital: store("lease", MAX_LEASE_INFLIGHT, LEASE_RENEWAL_TIMEOUT_MS)?,
             // Of the seat, of jobs, and one of an earlier term that is still open.
             watch: store("watch", 3, hold)?,
-            plain: store("store", STORE_INFLIGHT + 1, STORE_TIMEOUT_MS)?,
+            plain: store("store", MAX_STORE_INFLIGHT + 1, STORE_TIMEOUT_MS)?,
             cloud: pool("cloud", 3, &endpoints.cloud, CLOUD_TIMEOUT_MS, events, call_cloud)?,
             // Each command names its worker's address.
             workers: pool("do", COMMAND_THREADS, "", COMMAND_TIMEOUT_MS, events, call_worker)?,
         })
     }
 
-    pub fn store(&self, id: OpId, lane: Lane, op: StoreOp) -> Option<Event> {
+    pub fn store(&self, id: OpId, lane: OpClass, op: StoreOp) -> Option<Event> {
         let to = match lane {
-            Lane::Vital => &self.vital,
-            Lane::Watch => &self.watch,
-            Lane::Write | Lane::Open => &self.plain,
+            OpClass::Lease => &self.vital,
+            OpClass::Watch => &self.watch,
+            OpClass::Write | OpClass::General => &self.plain,
         };
         let failed = Event::Store { id, reply: StoreReply::Unsent };
         to.try_send((id, op)).is_err().then_some(failed)
@@ -55,7 +55,7 @@
     }
 
     pub fn command(&self, addr: String, command: Command) -> Option<Event> {
-        let failed = Event::Obeyed { report: None };
+        let failed = Event::CommandReply { report: None };
         self.workers.try_send((addr, command)).is_err().then_some(failed)
     }
 }
@@ -67,7 +67,7 @@
         Err(_) => None,
     };
     let report = raw.and_then(|(_, body)| serde_json::from_slice(&body).ok());
-    Event::Obeyed { report }
+    Event::CommandReply { report }
 }
 
 /// Threads that each take a call, wait for its answer, and hand it to the core.
@@ -119,7 +119,7 @@
             caller.get(&format!("/follow?prefix={}&after={after}&holdMs=0", escape(prefix)))
         }
         StoreOp::Follow { prefix, after } => {
-            let hold = FOLLOW_HOLD_MS.0;
+            let hold = WATCH_HOLD_MS.0;
             caller.get(&format!("/follow?prefix={}&after={after}&holdMs={hold}", escape(prefix)))
         }
     };
--- a/src/edge/frames.rs
+++ b/src/edge/frames.rs
@@ -28,16 +28,16 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use oatloom_core::mesh::{Asked, Question};
+    use oatloom_core::mesh::{PeerRequestFrame, Question};
     use oatloom_protocol::ids::JobId;
 
     #[test]
     fn frames_survive_the_trip_and_long_ones_are_refused() {
-        let asked = Asked { id: 7, question: Question::Abort(JobId::new("req-1")) };
+        let asked = PeerRequestFrame { id: 7, request: Question::Abort(JobId::new("req-1")) };
         let mut wire = Vec::new();
         write_frame(&mut wire, &asked).unwrap();
-        assert_eq!(read_frame::<Asked>(&mut wire.as_slice()).unwrap(), asked);
-        assert!(read_frame::<Asked>(&mut &wire[..wire.len() - 1]).is_err());
-        assert!(read_frame::<Asked>(&mut &[0xff; 8][..]).is_err());
+        assert_eq!(read_frame::<PeerRequestFrame>(&mut wire.as_slice()).unwrap(), asked);
+        assert!(read_frame::<PeerRequestFrame>(&mut &wire[..wire.len() - 1]).is_err());
+        assert!(read_frame::<PeerRequestFrame>(&mut &[0xff; 8][..]).is_err());
     }
 }
--- a/src/edge/mesh_io.rs
+++ b/src/edge/mesh_io.rs
@@ -6,7 +6,7 @@
 use crossbeam::channel::{Receiver, Sender, bounded};
 use oatloom_core::api::Request;
 use oatloom_core::controller::Event;
-use oatloom_core::mesh::{Asked, Told};
+use oatloom_core::mesh::{PeerRequestFrame, Told};
 use oatloom_protocol::reply::HttpReply;
 use oatloom_web::{bind_patiently, spawn};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -72,9 +72,9 @@
     stream.set_write_timeout(Some(Duration::from_millis(MESH_WRITE_MS.0)))?;
     let answers = Arc::new(Mutex::new(stream.try_clone()?));
     loop {
-        let Asked { id, question } = read_frame(&mut stream)?;
+        let PeerRequestFrame { id, request } = read_frame(&mut stream)?;
         let answerer = Answerer { id, stream: answers.clone() };
-        let asked = Incoming::Mesh(Question { request: question.into(), answerer });
+        let asked = Incoming::Mesh(Question { request: request.into(), answerer });
         if let Err(full) = inputs.try_send(asked)
             && let Incoming::Mesh(question) = full.into_inner()
         {
@@ -94,13 +94,13 @@
     address: String,
     most: usize,
     events: Sender<Event>,
-) -> Result<Sender<Asked>, EdgeError> {
-    let (sender, queue) = bounded::<Asked>(most.max(CALL_QUEUE));
+) -> Result<Sender<PeerRequestFrame>, EdgeError> {
+    let (sender, queue) = bounded::<PeerRequestFrame>(most.max(CALL_QUEUE));
     spawn("mesh-out", move || ask(&address, &queue, &events))?;
     Ok(sender)
 }
 
-fn ask(address: &str, queue: &Receiver<Asked>, events: &Sender<Event>) {
+fn ask(address: &str, queue: &Receiver<PeerRequestFrame>, events: &Sender<Event>) {
     let mut line: Option<Line> = None;
     let mut retry = Instant::now();
     while let Ok(asked) = queue.recv() {
--- a/src/edge/mod.rs
+++ b/src/edge/mod.rs
@@ -10,7 +10,7 @@
 use oatloom_core::constants::*;
 use oatloom_core::controller::{Action, Controller, Event};
 use oatloom_core::inbox::{Admitted, DroppedReports, Inbox};
-use oatloom_core::operators::Operators;
+use oatloom_core::operators::OperatorSettings;
 use oatloom_core::reply::ConnId;
 use oatloom_protocol::ids::{Member, Mono, Now};
 use oatloom_protocol::reply::HttpReply;
@@ -75,11 +75,11 @@
     next_conn: u64,
     answers: server::Answers,
     clients: clients::Clients,
-    mesh: HashMap<Member, Sender<oatloom_core::mesh::Asked>>,
+    mesh: HashMap<Member, Sender<oatloom_core::mesh::PeerRequestFrame>>,
 }
 
 /// Runs a controller until the process is killed.
-pub fn run(settings: Settings, ops: Operators) -> Result<(), EdgeError> {
+pub fn run(settings: Settings, ops: OperatorSettings) -> Result<(), EdgeError> {
     let most = settings.facts.limits.connections();
     let (event_sender, events) = bounded(EVENT_QUEUE);
     // What may wait between the threads that read requests and the core thread, which sorts them whenever it looks: one of each
@@ -151,7 +151,7 @@
         let now = self.clock.now().mono;
         while let Ok(incoming) = requests.try_recv() {
             let leader = self.controller.leader_token();
-            let kind = self.dropped_reports.kind_of(incoming.request(), leader);
+            let kind = self.dropped_reports.classify(incoming.request(), leader);
             let forwarded = matches!(incoming, Incoming::Mesh(_));
             if let Some(Admitted::Drop(oldest, retry)) =
                 self.inbox.push(now, kind, forwarded, incoming)
@@ -169,7 +169,7 @@
                 Admitted::Drop(incoming, retry) => self.turn_away(incoming, retry),
                 Admitted::Take(incoming, age) => {
                     self.dropped_reports.taken(incoming.request());
-                    self.controller.lags(age);
+                    self.controller.set_queue_delay(age);
                     return Some(self.take_up(incoming));
                 }
             }
@@ -189,7 +189,7 @@
 
     /// Tells a caller at once to come back; a peer has given up by itself.
     fn turn_away(&mut self, incoming: Incoming, retry_after_s: u32) {
-        self.dropped_reports.dropped(incoming.request());
+        self.dropped_reports.record_dropped(incoming.request());
         let Incoming::Http(server::Incoming { caller, .. }) = incoming else { return };
         let reply = HttpReply { retry_after_s: Some(retry_after_s), ..HttpReply::later("busy") };
         self.answers.send(caller, reply);
@@ -209,8 +209,8 @@
             Action::Store { id, lane, op } => return self.clients.store(id, lane, op),
             Action::Cloud { id, op } => return self.clients.cloud(id, op),
             Action::Command { addr, command } => return self.clients.command(addr, command),
-            Action::Ask { to, id, question } => {
-                let asked = oatloom_core::mesh::Asked { id, question };
+            Action::Ask { to, id, request } => {
+                let asked = oatloom_core::mesh::PeerRequestFrame { id, request: request };
                 let sent = self.mesh.get(&to).is_some_and(|peer| peer.try_send(asked).is_ok());
                 if !sent {
                     return Some(Event::Told { id, reply: None });
--- a/src/main.rs
+++ b/src/main.rs
@@ -2,8 +2,8 @@
 
 use clap::Parser;
 use oatloom::settings::{SettingsError, operators_file, platform_file};
-use oatloom_core::operators::Operators;
-use oatloom_core::workers::cancel_bound;
+use oatloom_core::operators::OperatorSettings;
+use oatloom_core::workers::cancellation_bound;
 use oatloom_protocol::ids::Millis;
 use oatloom_protocol::settings::Settings;
 use std::path::PathBuf;
@@ -32,11 +32,11 @@
     check: bool,
 }
 
-fn load(arguments: &Arguments) -> Result<(Settings, Operators), SettingsError> {
+fn load(arguments: &Arguments) -> Result<(Settings, OperatorSettings), SettingsError> {
     let settings = platform_file(&arguments.config)?;
     let operators = match &arguments.operators {
         Some(path) => operators_file(path)?,
-        None => Operators::default(),
+        None => OperatorSettings::default(),
     };
     operators.check_with(&settings)?;
     Ok((settings, operators))
@@ -60,7 +60,7 @@
         return ExitCode::from(2);
     }
     let workers = &settings.facts.workers;
-    let bound = cancel_bound(workers);
+    let bound = cancellation_bound(workers);
     if bound >= Millis::from_secs(workers.cancel_s) {
         log::warn!(
             "settings: cancelled tasks may be on machines that fall silent for up to {:.1} s, which \
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,6 +1,6 @@
 //! The platform's settings file (TOML) and the operators' own file (S-expressions), read and checked.
 
-use oatloom_core::operators::Operators;
+use oatloom_core::operators::OperatorSettings;
 use oatloom_protocol::settings::{BadField, Settings};
 use std::path::{Path, PathBuf};
 
@@ -46,7 +46,7 @@
 ///
 /// # Errors
 /// It cannot be read, is no S-expression, names an unknown field, or a value is out of its range.
-pub fn operators_file(path: &Path) -> Result<Operators, SettingsError> {
+pub fn operators_file(path: &Path) -> Result<OperatorSettings, SettingsError> {
     operators(&read(path)?)
 }
 
@@ -54,8 +54,8 @@
 ///
 /// # Errors
 /// The text is no S-expression, names an unknown field, or a value is out of its range.
-pub fn operators(text: &str) -> Result<Operators, SettingsError> {
-    let read: Operators = serde_lexpr::from_str(text)
+pub fn operators(text: &str) -> Result<OperatorSettings, SettingsError> {
+    let read: OperatorSettings = serde_lexpr::from_str(text)
         .map_err(|e| BadField::new("operators' file", &e.to_string()))?;
     read.check()?;
     Ok(read)
@@ -92,7 +92,7 @@
     fn operators_sample_is_the_default() {
         let sample = include_str!("../deploy/operators.sample.lisp");
         let parsed = operators(sample).unwrap();
-        assert_eq!(format!("{parsed:?}"), format!("{:?}", Operators::default()));
+        assert_eq!(format!("{parsed:?}"), format!("{:?}", OperatorSettings::default()));
         assert!(operators("((tick-ms . 5))").is_err());
         assert!(operators("((beta . 1.5))").is_err());
         assert!(operators("((novel . 1))").is_err());
@@ -110,7 +110,7 @@
         };
         let known = "quick";
         let entry = |name: &str| format!("((classes (class (name \"{name}\") (repeats 1))))");
-        assert!(read(&entry(known)).is_ok_and(|o| o.classes.of(known).is_some()));
+        assert!(read(&entry(known)).is_ok_and(|o| o.classes.policy_for(known).is_some()));
         assert!(read("((classes (default (repeats 3))))").is_ok());
         for (text, words) in [
             (entry("misspelt"), "classes: the settings know no class misspelt"),
--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -4,10 +4,10 @@
 use oatloom_core::api::Request;
 use oatloom_core::constants::*;
 use oatloom_core::controller::{Action, Controller, Event};
-use oatloom_core::mesh::{Asked, Question};
-use oatloom_core::notes::Notes;
-use oatloom_core::operators::Operators;
-use oatloom_core::reign::{Reign, Terms};
+use oatloom_core::mesh::{PeerRequestFrame, Question};
+use oatloom_core::notes::LeaderHints;
+use oatloom_core::operators::OperatorSettings;
+use oatloom_core::reign::{LeaderConfig, LeaderTerm};
 use oatloom_core::reply::ConnId;
 use oatloom_core::workers::{Fleet, Image};
 use oatloom_protocol::ids::{HostId, JobId, Member, Millis, Mono, Now, Token, Zone};
@@ -27,20 +27,20 @@
 }
 
 /// A leader of so many machines, each with up to so many images.
-fn leader(machines: usize, images: usize, rng: &mut ChaCha8Rng) -> Reign {
-    let mut reign = Reign::new(Token(7), NOW, Fleet::default(), &Terms::default());
+fn leader(machines: usize, images: usize, rng: &mut ChaCha8Rng) -> LeaderTerm {
+    let mut reign = LeaderTerm::new(Token(7), NOW, Fleet::default(), &LeaderConfig::default());
     for n in 0..machines {
         let host = HostId::new(&format!("i-{n:06}"));
-        let machine = reign.fleet.adopt(&host, "f", &Zone::new("a"), false, NOW, NOW);
+        let machine = reign.fleet.add_machine(&host, "f", &Zone::new("a"), false, NOW, NOW);
         let image = |n| Image { name: format!("registry/image-{n:04}"), gb: 5.0, ready: true };
-        machine.recall((0..rng.random_range(1..=images)).map(image).collect());
+        machine.restore_images((0..rng.random_range(1..=images)).map(image).collect());
     }
     reign
 }
 
-fn frame_bytes(notes: Notes) -> usize {
+fn frame_bytes(notes: LeaderHints) -> usize {
     let mut bytes = Vec::new();
-    let asked = Asked { id: u64::MAX, question: Question::Notes(Box::new(notes)) };
+    let asked = PeerRequestFrame { id: u64::MAX, request: Question::LeaderHints(Box::new(notes)) };
     ciborium::into_writer(&asked, &mut bytes).expect("a frame");
     bytes.len()
 }
@@ -53,16 +53,16 @@
         let mut reign = leader(machines, images, &mut rng);
         let (mut told, mut kept, mut notes_sent) = (BTreeSet::new(), None, 0);
         while told.len() < machines {
-            let notes = reign.notes(NOW);
+            let notes = reign.leader_hints(NOW);
             assert!(frame_bytes(notes.clone()) < FRAME_BYTES);
             assert!(!notes.images.is_empty(), "{} of {machines} were told of", told.len());
             told.extend(notes.images.iter().map(|(host, _)| host.clone()));
-            kept = Some(Notes::joined(kept, notes));
+            kept = Some(LeaderHints::merge(kept, notes));
             notes_sent += 1;
         }
-        let took = Millis(notes_sent * NOTES_EVERY_MS.0);
+        let took = Millis(notes_sent * HINTS_PERIOD_MS.0);
         // Forty images on each of 6,000 machines are more than frames carry in time: the rest costs fetches, no rule.
-        assert!(took < NOTES_OLD_MS || images == 40, "{machines} machines take {took:?}");
+        assert!(took < MAX_HINT_AGE_MS || images == 40, "{machines} machines take {took:?}");
         assert_eq!(kept.map(|notes| notes.images.len()), Some(machines));
     }
 }
@@ -70,20 +70,20 @@
 /// As many users may wait for a leader's answer at once as poll within the time that it is waited for.
 #[test]
 fn users_of_a_large_fleet_may_wait_together() {
-    let mut core = Controller::new(settings(), Operators::default(), 1);
+    let mut core = Controller::new(settings(), OperatorSettings::default(), 1);
     let now = Now { mono: NOW, wall_ms: 1_000 };
     let peer = core_peer();
-    let notes = Notes { token: Token(7), leader: Some(peer), ..Notes::default() };
+    let notes = LeaderHints { token: Token(7), leader: Some(peer), ..LeaderHints::default() };
     core.handle(
         now,
         Event::Request {
             conn: ConnId(1),
-            request: Request::Notes(Box::new(notes)),
+            request: Request::LeaderHints(Box::new(notes)),
             forwarded: true,
         },
     );
     // A job on each pair of machines, polled every 5 s: twice as many as poll while one question waits.
-    let waiting = MACHINES / 2 * ASK_TIMEOUT_MS.0 as usize / 5_000 * 2;
+    let waiting = MACHINES / 2 * LEADER_QUERY_TIMEOUT_MS.0 as usize / 5_000 * 2;
     let mut asked = BTreeMap::new();
     for n in 0..waiting as u64 {
         let request = Request::View(JobId::new(&format!("req-{n:06}")));
--- a/tests/graphs.rs
+++ b/tests/graphs.rs
@@ -4,7 +4,7 @@
 #[allow(dead_code)]
 mod world;
 
-use oatloom_ledger::entry::Entry;
+use oatloom_ledger::entry::UsageEntry;
 use oatloom_protocol::ids::JobId;
 use oatloom_protocol::wire::JobStatus;
 use std::collections::{BTreeMap, BTreeSet};
@@ -132,9 +132,20 @@
 }
 
 /// What of an entry does not depend on ids, on where it ran, or on how long it waited there.
-fn plain(entry: &Entry) -> String {
-    let Entry { team, class, shape, rank, ran_ms, unseen_ms, end, stored, goes_on, .. } = entry;
-    let Entry { checkpoint_ms, cpus, gpus, memory_gb, .. } = entry;
+fn plain(entry: &UsageEntry) -> String {
+    let UsageEntry {
+        team,
+        class,
+        shape,
+        rank,
+        ran_ms,
+        unseen_ms,
+        end,
+        progress_saved: stored,
+        goes_on,
+        ..
+    } = entry;
+    let UsageEntry { checkpoint_ms, cpus, gpus, memory_gb, .. } = entry;
     format!(
         "{team} {class} {shape:?} {rank:?} {ran_ms} {unseen_ms} {end:?} {stored} {goes_on} {checkpoint_ms} {cpus} {gpus} \
          {memory_gb}"
--- a/tests/hard.rs
+++ b/tests/hard.rs
@@ -94,7 +94,12 @@
         let (waiting, up) = world.unplaced();
         assert!(waiting > 20 && up == 0, "seed {seed}: {waiting} tasks wait for {up} machines");
         let late = world.load();
-        let all = late.open + late.store + late.cloud + late.asks + late.parked + late.unwritten;
+        let all = late.open_requests
+            + late.store_operations
+            + late.cloud_calls
+            + late.peer_requests
+            + late.parked_reports
+            + late.unwritten;
         assert!(all < 40, "seed {seed}: {early:?} early, {late:?} late");
         // All that may run does, or has.
         let back = 800 + NIGHT_MS;
--- a/tests/inherited_machines.rs
+++ b/tests/inherited_machines.rs
@@ -100,7 +100,7 @@
     let job = Submission::Spec(Box::new(array(1, 8)));
     solo.ask(Request::Submit(job));
     solo.pass(5_000);
-    assert!(solo.core.valid(solo.clock().mono).is_some(), "it leads");
+    assert!(solo.core.valid_token(solo.clock().mono).is_some(), "it leads");
     assert!(solo.hires.is_empty(), "before the list: {:?}", solo.hires);
     solo.list = Some(MachineList { hosts: Vec::new(), more: false });
     solo.pass(10_000);
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -147,7 +147,7 @@
 /// The number of further tasks of a job that could be placed, given where its others are.
 #[test]
 fn placeable_tasks_are_counted_with_zones() {
-    let room = |gpus: f64| oatloom_core::workers::Room { cpus: 64.0, gpus, memory_gb: 64.0 };
+    let room = |gpus: f64| oatloom_core::workers::Resources { cpus: 64.0, gpus, memory_gb: 64.0 };
     let free = |zone: &str, spot, gpus| Free {
         flavor: "g4".into(),
         zone: zone.into(),
@@ -738,7 +738,7 @@
     report_seq: u64,
     tasks: &[(&str, TaskPhase)],
 ) -> Vec<Order> {
-    let token = solo.core.valid(solo.clock().mono).expect("it leads");
+    let token = solo.core.valid_token(solo.clock().mono).expect("it leads");
     let row = |(task, status): &(&str, TaskPhase)| TaskReport {
         task: (*task).into(),
         attempt: Attempt(5),
--- a/tests/looks.rs
+++ b/tests/looks.rs
@@ -6,7 +6,7 @@
 
 use oatloom_core::api::{Request, Submission};
 use oatloom_core::controller::Event;
-use oatloom_core::jobs::{LiveRecord, OverRecord};
+use oatloom_core::jobs::{FinalRecord, LiveRecord};
 use oatloom_core::store::{StoreOp, StoreReply};
 use oatloom_protocol::ids::JobId;
 use oatloom_protocol::wire::{Change, JobSpec, JobStatus};
@@ -591,7 +591,7 @@
         let early = ask(&mut solo, early);
         assert_eq!(solo.held.len(), 1, "the first lookup has read the job as open");
         let status = JobStatus::Cancelled;
-        let end = OverRecord { status, done: 0, failure: None, spent: None, part: None };
+        let end = FinalRecord { status, done: 0, failure: None, spent: None, part: None };
         let delete_live = Change::Delete { key: "live/req-1".into() };
         solo.write(vec![Change::put("over/req-1".into(), json!(end)), delete_live]);
         solo.hold = |_| false;
@@ -617,7 +617,7 @@
         solo.pass(500);
         let spec = one_task("req-1", 9);
         let status = JobStatus::Done;
-        let end = OverRecord { status, done: 1, failure: None, spent: None, part: None };
+        let end = FinalRecord { status, done: 1, failure: None, spent: None, part: None };
         let live = LiveRecord { spec: spec.clone(), wall_ms: 1, part: None };
         solo.write(vec![match finished {
             true => Change::put("over/req-1".into(), json!(end)),
@@ -645,7 +645,7 @@
     let live = LiveRecord { spec: one_task("req-1", 9), wall_ms: 1, part: None };
     solo.write(vec![Change::put("live/req-1".into(), json!(live))]);
     solo.pass(500);
-    assert!(solo.core.valid(solo.clock().mono).is_some(), "it leads");
+    assert!(solo.core.valid_token(solo.clock().mono).is_some(), "it leads");
     let id = JobId::new("req-1");
     solo.hold = |op| match op {
         StoreOp::Txn(txn) => txn
@@ -658,7 +658,7 @@
     solo.pass(100);
     let (op, ..) = solo.held.pop().expect("its final state is being written");
     let status = JobStatus::Done;
-    let end = OverRecord { status, done: 1, failure: None, spent: None, part: None };
+    let end = FinalRecord { status, done: 1, failure: None, spent: None, part: None };
     let delete_live = Change::Delete { key: "live/req-1".into() };
     solo.write(vec![Change::put("over/req-1".into(), json!(end)), delete_live]);
     solo.event(Event::Store { id: op, reply: StoreReply::Lost });
@@ -681,7 +681,7 @@
     solo.write(vec![Change::put("live/req-1".into(), json!(live))]);
     solo.hold = |op| matches!(op, StoreOp::List { prefix, .. } if prefix == "asg/");
     solo.pass(3_000);
-    assert!(solo.core.leads() && !solo.held.is_empty(), "it reads assignments");
+    assert!(solo.core.holds_leader_key() && !solo.held.is_empty(), "it reads assignments");
     let conn = solo.ask(Request::Submit(Submission::Spec(Box::new(spec))));
     solo.pass(100);
     assert_eq!(solo.reply(conn).map(|reply| reply.status), Some(200));
--- a/tests/machines.rs
+++ b/tests/machines.rs
@@ -134,7 +134,7 @@
 fn machines_known_only_from_old_reports_are_ignored() {
     let mut solo = Solo::new();
     solo.pass(500);
-    let token = solo.core.valid(solo.clock().mono).expect("it leads").0;
+    let token = solo.core.valid_token(solo.clock().mono).expect("it leads").0;
     for n in 0..4 {
         solo.ask(Request::Report(Box::new(report(&format!("i-{n}"), "a", 1, 40, 0))));
     }
@@ -144,11 +144,12 @@
         let present = report("i-9", "b", 1, report_seq, if report_seq > 1 { token } else { 0 });
         solo.ask(Request::Report(Box::new(present)));
         solo.pass(1_000);
-        let leader_term = solo.core.reign().expect("it leads");
-        let (zones, job) = (&leader_term.fleet.zones, leader_term.book.get(&JobId::new("req-1")));
-        assert!(!zones.lost(&Zone::new("a")), "{report_seq}");
+        let leader_term = solo.core.leader_term().expect("it leads");
+        let (zones, job) =
+            (&leader_term.fleet.zones, leader_term.job_table.get(&JobId::new("req-1")));
+        assert!(!zones.is_lost(&Zone::new("a")), "{report_seq}");
         let hosts: Vec<&str> =
-            job.iter().flat_map(|j| j.holds()).map(|(_, hold)| hold.host.as_str()).collect();
+            job.iter().flat_map(|j| j.assignments()).map(|(_, hold)| hold.host.as_str()).collect();
         assert!(hosts.iter().all(|host| *host == "i-9"), "{report_seq}: {hosts:?}");
         placed |= !hosts.is_empty();
     }
@@ -452,15 +453,15 @@
         Change::put("asg/req-1/0000".into(), json!(record)),
     ]);
     solo.pass(500);
-    let token = solo.core.valid(solo.clock().mono).expect("it leads").0;
+    let token = solo.core.valid_token(solo.clock().mono).expect("it leads").0;
     (solo, token)
 }
 
 /// The attempt of that task in the leader's job table, and whether it was sent.
 fn assigned_attempt(solo: &Solo) -> Option<(u64, RunSent)> {
     let task = TaskId::new(&JobId::new("req-1"), 0);
-    let hold = solo.core.reign().and_then(|leader_term| leader_term.book.held(&task));
-    hold.map(|hold| (hold.attempt.0, hold.run))
+    let hold = solo.core.leader_term().and_then(|leader_term| leader_term.job_table.held(&task));
+    hold.map(|hold| (hold.attempt.0, hold.run_sent))
 }
 
 /// Answers to direct commands are not ordered relative to reports. Guards against an answer that ends anything but an attempt
@@ -487,7 +488,7 @@
             tasks,
             ..report("i-1", "a", session, 21, if knows_token { token } else { 0 })
         };
-        solo.event(Event::Obeyed { report: Some(Box::new(answer)) });
+        solo.event(Event::CommandReply { report: Some(Box::new(answer)) });
         assert_eq!(assigned_attempt(&solo).is_none_or(|h| h.0 != 9), ends, "{context}");
     }
 }
@@ -680,7 +681,7 @@
             Change::put("asg/req-1/0000".into(), json!(record)),
         ]);
         solo.pass(500);
-        let token = solo.core.valid(solo.clock().mono).expect("it leads").0;
+        let token = solo.core.valid_token(solo.clock().mono).expect("it leads").0;
         // The tasks of each machine, as it would report them.
         let mut machine_tasks: [Vec<TaskReport>; 2] = [
             vec![task_row("req-1/0", Attempt(5), TaskPhase::Exited, Some(cause))],
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -11,7 +11,7 @@
 use oatloom_core::controller::{Action, Controller, Event};
 use oatloom_core::inbox::{Admitted, DroppedReports, Inbox};
 use oatloom_core::jobs::{self, ChunkRecord, LiveRecord};
-use oatloom_core::operators::Operators;
+use oatloom_core::operators::OperatorSettings;
 use oatloom_core::reply::ConnId;
 use oatloom_core::store::{OpId, StoreOp, StoreReply};
 use oatloom_protocol::ids::{
@@ -285,7 +285,7 @@
             user.next = rng.random_range(0..POLL_MS);
         }
         Self {
-            core: Controller::new(settings, Operators::default(), rng.random()),
+            core: Controller::new(settings, OperatorSettings::default(), rng.random()),
             state,
             inbox: Inbox::new(connections),
             dropped_reports: DroppedReports::default(),
@@ -320,7 +320,7 @@
         if self.planted == Planted::QueueWithoutAge {
             return self.plain.push_back((from, request));
         }
-        let kind = self.dropped_reports.kind_of(&request, self.core.leader_token());
+        let kind = self.dropped_reports.classify(&request, self.core.leader_token());
         if let Some(Admitted::Drop((from, request), retry)) =
             self.inbox.push(Mono(self.now), kind, false, (from, request))
         {
@@ -330,7 +330,7 @@
 
     /// A caller is told at once to come back.
     fn turn_away(&mut self, from: From, request: &Request, retry_after_s: u32) {
-        self.dropped_reports.dropped(request);
+        self.dropped_reports.record_dropped(request);
         self.budget_us -= if self.planted == Planted::DearRefusals {
             self.costs.report
         } else {
@@ -438,7 +438,7 @@
                 }
             }
             Action::Store { id, op: StoreOp::Follow { prefix, after }, .. } => {
-                self.watches.push((self.now + FOLLOW_HOLD_MS.0, id, prefix, after));
+                self.watches.push((self.now + WATCH_HOLD_MS.0, id, prefix, after));
             }
             Action::Store { id, op, .. } => {
                 let reply = match &op {
@@ -459,18 +459,18 @@
                 self.later(200, Event::Cloud { id, reply });
             }
             Action::Ask { id, .. } => self.later(500, Event::Told { id, reply: None }),
-            Action::Command { .. } => self.later(800, Event::Obeyed { report: None }),
+            Action::Command { .. } => self.later(800, Event::CommandReply { report: None }),
         }
     }
 
     /// Has the controller handle an event that costs so much.
     fn handle(&mut self, event: Event, cost_us: f64) {
         let now = Now { mono: Mono(CLOCK_START_MS.0 + self.now), wall_ms: 1_000_000 + self.now };
-        let (looks, parked) = (self.core.parked_looks(), self.core.waiting().parked);
+        let (looks, parked) = (self.core.parked_checks(), self.core.waiting().parked_reports);
         let actions = self.core.handle(now, event);
         let looked = match self.planted {
             Planted::LooksAtAll => parked as u64,
-            _ => self.core.parked_looks() - looks,
+            _ => self.core.parked_checks() - looks,
         };
         self.budget_us -= cost_us + self.costs.look * looked as f64;
         actions.into_iter().for_each(|action| self.perform(action));
@@ -485,7 +485,7 @@
             match self.inbox.pop(Mono(self.now))? {
                 Admitted::Take(next, age) => {
                     self.dropped_reports.taken(&next.1);
-                    self.core.lags(age);
+                    self.core.set_queue_delay(age);
                     return Some(next);
                 }
                 Admitted::Drop((from, request), retry) => self.turn_away(from, &request, retry),
--- a/tests/owners.rs
+++ b/tests/owners.rs
@@ -6,7 +6,9 @@
 #[allow(dead_code)]
 mod world;
 
-use oatloom_core::constants::{CLOCK_START_MS, LEADER_TTL_MS, ORPHANED_MS, STORE_TIMEOUT_MS};
+use oatloom_core::constants::{
+    CLOCK_START_MS, LEADER_LEASE_TTL_MS, OWNER_FAILOVER_MS, STORE_TIMEOUT_MS,
+};
 use oatloom_core::owners::{OwnerTask, ShareOwners, StoreRequest};
 use oatloom_core::store::{StoreOp, StoreReply};
 use oatloom_protocol::ids::{HostId, Member, Mono, Revision, Token};
@@ -162,7 +164,7 @@
         for request in requests {
             let (incarnation, sent) = (self.nodes[n].incarnation, self.clock(n));
             let op = match &request {
-                StoreRequest::GrantLease => StoreOp::Grant { ttl_ms: LEADER_TTL_MS.0 },
+                StoreRequest::GrantLease => StoreOp::Grant { ttl_ms: LEADER_LEASE_TTL_MS.0 },
                 StoreRequest::RenewLease(lease) => StoreOp::Touch { lease: *lease },
                 StoreRequest::ListKeys { after, .. } => {
                     StoreOp::List { prefix: OWNER_KEY_PREFIX.into(), after: after.clone() }
@@ -563,6 +565,8 @@
     }
     outages.sort_unstable();
     eprintln!("shares of the crashed owner were unanswered for {outages:?} ms");
-    let limit = LEADER_TTL_MS.0 + 2_000 + STORE_TIMEOUT_MS.0;
-    assert!(outages[outages.len() / 2] <= ORPHANED_MS.0 && outages.iter().all(|ms| *ms <= limit));
+    let limit = LEADER_LEASE_TTL_MS.0 + 2_000 + STORE_TIMEOUT_MS.0;
+    assert!(
+        outages[outages.len() / 2] <= OWNER_FAILOVER_MS.0 && outages.iter().all(|ms| *ms <= limit)
+    );
 }
--- a/tests/quiet_controllers.rs
+++ b/tests/quiet_controllers.rs
@@ -23,7 +23,7 @@
 use oatloom_core::api::Request;
 use oatloom_core::controller::Event;
 use oatloom_core::store::{OpId, StoreOp, StoreReply};
-use oatloom_membership::{Gossip, Incarnation, constants::VERSION};
+use oatloom_membership::{Gossip, Incarnation, constants::GOSSIP_VERSION};
 use oatloom_protocol::ids::{JobId, Member, Token};
 use oatloom_protocol::wire::Change;
 use std::collections::BTreeMap;
@@ -35,15 +35,15 @@
 
 /// What another controller, which leads and was served so long ago, says.
 fn greeting(solo: &Solo, served_ms: u64) -> Request {
-    Request::Greet(Box::new(Gossip {
-        version: VERSION,
+    Request::Gossip(Box::new(Gossip {
+        version: GOSSIP_VERSION,
         from: Member::new("n-1"),
         incarnation: Incarnation { started_ms: 1, nonce: 1 },
         at_ms: solo.clock().wall_ms,
         ready: true,
         store_ms: Some(served_ms),
         leader: Some((Member::new("n-1"), Token(1))),
-        words: Vec::new(),
+        peer_reports: Vec::new(),
     }))
 }
 
@@ -87,7 +87,7 @@
         }
         if solo.now.is_multiple_of(1_000) {
             solo.ask(greeting(&solo, 100));
-            let conn = solo.ask(Request::Up);
+            let conn = solo.ask(Request::HealthProbe);
             if solo.reply(conn).map(|reply| reply.status) != Some(200) {
                 bad.push(solo.now);
             }
@@ -133,7 +133,7 @@
             if solo.now.is_multiple_of(500) {
                 let served_ms = 100 + solo.now.saturating_sub(begins);
                 solo.ask(greeting(&solo, served_ms));
-                let conn = solo.ask(Request::Up);
+                let conn = solo.ask(Request::HealthProbe);
                 if solo.reply(conn).map(|reply| reply.status) != Some(200) {
                     bad.push(solo.now);
                 }
@@ -158,7 +158,7 @@
                 solo.event(Event::Told { id, reply: None });
             }
         }
-        let conn = solo.ask(Request::Up);
+        let conn = solo.ask(Request::HealthProbe);
         if solo.reply(conn).map(|reply| reply.status) != Some(200) {
             bad.push(solo.now);
         }
--- a/tests/samples/mod.rs
+++ b/tests/samples/mod.rs
@@ -1,8 +1,8 @@
 //! One sample of each kind of record and message, as JSON, with the type that writes and reads it. The version in production
 //! wrote `tests/data/production.json` from the same samples.
 
-use oatloom_core::jobs::{ChunkRecord, LiveRecord, OverRecord};
-use oatloom_core::mesh::{Asked, Told};
+use oatloom_core::jobs::{ChunkRecord, FinalRecord, LiveRecord};
+use oatloom_core::mesh::{PeerRequestFrame, Told};
 use oatloom_graph::records as graph;
 use oatloom_ledger::rollup::{Cursor, Rollup};
 use serde::Serialize;
@@ -107,12 +107,12 @@
             "assignments, failures and usage",
             json!({"d": "0", "a": assignments, "u": size, "e": charges, "l": usage_by_day()}),
         ),
-        record::<OverRecord>("over, done", json!({"s": "done", "n": 16})),
-        record::<OverRecord>(
+        record::<FinalRecord>("over, done", json!({"s": "done", "n": 16})),
+        record::<FinalRecord>(
             "over, cancelled",
             json!({"s": "cancelled", "n": 3, "u": {"t": "vision", "c": "train", "d": usage_by_day()}}),
         ),
-        record::<OverRecord>(
+        record::<FinalRecord>(
             "over, failed",
             json!({"s": "failed", "n": 0, "f": failure(), "g": {"n": [[4, 2]], "d": [0], "c": [[1, 4]]}}),
         ),
@@ -138,13 +138,13 @@
             "graph over page",
             json!({"n": [["n", 1, "d"], ["m", 2, "f"]], "f": [{"node": "m"}]}),
         ),
-        message::<Asked>("ask: view", peer_request(json!({"View": "req-000412"}))),
-        message::<Asked>("ask: abort", peer_request(json!({"Abort": "req-000412"}))),
-        message::<Asked>("ask: submit", peer_request(json!({"Submit": spec()}))),
-        message::<Asked>("ask: report", peer_request(json!({"Report": report()}))),
-        message::<Asked>("ask: notes", peer_request(json!({"Notes": leader_hints}))),
-        message::<Asked>("ask: greet", peer_request(json!({"Greet": gossip()}))),
-        message::<Asked>(
+        message::<PeerRequestFrame>("ask: view", peer_request(json!({"View": "req-000412"}))),
+        message::<PeerRequestFrame>("ask: abort", peer_request(json!({"Abort": "req-000412"}))),
+        message::<PeerRequestFrame>("ask: submit", peer_request(json!({"Submit": spec()}))),
+        message::<PeerRequestFrame>("ask: report", peer_request(json!({"Report": report()}))),
+        message::<PeerRequestFrame>("ask: notes", peer_request(json!({"Notes": leader_hints}))),
+        message::<PeerRequestFrame>("ask: greet", peer_request(json!({"Greet": gossip()}))),
+        message::<PeerRequestFrame>(
             "ask: graph",
             peer_request(json!({"Graph": {"Cancel": ["graph-7", key]}})),
         ),
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -1,10 +1,10 @@
 //! What a placement pass costs on a fleet of many hundreds of machines, counted in looks at a
 //! machine and not in time, and whether its starts hold what they promise at that size.
 
-use oatloom_core::cloud::Kind;
-use oatloom_core::jobs::{Book, Hold, Job, LiveRecord, RunSent, Usage};
-use oatloom_core::placement::{self, Inputs, Plan};
-use oatloom_core::workers::{Fleet, Image, Life, Room};
+use oatloom_core::cloud::MachineKind;
+use oatloom_core::jobs::{Job, JobTable, LiveRecord, RunSent, TaskAssignment, TeamUsage};
+use oatloom_core::placement::{self, PlacementInputs, PlacementPlan};
+use oatloom_core::workers::{Fleet, Image, MachineState, Resources};
 use oatloom_protocol::ids::{Attempt, HostId, JobId, Millis, Mono, Now, Revision, Shift, Zone};
 use oatloom_protocol::settings::Settings;
 use oatloom_protocol::wire::{Catalog, Flavor, JobSpec, Rank, Shape};
@@ -53,16 +53,16 @@
     let mut fleet = Fleet { catalog: Some(Catalog { flavors: vec![flavor] }), ..Fleet::default() };
     for n in 0..machines {
         let (host, zone) = (HostId::new(&format!("i-{n:06}")), Zone::new(ZONES[n % 3]));
-        let machine = fleet.adopt(&host, "f", &zone, n % 2 == 0, NOW, NOW);
-        machine.shift = Shift(1);
-        machine.enter(Life::Live, "test");
+        let machine = fleet.add_machine(&host, "f", &zone, n % 2 == 0, NOW, NOW);
+        machine.session = Shift(1);
+        machine.set_state(MachineState::Live, "test");
     }
     fleet
 }
 
 /// Jobs of every shape; a few sizes, as users have them.
-fn book(jobs: usize, rng: &mut ChaCha8Rng) -> Book {
-    let mut book = Book::default();
+fn book(jobs: usize, rng: &mut ChaCha8Rng) -> JobTable {
+    let mut book = JobTable::default();
     for n in 0..jobs {
         let (shape, tasks, gpus, class) = match n % 4 {
             0 => (Shape::Service, [4, 8, 12][rng.random_range(0..3)], 1.0, "quick"),
@@ -99,46 +99,46 @@
     book
 }
 
-fn pass(settings: &Settings, book: &mut Book, fleet: &Fleet, hire: bool) -> Plan {
+fn pass(settings: &Settings, book: &mut JobTable, fleet: &Fleet, hire: bool) -> PlacementPlan {
     let paced: BTreeMap<JobId, u32> = book.jobs.keys().map(|id| (id.clone(), 1_000)).collect();
-    let refused = |_: &Kind| !hire;
-    placement::plan(Inputs {
+    let refused = |_: &MachineKind| !hire;
+    placement::plan(PlacementInputs {
         now: NOW.plus(Millis(1_000)),
         settings,
-        book,
+        job_table: book,
         fleet,
-        paced: &paced,
-        awaited: Vec::new(),
+        array_task_limits: &paced,
+        pending_hires: Vec::new(),
         expected: &[],
         refused: &refused,
     })
 }
 
 /// Takes a plan's starts up as a leader would, and checks what each must keep to.
-fn start(plan: &Plan, settings: &Settings, book: &mut Book, fleet: &mut Fleet) {
+fn start(plan: &PlacementPlan, settings: &Settings, book: &mut JobTable, fleet: &mut Fleet) {
     let mut started: BTreeMap<&JobId, u32> = BTreeMap::new();
     for (n, (id, index, host)) in plan.starts.iter().enumerate() {
         *started.entry(id).or_default() += 1;
         let spec = book.get(id).expect("a known job").spec.clone();
-        let need = Room::from(&*spec);
+        let need = Resources::from(&*spec);
         let machine = &fleet.machines[host];
-        assert!(fleet.free_room(machine).fits(&need), "{id}/{index} finds no room on {host}");
+        assert!(fleet.free_resources(machine).fits(&need), "{id}/{index} finds no room on {host}");
         let job = book.get(id).expect("a known job");
-        assert!(placement::permitted(settings, book, job, machine), "{id}/{index} on {host}");
-        let hold = Hold {
+        assert!(placement::may_place(settings, book, job, machine), "{id}/{index} on {host}");
+        let hold = TaskAssignment {
             host: host.clone(),
-            shift: Shift(1),
+            session: Shift(1),
             zone: machine.zone.clone(),
             attempt: match spec.shape {
                 Shape::Gang => Attempt(1),
                 _ => Attempt(n as u64 + 2),
             },
-            version: 0,
-            run: RunSent::No,
+            chunk_version: 0,
+            run_sent: RunSent::No,
             phase: None,
-            since: NOW,
+            assigned_at: NOW,
             running_since: None,
-            told_ms: None,
+            reported_run_ms: None,
             stop: None,
         };
         assert!(book.hold(id, *index, hold), "{id}/{index} is placed twice");
@@ -192,7 +192,7 @@
     bound.facts.teams[0].gpus_max = 500.0;
     let cost = |settings: &Settings, used: f64| {
         let mut book = book(1_000, &mut ChaCha8Rng::seed_from_u64(3));
-        book.usage.insert("red".into(), Usage { cpus: 0.0, gpus: used });
+        book.usage.insert("red".into(), TeamUsage { cpus: 0.0, gpus: used });
         let from = std::time::Instant::now();
         let plan = pass(settings, &mut book, &fleet, true);
         (plan.steps, plan.starts.len(), from.elapsed())
@@ -218,11 +218,11 @@
 }
 
 /// A fleet full of array tasks, and a gang of four in a hurry, each task as large as a machine.
-fn crowded(one_zone: bool, spread: bool) -> (Book, Fleet, JobId) {
+fn crowded(one_zone: bool, spread: bool) -> (JobTable, Fleet, JobId) {
     let settings = settings();
     let mut fleet = fleet(12);
-    let mut book = Book::default();
-    let add = |book: &mut Book, n: usize, shape, tasks, rank, class: &str| {
+    let mut book = JobTable::default();
+    let add = |book: &mut JobTable, n: usize, shape, tasks, rank, class: &str| {
         let id = JobId::new(&format!("req-{n:06}"));
         let text = format!(
             r#"{{"nameId":"{id}","jobclass":"{class}","owner":"red","shape":"{shape}","rank":"{rank}",
@@ -251,10 +251,10 @@
     for (one_zone, spread) in [(true, false), (false, true), (false, false)] {
         let (mut book, fleet, gang) = crowded(one_zone, spread);
         let plan = pass(&settings(), &mut book, &fleet, true);
-        assert_eq!((plan.stops.len(), plan.reserve.len()), (4, 4));
+        assert_eq!((plan.stops.len(), plan.reservations.len()), (4, 4));
         assert!(plan.hires.is_empty(), "what it clears comes sooner than what it could hire");
         let mut zones: BTreeMap<&Zone, u32> = BTreeMap::new();
-        for (host, job) in &plan.reserve {
+        for (host, job) in &plan.reservations {
             assert_eq!(*job, gang);
             *zones.entry(&fleet.machines[host].zone).or_default() += 1;
         }
@@ -270,21 +270,21 @@
     let (mut book, fleet, gang) = crowded(true, false);
     let spec = book.get(&gang).expect("the gang").spec.clone();
     book.jobs.remove(&gang);
-    let ready = |book: &mut Book, fleet: &Fleet| {
-        placement::plan(Inputs {
+    let ready = |book: &mut JobTable, fleet: &Fleet| {
+        placement::plan(PlacementInputs {
             now: NOW.plus(Millis(1_000)),
             settings: &settings(),
-            book,
+            job_table: book,
             fleet,
-            paced: &BTreeMap::new(),
-            awaited: Vec::new(),
-            expected: &[(Job::expected(&spec, 4, NOW), 2)],
+            array_task_limits: &BTreeMap::new(),
+            pending_hires: Vec::new(),
+            expected: &[(Job::forecast(&spec, 4, NOW), 2)],
             refused: &|_| false,
         })
     };
     assert!(ready(&mut book, &fleet).hires.is_empty());
     let empty = Fleet { catalog: fleet.catalog.clone(), ..Fleet::default() };
-    let plan = ready(&mut Book::default(), &empty);
+    let plan = ready(&mut JobTable::default(), &empty);
     let mut zones: BTreeMap<&Zone, u32> = BTreeMap::new();
     for (kind, _) in &plan.hires {
         assert!(kind.spot);
@@ -295,7 +295,7 @@
 }
 
 /// A book of one-task jobs of this shape, rank and image, and tasks of a GPU.
-fn add(book: &mut Book, n: usize, shape: Shape, rank: Rank, tasks: u32, image: &str) -> JobId {
+fn add(book: &mut JobTable, n: usize, shape: Shape, rank: Rank, tasks: u32, image: &str) -> JobId {
     let service = shape == Shape::Service;
     let spec = JobSpec {
         id: JobId::new(&format!("req-{n:06}")),
@@ -332,13 +332,13 @@
     let settings = settings();
     // Only ordinary machines take these jobs: one, of four GPUs.
     let fleet = fleet(2);
-    let mut book = Book::default();
+    let mut book = JobTable::default();
     let first = add(&mut book, 1, Shape::Service, Rank::Critical, 4, "img-1");
     let second = add(&mut book, 2, Shape::Service, Rank::High, 1, "img-2");
     let plan = pass(&settings, &mut book, &fleet, false);
     assert_eq!(plan.starts.iter().filter(|(id, ..)| *id == first).count(), 4);
     assert!(plan.starts.iter().all(|(id, ..)| *id != second));
-    assert!(plan.reserve.is_empty() && plan.stops.is_empty(), "{:?}", plan.reserve);
+    assert!(plan.reservations.is_empty() && plan.stops.is_empty(), "{:?}", plan.reservations);
 }
 
 /// Guards against replicas of a lost zone that waited a minute and more for their image on the first room that fell free,
@@ -348,28 +348,33 @@
     let settings = settings();
     for was_up in [true, false] {
         let mut fleet = fleet(4);
-        let mut book = Book::default();
+        let mut book = JobTable::default();
         let array = add(&mut book, 1, Shape::Array, Rank::Standard, 4, "img-1");
         let service = add(&mut book, 2, Shape::Service, Rank::Critical, 1, "img-2");
         let (with_image, free) = (HostId::new("i-000001"), HostId::new("i-000003"));
         let machine = fleet.machines.get_mut(&with_image).expect("a known machine");
-        machine.recall(vec![Image { name: "img-2".into(), gb: 20.0, ready: true }]);
+        machine.restore_images(vec![Image { name: "img-2".into(), gb: 20.0, ready: true }]);
         let starts = (0..4).map(|index| (array.clone(), index, with_image.clone())).collect();
-        start(&Plan { starts, ..Plan::default() }, &settings, &mut book, &mut fleet);
-        book.jobs.get_mut(&service).expect("a known job").up = was_up;
+        start(
+            &PlacementPlan { starts, ..PlacementPlan::default() },
+            &settings,
+            &mut book,
+            &mut fleet,
+        );
+        book.jobs.get_mut(&service).expect("a known job").was_up = was_up;
         let plan = pass(&settings, &mut book, &fleet, false);
         let started: Vec<&HostId> =
             plan.starts.iter().filter(|(id, ..)| *id == service).map(|(.., host)| host).collect();
         if was_up {
             assert!(started.is_empty(), "{started:?}");
-            assert_eq!(plan.reserve, [(with_image.clone(), service.clone())]);
+            assert_eq!(plan.reservations, [(with_image.clone(), service.clone())]);
             assert_eq!(plan.stops.len(), 1);
             // Its room is free and kept for it: it starts there in the next pass.
             let (task, ..) = &plan.stops[0];
-            book.free(&task.job, task.index, false);
+            book.unassign(&task.job, task.index, false);
             let machine = fleet.machines.get_mut(&with_image).expect("a known machine");
-            machine.free(task, NOW);
-            machine.reserved = Some((service.clone(), NOW.plus(Millis(20_000))));
+            machine.unassign(task, NOW);
+            machine.reservation = Some((service.clone(), NOW.plus(Millis(20_000))));
             let plan = pass(&settings, &mut book, &fleet, false);
             assert!(plan.starts.contains(&(service, 0, with_image)), "{:?}", plan.starts);
         } else {
--- a/tests/terms.rs
+++ b/tests/terms.rs
@@ -5,7 +5,7 @@
 
 use oatloom_core::api::{Request, Submission};
 use oatloom_core::controller::Event;
-use oatloom_core::jobs::{ChunkRecord, LIVE, LiveRecord, OverRecord};
+use oatloom_core::jobs::{ChunkRecord, FinalRecord, LIVE_PREFIX, LiveRecord};
 use oatloom_core::store::{StoreOp, StoreReply};
 use oatloom_protocol::ids::*;
 use oatloom_protocol::reply::HttpReply;
@@ -20,7 +20,7 @@
 
 fn cancelled() -> serde_json::Value {
     let status = JobStatus::Cancelled;
-    json!(OverRecord { status, done: 0, failure: None, spent: None, part: None })
+    json!(FinalRecord { status, done: 0, failure: None, spent: None, part: None })
 }
 
 fn report(tally: u64, tasks: Vec<TaskReport>) -> Request {
@@ -74,7 +74,7 @@
         let mut solo = with_a_cancelled_job();
         solo.hold = |op| matches!(op, StoreOp::List { .. });
         solo.pass(500);
-        assert!(solo.core.valid(solo.clock().mono).is_some(), "it leads");
+        assert!(solo.core.valid_token(solo.clock().mono).is_some(), "it leads");
         let conn = solo.ask(report(1, vec![running("req-1/0")]));
         solo.pass(1_000);
         assert_eq!(solo.reply(conn), None, "nothing is said while the book is being read");
@@ -126,8 +126,8 @@
         let id = JobId::new("req-7");
         solo.execute_held = true;
         solo.hold = |op| match op {
-            StoreOp::Txn(txn) => txn.conditions.iter().any(|c| c.key.starts_with(LIVE)),
-            StoreOp::Get { key } => key.starts_with(LIVE),
+            StoreOp::Txn(txn) => txn.conditions.iter().any(|c| c.key.starts_with(LIVE_PREFIX)),
+            StoreOp::Get { key } => key.starts_with(LIVE_PREFIX),
             _ => false,
         };
         if lookup {
@@ -146,10 +146,10 @@
         ]);
         solo.state.execute(solo.now, &StoreOp::Revoke { lease });
         solo.pass(1_000);
-        assert!(solo.core.valid(solo.clock().mono).is_some(), "it leads now");
+        assert!(solo.core.valid_token(solo.clock().mono).is_some(), "it leads now");
         solo.hold = |_| false;
         solo.release();
-        assert!(solo.core.reign().is_some_and(|reign| reign.book.get(&id).is_none()));
+        assert!(solo.core.leader_term().is_some_and(|reign| reign.job_table.get(&id).is_none()));
         let conn = solo.ask(Request::View(id.clone()));
         solo.pass(100);
         let said = solo.reply(conn).map(|reply| reply.body.contains("cancelled"));
@@ -199,20 +199,22 @@
 fn a_watch_that_fell_behind_ends_the_term() {
     let mut solo = Solo::new();
     solo.pass(1_000);
-    let before = solo.core.valid(solo.clock().mono).expect("it leads");
-    let at = solo.watches.iter().position(|(_, prefix, _)| prefix == LIVE).expect("it watches");
+    let before = solo.core.valid_token(solo.clock().mono).expect("it leads");
+    let at =
+        solo.watches.iter().position(|(_, prefix, _)| prefix == LIVE_PREFIX).expect("it watches");
     let (id, ..) = solo.watches.remove(at);
     solo.event(Event::Store { id, reply: StoreReply::TooOld });
-    assert_eq!(solo.core.valid(solo.clock().mono), None);
+    assert_eq!(solo.core.valid_token(solo.clock().mono), None);
     solo.pass(6_000);
-    let after = solo.core.valid(solo.clock().mono).expect("it leads again");
+    let after = solo.core.valid_token(solo.clock().mono).expect("it leads again");
     assert!(after > before, "{before:?} {after:?}");
     // What is accepted elsewhere is seen though the watch of the earlier term is still open.
     let record = LiveRecord { spec: spec("req-8"), wall_ms: 1_000_000, part: None };
     solo.write(vec![Change::put("live/req-8".into(), json!(record))]);
     solo.pass(200);
-    let open =
-        |solo: &Solo| solo.core.reign().is_some_and(|r| r.book.get(&JobId::new("req-8")).is_some());
+    let open = |solo: &Solo| {
+        solo.core.leader_term().is_some_and(|r| r.job_table.get(&JobId::new("req-8")).is_some())
+    };
     assert!(open(&solo));
 }
 
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -6,7 +6,7 @@
 use oatloom_core::api::{Request, Submission};
 use oatloom_core::controller::{Controller, Event};
 use oatloom_core::jobs::ChunkRecord;
-use oatloom_core::operators::Operators;
+use oatloom_core::operators::OperatorSettings;
 use oatloom_core::store::{StoreOp, StoreReply};
 use oatloom_protocol::ids::*;
 use oatloom_protocol::wire::{Change, Report, TaskPhase, TaskReport};
@@ -108,14 +108,14 @@
 impl Fallen {
     fn new(refuses: fn(&StoreOp) -> bool, upgraded: bool) -> Self {
         let settings = world::settings(&world::SETTINGS.replace("txn_ops = 16\n", NEXT), 0);
-        let core = Controller::new(settings, Operators::default(), 7);
+        let core = Controller::new(settings, OperatorSettings::default(), 7);
         let mut solo = Solo::new();
         (solo.core, solo.hold) = (core, refuses);
         for member in ["n-1", "n-2"].iter().filter(|_| upgraded) {
             announce(&mut solo, member, 2);
         }
         solo.pass(6_000);
-        assert!(solo.core.leads() && solo.core.all_upgraded() == upgraded);
+        assert!(solo.core.holds_leader_key() && solo.core.all_upgraded() == upgraded);
         Self { solo, refused: Vec::new(), tally: 0 }
     }
 
@@ -160,7 +160,7 @@
             stored: false,
             ran_ms: None,
         });
-        let token = self.solo.core.valid(self.solo.clock().mono).unwrap_or_default();
+        let token = self.solo.core.valid_token(self.solo.clock().mono).unwrap_or_default();
         let report = Report {
             host: host.clone(),
             addr: "10.0.0.9:1".into(),
--- a/tests/usage.rs
+++ b/tests/usage.rs
@@ -4,10 +4,10 @@
 #[allow(dead_code)]
 mod world;
 
-use oatloom_core::jobs::{ChunkRecord, OverRecord};
-use oatloom_ledger::entry::{End, Entry};
-use oatloom_ledger::rollup::{CURSOR, Cursor, Days, ROLLUPS, Rollup, Slot};
-use oatloom_ledger::tally::{Line, Tally, word};
+use oatloom_core::jobs::{ChunkRecord, FinalRecord};
+use oatloom_ledger::entry::{End, UsageEntry};
+use oatloom_ledger::rollup::{CURSOR_KEY, Cursor, ROLLUP_PREFIX, Rollup, RollupId, UsageByDay};
+use oatloom_ledger::tally::{Line, UsageByBucket, end_name};
 use oatloom_protocol::wire::{Cause, Shape};
 use std::collections::BTreeMap;
 use world::{World, more_days, show_log};
@@ -15,26 +15,26 @@
 /// Sums by cause of everything that is accounted, wherever it stands.
 fn accounted(world: &World) -> BTreeMap<String, Line> {
     let mut sums: BTreeMap<String, Line> = BTreeMap::new();
-    let mut add = |tally: &Tally| {
+    let mut add = |tally: &UsageByBucket| {
         for (bucket, line) in tally.rows() {
             sums.entry(bucket.end.clone()).or_default().add(line);
         }
     };
     let mut through = BTreeMap::new();
-    for row in world.stored(ROLLUPS) {
+    for row in world.stored(ROLLUP_PREFIX) {
         let rollup: Rollup = serde_json::from_value(row.value).unwrap();
-        assert!(!rollup.gap);
+        assert!(!rollup.incomplete);
         add(&rollup.tally);
-        through.insert(Slot::parse(&row.key).unwrap(), rollup.through);
+        through.insert(RollupId::parse(&row.key).unwrap(), rollup.through);
     }
-    let cursor = world.stored(CURSOR).pop();
+    let cursor = world.stored(CURSOR_KEY).pop();
     let cursor: Cursor =
         cursor.map_or_else(Cursor::default, |row| serde_json::from_value(row.value).unwrap());
     for row in world.stored("over/") {
-        let record: OverRecord = serde_json::from_value(row.value).unwrap();
+        let record: FinalRecord = serde_json::from_value(row.value).unwrap();
         let Some(spent) = record.spent else { continue };
         for (day, tally) in spent.days.days() {
-            let slot = Slot { day, team: spent.team.clone(), class: spent.class.clone() };
+            let slot = RollupId { day, team: spent.team.clone(), class: spent.class.clone() };
             let counted = through.get(&slot).copied().unwrap_or_default().max(cursor.through);
             if row.version > counted {
                 add(tally);
@@ -43,7 +43,7 @@
     }
     for row in world.stored("asg/") {
         let record: ChunkRecord = serde_json::from_value(row.value).unwrap();
-        let usage: Days = record.usage;
+        let usage: UsageByDay = record.usage;
         usage.days().for_each(|(_, tally)| add(tally));
     }
     sums
@@ -64,7 +64,7 @@
         // many as there were ends. Earlier ones are of leaders that ended too soon. A leader may also have given an
         // attempt to its machine again before the first end was written.
         let ended = world.ended_attempts();
-        let mut entries: BTreeMap<_, Vec<((usize, u64), Entry)>> = BTreeMap::new();
+        let mut entries: BTreeMap<_, Vec<((usize, u64), UsageEntry)>> = BTreeMap::new();
         for (node, life, entry) in &world.entries {
             let key = (entry.task.index, entry.attempt.0, entry.host.clone());
             if ended.contains_key(&key) {
@@ -72,35 +72,36 @@
                 list.push(((*node, *life), entry.clone()));
             }
         }
-        let durable = |((_, key), list): (_, Vec<((usize, u64), Entry)>)| {
+        let durable = |((_, key), list): (_, Vec<((usize, u64), UsageEntry)>)| {
             let by_last =
                 list.iter().filter(|(by, _)| Some(*by) == list.last().map(|l| l.0)).count();
             let count = list.len().min(by_last.max(ended[&key]));
             list.into_iter().rev().take(count).map(|(_, entry)| entry).collect::<Vec<_>>()
         };
-        let all: Vec<Entry> = entries.values().flatten().map(|(_, entry)| entry.clone()).collect();
-        let entries: Vec<Entry> = entries.into_iter().flat_map(durable).collect();
-        let twice = |entry: &Entry| {
-            let same = |e: &&Entry| {
+        let all: Vec<UsageEntry> =
+            entries.values().flatten().map(|(_, entry)| entry.clone()).collect();
+        let entries: Vec<UsageEntry> = entries.into_iter().flat_map(durable).collect();
+        let twice = |entry: &UsageEntry| {
+            let same = |e: &&UsageEntry| {
                 (&e.task, e.attempt, &e.host) == (&entry.task, entry.attempt, &entry.host)
             };
             all.iter().filter(same).count() > 1
         };
-        let again = |entry: &Entry| {
-            let same = |e: &&Entry| {
+        let again = |entry: &UsageEntry| {
+            let same = |e: &&UsageEntry| {
                 (&e.task, e.attempt, &e.host) == (&entry.task, entry.attempt, &entry.host)
             };
             entries.iter().filter(same).count() > 1
         };
-        let sums = |entries: &[Entry]| {
+        let sums = |entries: &[UsageEntry]| {
             let mut sums: BTreeMap<String, Line> = BTreeMap::new();
             for entry in entries {
-                sums.entry(word(entry.end).to_owned()).or_default().add(&Line::from(entry));
+                sums.entry(end_name(entry.end).to_owned()).or_default().add(&Line::from(entry));
             }
             sums
         };
         let (expected, most, found) = (sums(&entries), sums(&all), accounted(&world));
-        let sure: Vec<Entry> = entries.iter().filter(|e| !twice(e)).cloned().collect();
+        let sure: Vec<UsageEntry> = entries.iter().filter(|e| !twice(e)).cloned().collect();
         let least = sums(&sure);
         if found == expected {
             exact += 1;
--- a/tests/world/graphs.rs
+++ b/tests/world/graphs.rs
@@ -1,7 +1,7 @@
 //! Task graph clients in the simulated world, and the invariants checked: no node starts before its inputs are
 //! durably done, none runs twice, no final status changes, and nothing of an ended session remains.
 
-use oatloom_core::jobs::{LiveRecord, OverRecord};
+use oatloom_core::jobs::{FinalRecord, LiveRecord};
 use oatloom_core::store::{StoreOp, StoreReply};
 use oatloom_emulator::region::Region;
 use oatloom_emulator::worker::Broken;
@@ -398,7 +398,7 @@
                     self.record_part(job, (*part).clone(), region);
                 }
             } else if let (Some(job), Some(value)) = (key.strip_prefix("over/"), value) {
-                let record: OverRecord = serde_json::from_value(value.clone()).expect("a record");
+                let record: FinalRecord = serde_json::from_value(value.clone()).expect("a record");
                 if record.status == JobStatus::Done && self.parts.contains_key(job) {
                     self.durably_done.insert((job.to_owned(), u32::MAX));
                 }
--- a/tests/world/limits.rs
+++ b/tests/world/limits.rs
@@ -1,7 +1,7 @@
 //! Jobs that wait although they could run, settings with binding team limits, and helpers that change jobs and machines.
 
 use super::{SETTINGS, Site, User, World, settings};
-use oatloom_core::workers::Room;
+use oatloom_core::workers::Resources;
 use oatloom_emulator::checker::Place;
 use oatloom_emulator::worker::{Fetch, Times, Worker};
 use oatloom_protocol::wire::{JobSpec, JobStatus, Shape, TaskPhase};
@@ -44,12 +44,12 @@
     pub flavor: String,
     pub zone: String,
     pub spot: bool,
-    pub room: Room,
+    pub room: Resources,
 }
 
 /// How many further tasks of a job could be placed at once, given its running tasks by zone.
 pub fn placeable(spec: &JobSpec, others: &BTreeMap<String, u32>, machines: &[Free]) -> u32 {
-    let need = Room::from(spec);
+    let need = Resources::from(spec);
     let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
     for machine in machines {
         let allowed = spec.flavors.as_ref().is_none_or(|list| list.contains(&machine.flavor))
@@ -58,7 +58,7 @@
         let mut room = machine.room;
         let mut fit = 0;
         while allowed && fit < spec.tasks && room.fits(&need) {
-            room.take(&need);
+            room.subtract(&need);
             fit += 1;
         }
         *zones.entry(&machine.zone).or_default() += fit;
@@ -124,14 +124,14 @@
         let specs = &self.region.outside.specs;
         let mut placed: BTreeMap<&str, BTreeSet<u32>> = BTreeMap::new();
         let mut zones: BTreeMap<&str, BTreeMap<String, u32>> = BTreeMap::new();
-        let mut used: BTreeMap<&str, Room> = BTreeMap::new();
-        let mut taken: BTreeMap<&str, Room> = BTreeMap::new();
+        let mut used: BTreeMap<&str, Resources> = BTreeMap::new();
+        let mut taken: BTreeMap<&str, Resources> = BTreeMap::new();
         for (job, index, worker) in self.placed_tasks() {
             placed.entry(job).or_default().insert(index);
             *zones.entry(job).or_default().entry(worker.place.zone.clone()).or_default() += 1;
             if let Some(spec) = specs.get(job) {
-                used.entry(&spec.team).or_default().add(&Room::from(spec));
-                taken.entry(&worker.host).or_default().add(&Room::from(spec));
+                used.entry(&spec.team).or_default().add(&Resources::from(spec));
+                taken.entry(&worker.host).or_default().add(&Resources::from(spec));
             }
         }
         let free: Vec<Free> = self
@@ -140,9 +140,12 @@
             .values()
             .filter(|worker| self.usable(worker))
             .map(|worker| {
-                let mut room =
-                    self.region.flavor(&worker.place.flavor).map(Room::from).unwrap_or_default();
-                room.take(&taken.get(worker.host.as_str()).copied().unwrap_or_default());
+                let mut room = self
+                    .region
+                    .flavor(&worker.place.flavor)
+                    .map(Resources::from)
+                    .unwrap_or_default();
+                room.subtract(&taken.get(worker.host.as_str()).copied().unwrap_or_default());
                 let place = worker.place.clone();
                 Free { flavor: place.flavor, zone: place.zone, spot: place.spot, room }
             })
--- a/tests/world/looks.rs
+++ b/tests/world/looks.rs
@@ -68,9 +68,10 @@
         let request = match look {
             Look::View => Request::View(id),
             Look::Submit => Request::Submit(Submission::Spec(Box::new(user.spec.clone()))),
-            Look::SubmitBroken => {
-                Request::Submit(Submission::Bad { id: Some(id), text: "a field is missing".into() })
-            }
+            Look::SubmitBroken => Request::Submit(Submission::Invalid {
+                id: Some(id),
+                text: "a field is missing".into(),
+            }),
             Look::Abort => {
                 user.abort_at.get_or_insert(self.now);
                 self.region.checker.cancel_asked(job);
--- a/tests/world/machines.rs
+++ b/tests/world/machines.rs
@@ -2,7 +2,7 @@
 //! controller, isolated zones; and the invariants of a leader's job table under them.
 
 use super::*;
-use oatloom_core::reign::{Reign, Stage};
+use oatloom_core::reign::{LeaderTerm, Stage};
 use oatloom_protocol::ids::{TaskId, Token};
 use oatloom_protocol::wire::{Order, TaskPhase};
 use rand::seq::SliceRandom;
@@ -89,13 +89,13 @@
         }
     }
 
-    pub fn leader_term_of(&self, node: usize) -> Option<&Reign> {
-        self.nodes[node].controller.as_ref()?.reign()
+    pub fn leader_term_of(&self, node: usize) -> Option<&LeaderTerm> {
+        self.nodes[node].controller.as_ref()?.leader_term()
     }
 
     /// The leader term of the node that may issue orders, once it has loaded its job table.
-    pub fn active_term(&self) -> Option<&Reign> {
-        self.leader_term_of(self.leads()?).filter(|term| term.stage == Stage::Ruling)
+    pub fn active_term(&self) -> Option<&LeaderTerm> {
+        self.leader_term_of(self.leads()?).filter(|term| term.stage == Stage::Active)
     }
 
     /// A report is about to leave its machine: may save a copy, and returns whether it cannot be sent.
@@ -203,7 +203,7 @@
     /// never goes back to an older report of a machine. All rules about where tasks may start depend on them.
     pub fn check_job_table(&mut self) {
         let Some(term) = self.leads().and_then(|n| self.leader_term_of(n)) else { return };
-        if term.stage != Stage::Ruling {
+        if term.stage != Stage::Active {
             return;
         }
         let token = term.token;
@@ -211,23 +211,27 @@
         for worker in self.region.workers.values() {
             for ((job, index, attempt), task) in &worker.tasks {
                 let id = TaskId::new(&JobId::new(job), *index);
-                let held = term.book.held(&id).is_some_and(|h| {
+                let held = term.job_table.held(&id).is_some_and(|h| {
                     h.host.as_str() == worker.host
                         && h.attempt.0 == *attempt
-                        && h.shift.0 == worker.shift
+                        && h.session.0 == worker.shift
                 });
                 if task.phase != TaskPhase::Exited && !held {
                     violations.push(format!(
                         "{job}/{index} attempt {attempt} is on {}, session {}, but the job table of {token} has {:?}",
                         worker.host,
                         worker.shift,
-                        term.book.held(&id)
+                        term.job_table.held(&id)
                     ));
                 }
             }
         }
-        let latest: Vec<(HostId, Shift, u64)> =
-            term.fleet.machines.values().map(|m| (m.id.clone(), m.shift, m.tally.0)).collect();
+        let latest: Vec<(HostId, Shift, u64)> = term
+            .fleet
+            .machines
+            .values()
+            .map(|m| (m.id.clone(), m.session, m.report_seq.0))
+            .collect();
         for (host, shift, tally) in latest {
             let before = self.machines.last_processed.insert(host.clone(), (token, shift, tally));
             if before.is_some_and(|b| b.0 == token && (b.1, b.2) > (shift, tally)) {
@@ -258,8 +262,11 @@
             let worker = self.region.workers.get(host.as_str());
             worker.is_some_and(|w| self.now >= w.up_at && self.now < w.up_at + up_for_ms)
         };
-        let jobs = term.book.jobs.values();
-        jobs.flat_map(|j| j.holds().filter(|(i, h)| !j.durable(*i) && new(&h.host))).count()
+        let jobs = term.job_table.jobs.values();
+        jobs.flat_map(|j| {
+            j.assignments().filter(|(i, h)| !j.assignment_durable(*i) && new(&h.host))
+        })
+        .count()
     }
 
     /// Every n-th machine that holds a task is partitioned for this long; returns how many.
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -18,15 +18,15 @@
 use oatloom_core::api::{Request, Submission};
 use oatloom_core::cloud::{CloudOp, CloudReply};
 use oatloom_core::constants::CLOCK_START_MS;
-use oatloom_core::controller::{Action, Controller, Event, Load};
+use oatloom_core::controller::{Action, Controller, Event, QueueSizes};
 use oatloom_core::jobs::{ChunkRecord, Job, JobState};
-use oatloom_core::operators::Operators;
+use oatloom_core::operators::OperatorSettings;
 use oatloom_core::reply::ConnId;
-use oatloom_core::store::{Lane, OpId, StoreOp, StoreReply};
+use oatloom_core::store::{OpClass, OpId, StoreOp, StoreReply};
 use oatloom_emulator::checker::{Checker, Limit};
 use oatloom_emulator::region::{Hired, Region, Sending, Terms};
 use oatloom_emulator::worker::Worker;
-use oatloom_ledger::entry::Entry;
+use oatloom_ledger::entry::UsageEntry;
 use oatloom_protocol::ids::{HostId, JobId, Member, Millis, Mono, Now, Revision, Shift, Zone};
 use oatloom_protocol::reply::HttpReply;
 use oatloom_protocol::settings::{Peer, Settings, Team};
@@ -350,9 +350,9 @@
     /// How long a crashed node stays down.
     pub restart_ms: u64,
     /// The operators' settings of the controllers.
-    pub operators: Operators,
+    pub operators: OperatorSettings,
     /// Usage accounting entries of the controllers, in order, each with its node and that node's incarnation.
-    pub entries: Vec<(usize, u64, Entry)>,
+    pub entries: Vec<(usize, u64, UsageEntry)>,
     /// Whether the state service enforces its lower limits, and writes refused for size: node, incarnation and digest.
     pub limits_lowered: bool,
     refused_writes: BTreeSet<(usize, u64, u64)>,
@@ -410,7 +410,7 @@
 }
 
 fn command_reply(report: Option<Report>) -> Event {
-    Event::Obeyed { report: report.map(Box::new) }
+    Event::CommandReply { report: report.map(Box::new) }
 }
 
 pub fn settings(text: &str, node: usize) -> Settings {
@@ -523,7 +523,7 @@
             probing: false,
             probes: Vec::new(),
             restart_ms: 5_000,
-            operators: Operators::default(),
+            operators: OperatorSettings::default(),
             entries: Vec::new(),
             limits_lowered: false,
             refused_writes: BTreeSet::new(),
@@ -661,8 +661,8 @@
         self.operators = oatloom::settings::operators(text).expect("valid settings");
         let classes = &self.operators.classes;
         for spec in self.region.outside.specs.values() {
-            if let Some(allowance) = classes.of(&spec.class) {
-                self.region.checker.repeats.insert(spec.class.clone(), allowance.repeats);
+            if let Some(allowance) = classes.policy_for(&spec.class) {
+                self.region.checker.repeats.insert(spec.class.clone(), allowance.max_retries);
             }
         }
     }
@@ -755,7 +755,7 @@
         let clock = self.clock(node);
         let Some(controller) = self.nodes[node].controller.as_mut() else { return };
         let actions = controller.handle(clock, event);
-        let entries = controller.take_entries();
+        let entries = controller.take_usage_entries();
         let incarnation = self.nodes[node].incarnation;
         self.entries.extend(entries.into_iter().map(|entry| (node, incarnation, entry)));
         let mut hasher = DefaultHasher::new();
@@ -784,7 +784,7 @@
                         (delay, answer) = (Some(self.rng.random_range(2_000..16_000)), false);
                     }
                     if !answer {
-                        let event = Event::Obeyed { report: None };
+                        let event = Event::CommandReply { report: None };
                         self.send(800, Message::Event { node, incarnation, event });
                     }
                     if let Some(delay) = delay {
@@ -794,9 +794,9 @@
                         );
                     }
                 }
-                Action::Ask { to, id, question } => {
+                Action::Ask { to, id, request } => {
                     let peer = to.as_str()[2..].parse().unwrap_or(0);
-                    let request = question.into();
+                    let request = request.into();
                     let (a, b, until) = self.partitioned_peers;
                     let partitioned = self.now < until
                         && (a.min(b), a.max(b)) == (node.min(peer), node.max(peer));
@@ -829,11 +829,18 @@
         (Some(self.delay()), true)
     }
 
-    fn send_to_store(&mut self, node: usize, incarnation: u64, id: OpId, lane: Lane, op: StoreOp) {
+    fn send_to_store(
+        &mut self,
+        node: usize,
+        incarnation: u64,
+        id: OpId,
+        lane: OpClass,
+        op: StoreOp,
+    ) {
         let spent = self.spent.entry(self.now / 1_000).or_default();
         spent.0 += 1;
         spent.1 += if let StoreOp::Txn(txn) = &op { txn.changes.len() as u32 } else { 0 };
-        if lane == Lane::Watch
+        if lane == OpClass::Watch
             && let StoreOp::Follow { prefix, after } = op
         {
             let until = self.now + 10_000;
@@ -860,7 +867,7 @@
         } else if self.now < self.slow_store.0 && answer {
             let usual = if self.rng.random_bool(0.1) { 100..300 } else { 3..12 };
             let took = self.rng.random_range(usual) * u64::from(self.slow_store.1);
-            timeout = if lane == Lane::Vital { 1_200 } else { 2_500 };
+            timeout = if lane == OpClass::Lease { 1_200 } else { 2_500 };
             (delay, answer) = (Some(took), took < timeout);
         }
         if !answer {
@@ -1111,7 +1118,7 @@
     fn may_issue_orders(&self, node: usize) -> bool {
         let n = &self.nodes[node];
         let controller = n.controller.as_ref().filter(|_| self.now >= n.frozen_until);
-        controller.is_some_and(|controller| controller.valid(self.clock(node).mono).is_some())
+        controller.is_some_and(|controller| controller.valid_token(self.clock(node).mono).is_some())
     }
 
     pub fn strike(&mut self, fault: Fault) {
@@ -1142,8 +1149,9 @@
             Fault::Upgrade(node, down_ms) => self.upgrade(node, down_ms),
             Fault::Leader(leader_fault) => {
                 // Without a valid leader, the fault hits a node that still considers itself the leader.
-                let believes_to_lead =
-                    |n: &usize| self.nodes[*n].controller.as_ref().is_some_and(|c| c.leads());
+                let believes_to_lead = |n: &usize| {
+                    self.nodes[*n].controller.as_ref().is_some_and(|c| c.holds_leader_key())
+                };
                 let Some(node) = self.leads().or_else(|| (0..3).find(believes_to_lead)) else {
                     return;
                 };
@@ -1259,7 +1267,8 @@
                 self.event(node, Event::Tick);
             }
         }
-        let invalid_starts = |n: &Node| n.controller.as_ref()?.reign().map(|term| term.wrong_plans);
+        let invalid_starts =
+            |n: &Node| n.controller.as_ref()?.leader_term().map(|term| term.invalid_assignments);
         self.wrong_plans =
             self.wrong_plans.max(self.nodes.iter().filter_map(invalid_starts).max().unwrap_or(0));
         if (0..3).filter(|n| self.may_issue_orders(*n)).count() > 1 {
@@ -1342,7 +1351,7 @@
                 let ask = Message::Request {
                     node,
                     from: Sender::HealthProbe,
-                    request: Request::Up,
+                    request: Request::HealthProbe,
                     forwarded: false,
                 };
                 self.send(2, ask);
@@ -1452,8 +1461,8 @@
             .iter()
             .filter(|u| u.accepted && self.region.checker.over(u.spec.id.as_str()).is_none())
             .map(|u| {
-                let node = self.nodes.iter().find_map(|n| n.controller.as_ref()?.reign());
-                let job = node.and_then(|r| r.book.get(&u.spec.id));
+                let node = self.nodes.iter().find_map(|n| n.controller.as_ref()?.leader_term());
+                let job = node.and_then(|r| r.job_table.get(&u.spec.id));
                 format!("{:?}\n   {job:?}", u.spec)
             })
             .collect()
@@ -1494,26 +1503,26 @@
     }
 
     /// The sizes of the controllers' queues, the largest of each.
-    pub fn load(&self) -> Load {
+    pub fn load(&self) -> QueueSizes {
         let loads =
             self.nodes.iter().filter_map(|n| n.controller.as_ref()).map(Controller::waiting);
-        loads.fold(Load::default(), Load::larger)
+        loads.fold(QueueSizes::default(), QueueSizes::field_maximum)
     }
 
     /// Open tasks without a machine whose team's limit leaves room for at least one more task, and machines that
     /// are up.
     pub fn unplaced(&self) -> (usize, usize) {
-        let leader = self.nodes.iter().find_map(|n| n.controller.as_ref()?.reign());
+        let leader = self.nodes.iter().find_map(|n| n.controller.as_ref()?.leader_term());
         let pending = leader.map_or(0, |r| {
             let allowed = |j: &&Job| {
                 let most = TEAM_GPU_LIMITS
                     .iter()
                     .find(|(team, _)| *team == j.spec.team)
                     .map_or(0.0, |l| l.1);
-                let used = r.book.usage.get(&j.spec.team).map_or(0.0, |usage| usage.gpus);
+                let used = r.job_table.usage.get(&j.spec.team).map_or(0.0, |usage| usage.gpus);
                 j.state == JobState::Open && (most <= 0.0 || used + j.spec.gpus <= most)
             };
-            r.book.jobs.values().filter(allowed).map(|j| j.pending() as usize).sum()
+            r.job_table.jobs.values().filter(allowed).map(|j| j.pending() as usize).sum()
         });
         let up = self.region.workers.values().filter(|w| self.now >= w.up_at).count();
         (pending, up)
--- a/tests/world/pipelines.rs
+++ b/tests/world/pipelines.rs
@@ -2,7 +2,7 @@
 
 use super::{STEP_MS, User, World};
 use oatloom_core::jobs::{
-    ChunkRecord, Job, JobState, OverRecord, Usage, over_key, parse_chunk_key,
+    ChunkRecord, FinalRecord, Job, JobState, TeamUsage, final_key, parse_chunk_key,
 };
 use oatloom_core::store::{StoreOp, StoreReply};
 use oatloom_protocol::ids::JobId;
@@ -225,8 +225,8 @@
 
     /// The final status of a job that is stored in the state service.
     fn durable_status(&self, id: &JobId) -> Option<JobStatus> {
-        let value = self.state.value(&over_key(id))?.clone();
-        Some(serde_json::from_value::<OverRecord>(value).ok()?.status)
+        let value = self.state.value(&final_key(id))?.clone();
+        Some(serde_json::from_value::<FinalRecord>(value).ok()?.status)
     }
 
     /// Whether a job is stored as done in the state service.
@@ -334,7 +334,7 @@
                 && !self.released.contains(&job.spec.id)
         };
         let released: Vec<JobId> =
-            term.book.jobs.values().filter(released).map(|job| job.spec.id.clone()).collect();
+            term.job_table.jobs.values().filter(released).map(|job| job.spec.id.clone()).collect();
         for id in released {
             self.check_release(id.as_str(), "is released");
             self.released.insert(id);
@@ -345,16 +345,16 @@
     pub(super) fn check_waiting_jobs(&mut self) {
         let Some(term) = self.active_term() else { return };
         let mut violations = Vec::new();
-        let mut held: BTreeMap<&str, Usage> = BTreeMap::new();
-        for (id, job) in &term.book.jobs {
-            if job.state == JobState::Waiting && job.held > 0 {
-                violations.push(format!("{id} waits but holds {} tasks", job.held));
+        let mut held: BTreeMap<&str, TeamUsage> = BTreeMap::new();
+        for (id, job) in &term.job_table.jobs {
+            if job.state == JobState::Waiting && job.assigned > 0 {
+                violations.push(format!("{id} waits but holds {} tasks", job.assigned));
             }
             let usage = held.entry(&job.spec.team).or_default();
-            usage.cpus += job.spec.cpus * f64::from(job.held);
-            usage.gpus += job.spec.gpus * f64::from(job.held);
+            usage.cpus += job.spec.cpus * f64::from(job.assigned);
+            usage.gpus += job.spec.gpus * f64::from(job.assigned);
         }
-        for (team, counted) in &term.book.usage {
+        for (team, counted) in &term.job_table.usage {
             let held = held.get(team.as_str()).copied().unwrap_or_default();
             let differs = |a: f64, b: f64| (a - b).abs() > EPSILON;
             if differs(counted.gpus, held.gpus) || differs(counted.cpus, held.cpus) {
--- a/tests/world/solo.rs
+++ b/tests/world/solo.rs
@@ -7,7 +7,7 @@
 use oatloom_core::constants::CLOCK_START_MS;
 use oatloom_core::controller::{Action, Controller, Event};
 use oatloom_core::mesh::Question;
-use oatloom_core::operators::Operators;
+use oatloom_core::operators::OperatorSettings;
 use oatloom_core::reply::ConnId;
 use oatloom_core::store::{OpId, StoreOp, StoreReply};
 use oatloom_protocol::ids::{LeaseId, Mono, Now, Revision};
@@ -36,7 +36,7 @@
     /// Node 0 of three; nothing is held back.
     pub fn new() -> Self {
         Self {
-            core: Controller::new(settings(SETTINGS, 0), Operators::default(), 7),
+            core: Controller::new(settings(SETTINGS, 0), OperatorSettings::default(), 7),
             state: State::default(),
             now: 0,
             hold: |_| false,
@@ -119,8 +119,8 @@
                         }
                         events.push(Event::Cloud { id, reply: CloudReply::Busy });
                     }
-                    Action::Ask { id, question, .. } => self.asked.push((id, question)),
-                    Action::Command { .. } => events.push(Event::Obeyed { report: None }),
+                    Action::Ask { id, request: question, .. } => self.asked.push((id, question)),
+                    Action::Command { .. } => events.push(Event::CommandReply { report: None }),
                 }
             }
         }
