--- a/crates/core/src/cloud.rs
+++ b/crates/core/src/cloud.rs
@@ -104,7 +104,7 @@
     }
 
     /// Resets the state for a new term: requests of an earlier term are not relied on.
-    pub fn lead(&mut self, token: Token, now: Mono) {
+    pub fn start_term(&mut self, token: Token, now: Mono) {
         self.token = token;
         self.counter = 0;
         self.hires.clear();
@@ -160,7 +160,7 @@
     }
 
     /// Whether a kind was refused lately.
-    pub fn refused(&self, kind: &MachineKind, now: Mono) -> bool {
+    pub fn is_refused(&self, kind: &MachineKind, now: Mono) -> bool {
         self.refused.get(kind).is_some_and(|until| now < *until)
     }
 
@@ -213,7 +213,7 @@
         true
     }
 
-    pub fn answered(&mut self, now: Mono, op: &CloudOp, reply: CloudReply) -> CloudEvent {
+    pub fn handle_reply(&mut self, now: Mono, op: &CloudOp, reply: CloudReply) -> CloudEvent {
         if matches!(reply, CloudReply::Busy | CloudReply::Lost) {
             self.paused_until = now.plus(CLOUD_PAUSE_MS);
         }
@@ -310,7 +310,7 @@
 
     fn client() -> (CloudClient, MachineKind) {
         let mut client = CloudClient::new(&CloudFacts { rps: 6.0, list_lag_s: 4.0 });
-        client.lead(Token(7), Mono(0));
+        client.start_term(Token(7), Mono(0));
         let kind = MachineKind { flavor: "f".into(), zone: Zone::new("a"), spot: true };
         (client, kind)
     }
@@ -326,11 +326,11 @@
         let (mut client, kind) = client();
         client.hire(&kind, 2);
         let first = next_sent_hire(&mut client, Mono(5_000)).unwrap();
-        client.answered(Mono(5_100), &first, CloudReply::Lost);
+        client.handle_reply(Mono(5_100), &first, CloudReply::Lost);
         let again = next_sent_hire(&mut client, Mono(10_000)).unwrap();
         assert_eq!(first, again);
-        client.answered(Mono(10_100), &again, CloudReply::Hired(vec![HostId::new("i-1")]));
-        assert!(client.refused(&kind, Mono(10_200)), "partly filled");
+        client.handle_reply(Mono(10_100), &again, CloudReply::Hired(vec![HostId::new("i-1")]));
+        assert!(client.is_refused(&kind, Mono(10_200)), "partly filled");
         client.hire(&kind, 2);
         let next = next_sent_hire(&mut client, Mono(20_000)).unwrap();
         assert_ne!(first, next);
@@ -350,7 +350,7 @@
         assert_eq!(client.pending_hires().count(), 3);
         // A request that was sent, and may have been carried out, stays as it was.
         let first = next_sent_hire(&mut client, Mono(5_000)).unwrap();
-        client.answered(Mono(5_100), &first, CloudReply::Lost);
+        client.handle_reply(Mono(5_100), &first, CloudReply::Lost);
         client.hire(&kind, 20);
         assert_eq!(next_sent_hire(&mut client, Mono(10_000)), Some(first));
         assert_eq!(client.pending_hires().map(|(_, n)| n).sum::<u32>(), 140);
@@ -374,7 +374,7 @@
             let ops = client.tick(now, true, true);
             let op = ops.iter().find(|op| matches!(op, CloudOp::List { .. })).unwrap();
             let page = MachineList { hosts: vec![row(n)], more: n < 2 };
-            let news = client.answered(now, op, CloudReply::List(page));
+            let news = client.handle_reply(now, op, CloudReply::List(page));
             assert_eq!(matches!(news, CloudEvent::Listing(ref rows, _) if rows.len() == 3), n == 2);
             now = now.plus(Millis(1_000));
         }
--- a/crates/core/src/controller/graphs.rs
+++ b/crates/core/src/controller/graphs.rs
@@ -64,7 +64,7 @@
             let leader = self.leadership.other_leader().filter(|_| !forwarded).cloned();
             return match leader.filter(|_| self.leadership.token().is_none()) {
                 Some(leader) => {
-                    self.ask_peer(now.mono, conn, leader, Question::Graph(Box::new(request)));
+                    self.ask_peer(now.mono, conn, leader, PeerRequest::Graph(Box::new(request)));
                 }
                 None => self.read_graph(now.mono, conn, request),
             };
--- a/crates/core/src/controller/leading.rs
+++ b/crates/core/src/controller/leading.rs
@@ -35,7 +35,7 @@
                 self.leader_term =
                     Some(LeaderTerm::new(token, now.mono, fleet, &self.leader_config));
                 self.graph_refusals = WriteBackoff::default();
-                self.cloud_client.lead(token, now.mono);
+                self.cloud_client.start_term(token, now.mono);
                 self.store.set_leading(true);
                 self.writer = Writer::Idle;
                 self.forget_dependency_reads();
--- a/crates/core/src/controller/members.rs
+++ b/crates/core/src/controller/members.rs
@@ -39,7 +39,7 @@
         self.one_way_in_flight.retain(|_, (_, until)| now.mono < *until);
         for to in self.members(now).tick(now.mono) {
             let gossip = self.gossip(now, &to);
-            self.send_one_way(now.mono, to, Question::Gossip(Box::new(gossip)));
+            self.send_one_way(now.mono, to, PeerRequest::Gossip(Box::new(gossip)));
         }
     }
 
@@ -61,14 +61,14 @@
         for to in peers {
             let gossip = Some(self.gossip(now, &to));
             let hints = LeaderHints { leader: leader.clone(), gossip, ..hints.clone() };
-            self.send_one_way(mono, to, Question::LeaderHints(Box::new(hints)));
+            self.send_one_way(mono, to, PeerRequest::LeaderHints(Box::new(hints)));
         }
     }
 
-    fn send_one_way(&mut self, now: Mono, to: Member, peer_request: Question) {
+    fn send_one_way(&mut self, now: Mono, to: Member, peer_request: PeerRequest) {
         self.next_id += 1;
         self.one_way_in_flight.insert(self.next_id, (to.clone(), now.plus(ONE_WAY_ACK_TIMEOUT_MS)));
-        self.actions.push(Action::Ask { to, id: self.next_id, request: peer_request });
+        self.actions.push(Action::PeerRequest { to, id: self.next_id, request: peer_request });
     }
 
     /// Processes the response to a one-way message (`None`: none arrived). Returns false if the id
@@ -103,7 +103,7 @@
     }
 
     fn on_gossip(&mut self, now: Now, gossip: &Gossip) {
-        if self.members(now).take(gossip, now).is_ok()
+        if self.members(now).receive(gossip, now).is_ok()
             && let Some((leader, token)) = &gossip.leader
         {
             // That the leader held this fencing token was true when the message was sent, whoever
--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -20,7 +20,7 @@
     self, FinalRecord, JobFactCache, JobLifetime, JobState, LiveRecord, PendingWrite, WriteItem,
 };
 use crate::leadership::{LEADER_KEY, Leadership, LeadershipChange, LeadershipRequest};
-use crate::mesh::Question;
+use crate::mesh::PeerRequest;
 use crate::notes::LeaderHints;
 use crate::open::OpenRequests;
 use crate::operators::OperatorSettings;
@@ -63,7 +63,7 @@
     /// A worker's response to a direct command; `None` if the worker could not be reached.
     CommandReply { report: Option<Box<Report>> },
     /// A peer's response to a request; `None` if the peer could not be reached.
-    Told { id: u64, reply: Option<HttpReply> },
+    PeerReply { id: u64, reply: Option<HttpReply> },
 }
 
 /// An output of the controller, to be carried out by its caller.
@@ -83,10 +83,10 @@
         op: CloudOp,
     },
     /// A message to a peer.
-    Ask {
+    PeerRequest {
         to: Member,
         id: u64,
-        request: Question,
+        request: PeerRequest,
     },
     /// Orders sent to a worker at once instead of with the reply to its next report.
     Command {
@@ -229,7 +229,7 @@
     /// Parked reports, whose replies are held back.
     pub parked_reports: usize,
     /// Changes of the job table that are not yet durable.
-    pub unwritten: usize,
+    pub unwritten_changes: usize,
 }
 
 impl QueueSizes {
@@ -241,7 +241,7 @@
             cloud_calls: self.cloud_calls.max(other.cloud_calls),
             peer_requests: self.peer_requests.max(other.peer_requests),
             parked_reports: self.parked_reports.max(other.parked_reports),
-            unwritten: self.unwritten.max(other.unwritten),
+            unwritten_changes: self.unwritten_changes.max(other.unwritten_changes),
         }
     }
 }
@@ -268,7 +268,7 @@
     dependency_reads: dependencies::DependencyReads,
     open_requests: OpenRequests,
     end_waiters: BTreeMap<JobId, Vec<ConnId>>,
-    peer_requests: BTreeMap<u64, (ConnId, Question, Mono)>,
+    peer_requests: BTreeMap<u64, (ConnId, PeerRequest, Mono)>,
     relays: ReportRouter,
     parked: ParkedReports,
     /// Whether a parked report may have become due, and when the watched ones are checked next.
@@ -388,14 +388,14 @@
     }
 
     /// Returns the sizes of the queues.
-    pub fn waiting(&self) -> QueueSizes {
+    pub fn queue_sizes(&self) -> QueueSizes {
         QueueSizes {
             open_requests: self.open_requests.len(),
             store_operations: self.store.len(),
             cloud_calls: self.cloud_ops.len() + self.cloud_client.pending_hires().count(),
             peer_requests: self.peer_requests.len() + self.one_way_in_flight.len(),
             parked_reports: self.parked.len(),
-            unwritten: self.leader_term.as_ref().map_or(0, |leader_term| {
+            unwritten_changes: self.leader_term.as_ref().map_or(0, |leader_term| {
                 let graphs = leader_term.graphs.as_ref().map_or(0, |graphs| graphs.sizes().2);
                 leader_term.job_table.unwritten_count() + graphs
             }),
@@ -444,7 +444,7 @@
             }
             Event::Store { id, reply } => self.on_store(now, id, reply),
             Event::Cloud { id, reply } => self.on_cloud(now.mono, id, reply),
-            Event::Told { id, reply } => self.on_peer_reply(now, id, reply),
+            Event::PeerReply { id, reply } => self.on_peer_reply(now, id, reply),
             Event::CommandReply { report } => self.on_command_reply(now.mono, report),
         }
         self.queue_delay = Millis(0);
@@ -622,7 +622,7 @@
             || matches!(op, CloudOp::Catalog)
             || self.leadership.token().is_none()
         {
-            self.cloud_client.answered(now, &op, reply)
+            self.cloud_client.handle_reply(now, &op, reply)
         } else {
             CloudEvent::Nothing
         };
--- a/crates/core/src/controller/reports.rs
+++ b/crates/core/src/controller/reports.rs
@@ -59,7 +59,7 @@
         match self.relays.route(&report.host, acknowledged, now) {
             ReportRoute::Forward => {
                 self.traffic.relayed += 1;
-                self.ask_peer(now, conn, leader, Question::Report(Box::new(report.clone())));
+                self.ask_peer(now, conn, leader, PeerRequest::Report(Box::new(report.clone())));
                 None
             }
             ReportRoute::Redirect => Some(HttpReply::json(421, &Redirect { leader: Some(leader) })),
--- a/crates/core/src/controller/usage.rs
+++ b/crates/core/src/controller/usage.rs
@@ -77,21 +77,21 @@
                 if !matches!(usage.rollups.load_progress(), LoadProgress::After(_)) => {}
             (ReadStep::Cursor, StoreReply::Missing(_)) => {
                 usage.set_cursor(None, begin);
-                usage.rollups.enter(LoadProgress::All);
+                usage.rollups.set_load_progress(LoadProgress::All);
             }
             (ReadStep::Cursor, StoreReply::Found(row)) => match serde_json::from_value(row.value) {
                 Ok(cursor) => {
                     usage.set_cursor(Some((cursor, row.version)), begin);
-                    usage.rollups.enter(LoadProgress::After(cursor.through));
+                    usage.rollups.set_load_progress(LoadProgress::After(cursor.counted_through));
                 }
                 Err(e) => {
                     // Nothing may be counted twice, so counting restarts here.
                     log::error!(
                         "ledger: the cursor cannot be decoded; final states not counted yet are skipped: {e}"
                     );
-                    let restarted = Cursor { through: begin, closed_before: 0 };
+                    let restarted = Cursor { counted_through: begin, closed_before: 0 };
                     usage.set_cursor(Some((restarted, row.version)), begin);
-                    usage.rollups.enter(LoadProgress::After(begin));
+                    usage.rollups.set_load_progress(LoadProgress::After(begin));
                 }
             },
             (ReadStep::Changes(_), StoreReply::Changes(Changes { log, .. })) => {
--- a/crates/core/src/controller/users.rs
+++ b/crates/core/src/controller/users.rs
@@ -56,7 +56,7 @@
             }
             Request::View(id) => {
                 self.traffic.user_requests += 1;
-                self.on_job_request(now, conn, Question::View(id), forwarded);
+                self.on_job_request(now, conn, PeerRequest::View(id), forwarded);
             }
             Request::Usage(query) => {
                 self.traffic.user_requests += 1;
@@ -66,7 +66,7 @@
                 self.traffic.user_requests += 1;
                 self.on_graph_request(now, conn, *ask, forwarded);
             }
-            Request::Abort(id) => self.on_job_request(now, conn, Question::Abort(id), forwarded),
+            Request::Abort(id) => self.on_job_request(now, conn, PeerRequest::Abort(id), forwarded),
         }
     }
 
@@ -87,11 +87,17 @@
         self.leader_failures = (!got_response).then_some((since, now));
     }
 
-    pub(super) fn ask_peer(&mut self, now: Mono, conn: ConnId, to: Member, peer_request: Question) {
+    pub(super) fn ask_peer(
+        &mut self,
+        now: Mono,
+        conn: ConnId,
+        to: Member,
+        peer_request: PeerRequest,
+    ) {
         self.next_id += 1;
         let until = now.plus(LEADER_QUERY_TIMEOUT_MS);
         self.peer_requests.insert(self.next_id, (conn, peer_request.clone(), until));
-        self.actions.push(Action::Ask { to, id: self.next_id, request: peer_request });
+        self.actions.push(Action::PeerRequest { to, id: self.next_id, request: peer_request });
     }
 
     /// Returns what this controller may report of a job without a request to another.
@@ -223,7 +229,7 @@
         let Some(leader) = self.leadership.other_leader().filter(|_| !forwarded).cloned() else {
             return false;
         };
-        self.ask_peer(now, conn, leader, Question::Submit(Box::new(spec.clone())));
+        self.ask_peer(now, conn, leader, PeerRequest::Submit(Box::new(spec.clone())));
         true
     }
 
@@ -260,10 +266,10 @@
         &mut self,
         now: Now,
         conn: ConnId,
-        request: Question,
+        request: PeerRequest,
         forwarded: bool,
     ) {
-        let (Question::View(id) | Question::Abort(id)) = &request else { return };
+        let (PeerRequest::View(id) | PeerRequest::Abort(id)) = &request else { return };
         if let Some(record) = self.finished_jobs.get(id) {
             let reply = HttpReply::json(200, &record.view(id));
             return self.reply(conn, reply);
@@ -287,17 +293,17 @@
         self.read_from_store(now.mono, conn, request);
     }
 
-    pub(super) fn read_from_store(&mut self, now: Mono, conn: ConnId, request: Question) {
+    pub(super) fn read_from_store(&mut self, now: Mono, conn: ConnId, request: PeerRequest) {
         match request {
-            Question::View(id) => self.lookup(now, conn, id, LookupReason::View),
-            Question::Abort(id) => self.lookup(now, conn, id, LookupReason::Abort),
-            Question::LeaderHints(_) | Question::Gossip(_) => {}
-            Question::Graph(ask) => self.read_graph(now, conn, *ask),
-            Question::Submit(_) => {
+            PeerRequest::View(id) => self.lookup(now, conn, id, LookupReason::View),
+            PeerRequest::Abort(id) => self.lookup(now, conn, id, LookupReason::Abort),
+            PeerRequest::LeaderHints(_) | PeerRequest::Gossip(_) => {}
+            PeerRequest::Graph(ask) => self.read_graph(now, conn, *ask),
+            PeerRequest::Submit(_) => {
                 self.reply(conn, HttpReply::later("the state service cannot be reached"));
             }
             // The worker tries the next controller after a second.
-            Question::Report(_) => self.reply(conn, HttpReply::error(503, "no leader answers")),
+            PeerRequest::Report(_) => self.reply(conn, HttpReply::error(503, "no leader answers")),
         }
     }
 
@@ -315,8 +321,8 @@
         {
             self.members(now).record_unreachable(&leader, now.mono);
         }
-        if matches!(request, Question::Report(_)) {
-            self.relays.told(reply.as_ref().map(|reply| reply.status), now.mono);
+        if matches!(request, PeerRequest::Report(_)) {
+            self.relays.on_forward_result(reply.as_ref().map(|reply| reply.status), now.mono);
         }
         self.record_leader_contact(reply.is_some(), now.mono);
         match reply {
@@ -329,14 +335,14 @@
     }
 
     /// Answers from the job table; a job that is not in it is read from the state service.
-    pub(super) fn answer_as_leader(&mut self, now: Now, conn: ConnId, request: Question) {
+    pub(super) fn answer_as_leader(&mut self, now: Now, conn: ConnId, request: PeerRequest) {
         let Some(leader_term) = self.leader_term.as_mut() else {
             return;
         };
         match request {
-            Question::Report(_) | Question::LeaderHints(_) | Question::Gossip(_) => {}
-            Question::Submit(_) | Question::Graph(_) => {}
-            Question::View(id) => {
+            PeerRequest::Report(_) | PeerRequest::LeaderHints(_) | PeerRequest::Gossip(_) => {}
+            PeerRequest::Submit(_) | PeerRequest::Graph(_) => {}
+            PeerRequest::View(id) => {
                 match (leader_term.job_table.view(&id), leader_term.job_table.get(&id)) {
                     (Some(view), _) => self.reply(conn, HttpReply::json(200, &view)),
                     (None, Some(job)) if job.state != JobState::Finished => {
@@ -345,7 +351,7 @@
                     _ => self.lookup(now.mono, conn, id, LookupReason::View),
                 }
             }
-            Question::Abort(id) => {
+            PeerRequest::Abort(id) => {
                 let ended = leader_term.job_table.view(&id).filter(|view| view.status.is_final());
                 match (ended, leader_term.job_table.get(&id).map(|j| j.state)) {
                     (Some(view), _) => self.reply(conn, HttpReply::json(200, &view)),
@@ -436,7 +442,7 @@
     fn ask_leader_for_view(&mut self, now: Mono, conn: ConnId, id: JobId) {
         match self.leadership.other_leader().cloned() {
             Some(leader) if self.can_reach(&leader, now) => {
-                self.ask_peer(now, conn, leader, Question::View(id));
+                self.ask_peer(now, conn, leader, PeerRequest::View(id));
             }
             _ => self.reply(conn, HttpReply::later("no leader can be reached")),
         }
@@ -467,7 +473,7 @@
                 // A job whose final state was read meanwhile by another request needs no leader.
                 // This controller may not be the leader, and then the abort would get no reply.
                 LookupReason::Abort if !view.status.is_final() => {
-                    self.answer_as_leader(now, conn, Question::Abort(id));
+                    self.answer_as_leader(now, conn, PeerRequest::Abort(id));
                 }
                 _ => self.reply(conn, HttpReply::json(200, &view)),
             }
@@ -477,7 +483,7 @@
             && self.leader_term.as_ref().is_some_and(|r| r.job_table.get(&id).is_some())
             && self.leadership.valid(now.mono).is_some()
         {
-            return self.answer_as_leader(now, conn, Question::Abort(id));
+            return self.answer_as_leader(now, conn, PeerRequest::Abort(id));
         }
         match reason {
             // The job may be cancelled together with a dependency, which only the leader knows
--- a/crates/core/src/inbox.rs
+++ b/crates/core/src/inbox.rs
@@ -108,7 +108,7 @@
     }
 
     /// Records that a request is being handled.
-    pub fn taken(&mut self, request: &Request) {
+    pub fn record_handled(&mut self, request: &Request) {
         if let Request::Report(report) = request {
             self.machines.remove(&report.host);
         }
--- a/crates/core/src/inbox/tests.rs
+++ b/crates/core/src/inbox/tests.rs
@@ -138,6 +138,6 @@
     dropped.record_dropped(&report("i-1"));
     assert_eq!(dropped.classify(&report("i-1"), leader), InputKind::Report);
     assert_eq!(dropped.classify(&report("i-2"), leader), InputKind::KnownReport);
-    dropped.taken(&report("i-1"));
+    dropped.record_handled(&report("i-1"));
     assert_eq!(dropped.classify(&report("i-1"), leader), InputKind::KnownReport);
 }
--- a/crates/core/src/jobs/mod.rs
+++ b/crates/core/src/jobs/mod.rs
@@ -213,7 +213,7 @@
     }
 
     /// Assigns a task to a machine, if the assignment record has room; the assignment still has to become durable.
-    pub fn hold(&mut self, id: &JobId, index: u32, mut hold: TaskAssignment) -> bool {
+    pub fn assign(&mut self, id: &JobId, index: u32, mut hold: TaskAssignment) -> bool {
         if !self.record_has_room(id, index, &hold) {
             return false;
         }
@@ -310,7 +310,7 @@
     }
 
     /// The assignment of a task, if it has one.
-    pub fn held(&self, task: &TaskId) -> Option<&TaskAssignment> {
+    pub fn assignment(&self, task: &TaskId) -> Option<&TaskAssignment> {
         self.jobs.get(&task.job)?.assignment(task.index)
     }
 
--- a/crates/core/src/jobs/tests.rs
+++ b/crates/core/src/jobs/tests.rs
@@ -73,7 +73,7 @@
         let mut full = hold("i-0000000231");
         full.attempt = Attempt(1 << 52);
         full.zone = Zone::new("a-long-zone-name");
-        job_table.hold(&id, index, full);
+        job_table.assign(&id, index, full);
     }
     while let Some((txn, written)) = next(&mut job_table) {
         let text = serde_json::to_string(&txn).unwrap();
@@ -89,9 +89,9 @@
 #[test]
 fn an_assignment_is_durable_only_when_committed() {
     let (mut job_table, id) = job_table(3);
-    job_table.hold(&id, 0, hold("i-1"));
+    job_table.assign(&id, 0, hold("i-1"));
     let (_, first) = next(&mut job_table).unwrap();
-    job_table.hold(&id, 1, hold("i-2"));
+    job_table.assign(&id, 1, hold("i-2"));
     assert!(!job_table.get(&id).unwrap().assignment_durable(0));
     job_table.committed(&first, Revision(7));
     let job = job_table.get(&id).unwrap();
@@ -107,8 +107,8 @@
 fn an_assigned_task_is_not_assigned_again() {
     let (mut job_table, id) = job_table(2);
     assert!(job_table.jobs.get_mut(&id).unwrap().pending_tasks(0, Mono(0)).is_empty());
-    assert!(job_table.hold(&id, 0, hold("i-1")));
-    assert!(!job_table.hold(&id, 0, hold("i-2")));
+    assert!(job_table.assign(&id, 0, hold("i-1")));
+    assert!(!job_table.assign(&id, 0, hold("i-2")));
     let job = job_table.get(&id).unwrap();
     assert_eq!((job.assigned, job.assignment(0).unwrap().host.as_str()), (1, "i-1"));
 }
@@ -117,7 +117,7 @@
 #[test]
 fn an_end_is_reported_only_when_durable() {
     let (mut job_table, id) = job_table(1);
-    job_table.hold(&id, 0, hold("i-1"));
+    job_table.assign(&id, 0, hold("i-1"));
     let (_, written) = next(&mut job_table).unwrap();
     job_table.committed(&written, Revision(6));
     job_table.end(&id, JobStatus::Cancelled, "test");
@@ -145,7 +145,7 @@
 #[test]
 fn ends_of_tasks_share_a_write_and_the_jobs_end_deletes_the_record() {
     let (mut job_table, id) = job_table(3);
-    (0..3).for_each(|i| assert!(job_table.hold(&id, i, hold("i-1"))));
+    (0..3).for_each(|i| assert!(job_table.assign(&id, i, hold("i-1"))));
     let (_, written) = job_table.next_txn(fence(), 16, Mono(0)).unwrap();
     job_table.committed(&written, Revision(6));
     job_table.unassign(&id, 0, true);
@@ -167,7 +167,7 @@
 #[test]
 fn a_record_written_with_the_end_is_deleted() {
     let (mut job_table, id) = job_table(1);
-    job_table.hold(&id, 0, hold("i-1"));
+    job_table.assign(&id, 0, hold("i-1"));
     job_table.end(&id, JobStatus::Cancelled, "test");
     job_table.unassign(&id, 0, false);
     let (_, written) = job_table.next_txn(fence(), 16, Mono(0)).unwrap();
@@ -182,7 +182,7 @@
 #[test]
 fn records_reload_as_written() {
     let (mut original, id) = job_table(200);
-    original.hold(&id, 100, hold("i-7"));
+    original.assign(&id, 100, hold("i-7"));
     original.unassign(&id, 101, true);
     let record = original.get(&id).unwrap().record(1);
     let (mut reloaded, _) = job_table(200);
@@ -217,7 +217,7 @@
 fn races_with_a_failure_have_one_winner() {
     let failing = || {
         let (mut job_table, id) = job_table(2);
-        job_table.hold(&id, 1, hold("i-1"));
+        job_table.assign(&id, 1, hold("i-1"));
         job_table.fail(&id, OnExhausted::FailJob, retries_used_up());
         // No final status is decided yet, so the user still sees the job as queued.
         assert_eq!(job_table.view(&id).map(|view| view.status), Some(JobStatus::Queued));
@@ -247,7 +247,7 @@
 #[test]
 fn a_failure_is_written_with_the_end_of_its_assignment() {
     let (mut job_table, id) = job_table(200);
-    job_table.hold(&id, 100, hold("i-7"));
+    job_table.assign(&id, 100, hold("i-7"));
     let (_, written) = next(&mut job_table).unwrap();
     job_table.committed(&written, Revision(6));
     job_table.unassign(&id, 100, false);
@@ -277,14 +277,14 @@
     for index in 0..TASKS_PER_CHUNK {
         let mut full = hold(&format!("i-{index:06}"));
         full.attempt = Attempt(1 << 40);
-        job_table.hold(&id, index, full);
+        job_table.assign(&id, index, full);
         let charges = &mut job_table.jobs.get_mut(&id).unwrap().charges;
         (0..3).for_each(|n| charges.add(index, &HostId::new(&format!("i-{n:06}"))));
         let mut e = entry_of(&job_table, &id, index);
         e.flavor = format!("a-long-name-of-a-type-{}", index % 7);
         (e.ran_ms, e.held_ms) = (1 << 33, 1 << 34);
         e.ended_ms = u64::from(index % 2) * 86_400_000;
-        job_table.account(&e);
+        job_table.record_usage(&e);
     }
     let record = job_table.get(&id).unwrap().record(0);
     let text = serde_json::to_string(&record).unwrap();
@@ -311,9 +311,9 @@
         held_ms: 20,
         ran_ms: 10,
         unseen_ms: 0,
-        end: oatloom_ledger::entry::End::Unseen,
+        end: oatloom_ledger::entry::AttemptEnd::Unseen,
         progress_saved: false,
-        goes_on: true,
+        job_continues: true,
         checkpoint_ms: 0,
         cpus: 1.0,
         gpus: 0.0,
@@ -328,12 +328,12 @@
 #[test]
 fn a_late_first_write_does_not_recreate_a_deleted_record() {
     let (mut job_table, id) = job_table(1);
-    job_table.hold(&id, 0, hold("i-1"));
+    job_table.assign(&id, 0, hold("i-1"));
     let (first, written) = next(&mut job_table).unwrap();
     let needs = |txn: &Txn, key: String| txn.conditions.iter().any(|c| c.key == key);
     assert!(needs(&first, live_key(&id)));
     job_table.committed(&written, Revision(6));
-    job_table.hold(&id, 0, hold("i-1"));
+    job_table.assign(&id, 0, hold("i-1"));
     job_table.unassign(&id, 0, false);
     let (later, _) = next(&mut job_table).unwrap();
     assert!(!needs(&later, live_key(&id)), "the record's own version is the condition");
@@ -346,18 +346,18 @@
     use oatloom_ledger::rollup::{Cursor, LoadProgress};
     let account_attempt = |job_table: &mut JobTable, id: &JobId, index| {
         let e = entry_of(job_table, id, index);
-        job_table.account(&e);
+        job_table.record_usage(&e);
     };
     let with_accounting = |tasks| {
         let (plain, id) = job_table(tasks);
         let mut account = UsageAccounting::new(Arc::default(), Millis(30_000));
         account.set_cursor(Some((Cursor::default(), Revision(2))), Revision(1));
-        account.rollups.enter(LoadProgress::All);
+        account.rollups.set_load_progress(LoadProgress::All);
         (JobTable { usage_accounting: Some(account), ..plain }, id)
     };
     // The job ends with no task assigned: one transaction moves the usage, and nothing else is written.
     let (mut job_table, id) = with_accounting(1);
-    job_table.hold(&id, 0, hold("i-1"));
+    job_table.assign(&id, 0, hold("i-1"));
     account_attempt(&mut job_table, &id, 0);
     job_table.unassign(&id, 0, true);
     job_table.end(&id, JobStatus::Done, "test");
@@ -373,7 +373,7 @@
     assert_eq!(job_table.usage_accounting.as_ref().unwrap().rollups.pending_count(), 1);
     // The job ends with a task assigned: once the task is gone, its record is deleted and the roll-up written with it.
     let (mut job_table, id) = with_accounting(1);
-    job_table.hold(&id, 0, hold("i-1"));
+    job_table.assign(&id, 0, hold("i-1"));
     let (_, written) = job_table.next_txn(fence(), 16, Mono(0)).unwrap();
     job_table.committed(&written, Revision(6));
     job_table.end(&id, JobStatus::Cancelled, "test");
@@ -405,16 +405,16 @@
     let (plain, id) = job_table(1);
     let mut account = UsageAccounting::new(Arc::default(), Millis(30_000));
     account.set_cursor(Some((Cursor::default(), Revision(2))), Revision(1));
-    account.rollups.enter(LoadProgress::All);
+    account.rollups.set_load_progress(LoadProgress::All);
     let mut job_table = JobTable { usage_accounting: Some(account), ..plain };
     let slot = RollupId { day: 0, team: "t".into(), class: "other".into() };
     let found = |value: Value| Row { key: slot.key(), value, version: Revision(9), lease: None };
     let item = WriteItem::Rollup(slot.clone());
     assert!(job_table.resolved(&item, Some(found(serde_json::json!({"t": "what?"})))).is_none());
     // The next roll-up transaction stores the copy and the restarted roll-up together.
-    job_table.hold(&id, 0, hold("i-1"));
+    job_table.assign(&id, 0, hold("i-1"));
     let e = entry_of(&job_table, &id, 0);
-    job_table.account(&e);
+    job_table.record_usage(&e);
     job_table.unassign(&id, 0, true);
     job_table.end(&id, JobStatus::Done, "test");
     let (_, written) = job_table.next_txn(fence(), 16, Mono(0)).unwrap();
@@ -436,7 +436,7 @@
 #[test]
 fn a_stored_final_record_ends_an_unfinished_job() {
     let (mut job_table, id) = job_table(2);
-    assert!(job_table.hold(&id, 0, hold("i-1")));
+    assert!(job_table.assign(&id, 0, hold("i-1")));
     let status = JobStatus::Cancelled;
     let record = FinalRecord { status, done: 0, failure: None, spent: None, part: None };
     let row = Row {
--- a/crates/core/src/jobs/usage.rs
+++ b/crates/core/src/jobs/usage.rs
@@ -84,7 +84,7 @@
 impl JobTable {
     /// Counts an attempt that has ended in the assignment record of its task; its end and its usage become durable in
     /// the same write.
-    pub fn account(&mut self, entry: &UsageEntry) {
+    pub fn record_usage(&mut self, entry: &UsageEntry) {
         let Some(account) = self.usage_accounting.as_mut() else { return };
         account.recent_entries.push_back(entry.clone());
         if account.recent_entries.len() > MAX_LATEST_USAGE_ENTRIES {
@@ -153,7 +153,7 @@
     ) -> Option<(Txn, Vec<PendingWrite>)> {
         let account = self.usage_accounting.as_mut()?;
         let open_from = account.open_from();
-        if account.backoff.holds(&()) && account.backoff.take_due(now).is_none()
+        if account.backoff.is_deferred(&()) && account.backoff.take_due(now).is_none()
             || !account.rollups.flush_due(now, open_from)
             || account.postpone(now, awaited)
         {
@@ -267,7 +267,7 @@
             self.count_final_record(&id, &record, revision);
         }
         if let Some(account) = self.usage_accounting.as_mut().filter(|_| complete) {
-            account.rollups.enter(LoadProgress::All);
+            account.rollups.set_load_progress(LoadProgress::All);
         }
     }
 }
--- a/crates/core/src/jobs/writing.rs
+++ b/crates/core/src/jobs/writing.rs
@@ -68,7 +68,7 @@
         // Raising the priority of a queued item leaves a stale entry in the other queue, which `pop_due` skips.
         // An item that the state service rejected on its own is retried without being queued.
         let is_queued = self.queued.get(&item).is_some_and(|queued| *queued >= priority);
-        if is_queued || self.backoff.holds(&item) {
+        if is_queued || self.backoff.is_deferred(&item) {
             return;
         }
         self.queued.insert(item.clone(), priority);
@@ -107,7 +107,7 @@
             };
             if self.queued.get(&item) == Some(&priority) {
                 self.queued.remove(&item);
-                if !self.backoff.holds(&item) {
+                if !self.backoff.is_deferred(&item) {
                     return Some(item);
                 }
             }
--- a/crates/core/src/mesh.rs
+++ b/crates/core/src/mesh.rs
@@ -12,7 +12,7 @@
 
 /// A message from one controller to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Question {
+pub enum PeerRequest {
     /// Reads the state of a job.
     View(JobId),
     /// Cancels a job.
@@ -33,16 +33,16 @@
     Gossip(Box<Gossip>),
 }
 
-impl From<Question> for Request {
-    fn from(request: Question) -> Self {
+impl From<PeerRequest> for Request {
+    fn from(request: PeerRequest) -> Self {
         match request {
-            Question::View(job) => Self::View(job),
-            Question::Abort(job) => Self::Abort(job),
-            Question::Submit(spec) => Self::Submit(Submission::Spec(spec)),
-            Question::Report(report) => Self::Report(report),
-            Question::LeaderHints(hints) => Self::LeaderHints(hints),
-            Question::Graph(request) => Self::Graph(request),
-            Question::Gossip(gossip) => Self::Gossip(gossip),
+            PeerRequest::View(job) => Self::View(job),
+            PeerRequest::Abort(job) => Self::Abort(job),
+            PeerRequest::Submit(spec) => Self::Submit(Submission::Spec(spec)),
+            PeerRequest::Report(report) => Self::Report(report),
+            PeerRequest::LeaderHints(hints) => Self::LeaderHints(hints),
+            PeerRequest::Graph(request) => Self::Graph(request),
+            PeerRequest::Gossip(gossip) => Self::Gossip(gossip),
         }
     }
 }
@@ -52,7 +52,7 @@
 pub struct PeerRequestFrame {
     pub id: u64,
     #[serde(rename = "question")]
-    pub request: Question,
+    pub request: PeerRequest,
 }
 
 /// The response to the message with the same id.
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -27,7 +27,7 @@
 use services::ServiceTurns;
 use slot_picker::SlotPicker;
 use slots::{Availability, Search, SlotPool, accepts_tasks};
-pub use standby::expected;
+pub use standby::expected_jobs;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The decisions of one placement pass.
@@ -62,9 +62,9 @@
     /// Machines requested from the cloud but not answered yet.
     pub pending_hires: Vec<(MachineKind, u32)>,
     /// Jobs that are likely to arrive before a machine hired for them would be up, and how many.
-    pub expected: &'a [(Job, u32)],
+    pub expected_jobs: &'a [(Job, u32)],
     /// Whether the cloud refused a kind of machine lately.
-    pub refused: &'a dyn Fn(&MachineKind) -> bool,
+    pub is_refused: &'a dyn Fn(&MachineKind) -> bool,
 }
 
 /// What a task of a job needs and where it may run.
@@ -183,8 +183,8 @@
         fleet,
         array_task_limits: paced,
         pending_hires: awaited,
-        expected,
-        refused: is_refused,
+        expected_jobs: expected,
+        is_refused: is_refused,
     } = inputs;
     let guaranteed = guaranteed_jobs(settings, job_table);
     let order = placement_order(settings, job_table, &guaranteed, now);
--- a/crates/core/src/placement/standby.rs
+++ b/crates/core/src/placement/standby.rs
@@ -7,7 +7,7 @@
 /// Jobs that are likely to arrive before a machine hired for them would be up, of classes that
 /// users want started sooner than that. Extrapolates the arrival rate of the last minutes, and
 /// leaves out teams whose limit would not let the jobs start.
-pub fn expected(
+pub fn expected_jobs(
     settings: &Settings,
     job_table: &JobTable,
     fleet: &Fleet,
--- a/crates/core/src/refusals.rs
+++ b/crates/core/src/refusals.rs
@@ -47,7 +47,7 @@
     }
 
     /// Whether the item waits for a retry.
-    pub fn holds(&self, item: &I) -> bool {
+    pub fn is_deferred(&self, item: &I) -> bool {
         self.backoffs.get(item).is_some_and(|backoff| backoff.waiting)
     }
 
--- a/crates/core/src/refusals/tests.rs
+++ b/crates/core/src/refusals/tests.rs
@@ -13,7 +13,7 @@
         limits.push(refusals.max_items());
     }
     assert_eq!(limits, [8, 4, 2, 1]);
-    assert!(refusals.holds(&0) && !refusals.holds(&1));
+    assert!(refusals.is_deferred(&0) && !refusals.is_deferred(&1));
     for _ in 0..BATCH_GROWTH_SUCCESSES {
         assert_eq!(refusals.max_items(), 1);
         refusals.accepted([1].iter());
@@ -30,11 +30,11 @@
             panic!("a single item must be deferred");
         };
         pauses.push(pause);
-        assert!(refusals.holds(&7) && refusals.deferred_count() == 1);
+        assert!(refusals.is_deferred(&7) && refusals.deferred_count() == 1);
         assert_eq!(refusals.take_due(Mono(now.plus(pause).0 - 1)), None);
         now = now.plus(pause);
         assert_eq!(refusals.take_due(now), Some(7));
-        assert!(!refusals.holds(&7) && refusals.take_due(now).is_none());
+        assert!(!refusals.is_deferred(&7) && refusals.take_due(now).is_none());
     }
     assert!(
         pauses.windows(2).all(|two| two[1].0 == (two[0].0 * 2).min(MAX_REFUSED_RETRY_PAUSE_MS.0))
--- a/crates/core/src/reign/capacity.rs
+++ b/crates/core/src/reign/capacity.rs
@@ -102,7 +102,7 @@
         let longest_s = self.class_bias(&job.spec).recent_max * job.spec.estimate_s;
         let tail_s = TAIL_WEIGHT * (longest_s - task_s).max(0.0);
         let whole_runs = ((left_s - tail_s) / task_s).floor().max(1.0);
-        Demand { work: left * task_cost, left_s: whole_runs * task_s, most }.rate(tick_s)
+        Demand { work: left * task_cost, left_s: whole_runs * task_s, max_cores: most }.rate(tick_s)
     }
 
     /// Time that a task needs besides its run: a boot, reports before and after it, and the image fetch.
@@ -221,8 +221,8 @@
         let (target, floor, claims, headroom) = self.demand(settings, ops.tick().secs(), now);
         self.expected_jobs = {
             let first_arrival = self.job_table.arrivals.iter().map(|(at, _)| *at).min();
-            let since = first_arrival.unwrap_or(self.since).min(self.since);
-            placement::expected(settings, &self.job_table, &self.fleet, now, since, &headroom)
+            let since = first_arrival.unwrap_or(self.started_at).min(self.started_at);
+            placement::expected_jobs(settings, &self.job_table, &self.fleet, now, since, &headroom)
         };
         let awaited: f64 = cloud
             .pending_hires()
--- a/crates/core/src/reign/dispatch.rs
+++ b/crates/core/src/reign/dispatch.rs
@@ -18,7 +18,7 @@
             HirePolicy::OneAtATime => awaiting_machine.contains(zone),
             HirePolicy::None => true,
         };
-        let refused = |kind: &MachineKind| cloud.refused(kind, now) || closed(&kind.zone);
+        let refused = |kind: &MachineKind| cloud.is_refused(kind, now) || closed(&kind.zone);
         let mut plan = placement::plan(PlacementInputs {
             now,
             settings,
@@ -26,8 +26,8 @@
             fleet: &self.fleet,
             array_task_limits: &self.task_limits,
             pending_hires: cloud.pending_hires().collect(),
-            expected: &self.expected_jobs,
-            refused: &refused,
+            expected_jobs: &self.expected_jobs,
+            is_refused: &refused,
         });
         // Expensive passes run less often, so that they do not starve other work.
         let cost_s = plan.steps as f64 * STEP_NS * 1e-9;
@@ -113,12 +113,12 @@
             reported_run_ms: None,
             stop: None,
         };
-        if !self.job_table.hold(id, index, hold) {
+        if !self.job_table.assign(id, index, hold) {
             return;
         }
         if let Some(machine) = self.fleet.machines.get_mut(host) {
             let need = Resources::from(&*spec);
-            machine.hold(TaskId::new(id, index), need, &spec.image, spec.image_gb, cache);
+            machine.assign(TaskId::new(id, index), need, &spec.image, spec.image_gb, cache);
             if machine.state == MachineState::Closing {
                 machine.set_state(MachineState::Live, "needed again");
             }
--- a/crates/core/src/reign/machines.rs
+++ b/crates/core/src/reign/machines.rs
@@ -81,7 +81,7 @@
     /// Whether enough is known of the existing machines to hire more. At the start of a term this avoids duplicates of
     /// machines that exist already, and hires in zones whose listed machines should be reporting but do not.
     pub(super) fn may_hire(&self, now: Mono) -> bool {
-        self.machines_listed || now.since(self.since) > FIRST_LIST_TIMEOUT_MS
+        self.machines_listed || now.since(self.started_at) > FIRST_LIST_TIMEOUT_MS
     }
 
     /// Initializes the zone states once the machine list is known: if no earlier leader sent hints but machines were left
@@ -92,7 +92,7 @@
             return;
         }
         self.zones_initialized = true;
-        let inherited = |m: &Machine| m.was_up() || m.created_at < self.since;
+        let inherited = |m: &Machine| m.was_up() || m.created_at < self.started_at;
         if !self.hints_applied && self.fleet.machines.values().any(inherited) {
             let zones: BTreeSet<&Zone> =
                 catalog.flavors.iter().flat_map(|flavor| &flavor.zones).collect();
@@ -123,7 +123,7 @@
         let mut expired = Vec::new();
         let catalog = self.fleet.catalog.as_ref();
         for m in self.fleet.machines.values_mut() {
-            let horizon = Fleet::tasks_gone_by(m, self.since, workers.lease_s);
+            let horizon = Fleet::tasks_gone_by(m, self.started_at, workers.lease_s);
             if now > horizon && !m.assigned.is_empty() {
                 expired.push(m.id.clone());
             }
@@ -256,7 +256,8 @@
         for m in self.fleet.machines.values().filter(counts) {
             let observation = zones.entry(m.zone.clone()).or_default();
             // The stored assignments show that it was up when this term began, whatever the machine list says.
-            let expected = m.listed_up_since.or((!m.assigned.is_empty()).then_some(self.since));
+            let expected =
+                m.listed_up_since.or((!m.assigned.is_empty()).then_some(self.started_at));
             let overdue = |at: Mono| u32::from(now.since(at.max(leader_known_by)) > early_silence);
             if let Some(at) = m.last_report {
                 observation.known += 1;
@@ -266,7 +267,7 @@
                 observation.latest = observation.latest.max(Some(at));
             } else if let Some(at) = expected {
                 observation.expected += 1;
-                observation.unheard += overdue(at);
+                observation.overdue += overdue(at);
             }
         }
         zones
@@ -333,7 +334,7 @@
                 (f.price_as(spot), kind)
             });
             let cheapest = priced_kinds
-                .filter(|(_, kind)| !cloud.refused(kind, now))
+                .filter(|(_, kind)| !cloud.is_refused(kind, now))
                 .min_by(|a, b| a.0.total_cmp(&b.0));
             if let Some((_, kind)) = cheapest {
                 log::info!("zone {zone}: hiring one machine to probe whether the zone is back");
@@ -376,7 +377,7 @@
             if matches!(self.job_table.get(&task.job).map(|j| j.gang), Some(GangState::Running(_)))
             {
                 self.stop_gang(&task.job, StopReason::Draining, now);
-            } else if self.job_table.held(&task).is_some_and(|hold| hold.stop.is_none()) {
+            } else if self.job_table.assignment(&task).is_some_and(|hold| hold.stop.is_none()) {
                 // Otherwise it was stopped along with another task of its gang.
                 self.stop(&task, StopReason::Draining, grace, now);
             }
--- a/crates/core/src/reign/mod.rs
+++ b/crates/core/src/reign/mod.rs
@@ -123,7 +123,7 @@
     /// Fencing token of the term.
     pub token: Token,
     /// Start of the term.
-    pub since: Mono,
+    pub started_at: Mono,
     /// Start of the term, or the latest moment at which the lease became valid again after a lapse.
     /// The silence of machines is counted from here at the earliest.
     pub silence_counted_from: Mono,
@@ -182,7 +182,7 @@
         fleet.zones = ZoneStates::default();
         Self {
             token,
-            since: now,
+            started_at: now,
             silence_counted_from: now,
             stage: Stage::LoadingLive,
             machines_listed: false,
@@ -291,7 +291,7 @@
     /// Applies the hints that an earlier leader sent at `hinted_at`.
     pub fn recall(&mut self, hints: LeaderHints, hinted_at: Mono) {
         self.hints_applied = true;
-        self.fleet.zones.recall(&hints.zones, hinted_at);
+        self.fleet.zones.restore(&hints.zones, hinted_at);
         for (host, images) in hints.images {
             let ready = |(name, gb)| Image { name, gb, ready: true };
             self.inherited_images.insert(host, images.into_iter().map(ready).collect());
@@ -346,7 +346,7 @@
             machine.existence_confirmed = true;
             // Marks reports of earlier sessions as stale; direct commands also have to name the session.
             machine.session = machine.session.max(shift);
-            machine.hold(
+            machine.assign(
                 TaskId::new(id, index),
                 Resources::from(&*spec),
                 &spec.image,
--- a/crates/core/src/reign/reports.rs
+++ b/crates/core/src/reign/reports.rs
@@ -3,7 +3,7 @@
 
 use super::repeats::FailedAttempt;
 use super::*;
-use oatloom_ledger::entry::End;
+use oatloom_ledger::entry::AttemptEnd;
 
 /// Reason for restarting a gathering gang under a new attempt number. Answers to direct commands are not ordered among
 /// the reports: with the old number, a late answer that shows the refusal would end a task that has started since.
@@ -119,8 +119,9 @@
             let free = self.fleet.free_resources(m);
             self.expected_jobs.iter().any(|(job, _)| free.fits(&Resources::from(&*job.spec)))
         };
-        let has_unsent_start =
-            || m.assigned.keys().any(|task| self.job_table.held(task).is_some_and(start_unsent));
+        let has_unsent_start = || {
+            m.assigned.keys().any(|task| self.job_table.assignment(task).is_some_and(start_unsent))
+        };
         reserved || has_unsent_start() || m.assigned.keys().all(unlikely_to_end) && has_room()
     }
 
@@ -150,7 +151,10 @@
         let order_pending =
             |hold: &TaskAssignment| hold.run_sent == RunSent::No || hold.stop.is_some();
         self.fleet.machines.get(host).is_some_and(|machine| {
-            machine.assigned.keys().any(|task| self.job_table.held(task).is_some_and(order_pending))
+            machine
+                .assigned
+                .keys()
+                .any(|task| self.job_table.assignment(task).is_some_and(order_pending))
         })
     }
 
@@ -179,7 +183,8 @@
             self.tasks_assigned_to(host, |hold| hold.stop.is_some() && hold.run_sent != RunSent::No)
         {
             let task = TaskId::new(&id, index);
-            let stop = self.job_table.held(&task).and_then(|h| Some((h.stop?.grace_s, h.attempt)));
+            let stop =
+                self.job_table.assignment(&task).and_then(|h| Some((h.stop?.grace_s, h.attempt)));
             if let Some((grace_s, attempt)) = stop {
                 self.push_order(
                     &mut orders,
@@ -202,7 +207,7 @@
 
     /// Whether the job table assigns this attempt of a task to the worker session that reports it.
     fn is_assigned_here(&self, task: &TaskId, attempt: Attempt, report: &Report) -> bool {
-        self.job_table.held(task).is_some_and(|h| {
+        self.job_table.assignment(task).is_some_and(|h| {
             h.host == report.host && h.attempt == attempt && h.session == report.shift
         })
     }
@@ -219,7 +224,9 @@
             .assigned
             .keys()
             .filter(|task| {
-                self.job_table.held(task).is_some_and(|hold| hold.host == *host && predicate(hold))
+                self.job_table
+                    .assignment(task)
+                    .is_some_and(|hold| hold.host == *host && predicate(hold))
             })
             .map(|task| (task.job.clone(), task.index))
             .collect()
@@ -227,7 +234,7 @@
 
     /// Releases a task that is provably gone and whose end was not reported.
     pub(super) fn task_lost(&mut self, id: &JobId, index: u32, now: Mono) {
-        self.record_usage(id, index, End::Unseen, (false, None), now);
+        self.record_usage(id, index, AttemptEnd::Unseen, (false, None), now);
         if let Some(job) = self.job_table.jobs.get_mut(id) {
             job.lost_at = now;
         }
@@ -340,7 +347,7 @@
         }
         for other in others {
             // These started and ended together with the reported task.
-            self.record_usage(id, other, End::Seen(Cause::Done), (false, ran_ms), now);
+            self.record_usage(id, other, AttemptEnd::Seen(Cause::Done), (false, ran_ms), now);
             self.release_task(id, other, true, now);
         }
     }
@@ -420,7 +427,7 @@
         log::debug!("task {task}: ended on {host}, {cause:?}");
         let id = &task.job;
         let (index, mut gang_failure) = (task.index, None);
-        self.record_usage(id, index, End::Seen(cause), (row.stored, row.ran_ms), now);
+        self.record_usage(id, index, AttemptEnd::Seen(cause), (row.stored, row.ran_ms), now);
         match cause {
             Cause::Done => {
                 if let Some(job) = self.job_table.get(id)
@@ -453,7 +460,8 @@
                 gang_failure = Some("its tasks lost each other");
             }
             Cause::Error => {
-                let failed = self.job_table.held(task).map(|hold| FailedAttempt::of(hold, now));
+                let failed =
+                    self.job_table.assignment(task).map(|hold| FailedAttempt::of(hold, now));
                 self.release_task(id, index, false, now);
                 match failed {
                     Some(failed) if self.job_table.failures_limited => {
--- a/crates/core/src/reign/usage.rs
+++ b/crates/core/src/reign/usage.rs
@@ -1,7 +1,7 @@
 //! Usage accounting: builds the entry of an attempt that is provably gone.
 
 use super::*;
-use oatloom_ledger::entry::{End, UsageEntry};
+use oatloom_ledger::entry::{AttemptEnd, UsageEntry};
 
 impl LeaderTerm {
     /// Records the usage of an attempt that is about to be released, if it may have been on its machine. `ran_ms`: run
@@ -10,7 +10,7 @@
         &mut self,
         id: &JobId,
         index: u32,
-        end: End,
+        end: AttemptEnd,
         (stored, ran_ms): (bool, Option<u64>),
         now: Mono,
     ) {
@@ -29,11 +29,11 @@
             _ => hold.assigned_at,
         };
         let seen_ms = hold.running_since.map_or(0, |since| now.since(since).0);
-        let seen_ms = if end == End::Unseen { 0 } else { seen_ms };
+        let seen_ms = if end == AttemptEnd::Unseen { 0 } else { seen_ms };
         let ran_ms = ran_ms.or(hold.reported_run_ms).unwrap_or(seen_ms);
         // Reports may arrive late, so only the proof that the task is gone bounds how long it ran after the last one.
         let unseen_ms =
-            if end == End::Unseen { now.since(since).0.saturating_sub(ran_ms) } else { 0 };
+            if end == AttemptEnd::Unseen { now.since(since).0.saturating_sub(ran_ms) } else { 0 };
         let flavor = machine.and_then(|m| self.fleet.flavor(&m.flavor));
         let spot = machine.is_some_and(|m| m.spot);
         let entry = UsageEntry {
@@ -53,7 +53,8 @@
             unseen_ms,
             end,
             progress_saved: stored,
-            goes_on: matches!(job.state, JobState::Open) || end == End::Seen(Cause::Done),
+            job_continues: matches!(job.state, JobState::Open)
+                || end == AttemptEnd::Seen(Cause::Done),
             checkpoint_ms: Millis::from_secs(spec.checkpoint_s).0,
             cpus: spec.cpus,
             gpus: spec.gpus,
@@ -62,6 +63,6 @@
             machine_share: flavor
                 .map_or(0.0, |f| Resources::from(&**spec).share_of(&Resources::from(f))),
         };
-        self.job_table.account(&entry);
+        self.job_table.record_usage(&entry);
     }
 }
--- a/crates/core/src/relay.rs
+++ b/crates/core/src/relay.rs
@@ -62,7 +62,7 @@
     }
 
     /// Records the leader's status for a forwarded report; `None` if the leader was unreachable.
-    pub fn told(&mut self, status: Option<u16>, now: Mono) {
+    pub fn on_forward_result(&mut self, status: Option<u16>, now: Mono) {
         let until = now.plus(RELAY_FAILURE_PAUSE_MS);
         self.enter(match status {
             Some(503) => LinkState::Refusing(until),
@@ -162,14 +162,14 @@
     fn a_refusal_by_the_leader_pauses_all_forwarding() {
         let mut relays = ReportRouter::default();
         assert_eq!(relays.route(&host(1), true, Mono(10_000)), ReportRoute::Forward);
-        relays.told(Some(503), Mono(10_010));
+        relays.on_forward_result(Some(503), Mono(10_010));
         assert_eq!(relays.route(&host(2), true, Mono(10_020)), ReportRoute::RetryLater);
         let later = Mono(10_010 + RELAY_FAILURE_PAUSE_MS.0);
         assert_eq!(relays.route(&host(2), true, later), ReportRoute::Forward);
-        relays.told(None, later);
+        relays.on_forward_result(None, later);
         assert_eq!(relays.route(&host(3), true, later), ReportRoute::Redirect);
         assert_eq!(relays.route(&host(3), true, later), ReportRoute::TryOther);
-        relays.told(Some(200), later);
+        relays.on_forward_result(Some(200), later);
         assert_eq!(relays.route(&host(2), true, later), ReportRoute::Forward);
     }
 }
--- a/crates/core/src/scaling.rs
+++ b/crates/core/src/scaling.rs
@@ -11,13 +11,13 @@
     /// Time left d in seconds.
     pub left_s: f64,
     /// Maximum number of cores that the job can use at once.
-    pub most: f64,
+    pub max_cores: f64,
 }
 
 impl Demand {
     /// s = r / d with d at least one tick, capped at what the job can use.
     pub fn rate(&self, tick_s: f64) -> f64 {
-        (self.work / self.left_s.max(tick_s)).min(self.most).max(0.0)
+        (self.work / self.left_s.max(tick_s)).min(self.max_cores).max(0.0)
     }
 }
 
@@ -94,7 +94,7 @@
 
     #[test]
     fn rate_is_work_over_time_left() {
-        let demand = Demand { work: 1200.0, left_s: 60.0, most: 100.0 };
+        let demand = Demand { work: 1200.0, left_s: 60.0, max_cores: 100.0 };
         assert_eq!(demand.rate(1.0), 20.0);
         let late = Demand { left_s: -5.0, ..demand };
         assert_eq!(late.rate(10.0), 100.0);
--- a/crates/core/src/workers.rs
+++ b/crates/core/src/workers.rs
@@ -136,7 +136,7 @@
         }
     }
 
-    pub fn hold(
+    pub fn assign(
         &mut self,
         task: TaskId,
         need: Resources,
--- a/crates/core/src/workers/tests.rs
+++ b/crates/core/src/workers/tests.rs
@@ -44,13 +44,13 @@
     fleet.record_report(&report(1, 1, 1), Token(1), Mono(0));
     let m = fleet.machines.get_mut(&HostId::new("i-1")).unwrap();
     let task = |i| TaskId::new(&JobId::new("req-1"), i);
-    m.hold(task(0), Resources::default(), "x", 30.0, 60.0);
+    m.assign(task(0), Resources::default(), "x", 30.0, 60.0);
     assert!(!m.has_image("x") && m.fetching().len() == 1);
     m.mark_fetched("x");
-    m.hold(task(1), Resources::default(), "y", 20.0, 60.0);
+    m.assign(task(1), Resources::default(), "y", 20.0, 60.0);
     m.mark_fetched("y");
-    m.hold(task(2), Resources::default(), "x", 30.0, 60.0);
-    m.hold(task(3), Resources::default(), "z", 25.0, 60.0);
+    m.assign(task(2), Resources::default(), "x", 30.0, 60.0);
+    m.assign(task(3), Resources::default(), "z", 25.0, 60.0);
     m.mark_fetched("z");
     assert!(m.has_image("x") && m.has_image("z") && !m.has_image("y"));
 }
--- a/crates/ctl/src/suite.rs
+++ b/crates/ctl/src/suite.rs
@@ -539,7 +539,7 @@
     }
     let of = |cause: &str| -> (u64, u64) {
         let rows = account.rows.iter().filter(|row| row.cause == cause);
-        rows.fold((0, 0), |(n, ran), row| (n + row.line.attempts, ran + row.line.ran_ms))
+        rows.fold((0, 0), |(n, ran), row| (n + row.sums.attempts, ran + row.sums.ran_ms))
     };
     let (done, done_ms) = of("done");
     let (unseen, _) = of("unseen");
@@ -559,7 +559,7 @@
         ));
     }
     for row in &account.rows {
-        let line = &row.line;
+        let line = &row.sums;
         if line.ran_ms != line.useful_ms + line.repeated_ms + line.lost_ms {
             wrong.push(format!("ledger: a row's run time is not its parts: {row:?}"));
         }
--- a/crates/ctl/src/usage.rs
+++ b/crates/ctl/src/usage.rs
@@ -170,7 +170,7 @@
         "costMicros",
     ])?;
     for r in rows {
-        let l = &r.line;
+        let l = &r.sums;
         let numbers = [
             l.attempts,
             l.held_ms,
@@ -207,7 +207,7 @@
     for r in rows {
         let key = (r.day.clone(), r.team.clone(), r.class.clone());
         let (sum, closed) = sums.entry(key).or_default();
-        let l = &r.line;
+        let l = &r.sums;
         let more = [
             l.attempts,
             l.useful_ms,
--- a/crates/ledger/src/entry.rs
+++ b/crates/ledger/src/entry.rs
@@ -6,7 +6,7 @@
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum AttemptEnd {
     /// The worker reported the end, with this cause.
     Seen(Cause),
     /// The end was not observed: the machine or its lease was lost. The run time is the one reported last; the
@@ -36,11 +36,11 @@
     pub ran_ms: u64,
     /// Upper bound on the unreported run time, in milliseconds.
     pub unseen_ms: u64,
-    pub end: End,
+    pub end: AttemptEnd,
     /// Whether its progress was saved when it was stopped.
     pub progress_saved: bool,
     /// Whether its job continues, so that lost work has to be run again.
-    pub goes_on: bool,
+    pub job_continues: bool,
     /// Checkpoint interval in milliseconds; 0: no checkpoints.
     pub checkpoint_ms: u64,
     pub cpus: f64,
@@ -75,13 +75,13 @@
         let ran = self.ran_ms;
         let useful_ms = match self.end {
             _ if self.shape == Shape::Service => ran,
-            End::Seen(Cause::Done) => ran,
-            End::Seen(Cause::Stopped) if self.progress_saved => ran,
-            _ if !self.goes_on => 0,
+            AttemptEnd::Seen(Cause::Done) => ran,
+            AttemptEnd::Seen(Cause::Stopped) if self.progress_saved => ran,
+            _ if !self.job_continues => 0,
             _ => ran.checked_div(self.checkpoint_ms).unwrap_or(0) * self.checkpoint_ms,
         };
         let not_useful_ms = ran - useful_ms;
-        match self.goes_on {
+        match self.job_continues {
             true => RunTimeBreakdown { useful_ms, repeated_ms: not_useful_ms, lost_ms: 0 },
             false => RunTimeBreakdown { useful_ms, repeated_ms: 0, lost_ms: not_useful_ms },
         }
@@ -100,7 +100,7 @@
     use super::*;
     use oatloom_protocol::ids::JobId;
 
-    pub fn entry(end: End, ran_ms: u64) -> UsageEntry {
+    pub fn entry(end: AttemptEnd, ran_ms: u64) -> UsageEntry {
         UsageEntry {
             task: TaskId::new(&JobId::new("req-1"), 0),
             attempt: Attempt(1),
@@ -118,7 +118,7 @@
             unseen_ms: 0,
             end,
             progress_saved: false,
-            goes_on: true,
+            job_continues: true,
             checkpoint_ms: 0,
             cpus: 2.0,
             gpus: 1.0,
@@ -135,24 +135,28 @@
             assert_eq!(breakdown.useful_ms + breakdown.repeated_ms + breakdown.lost_ms, e.ran_ms);
             (breakdown.useful_ms, breakdown.repeated_ms, breakdown.lost_ms)
         };
-        assert_eq!(breakdown_of(entry(End::Seen(Cause::Done), 900)), (900, 0, 0));
-        assert_eq!(breakdown_of(entry(End::Seen(Cause::Error), 900)), (0, 900, 0));
-        assert_eq!(breakdown_of(entry(End::Unseen, 900)), (0, 900, 0));
-        let job_ended = UsageEntry { goes_on: false, ..entry(End::Seen(Cause::Stopped), 900) };
+        assert_eq!(breakdown_of(entry(AttemptEnd::Seen(Cause::Done), 900)), (900, 0, 0));
+        assert_eq!(breakdown_of(entry(AttemptEnd::Seen(Cause::Error), 900)), (0, 900, 0));
+        assert_eq!(breakdown_of(entry(AttemptEnd::Unseen, 900)), (0, 900, 0));
+        let job_ended =
+            UsageEntry { job_continues: false, ..entry(AttemptEnd::Seen(Cause::Stopped), 900) };
         assert_eq!(breakdown_of(job_ended), (0, 0, 900));
-        let with_checkpoints = UsageEntry { checkpoint_ms: 400, ..entry(End::Unseen, 900) };
+        let with_checkpoints = UsageEntry { checkpoint_ms: 400, ..entry(AttemptEnd::Unseen, 900) };
         assert_eq!(breakdown_of(with_checkpoints.clone()), (800, 100, 0));
-        let saved =
-            UsageEntry { progress_saved: true, end: End::Seen(Cause::Stopped), ..with_checkpoints };
+        let saved = UsageEntry {
+            progress_saved: true,
+            end: AttemptEnd::Seen(Cause::Stopped),
+            ..with_checkpoints
+        };
         assert_eq!(breakdown_of(saved), (900, 0, 0));
-        let replica = UsageEntry { shape: Shape::Service, ..entry(End::Unseen, 900) };
+        let replica = UsageEntry { shape: Shape::Service, ..entry(AttemptEnd::Unseen, 900) };
         assert_eq!(breakdown_of(replica), (900, 0, 0));
     }
 
     #[test]
     fn cost_is_the_share_of_the_machine_while_held() {
         // A quarter of a machine at 3.6 an hour, for an hour.
-        let mut e = entry(End::Seen(Cause::Done), 0);
+        let mut e = entry(AttemptEnd::Seen(Cause::Done), 0);
         e.held_ms = 3_600_000;
         assert_eq!(e.cost_micros(), 900_000);
         assert_eq!(UsageEntry { hourly_price: -1.0, ..e }.cost_micros(), 0);
--- a/crates/ledger/src/query.rs
+++ b/crates/ledger/src/query.rs
@@ -2,7 +2,7 @@
 
 use crate::constants::*;
 use crate::rollup::{Cursor, ROLLUP_PREFIX, Rollup, RollupId};
-use crate::tally::Line;
+use crate::tally::UsageSums;
 use serde::{Deserialize, Serialize};
 use time::Date;
 use time::format_description::well_known::Iso8601;
@@ -117,7 +117,7 @@
     #[serde(rename = "waitedMs")]
     pub waited_ms: u64,
     #[serde(flatten)]
-    pub line: Line,
+    pub sums: UsageSums,
 }
 
 /// One page of a usage report.
@@ -165,7 +165,7 @@
             if rollup.incomplete {
                 page.gaps.push(key);
             }
-            let row = |(bucket, sums): (&crate::tally::UsageBucket, &Line)| UsageRow {
+            let row = |(bucket, sums): (&crate::tally::UsageBucket, &UsageSums)| UsageRow {
                 day: format_day(rollup_id.day),
                 closed: rollup_id.day < cursor.closed_before,
                 team: rollup_id.team.clone(),
@@ -175,7 +175,7 @@
                 loaners: bucket.spot,
                 cause: bucket.end.clone(),
                 waited_ms: sums.waited_ms(),
-                line: *sums,
+                sums: *sums,
             };
             page.rows.extend(rollup.tally.rows().map(row));
         }
@@ -187,7 +187,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::entry::End;
+    use crate::entry::AttemptEnd;
     use crate::entry::tests::entry;
     use oatloom_protocol::wire::Cause;
 
@@ -223,7 +223,7 @@
             for team in ["red", "blue"] {
                 let mut rollup = Rollup::default();
                 for cause in [Cause::Done, Cause::Error] {
-                    rollup.tally.add(&entry(End::Seen(cause), 7));
+                    rollup.tally.add(&entry(AttemptEnd::Seen(cause), 7));
                 }
                 let rollup_id = RollupId { day, team: team.into(), class: "c".into() };
                 store.push((rollup_id.key(), Some(rollup)));
--- a/crates/ledger/src/rollup.rs
+++ b/crates/ledger/src/rollup.rs
@@ -53,7 +53,7 @@
 pub struct Rollup {
     /// All final states up to this revision are counted.
     #[serde(rename = "r", default)]
-    pub through: Revision,
+    pub counted_through: Revision,
     #[serde(rename = "t")]
     pub tally: UsageByBucket,
     /// An earlier value was unreadable: it is stored under another key and missing from the sums.
@@ -66,7 +66,7 @@
 pub struct Cursor {
     /// Final states up to this revision are counted in all roll-ups.
     #[serde(rename = "r")]
-    pub through: Revision,
+    pub counted_through: Revision,
     /// Days before this one are final.
     #[serde(rename = "d")]
     pub closed_before: u64,
@@ -215,7 +215,7 @@
     }
 
     /// Sets how far the final states are loaded; the state changes only here.
-    pub fn enter(&mut self, load_progress: LoadProgress) {
+    pub fn set_load_progress(&mut self, load_progress: LoadProgress) {
         self.load_progress = load_progress;
     }
 
@@ -225,9 +225,9 @@
 
     /// Sets the cursor as stored; without a stored one, accounting begins at the revision `begin`.
     pub fn set_cursor(&mut self, found: Option<(Cursor, Revision)>, begin: Revision) {
-        let initial = Cursor { through: begin, closed_before: 0 };
+        let initial = Cursor { counted_through: begin, closed_before: 0 };
         self.cursor = found.map_or((Revision(0), initial), |(cursor, revision)| (revision, cursor));
-        self.newest_final = self.newest_final.max(self.cursor.1.through);
+        self.newest_final = self.newest_final.max(self.cursor.1.counted_through);
     }
 
     /// Adds a final state that is stored at the given revision.
@@ -238,7 +238,7 @@
             let counted = self
                 .cached_rollups
                 .get(&id)
-                .is_some_and(|cached| revision <= cached.rollup.through);
+                .is_some_and(|cached| revision <= cached.rollup.counted_through);
             // A final state may be both read from the store and reported by its write: it is added only once. Several
             // jobs may have ended in one write, so the revision alone does not identify it.
             let same = |p: &Pending| p.revision == revision && p.job == *job && p.id == id;
@@ -297,7 +297,7 @@
                 continue;
             }
             let mut rollup = self.latest(id);
-            if *revision > rollup.through {
+            if *revision > rollup.counted_through {
                 rollup.tally.merge(usage);
             }
             self.in_flight.insert(id.clone(), rollup);
@@ -305,7 +305,7 @@
         for (id, rollup) in &mut self.in_flight {
             // The roll-up now includes all of its final states up to `newest_final`.
             if self.pending.iter().any(|p| p.id == *id) {
-                rollup.through = rollup.through.max(self.newest_final);
+                rollup.counted_through = rollup.counted_through.max(self.newest_final);
             }
             rollup.tally.merge_rows(self.max_rows);
         }
@@ -314,7 +314,7 @@
             return None;
         }
         let closed_before = self.cursor.1.closed_before.max(open_from);
-        Some(Cursor { through: self.newest_final, closed_before })
+        Some(Cursor { counted_through: self.newest_final, closed_before })
     }
 
     /// Writes of the transaction being built: roll-up, required stored revision, new value.
@@ -358,7 +358,7 @@
     }
 
     fn cache(&mut self, rollup_id: RollupId, rollup: Rollup, revision: Revision) {
-        let through = rollup.through;
+        let through = rollup.counted_through;
         self.pending.retain(|p| p.id != rollup_id || p.revision > through);
         self.cached_rollups.insert(rollup_id, CachedRollup { revision, rollup });
         // Drops the oldest days first: closed days are not written again, and others are read again on conflict.
@@ -371,7 +371,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::entry::End;
+    use crate::entry::AttemptEnd;
     use crate::entry::tests::entry;
     use oatloom_protocol::wire::Cause;
     use rand::{Rng, SeedableRng};
@@ -434,17 +434,18 @@
                     0 => {
                         rollups = Rollups::new(USAGE_FLUSH_PERIOD_MS);
                         rollups.set_cursor(store.cursor, Revision(0));
-                        let after = rollups.cursor().through;
+                        let after = rollups.cursor().counted_through;
                         let uncounted =
                             store.final_states.iter().filter(|(revision, ..)| *revision > after);
                         uncounted.for_each(|(revision, job, usage)| {
                             rollups.add_final_state(job, usage, *revision)
                         });
-                        rollups.enter(LoadProgress::All);
+                        rollups.set_load_progress(LoadProgress::All);
                     }
                     1..6 => {
                         let mut days = UsageByDay::default();
-                        let mut e = entry(End::Seen(Cause::Done), rng.random_range(1..5_000));
+                        let mut e =
+                            entry(AttemptEnd::Seen(Cause::Done), rng.random_range(1..5_000));
                         e.ended_ms = rng.random_range(0..3) * DAY_MS;
                         days.add(&e);
                         let team = format!("t{}", rng.random_range(0..3));
@@ -486,11 +487,11 @@
             // The last leader counts the remaining final states.
             let mut last = Rollups::default();
             last.set_cursor(store.cursor, Revision(0));
-            let after = last.cursor().through;
+            let after = last.cursor().counted_through;
             let uncounted = store.final_states.iter().filter(|(revision, ..)| *revision > after);
             uncounted
                 .for_each(|(revision, job, usage)| last.add_final_state(job, usage, *revision));
-            last.enter(LoadProgress::All);
+            last.set_load_progress(LoadProgress::All);
             let mut rounds = 0;
             while last.pending_count() > 0 {
                 rounds += 1;
@@ -517,7 +518,7 @@
     fn job_usage_stays_small_and_preserves_sums() {
         let mut days = UsageByDay::default();
         for n in 0..90u64 {
-            let mut e = entry(End::Seen(Cause::Done), 5);
+            let mut e = entry(AttemptEnd::Seen(Cause::Done), 5);
             e.flavor = format!("f{}", n % 30);
             e.ended_ms = n / 30 * DAY_MS;
             days.add(&e);
--- a/crates/ledger/src/tally.rs
+++ b/crates/ledger/src/tally.rs
@@ -1,7 +1,7 @@
 //! Sums of usage entries, as stored in records. All sums are integers, so that the order of addition does not
 //! matter.
 
-use crate::entry::{End, UsageEntry};
+use crate::entry::{AttemptEnd, UsageEntry};
 use oatloom_protocol::wire::Cause;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -20,7 +20,7 @@
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct Line {
+pub struct UsageSums {
     pub attempts: u64,
     /// Time from assignment to end.
     pub held_ms: u64,
@@ -37,8 +37,8 @@
     pub cost_micros: u64,
 }
 
-impl Line {
-    pub fn add(&mut self, other: &Line) {
+impl UsageSums {
+    pub fn add(&mut self, other: &UsageSums) {
         let pairs = [
             (&mut self.attempts, other.attempts),
             (&mut self.held_ms, other.held_ms),
@@ -97,7 +97,7 @@
     }
 }
 
-impl From<&UsageEntry> for Line {
+impl From<&UsageEntry> for UsageSums {
     fn from(e: &UsageEntry) -> Self {
         let breakdown = e.run_time_breakdown();
         // Rounded once per attempt.
@@ -119,17 +119,17 @@
 }
 
 /// Name of an end, as in the protocol.
-pub fn end_name(end: End) -> &'static str {
+pub fn end_name(end: AttemptEnd) -> &'static str {
     match end {
-        End::Unseen => "unseen",
-        End::Seen(Cause::Done) => "done",
-        End::Seen(Cause::Stopped) => "halted",
-        End::Seen(Cause::Peers) => "peers",
-        End::Seen(Cause::Incomplete) => "incomplete",
-        End::Seen(Cause::Error) => "error",
-        End::Seen(Cause::NoRoom) => "no_room",
-        End::Seen(Cause::Busy) => "busy",
-        End::Seen(Cause::Unknown) => "no_such",
+        AttemptEnd::Unseen => "unseen",
+        AttemptEnd::Seen(Cause::Done) => "done",
+        AttemptEnd::Seen(Cause::Stopped) => "halted",
+        AttemptEnd::Seen(Cause::Peers) => "peers",
+        AttemptEnd::Seen(Cause::Incomplete) => "incomplete",
+        AttemptEnd::Seen(Cause::Error) => "error",
+        AttemptEnd::Seen(Cause::NoRoom) => "no_room",
+        AttemptEnd::Seen(Cause::Busy) => "busy",
+        AttemptEnd::Seen(Cause::Unknown) => "no_such",
     }
 }
 
@@ -140,7 +140,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "Vec<Row>", into = "Vec<Row>")]
 pub struct UsageByBucket {
-    rows: BTreeMap<UsageBucket, Line>,
+    rows: BTreeMap<UsageBucket, UsageSums>,
 }
 
 impl From<Vec<Row>> for UsageByBucket {
@@ -148,7 +148,7 @@
         let mut usage = Self::default();
         for (flavor, zone, spot, end, sums) in rows {
             let bucket = UsageBucket { flavor, zone, spot: spot != 0, end };
-            usage.add_to_bucket(bucket, &Line::from_array(sums));
+            usage.add_to_bucket(bucket, &UsageSums::from_array(sums));
         }
         usage
     }
@@ -156,7 +156,7 @@
 
 impl From<UsageByBucket> for Vec<Row> {
     fn from(usage: UsageByBucket) -> Self {
-        let row = |(b, sums): (UsageBucket, Line)| {
+        let row = |(b, sums): (UsageBucket, UsageSums)| {
             (b.flavor, b.zone, u8::from(b.spot), b.end, sums.as_array())
         };
         usage.rows.into_iter().map(row).collect()
@@ -172,7 +172,7 @@
         self.rows.len()
     }
 
-    fn add_to_bucket(&mut self, bucket: UsageBucket, sums: &Line) {
+    fn add_to_bucket(&mut self, bucket: UsageBucket, sums: &UsageSums) {
         self.rows.entry(bucket).or_default().add(sums);
     }
 
@@ -183,7 +183,7 @@
             spot: entry.spot,
             end: end_name(entry.end).to_owned(),
         };
-        self.add_to_bucket(bucket, &Line::from(entry));
+        self.add_to_bucket(bucket, &UsageSums::from(entry));
     }
 
     pub fn merge(&mut self, other: &UsageByBucket) {
@@ -192,13 +192,13 @@
         }
     }
 
-    pub fn rows(&self) -> impl Iterator<Item = (&UsageBucket, &Line)> {
+    pub fn rows(&self) -> impl Iterator<Item = (&UsageBucket, &UsageSums)> {
         self.rows.iter()
     }
 
     /// Sums over all buckets.
-    pub fn total(&self) -> Line {
-        let mut total = Line::default();
+    pub fn total(&self) -> UsageSums {
+        let mut total = UsageSums::default();
         self.rows.values().for_each(|sums| total.add(sums));
         total
     }
@@ -231,8 +231,10 @@
     fn sums_are_exact_in_any_order() {
         let mut entries = Vec::new();
         for n in 0..200u64 {
-            let mut e =
-                entry(if n % 3 == 0 { End::Unseen } else { End::Seen(Cause::Done) }, n * 17);
+            let mut e = entry(
+                if n % 3 == 0 { AttemptEnd::Unseen } else { AttemptEnd::Seen(Cause::Done) },
+                n * 17,
+            );
             e.flavor = format!("f{}", n % 7);
             e.cpus = 0.1 * n as f64;
             entries.push(e);
--- a/crates/ledger/tests/month.rs
+++ b/crates/ledger/tests/month.rs
@@ -2,12 +2,12 @@
 //! class and day sum to exactly the usage entered. `OATLOOM_ATTEMPTS` sets the number of attempts.
 
 use oatloom_ledger::constants::{DAY_MS, USAGE_FLUSH_PERIOD_MS};
-use oatloom_ledger::entry::{End, UsageEntry};
+use oatloom_ledger::entry::{AttemptEnd, UsageEntry};
 use oatloom_ledger::query::{UsagePage, UsageQuery};
 use oatloom_ledger::rollup::{
     Cursor, JobUsage, LoadProgress, Rollup, RollupId, Rollups, UsageByDay,
 };
-use oatloom_ledger::tally::Line;
+use oatloom_ledger::tally::UsageSums;
 use oatloom_protocol::ids::{Attempt, HostId, JobId, Mono, Revision, TaskId, Zone};
 use oatloom_protocol::wire::{Cause, Rank, Shape};
 use rand::{Rng, SeedableRng};
@@ -29,12 +29,12 @@
     fn leader(&mut self) -> Rollups {
         let mut rollups = Rollups::new(USAGE_FLUSH_PERIOD_MS);
         rollups.set_cursor(self.cursor, Revision(0));
-        let after = rollups.cursor().through;
+        let after = rollups.cursor().counted_through;
         self.final_states.retain(|(revision, ..)| *revision > after);
         self.final_states
             .iter()
             .for_each(|(revision, job, usage)| rollups.add_final_state(job, usage, *revision));
-        rollups.enter(LoadProgress::All);
+        rollups.set_load_progress(LoadProgress::All);
         rollups
     }
 
@@ -79,10 +79,10 @@
 ) -> UsageEntry {
     let ran_ms = rng.random_range(0..240_000);
     let end = match rng.random_range(0..20) {
-        0 => End::Seen(Cause::Error),
-        1 => End::Seen(Cause::Stopped),
-        2 => End::Unseen,
-        _ => End::Seen(Cause::Done),
+        0 => AttemptEnd::Seen(Cause::Error),
+        1 => AttemptEnd::Seen(Cause::Stopped),
+        2 => AttemptEnd::Unseen,
+        _ => AttemptEnd::Seen(Cause::Done),
     };
     UsageEntry {
         task,
@@ -98,10 +98,10 @@
         ended_ms,
         held_ms: ran_ms + rng.random_range(0..30_000),
         ran_ms,
-        unseen_ms: if end == End::Unseen { 9_000 } else { 0 },
+        unseen_ms: if end == AttemptEnd::Unseen { 9_000 } else { 0 },
         end,
         progress_saved: rng.random_bool(0.5),
-        goes_on: rng.random_bool(0.9),
+        job_continues: rng.random_bool(0.9),
         checkpoint_ms: 30_000,
         cpus: 0.1 * f64::from(rng.random_range(1..100)),
         gpus: f64::from(rng.random_range(0..4)),
@@ -116,7 +116,7 @@
     let requested = std::env::var("OATLOOM_ATTEMPTS").ok().and_then(|n| n.parse().ok());
     let attempts: u64 = requested.unwrap_or(60_000);
     let mut rng = ChaCha8Rng::seed_from_u64(30);
-    let (mut store, mut expected) = (Store::default(), BTreeMap::<RollupId, Line>::new());
+    let (mut store, mut expected) = (Store::default(), BTreeMap::<RollupId, UsageSums>::new());
     let mut rollups = store.leader();
     let (mut entered, mut changes, mut takeovers, mut jobs) = (0, 0, 0, 0u64);
     let started = Instant::now();
@@ -133,7 +133,7 @@
         for n in 0..tasks {
             let e = random_entry(TaskId::new(&job, n as u32), &mut rng, &team, &class, clock);
             let id = RollupId { day: e.day(), team: team.clone(), class: class.clone() };
-            expected.entry(id).or_default().add(&Line::from(&e));
+            expected.entry(id).or_default().add(&UsageSums::from(&e));
             days.add(&e);
         }
         entered += tasks;
@@ -175,7 +175,7 @@
             rest.iter().take(40).map(|(key, rollup)| ((*key).clone(), Some((**rollup).clone())));
         let cursor = store.cursor.unwrap_or_default().0;
         let page = UsagePage::of(&query, found, rest.len() > 40, cursor);
-        reported_cost += page.rows.iter().map(|row| row.line.cost_micros).sum::<u64>();
+        reported_cost += page.rows.iter().map(|row| row.sums.cost_micros).sum::<u64>();
         assert!(page.rows.iter().all(|row| row.closed));
         match page.next {
             Some(next) => query.start_after = Some(next),
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -61,7 +61,7 @@
     }
 
     /// Processes a gossip message of another controller.
-    pub fn take(&mut self, gossip: &Gossip, now: Now) -> Result<(), RejectReason> {
+    pub fn receive(&mut self, gossip: &Gossip, now: Now) -> Result<(), RejectReason> {
         let result = self.apply(gossip, now);
         if let Err(reason) = result {
             let count = self.rejected.entry(reason).or_default();
--- a/crates/membership/tests/world.rs
+++ b/crates/membership/tests/world.rs
@@ -174,7 +174,7 @@
         for (_, _, to, gossip) in due {
             let now = self.clocks(to);
             if let Some(membership) = self.nodes[to].membership.as_mut() {
-                let _ = membership.take(&gossip, now);
+                let _ = membership.receive(&gossip, now);
             }
         }
         self.check();
@@ -283,15 +283,15 @@
     let sent_too_early = later.wall_ms - MAX_MESSAGE_AGE_MS.0 - 1;
     invalid.push((Gossip { at_ms: sent_too_early, ..good.clone() }, RejectReason::Delayed));
     for (gossip, reason) in &invalid {
-        assert_eq!(membership.take(gossip, later), Err(*reason));
+        assert_eq!(membership.receive(gossip, later), Err(*reason));
         assert_eq!(membership.presence(&member_name(1)), Presence::Unknown);
     }
-    assert_eq!(membership.take(&good, later), Ok(()));
-    assert_eq!(membership.take(&good, later), Err(RejectReason::Stale), "a duplicate");
+    assert_eq!(membership.receive(&good, later), Ok(()));
+    assert_eq!(membership.receive(&good, later), Err(RejectReason::Stale), "a duplicate");
     let before = Incarnation { started_ms: 999_000, nonce: 9 };
     let earlier = Gossip { incarnation: before, at_ms: 1_000_050, ..good };
     assert_eq!(
-        membership.take(&earlier, later),
+        membership.receive(&earlier, later),
         Err(RejectReason::Stale),
         "an earlier incarnation"
     );
@@ -313,7 +313,7 @@
         for (from, to) in [(0, 2), (1, 2), (2, 0), (2, 1)] {
             if ms % 2_000 == 0 {
                 let gossip = nodes[from].gossip_for(&member_name(to), status(), at(ms));
-                assert_eq!(nodes[to].take(&gossip, at(ms)), Ok(()));
+                assert_eq!(nodes[to].receive(&gossip, at(ms)), Ok(()));
             }
         }
         for node in &mut nodes {
@@ -343,7 +343,7 @@
         LocalStatus { ready: true, ..LocalStatus::default() },
         start,
     );
-    membership.take(&gossip, start).unwrap();
+    membership.receive(&gossip, start).unwrap();
     membership.tick(Mono(80_000));
     assert_eq!(membership.presence(&member_name(1)), Presence::Alive);
     for ms in (80_000..90_000).step_by(500) {
--- a/crates/zones/src/lib.rs
+++ b/crates/zones/src/lib.rs
@@ -61,7 +61,7 @@
     /// reported to this controller.
     pub expected: u32,
     /// Expected machines whose first report is overdue.
-    pub unheard: u32,
+    pub overdue: u32,
 }
 
 impl ZoneObservation {
@@ -78,13 +78,13 @@
     /// Whether several machines are expected, none has reported since this controller started to
     /// listen, and not all of them are overdue yet.
     fn is_awaiting_reports(&self) -> bool {
-        self.known == 0 && self.expected >= MIN_SILENT_MACHINES && self.unheard < self.expected
+        self.known == 0 && self.expected >= MIN_SILENT_MACHINES && self.overdue < self.expected
     }
 
     /// How many machines should report while none does.
     fn missing(&self) -> u32 {
         let none = self.heard == 0 && self.silent == self.known;
-        if none { self.silent + self.unheard } else { 0 }
+        if none { self.silent + self.overdue } else { 0 }
     }
 }
 
@@ -296,7 +296,7 @@
 
     /// Takes over what an earlier leader reported at `noted`. That leader may have been the one
     /// that was cut off, so later observations take precedence.
-    pub fn recall(&mut self, told: &[ZoneReport], noted: Mono) {
+    pub fn restore(&mut self, told: &[ZoneReport], noted: Mono) {
         let ago = |ms: u64| Mono(noted.0.saturating_sub(ms));
         for report in told {
             let record = self.record_mut(&report.zone);
@@ -355,7 +355,7 @@
         zones.observe(&[(zone("b"), all_reporting(100, 60_000))].into(), Mono(60_500));
         assert!(zones.is_lost(&zone("a")));
         // New machines that are up but silent change nothing; the first report does.
-        let silent = ZoneObservation { unheard: 2, ..ZoneObservation::default() };
+        let silent = ZoneObservation { overdue: 2, ..ZoneObservation::default() };
         zones.observe(&seen(silent, all_reporting(100, 60_500)), Mono(61_000));
         assert!(zones.is_lost(&zone("a")));
         zones.observe(&seen(all_reporting(1, 90_000), all_reporting(100, 90_000)), Mono(90_000));
@@ -436,7 +436,7 @@
     /// until one reports or enough of them have not.
     #[test]
     fn few_silent_machines_allow_one_hire_at_a_time() {
-        let one = ZoneObservation { unheard: 1, ..ZoneObservation::default() };
+        let one = ZoneObservation { overdue: 1, ..ZoneObservation::default() };
         for comes_up in [true, false] {
             let mut zones = ZoneStates::default();
             zones.observe(&seen(all_silent(1), all_reporting(100, 20_000)), Mono(20_000));
@@ -460,7 +460,7 @@
                 );
                 assert_eq!(zones.hire_policy(&zone("a")), HirePolicy::AsNeeded);
             } else {
-                let three = ZoneObservation { unheard: 3, expected: 3, ..one };
+                let three = ZoneObservation { overdue: 3, expected: 3, ..one };
                 zones.observe(&seen(three, all_reporting(100, 120_000)), Mono(120_000));
                 assert!(zones.is_lost(&zone("a")));
             }
@@ -478,7 +478,7 @@
         zones.observe(&seen(expecting, all_reporting(3, 2_000)), Mono(2_000));
         assert_eq!(zones.hire_policy(&zone("a")), HirePolicy::None);
         assert_eq!(zones.hire_policy(&zone("b")), HirePolicy::AsNeeded);
-        let overdue = ZoneObservation { unheard: 9, ..expecting };
+        let overdue = ZoneObservation { overdue: 9, ..expecting };
         zones.observe(&seen(overdue, all_reporting(9, 19_000)), Mono(20_000));
         assert!(zones.is_lost(&zone("a")));
         // Few machines, or none that is expected to report, delay nothing; nor do those that turn
@@ -530,7 +530,7 @@
         zones.observe(&seen(all_silent(9), all_reporting(9, 10_000)), Mono(10_000));
         let told = zones.report(Mono(25_000));
         let mut next = ZoneStates::default();
-        next.recall(&told, Mono(1_000_000));
+        next.restore(&told, Mono(1_000_000));
         assert_eq!(next.state(&zone("a")), ZoneState::Lost { since: Mono(985_000) });
         assert!(next.due_probes(Mono(1_000_000), |_| true).is_empty());
         let probe = Mono(985_000).plus(PROBE_PERIOD_MS);
@@ -546,10 +546,10 @@
         let mut zones = ZoneStates::default();
         zones.observe(&seen(all_silent(1), all_reporting(9, 10_000)), Mono(10_000));
         let mut next = ZoneStates::default();
-        next.recall(&zones.report(Mono(25_000)), Mono(1_000_000));
+        next.restore(&zones.report(Mono(25_000)), Mono(1_000_000));
         assert_eq!(next.hire_policy(&zone("a")), HirePolicy::OneAtATime);
         // A clock whose reading is below the reported ages does no harm.
-        ZoneStates::default().recall(&told, Mono(3));
+        ZoneStates::default().restore(&told, Mono(3));
     }
 
     /// Whatever is observed, a zone with reports is never lost, and a lost zone without reports is
@@ -574,7 +574,14 @@
                     let latest = (heard > 0).then_some(now);
                     let unheard = rng.random_range(0..3);
                     let expected = unheard + rng.random_range(0..3);
-                    let seen = ZoneObservation { known, silent, heard, latest, expected, unheard };
+                    let seen = ZoneObservation {
+                        known,
+                        silent,
+                        heard,
+                        latest,
+                        expected,
+                        overdue: unheard,
+                    };
                     view.insert(zone(name), seen);
                 }
                 let before = NAMES.map(|name| zones.state(&zone(name)));
--- a/crates/zones/tests/unknown_state.rs
+++ b/crates/zones/tests/unknown_state.rs
@@ -49,7 +49,7 @@
     let three = ZoneObservation { expected: 3, ..ZoneObservation::default() };
     zones.observe(&seen(three, reporting(9, 2_000)), Mono(2_000));
     assert_eq!(zones.state(&zone("a")), ZoneState::AwaitingReports);
-    let overdue = ZoneObservation { unheard: 3, ..three };
+    let overdue = ZoneObservation { overdue: 3, ..three };
     zones.observe(&seen(overdue, reporting(9, 19_000)), Mono(20_000));
     assert!(zones.is_lost(&zone("a")));
 }
--- a/src/edge/frames.rs
+++ b/src/edge/frames.rs
@@ -28,12 +28,12 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use oatloom_core::mesh::{PeerRequestFrame, Question};
+    use oatloom_core::mesh::{PeerRequest, PeerRequestFrame};
     use oatloom_protocol::ids::JobId;
 
     #[test]
     fn frames_survive_the_trip_and_long_ones_are_refused() {
-        let asked = PeerRequestFrame { id: 7, request: Question::Abort(JobId::new("req-1")) };
+        let asked = PeerRequestFrame { id: 7, request: PeerRequest::Abort(JobId::new("req-1")) };
         let mut wire = Vec::new();
         write_frame(&mut wire, &asked).unwrap();
         assert_eq!(read_frame::<PeerRequestFrame>(&mut wire.as_slice()).unwrap(), asked);
--- a/src/edge/mesh_io.rs
+++ b/src/edge/mesh_io.rs
@@ -119,7 +119,7 @@
             if let Some(old) = line.take() {
                 let _ = old.stream.shutdown(std::net::Shutdown::Both);
             }
-            let told = Event::Told { id: asked.id, reply: None };
+            let told = Event::PeerReply { id: asked.id, reply: None };
             if events.send(told).is_err() {
                 return;
             }
@@ -138,7 +138,7 @@
     let (mark, events) = (broken.clone(), events.clone());
     spawn("mesh-told", move || {
         while let Ok(Told { id, reply }) = read_frame(&mut reader) {
-            let told = Event::Told { id, reply: Some(reply) };
+            let told = Event::PeerReply { id, reply: Some(reply) };
             if events.send(told).is_err() {
                 break;
             }
--- a/src/edge/mod.rs
+++ b/src/edge/mod.rs
@@ -168,7 +168,7 @@
             match self.inbox.pop(now)? {
                 Admitted::Drop(incoming, retry) => self.turn_away(incoming, retry),
                 Admitted::Take(incoming, age) => {
-                    self.dropped_reports.taken(incoming.request());
+                    self.dropped_reports.record_handled(incoming.request());
                     self.controller.set_queue_delay(age);
                     return Some(self.take_up(incoming));
                 }
@@ -209,11 +209,11 @@
             Action::Store { id, lane, op } => return self.clients.store(id, lane, op),
             Action::Cloud { id, op } => return self.clients.cloud(id, op),
             Action::Command { addr, command } => return self.clients.command(addr, command),
-            Action::Ask { to, id, request } => {
+            Action::PeerRequest { to, id, request } => {
                 let asked = oatloom_core::mesh::PeerRequestFrame { id, request: request };
                 let sent = self.mesh.get(&to).is_some_and(|peer| peer.try_send(asked).is_ok());
                 if !sent {
-                    return Some(Event::Told { id, reply: None });
+                    return Some(Event::PeerReply { id, reply: None });
                 }
             }
         }
--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -4,7 +4,7 @@
 use oatloom_core::api::Request;
 use oatloom_core::constants::*;
 use oatloom_core::controller::{Action, Controller, Event};
-use oatloom_core::mesh::{PeerRequestFrame, Question};
+use oatloom_core::mesh::{PeerRequest, PeerRequestFrame};
 use oatloom_core::notes::LeaderHints;
 use oatloom_core::operators::OperatorSettings;
 use oatloom_core::reign::{LeaderConfig, LeaderTerm};
@@ -40,7 +40,8 @@
 
 fn frame_bytes(notes: LeaderHints) -> usize {
     let mut bytes = Vec::new();
-    let asked = PeerRequestFrame { id: u64::MAX, request: Question::LeaderHints(Box::new(notes)) };
+    let asked =
+        PeerRequestFrame { id: u64::MAX, request: PeerRequest::LeaderHints(Box::new(notes)) };
     ciborium::into_writer(&asked, &mut bytes).expect("a frame");
     bytes.len()
 }
@@ -91,7 +92,7 @@
             core.handle(now, Event::Request { conn: ConnId(10 + n), request, forwarded: false })
         {
             match action {
-                Action::Ask { id, .. } => _ = asked.insert(id, n),
+                Action::PeerRequest { id, .. } => _ = asked.insert(id, n),
                 Action::Reply { reply, .. } => panic!("{n} of {waiting} is refused: {reply:?}"),
                 _ => {}
             }
--- a/tests/graphs.rs
+++ b/tests/graphs.rs
@@ -142,7 +142,7 @@
         unseen_ms,
         end,
         progress_saved: stored,
-        goes_on,
+        job_continues: goes_on,
         ..
     } = entry;
     let UsageEntry { checkpoint_ms, cpus, gpus, memory_gb, .. } = entry;
--- a/tests/hard.rs
+++ b/tests/hard.rs
@@ -99,7 +99,7 @@
             + late.cloud_calls
             + late.peer_requests
             + late.parked_reports
-            + late.unwritten;
+            + late.unwritten_changes;
         assert!(all < 40, "seed {seed}: {early:?} early, {late:?} late");
         // All that may run does, or has.
         let back = 800 + NIGHT_MS;
--- a/tests/looks.rs
+++ b/tests/looks.rs
@@ -580,7 +580,7 @@
         let ask = |solo: &mut Solo, request| {
             let conn = solo.ask(request);
             for (id, _) in std::mem::take(&mut solo.asked) {
-                solo.event(Event::Told { id, reply: None });
+                solo.event(Event::PeerReply { id, reply: None });
             }
             conn
         };
--- a/tests/machines.rs
+++ b/tests/machines.rs
@@ -460,7 +460,8 @@
 /// The attempt of that task in the leader's job table, and whether it was sent.
 fn assigned_attempt(solo: &Solo) -> Option<(u64, RunSent)> {
     let task = TaskId::new(&JobId::new("req-1"), 0);
-    let hold = solo.core.leader_term().and_then(|leader_term| leader_term.job_table.held(&task));
+    let hold =
+        solo.core.leader_term().and_then(|leader_term| leader_term.job_table.assignment(&task));
     hold.map(|hold| (hold.attempt.0, hold.run_sent))
 }
 
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -458,7 +458,7 @@
                 };
                 self.later(200, Event::Cloud { id, reply });
             }
-            Action::Ask { id, .. } => self.later(500, Event::Told { id, reply: None }),
+            Action::PeerRequest { id, .. } => self.later(500, Event::PeerReply { id, reply: None }),
             Action::Command { .. } => self.later(800, Event::CommandReply { report: None }),
         }
     }
@@ -466,7 +466,7 @@
     /// Has the controller handle an event that costs so much.
     fn handle(&mut self, event: Event, cost_us: f64) {
         let now = Now { mono: Mono(CLOCK_START_MS.0 + self.now), wall_ms: 1_000_000 + self.now };
-        let (looks, parked) = (self.core.parked_checks(), self.core.waiting().parked_reports);
+        let (looks, parked) = (self.core.parked_checks(), self.core.queue_sizes().parked_reports);
         let actions = self.core.handle(now, event);
         let looked = match self.planted {
             Planted::LooksAtAll => parked as u64,
@@ -484,7 +484,7 @@
         loop {
             match self.inbox.pop(Mono(self.now))? {
                 Admitted::Take(next, age) => {
-                    self.dropped_reports.taken(&next.1);
+                    self.dropped_reports.record_handled(&next.1);
                     self.core.set_queue_delay(age);
                     return Some(next);
                 }
--- a/tests/quiet_controllers.rs
+++ b/tests/quiet_controllers.rs
@@ -155,7 +155,7 @@
         if asks(solo.now) {
             solo.ask(Request::View(JobId::new("req-000001")));
             for (id, _) in std::mem::take(&mut solo.asked) {
-                solo.event(Event::Told { id, reply: None });
+                solo.event(Event::PeerReply { id, reply: None });
             }
         }
         let conn = solo.ask(Request::HealthProbe);
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -109,8 +109,8 @@
         fleet,
         array_task_limits: &paced,
         pending_hires: Vec::new(),
-        expected: &[],
-        refused: &refused,
+        expected_jobs: &[],
+        is_refused: &refused,
     })
 }
 
@@ -141,10 +141,10 @@
             reported_run_ms: None,
             stop: None,
         };
-        assert!(book.hold(id, *index, hold), "{id}/{index} is placed twice");
+        assert!(book.assign(id, *index, hold), "{id}/{index} is placed twice");
         let machine = fleet.machines.get_mut(host).expect("a known machine");
         let task = oatloom_protocol::ids::TaskId::new(id, *index);
-        machine.hold(task, need, &spec.image, spec.image_gb, 100.0);
+        machine.assign(task, need, &spec.image, spec.image_gb, 100.0);
     }
     for (id, count) in started {
         let spec = &book.get(id).expect("a known job").spec;
@@ -278,8 +278,8 @@
             fleet,
             array_task_limits: &BTreeMap::new(),
             pending_hires: Vec::new(),
-            expected: &[(Job::forecast(&spec, 4, NOW), 2)],
-            refused: &|_| false,
+            expected_jobs: &[(Job::forecast(&spec, 4, NOW), 2)],
+            is_refused: &|_| false,
         })
     };
     assert!(ready(&mut book, &fleet).hires.is_empty());
--- a/tests/terms.rs
+++ b/tests/terms.rs
@@ -229,6 +229,6 @@
     let (id, _) = solo.asked.pop().expect("the leader is asked");
     solo.now += 10_000;
     let view = json!({"nameId": "req-9", "status": "running", "done": 0, "running": 1});
-    solo.event(Event::Told { id, reply: Some(HttpReply::json(200, &view)) });
+    solo.event(Event::PeerReply { id, reply: Some(HttpReply::json(200, &view)) });
     assert_ne!(solo.reply(conn).map(|reply| reply.status), Some(200));
 }
--- a/tests/usage.rs
+++ b/tests/usage.rs
@@ -5,16 +5,16 @@
 mod world;
 
 use oatloom_core::jobs::{ChunkRecord, FinalRecord};
-use oatloom_ledger::entry::{End, UsageEntry};
+use oatloom_ledger::entry::{AttemptEnd, UsageEntry};
 use oatloom_ledger::rollup::{CURSOR_KEY, Cursor, ROLLUP_PREFIX, Rollup, RollupId, UsageByDay};
-use oatloom_ledger::tally::{Line, UsageByBucket, end_name};
+use oatloom_ledger::tally::{UsageByBucket, UsageSums, end_name};
 use oatloom_protocol::wire::{Cause, Shape};
 use std::collections::BTreeMap;
 use world::{World, more_days, show_log};
 
 /// Sums by cause of everything that is accounted, wherever it stands.
-fn accounted(world: &World) -> BTreeMap<String, Line> {
-    let mut sums: BTreeMap<String, Line> = BTreeMap::new();
+fn accounted(world: &World) -> BTreeMap<String, UsageSums> {
+    let mut sums: BTreeMap<String, UsageSums> = BTreeMap::new();
     let mut add = |tally: &UsageByBucket| {
         for (bucket, line) in tally.rows() {
             sums.entry(bucket.end.clone()).or_default().add(line);
@@ -25,7 +25,7 @@
         let rollup: Rollup = serde_json::from_value(row.value).unwrap();
         assert!(!rollup.incomplete);
         add(&rollup.tally);
-        through.insert(RollupId::parse(&row.key).unwrap(), rollup.through);
+        through.insert(RollupId::parse(&row.key).unwrap(), rollup.counted_through);
     }
     let cursor = world.stored(CURSOR_KEY).pop();
     let cursor: Cursor =
@@ -35,7 +35,8 @@
         let Some(spent) = record.spent else { continue };
         for (day, tally) in spent.days.days() {
             let slot = RollupId { day, team: spent.team.clone(), class: spent.class.clone() };
-            let counted = through.get(&slot).copied().unwrap_or_default().max(cursor.through);
+            let counted =
+                through.get(&slot).copied().unwrap_or_default().max(cursor.counted_through);
             if row.version > counted {
                 add(tally);
             }
@@ -94,9 +95,11 @@
             entries.iter().filter(same).count() > 1
         };
         let sums = |entries: &[UsageEntry]| {
-            let mut sums: BTreeMap<String, Line> = BTreeMap::new();
+            let mut sums: BTreeMap<String, UsageSums> = BTreeMap::new();
             for entry in entries {
-                sums.entry(end_name(entry.end).to_owned()).or_default().add(&Line::from(entry));
+                sums.entry(end_name(entry.end).to_owned())
+                    .or_default()
+                    .add(&UsageSums::from(entry));
             }
             sums
         };
@@ -110,10 +113,11 @@
             // were written.
             assert!(all.iter().any(twice), "seed {seed}: {found:#?}\n{expected:#?}");
             for (cause, line) in &found {
-                let of =
-                    |sums: &BTreeMap<String, Line>| sums.get(cause).copied().unwrap_or_default();
+                let of = |sums: &BTreeMap<String, UsageSums>| {
+                    sums.get(cause).copied().unwrap_or_default()
+                };
                 let (least, most) = (of(&least), of(&most));
-                let within = |f: fn(&Line) -> u64| (f(&least)..=f(&most)).contains(&f(line));
+                let within = |f: fn(&UsageSums) -> u64| (f(&least)..=f(&most)).contains(&f(line));
                 let good = within(|l| l.attempts) && within(|l| l.ran_ms) && within(|l| l.held_ms);
                 assert!(good, "seed {seed} {cause}: {least:?} {line:?} {most:?}");
             }
@@ -126,31 +130,31 @@
             match (entry.end, exit) {
                 // The tasks of a gang complete together, and the first that says so speaks for all; a machine that
                 // hung in between may have it otherwise.
-                (End::Seen(Cause::Done), exit)
+                (AttemptEnd::Seen(Cause::Done), exit)
                     if entry.shape == Shape::Gang
                         && exit.is_none_or(|(_, ran)| ran != entry.ran_ms) =>
                 {
                     inferred += 1;
                 }
-                (End::Seen(cause), Some((there, ran))) if !again(entry) => {
+                (AttemptEnd::Seen(cause), Some((there, ran))) if !again(entry) => {
                     assert_eq!((cause, entry.ran_ms), (there, ran), "seed {seed}: {entry:?}");
                 }
                 // A start that was refused never ran.
-                (End::Seen(Cause::NoRoom | Cause::Busy | Cause::Unknown), None) => {
+                (AttemptEnd::Seen(Cause::NoRoom | Cause::Busy | Cause::Unknown), None) => {
                     assert_eq!(entry.ran_ms, 0);
                 }
                 // Of an attempt that it was given twice, a worker tells the last end.
-                (End::Seen(_), Some(_)) => {}
-                (End::Seen(_), None) => panic!("seed {seed}: nobody saw {entry:?}"),
+                (AttemptEnd::Seen(_), Some(_)) => {}
+                (AttemptEnd::Seen(_), None) => panic!("seed {seed}: nobody saw {entry:?}"),
                 // Of tasks of a job that is over, a later leader does not know since when they are there.
                 // A worker that was given an attempt twice tells of the second time only.
-                (End::Unseen, Some((_, ran))) if entry.goes_on && !again(entry) => {
+                (AttemptEnd::Unseen, Some((_, ran))) if entry.job_continues && !again(entry) => {
                     assert!(ran <= entry.ran_ms + entry.unseen_ms, "seed {seed}: {ran} {entry:?}");
                 }
-                (End::Unseen, _) => {}
+                (AttemptEnd::Unseen, _) => {}
             }
             attempts += 1;
-            unseen += u64::from(entry.end == End::Unseen);
+            unseen += u64::from(entry.end == AttemptEnd::Unseen);
         }
     }
     println!(
--- a/tests/world/machines.rs
+++ b/tests/world/machines.rs
@@ -211,7 +211,7 @@
         for worker in self.region.workers.values() {
             for ((job, index, attempt), task) in &worker.tasks {
                 let id = TaskId::new(&JobId::new(job), *index);
-                let held = term.job_table.held(&id).is_some_and(|h| {
+                let held = term.job_table.assignment(&id).is_some_and(|h| {
                     h.host.as_str() == worker.host
                         && h.attempt.0 == *attempt
                         && h.session.0 == worker.shift
@@ -221,7 +221,7 @@
                         "{job}/{index} attempt {attempt} is on {}, session {}, but the job table of {token} has {:?}",
                         worker.host,
                         worker.shift,
-                        term.job_table.held(&id)
+                        term.job_table.assignment(&id)
                     ));
                 }
             }
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -794,7 +794,7 @@
                         );
                     }
                 }
-                Action::Ask { to, id, request } => {
+                Action::PeerRequest { to, id, request } => {
                     let peer = to.as_str()[2..].parse().unwrap_or(0);
                     let request = request.into();
                     let (a, b, until) = self.partitioned_peers;
@@ -1008,7 +1008,7 @@
         match from {
             Sender::Peer { node, incarnation, request_id } => {
                 let received = if reply.status == 599 { None } else { Some(reply) };
-                let event = Event::Told { id: request_id, reply: received };
+                let event = Event::PeerReply { id: request_id, reply: received };
                 self.deliver(Message::Event { node, incarnation, event });
             }
             Sender::GraphClient(client, number) => {
@@ -1505,7 +1505,7 @@
     /// The sizes of the controllers' queues, the largest of each.
     pub fn load(&self) -> QueueSizes {
         let loads =
-            self.nodes.iter().filter_map(|n| n.controller.as_ref()).map(Controller::waiting);
+            self.nodes.iter().filter_map(|n| n.controller.as_ref()).map(Controller::queue_sizes);
         loads.fold(QueueSizes::default(), QueueSizes::field_maximum)
     }
 
--- a/tests/world/solo.rs
+++ b/tests/world/solo.rs
@@ -6,7 +6,7 @@
 use oatloom_core::cloud::{CloudOp, CloudReply};
 use oatloom_core::constants::CLOCK_START_MS;
 use oatloom_core::controller::{Action, Controller, Event};
-use oatloom_core::mesh::Question;
+use oatloom_core::mesh::PeerRequest;
 use oatloom_core::operators::OperatorSettings;
 use oatloom_core::reply::ConnId;
 use oatloom_core::store::{OpId, StoreOp, StoreReply};
@@ -24,7 +24,7 @@
     pub held: Vec<(OpId, StoreOp, Option<StoreReply>)>,
     pub watches: Vec<(OpId, String, Revision)>,
     pub replies: Vec<(ConnId, HttpReply)>,
-    pub asked: Vec<(u64, Question)>,
+    pub asked: Vec<(u64, PeerRequest)>,
     /// The cloud's response to a list request; `None`: busy, as for all other requests but the catalog.
     pub list: Option<MachineList>,
     /// Hire requests received by the cloud.
@@ -119,7 +119,9 @@
                         }
                         events.push(Event::Cloud { id, reply: CloudReply::Busy });
                     }
-                    Action::Ask { id, request: question, .. } => self.asked.push((id, question)),
+                    Action::PeerRequest { id, request: question, .. } => {
+                        self.asked.push((id, question))
+                    }
                     Action::Command { .. } => events.push(Event::CommandReply { report: None }),
                 }
             }
