--- a/crates/core/src/controller/leading.rs
+++ b/crates/core/src/controller/leading.rs
@@ -116,7 +116,7 @@
             if let Some((received, hints)) =
                 self.leader_hints.take().filter(|(received, _)| recent(received))
             {
-                leader_term.recall(hints, received);
+                leader_term.apply_hints(hints, received);
             }
             leader_term.enter(Stage::Active);
             leader_term.restore_charges(now.mono);
--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -569,7 +569,7 @@
         match purpose {
             Purpose::Leadership { request, sent } => {
                 let random = self.rng.random::<u64>() >> 12;
-                let requests = self.leadership.answered(now.mono, &request, sent, &reply, random);
+                let requests = self.leadership.on_reply(now.mono, &request, sent, &reply, random);
                 if matches!((&request, &reply), (LeadershipRequest::Read, StoreReply::Found(_))) {
                     self.saw_leader_key(now);
                 }
--- a/crates/core/src/jobs/fitting.rs
+++ b/crates/core/src/jobs/fitting.rs
@@ -150,11 +150,11 @@
         record.usage = Default::default();
         record.charges.merge_hosts();
         let (host, zone) = (hold.host.clone(), hold.zone.clone());
-        record.held.push((index, hold.attempt, host, hold.session, zone));
+        record.assignments.push((index, hold.attempt, host, hold.session, zone));
         let fits = size(&record.value(self.limits.form, chunk * TASKS_PER_CHUNK)) <= limit;
         if !fits && !self.full_record_logged {
             self.full_record_logged = true;
-            let held = record.held.len() - 1;
+            let held = record.assignments.len() - 1;
             log::warn!(
                 "job {id}: only {held} of the {} tasks that share an assignment record can be assigned at once, \
                  since machine names are long and the record is limited to {limit} bytes; logged only once",
--- a/crates/core/src/jobs/fitting/tests.rs
+++ b/crates/core/src/jobs/fitting/tests.rs
@@ -83,7 +83,7 @@
     let Change::Put { value, .. } = &txn.changes[0] else { panic!("{txn:?}") };
     assert!(size(value) <= SMALL.value, "{} bytes", size(value));
     let read: ChunkRecord = serde_json::from_value(value.clone()).unwrap();
-    assert_eq!(read.held, job_table.jobs[&id].record(10).held);
+    assert_eq!(read.assignments, job_table.jobs[&id].record(10).assignments);
     let failures: u32 = read.charges.rows.iter().map(|row| row.2).sum();
     assert_eq!(failures, 20);
     let attempts: u64 = read.usage.days().map(|(_, tally)| tally.total().attempts).sum();
--- a/crates/core/src/jobs/job.rs
+++ b/crates/core/src/jobs/job.rs
@@ -415,7 +415,7 @@
         let usage = self.usage.get(&chunk).cloned().unwrap_or_default();
         ChunkRecord {
             done: to_hex(slice.iter().map(|t| *t == TaskState::Done)),
-            held: slice
+            assignments: slice
                 .iter()
                 .enumerate()
                 .filter_map(|(i, t)| match t {
--- a/crates/core/src/jobs/mod.rs
+++ b/crates/core/src/jobs/mod.rs
@@ -163,7 +163,7 @@
             }
         }
         let mut held = Vec::new();
-        for (index, attempt, host, shift, zone) in record.held {
+        for (index, attempt, host, shift, zone) in record.assignments {
             let hold = TaskAssignment {
                 host: host.clone(),
                 session: shift,
--- a/crates/core/src/jobs/packed.rs
+++ b/crates/core/src/jobs/packed.rs
@@ -112,7 +112,7 @@
 /// Assignments and failures of a chunk.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct Unpacked {
-    pub held: Vec<AssignmentRow>,
+    pub assignments: Vec<AssignmentRow>,
     pub charges: ChargeRecord,
 }
 
@@ -196,7 +196,7 @@
         ));
     }
     held.sort_by_key(|(task, ..)| *task);
-    Ok(Unpacked { held, charges: unpack_charges(first, packed.charges) })
+    Ok(Unpacked { assignments: held, charges: unpack_charges(first, packed.charges) })
 }
 
 fn unpack_charges(first: u32, packed: PackedCharges) -> ChargeRecord {
--- a/crates/core/src/jobs/packed/tests.rs
+++ b/crates/core/src/jobs/packed/tests.rs
@@ -51,7 +51,7 @@
         let held = random_assignments(&mut rng, first);
         let charges = random_charges(&mut rng, first);
         let text = pack(first, &held, &charges);
-        assert_eq!(unpack(&text), Ok(Unpacked { held, charges }), "seed {seed}");
+        assert_eq!(unpack(&text), Ok(Unpacked { assignments: held, charges }), "seed {seed}");
     }
 }
 
--- a/crates/core/src/jobs/records.rs
+++ b/crates/core/src/jobs/records.rs
@@ -132,7 +132,7 @@
     #[serde(rename = "d", default)]
     pub done: String,
     #[serde(rename = "a", default)]
-    pub held: Vec<AssignmentRow>,
+    pub assignments: Vec<AssignmentRow>,
     /// Team, cores, GPUs, memory and number of tasks, so that a later leader can count tasks that are
     /// still on machines when the description is deleted.
     #[serde(rename = "u")]
@@ -151,7 +151,7 @@
     #[serde(rename = "d", default)]
     done: String,
     #[serde(rename = "a", default)]
-    held: Vec<AssignmentRow>,
+    assignments: Vec<AssignmentRow>,
     #[serde(rename = "u")]
     size: (String, f64, f64, f64, u32),
     #[serde(rename = "e", default)]
@@ -167,28 +167,29 @@
     type Error = PackedError;
 
     fn try_from(stored: StoredChunk) -> Result<Self, PackedError> {
-        let StoredChunk { done, held, size, charges, usage, packed } = stored;
+        let StoredChunk { done, assignments: held, size, charges, usage, packed } = stored;
         let (held, charges) = match packed {
             Some(text) => {
                 let unpacked = packed::unpack(&text)?;
-                (unpacked.held, unpacked.charges)
+                (unpacked.assignments, unpacked.charges)
             }
             None => (held, charges),
         };
-        Ok(Self { done, held, size, charges, usage })
+        Ok(Self { done, assignments: held, size, charges, usage })
     }
 }
 
 impl ChunkRecord {
     /// The value to be stored in this form, for the chunk whose first task is `first`.
     pub fn value(&self, form: RecordForm, first: u32) -> serde_json::Value {
-        let nothing_to_pack = self.held.is_empty() && self.charges.is_empty();
+        let nothing_to_pack = self.assignments.is_empty() && self.charges.is_empty();
         if form == RecordForm::Rows || nothing_to_pack {
             return serde_json::json!(self);
         }
-        let text = packed::pack(first, &self.held, &self.charges);
+        let text = packed::pack(first, &self.assignments, &self.charges);
         let (done, size, usage) = (self.done.clone(), self.size.clone(), self.usage.clone());
-        let rest = Self { done, held: Vec::new(), size, charges: ChargeRecord::default(), usage };
+        let rest =
+            Self { done, assignments: Vec::new(), size, charges: ChargeRecord::default(), usage };
         let mut value = serde_json::json!(rest);
         value["p"] = text.into();
         value
--- a/crates/core/src/jobs/tests.rs
+++ b/crates/core/src/jobs/tests.rs
@@ -256,7 +256,7 @@
     let (txn, written) = job_table.next_txn(fence(), 16, Mono(0)).unwrap();
     let [Change::Put { value, .. }] = &txn.changes[..] else { panic!("{txn:?}") };
     let record: ChunkRecord = serde_json::from_value(value.clone()).unwrap();
-    assert!(record.held.is_empty() && !record.charges.is_empty());
+    assert!(record.assignments.is_empty() && !record.charges.is_empty());
     job_table.committed(&written, Revision(7));
     let (mut later, _) = super::tests::job_table(200);
     later.load_chunk(&id, 1, record, Revision(7), Mono(5));
@@ -398,7 +398,7 @@
     use oatloom_ledger::rollup::{Cursor, LoadProgress, Rollup, RollupId};
     let record = r#"{"d":"1","a":[[1,7,"i-1",1,"a"]],"u":["t",1.0,0.0,1.0,2],"l":{"x":[[3]]}}"#;
     let record: ChunkRecord = serde_json::from_str(record).unwrap();
-    assert!(record.usage.is_empty() && record.held.len() == 1);
+    assert!(record.usage.is_empty() && record.assignments.len() == 1);
     let final_record = r#"{"s":"done","n":2,"u":{"t":"red","c":7}}"#;
     let final_record: FinalRecord = serde_json::from_str(final_record).unwrap();
     assert_eq!((final_record.status, final_record.spent), (JobStatus::Done, None));
--- a/crates/core/src/leadership.rs
+++ b/crates/core/src/leadership.rs
@@ -250,7 +250,7 @@
     }
 
     /// Handles the reply to `ask`, which was sent at `sent`. `random` becomes the nonce of a claim.
-    pub fn answered(
+    pub fn on_reply(
         &mut self,
         now: Mono,
         ask: &LeadershipRequest,
@@ -514,7 +514,7 @@
     fn elected() -> Leadership {
         let mut leadership = Leadership::new(Member::new("a"), Some("10.0.0.1:80".into()));
         assert_eq!(leadership.tick(Mono(0)), vec![LeadershipRequest::Read]);
-        let requests = leadership.answered(
+        let requests = leadership.on_reply(
             Mono(1),
             &LeadershipRequest::Read,
             Mono(0),
@@ -524,9 +524,9 @@
         assert_eq!(requests, vec![LeadershipRequest::Grant]);
         let granted = StoreReply::Granted(LeaseId(3));
         let requests =
-            leadership.answered(Mono(50), &LeadershipRequest::Grant, Mono(10), &granted, 7);
+            leadership.on_reply(Mono(50), &LeadershipRequest::Grant, Mono(10), &granted, 7);
         let committed = StoreReply::Committed(Revision(9));
-        leadership.answered(Mono(60), &requests[0], Mono(50), &committed, 7);
+        leadership.on_reply(Mono(60), &requests[0], Mono(50), &committed, 7);
         leadership
     }
 
@@ -559,7 +559,7 @@
         assert_eq!(leadership.valid(Mono(end.0 - 1)), Some(Token(9)));
         assert_eq!(leadership.valid(end), None);
         // After a late renewal, as after an outage, the same token is valid again.
-        leadership.answered(
+        leadership.on_reply(
             Mono(9_000),
             &LeadershipRequest::Renew(LeaseId(3)),
             Mono(8_990),
@@ -573,7 +573,7 @@
     fn an_ended_lease_or_a_higher_token_deposes() {
         let mut leadership = elected();
         leadership.take_change();
-        leadership.answered(
+        leadership.on_reply(
             Mono(70),
             &LeadershipRequest::Renew(LeaseId(3)),
             Mono(65),
@@ -615,11 +615,11 @@
                 leadership.tick(Mono(0));
                 let found = StoreReply::Found(row.clone());
                 let requests =
-                    leadership.answered(Mono(1), &LeadershipRequest::Read, Mono(0), &found, 7);
+                    leadership.on_reply(Mono(1), &LeadershipRequest::Read, Mono(0), &found, 7);
                 let revokes = requests.contains(&LeadershipRequest::Revoke(LeaseId(5)));
                 assert_eq!(revokes, *ends && bound_address.is_some(), "{row:?}");
                 let again =
-                    leadership.answered(Mono(2), &LeadershipRequest::Read, Mono(1), &found, 7);
+                    leadership.on_reply(Mono(2), &LeadershipRequest::Read, Mono(1), &found, 7);
                 assert!(!again.contains(&LeadershipRequest::Revoke(LeaseId(5))));
                 // It does not lead before its own claim has succeeded.
                 assert_eq!(leadership.valid(Mono(3)), None);
@@ -639,7 +639,7 @@
         };
         let mut leadership = elected();
         for (version, count) in [(21, 1), (21, 1), (22, 2)] {
-            let requests = leadership.answered(
+            let requests = leadership.on_reply(
                 Mono(80),
                 &LeadershipRequest::Read,
                 Mono(79),
@@ -665,14 +665,14 @@
         for (nonce, wins) in [(7, true), (8, false)] {
             let mut leadership = Leadership::new(Member::new("a"), Some("10.0.0.1:80".into()));
             leadership.tick(Mono(0));
-            leadership.answered(
+            leadership.on_reply(
                 Mono(1),
                 &LeadershipRequest::Read,
                 Mono(0),
                 &StoreReply::Missing(Revision(1)),
                 7,
             );
-            let requests = leadership.answered(
+            let requests = leadership.on_reply(
                 Mono(2),
                 &LeadershipRequest::Grant,
                 Mono(1),
@@ -680,7 +680,7 @@
                 7,
             );
             let requests =
-                leadership.answered(Mono(3), &requests[0], Mono(2), &StoreReply::Lost, 0);
+                leadership.on_reply(Mono(3), &requests[0], Mono(2), &StoreReply::Lost, 0);
             assert_eq!(requests, vec![LeadershipRequest::Read]);
             let row = Row {
                 key: LEADER_KEY.into(),
@@ -688,7 +688,7 @@
                 version: Revision(5),
                 lease: None,
             };
-            leadership.answered(
+            leadership.on_reply(
                 Mono(4),
                 &LeadershipRequest::Read,
                 Mono(3),
--- a/crates/core/src/mesh.rs
+++ b/crates/core/src/mesh.rs
@@ -57,7 +57,7 @@
 
 /// The response to the message with the same id.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Told {
+pub struct PeerReplyFrame {
     pub id: u64,
     pub reply: HttpReply,
 }
--- a/crates/core/src/reign/mod.rs
+++ b/crates/core/src/reign/mod.rs
@@ -289,7 +289,7 @@
     }
 
     /// Applies the hints that an earlier leader sent at `hinted_at`.
-    pub fn recall(&mut self, hints: LeaderHints, hinted_at: Mono) {
+    pub fn apply_hints(&mut self, hints: LeaderHints, hinted_at: Mono) {
         self.hints_applied = true;
         self.fleet.zones.restore(&hints.zones, hinted_at);
         for (host, images) in hints.images {
@@ -331,8 +331,11 @@
         stamp: Revision,
         now: Mono,
     ) {
-        let zones: BTreeMap<HostId, Zone> =
-            record.held.iter().map(|(_, _, host, _, zone)| (host.clone(), zone.clone())).collect();
+        let zones: BTreeMap<HostId, Zone> = record
+            .assignments
+            .iter()
+            .map(|(_, _, host, _, zone)| (host.clone(), zone.clone()))
+            .collect();
         for (index, host, shift) in self.job_table.load_chunk(id, chunk, record, stamp, now) {
             let Some(job) = self.job_table.get(id) else {
                 continue;
--- a/src/edge/mesh_io.rs
+++ b/src/edge/mesh_io.rs
@@ -6,7 +6,7 @@
 use crossbeam::channel::{Receiver, Sender, bounded};
 use oatloom_core::api::Request;
 use oatloom_core::controller::Event;
-use oatloom_core::mesh::{PeerRequestFrame, Told};
+use oatloom_core::mesh::{PeerReplyFrame, PeerRequestFrame};
 use oatloom_protocol::reply::HttpReply;
 use oatloom_web::{bind_patiently, spawn};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -27,7 +27,7 @@
 
 impl Answerer {
     pub fn answer(self, reply: HttpReply) {
-        let told = Told { id: self.id, reply };
+        let told = PeerReplyFrame { id: self.id, reply };
         if let Ok(mut stream) = self.stream.lock()
             && let Err(e) = write_frame(&mut *stream, &told)
         {
@@ -137,7 +137,7 @@
     let broken = Arc::new(AtomicBool::new(false));
     let (mark, events) = (broken.clone(), events.clone());
     spawn("mesh-told", move || {
-        while let Ok(Told { id, reply }) = read_frame(&mut reader) {
+        while let Ok(PeerReplyFrame { id, reply }) = read_frame(&mut reader) {
             let told = Event::PeerReply { id, reply: Some(reply) };
             if events.send(told).is_err() {
                 break;
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -792,7 +792,7 @@
         };
         let record = ChunkRecord {
             done: String::new(),
-            held: (0..3).map(held).collect(),
+            assignments: (0..3).map(held).collect(),
             size: ("red".into(), 1.0, 4.0, 1.0, 3),
             charges: Default::default(),
             usage: Default::default(),
--- a/tests/machines.rs
+++ b/tests/machines.rs
@@ -441,7 +441,7 @@
     let mut solo = Solo::new();
     let record = ChunkRecord {
         done: String::new(),
-        held: vec![(0, Attempt(9), HostId::new("i-1"), Shift(2), Zone::new("a"))],
+        assignments: vec![(0, Attempt(9), HostId::new("i-1"), Shift(2), Zone::new("a"))],
         size: ("blue".into(), 1.0, 1.0, 1.0, 2),
         charges: Default::default(),
         usage: Default::default(),
@@ -501,7 +501,7 @@
     let mut solo = Solo::new();
     let record = ChunkRecord {
         done: "3".into(),
-        held: Vec::new(),
+        assignments: Vec::new(),
         size: ("blue".into(), 1.0, 1.0, 1.0, 2),
         charges: Default::default(),
         usage: Default::default(),
@@ -669,7 +669,7 @@
         };
         let record = ChunkRecord {
             done: String::new(),
-            held: (0..2).map(held).collect(),
+            assignments: (0..2).map(held).collect(),
             size: ("blue".into(), 1.0, 4.0, 1.0, 2),
             charges: Default::default(),
             usage: Default::default(),
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -216,7 +216,7 @@
         });
         let record = ChunkRecord {
             done: "00".into(),
-            held: held.collect(),
+            assignments: held.collect(),
             size,
             charges: Default::default(),
             usage: Default::default(),
--- a/tests/samples/mod.rs
+++ b/tests/samples/mod.rs
@@ -2,7 +2,7 @@
 //! wrote `tests/data/production.json` from the same samples.
 
 use oatloom_core::jobs::{ChunkRecord, FinalRecord, LiveRecord};
-use oatloom_core::mesh::{PeerRequestFrame, Told};
+use oatloom_core::mesh::{PeerReplyFrame, PeerRequestFrame};
 use oatloom_graph::records as graph;
 use oatloom_ledger::rollup::{Cursor, Rollup};
 use serde::Serialize;
@@ -148,7 +148,7 @@
             "ask: graph",
             peer_request(json!({"Graph": {"Cancel": ["graph-7", key]}})),
         ),
-        message::<Told>(
+        message::<PeerReplyFrame>(
             "told",
             json!({"id": 77, "reply": {"status": 503, "body": "{}", "retry_after_s": 1}}),
         ),
--- a/tests/terms.rs
+++ b/tests/terms.rs
@@ -54,7 +54,7 @@
     let mut solo = Solo::new();
     let record = ChunkRecord {
         done: String::new(),
-        held: vec![(0, Attempt(5), HostId::new("i-1"), Shift(1), Zone::new("a"))],
+        assignments: vec![(0, Attempt(5), HostId::new("i-1"), Shift(1), Zone::new("a"))],
         size: ("blue".into(), 1.0, 1.0, 1.0, 2),
         charges: Default::default(),
         usage: Default::default(),
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -142,7 +142,7 @@
         for row in self.solo.state.rows("asg/") {
             let (job, _) = oatloom_core::jobs::parse_chunk_key(&row.key).unwrap();
             let record: ChunkRecord = serde_json::from_value(row.value).unwrap();
-            let held = record.held.into_iter();
+            let held = record.assignments.into_iter();
             assigned
                 .extend(held.map(|(task, attempt, host, ..)| (job.clone(), task, attempt, host)));
         }
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -1541,7 +1541,9 @@
             }
             let record = serde_json::from_value::<ChunkRecord>(change.value.clone());
             let now = record
-                .map(|r| r.held.into_iter().map(|row| ((row.0, row.1.0, row.2), row.3)).collect())
+                .map(|r| {
+                    r.assignments.into_iter().map(|row| ((row.0, row.1.0, row.2), row.3)).collect()
+                })
                 .unwrap_or_default();
             let before = held.insert(key, now).unwrap_or_default();
             for (gone, _) in before.difference(&held[key]) {
--- a/tests/world/pipelines.rs
+++ b/tests/world/pipelines.rs
@@ -385,7 +385,7 @@
         let Change::Put { key, value, .. } = change else { return None };
         let (job, _) = parse_chunk_key(key)?;
         let record = serde_json::from_value::<ChunkRecord>(value.clone()).ok()?;
-        (!record.held.is_empty()).then_some(job)
+        (!record.assignments.is_empty()).then_some(job)
     })
 }
 
