--- a/crates/protocol/src/ids.rs
+++ b/crates/protocol/src/ids.rs
@@ -1,10 +1,10 @@
-//! Newtypes shared by every slice: names, counters and points in time.
+//! Newtypes used by every crate: identifiers, counters and points in time.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::sync::Arc;
 
-macro_rules! name_type {
+macro_rules! string_newtype {
     ($(#[$doc:meta])* $name:ident) => {
         #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
         #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
@@ -36,40 +36,40 @@
     };
 }
 
-name_type!(
-    /// A job, as its user named it.
+string_newtype!(
+    /// The id of a job, chosen by its user.
     #[cfg_attr(feature = "schema", schemars(extend("pattern" = "^req-[0-9]{1,20}$")))]
     JobId
 );
-name_type!(
-    /// A rented machine, as the cloud named it.
+string_newtype!(
+    /// The id of a rented machine, assigned by the cloud.
     HostId
 );
-name_type!(
-    /// A controller.
+string_newtype!(
+    /// The name of a controller.
     Member
 );
-name_type!(
-    /// A zone of the region.
+string_newtype!(
+    /// The name of a zone in the region.
     Zone
 );
 
 impl JobId {
-    /// Reads an id of the form users always give: `req-` and decimal digits.
+    /// Parses a job id: `req-` and 1 to 20 decimal digits.
     pub fn parse(text: &str) -> Option<Self> {
         let digits = text.strip_prefix("req-")?;
-        let fits = (1..=20).contains(&digits.len()) && digits.bytes().all(|b| b.is_ascii_digit());
-        fits.then(|| Self::new(text))
+        let valid = (1..=20).contains(&digits.len()) && digits.bytes().all(|b| b.is_ascii_digit());
+        valid.then(|| Self::new(text))
     }
 }
 
-macro_rules! count_type {
+macro_rules! counter_newtype {
     ($(#[$doc:meta])* $name:ident) => {
-        $(#[$doc])*
         #[derive(
             Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug, Default, Serialize, Deserialize,
         )]
         #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
+        $(#[$doc])*
         #[serde(transparent)]
         pub struct $name(pub u64);
 
@@ -81,28 +81,30 @@
     };
 }
 
-count_type!(
+counter_newtype!(
     /// Fencing token: the revision at which the leader key was created.
     Token
 );
-count_type!(
-    /// Tells one start of a task from another.
+counter_newtype!(
+    /// Distinguishes the starts of a task.
     Attempt
 );
-count_type!(
-    /// A worker's session; a new one begins whenever its lease has run out.
+counter_newtype!(
+    /// A worker's session; a new one begins whenever the worker's lease has expired.
+    #[cfg_attr(feature = "schema", schemars(rename = "Shift"))]
     Shift
 );
-count_type!(
-    /// Orders the messages of one worker session.
+counter_newtype!(
+    /// Sequence number of a report within a worker session.
+    #[cfg_attr(feature = "schema", schemars(rename = "Tally"))]
     Tally
 );
-count_type!(
+counter_newtype!(
     /// A revision of the state service.
     Revision
 );
-count_type!(
-    /// A lease of the state service.
+counter_newtype!(
+    /// The id of a lease of the state service.
     LeaseId
 );
 
@@ -118,7 +120,7 @@
         Self { job: job.clone(), index }
     }
 
-    /// Reads `req-000412/3`.
+    /// Parses the form `req-000412/3`.
     pub fn parse(text: &str) -> Option<Self> {
         let (job, index) = text.rsplit_once('/')?;
         Some(Self { job: JobId::parse(job)?, index: index.parse().ok()? })
@@ -137,7 +139,7 @@
     }
 }
 
-/// A span of time in milliseconds.
+/// A duration in milliseconds.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Default)]
 pub struct Millis(pub u64);
 
@@ -151,7 +153,7 @@
     }
 }
 
-/// A point on this process's steady clock.
+/// A point in time on this process's monotonic clock, in milliseconds.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Default)]
 pub struct Mono(pub u64);
 
@@ -165,10 +167,10 @@
     }
 }
 
-/// The two clocks as read when an event was taken up.
+/// Both clocks, read once when the handling of an event begins.
 #[derive(Clone, Copy, Debug)]
 pub struct Now {
     pub mono: Mono,
-    /// Time of day in milliseconds; only for what outlives a process.
+    /// Unix time in milliseconds; only for times that outlive the process.
     pub wall_ms: u64,
 }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,5 +1,5 @@
-//! Names, units and wire types of every interface of oatloom: users, workers, cloud, state service,
-//! and the platform's settings. Nothing outside this package knows a wire name.
+//! Identifiers, units and wire types of oatloom's interfaces to users, workers, the cloud and the state service, and the
+//! types of the platform's settings. Wire names are defined in this crate only.
 
 pub mod constants;
 pub mod ids;
--- a/crates/protocol/src/reply.rs
+++ b/crates/protocol/src/reply.rs
@@ -1,9 +1,9 @@
-//! An answer to an HTTP request, whoever gives it.
+//! HTTP responses, independent of the server that sends them.
 
-use crate::constants::RETRY_AFTER_S;
+use crate::constants::DEFAULT_RETRY_AFTER_S;
 use serde::{Deserialize, Serialize};
 
-/// An answer to an HTTP request.
+/// A response to an HTTP request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HttpReply {
     pub status: u16,
@@ -20,8 +20,8 @@
         Self::json(status, &serde_json::json!({ "error": text }))
     }
 
-    /// Cannot be served now; the user learns at once when to come back.
+    /// 503 with `Retry-After`: the request cannot be served now.
     pub fn later(text: &str) -> Self {
-        Self { retry_after_s: Some(RETRY_AFTER_S), ..Self::error(503, text) }
+        Self { retry_after_s: Some(DEFAULT_RETRY_AFTER_S), ..Self::error(503, text) }
     }
 }
--- a/crates/protocol/src/settings.rs
+++ b/crates/protocol/src/settings.rs
@@ -1,10 +1,10 @@
-//! The settings that the platform hands to a controller, as they stand in its file.
+//! The platform's settings of a controller, as written in the settings file.
 
 use crate::constants::*;
 use crate::ids::{Member, Zone};
 use serde::Deserialize;
 
-/// A field whose value makes no sense, and why.
+/// An invalid settings field and the reason.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: {text}")]
 pub struct BadField {
@@ -18,10 +18,11 @@
     }
 }
 
-fn bad(field: &str, text: &str) -> BadField {
+fn invalid(field: &str, text: &str) -> BadField {
     BadField::new(field, text)
 }
 
+/// The settings file of a controller.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Settings {
     pub member: Member,
@@ -37,6 +38,7 @@
     pub facts: Facts,
 }
 
+/// Another controller of the cluster.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Peer {
     pub member: Member,
@@ -46,12 +48,14 @@
     pub addr: String,
 }
 
+/// Addresses of the services that a controller calls.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Endpoints {
     pub cloud: String,
     pub state: String,
 }
 
+/// What the platform states about the region, its services and its limits.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Facts {
     pub zones: Vec<Zone>,
@@ -66,6 +70,7 @@
     pub limits: Limits,
 }
 
+/// A team with its guaranteed and maximum resources.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Team {
     pub name: String,
@@ -79,7 +84,7 @@
     pub gpus_max: f64,
 }
 
-/// An aim as the users state it. Kinds that are not known are kept and ignored.
+/// A user-defined objective. Objectives of unknown kinds are kept and ignored.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Objective {
     pub kind: String,
@@ -93,6 +98,7 @@
     pub times: Option<f64>,
 }
 
+/// Time limits of the worker protocol.
 #[derive(Clone, Debug, Deserialize)]
 pub struct WorkerFacts {
     pub report_s: f64,
@@ -109,12 +115,12 @@
     pub write_rps: f64,
     pub value_kb: f64,
     pub txn_ops: usize,
-    /// Limits that it will have from some moment on, which nobody announces.
+    /// Limits that replace these at a later time, which is not announced.
     #[serde(default)]
     pub next: Option<NextStateFacts>,
 }
 
-/// Limits to come; one that is absent stays as it is.
+/// Future limits of the state service; an absent one stays unchanged.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 pub struct NextStateFacts {
     #[serde(default)]
@@ -128,8 +134,7 @@
 }
 
 impl StateFacts {
-    /// The smaller of each limit as it is and as it will be: what is written within these is taken before the change
-    /// and after it.
+    /// The smaller of each present and future limit: a write within these is accepted before and after the change.
     pub fn strictest(&self) -> Self {
         let next = self.next.clone().unwrap_or_default();
         let smaller =
@@ -154,22 +159,24 @@
         ];
         for (field, value) in amounts {
             if value.is_some_and(|value| !value.is_finite() || value <= 0.0) {
-                return Err(bad(field, "must be a finite number above 0"));
+                return Err(invalid(field, "must be a finite number above 0"));
             }
         }
         if next.txn_ops.is_some_and(|ops| ops < 4) {
-            return Err(bad("facts.state.next.txn_ops", "must be at least 4"));
+            return Err(invalid("facts.state.next.txn_ops", "must be at least 4"));
         }
         Ok(())
     }
 }
 
+/// Limits of the cloud's API.
 #[derive(Clone, Debug, Deserialize)]
 pub struct CloudFacts {
     pub rps: f64,
     pub list_lag_s: f64,
 }
 
+/// Resource limits of the controller's process.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Limits {
     #[serde(default = "one")]
@@ -179,12 +186,12 @@
 }
 
 impl Limits {
-    /// Sockets kept for this controller's own calls and its peers.
+    /// Sockets reserved for this controller's own calls and its peers.
     pub fn own_sockets(&self) -> usize {
-        (self.sockets / 3).clamp(OWN_SOCKETS_LEAST, OWN_SOCKETS)
+        (self.sockets / 3).clamp(MIN_OWN_SOCKETS, MAX_OWN_SOCKETS)
     }
 
-    /// Connections that workers and users may have together.
+    /// Maximum number of connections from workers and users together.
     pub fn connections(&self) -> usize {
         self.sockets.saturating_sub(self.own_sockets())
     }
@@ -195,24 +202,24 @@
 }
 
 impl Settings {
-    /// The address for requests, if no other process anywhere can have bound it at the same time as this one: a machine's
-    /// own number, or a loopback one where the state service is on this machine too.
+    /// The address for requests, if no other process of the cluster can have bound it at the same time: a specific IP
+    /// address, or a loopback address if the state service is on a loopback address too.
     pub fn bound_alone(&self) -> Option<String> {
         let address = |text: &str| text.parse::<std::net::SocketAddr>().ok();
         let (own, state) = (address(&self.listen)?, address(&self.endpoints.state)?);
-        let here = own.ip().is_loopback() && !state.ip().is_loopback();
-        let alone = !own.ip().is_unspecified() && own.port() != 0 && !here;
-        alone.then(|| self.listen.clone())
+        let only_local = own.ip().is_loopback() && !state.ip().is_loopback();
+        let exclusive = !own.ip().is_unspecified() && own.port() != 0 && !only_local;
+        exclusive.then(|| self.listen.clone())
     }
 
-    /// Checks what the types alone do not say.
+    /// Checks what the types alone cannot express.
     ///
     /// # Errors
-    /// The first field that makes no sense, and why.
+    /// The first invalid field and the reason.
     pub fn check(&self) -> Result<(), BadField> {
         let facts = &self.facts;
         if self.member.as_str().is_empty() {
-            return Err(bad("member", "must not be empty"));
+            return Err(invalid("member", "must not be empty"));
         }
         let addresses = [
             ("serve_on", &self.listen),
@@ -222,19 +229,19 @@
         ];
         for (field, address) in addresses {
             if address.parse::<std::net::SocketAddr>().is_err() {
-                return Err(bad(field, "must be an IP number and a port"));
+                return Err(invalid(field, "must be an IP address and a port"));
             }
         }
         for peer in &self.peers {
             if peer.addr.parse::<std::net::SocketAddr>().is_err() {
-                return Err(bad("peers.peer_addr", "must be an IP number and a port"));
+                return Err(invalid("peers.peer_addr", "must be an IP address and a port"));
             }
             if peer.member == self.member {
-                return Err(bad("peers.member", "names this controller itself"));
+                return Err(invalid("peers.member", "must not name this controller itself"));
             }
         }
         if facts.zones.is_empty() {
-            return Err(bad("facts.zones", "must name at least one zone"));
+            return Err(invalid("facts.zones", "must name at least one zone"));
         }
         let positive = [
             ("facts.workers.report_s", facts.workers.report_s),
@@ -251,7 +258,7 @@
         ];
         for (field, value) in positive {
             if !value.is_finite() || value <= 0.0 {
-                return Err(bad(field, "must be a finite number above 0"));
+                return Err(invalid(field, "must be a finite number above 0"));
             }
         }
         let not_negative = [
@@ -260,36 +267,37 @@
         ];
         for (field, value) in not_negative {
             if !value.is_finite() || value < 0.0 {
-                return Err(bad(field, "must be a finite number, 0 or more"));
+                return Err(invalid(field, "must be a finite number, 0 or more"));
             }
         }
         if facts.state.txn_ops < 4 {
-            return Err(bad("facts.state.txn_ops", "must be at least 4"));
+            return Err(invalid("facts.state.txn_ops", "must be at least 4"));
         }
         facts.state.check_next()?;
         let limits = &facts.limits;
-        if limits.sockets < SOCKETS_LEAST {
+        if limits.sockets < MIN_SOCKETS {
             let text = format!(
                 "must be at least {}: this controller needs {} for its own calls",
-                SOCKETS_LEAST,
+                MIN_SOCKETS,
                 limits.own_sockets()
             );
-            return Err(bad("facts.limits.sockets", &text));
+            return Err(invalid("facts.limits.sockets", &text));
         }
-        if limits.memory_mb < MEMORY_LEAST_MB {
-            let text = format!("must be at least {}", MEMORY_LEAST_MB);
-            return Err(bad("facts.limits.memory_mb", &text));
+        if limits.memory_mb < MIN_MEMORY_MB {
+            let text = format!("must be at least {}", MIN_MEMORY_MB);
+            return Err(invalid("facts.limits.memory_mb", &text));
         }
         for team in &facts.teams {
             for value in [team.cpus, team.cpus_max, team.gpus, team.gpus_max] {
                 if !value.is_finite() || value < 0.0 {
-                    return Err(bad("facts.teams", "amounts must be finite, 0 or more"));
+                    return Err(invalid("facts.teams", "amounts must be finite, 0 or more"));
                 }
             }
         }
         Ok(())
     }
 
+    /// The team of that name.
     pub fn team(&self, name: &str) -> Option<&Team> {
         self.facts.teams.iter().find(|t| t.name == name)
     }
@@ -299,12 +307,12 @@
 mod tests {
     use super::*;
 
-    /// Small limits leave room for both: with 600 sockets or 60, calls and visitors fit together.
+    /// Small limits leave sockets for both the controller's own calls and the connections of users and workers.
     #[test]
     fn sockets_are_shared_within_their_limit() {
-        for sockets in [SOCKETS_LEAST, 60, 200, 600, 2_500] {
+        for sockets in [MIN_SOCKETS, 60, 200, 600, 2_500] {
             let limits = Limits { cpu_share: 0.1, memory_mb: 40.0, sockets };
-            assert!(limits.own_sockets() >= OWN_SOCKETS_LEAST && limits.connections() > 0);
+            assert!(limits.own_sockets() >= MIN_OWN_SOCKETS && limits.connections() > 0);
             assert_eq!(limits.own_sockets() + limits.connections(), sockets);
         }
     }
--- a/crates/protocol/src/wire.rs
+++ b/crates/protocol/src/wire.rs
@@ -1,5 +1,4 @@
-//! Wire names live here and nowhere else: what users, workers, the cloud and the state service
-//! send and expect.
+//! Messages exchanged with users, workers, the cloud and the state service. Wire names are defined here only.
 
 use crate::ids::{Attempt, HostId, JobId, LeaseId, Member, Revision, Shift, Tally, Token, Zone};
 use garde::Validate;
@@ -8,6 +7,7 @@
 use serde_json::value::RawValue;
 use std::sync::Arc;
 
+/// How the tasks of a job run: independently, all at once, or as replicas of a service.
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub enum Shape {
@@ -19,6 +19,7 @@
     Service,
 }
 
+/// Priority of a job, in ascending order.
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
@@ -29,7 +30,7 @@
     Critical,
 }
 
-/// A job as its user describes it.
+/// A job as submitted by its user.
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize, Validate)]
 #[garde(allow_unvalidated)]
@@ -88,7 +89,7 @@
     #[garde(inner(custom(amount("dueS"))))]
     #[cfg_attr(feature = "schema", schemars(range(min = 0.0)))]
     pub deadline_s: Option<f64>,
-    /// Jobs that have to be done before any task of this one starts.
+    /// Jobs that must be done before any task of this one starts.
     #[serde(
         rename = "awaits",
         default,
@@ -100,7 +101,7 @@
     pub dependencies: Vec<JobId>,
 }
 
-/// Reads a list that may be null or absent.
+/// Deserializes a list that may be null or absent.
 fn null_as_empty<'de, D: Deserializer<'de>, T: Deserialize<'de>>(
     from: D,
 ) -> Result<Vec<T>, D::Error> {
@@ -108,38 +109,39 @@
 }
 
 fn dependency_ids(ids: &[JobId], _: &()) -> garde::Result {
-    let good = ids.iter().all(|id| JobId::parse(id.as_str()).is_some());
-    good.then_some(())
+    let valid = ids.iter().all(|id| JobId::parse(id.as_str()).is_some());
+    valid
+        .then_some(())
         .ok_or_else(|| garde::Error::new("awaits must list ids of the form req-000000"))
 }
 
 fn job_id(id: &JobId, _: &()) -> garde::Result {
-    let good = JobId::parse(id.as_str()).is_some();
-    good.then_some(()).ok_or_else(|| garde::Error::new("nameId is not of the form req-000000"))
+    let valid = JobId::parse(id.as_str()).is_some();
+    valid.then_some(()).ok_or_else(|| garde::Error::new("nameId is not of the form req-000000"))
 }
 
 fn task_count(tasks: &u32, _: &()) -> garde::Result {
-    let good = (1..=crate::constants::MAX_TASKS).contains(tasks);
-    good.then_some(()).ok_or_else(|| garde::Error::new("shards must be from 1 to 100000"))
+    let valid = (1..=crate::constants::MAX_TASKS).contains(tasks);
+    valid.then_some(()).ok_or_else(|| garde::Error::new("shards must be from 1 to 100000"))
 }
 
-/// Checks an amount; the text has to name the field as users know it.
+/// Checks an amount; the error names the field by its wire name.
 fn amount(field: &'static str) -> impl Fn(&f64, &()) -> garde::Result {
     move |amount, ()| {
-        let good = amount.is_finite() && *amount >= 0.0;
+        let valid = amount.is_finite() && *amount >= 0.0;
         let text = || garde::Error::new(format!("{field} must be a finite amount, 0 or more"));
-        good.then_some(()).ok_or_else(text)
+        valid.then_some(()).ok_or_else(text)
     }
 }
 
 impl JobSpec {
-    /// Checks what the types alone do not say.
+    /// Checks what the types alone cannot express.
     ///
     /// # Errors
-    /// The first field that is out of its range, by the name that users know it by.
+    /// The first field that is out of range, by its wire name.
     pub fn check(&self) -> Result<(), String> {
-        let first = |report: garde::Report| report.iter().next().map(|(_, e)| e.to_string());
-        self.validate().map_err(|report| first(report).unwrap_or_default())?;
+        let first_error = |report: garde::Report| report.iter().next().map(|(_, e)| e.to_string());
+        self.validate().map_err(|report| first_error(report).unwrap_or_default())?;
         if self.dependencies.contains(&self.id) {
             return Err("awaits names the job itself".to_owned());
         }
@@ -147,6 +149,7 @@
     }
 }
 
+/// State of a job.
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
@@ -155,30 +158,30 @@
     Running,
     Done,
     Cancelled,
-    /// A task used up its allowed repeats (an addition to the protocol, where operators limit them).
+    /// A task exhausted its retries (an addition to the protocol, where operators limit them).
     Failed,
 }
 
 impl JobStatus {
-    /// Whether the job is over: its state never changes again.
+    /// Whether the job is in a final state, which never changes again.
     pub fn is_final(self) -> bool {
         matches!(self, Self::Done | Self::Cancelled | Self::Failed)
     }
 }
 
-/// Why a job ended as failed.
+/// Why a job failed.
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct Failure {
     #[serde(rename = "jobclass")]
     pub class: String,
-    /// The task that used up its repeats; of a gang, one that failed.
+    /// The task that exhausted its retries; for a gang, one that failed.
     #[serde(rename = "shard")]
     pub task: String,
-    /// How often it failed by its own doing.
+    /// Number of failures caused by the job itself.
     #[serde(rename = "failures")]
     pub failures: u32,
-    /// How often its class allows it to be repeated.
+    /// Number of retries that its class allows.
     pub repeats: u32,
     pub causes: Vec<FailureCause>,
 }
@@ -187,7 +190,7 @@
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct FailureCause {
-    /// `None`: on machines that are not told apart any more.
+    /// `None` for machines whose failures are only counted together.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub host: Option<HostId>,
     pub cause: Cause,
@@ -195,7 +198,7 @@
     pub count: u32,
 }
 
-/// Answer about a job.
+/// Response to a query about a job.
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct JobView {
@@ -206,16 +209,16 @@
     pub done: u32,
     #[serde(default)]
     pub running: u32,
-    /// Why it failed, if it did.
+    /// Why it failed, if it has.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub failure: Option<Arc<Failure>>,
-    /// Some of the jobs that it still waits for (an addition to the protocol).
+    /// Some of the jobs that it still depends on (an addition to the protocol).
     #[serde(rename = "awaits", default, skip_serializing_if = "Vec::is_empty")]
     pub waits_for: Vec<JobId>,
 }
 
 impl JobView {
-    /// A job of which nothing has run yet.
+    /// A job without any started task.
     pub fn queued(id: JobId) -> Self {
         Self {
             id,
@@ -228,6 +231,7 @@
     }
 }
 
+/// Phase of a task on its worker.
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub enum TaskPhase {
@@ -243,8 +247,10 @@
     Exited,
 }
 
+/// Why a task exited, or why a worker rejected it.
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
+#[cfg_attr(feature = "schema", schemars(rename = "Cause"))]
 pub enum Cause {
     #[serde(rename = "done")]
     Done,
@@ -264,6 +270,7 @@
     Unknown,
 }
 
+/// State of a task, as reported by its worker.
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct TaskReport {
@@ -276,12 +283,12 @@
     pub cause: Option<Cause>,
     #[serde(default)]
     pub stored: bool,
-    /// For how long it has run, in milliseconds, as its worker measured it: an addition to the protocol, for workers
-    /// that tell it.
+    /// Run time in milliseconds as measured by its worker: an optional addition to the protocol.
     #[serde(rename = "ranMs", default, skip_serializing_if = "Option::is_none")]
     pub ran_ms: Option<u64>,
 }
 
+/// A worker's periodic report.
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct Report {
@@ -292,7 +299,9 @@
     pub zone: Zone,
     #[serde(rename = "loaners")]
     pub spot: bool,
+    #[serde(rename = "shift")]
     pub shift: Shift,
+    #[serde(rename = "tally")]
     pub tally: Tally,
     #[serde(rename = "baton")]
     pub token: Token,
@@ -302,6 +311,7 @@
     pub tasks: Vec<TaskReport>,
 }
 
+/// An order to a worker about one start of a task.
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 #[serde(tag = "verb", rename_all = "lowercase")]
@@ -328,6 +338,7 @@
     },
 }
 
+/// Response to a worker's report.
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct ReportAnswer {
@@ -342,10 +353,12 @@
 pub struct Command {
     #[serde(rename = "baton")]
     pub token: Token,
+    #[serde(rename = "shift")]
     pub shift: Shift,
     pub orders: Vec<Order>,
 }
 
+/// Response of a controller that is not the leader; names the leader if known.
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct Redirect {
@@ -355,6 +368,7 @@
 
 // --- Cloud ------------------------------------------------------------------
 
+/// A machine type and its prices.
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct Flavor {
@@ -378,12 +392,13 @@
 }
 
 impl Flavor {
-    /// Its present price by the hour, as a spot machine or an ordinary one.
+    /// The current price per hour of a spot or on-demand machine.
     pub fn price_as(&self, spot: bool) -> f64 {
         if spot { self.spot_price } else { self.price }
     }
 }
 
+/// Machine types that the cloud offers.
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct Catalog {
@@ -397,6 +412,7 @@
     }
 }
 
+/// State of a machine in the cloud.
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub enum MachineStatus {
@@ -408,8 +424,10 @@
     Failed,
 }
 
+/// A machine in the cloud's list.
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
+#[cfg_attr(feature = "schema", schemars(rename = "Listed"))]
 pub struct Listed {
     #[serde(rename = "nameId")]
     pub host: HostId,
@@ -425,6 +443,7 @@
     pub age_s: f64,
 }
 
+/// One page of the cloud's list of machines.
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct MachineList {
@@ -432,8 +451,10 @@
     pub more: bool,
 }
 
+/// Request to rent machines; a retry under the same request id rents no more.
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
+#[cfg_attr(feature = "schema", schemars(rename = "Hire"))]
 pub struct Hire {
     #[serde(rename = "hire")]
     pub request: String,
@@ -445,6 +466,7 @@
     pub number: u32,
 }
 
+/// Machines by id.
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct Hosts {
@@ -453,7 +475,7 @@
 
 // --- State service ----------------------------------------------------------
 
-/// A key as the state service shows it; `V` is its JSON value, read or as text.
+/// A key of the state service; `V` is its JSON value, parsed or as raw text.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct Row<V = Value> {
     #[serde(rename = "path")]
@@ -462,11 +484,12 @@
     pub value: V,
     #[serde(rename = "stamp")]
     pub version: Revision,
-    /// The lease that the key is attached to, where that is shown.
+    /// The lease that the key is attached to, in responses that include it.
     #[serde(rename = "tenancy", default, skip_serializing_if = "Option::is_none")]
     pub lease: Option<LeaseId>,
 }
 
+/// One page of a range of keys.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct Page<V = Value> {
     pub rows: Vec<Row<V>>,
@@ -475,6 +498,7 @@
     pub revision: Revision,
 }
 
+/// Precondition of a transaction: the key has this version.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct Condition {
     #[serde(rename = "path")]
@@ -483,6 +507,7 @@
     pub version: Revision,
 }
 
+/// A write to one key.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Change {
@@ -501,12 +526,13 @@
 }
 
 impl Change {
+    /// Writes a key that is attached to no lease.
     pub fn put(key: String, value: Value) -> Self {
         Self::Put { key, value, lease: None }
     }
 }
 
-/// A transaction; `C` is [`Change`], or [`RawChange`] as the state service takes it in.
+/// A transaction; `C` is [`Change`], or [`RawChange`] when the state service parses it.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct Txn<C = Change> {
     #[serde(rename = "when", default)]
@@ -521,7 +547,7 @@
     }
 }
 
-/// A put or a delete, which is not told apart yet; its value is kept as the text that came.
+/// A put or a delete, not yet distinguished; its value is kept as raw text.
 #[derive(Debug, Deserialize)]
 pub struct RawChange {
     #[serde(default)]
@@ -534,13 +560,14 @@
     pub lease: Option<LeaseId>,
 }
 
-/// What a lease is asked for with.
+/// Request for a lease.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct GrantRequest {
     #[serde(rename = "ttlMs")]
     pub ttl_ms: u64,
 }
 
+/// The current revision, and the keys whose condition failed if a transaction was rejected.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct Epoch {
     #[serde(rename = "epoch")]
@@ -549,13 +576,14 @@
     pub failed: Vec<String>,
 }
 
+/// Response to a request for a lease.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct Grant {
     #[serde(rename = "tenancy")]
     pub lease: LeaseId,
 }
 
-/// How the project's own state service is doing; other services need not tell.
+/// Status of the project's own state service; other implementations need not provide it.
 #[derive(Clone, PartialEq, Debug, Default, Serialize, Deserialize)]
 pub struct StateStatus {
     #[serde(rename = "epoch")]
@@ -564,18 +592,18 @@
     #[serde(rename = "tenancies")]
     pub leases: u64,
     pub watches: u64,
-    /// Answers that wait for the disk.
+    /// Responses that wait for a disk write.
     pub waiting: u64,
-    /// Groups of changes written since the start.
+    /// Groups of changes written to the log since the process started.
     pub groups: u64,
     #[serde(rename = "logBytes")]
     pub log_bytes: u64,
     pub snapshots: u64,
-    /// `serving`, or `full` while the disk takes nothing.
+    /// `serving`, or `full` while writes to disk fail.
     pub health: String,
 }
 
-/// A change as a watch shows it.
+/// A change as reported by a watch.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 #[serde(bound(deserialize = "V: Deserialize<'de> + Default"))]
 pub struct Logged<V = Value> {
@@ -589,6 +617,7 @@
     pub version: Revision,
 }
 
+/// Response to a watch: the changes up to a revision.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 #[serde(bound(deserialize = "V: Deserialize<'de> + Default"))]
 pub struct Changes<V = Value> {
--- a/src/constants.rs
+++ b/src/constants.rs
@@ -1,28 +1,29 @@
-//! Constants of the edge, with unit and reason: threads, sockets and sizes.
+//! Queue lengths, time-outs and sizes of the I/O layer.
 
 use oatloom_protocol::ids::Millis;
 
-/// Answers of services and peers that wait for the core thread, which takes them before all else; whoever brings one waits.
-pub const EVENT_QUEUE: usize = 256;
-/// Dropped inputs that are answered before the core thread looks at what else has come.
-pub const DROPPED_AT_ONCE: usize = 64;
-/// Longest sleep of the core thread; the grain of its timers.
-pub const CORE_WAKE_MS: Millis = Millis(50);
-/// Largest answer read from a service: a page is 512 KiB, a watch has no limit of its own.
-pub const ANSWER_BYTES: u64 = 16 * 1024 * 1024;
-/// Calls that may wait for a client thread. They do not grow with machines: what may be under way at once is bounded by the core.
-pub const CALL_QUEUE: usize = 256;
-/// Connections from peers at once.
-pub const MESH_CONNECTIONS: usize = 64;
-/// Rest after a connection could not be accepted, since no socket is left most likely.
-pub const MESH_ACCEPT_REST_MS: Millis = Millis(50);
-/// Time-out of connecting to a peer.
-pub const MESH_CONNECT_MS: Millis = Millis(500);
-/// Pause after a peer could not be reached.
-pub const MESH_RETRY_MS: Millis = Millis(500);
-/// Time-out of writing to a peer.
-pub const MESH_WRITE_MS: Millis = Millis(500);
-/// A silent connection between controllers is closed after this long.
-pub const MESH_IDLE_MS: Millis = Millis(60_000);
-/// Longest message between controllers; questions and notes are far smaller.
-pub const FRAME_BYTES: usize = 256 * 1024;
+/// Responses of services and peers queued for the core thread, which handles them before requests; senders block when the
+/// queue is full.
+pub const MAX_QUEUED_EVENTS: usize = 256;
+/// Requests dropped in a row before the core thread checks for events again.
+pub const MAX_DROPS_PER_PASS: usize = 64;
+/// Maximum sleep of the core thread, and so the resolution of its timers.
+pub const MAX_CORE_SLEEP_MS: Millis = Millis(50);
+/// Largest response read from a service: a page is 512 KiB, a watch response has no limit of its own.
+pub const MAX_RESPONSE_BYTES: u64 = 16 * 1024 * 1024;
+/// Calls queued for client threads. The number does not grow with the machines, since the core limits the calls in flight.
+pub const MAX_QUEUED_CALLS: usize = 256;
+/// Maximum number of simultaneous connections from peers.
+pub const MAX_MESH_CONNECTIONS: usize = 64;
+/// Pause after a failed accept, which most likely means that no socket is left.
+pub const MESH_ACCEPT_RETRY_PAUSE_MS: Millis = Millis(50);
+/// Time-out for connecting to a peer.
+pub const MESH_CONNECT_TIMEOUT_MS: Millis = Millis(500);
+/// Pause after a failed connection to a peer.
+pub const MESH_RECONNECT_PAUSE_MS: Millis = Millis(500);
+/// Time-out for writing to a peer.
+pub const MESH_WRITE_TIMEOUT_MS: Millis = Millis(500);
+/// An idle connection between controllers is closed after this time.
+pub const MESH_IDLE_TIMEOUT_MS: Millis = Millis(60_000);
+/// Maximum size of a message between controllers; requests and leader hints are far smaller.
+pub const MAX_FRAME_BYTES: usize = 256 * 1024;
--- a/src/edge/clients.rs
+++ b/src/edge/clients.rs
@@ -1,4 +1,4 @@
-//! HTTP clients of the state service and the cloud. Every call ends, by an answer or a time-out.
+//! HTTP clients of the state service, the cloud and the workers. Every call ends with a response or a time-out.
 
 use super::{EdgeError, spawn};
 use crate::constants::*;
@@ -14,39 +14,47 @@
 use serde::de::DeserializeOwned;
 use serde_json::json;
 
+/// Queues of the client threads.
 pub(crate) struct Clients {
-    vital: Sender<(OpId, StoreOp)>,
+    lease: Sender<(OpId, StoreOp)>,
     watch: Sender<(OpId, StoreOp)>,
-    plain: Sender<(OpId, StoreOp)>,
+    general: Sender<(OpId, StoreOp)>,
     cloud: Sender<(u64, CloudOp)>,
     workers: Sender<(String, Command)>,
 }
 
 impl Clients {
     pub fn start(endpoints: &Endpoints, events: &Sender<Event>) -> Result<Self, EdgeError> {
-        let hold = Millis(FOLLOW_HOLD_MS.0 + STORE_TIMEOUT_MS.0);
+        let watch_timeout = Millis(FOLLOW_HOLD_MS.0 + STORE_TIMEOUT_MS.0);
         let state = &endpoints.state;
         let store =
-            |name, threads, timeout| pool(name, threads, state, timeout, events, call_store);
+            |name, threads, timeout| spawn_pool(name, threads, state, timeout, events, call_store);
         Ok(Self {
-            vital: store("lease", VITAL_INFLIGHT, RENEW_TIMEOUT_MS)?,
-            // Of the seat, of jobs, and one of an earlier term that is still open.
-            watch: store("watch", 3, hold)?,
-            plain: store("store", STORE_INFLIGHT + 1, STORE_TIMEOUT_MS)?,
-            cloud: pool("cloud", 3, &endpoints.cloud, CLOUD_TIMEOUT_MS, events, call_cloud)?,
-            // Each command names its worker's address.
-            workers: pool("do", COMMAND_THREADS, "", COMMAND_TIMEOUT_MS, events, call_worker)?,
+            lease: store("lease", VITAL_INFLIGHT, RENEW_TIMEOUT_MS)?,
+            // Watches of the leader key and of jobs, and one of a previous term that is still open.
+            watch: store("watch", 3, watch_timeout)?,
+            general: store("store", STORE_INFLIGHT + 1, STORE_TIMEOUT_MS)?,
+            cloud: spawn_pool("cloud", 3, &endpoints.cloud, CLOUD_TIMEOUT_MS, events, call_cloud)?,
+            // Each command carries the address of its worker.
+            workers: spawn_pool(
+                "do",
+                COMMAND_THREADS,
+                "",
+                COMMAND_TIMEOUT_MS,
+                events,
+                call_worker,
+            )?,
         })
     }
 
     pub fn store(&self, id: OpId, lane: Lane, op: StoreOp) -> Option<Event> {
-        let to = match lane {
-            Lane::Vital => &self.vital,
+        let queue = match lane {
+            Lane::Vital => &self.lease,
             Lane::Watch => &self.watch,
-            Lane::Write | Lane::Open => &self.plain,
+            Lane::Write | Lane::Open => &self.general,
         };
         let failed = Event::Store { id, reply: StoreReply::Unsent };
-        to.try_send((id, op)).is_err().then_some(failed)
+        queue.try_send((id, op)).is_err().then_some(failed)
     }
 
     pub fn cloud(&self, id: u64, op: CloudOp) -> Option<Event> {
@@ -60,18 +68,18 @@
     }
 }
 
-/// Commands a worker; whatever it answers, its report is what counts.
+/// Sends a command to a worker. Only the report in its response is used.
 fn call_worker(caller: &Caller, addr: String, command: Command) -> Event {
-    let raw = match addr.parse::<std::net::SocketAddr>() {
+    let response = match addr.parse::<std::net::SocketAddr>() {
         Ok(_) => caller.post(&format!("{addr}/do"), &command),
         Err(_) => None,
     };
-    let report = raw.and_then(|(_, body)| serde_json::from_slice(&body).ok());
+    let report = response.and_then(|(_, body)| serde_json::from_slice(&body).ok());
     Event::Obeyed { report }
 }
 
-/// Threads that each take a call, wait for its answer, and hand it to the core.
-fn pool<Id: Send + 'static, Op: Send + 'static>(
+/// Starts threads that each take a call, wait for its response and pass it to the core.
+fn spawn_pool<Id: Send + 'static, Op: Send + 'static>(
     name: &str,
     threads: usize,
     address: &str,
@@ -79,10 +87,10 @@
     events: &Sender<Event>,
     call: fn(&Caller, Id, Op) -> Event,
 ) -> Result<Sender<(Id, Op)>, EdgeError> {
-    let (sender, queue): (_, Receiver<(Id, Op)>) = bounded(CALL_QUEUE);
+    let (sender, queue): (_, Receiver<(Id, Op)>) = bounded(MAX_QUEUED_CALLS);
     for _ in 0..threads {
         let (queue, events) = (queue.clone(), events.clone());
-        let caller = Caller::new(address, timeout, ANSWER_BYTES);
+        let caller = Caller::new(address, timeout, MAX_RESPONSE_BYTES);
         spawn(name, move || {
             while let Ok((id, op)) = queue.recv() {
                 if events.send(call(&caller, id, op)).is_err() {
@@ -94,15 +102,15 @@
     Ok(sender)
 }
 
-fn read<T: DeserializeOwned>(body: &[u8], make: impl FnOnce(T) -> StoreReply) -> StoreReply {
+fn read<T: DeserializeOwned>(body: &[u8], into_reply: impl FnOnce(T) -> StoreReply) -> StoreReply {
     match serde_json::from_slice(body) {
-        Ok(value) => make(value),
-        Err(e) => StoreReply::Malformed(format!("unreadable answer: {e}")),
+        Ok(value) => into_reply(value),
+        Err(e) => StoreReply::Malformed(format!("unreadable response: {e}")),
     }
 }
 
 fn call_store(caller: &Caller, id: OpId, op: StoreOp) -> Event {
-    let raw = match &op {
+    let response = match &op {
         StoreOp::Get { key } => caller.get(&format!("/keys/{key}")),
         StoreOp::List { prefix, after } => {
             let mut path = format!("/keys?prefix={}&most={PAGE_ROWS}", escape(prefix));
@@ -119,11 +127,11 @@
             caller.get(&format!("/follow?prefix={}&after={after}&holdMs=0", escape(prefix)))
         }
         StoreOp::Follow { prefix, after } => {
-            let hold = FOLLOW_HOLD_MS.0;
-            caller.get(&format!("/follow?prefix={}&after={after}&holdMs={hold}", escape(prefix)))
+            let hold_ms = FOLLOW_HOLD_MS.0;
+            caller.get(&format!("/follow?prefix={}&after={after}&holdMs={hold_ms}", escape(prefix)))
         }
     };
-    let reply = match raw {
+    let reply = match response {
         None => StoreReply::Lost,
         Some((429, _)) => StoreReply::Throttled,
         Some((503, _)) => StoreReply::Refused,
@@ -143,7 +151,7 @@
         },
         Some((409, body)) => read(&body, |e: Epoch| StoreReply::Conflict(e.failed)),
         Some((410, _)) => StoreReply::TooOld,
-        // A server's own failure says nothing of what was executed.
+        // After a server error it is unknown whether the request was executed.
         Some((status, _)) if status >= 500 => StoreReply::Lost,
         Some((status, body)) => {
             StoreReply::Malformed(format!("{status} {}", String::from_utf8_lossy(&body)))
@@ -153,7 +161,7 @@
 }
 
 fn call_cloud(caller: &Caller, id: u64, op: CloudOp) -> Event {
-    let raw = match &op {
+    let response = match &op {
         CloudOp::Catalog => caller.get("/catalog"),
         CloudOp::List { after } => {
             let mut path = format!("/machines?most={PAGE_ROWS}");
@@ -175,7 +183,7 @@
             CloudOp::Release(_) => CloudReply::Released,
         })
     };
-    let reply = match raw {
+    let reply = match response {
         None => CloudReply::Lost,
         Some((200, body)) => parse(&body).unwrap_or_else(|e| CloudReply::Malformed(e.to_string())),
         Some((503, body)) if String::from_utf8_lossy(&body).contains("no capacity") => {
--- a/src/edge/frames.rs
+++ b/src/edge/frames.rs
@@ -1,23 +1,24 @@
-//! Messages between controllers on a stream: length in four bytes, then CBOR.
+//! Framing of messages between controllers: a four-byte big-endian length, then CBOR.
 
-use crate::constants::FRAME_BYTES;
+use crate::constants::MAX_FRAME_BYTES;
 use serde::Serialize;
 use std::io::{Read, Write};
 
-/// A frame: length in four bytes, then CBOR.
-pub fn write_frame(out: &mut impl Write, message: &impl Serialize) -> std::io::Result<()> {
+/// Writes a message as one frame.
+pub fn write_frame(output: &mut impl Write, message: &impl Serialize) -> std::io::Result<()> {
     let mut frame = vec![0; 4];
     ciborium::into_writer(message, &mut frame).map_err(std::io::Error::other)?;
     let length = (frame.len() - 4) as u32;
     frame[..4].copy_from_slice(&length.to_be_bytes());
-    out.write_all(&frame)
+    output.write_all(&frame)
 }
 
+/// Reads one frame and decodes its message.
 pub fn read_frame<T: serde::de::DeserializeOwned>(input: &mut impl Read) -> std::io::Result<T> {
     let mut length = [0; 4];
     input.read_exact(&mut length)?;
     let length = u32::from_be_bytes(length) as usize;
-    if length > FRAME_BYTES {
+    if length > MAX_FRAME_BYTES {
         return Err(std::io::Error::other("frame too long"));
     }
     let mut frame = vec![0; length];
@@ -32,12 +33,12 @@
     use oatloom_protocol::ids::JobId;
 
     #[test]
-    fn frames_survive_the_trip_and_long_ones_are_refused() {
-        let asked = Asked { id: 7, question: Question::Abort(JobId::new("req-1")) };
-        let mut wire = Vec::new();
-        write_frame(&mut wire, &asked).unwrap();
-        assert_eq!(read_frame::<Asked>(&mut wire.as_slice()).unwrap(), asked);
-        assert!(read_frame::<Asked>(&mut &wire[..wire.len() - 1]).is_err());
+    fn frames_round_trip_and_long_ones_are_rejected() {
+        let request = Asked { id: 7, question: Question::Abort(JobId::new("req-1")) };
+        let mut bytes = Vec::new();
+        write_frame(&mut bytes, &request).unwrap();
+        assert_eq!(read_frame::<Asked>(&mut bytes.as_slice()).unwrap(), request);
+        assert!(read_frame::<Asked>(&mut &bytes[..bytes.len() - 1]).is_err());
         assert!(read_frame::<Asked>(&mut &[0xff; 8][..]).is_err());
     }
 }
--- a/src/edge/mesh_io.rs
+++ b/src/edge/mesh_io.rs
@@ -1,7 +1,7 @@
-//! Connections between controllers.
+//! Connections between controllers: a server for the requests of peers, and a client for each peer.
 
 use super::frames::{read_frame, write_frame};
-use super::{EdgeError, Incoming};
+use super::{EdgeError, QueuedRequest};
 use crate::constants::*;
 use crossbeam::channel::{Receiver, Sender, bounded};
 use oatloom_core::api::Request;
@@ -14,137 +14,145 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// A peer's question, and where its answer goes.
-pub(crate) struct Question {
+/// A peer's request, and where its reply goes.
+pub(crate) struct IncomingPeerRequest {
     pub request: Request,
-    pub answerer: Answerer,
+    pub responder: PeerResponder,
 }
 
-pub(crate) struct Answerer {
+/// Sends the reply to a peer's request.
+pub(crate) struct PeerResponder {
     id: u64,
     stream: Arc<Mutex<TcpStream>>,
 }
 
-impl Answerer {
-    pub fn answer(self, reply: HttpReply) {
-        let told = Told { id: self.id, reply };
+impl PeerResponder {
+    pub fn send(self, reply: HttpReply) {
+        let frame = Told { id: self.id, reply };
         if let Ok(mut stream) = self.stream.lock()
-            && let Err(e) = write_frame(&mut *stream, &told)
+            && let Err(e) = write_frame(&mut *stream, &frame)
         {
-            log::debug!("mesh: an answer could not be sent: {e}");
+            log::debug!("mesh: a reply could not be sent to a peer: {e}");
             let _ = stream.shutdown(std::net::Shutdown::Both);
         }
     }
 }
 
-pub(crate) fn serve(address: &str, inputs: Sender<Incoming>) -> Result<(), EdgeError> {
+/// Accepts connections from peers and queues their requests.
+pub(crate) fn serve(address: &str, requests: Sender<QueuedRequest>) -> Result<(), EdgeError> {
     let listener = bind_patiently(address, || TcpListener::bind(address))?;
-    let count = Arc::new(AtomicUsize::new(0));
+    let connection_count = Arc::new(AtomicUsize::new(0));
     spawn("mesh", move || {
         for stream in listener.incoming() {
             let Ok(stream) = stream else {
-                // Guards against a thread that turns without rest while no socket is left.
-                std::thread::sleep(Duration::from_millis(MESH_ACCEPT_REST_MS.0));
+                // Prevents a busy loop while no socket is left.
+                std::thread::sleep(Duration::from_millis(MESH_ACCEPT_RETRY_PAUSE_MS.0));
                 continue;
             };
-            if count.load(Ordering::Relaxed) >= MESH_CONNECTIONS {
+            if connection_count.load(Ordering::Relaxed) >= MAX_MESH_CONNECTIONS {
                 continue;
             }
-            let (inputs, open) = (inputs.clone(), count.clone());
-            open.fetch_add(1, Ordering::Relaxed);
+            let (requests, shared_count) = (requests.clone(), connection_count.clone());
+            shared_count.fetch_add(1, Ordering::Relaxed);
             let started = spawn("mesh-in", move || {
-                if let Err(e) = listen(stream, &inputs) {
-                    log::debug!("mesh: a connection ended: {e}");
+                if let Err(e) = serve_connection(stream, &requests) {
+                    log::debug!("mesh: connection from a peer ended: {e}");
                 }
-                open.fetch_sub(1, Ordering::Relaxed);
+                shared_count.fetch_sub(1, Ordering::Relaxed);
             });
             if started.is_err() {
-                count.fetch_sub(1, Ordering::Relaxed);
+                connection_count.fetch_sub(1, Ordering::Relaxed);
             }
         }
     })?;
     Ok(())
 }
 
-fn listen(mut stream: TcpStream, inputs: &Sender<Incoming>) -> std::io::Result<()> {
+fn serve_connection(
+    mut stream: TcpStream,
+    requests: &Sender<QueuedRequest>,
+) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
-    stream.set_read_timeout(Some(Duration::from_millis(MESH_IDLE_MS.0)))?;
-    stream.set_write_timeout(Some(Duration::from_millis(MESH_WRITE_MS.0)))?;
-    let answers = Arc::new(Mutex::new(stream.try_clone()?));
+    stream.set_read_timeout(Some(Duration::from_millis(MESH_IDLE_TIMEOUT_MS.0)))?;
+    stream.set_write_timeout(Some(Duration::from_millis(MESH_WRITE_TIMEOUT_MS.0)))?;
+    let writer = Arc::new(Mutex::new(stream.try_clone()?));
     loop {
         let Asked { id, question } = read_frame(&mut stream)?;
-        let answerer = Answerer { id, stream: answers.clone() };
-        let asked = Incoming::Mesh(Question { request: question.into(), answerer });
-        if let Err(full) = inputs.try_send(asked)
-            && let Incoming::Mesh(question) = full.into_inner()
+        let responder = PeerResponder { id, stream: writer.clone() };
+        let queued =
+            QueuedRequest::Mesh(IncomingPeerRequest { request: question.into(), responder });
+        if let Err(rejected) = requests.try_send(queued)
+            && let QueuedRequest::Mesh(incoming) = rejected.into_inner()
         {
-            question.answerer.answer(HttpReply::later("busy"));
+            incoming.responder.send(HttpReply::later("busy"));
         }
     }
 }
 
-/// A connection to a peer, made when there is something to ask.
-struct Line {
+/// An outgoing connection to a peer, opened on demand.
+struct PeerConnection {
     stream: TcpStream,
     broken: Arc<AtomicBool>,
 }
 
-/// A thread that asks a peer; `most` questions may wait for it, one of each connection.
-pub(crate) fn dial(
+/// Starts a thread that sends requests to a peer; up to `max_queued` of them are queued, one for each connection.
+pub(crate) fn spawn_peer_client(
     address: String,
-    most: usize,
+    max_queued: usize,
     events: Sender<Event>,
 ) -> Result<Sender<Asked>, EdgeError> {
-    let (sender, queue) = bounded::<Asked>(most.max(CALL_QUEUE));
-    spawn("mesh-out", move || ask(&address, &queue, &events))?;
+    let (sender, queue) = bounded::<Asked>(max_queued.max(MAX_QUEUED_CALLS));
+    spawn("mesh-out", move || send_requests(&address, &queue, &events))?;
     Ok(sender)
 }
 
-fn ask(address: &str, queue: &Receiver<Asked>, events: &Sender<Event>) {
-    let mut line: Option<Line> = None;
-    let mut retry = Instant::now();
-    while let Ok(asked) = queue.recv() {
-        if line.as_ref().is_some_and(|l| l.broken.load(Ordering::Relaxed)) {
-            line = None;
+fn send_requests(address: &str, queue: &Receiver<Asked>, events: &Sender<Event>) {
+    let mut connection: Option<PeerConnection> = None;
+    let mut retry_at = Instant::now();
+    while let Ok(request) = queue.recv() {
+        if connection.as_ref().is_some_and(|c| c.broken.load(Ordering::Relaxed)) {
+            connection = None;
         }
-        if line.is_none() && Instant::now() >= retry {
-            line =
+        if connection.is_none() && Instant::now() >= retry_at {
+            connection =
                 connect(address, events).inspect_err(|e| log::debug!("mesh: {address}: {e}")).ok();
-            if line.is_none() {
-                retry = Instant::now() + Duration::from_millis(MESH_RETRY_MS.0);
+            if connection.is_none() {
+                retry_at = Instant::now() + Duration::from_millis(MESH_RECONNECT_PAUSE_MS.0);
             }
         }
-        let sent = line.as_mut().is_some_and(|l| write_frame(&mut l.stream, &asked).is_ok());
+        let sent =
+            connection.as_mut().is_some_and(|c| write_frame(&mut c.stream, &request).is_ok());
         if !sent {
-            if let Some(old) = line.take() {
+            if let Some(old) = connection.take() {
                 let _ = old.stream.shutdown(std::net::Shutdown::Both);
             }
-            let told = Event::Told { id: asked.id, reply: None };
-            if events.send(told).is_err() {
+            let failed = Event::Told { id: request.id, reply: None };
+            if events.send(failed).is_err() {
                 return;
             }
         }
     }
 }
 
-fn connect(address: &str, events: &Sender<Event>) -> std::io::Result<Line> {
+fn connect(address: &str, events: &Sender<Event>) -> std::io::Result<PeerConnection> {
     let target: SocketAddr = address.parse().map_err(std::io::Error::other)?;
-    let stream = TcpStream::connect_timeout(&target, Duration::from_millis(MESH_CONNECT_MS.0))?;
+    let stream =
+        TcpStream::connect_timeout(&target, Duration::from_millis(MESH_CONNECT_TIMEOUT_MS.0))?;
     stream.set_nodelay(true)?;
-    stream.set_write_timeout(Some(Duration::from_millis(MESH_WRITE_MS.0)))?;
+    stream.set_write_timeout(Some(Duration::from_millis(MESH_WRITE_TIMEOUT_MS.0)))?;
     let mut reader = stream.try_clone()?;
-    reader.set_read_timeout(Some(Duration::from_millis(MESH_IDLE_MS.0)))?;
+    reader.set_read_timeout(Some(Duration::from_millis(MESH_IDLE_TIMEOUT_MS.0)))?;
     let broken = Arc::new(AtomicBool::new(false));
-    let (mark, events) = (broken.clone(), events.clone());
+    let (reader_broken, events) = (broken.clone(), events.clone());
     spawn("mesh-told", move || {
         while let Ok(Told { id, reply }) = read_frame(&mut reader) {
-            let told = Event::Told { id, reply: Some(reply) };
-            if events.send(told).is_err() {
+            let event = Event::Told { id, reply: Some(reply) };
+            if events.send(event).is_err() {
                 break;
             }
         }
-        mark.store(true, Ordering::Relaxed);
+        reader_broken.store(true, Ordering::Relaxed);
         let _ = reader.shutdown(std::net::Shutdown::Both);
     })?;
-    Ok(Line { stream, broken })
+    Ok(PeerConnection { stream, broken })
 }
--- a/src/edge/mod.rs
+++ b/src/edge/mod.rs
@@ -1,4 +1,4 @@
-//! Threads, sockets and clocks: everything that is not deterministic.
+//! The I/O layer around the deterministic core: threads, sockets and clocks.
 
 mod clients;
 mod frames;
@@ -21,6 +21,7 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
+/// Why the controller could not be started.
 #[derive(Debug, thiserror::Error)]
 pub enum EdgeError {
     #[error(transparent)]
@@ -29,91 +30,96 @@
     Thread(#[from] std::io::Error),
 }
 
-/// A request that reaches the core thread. Answers of services and peers have a way of their own: leases are renewed by them,
-/// however many requests wait.
-pub(crate) enum Incoming {
+/// A request queued for the core thread. Responses of services and peers have a queue of their own, so that lease renewals
+/// are not delayed by waiting requests.
+pub(crate) enum QueuedRequest {
     Http(server::Incoming<Request>),
-    Mesh(mesh_io::Question),
+    Mesh(mesh_io::IncomingPeerRequest),
 }
 
-impl Incoming {
+impl QueuedRequest {
     fn request(&self) -> &Request {
         match self {
             Self::Http(incoming) => &incoming.request,
-            Self::Mesh(question) => &question.request,
+            Self::Mesh(incoming) => &incoming.request,
         }
     }
 }
 
-/// Whom an answer goes to.
+/// Where a reply goes.
 enum Responder {
     Http(server::Caller),
-    Mesh(mesh_io::Answerer),
+    Mesh(mesh_io::PeerResponder),
 }
 
+/// The monotonic and the wall clock.
 struct Clock {
     start: Instant,
 }
 
 impl Clock {
     fn now(&self) -> Now {
-        let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Now {
             mono: Mono(CLOCK_START_MS.0 + self.start.elapsed().as_millis() as u64),
-            wall_ms: wall.as_millis() as u64,
+            wall_ms: unix_time.as_millis() as u64,
         }
     }
 }
 
-/// The outer half of a controller: performs actions, and holds those who wait for answers.
+/// Runs the core: feeds it events, performs its actions and keeps the callers that wait for replies.
 struct Runtime {
     controller: Controller,
-    inbox: Inbox<Incoming>,
+    inbox: Inbox<QueuedRequest>,
     dropped_reports: DroppedReports,
     clock: Clock,
-    waiting: HashMap<ConnId, Responder>,
+    responders: HashMap<ConnId, Responder>,
     next_conn: u64,
-    answers: server::Answers,
+    http_replies: server::Answers,
     clients: clients::Clients,
-    mesh: HashMap<Member, Sender<oatloom_core::mesh::Asked>>,
+    peers: HashMap<Member, Sender<oatloom_core::mesh::Asked>>,
 }
 
 /// Runs a controller until the process is killed.
-pub fn run(settings: Settings, ops: Operators) -> Result<(), EdgeError> {
-    let most = settings.facts.limits.connections();
-    let (event_sender, events) = bounded(EVENT_QUEUE);
-    // What may wait between the threads that read requests and the core thread, which sorts them whenever it looks: one of each
-    // connection, and as many of each peer, who asks for the users that visit it.
-    let (request_sender, requests) = bounded(most * (settings.peers.len() + 1));
-    let http = request_sender.clone();
-    let deliver = move |incoming| http.try_send(Incoming::Http(incoming)).is_ok();
-    let answers = server::start(&settings.listen, most, api::parse, deliver)?;
+///
+/// # Errors
+/// An address cannot be bound, or a thread cannot be started.
+pub fn run(settings: Settings, operators: Operators) -> Result<(), EdgeError> {
+    let max_connections = settings.facts.limits.connections();
+    let (event_sender, events) = bounded(MAX_QUEUED_EVENTS);
+    // Room for one request of each connection, and as many from each peer, which forwards the requests of its users. The core
+    // thread moves them to its inbox in each pass.
+    let (request_sender, requests) = bounded(max_connections * (settings.peers.len() + 1));
+    let http_sender = request_sender.clone();
+    let deliver = move |incoming| http_sender.try_send(QueuedRequest::Http(incoming)).is_ok();
+    let http_replies = server::start(&settings.listen, max_connections, api::parse, deliver)?;
     mesh_io::serve(&settings.mesh_listen, request_sender)?;
-    let mut mesh = HashMap::new();
+    let mut peers = HashMap::new();
     for peer in &settings.peers {
-        let sender = mesh_io::dial(peer.addr.clone(), most, event_sender.clone())?;
-        mesh.insert(peer.member.clone(), sender);
+        let sender =
+            mesh_io::spawn_peer_client(peer.addr.clone(), max_connections, event_sender.clone())?;
+        peers.insert(peer.member.clone(), sender);
     }
     let clients = clients::Clients::start(&settings.endpoints, &event_sender)?;
-    log::info!("{} serves on {}", settings.member, settings.listen);
+    log::info!("controller {} listening on {}", settings.member, settings.listen);
     let seed = ChaCha8Rng::from_os_rng().random::<u64>();
     let mut runtime = Runtime {
-        controller: Controller::new(settings, ops, seed),
-        inbox: Inbox::new(most),
+        controller: Controller::new(settings, operators, seed),
+        inbox: Inbox::new(max_connections),
         dropped_reports: DroppedReports::default(),
         clock: Clock { start: Instant::now() },
-        waiting: HashMap::new(),
+        responders: HashMap::new(),
         next_conn: 0,
-        answers,
+        http_replies,
         clients,
-        mesh,
+        peers,
     };
-    runtime.serve(&events, &requests);
+    runtime.run_loop(&events, &requests);
     Ok(())
 }
 
 impl Runtime {
-    fn serve(&mut self, events: &Receiver<Event>, requests: &Receiver<Incoming>) {
+    fn run_loop(&mut self, events: &Receiver<Event>, requests: &Receiver<QueuedRequest>) {
         let mut select = Select::new();
         select.recv(events);
         select.recv(requests);
@@ -122,16 +128,16 @@
                 self.handle(event);
                 continue;
             }
-            self.sort_in(requests);
+            self.enqueue_requests(requests);
             if let Some(event) = self.next_request() {
                 self.handle(event);
-            } else if select.ready_timeout(Duration::from_millis(CORE_WAKE_MS.0)).is_err() {
+            } else if select.ready_timeout(Duration::from_millis(MAX_CORE_SLEEP_MS.0)).is_err() {
                 self.handle(Event::Tick);
             }
         }
     }
 
-    /// Has an event handled, and performs what follows from it.
+    /// Passes an event to the core and performs the resulting actions.
     fn handle(&mut self, event: Event) {
         let mut actions = self.controller.handle(self.clock.now(), event);
         while !actions.is_empty() {
@@ -143,8 +149,8 @@
         }
     }
 
-    /// Sorts the requests that have come by kind.
-    fn sort_in(&mut self, requests: &Receiver<Incoming>) {
+    /// Moves received requests to the inbox, which queues them by kind.
+    fn enqueue_requests(&mut self, requests: &Receiver<QueuedRequest>) {
         if requests.is_empty() {
             return;
         }
@@ -152,66 +158,66 @@
         while let Ok(incoming) = requests.try_recv() {
             let leader = self.controller.leader_token();
             let kind = self.dropped_reports.kind_of(incoming.request(), leader);
-            let forwarded = matches!(incoming, Incoming::Mesh(_));
-            if let Some(Admitted::Drop(oldest, retry)) =
+            let forwarded = matches!(incoming, QueuedRequest::Mesh(_));
+            if let Some(Admitted::Drop(oldest, retry_after_s)) =
                 self.inbox.push(now, kind, forwarded, incoming)
             {
-                self.turn_away(oldest, retry);
+                self.reject(oldest, retry_after_s);
             }
         }
     }
 
-    /// The next request that is worth an answer; those before it that are not are turned away.
+    /// The next request that has not waited too long; expired ones before it are rejected.
     fn next_request(&mut self) -> Option<Event> {
         let now = self.clock.now().mono;
-        for _ in 0..DROPPED_AT_ONCE {
+        for _ in 0..MAX_DROPS_PER_PASS {
             match self.inbox.pop(now)? {
-                Admitted::Drop(incoming, retry) => self.turn_away(incoming, retry),
+                Admitted::Drop(incoming, retry_after_s) => self.reject(incoming, retry_after_s),
                 Admitted::Take(incoming, age) => {
                     self.dropped_reports.taken(incoming.request());
                     self.controller.lags(age);
-                    return Some(self.take_up(incoming));
+                    return Some(self.request_event(incoming));
                 }
             }
         }
-        // Leases and what else has come are looked at before more is dropped.
+        // Lets the core handle leases and other events before more requests are dropped.
         Some(Event::Tick)
     }
 
-    fn take_up(&mut self, incoming: Incoming) -> Event {
-        let forwarded = matches!(incoming, Incoming::Mesh(_));
+    fn request_event(&mut self, incoming: QueuedRequest) -> Event {
+        let forwarded = matches!(incoming, QueuedRequest::Mesh(_));
         let (responder, request) = match incoming {
-            Incoming::Http(incoming) => (Responder::Http(incoming.caller), incoming.request),
-            Incoming::Mesh(question) => (Responder::Mesh(question.answerer), question.request),
+            QueuedRequest::Http(incoming) => (Responder::Http(incoming.caller), incoming.request),
+            QueuedRequest::Mesh(peer) => (Responder::Mesh(peer.responder), peer.request),
         };
         Event::Request { conn: self.register(responder), request, forwarded }
     }
 
-    /// Tells a caller at once to come back; a peer has given up by itself.
-    fn turn_away(&mut self, incoming: Incoming, retry_after_s: u32) {
+    /// Tells an HTTP caller to retry later; a peer gets no reply, its own time-out ends the request.
+    fn reject(&mut self, incoming: QueuedRequest, retry_after_s: u32) {
         self.dropped_reports.dropped(incoming.request());
-        let Incoming::Http(server::Incoming { caller, .. }) = incoming else { return };
+        let QueuedRequest::Http(server::Incoming { caller, .. }) = incoming else { return };
         let reply = HttpReply { retry_after_s: Some(retry_after_s), ..HttpReply::later("busy") };
-        self.answers.send(caller, reply);
+        self.http_replies.send(caller, reply);
     }
 
     fn register(&mut self, responder: Responder) -> ConnId {
         self.next_conn += 1;
         let conn = ConnId(self.next_conn);
-        self.waiting.insert(conn, responder);
+        self.responders.insert(conn, responder);
         conn
     }
 
-    /// Performs an action; what cannot even be begun comes back as its failure.
+    /// Performs an action; returns a failure event if it cannot be started.
     fn perform(&mut self, action: Action) -> Option<Event> {
         match action {
-            Action::Reply { conn, reply } => self.answer(conn, reply),
+            Action::Reply { conn, reply } => self.send_reply(conn, reply),
             Action::Store { id, lane, op } => return self.clients.store(id, lane, op),
             Action::Cloud { id, op } => return self.clients.cloud(id, op),
             Action::Command { addr, command } => return self.clients.command(addr, command),
             Action::Ask { to, id, question } => {
-                let asked = oatloom_core::mesh::Asked { id, question };
-                let sent = self.mesh.get(&to).is_some_and(|peer| peer.try_send(asked).is_ok());
+                let frame = oatloom_core::mesh::Asked { id, question };
+                let sent = self.peers.get(&to).is_some_and(|peer| peer.try_send(frame).is_ok());
                 if !sent {
                     return Some(Event::Told { id, reply: None });
                 }
@@ -220,10 +226,10 @@
         None
     }
 
-    fn answer(&mut self, conn: ConnId, reply: HttpReply) {
-        match self.waiting.remove(&conn) {
-            Some(Responder::Http(caller)) => self.answers.send(caller, reply),
-            Some(Responder::Mesh(answerer)) => answerer.answer(reply),
+    fn send_reply(&mut self, conn: ConnId, reply: HttpReply) {
+        match self.responders.remove(&conn) {
+            Some(Responder::Http(caller)) => self.http_replies.send(caller, reply),
+            Some(Responder::Mesh(responder)) => responder.send(reply),
             None => {}
         }
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,5 +1,5 @@
-//! The controller of oatloom as a program: its settings files, and the threads, sockets and clocks
-//! around [`oatloom_core::controller::Controller`].
+//! The oatloom controller process: its settings files, and the threads, sockets and clocks around
+//! [`oatloom_core::controller::Controller`].
 
 pub mod constants;
 pub mod edge;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,7 +1,7 @@
-//! The command line: reads and checks settings, sets up logging, runs a controller.
+//! Command line of the controller: reads and checks the settings, sets up logging and runs the controller.
 
 use clap::Parser;
-use oatloom::settings::{SettingsError, operators_file, platform_file};
+use oatloom::settings::{SettingsError, read_operator_settings, read_platform_settings};
 use oatloom_core::operators::Operators;
 use oatloom_core::workers::cancel_bound;
 use oatloom_protocol::ids::Millis;
@@ -14,7 +14,7 @@
 #[command(
     version,
     about,
-    after_help = "The variable LOG_LEVEL sets how much is logged to standard \
+    after_help = "The environment variable LOG_LEVEL sets the log level on standard \
 error: error, warn, info, debug or trace."
 )]
 struct Arguments {
@@ -24,18 +24,18 @@
     /// The operators' own settings (an S-expression; see deploy/operators.sample.lisp)
     #[arg(long, value_name = "FILE")]
     operators: Option<PathBuf>,
-    /// How the log looks
+    /// Format of the log
     #[arg(long, value_enum, default_value_t)]
     log_format: oatloom_logging::Format,
-    /// Check the settings and end without starting
+    /// Check the settings and exit without starting
     #[arg(long)]
     check: bool,
 }
 
 fn load(arguments: &Arguments) -> Result<(Settings, Operators), SettingsError> {
-    let settings = platform_file(&arguments.config)?;
+    let settings = read_platform_settings(&arguments.config)?;
     let operators = match &arguments.operators {
-        Some(path) => operators_file(path)?,
+        Some(path) => read_operator_settings(path)?,
         None => Operators::default(),
     };
     operators.check_with(&settings)?;
@@ -52,7 +52,7 @@
         }
     };
     if arguments.check {
-        println!("settings of {} are sound", settings.member);
+        println!("settings of {} are valid", settings.member);
         return ExitCode::SUCCESS;
     }
     if let Err(e) = oatloom_logging::init(&operators.log_level, arguments.log_format) {
@@ -63,8 +63,8 @@
     let bound = cancel_bound(workers);
     if bound >= Millis::from_secs(workers.cancel_s) {
         log::warn!(
-            "settings: cancelled tasks may be on machines that fall silent for up to {:.1} s, which \
-             facts.workers.cancel_s = {} does not allow with facts.workers.lease_s = {}",
+            "settings: cancelled tasks may stay on silent machines for up to {:.1} s, which does not meet \
+             facts.workers.cancel_s = {} with facts.workers.lease_s = {}",
             bound.secs(),
             workers.cancel_s,
             workers.lease_s
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,9 +1,10 @@
-//! The platform's settings file (TOML) and the operators' own file (S-expressions), read and checked.
+//! Reads and checks the platform's settings file (TOML) and the operators' settings file (an S-expression).
 
 use oatloom_core::operators::Operators;
 use oatloom_protocol::settings::{BadField, Settings};
 use std::path::{Path, PathBuf};
 
+/// Why settings were rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     #[error("{path}: cannot be read: {cause}")]
@@ -21,18 +22,18 @@
 /// Reads and checks the platform's settings file.
 ///
 /// # Errors
-/// It cannot be read, is not TOML, or a field makes no sense.
-pub fn platform_file(path: &Path) -> Result<Settings, SettingsError> {
+/// The file cannot be read, is not TOML, or has an invalid field.
+pub fn read_platform_settings(path: &Path) -> Result<Settings, SettingsError> {
     platform(&read(path)?).map_err(|e| match e {
         SettingsError::Text { text, .. } => SettingsError::Text { path: path.into(), text },
         other => other,
     })
 }
 
-/// Reads and checks the platform's settings.
+/// Parses and checks the platform's settings.
 ///
 /// # Errors
-/// The text is not TOML, or a field makes no sense.
+/// The text is not TOML or has an invalid field.
 pub fn platform(text: &str) -> Result<Settings, SettingsError> {
     let settings: Settings = toml::from_str(text).map_err(|e| SettingsError::Text {
         path: PathBuf::new(),
@@ -42,34 +43,34 @@
     Ok(settings)
 }
 
-/// Reads and checks the operators' own file.
+/// Reads and checks the operators' settings file.
 ///
 /// # Errors
-/// It cannot be read, is no S-expression, names an unknown field, or a value is out of its range.
-pub fn operators_file(path: &Path) -> Result<Operators, SettingsError> {
+/// The file cannot be read, is not an S-expression, names an unknown field, or a value is out of range.
+pub fn read_operator_settings(path: &Path) -> Result<Operators, SettingsError> {
     operators(&read(path)?)
 }
 
-/// Reads and checks the operators' own settings.
+/// Parses and checks the operators' settings.
 ///
 /// # Errors
-/// The text is no S-expression, names an unknown field, or a value is out of its range.
+/// The text is not an S-expression, names an unknown field, or a value is out of range.
 pub fn operators(text: &str) -> Result<Operators, SettingsError> {
-    let read: Operators = serde_lexpr::from_str(text)
+    let parsed: Operators = serde_lexpr::from_str(text)
         .map_err(|e| BadField::new("operators' file", &e.to_string()))?;
-    read.check()?;
-    Ok(read)
+    parsed.check()?;
+    Ok(parsed)
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    /// A settings file as a platform writes it, with fields this program does not know.
+    /// A settings file as written by the platform, with fields unknown to this program.
     const SAMPLE: &str = include_str!("../tests/sample.toml");
 
     #[test]
-    fn unknown_fields_are_ignored_and_senseless_values_named() {
+    fn unknown_fields_are_ignored_and_invalid_fields_are_named() {
         assert!(platform(SAMPLE).is_ok());
         let cases = [
             ("rps = 100.0", "rps = -1.0", "facts.state.rps"),
@@ -81,15 +82,15 @@
             ("sockets = 1000", "sockets = 40", "facts.limits.sockets"),
             ("memory_mb = 100.0", "memory_mb = 4.0", "facts.limits.memory_mb"),
         ];
-        for (good, bad, field) in cases {
-            let text = platform(&SAMPLE.replacen(good, bad, 1)).unwrap_err().to_string();
+        for (valid, invalid, field) in cases {
+            let text = platform(&SAMPLE.replacen(valid, invalid, 1)).unwrap_err().to_string();
             assert!(text.contains(field) && !text.contains('\n'), "{text}");
         }
     }
 
-    /// The shipped sample says what the defaults are, and bad values are refused.
+    /// The shipped sample states the defaults, and invalid values are rejected.
     #[test]
-    fn operators_sample_is_the_default() {
+    fn operators_sample_equals_the_defaults() {
         let sample = include_str!("../deploy/operators.sample.lisp");
         let parsed = operators(sample).unwrap();
         assert_eq!(format!("{parsed:?}"), format!("{:?}", Operators::default()));
@@ -99,11 +100,12 @@
         assert!(operators("((tick-ms . 500))").is_ok_and(|o| o.tick_ms == 500));
     }
 
-    /// Classes that no objective names are refused, as are bad entries, each in one line that names the field.
+    /// Classes that no objective names and invalid entries are rejected with one line that names the field.
     #[test]
     fn classes_are_checked_against_the_platform() {
-        let aim = "[[facts.objectives]]\nkind = \"wait\"\nclass = \"quick\"\nwithin_s = 5.0\n";
-        let settings = platform(&format!("{SAMPLE}\n{aim}")).unwrap();
+        let objective =
+            "[[facts.objectives]]\nkind = \"wait\"\nclass = \"quick\"\nwithin_s = 5.0\n";
+        let settings = platform(&format!("{SAMPLE}\n{objective}")).unwrap();
         let read = |text: &str| {
             let parsed = operators(text).map_err(|e| e.to_string())?;
             parsed.check_with(&settings).map_err(|e| e.to_string()).map(|()| parsed)
@@ -112,14 +114,14 @@
         let entry = |name: &str| format!("((classes (class (name \"{name}\") (repeats 1))))");
         assert!(read(&entry(known)).is_ok_and(|o| o.classes.of(known).is_some()));
         assert!(read("((classes (default (repeats 3))))").is_ok());
-        for (text, words) in [
+        for (text, expected) in [
             (entry("misspelt"), "classes: the settings know no class misspelt"),
             (entry(known).replace(" 1)", " -1)"), "repeats must be from 0"),
             (entry(known).replace(" 1)", " 99999999)"), "repeats must be from 0"),
             (entry(known).replace("repeats", "repeals"), "repeals"),
         ] {
-            let said = read(&text).unwrap_err();
-            assert!(said.contains(words) && !said.contains('\n'), "{said}");
+            let error = read(&text).unwrap_err();
+            assert!(error.contains(expected) && !error.contains('\n'), "{error}");
         }
     }
 }
