--- a/tests/graphs.rs
+++ b/tests/graphs.rs
@@ -8,7 +8,7 @@
 use oatloom_protocol::ids::JobId;
 use oatloom_protocol::wire::JobStatus;
 use std::collections::{BTreeMap, BTreeSet};
-use world::{Fault, World, more_days, show_log};
+use world::{Fault, World, extra_seeds, init_log};
 
 const ON: &str =
     "((graphs . #t) (graph-limits . ((additions-per-s . 50.0) (team-additions-per-s . 50.0))))";
@@ -26,33 +26,34 @@
 }
 
 fn play(mut world: World, name: &str, tally: &mut Tally) {
-    world.play();
+    world.run();
     let (wrong, rules): (Vec<String>, Vec<String>) =
         world.region.checker.broken.iter().cloned().partition(|b| b.contains(" repeats: "));
     assert!(rules.is_empty(), "{name} breaks rules: {rules:#?}");
     let mut clients = std::mem::take(&mut world.clients);
-    assert!(clients.broken.is_empty(), "{name}: {:#?}", clients.broken);
+    assert!(clients.violations.is_empty(), "{name}: {:#?}", clients.violations);
     if wrong.is_empty() {
-        let stored = |prefix: &str| world.stored(prefix).into_iter().map(|row| row.key).collect();
-        clients.end(&stored);
-        assert!(clients.broken.is_empty(), "{name}: {:#?}", clients.broken);
+        let stored =
+            |prefix: &str| world.stored_rows(prefix).into_iter().map(|row| row.key).collect();
+        clients.check_final_state(&stored);
+        assert!(clients.violations.is_empty(), "{name}: {:#?}", clients.violations);
         assert!(world.unfinished().is_empty(), "{name}: {:#?}", world.unfinished());
     }
     tally.days += 1;
-    tally.done += clients.done;
-    tally.failed += clients.failures;
-    tally.starts += clients.starts;
+    tally.done += clients.done_graphs;
+    tally.failed += clients.failed_graphs;
+    tally.starts += clients.node_starts;
     tally.wrong.extend(wrong.into_iter().map(|text| format!("{name}: {text}")));
 }
 
 fn seeds(from: u64, count: u64, failing: bool) {
-    show_log();
+    init_log();
     let mut tally = Tally::default();
-    for seed in from..from + count + more_days() {
+    for seed in from..from + count + extra_seeds() {
         let mut world = World::new(seed, true);
         let at = |n: u64| 15_000 + (seed * 7_919 + n * 31_337) % 90_000;
-        world.trouble((0..2).map(|n| (at(n), Fault::Crash(n as usize))));
-        world.limit(if failing { LIMITED } else { ON });
+        world.add_faults((0..2).map(|n| (at(n), Fault::Crash(n as usize))));
+        world.set_operator_settings(if failing { LIMITED } else { ON });
         world.clients.add(seed, 5, 110_000, failing);
         play(world, &format!("seed {seed}"), &mut tally);
     }
@@ -94,13 +95,13 @@
 /// next leader goes on without a node run twice, lost or answered twice.
 #[test]
 fn a_takeover_at_any_step_goes_on() {
-    show_log();
+    init_log();
     let mut tally = Tally::default();
-    for step in 0..60 + more_days() {
+    for step in 0..60 + extra_seeds() {
         let crash = |n: u64| (6_000 + n * 21_000 + step * 350, Fault::CrashAll);
-        let mut world = World::scripted(9, (0..3).map(crash).collect(), 90_000, None);
+        let mut world = World::with_faults(9, (0..3).map(crash).collect(), 90_000, None);
         world.restart_ms = 1_000;
-        world.limit(if step % 2 == 0 { ON } else { LIMITED });
+        world.set_operator_settings(if step % 2 == 0 { ON } else { LIMITED });
         world.clients.add(9, 6, 60_000, step % 2 == 1);
         play(world, &format!("step {step}"), &mut tally);
     }
@@ -112,19 +113,19 @@
 /// theirs runs on, and no record of it stays.
 #[test]
 fn clients_that_vanish_leave_no_orphans() {
-    show_log();
+    init_log();
     let mut tally = Tally::default();
-    for moment in 0..50 + 3 * more_days() {
+    for moment in 0..50 + 3 * extra_seeds() {
         let at = 4_000 + (moment * 1_237) % 60_000;
         let crash = (at + (moment * 811) % 30_000, Fault::CrashAll);
         let outage =
             (at + (moment * 1_601) % 30_000, Fault::StoreOutage(3_000 + (moment * 577) % 15_000));
         let mut faults = vec![crash, outage];
         faults.sort_by_key(|(at, _)| *at);
-        let mut world = World::scripted(moment, faults, 100_000, None);
-        world.limit(ON);
+        let mut world = World::with_faults(moment, faults, 100_000, None);
+        world.set_operator_settings(ON);
         world.clients.add(moment, 4, 60_000, false);
-        world.clients.vanish(at);
+        world.clients.disappear_at(at);
         play(world, &format!("moment {moment}"), &mut tally);
     }
     println!("{tally:?}");
@@ -153,7 +154,8 @@
 }
 
 fn accounted(world: &World) -> Vec<String> {
-    let mut entries: Vec<String> = world.entries.iter().map(|(_, _, entry)| plain(entry)).collect();
+    let mut entries: Vec<String> =
+        world.accounting_entries.iter().map(|(_, _, entry)| plain(entry)).collect();
     entries.sort();
     entries
 }
@@ -170,21 +172,21 @@
             {"name": "d", "kind": "crew", "needs": ["a", "b"], "shards": 2}, {"name": "e", "kind": "near", "needs": ["c"],
             "shards": 2}, {"name": "f", "kind": "map", "needs": ["d", "e"]}]});
     let settings = "((graphs . #t) (ledger . #t))";
-    let mut graph = World::scripted(5, Vec::new(), 20_000, None);
-    graph.alone();
-    graph.limit(settings);
-    graph.clients.add_one("quick", serde_json::from_value(add).expect("an addition"));
-    graph.play_to(120_000);
+    let mut graph = World::with_faults(5, Vec::new(), 20_000, None);
+    graph.remove_users();
+    graph.set_operator_settings(settings);
+    graph.clients.add_client("quick", serde_json::from_value(add).expect("an addition"));
+    graph.run_until(120_000);
     assert!(graph.region.checker.broken.is_empty(), "{:#?}", graph.region.checker.broken);
-    assert_eq!((graph.clients.done, &graph.clients.broken), (1, &Vec::new()));
-    let inputs = graph.clients.inputs();
+    assert_eq!((graph.clients.done_graphs, &graph.clients.violations), (1, &Vec::new()));
+    let inputs = graph.clients.input_jobs();
     // Their ids as jobs of a user.
     let own: BTreeMap<&String, String> =
         inputs.keys().enumerate().map(|(n, job)| (job, format!("req-{n}"))).collect();
 
-    let mut plain = World::scripted(5, Vec::new(), 20_000, None);
-    plain.alone();
-    plain.limit(settings);
+    let mut plain = World::with_faults(5, Vec::new(), 20_000, None);
+    plain.remove_users();
+    plain.set_operator_settings(settings);
     let mut submitted = BTreeSet::new();
     while plain.now < 120_000 {
         for (job, needs) in &inputs {
@@ -200,7 +202,7 @@
         plain.step();
     }
     assert!(plain.region.checker.broken.is_empty(), "{:#?}", plain.region.checker.broken);
-    assert_eq!(plain.told(JobStatus::Done), inputs.len());
+    assert_eq!(plain.count_with_known_status(JobStatus::Done), inputs.len());
     let (as_graph, as_jobs) = (accounted(&graph), accounted(&plain));
     assert!(as_graph.len() >= 9, "{as_graph:#?}");
     assert_eq!(as_graph, as_jobs);
--- a/tests/hard.rs
+++ b/tests/hard.rs
@@ -24,8 +24,8 @@
 fn the_state_service_restarts_while_gangs_are_placed() {
     for seed in 0..8 {
         let faults = (0..60).map(|n| (3_000 + n * 2_000, Fault::StoreRestart)).collect();
-        let mut world = World::scripted(seed, faults, 130_000, Some(Shape::Gang));
-        world.play();
+        let mut world = World::with_faults(seed, faults, 130_000, Some(Shape::Gang));
+        world.run();
         finished(&world, seed);
     }
 }
@@ -35,10 +35,10 @@
 #[test]
 fn machines_that_arrive_after_their_request_was_abandoned() {
     for seed in 0..8 {
-        let mut faults = vec![(1_000, Fault::CloudLate(100_000, 9_000))];
+        let mut faults = vec![(1_000, Fault::CloudDelayed(100_000, 9_000))];
         faults.extend((0..9).map(|n| (6_000 + n * 11_000, Fault::Crash(n as usize % 3))));
-        let mut world = World::scripted(seed, faults, 120_000, None);
-        world.play();
+        let mut world = World::with_faults(seed, faults, 120_000, None);
+        world.run();
         finished(&world, seed);
         // Boot patience, the list's lag and a release are over long ago.
         let old: Vec<_> =
@@ -54,15 +54,15 @@
         let mut faults = Vec::new();
         for n in 0..8 {
             let at = 5_000 + n * 14_000;
-            faults.push((at, Fault::StoreLoses(1_500)));
+            faults.push((at, Fault::StoreRepliesLost(1_500)));
             faults.push((at + 1_400, Fault::StoreRestart));
             faults.push((
                 at + 1_500,
                 if n % 2 == 0 { Fault::CrashAll } else { Fault::Crash(n as usize % 3) },
             ));
         }
-        let mut world = World::scripted(seed, faults, 125_000, None);
-        world.play();
+        let mut world = World::with_faults(seed, faults, 125_000, None);
+        world.run();
         finished(&world, seed);
     }
 }
@@ -72,9 +72,9 @@
 fn all_controllers_are_killed_twenty_times() {
     for seed in 0..6 {
         let faults = (0..20).map(|n| (4_000 + n * 6_000, Fault::CrashAll)).collect();
-        let mut world = World::scripted(seed, faults, 130_000, None);
+        let mut world = World::with_faults(seed, faults, 130_000, None);
         world.restart_ms = 1_000;
-        world.play();
+        world.run();
         finished(&world, seed);
     }
 }
@@ -86,14 +86,14 @@
     const NIGHT_MS: u64 = 8 * 3_600_000;
     for seed in 0..3 {
         let outage = vec![(800, Fault::CloudOutage(NIGHT_MS))];
-        let mut world = World::scripted(seed, outage, 900, Some(Shape::Array));
-        world.play_to(300_000);
-        let early = world.load();
-        world.play_to(NIGHT_MS);
+        let mut world = World::with_faults(seed, outage, 900, Some(Shape::Array));
+        world.run_until(300_000);
+        let early = world.max_queue_load();
+        world.run_until(NIGHT_MS);
         check(&world, seed);
-        let (waiting, up) = world.unplaced();
+        let (waiting, up) = world.pending_tasks_and_machines_up();
         assert!(waiting > 20 && up == 0, "seed {seed}: {waiting} tasks wait for {up} machines");
-        let late = world.load();
+        let late = world.max_queue_load();
         let all = late.open_requests
             + late.store_operations
             + late.cloud_calls
@@ -103,12 +103,16 @@
         assert!(all < 40, "seed {seed}: {early:?} early, {late:?} late");
         // All that may run does, or has.
         let back = 800 + NIGHT_MS;
-        while world.unplaced().0 > 0 && world.now < back + 120_000 {
+        while world.pending_tasks_and_machines_up().0 > 0 && world.now < back + 120_000 {
             world.step();
         }
         println!("seed {seed}: full use {} ms after the cloud's return", world.now - back);
-        assert!(world.now <= back + 60_000, "seed {seed}: {:?}", world.unplaced());
-        world.play_to(back + 300_000);
+        assert!(
+            world.now <= back + 60_000,
+            "seed {seed}: {:?}",
+            world.pending_tasks_and_machines_up()
+        );
+        world.run_until(back + 300_000);
         finished(&world, seed);
     }
 }
@@ -120,15 +124,18 @@
     let (mut slowest, mut none) = (0, 0);
     for seed in 0..10 {
         let (from, span) = (60_000, 60_000);
-        let mut world = World::scripted(
+        let mut world = World::with_faults(
             seed,
             vec![(from, Fault::StoreOutage(span))],
             from + span,
             Some(Shape::Array),
         );
-        world.play_to(from + span);
+        world.run_until(from + span);
         check(&world, seed);
-        let over = |w: &World| w.told(JobStatus::Done) + w.told(JobStatus::Cancelled);
+        let over = |w: &World| {
+            w.count_with_known_status(JobStatus::Done)
+                + w.count_with_known_status(JobStatus::Cancelled)
+        };
         let before = over(&world);
         while over(&world) == before && world.now < from + span + 60_000 {
             world.step();
@@ -136,7 +143,7 @@
         let took = world.now - from - span;
         slowest = slowest.max(took);
         none += u32::from(over(&world) == before);
-        world.play();
+        world.run();
         finished(&world, seed);
     }
     println!("the first final answer came within {slowest} ms; {none} days had none to give");
@@ -149,9 +156,9 @@
 fn tasks_on_machines_that_are_taken_have_the_time_to_save() {
     let (mut saved, mut days) = (0, 0);
     for seed in 0..16 {
-        let faults = (0..40).map(|n| (6_000 + n * 3_000, Fault::SpotTaken)).collect();
-        let mut world = World::scripted(seed, faults, 130_000, Some(Shape::Array));
-        world.play();
+        let faults = (0..40).map(|n| (6_000 + n * 3_000, Fault::SpotReclaimed)).collect();
+        let mut world = World::with_faults(seed, faults, 130_000, Some(Shape::Array));
+        world.run();
         finished(&world, seed);
         saved += world.region.checker.saved;
         days += u32::from(world.region.checker.saved > 0);
--- a/tests/headroom.rs
+++ b/tests/headroom.rs
@@ -7,7 +7,7 @@
 use oatloom_protocol::wire::{JobSpec, Shape};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use world::{SETTINGS, Site, World, check, more_days, show_log, small_array};
+use world::{SETTINGS, Site, World, assert_rules, extra_seeds, init_log, small_array};
 
 /// Teams with these limits in GPUs, on machines of four.
 fn site(red: f64, blue: f64) -> Site {
@@ -24,15 +24,15 @@
 }
 
 fn world(seed: u64, site: Site, calm_from: u64) -> World {
-    World::deployed(site, &mut ChaCha8Rng::seed_from_u64(seed), calm_from)
+    World::without_users(site, &mut ChaCha8Rng::seed_from_u64(seed), calm_from)
 }
 
 /// One team has far more work than its limit lets run, in gangs, services and arrays; the other's ends after a while. Guards
 /// against machines that stay rented for work which may not run: a target that sums it is never reached.
 #[test]
 fn nothing_is_rented_that_no_limit_lets_be_used() {
-    show_log();
-    for seed in 0..3 + more_days() {
+    init_log();
+    for seed in 0..3 + extra_seeds() {
         let mut world = world(seed, site(16.0, 24.0), 400_000);
         for n in 0..30 {
             let shape = [Shape::Array, Shape::Gang, Shape::Service][n % 3];
@@ -44,9 +44,9 @@
             world.add_job_at(spec, 1_000);
         }
         let (mut most, mut rented, mut used, mut samples) = (0, 0.0, 0.0, 0.0);
-        while world.before(300_000) {
+        while world.continues_before(300_000) {
             let next = world.now + 5_000;
-            world.play_to(next);
+            world.run_until(next);
             most = most.max(world.region.workers.len());
             if world.now > 180_000 {
                 rented += 4.0 * world.region.workers.len() as f64;
@@ -54,7 +54,7 @@
                 samples += 1.0;
             }
         }
-        check(&world, &format!("seed {seed}"));
+        assert_rules(&world, &format!("seed {seed}"));
         let (rented, used) = (rented / samples, used / samples);
         println!(
             "seed {seed}: at most {most} machines, then {rented:.1} GPUs rented, {used:.1} used"
--- a/tests/inherited_machines.rs
+++ b/tests/inherited_machines.rs
@@ -23,7 +23,7 @@
 use oatloom_protocol::wire::{JobSpec, MachineList, Rank, Shape};
 use std::collections::BTreeSet;
 use world::solo::Solo;
-use world::{Fault, World, more_days, show_log};
+use world::{Fault, World, extra_seeds, init_log};
 
 const LOST_AT: u64 = 60_000;
 const ENDED_AT: u64 = 62_000;
@@ -60,21 +60,21 @@
 /// run on, so that they are still there when the zone is back.
 #[test]
 fn machines_that_may_be_running_tasks_are_not_returned_unheard() {
-    show_log();
+    init_log();
     let mut running = 0;
-    for seed in 300..306 + more_days() {
+    for seed in 300..306 + extra_seeds() {
         let mut faults: Vec<(u64, Fault)> =
-            (0..3).map(|node| (LOST_AT, Fault::Apart(node, 0, LOST_FOR))).collect();
+            (0..3).map(|node| (LOST_AT, Fault::NodeZonePartition(node, 0, LOST_FOR))).collect();
         faults.push((ENDED_AT, Fault::CrashAll));
         // The list of machines, with their ages, is answered before the records are read.
-        faults.push((ENDED_AT, Fault::StoreSlow(8_000, 8)));
-        let mut world = World::scripted(seed, faults, 120_000, None);
-        world.leaky = false;
+        faults.push((ENDED_AT, Fault::SlowStore(8_000, 8)));
+        let mut world = World::with_faults(seed, faults, 120_000, None);
+        world.delivers_after_partition = false;
         for number in 0..8 {
             world.add_job_at(array(number, 8), 2_000 + number * 7_000);
         }
         // Their last reports were answered before the cut, so that their leases end after 82 s.
-        world.play_to(77_000);
+        world.run_until(77_000);
         let busy: BTreeSet<String> = {
             let region = &world.region;
             let there =
@@ -82,12 +82,12 @@
             region.checker.on_machines().map(|task| task.host.clone()).filter(there).collect()
         };
         running += busy.len();
-        world.play_to(82_000);
+        world.run_until(82_000);
         let returned: Vec<&String> =
             busy.iter().filter(|host| !world.region.workers.contains_key(*host)).collect();
         assert!(returned.is_empty(), "seed {seed}: {returned:?} of {busy:?} were returned");
-        world.play();
-        world::finished(&world, &format!("seed {seed}"));
+        world.run();
+        world::assert_finished(&world, &format!("seed {seed}"));
     }
     assert!(running > 6, "the scene has machines with tasks: {running}");
 }
@@ -96,25 +96,25 @@
 #[test]
 fn nothing_is_hired_before_the_machines_were_listed() {
     let mut solo = Solo::new();
-    solo.pass(1_000);
+    solo.advance(1_000);
     let job = Submission::Spec(Box::new(array(1, 8)));
-    solo.ask(Request::Submit(job));
-    solo.pass(5_000);
-    assert!(solo.core.valid_token(solo.clock().mono).is_some(), "it leads");
-    assert!(solo.hires.is_empty(), "before the list: {:?}", solo.hires);
-    solo.list = Some(MachineList { hosts: Vec::new(), more: false });
-    solo.pass(10_000);
-    assert!(!solo.hires.is_empty(), "nothing is hired after the list");
+    solo.send_request(Request::Submit(job));
+    solo.advance(5_000);
+    assert!(solo.controller.valid_token(solo.clock().mono).is_some(), "it leads");
+    assert!(solo.hire_requests.is_empty(), "before the list: {:?}", solo.hire_requests);
+    solo.machine_list = Some(MachineList { hosts: Vec::new(), more: false });
+    solo.advance(10_000);
+    assert!(!solo.hire_requests.is_empty(), "nothing is hired after the list");
 }
 
 /// Where the list cannot be had for long, hires do not wait for it for ever.
 #[test]
 fn hires_do_not_wait_for_a_list_that_never_comes() {
     let mut solo = Solo::new();
-    solo.pass(1_000);
-    solo.ask(Request::Submit(Submission::Spec(Box::new(array(1, 8)))));
-    solo.pass(60_000);
-    assert!(!solo.hires.is_empty(), "nothing is hired for a minute");
+    solo.advance(1_000);
+    solo.send_request(Request::Submit(Submission::Spec(Box::new(array(1, 8)))));
+    solo.advance(60_000);
+    assert!(!solo.hire_requests.is_empty(), "nothing is hired for a minute");
 }
 
 /// All machines of a zone were returned while it was cut off, then all controllers end: in a zone of which the next leader
@@ -122,25 +122,25 @@
 /// boots (5 s) and a lease (26 s).
 #[test]
 fn a_zone_of_which_nothing_is_heard_gets_one_machine_at_a_time() {
-    show_log();
+    init_log();
     const ALL_END_AT: u64 = 110_000;
     const FOUND_AT: u64 = 160_000;
     const ON_ITS_WAY_MS: u64 = 33_000;
     let (mut most, mut elsewhere) = (0, 0);
-    for seed in 400..406 + more_days() {
+    for seed in 400..406 + extra_seeds() {
         let mut faults: Vec<(u64, Fault)> =
-            (0..3).map(|node| (LOST_AT, Fault::Apart(node, 0, 110_000))).collect();
+            (0..3).map(|node| (LOST_AT, Fault::NodeZonePartition(node, 0, 110_000))).collect();
         faults.push((ALL_END_AT, Fault::CrashAll));
-        let mut world = World::scripted(seed, faults, 190_000, None);
-        world.leaky = false;
+        let mut world = World::with_faults(seed, faults, 190_000, None);
+        world.delivers_after_partition = false;
         for number in 0..18 {
             world.add_job_at(array(number, 8), 20_000 + number * 8_000);
         }
-        world.play_to(ALL_END_AT);
+        world.run_until(ALL_END_AT);
         let mut known: BTreeSet<String> = world.region.workers.keys().cloned().collect();
         let mut hired_at: Vec<u64> = Vec::new();
-        while world.before(FOUND_AT) {
-            world.play_to(world.now + 500);
+        while world.continues_before(FOUND_AT) {
+            world.run_until(world.now + 500);
             for (host, worker) in &world.region.workers {
                 if !known.insert(host.clone()) {
                     continue;
@@ -153,8 +153,8 @@
             let on_their_way = hired_at.iter().filter(|at| world.now < **at + ON_ITS_WAY_MS);
             most = most.max(on_their_way.count());
         }
-        world.play();
-        world::finished(&world, &format!("seed {seed}"));
+        world.run();
+        world::assert_finished(&world, &format!("seed {seed}"));
     }
     assert!(elsewhere > 1, "the scene needs machines");
     assert!(most <= 1, "{most} machines on their way at once to a zone of which nothing was heard");
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -17,9 +17,9 @@
 use rand_chacha::ChaCha8Rng;
 use serde_json::json;
 use std::collections::BTreeSet;
-use world::limits::{Free, NEGLECTED_MS, Neglect, Terms, placeable, site};
+use world::limits::{MachineRoom, NEGLECTED_MS, NeglectTracker, TeamLimits, placeable, site};
 use world::solo::Solo;
-use world::{Fault, Site, Upon, World, check, more_days, show_log, small_array};
+use world::{Fault, LeaderFault, Site, World, assert_rules, extra_seeds, init_log, small_array};
 
 /// All faults end by this time of the simulation.
 const FAULTS_END_MS: u64 = 180_000;
@@ -34,21 +34,21 @@
 /// A world whose controllers are down from the beginning, with a machine of four GPUs in zone a and an accepted job of two
 /// tasks of one GPU each.
 fn with_waiting_job(limit: f64, change: impl Fn(&mut JobSpec)) -> World {
-    let teams = [Terms { name: "blue", gpus_max: limit, ..Terms::default() }];
-    let mut world = World::deployed(site(&teams), &mut ChaCha8Rng::seed_from_u64(1), 0);
-    (0..3).for_each(|node| world.strike(Fault::NodeDown(node, 1_000_000)));
+    let teams = [TeamLimits { name: "blue", gpus_max: limit, ..TeamLimits::default() }];
+    let mut world = World::without_users(site(&teams), &mut ChaCha8Rng::seed_from_u64(1), 0);
+    (0..3).for_each(|node| world.inject_fault(Fault::NodeDown(node, 1_000_000)));
     world.add_machine("i-1", "a", false);
     let mut spec = small_array("req-1", 5);
     change(&mut spec);
     world.add_job(spec);
-    world.accept_all();
-    world.quiet = true;
+    world.mark_all_accepted();
+    world.stop_polling_when_final = true;
     world
 }
 
 /// Whether a job counts as neglected by `until`; no other rule may be broken.
 fn neglected(world: &mut World, until: u64) -> bool {
-    world.play_to(until);
+    world.run_until(until);
     let broken = &world.region.checker.broken;
     assert!(broken.iter().all(|text| text.contains(" neglected: ")), "{broken:?}");
     !broken.is_empty()
@@ -137,18 +137,18 @@
         assert!(!neglected(&mut world, 62_000 + NEGLECTED_MS));
         assert!(neglected(&mut world, 66_000 + NEGLECTED_MS));
     }
-    let mut neglect = Neglect::default();
+    let mut neglect = NeglectTracker::default();
     let job = || BTreeSet::from(["req-1".to_owned()]);
     assert!(neglect.look(0, job()).is_empty());
     assert_eq!(neglect.look(NEGLECTED_MS + 1, job()), ["req-1"]);
-    assert_eq!(neglect.longest, NEGLECTED_MS + 1);
+    assert_eq!(neglect.longest_wait_ms, NEGLECTED_MS + 1);
 }
 
 /// The number of further tasks of a job that could be placed, given where its others are.
 #[test]
 fn placeable_tasks_are_counted_with_zones() {
     let room = |gpus: f64| oatloom_core::workers::Resources { cpus: 64.0, gpus, memory_gb: 64.0 };
-    let free = |zone: &str, spot, gpus| Free {
+    let free = |zone: &str, spot, gpus| MachineRoom {
         flavor: "g4".into(),
         zone: zone.into(),
         spot,
@@ -197,7 +197,7 @@
 ];
 
 impl LimitKind {
-    fn teams(self) -> [Terms; 2] {
+    fn teams(self) -> [TeamLimits; 2] {
         let (red, blue) = match self {
             Self::Tiny => ((0.0, 0.0, 1.0, 2.0), (0.0, 0.0, 0.0, 2.0)),
             Self::OneTask => ((0.0, 0.0, 1.0, 1.0), (0.0, 2.0, 0.0, 0.0)),
@@ -205,7 +205,7 @@
             Self::Turns => ((0.0, 7.0, 2.0, 4.0), (0.0, 7.0, 0.0, 4.0)),
             Self::Borrowed => ((0.0, 0.0, 8.0, 0.0), (0.0, 0.0, 2.0, 12.0)),
         };
-        [("red", red), ("blue", blue)].map(|(name, (cpus, cpus_max, gpus, gpus_max))| Terms {
+        [("red", red), ("blue", blue)].map(|(name, (cpus, cpus_max, gpus, gpus_max))| TeamLimits {
             name,
             cpus,
             cpus_max,
@@ -230,14 +230,19 @@
 }
 
 /// How many tasks of this size a team may run at once: without limits, as many as these sites have room for.
-fn max_concurrent_tasks(team: &Terms, cpus: f64, gpus: f64) -> u32 {
+fn max_concurrent_tasks(team: &TeamLimits, cpus: f64, gpus: f64) -> u32 {
     let fitting =
         |limit: f64, each: f64| if limit > 0.0 { (limit / each + 1e-6) as u32 } else { 8 };
     fitting(team.cpus_max, cpus).min(fitting(team.gpus_max, gpus))
 }
 
 /// A random job that its team's limit allows.
-fn random_job(number: u32, limit_kind: LimitKind, team: &Terms, rng: &mut ChaCha8Rng) -> JobSpec {
+fn random_job(
+    number: u32,
+    limit_kind: LimitKind,
+    team: &TeamLimits,
+    rng: &mut ChaCha8Rng,
+) -> JobSpec {
     let (cpus, gpus) = limit_kind.size(rng);
     let max_tasks = max_concurrent_tasks(team, cpus, gpus);
     let shape = match rng.random_range(0..10) {
@@ -274,7 +279,7 @@
 
 /// A day on which two teams have more work than their limits let them do before the faults end, from the first seconds on.
 fn day_at_limits(limit_kind: LimitKind, rng: &mut ChaCha8Rng) -> World {
-    let mut world = World::deployed(limit_kind.site(), rng, FAULTS_END_MS);
+    let mut world = World::without_users(limit_kind.site(), rng, FAULTS_END_MS);
     world.region.outside.keeps_results = true;
     let mut number = 0;
     for team in &limit_kind.teams() {
@@ -302,11 +307,11 @@
 fn leader_failure(rng: &mut ChaCha8Rng) -> Fault {
     let span = rng.random_range(5_000..40_000);
     Fault::Leader(match rng.random_range(0..6) {
-        0 | 1 => Upon::Crash,
-        2 => Upon::Refused(span),
-        3 => Upon::Cut(span),
-        4 => Upon::Parted(span),
-        _ => Upon::Down(span),
+        0 | 1 => LeaderFault::Crash,
+        2 => LeaderFault::StoreRefuses(span),
+        3 => LeaderFault::Partitioned(span),
+        4 => LeaderFault::Isolated(span),
+        _ => LeaderFault::Down(span),
     })
 }
 
@@ -340,7 +345,7 @@
     steps.sort_by_key(|(after, _)| *after);
     let mut ran = Vec::new();
     for (after, step) in steps {
-        world.play_to(from + after);
+        world.run_until(from + after);
         let now = world.now;
         match step {
             Step::Cut(span) | Step::Hang(span) => {
@@ -360,7 +365,7 @@
                     world.cancel(job, now);
                 }
             }
-            Step::Strike(fault) => world.strike(fault),
+            Step::Strike(fault) => world.inject_fault(fault),
         }
     }
     ran
@@ -369,11 +374,11 @@
 /// Plays a day to its end: the rules hold, no job is neglected and none is left unfinished. Returns how many of these jobs
 /// were reported as cancelled to their users.
 fn finish(mut world: World, context: &str, cancelled: &[String]) -> usize {
-    world.play();
-    check(&world, context);
+    world.run();
+    assert_rules(&world, context);
     let unfinished = world.unfinished();
     assert!(unfinished.is_empty(), "{context} leaves jobs unfinished: {unfinished:#?}");
-    cancelled.iter().filter(|job| world.told_cancelled(job)).count()
+    cancelled.iter().filter(|job| world.known_cancelled(job)).count()
 }
 
 /// The seed given in `OATLOOM_SEED`, if any.
@@ -383,12 +388,12 @@
 
 /// The fixed seeds and the additional ones of `OATLOOM_SEEDS`, or the one given in `OATLOOM_SEED`.
 fn seeds(fixed: u64) -> std::ops::Range<u64> {
-    requested_seed().map_or(0..fixed + more_days(), |seed| seed..seed + 1)
+    requested_seed().map_or(0..fixed + extra_seeds(), |seed| seed..seed + 1)
 }
 
 /// Plays days of each kind of limits, with the steps of one scenario about every 40 s.
 fn play_days(name: &str, fixed: u64, scenario: impl Fn(&mut ChaCha8Rng) -> Vec<(u64, Step)>) {
-    show_log();
+    init_log();
     let (mut ran, mut confirmed) = (0, 0);
     for seed in seeds(fixed) {
         let limit_kind = LIMIT_KINDS[seed as usize % LIMIT_KINDS.len()];
@@ -397,7 +402,7 @@
         world.restart_ms = [50, 300, 1_000, 5_000][rng.random_range(0..4)];
         let mut cancelled = Vec::new();
         for n in 0..3 {
-            world.play_to(20_000 + n * 40_000 + rng.random_range(0..6_000));
+            world.run_until(20_000 + n * 40_000 + rng.random_range(0..6_000));
             let steps = scenario(&mut rng);
             cancelled.extend(apply_steps(&mut world, &mut rng, steps));
         }
@@ -455,7 +460,10 @@
             (0, cut_or_hang(rng, 25_000, 60_000)),
             (200, Step::Cancel),
             (lead, Step::Strike(leader_failure(rng))),
-            (lead + rng.random_range(5_000..14_000), Step::Strike(Fault::Leader(Upon::Crash))),
+            (
+                lead + rng.random_range(5_000..14_000),
+                Step::Strike(Fault::Leader(LeaderFault::Crash)),
+            ),
         ]
     });
 }
@@ -464,7 +472,7 @@
 /// cancelled before and after, and no controller knows which tasks ended meanwhile.
 #[test]
 fn limits_hold_after_all_controllers_are_down_for_longer_than_a_lease() {
-    show_log();
+    init_log();
     let (mut ran, mut confirmed, mut left) = (0, 0, 0);
     for seed in seeds(10) {
         let limit_kind = LIMIT_KINDS[seed as usize % LIMIT_KINDS.len()];
@@ -472,7 +480,7 @@
         let mut world = day_at_limits(limit_kind, &mut rng);
         let mut cancelled = Vec::new();
         for n in 0..2 {
-            world.play_to(18_000 + n * 70_000 + rng.random_range(0..8_000));
+            world.run_until(18_000 + n * 70_000 + rng.random_range(0..8_000));
             let down_after = rng.random_range(200..3_000);
             let mut steps = vec![
                 (rng.random_range(0..2_500), Step::Cancel),
@@ -486,7 +494,7 @@
                 steps.push((at, Step::Strike(Fault::NodeDown(node, down_ms))));
             }
             cancelled.extend(apply_steps(&mut world, &mut rng, steps));
-            world.play_to(back);
+            world.run_until(back);
             left += world.region.checker.on_machines().count();
             // Some are cancelled while all controllers are down or just after, at whichever is back first.
             for job in world.open_jobs().choose_multiple(&mut rng, 3) {
@@ -513,31 +521,31 @@
 /// is out for a while in between. Jobs are cancelled throughout.
 #[test]
 fn limits_hold_through_ten_leader_changes_in_two_minutes() {
-    show_log();
+    init_log();
     for seed in seeds(10) {
         let limit_kind = LIMIT_KINDS[seed as usize % LIMIT_KINDS.len()];
         let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x10);
         let mut world = day_at_limits(limit_kind, &mut rng);
         let mut cancelled = Vec::new();
-        world.play_to(15_000);
+        world.run_until(15_000);
         let outage = (seed % 2 == 1).then(|| rng.random_range(2..8));
         for n in 0..10 {
             let at = world.now;
             world.restart_ms = rng.random_range(50..5_000);
             if outage == Some(n) {
-                world.strike(Fault::StoreOutage(rng.random_range(5_000..30_000)));
+                world.inject_fault(Fault::StoreOutage(rng.random_range(5_000..30_000)));
             }
             let all = rng.random_bool(0.2);
-            let failure = if all { Fault::CrashAll } else { Fault::Leader(Upon::Crash) };
+            let failure = if all { Fault::CrashAll } else { Fault::Leader(LeaderFault::Crash) };
             let mut steps = vec![(rng.random_range(0..2_000), Step::Strike(failure))];
             if n % 3 == 0 {
                 steps.push((rng.random_range(0..3_000), Step::Cancel));
                 steps.push((rng.random_range(0..3_000), cut_or_hang(&mut rng, 2_000, 40_000)));
             }
             cancelled.extend(apply_steps(&mut world, &mut rng, steps));
-            world.play_to(at + 12_000);
+            world.run_until(at + 12_000);
         }
-        let terms = world.terms();
+        let terms = world.leader_term_count();
         assert!(terms >= if outage.is_some() { 6 } else { 10 }, "seed {seed}: {terms} terms");
         assert!(!cancelled.is_empty());
         finish(
@@ -552,14 +560,14 @@
 /// that keeps its job's other tasks from being placed.
 #[test]
 fn jobs_of_one_zone_finish_after_losing_their_machines() {
-    show_log();
+    init_log();
     let (mut lost, mut full) = (0, 0);
     for seed in seeds(16) {
         let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x2015);
-        let team = Terms { name: "blue", ..Terms::default() };
+        let team = TeamLimits { name: "blue", ..TeamLimits::default() };
         let capacity = if seed % 2 == 0 { 2 } else { 4 };
         let mut world =
-            World::deployed(Site { capacity, ..site(&[team]) }, &mut rng, FAULTS_END_MS);
+            World::without_users(Site { capacity, ..site(&[team]) }, &mut rng, FAULTS_END_MS);
         world.region.outside.keeps_results = true;
         let mut work_s = 0.0;
         for number in 0.. {
@@ -581,7 +589,7 @@
             }
         }
         for n in 0..3 {
-            world.play_to(25_000 + n * 40_000 + rng.random_range(0..6_000));
+            world.run_until(25_000 + n * 40_000 + rng.random_range(0..6_000));
             let now = world.now;
             let bound_to_zone = |spec: &JobSpec| spec.zone.is_some();
             let jobs: Vec<JobSpec> =
@@ -601,15 +609,15 @@
                 }
             }
             if rng.random_bool(0.4) {
-                let zone_cut = (0..3).map(|node| Fault::Apart(node, 0, span));
-                zone_cut.for_each(|fault| world.strike(fault));
+                let zone_cut = (0..3).map(|node| Fault::NodeZonePartition(node, 0, span));
+                zone_cut.for_each(|fault| world.inject_fault(fault));
             }
             if rng.random_bool(0.5) {
-                world.strike(Fault::Scarce(span));
+                world.inject_fault(Fault::CapacityHalved(span));
                 full += 1;
             }
             if rng.random_bool(0.5) {
-                world.strike(leader_failure(&mut rng));
+                world.inject_fault(leader_failure(&mut rng));
             }
         }
         finish(world, &format!("one zone, seed {seed}, capacity {capacity}"), &[]);
@@ -624,12 +632,12 @@
 /// must finish without a task started again, as no machine is lost. Guards against a new leader that forgets finished tasks.
 #[test]
 fn tasks_that_finish_across_a_leader_change_are_not_started_again() {
-    show_log();
+    init_log();
     let mut partly_done_jobs = 0;
     for seed in seeds(12) {
         let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x7);
-        let team = Terms { name: "blue", ..Terms::default() };
-        let mut world = World::deployed(site(&[team]), &mut rng, 110_000);
+        let team = TeamLimits { name: "blue", ..TeamLimits::default() };
+        let mut world = World::without_users(site(&[team]), &mut rng, 110_000);
         world.region.outside.keeps_results = true;
         let mut tasks = 0;
         for n in 0..24 {
@@ -646,8 +654,8 @@
             failure_times.insert(15_000 + n * 20_000 + rng.random_range(0..10_000));
         }
         let mut failures = failure_times.into_iter().peekable();
-        while world.before(100_000) {
-            world.play_to(world.now + 500);
+        while world.continues_before(100_000) {
+            world.run_until(world.now + 500);
             for (n, worker) in world.region.workers.values_mut().enumerate() {
                 worker.slowness = if n % 2 == 0 { 1.0 } else { 5.0 };
             }
@@ -659,15 +667,15 @@
                 };
                 partly_done_jobs +=
                     world.open_jobs().iter().filter(|spec| partly_done(spec)).count();
-                world.strike(Fault::Leader(Upon::Crash));
+                world.inject_fault(Fault::Leader(LeaderFault::Crash));
             }
         }
         let context = format!("tasks finish far apart, seed {seed}");
-        world.play();
-        check(&world, &context);
+        world.run();
+        assert_rules(&world, &context);
         let unfinished = world.unfinished();
         assert!(unfinished.is_empty(), "{context} leaves jobs unfinished: {unfinished:#?}");
-        assert_eq!(world.told(JobStatus::Done), 24, "{context}");
+        assert_eq!(world.count_with_known_status(JobStatus::Done), 24, "{context}");
         assert_eq!(world.region.checker.starts, tasks, "{context}: a task was started again");
     }
     println!(
@@ -682,14 +690,14 @@
 /// known from records only, or because everything that had reported from the recovering zone was gone.
 #[test]
 fn work_of_one_zone_begins_soon_after_the_zone_is_back() {
-    show_log();
+    init_log();
     const BACK_MS: u64 = 165_000;
     const MAX_WAIT_S: u64 = 110;
     let mut waits = Vec::new();
     for seed in seeds(10) {
         let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x20e);
-        let team = Terms { name: "blue", ..Terms::default() };
-        let mut world = World::deployed(site(&[team]), &mut rng, BACK_MS);
+        let team = TeamLimits { name: "blue", ..TeamLimits::default() };
+        let mut world = World::without_users(site(&[team]), &mut rng, BACK_MS);
         for number in 0..16 {
             let mut spec = small_array(&format!("req-{number}"), 10);
             spec.tasks = 4;
@@ -698,16 +706,16 @@
             world.add_job_at(spec, 1_000 + number * 8_000);
         }
         for (from, span) in [(26_000, 32_000), (65_000, 46_000), (106_000, 59_000)] {
-            world.play_to(from);
-            (0..3).for_each(|node| world.strike(Fault::Apart(node, 0, span)));
+            world.run_until(from);
+            (0..3).for_each(|node| world.inject_fault(Fault::NodeZonePartition(node, 0, span)));
             if rng.random_bool(0.5) {
-                world.strike(leader_failure(&mut rng));
+                world.inject_fault(leader_failure(&mut rng));
             }
         }
-        world.play_to(BACK_MS);
+        world.run_until(BACK_MS);
         let open = world.open_jobs().len();
         while !world.open_jobs().is_empty() && world.now < BACK_MS + 190_000 {
-            world.play_to(world.now + 1_000);
+            world.run_until(world.now + 1_000);
             let running = world.region.checker.on_machines().count();
             let begun = running > 0
                 && world.open_jobs().iter().all(|spec| {
@@ -718,7 +726,7 @@
                 break;
             }
         }
-        check(&world, &format!("zone reconnected, seed {seed}"));
+        assert_rules(&world, &format!("zone reconnected, seed {seed}"));
         waits.push((world.now - BACK_MS) / 1_000);
         assert!(
             requested_seed().is_some() || open > 0,
@@ -738,7 +746,7 @@
     report_seq: u64,
     tasks: &[(&str, TaskPhase)],
 ) -> Vec<Order> {
-    let token = solo.core.valid_token(solo.clock().mono).expect("it leads");
+    let token = solo.controller.valid_token(solo.clock().mono).expect("it leads");
     let row = |(task, status): &(&str, TaskPhase)| TaskReport {
         task: (*task).into(),
         attempt: Attempt(5),
@@ -759,8 +767,8 @@
         notice_s: None,
         tasks: tasks.iter().map(row).collect(),
     };
-    let conn = solo.ask(Request::Report(Box::new(report)));
-    solo.pass(3_500);
+    let conn = solo.send_request(Request::Report(Box::new(report)));
+    solo.advance(3_500);
     let reply = solo.reply(conn).expect("answered");
     let answer: ReportAnswer = serde_json::from_str(&reply.body).expect("an answer");
     answer.orders
@@ -771,7 +779,7 @@
 /// own machines report that they have exited.
 #[test]
 fn a_gangs_stored_result_frees_only_tasks_that_have_exited() {
-    show_log();
+    init_log();
     for exited in [false, true] {
         let mut solo = Solo::new();
         let four_gpu_job = |id: &str, tasks| JobSpec {
@@ -803,7 +811,7 @@
             put_live_record(JobSpec { shape: Shape::Gang, ..four_gpu_job("req-2", 2) }),
             Change::put("asg/req-1/0000".into(), json!(record)),
         ]);
-        solo.pass(500);
+        solo.advance(500);
         let fetching = |task| [(task, TaskPhase::Fetching)];
         report_from(&mut solo, "i-1", 1, &fetching("req-1/0"));
         report_from(&mut solo, "i-2", 1, &fetching("req-1/1"));
--- a/tests/looks.rs
+++ b/tests/looks.rs
@@ -16,14 +16,16 @@
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
-use world::looks::{FINE_STEP_MS, Look, Odd};
+use world::looks::{FINE_STEP_MS, RawRequest, UserRequest};
 use world::solo::Solo;
-use world::{Fault, STEP_MS, Upon, World, finished, more_days, show_log, small_array};
+use world::{
+    Fault, LeaderFault, STEP_MS, World, assert_finished, extra_seeds, init_log, small_array,
+};
 
 /// The fixed seeds and the additional ones of `OATLOOM_SEEDS`, or the one given in `OATLOOM_SEED`.
 fn seeds(fixed: u64) -> Range<u64> {
     let requested = std::env::var("OATLOOM_SEED").ok().and_then(|s| s.parse().ok());
-    requested.map_or(0..fixed + more_days(), |seed: u64| seed..seed + 1)
+    requested.map_or(0..fixed + extra_seeds(), |seed: u64| seed..seed + 1)
 }
 
 fn job_id(n: u64) -> String {
@@ -37,9 +39,9 @@
 
 /// A day without jobs of other users, with faults at the given times.
 fn day(seed: u64, faults: Vec<(u64, Fault)>, faults_end_ms: u64) -> World {
-    show_log();
-    let mut world = World::scripted(seed, faults, faults_end_ms, None);
-    world.alone();
+    init_log();
+    let mut world = World::with_faults(seed, faults, faults_end_ms, None);
+    world.remove_users();
     world
 }
 
@@ -61,12 +63,13 @@
 ) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     for n in 0..count {
-        world.play_finely_to(2_000 + n * every_ms);
+        world.run_finely_until(2_000 + n * every_ms);
         world.region.checker.submitted(&spec(n));
         for node in 0..3 {
-            let request = if rng.random_bool(0.5) { Look::Submit } else { Look::View };
+            let request =
+                if rng.random_bool(0.5) { UserRequest::Submit } else { UserRequest::View };
             let after = rng.random_range(0..60);
-            world.look(&job_id(n), node, request, after);
+            world.send_user_request(&job_id(n), node, request, after);
         }
     }
 }
@@ -75,11 +78,14 @@
 fn leader_faults(seed: u64) -> Vec<(u64, Fault)> {
     match seed % 6 {
         0 => vec![],
-        1 => vec![(17_000, Fault::Leader(Upon::Crash)), (25_000, Fault::Leader(Upon::Crash))],
-        2 => vec![(18_000, Fault::Leader(Upon::Refused(7_000)))],
-        3 => vec![(20_000, Fault::LeaderAsleep(6_000))],
-        4 => vec![(16_000, Fault::Leader(Upon::Parted(9_000)))],
-        _ => vec![(16_000, Fault::StoreSlow(15_000, 8))],
+        1 => vec![
+            (17_000, Fault::Leader(LeaderFault::Crash)),
+            (25_000, Fault::Leader(LeaderFault::Crash)),
+        ],
+        2 => vec![(18_000, Fault::Leader(LeaderFault::StoreRefuses(7_000)))],
+        3 => vec![(20_000, Fault::LeaderPaused(6_000))],
+        4 => vec![(16_000, Fault::Leader(LeaderFault::Isolated(9_000)))],
+        _ => vec![(16_000, Fault::SlowStore(15_000, 8))],
     }
 }
 
@@ -92,17 +98,21 @@
     for seed in seeds(12) {
         let mut world = day(seed, leader_faults(seed), 40_000);
         world.restart_ms = [50, 1_000][seed as usize % 2];
-        (world.looks.close, world.looks.abort_at_once) = (true, 0.3);
+        (world.looks.enabled, world.looks.abort_on_accept_share) = (true, 0.3);
         add_jobs(&mut world, 16, 1_800, |n| one_task(&job_id(n), 1 + n as u32 % 4));
-        world.cancel_some(0.25, 10_000, 38_000);
+        world.cancel_share(0.25, 10_000, 38_000);
         request_early(&mut world, seed, 16, 1_800, |n| one_task(&job_id(n), 1 + n as u32 % 4));
-        world.play_finely_to(45_000);
-        world.play_to(150_000);
-        finished(&world, &format!("seed {seed}"));
+        world.run_finely_until(45_000);
+        world.run_until(150_000);
+        assert_finished(&world, &format!("seed {seed}"));
         accepted += world.looks.accepted;
         done += world.looks.done;
         cancelled += world.looks.cancelled;
-        assert!(world.looks.sent > 600, "seed {seed}: {} requests", world.looks.sent);
+        assert!(
+            world.looks.requests_sent > 600,
+            "seed {seed}: {} requests",
+            world.looks.requests_sent
+        );
     }
     println!(
         "immediate requests for {accepted} accepted, {done} done and {cancelled} cancelled jobs"
@@ -117,18 +127,18 @@
     let (mut done, mut cancelled) = (0, 0);
     for seed in seeds(10) {
         let share = [200, 500, 800][seed as usize % 3];
-        let mut faults = vec![(6_000, Fault::AnswersLost(30_000, share))];
+        let mut faults = vec![(6_000, Fault::WriteRepliesLost(30_000, share))];
         faults.extend(leader_faults(seed));
         let mut world = day(seed, faults, 50_000);
-        (world.looks.close, world.looks.abort_at_once) = (true, 0.2);
+        (world.looks.enabled, world.looks.abort_on_accept_share) = (true, 0.2);
         add_jobs(&mut world, 14, 2_000, |n| one_task(&job_id(n), 1 + n as u32 % 4));
-        world.cancel_some(0.25, 10_000, 38_000);
+        world.cancel_share(0.25, 10_000, 38_000);
         request_early(&mut world, seed, 14, 2_000, |n| one_task(&job_id(n), 1 + n as u32 % 4));
-        world.play_finely_to(50_000);
-        world.play_to(160_000);
-        finished(&world, &format!("seed {seed}, {share} per mille of the answers lost"));
-        done += world.told(JobStatus::Done);
-        cancelled += world.told(JobStatus::Cancelled);
+        world.run_finely_until(50_000);
+        world.run_until(160_000);
+        assert_finished(&world, &format!("seed {seed}, {share} per mille of the answers lost"));
+        done += world.count_with_known_status(JobStatus::Done);
+        cancelled += world.count_with_known_status(JobStatus::Cancelled);
     }
     println!("{done} done, {cancelled} cancelled");
     assert!(done > 50 && cancelled > 30, "{done}, {cancelled}");
@@ -142,22 +152,22 @@
     for seed in seeds(12) {
         let strike = match seed % 4 {
             0 | 1 => None,
-            2 => Some((4, Fault::Leader(Upon::Crash))),
-            _ => Some((4, Fault::Leader(Upon::Refused(5_000)))),
+            2 => Some((4, Fault::Leader(LeaderFault::Crash))),
+            _ => Some((4, Fault::Leader(LeaderFault::StoreRefuses(5_000)))),
         };
         let mut world = day(seed, Vec::new(), 60_000);
         world.restart_ms = [50, 300, 1_000, 5_000][seed as usize % 4];
-        world.looks.close = seed % 2 == 0;
-        world.looks.abort_at_end = (0.8, [60, 300, 900, 4_500][(seed / 4) as usize % 4]);
-        world.looks.strike_at_end = strike;
+        world.looks.enabled = seed % 2 == 0;
+        world.looks.abort_on_end = (0.8, [60, 300, 900, 4_500][(seed / 4) as usize % 4]);
+        world.looks.fault_at_end = strike;
         add_jobs(&mut world, 16, 1_500, |n| match n % 3 {
             0 => small_array(&job_id(n), 1 + n as u32 % 5),
             _ => one_task(&job_id(n), 1 + n as u32 % 5),
         });
-        world.play_finely_to(50_000);
-        world.play_to(130_000);
-        finished(&world, &format!("seed {seed}"));
-        for id in world.looks.called_off.clone() {
+        world.run_finely_until(50_000);
+        world.run_until(130_000);
+        assert_finished(&world, &format!("seed {seed}"));
+        for id in world.looks.cancelled_at_end.clone() {
             raced += 1;
             match world.region.checker.over(&id) {
                 Some(JobStatus::Done) => as_done += 1,
@@ -176,20 +186,20 @@
 fn random_fault(rng: &mut ChaCha8Rng, span: u64) -> Fault {
     let node = rng.random_range(0..3);
     match rng.random_range(0..14) {
-        0 => Fault::AnswersLost(span, rng.random_range(200..1_000)),
-        1 => Fault::LateWrites(span, 300),
-        2 => Fault::Leader(Upon::Crash),
-        3 => Fault::Leader(Upon::Refused(span)),
-        4 => Fault::Leader(Upon::Parted(span)),
-        5 => Fault::Leader(Upon::Cut(span)),
-        6 => Fault::LeaderAsleep(span / 2),
+        0 => Fault::WriteRepliesLost(span, rng.random_range(200..1_000)),
+        1 => Fault::DelayedWrites(span, 300),
+        2 => Fault::Leader(LeaderFault::Crash),
+        3 => Fault::Leader(LeaderFault::StoreRefuses(span)),
+        4 => Fault::Leader(LeaderFault::Isolated(span)),
+        5 => Fault::Leader(LeaderFault::Partitioned(span)),
+        6 => Fault::LeaderPaused(span / 2),
         7 => Fault::StoreOutage(span),
-        8 => Fault::StoreSlow(span, rng.random_range(3..25)),
+        8 => Fault::SlowStore(span, rng.random_range(3..25)),
         9 => Fault::StoreRestart,
-        10 => Fault::PeersApart(node, (node + 1) % 3, span),
+        10 => Fault::PeersPartitioned(node, (node + 1) % 3, span),
         11 => Fault::NodeFrozen(node, span / 2),
         12 => Fault::CrashAll,
-        _ => Fault::StoreLoses(span / 2),
+        _ => Fault::StoreRepliesLost(span / 2),
     }
 }
 
@@ -212,18 +222,18 @@
         let context = format!("seed {seed}, {faults:?}");
         let mut world = day(seed, faults, 80_000);
         world.restart_ms = [50, 300, 1_000, 5_000][rng.random_range(0..4)];
-        (world.looks.close, world.looks.abort_at_once) = (true, 0.15);
-        world.looks.abort_at_end = (0.4, rng.random_range(50..3_000));
+        (world.looks.enabled, world.looks.abort_on_accept_share) = (true, 0.15);
+        world.looks.abort_on_end = (0.4, rng.random_range(50..3_000));
         add_jobs(&mut world, 30, 1_700, |n| match n % 3 {
             0 => small_array(&job_id(n), 1 + n as u32 % 7),
             _ => one_task(&job_id(n), 1 + n as u32 % 7),
         });
-        world.cancel_some(0.2, 10_000, 70_000);
-        world.play_finely_to(75_000);
-        world.play_to(190_000);
-        finished(&world, &context);
-        done += world.told(JobStatus::Done);
-        cancelled += world.told(JobStatus::Cancelled);
+        world.cancel_share(0.2, 10_000, 70_000);
+        world.run_finely_until(75_000);
+        world.run_until(190_000);
+        assert_finished(&world, &context);
+        done += world.count_with_known_status(JobStatus::Done);
+        cancelled += world.count_with_known_status(JobStatus::Cancelled);
     }
     println!("{done} done, {cancelled} cancelled");
     assert!(done > 60 && cancelled > 40, "{done}, {cancelled}");
@@ -236,28 +246,33 @@
     let (mut done, mut cancelled) = (0, 0);
     for seed in seeds(24) {
         let mut world = day(seed, Vec::new(), 60_000);
-        world.looks.close = true;
+        world.looks.enabled = true;
         add_jobs(&mut world, 8, 200, |n| one_task(&job_id(n), 20));
         world.step_ms = FINE_STEP_MS;
         while world.now < 50_000 && !(0..8).any(|n| world.region.checker.is_done(&job_id(n), 0)) {
             world.step();
         }
-        let (at, former) = (world.now, world.leads().expect("a node leads"));
-        world.strike(Fault::Leader(Upon::Parted(9_000 + seed * 150)));
+        let (at, former) = (world.now, world.leader().expect("a node leads"));
+        world.inject_fault(Fault::Leader(LeaderFault::Isolated(9_000 + seed * 150)));
         for n in 0..8 {
             for after in (3_500..9_000).step_by(250) {
-                world.look(&job_id(n), (former + 1 + n as usize % 2) % 3, Look::Abort, after);
+                world.send_user_request(
+                    &job_id(n),
+                    (former + 1 + n as usize % 2) % 3,
+                    UserRequest::Abort,
+                    after,
+                );
             }
         }
-        world.play_finely_to(at + 6_000);
+        world.run_finely_until(at + 6_000);
         // Nor does it learn of the next leader from that leader itself.
-        let next = world.leads().filter(|next| *next != former).expect("another leads");
-        world.strike(Fault::PeersApart(former, next, 14_000));
-        world.play_finely_to(at + 18_000);
-        world.play_to(130_000);
-        finished(&world, &format!("seed {seed}"));
-        done += world.told(JobStatus::Done);
-        cancelled += world.told(JobStatus::Cancelled);
+        let next = world.leader().filter(|next| *next != former).expect("another leads");
+        world.inject_fault(Fault::PeersPartitioned(former, next, 14_000));
+        world.run_finely_until(at + 18_000);
+        world.run_until(130_000);
+        assert_finished(&world, &format!("seed {seed}"));
+        done += world.count_with_known_status(JobStatus::Done);
+        cancelled += world.count_with_known_status(JobStatus::Cancelled);
     }
     println!("{done} done, {cancelled} cancelled through the next leader");
     assert!(cancelled > 20, "{done}, {cancelled}");
@@ -270,12 +285,12 @@
     let (mut ran, mut confirmed) = (0, 0);
     for seed in seeds(12) {
         let mut world = day(seed, Vec::new(), 115_000);
-        world.looks.close = true;
+        world.looks.enabled = true;
         add_jobs(&mut world, 10, 300, |n| small_array(&job_id(n), 300));
         let at = 30_000;
-        world.play_to(at - 500);
-        world.play_finely_to(at);
-        let on_machines = (0..10).filter(|n| world.on_machine(&job_id(*n))).count();
+        world.run_until(at - 500);
+        world.run_finely_until(at);
+        let on_machines = (0..10).filter(|n| world.runs_on_machine(&job_id(*n))).count();
         ran += on_machines;
         // From a little before the refusal to a little after it, and into the outage.
         let phase = seed * 130 % 1_600;
@@ -283,20 +298,24 @@
         for n in 0..10 {
             for node in 0..3 {
                 let after = rng.random_range(phase..phase + 60);
-                world.look(&job_id(n), node, Look::Abort, after);
+                world.send_user_request(&job_id(n), node, UserRequest::Abort, after);
             }
         }
-        world.play_finely_to(at + 300);
-        world.strike(Fault::Leader(Upon::Refused(14_000)));
-        world.play_finely_to(at + 1_300);
-        let confirmed_before = world.told(JobStatus::Cancelled);
-        world.strike(Fault::StoreOutage(71_000));
-        world.play_finely_to(at + 3_000);
-        world.play_to(at + 71_000);
+        world.run_finely_until(at + 300);
+        world.inject_fault(Fault::Leader(LeaderFault::StoreRefuses(14_000)));
+        world.run_finely_until(at + 1_300);
+        let confirmed_before = world.count_with_known_status(JobStatus::Cancelled);
+        world.inject_fault(Fault::StoreOutage(71_000));
+        world.run_finely_until(at + 3_000);
+        world.run_until(at + 71_000);
         confirmed += confirmed_before;
-        world.play_to(240_000);
-        finished(&world, &format!("seed {seed}, phase {phase} ms"));
-        assert_eq!(world.told(JobStatus::Cancelled), 10, "seed {seed}: all were cancelled");
+        world.run_until(240_000);
+        assert_finished(&world, &format!("seed {seed}, phase {phase} ms"));
+        assert_eq!(
+            world.count_with_known_status(JobStatus::Cancelled),
+            10,
+            "seed {seed}: all were cancelled"
+        );
     }
     println!(
         "{ran} jobs were running when they were cancelled, {confirmed} cancellations were confirmed before the outage"
@@ -311,40 +330,44 @@
     for seed in seeds(16) {
         let mut world = day(seed, Vec::new(), 60_000);
         world.restart_ms = [50, 300, 1_000, 5_000][seed as usize / 4 % 4];
-        world.looks.close = true;
+        world.looks.enabled = true;
         add_jobs(&mut world, 12, 300, |n| match n % 2 {
             0 => small_array(&job_id(n), 200),
             _ => one_task(&job_id(n), 200),
         });
         let at = 30_000;
-        world.play_to(at - 2_000);
-        ran += (0..12).filter(|n| world.on_machine(&job_id(*n))).count();
+        world.run_until(at - 2_000);
+        ran += (0..12).filter(|n| world.runs_on_machine(&job_id(*n))).count();
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         for n in 0..12 {
             let first = rng.random_range(1_500..7_500);
             for again in 0..3 {
                 let after = first + again * rng.random_range(1..400);
                 let node = rng.random_range(0..3);
-                world.look(&job_id(n), node, Look::Abort, after);
+                world.send_user_request(&job_id(n), node, UserRequest::Abort, after);
             }
         }
-        world.play_finely_to(at);
-        let before = world.leads();
-        world.strike(match seed % 4 {
-            0 => Fault::Leader(Upon::Crash),
-            1 => Fault::Leader(Upon::Refused(6_000)),
-            2 => Fault::LeaderAsleep(6_500),
+        world.run_finely_until(at);
+        let before = world.leader();
+        world.inject_fault(match seed % 4 {
+            0 => Fault::Leader(LeaderFault::Crash),
+            1 => Fault::Leader(LeaderFault::StoreRefuses(6_000)),
+            2 => Fault::LeaderPaused(6_500),
             _ => Fault::CrashAll,
         });
         let mut after = before;
-        while world.before(at + 9_000) {
-            world.play_finely_to(world.now + 500);
-            after = world.leads().filter(|_| after == before).or(after);
+        while world.continues_before(at + 9_000) {
+            world.run_finely_until(world.now + 500);
+            after = world.leader().filter(|_| after == before).or(after);
         }
         changed += usize::from(after != before);
-        world.play_to(140_000);
-        finished(&world, &format!("seed {seed}"));
-        assert_eq!(world.told(JobStatus::Cancelled), 12, "seed {seed}: all were cancelled");
+        world.run_until(140_000);
+        assert_finished(&world, &format!("seed {seed}"));
+        assert_eq!(
+            world.count_with_known_status(JobStatus::Cancelled),
+            12,
+            "seed {seed}: all were cancelled"
+        );
     }
     println!(
         "{ran} jobs were running when they were cancelled; another node led afterwards on {changed} days"
@@ -361,14 +384,14 @@
         let mut faults = leader_faults(seed);
         faults.retain(|_| seed % 2 == 1);
         let mut world = day(seed, faults, 45_000);
-        world.looks.close = true;
+        world.looks.enabled = true;
         add_jobs(&mut world, 24, 1_000, |n| one_task(&job_id(n), 30));
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut placed = BTreeSet::new();
         world.step_ms = FINE_STEP_MS;
-        while world.before(45_000) {
+        while world.continues_before(45_000) {
             world.step();
-            for row in world.stored("asg/") {
+            for row in world.stored_rows("asg/") {
                 let id = row.key.split('/').nth(1).unwrap_or_default().to_owned();
                 if !placed.insert(id.clone()) {
                     continue;
@@ -376,15 +399,15 @@
                 let within = [1, 20, 200, 1_500][rng.random_range(0..4)];
                 for node in 0..3 {
                     let after = rng.random_range(0..within);
-                    world.look(&id, node, Look::Abort, after);
+                    world.send_user_request(&id, node, UserRequest::Abort, after);
                 }
             }
         }
         world.step_ms = STEP_MS;
         // Cancel the jobs that were never placed as well.
-        world.cancel_some(1.0, 46_000, 50_000);
-        world.play_to(130_000);
-        finished(&world, &format!("seed {seed}"));
+        world.cancel_share(1.0, 46_000, 50_000);
+        world.run_until(130_000);
+        assert_finished(&world, &format!("seed {seed}"));
         for id in placed {
             let started = world.looks.started.contains(&id);
             *(if started { &mut started_jobs } else { &mut unstarted_jobs }) += 1;
@@ -401,8 +424,8 @@
 fn many_small_jobs_finish_across_a_leader_failover() {
     const JOBS: u64 = 480;
     for seed in seeds(1) {
-        let mut world = day(seed, vec![(45_000, Fault::Leader(Upon::Crash))], 100_000);
-        world.quiet = true;
+        let mut world = day(seed, vec![(45_000, Fault::Leader(LeaderFault::Crash))], 100_000);
+        world.stop_polling_when_final = true;
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         for n in 0..JOBS {
             let class = if n % 2 == 0 { "quick" } else { "slow" };
@@ -412,10 +435,10 @@
                 world.cancel_last(at + rng.random_range(50..8_000));
             }
         }
-        world.play_to(200_000);
-        finished(&world, &format!("seed {seed}"));
+        world.run_until(200_000);
+        assert_finished(&world, &format!("seed {seed}"));
         // Writes of the leader and the accepting nodes; graphs and usage accounting are off.
-        let changes: u32 = world.spent.values().map(|(_, changes)| changes).sum();
+        let changes: u32 = world.store_traffic.values().map(|(_, changes)| changes).sum();
         let changes_per_job = f64::from(changes) / JOBS as f64;
         let mut classes: BTreeMap<bool, (u64, u64)> = BTreeMap::new();
         for n in 0..JOBS {
@@ -427,19 +450,19 @@
         }
         println!(
             "seed {seed}: {changes_per_job:.2} changes per job; ended within 40 s, by class: {classes:?}; {} cancelled",
-            world.told(JobStatus::Cancelled)
+            world.count_with_known_status(JobStatus::Cancelled)
         );
         assert!(changes_per_job < 5.5, "seed {seed}: {changes_per_job} changes per job");
         for (all, in_time) in classes.values() {
             assert!(in_time * 2 > *all, "seed {seed}: {in_time} of {all}");
         }
-        assert!(world.told(JobStatus::Cancelled) > 40);
+        assert!(world.count_with_known_status(JobStatus::Cancelled) > 40);
     }
 }
 
 /// Texts of jobs that must be refused, with the expected HTTP status.
 fn invalid_jobs() -> Vec<(serde_json::Value, u16)> {
-    let valid = World::text_of(&small_array("req-0", 5));
+    let valid = World::json_of(&small_array("req-0", 5));
     let with = |key: &str, value: serde_json::Value| {
         let mut job = valid.clone();
         job[key] = value;
@@ -487,8 +510,8 @@
     for seed in seeds(4) {
         let faults = match seed % 4 {
             0 => vec![],
-            1 => vec![(24_000, Fault::Leader(Upon::Crash))],
-            2 => vec![(24_000, Fault::Leader(Upon::Refused(9_000)))],
+            1 => vec![(24_000, Fault::Leader(LeaderFault::Crash))],
+            2 => vec![(24_000, Fault::Leader(LeaderFault::StoreRefuses(9_000)))],
             _ => vec![(24_000, Fault::StoreOutage(6_000)), (33_000, Fault::CrashAll)],
         };
         let mut world = day(seed, faults, 50_000);
@@ -500,9 +523,9 @@
         }
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut sent = Vec::new();
-        world.play_to(12_000);
+        world.run_until(12_000);
         for round in 0..30 {
-            world.play_to(12_000 + round * 1_000);
+            world.run_until(12_000 + round * 1_000);
             let mut invalid: Vec<(usize, (serde_json::Value, u16))> =
                 invalid_jobs().into_iter().enumerate().collect();
             invalid.shuffle(&mut rng);
@@ -511,17 +534,17 @@
                 let (node, id) = (rng.random_range(0..3), format!("req-{}", 10_000 + n));
                 let mut text = text;
                 text["nameId"] = json!(id);
-                world.send_odd(node, "POST", "/v2/runs", &text.to_string());
+                world.send_raw_request(node, "POST", "/v2/runs", &text.to_string());
                 sent.push((id, status));
             }
             for (body, status) in [("{", 400), ("[]", 400), ("{}", 400), ("", 400), ("null", 400)] {
-                world.send_odd(rng.random_range(0..3), "POST", "/v2/runs", body);
+                world.send_raw_request(rng.random_range(0..3), "POST", "/v2/runs", body);
                 sent.push(("req-none".into(), status));
             }
             let node = rng.random_range(0..3);
-            world.send_odd(node, "POST", "/v2/runs/req-10000/abort", "");
+            world.send_raw_request(node, "POST", "/v2/runs/req-10000/abort", "");
             sent.push(("req-10000".into(), 404));
-            world.send_odd(node, "GET", "/v2/runs/req-10001", "");
+            world.send_raw_request(node, "GET", "/v2/runs/req-10001", "");
             sent.push(("req-10001".into(), 404));
             for n in 0..8 {
                 let node = rng.random_range(0..3);
@@ -529,33 +552,33 @@
                 let request = match (known, rng.random_bool(0.5)) {
                     (Some(JobStatus::Done), true) => {
                         done_aborted += 1;
-                        Look::Abort
+                        UserRequest::Abort
                     }
-                    (_, true) => Look::SubmitBroken,
-                    _ => Look::Submit,
+                    (_, true) => UserRequest::SubmitIncomplete,
+                    _ => UserRequest::Submit,
                 };
                 if world.is_accepted(&job_id(n)) {
-                    world.look(&job_id(n), node, request, 0);
+                    world.send_user_request(&job_id(n), node, request, 0);
                     repeated += u32::from(known.is_none());
                 }
             }
         }
-        world.play_to(140_000);
-        finished(&world, &format!("seed {seed}"));
+        world.run_until(140_000);
+        assert_finished(&world, &format!("seed {seed}"));
         let is_unavailable =
-            |request: &&Odd| request.answer.as_ref().is_some_and(|(_, r)| r.status == 503);
-        let unavailable = world.looks.odd.iter().filter(is_unavailable).count();
+            |request: &&RawRequest| request.answer.as_ref().is_some_and(|(_, r)| r.status == 503);
+        let unavailable = world.looks.raw_requests.iter().filter(is_unavailable).count();
         assert!(
             seed % 4 > 0 || unavailable * 20 < sent.len(),
             "seed {seed}: {unavailable} answered with 503"
         );
-        for (request, (id, status)) in world.looks.odd.iter().zip(&sent) {
+        for (request, (id, status)) in world.looks.raw_requests.iter().zip(&sent) {
             let (_, reply) =
                 request.answer.as_ref().unwrap_or_else(|| panic!("no answer to {request:?}"));
             *counts.entry(reply.status).or_default() += 1;
             let is_expected = reply.status == *status || matches!(reply.status, 503 | 599);
             assert!(is_expected, "seed {seed}: {request:?} is to get {status}");
-            assert!(!world.ever_written(id), "seed {seed}: {id} left a record");
+            assert!(!world.was_ever_written(id), "seed {seed}: {id} left a record");
         }
     }
     println!(
@@ -571,21 +594,21 @@
 fn a_lookup_that_began_before_the_final_state_is_answered_with_it() {
     for abort in [false, true] {
         let mut solo = Solo::new();
-        solo.led_by_another();
-        solo.pass(500);
+        solo.set_other_leader();
+        solo.advance(500);
         let spec = one_task("req-1", 9);
         let record = LiveRecord { spec: spec.clone(), wall_ms: 1, part: None };
         solo.write(vec![Change::put("live/req-1".into(), json!(record))]);
         // The leader does not answer, so the follower reads the job's records itself.
         let ask = |solo: &mut Solo, request| {
-            let conn = solo.ask(request);
-            for (id, _) in std::mem::take(&mut solo.asked) {
+            let conn = solo.send_request(request);
+            for (id, _) in std::mem::take(&mut solo.peer_requests) {
                 solo.event(Event::PeerReply { id, reply: None });
             }
             conn
         };
         let id = JobId::new("req-1");
-        solo.hold = |op| matches!(op, StoreOp::Get { key } if key == "live/req-1");
+        solo.holds_reply = |op| matches!(op, StoreOp::Get { key } if key == "live/req-1");
         solo.execute_held = true;
         let early = if abort { Request::Abort(id.clone()) } else { Request::View(id.clone()) };
         let early = ask(&mut solo, early);
@@ -594,13 +617,13 @@
         let end = FinalRecord { status, done: 0, failure: None, spent: None, part: None };
         let delete_live = Change::Delete { key: "live/req-1".into() };
         solo.write(vec![Change::put("over/req-1".into(), json!(end)), delete_live]);
-        solo.hold = |_| false;
+        solo.holds_reply = |_| false;
         let late = ask(&mut solo, Request::View(id));
         let answer = |solo: &Solo, conn| {
             solo.reply(conn).map(|reply| (reply.status, reply.body.contains("cancelled")))
         };
         assert_eq!(answer(&solo, late), Some((200, true)));
-        solo.release();
+        solo.release_held();
         assert_eq!(answer(&solo, early), Some((200, true)), "abort: {abort}");
         let again = ask(&mut solo, Request::Submit(Submission::Spec(Box::new(spec))));
         assert_eq!(answer(&solo, again), Some((200, true)));
@@ -613,8 +636,8 @@
 fn resubmission_of_a_known_job_with_an_invalid_text_is_accepted() {
     for finished in [false, true] {
         let mut solo = Solo::new();
-        solo.led_by_another();
-        solo.pass(500);
+        solo.set_other_leader();
+        solo.advance(500);
         let spec = one_task("req-1", 9);
         let status = JobStatus::Done;
         let end = FinalRecord { status, done: 1, failure: None, spent: None, part: None };
@@ -626,8 +649,8 @@
         let with_long_text =
             |id: &str| JobSpec { image: "i".repeat(9_000), id: JobId::new(id), ..spec.clone() };
         let mut submit = |spec: JobSpec| {
-            let conn = solo.ask(Request::Submit(Submission::Spec(Box::new(spec))));
-            solo.pass(100);
+            let conn = solo.send_request(Request::Submit(Submission::Spec(Box::new(spec))));
+            solo.advance(100);
             solo.reply(conn).map(|reply| reply.status)
         };
         assert_eq!(submit(with_long_text("req-1")), Some(200), "finished: {finished}");
@@ -644,28 +667,28 @@
     let mut solo = Solo::new();
     let live = LiveRecord { spec: one_task("req-1", 9), wall_ms: 1, part: None };
     solo.write(vec![Change::put("live/req-1".into(), json!(live))]);
-    solo.pass(500);
-    assert!(solo.core.valid_token(solo.clock().mono).is_some(), "it leads");
+    solo.advance(500);
+    assert!(solo.controller.valid_token(solo.clock().mono).is_some(), "it leads");
     let id = JobId::new("req-1");
-    solo.hold = |op| match op {
+    solo.holds_reply = |op| match op {
         StoreOp::Txn(txn) => txn
             .changes
             .iter()
             .any(|change| matches!(change, Change::Put { key, .. } if key == "over/req-1")),
         _ => false,
     };
-    solo.ask(Request::Abort(id.clone()));
-    solo.pass(100);
+    solo.send_request(Request::Abort(id.clone()));
+    solo.advance(100);
     let (op, ..) = solo.held.pop().expect("its final state is being written");
     let status = JobStatus::Done;
     let end = FinalRecord { status, done: 1, failure: None, spent: None, part: None };
     let delete_live = Change::Delete { key: "live/req-1".into() };
     solo.write(vec![Change::put("over/req-1".into(), json!(end)), delete_live]);
     solo.event(Event::Store { id: op, reply: StoreReply::Lost });
-    solo.pass(100);
+    solo.advance(100);
     for request in [Request::View(id.clone()), Request::Abort(id.clone())] {
-        let conn = solo.ask(request);
-        solo.pass(100);
+        let conn = solo.send_request(request);
+        solo.advance(100);
         let reply = solo.reply(conn).expect("it is known");
         assert!(reply.status == 200 && reply.body.contains(r#""status":"done""#), "{reply:?}");
     }
@@ -679,10 +702,10 @@
     let spec = one_task("req-1", 9);
     let live = LiveRecord { spec: spec.clone(), wall_ms: 1, part: None };
     solo.write(vec![Change::put("live/req-1".into(), json!(live))]);
-    solo.hold = |op| matches!(op, StoreOp::List { prefix, .. } if prefix == "asg/");
-    solo.pass(3_000);
-    assert!(solo.core.holds_leader_key() && !solo.held.is_empty(), "it reads assignments");
-    let conn = solo.ask(Request::Submit(Submission::Spec(Box::new(spec))));
-    solo.pass(100);
+    solo.holds_reply = |op| matches!(op, StoreOp::List { prefix, .. } if prefix == "asg/");
+    solo.advance(3_000);
+    assert!(solo.controller.holds_leader_key() && !solo.held.is_empty(), "it reads assignments");
+    let conn = solo.send_request(Request::Submit(Submission::Spec(Box::new(spec))));
+    solo.advance(100);
     assert_eq!(solo.reply(conn).map(|reply| reply.status), Some(200));
 }
--- a/tests/machines.rs
+++ b/tests/machines.rs
@@ -16,9 +16,11 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde_json::json;
-use world::machines::{Given, Met};
+use world::machines::{Coverage, ReplayTiming};
 use world::solo::Solo;
-use world::{Fault, Upon, World, check, finished, more_days, show_log, small_array};
+use world::{
+    Fault, LeaderFault, World, assert_finished, assert_rules, extra_seeds, init_log, small_array,
+};
 
 /// All faults end by this time of the simulation.
 const FAULTS_END_MS: u64 = 150_000;
@@ -48,39 +50,39 @@
 
 /// The leader changes five times; in between, machines are cut off and come back in new sessions, and a faulty machine fails
 /// its tasks. Copies of reports of all ages reach every controller when a new leader starts, or after its first orders.
-fn deliver_old_reports(seed: u64, given: Given) -> Met {
+fn deliver_old_reports(seed: u64, given: ReplayTiming) -> Coverage {
     let context = format!("seed {seed}, {given:?}");
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let changes: Vec<u64> =
         (0..5).map(|n| 25_000 + n * 24_000 + rng.random_range(0..8_000)).collect();
     let mut faults = vec![(9_000, Fault::FaultyMachine)];
     for at in &changes {
-        faults.push((at - rng.random_range(1_000..14_000), Fault::MachineCut(32_000)));
+        faults.push((at - rng.random_range(1_000..14_000), Fault::MachinePartitioned(32_000)));
         let upon = match rng.random_range(0..4) {
-            0 => Upon::Crash,
-            1 => Upon::Refused(9_000),
-            2 => Upon::Parted(9_000),
-            _ => Upon::Down(9_000),
+            0 => LeaderFault::Crash,
+            1 => LeaderFault::StoreRefuses(9_000),
+            2 => LeaderFault::Isolated(9_000),
+            _ => LeaderFault::Down(9_000),
         };
         faults.push((*at, Fault::Leader(upon)));
     }
     faults.sort_by_key(|(at, _)| *at);
-    let mut world = World::scripted(seed, faults, FAULTS_END_MS, None);
+    let mut world = World::with_faults(seed, faults, FAULTS_END_MS, None);
     add_long_jobs_around(&mut world, &mut rng, &changes);
-    world.keep_reports(0.4, given);
-    world.watch_to(FAULTS_END_MS + 190_000);
-    finished(&world, &context);
+    world.save_reports(0.4, given);
+    world.run_checked_until(FAULTS_END_MS + 190_000);
+    assert_finished(&world, &context);
     world.machines.met
 }
 
 /// Guards against a new leader that takes the tasks which an old report lists, or doesn't list, for the present state.
 #[test]
 fn old_reports_delivered_as_a_leader_starts_change_nothing() {
-    show_log();
-    let mut sum = Met::default();
-    for seed in 0..6 + more_days() {
-        let met = deliver_old_reports(seed, Given::AsItBegins);
-        assert!(met.given > 100 && met.first > 20, "seed {seed}: {met:?}");
+    init_log();
+    let mut sum = Coverage::default();
+    for seed in 0..6 + extra_seeds() {
+        let met = deliver_old_reports(seed, ReplayTiming::AtTermStart);
+        assert!(met.replayed > 100 && met.before_first_report > 20, "seed {seed}: {met:?}");
         sum.older_session += met.older_session;
         sum.older_attempt += met.older_attempt;
     }
@@ -90,11 +92,11 @@
 /// The same after the new leader has given orders.
 #[test]
 fn old_reports_delivered_after_a_new_leader_has_acted_change_nothing() {
-    show_log();
-    let mut sum = Met::default();
-    for seed in 100..106 + more_days() {
-        let met = deliver_old_reports(seed, Given::OnceItActed);
-        assert!(met.given > 100, "seed {seed}: {met:?}");
+    init_log();
+    let mut sum = Coverage::default();
+    for seed in 100..106 + extra_seeds() {
+        let met = deliver_old_reports(seed, ReplayTiming::AfterFirstAck);
+        assert!(met.replayed > 100, "seed {seed}: {met:?}");
         sum.older_session += met.older_session;
         sum.older_attempt += met.older_attempt;
     }
@@ -104,10 +106,10 @@
 /// Plays the seed given in `OATLOOM_SEED`, if any.
 #[test]
 fn one_seed() {
-    show_log();
+    init_log();
     if let Some(seed) = std::env::var("OATLOOM_SEED").ok().and_then(|s| s.parse().ok()) {
-        deliver_old_reports(seed, Given::AsItBegins);
-        deliver_old_reports(seed, Given::OnceItActed);
+        deliver_old_reports(seed, ReplayTiming::AtTermStart);
+        deliver_old_reports(seed, ReplayTiming::AfterFirstAck);
     }
 }
 
@@ -133,18 +135,18 @@
 #[test]
 fn machines_known_only_from_old_reports_are_ignored() {
     let mut solo = Solo::new();
-    solo.pass(500);
-    let token = solo.core.valid_token(solo.clock().mono).expect("it leads").0;
+    solo.advance(500);
+    let token = solo.controller.valid_token(solo.clock().mono).expect("it leads").0;
     for n in 0..4 {
-        solo.ask(Request::Report(Box::new(report(&format!("i-{n}"), "a", 1, 40, 0))));
+        solo.send_request(Request::Report(Box::new(report(&format!("i-{n}"), "a", 1, 40, 0))));
     }
-    solo.ask(Request::Submit(Submission::Spec(Box::new(small_array("req-1", 9)))));
+    solo.send_request(Request::Submit(Submission::Spec(Box::new(small_array("req-1", 9)))));
     let mut placed = false;
     for report_seq in 1..20 {
         let present = report("i-9", "b", 1, report_seq, if report_seq > 1 { token } else { 0 });
-        solo.ask(Request::Report(Box::new(present)));
-        solo.pass(1_000);
-        let leader_term = solo.core.leader_term().expect("it leads");
+        solo.send_request(Request::Report(Box::new(present)));
+        solo.advance(1_000);
+        let leader_term = solo.controller.leader_term().expect("it leads");
         let (zones, job) =
             (&leader_term.fleet.zones, leader_term.job_table.get(&JobId::new("req-1")));
         assert!(!zones.is_lost(&Zone::new("a")), "{report_seq}");
@@ -184,22 +186,22 @@
 /// period, and the machines come back.
 #[test]
 fn cancelled_tasks_stop_on_machines_that_reach_no_controller() {
-    show_log();
-    for seed in 0..9 + more_days() {
+    init_log();
+    for seed in 0..9 + extra_seeds() {
         let (kind, phase) = (seed % 3, seed * 170 % 1_500);
         let context = format!("seed {seed}, kind {kind}, phase {phase}");
-        let mut world = World::scripted(seed, Vec::new(), FAULTS_END_MS, None);
-        world.alone();
+        let mut world = World::with_faults(seed, Vec::new(), FAULTS_END_MS, None);
+        world.remove_users();
         add_long_jobs(&mut world, 8, 2_000, |n| (n < 6).then_some(40_000 + phase));
-        world.watch_to(39_000 + phase);
-        let silenced = world.mute(45_000, 1);
+        world.run_checked_until(39_000 + phase);
+        let silenced = world.silence_machines(45_000, 1);
         if kind != 2 {
             // Without a cloud outage silent machines are returned, and their tasks with them.
-            world.strike(Fault::CloudOutage(45_000));
+            world.inject_fault(Fault::CloudOutage(45_000));
         }
         match kind {
-            1 => world.strike(Fault::MachinesDeaf(9_000, 1)),
-            2 => world.strike(Fault::Leader(Upon::Down(60_000))),
+            1 => world.inject_fault(Fault::MachinesInboundLost(9_000, 1)),
+            2 => world.inject_fault(Fault::Leader(LeaderFault::Down(60_000))),
             _ => {}
         }
         let before = count_long_tasks(&world);
@@ -208,10 +210,15 @@
             "{context}: {before} tasks run on {silenced} machines"
         );
         let patience = if kind == 0 { 9_000 } else { 15_000 };
-        while world.before(84_000 + phase) {
-            world.watch_to(world.now + 500);
-            check(&world, &context);
-            assert_eq!(world.lingering(patience), [""; 0], "{context}, at {}", world.now);
+        while world.continues_before(84_000 + phase) {
+            world.run_checked_until(world.now + 500);
+            assert_rules(&world, &context);
+            assert_eq!(
+                world.running_after_cancel(patience),
+                [""; 0],
+                "{context}, at {}",
+                world.now
+            );
         }
         let commanded = &world.machines.told;
         assert!(
@@ -226,10 +233,10 @@
         }
         // The machines come back, and jobs that were not cancelled run again.
         let running_again = |world: &World| count_long_tasks(world) >= 4;
-        world.watch_to(135_000);
-        check(&world, &context);
+        world.run_checked_until(135_000);
+        assert_rules(&world, &context);
         assert!(running_again(&world), "{context}: {} tasks run", count_long_tasks(&world));
-        assert!(world.region.workers.values().all(|w| !world.is_mute(&w.host)));
+        assert!(world.region.workers.values().all(|w| !world.is_silent(&w.host)));
     }
 }
 
@@ -237,21 +244,21 @@
 /// answer to the hire was lost; writes are slow. The leader fails while these assignments are being written.
 #[test]
 fn leader_failure_during_slow_assignments_to_new_machines_keeps_the_rules() {
-    show_log();
+    init_log();
     let mut interrupted = 0;
-    for seed in 0..12 + more_days() {
+    for seed in 0..12 + extra_seeds() {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let lag = if seed % 2 == 0 {
-            Fault::StoreSlow(120_000, 30 + 10 * (seed % 7) as u32)
+            Fault::SlowStore(120_000, 30 + 10 * (seed % 7) as u32)
         } else {
-            Fault::LateWrites(120_000, 400)
+            Fault::DelayedWrites(120_000, 400)
         };
         let faults = vec![
-            (1_000, Fault::Boots(200_000, 120, 0)),
-            (1_500, Fault::CloudLate(120_000, 300)),
+            (1_000, Fault::SlowBoots(200_000, 120, 0)),
+            (1_500, Fault::CloudDelayed(120_000, 300)),
             (1_700, lag),
         ];
-        let mut world = World::scripted(seed, faults, FAULTS_END_MS, None);
+        let mut world = World::with_faults(seed, faults, FAULTS_END_MS, None);
         for wave in 0..5 {
             let submitted = 10_000 + wave * 22_000;
             for n in 0..6 {
@@ -263,20 +270,26 @@
                     world.cancel_last(submitted + rng.random_range(1_000..9_000));
                 }
             }
-            world.watch_to(submitted);
+            world.run_checked_until(submitted);
             // Until an assignment to a machine that has just booted is being written; the leader fails up to 250 ms later.
-            while world.before(submitted + 9_000) && world.hasty_assignments(2_000) == 0 {
-                world.watch_to(world.now + 50);
+            while world.continues_before(submitted + 9_000)
+                && world.assignments_to_new_machines(2_000) == 0
+            {
+                world.run_checked_until(world.now + 50);
             }
             let at = world.now;
-            world.watch_to(at + rng.random_range(0..6) * 50);
-            interrupted += usize::from(world.hasty_assignments(2_500) > 0);
-            let failures =
-                [Upon::Crash, Upon::Down(8_000), Upon::Refused(8_000), Upon::Parted(8_000)];
-            world.strike(Fault::Leader(failures[rng.random_range(0..4)]));
+            world.run_checked_until(at + rng.random_range(0..6) * 50);
+            interrupted += usize::from(world.assignments_to_new_machines(2_500) > 0);
+            let failures = [
+                LeaderFault::Crash,
+                LeaderFault::Down(8_000),
+                LeaderFault::StoreRefuses(8_000),
+                LeaderFault::Isolated(8_000),
+            ];
+            world.inject_fault(Fault::Leader(failures[rng.random_range(0..4)]));
         }
-        world.watch_to(FAULTS_END_MS + 190_000);
-        finished(&world, &format!("seed {seed}"));
+        world.run_checked_until(FAULTS_END_MS + 190_000);
+        assert_finished(&world, &format!("seed {seed}"));
     }
     assert!(
         interrupted >= 12,
@@ -288,13 +301,13 @@
 /// cancelled, and reconnects. Users can still reach the controller inside.
 #[test]
 fn cutting_off_a_zone_with_a_controller_during_cancellations_keeps_the_rules() {
-    show_log();
+    init_log();
     let (mut inside, mut led) = (0, 0);
-    for seed in 0..9 + more_days() {
+    for seed in 0..9 + extra_seeds() {
         let zone = (seed % 3) as usize;
         let span = 28_000 + seed * 3_700 % 40_000;
         let context = format!("seed {seed}, zone {zone}, {span} ms");
-        let mut world = World::scripted(seed, Vec::new(), FAULTS_END_MS, None);
+        let mut world = World::with_faults(seed, Vec::new(), FAULTS_END_MS, None);
         for n in 0..9 {
             let mut spec = limited_job(n, 2, if n % 3 == 0 { 30 } else { 200 });
             spec.zone = Some(Zone::new(["a", "b", "c"][(n % 3) as usize]));
@@ -304,17 +317,17 @@
                 world.cancel_last(40_000 + (seed * 700 + n * 1_900) % 20_000);
             }
         }
-        world.watch_to(39_000 + seed * 400 % 3_000);
-        led += usize::from(world.leads() == Some(zone));
+        world.run_checked_until(39_000 + seed * 400 % 3_000);
+        led += usize::from(world.leader() == Some(zone));
         let zone_name = ["a", "b", "c"][zone];
         let busy_machines = |w: &World| -> Vec<(String, u64)> {
             let in_zone = w.region.workers.values().filter(|m| m.place.zone == zone_name);
             in_zone.filter(|m| !m.tasks.is_empty()).map(|m| (m.host.clone(), m.shift)).collect()
         };
         inside += busy_machines(&world).len();
-        world.cut_zone(zone, span);
-        world.watch_to(FAULTS_END_MS + 190_000);
-        finished(&world, &context);
+        world.isolate_zone(zone, span);
+        world.run_checked_until(FAULTS_END_MS + 190_000);
+        assert_finished(&world, &context);
     }
     assert!(inside >= 9 && led >= 2, "{inside} machines had tasks, {led} leaders were in the zone");
 }
@@ -324,12 +337,12 @@
 /// be gone.
 #[test]
 fn leader_failure_with_unreachable_long_tasks_keeps_the_rules() {
-    show_log();
+    init_log();
     let (mut struck, mut running) = (0, 0);
-    for seed in 0..10 + more_days() {
+    for seed in 0..10 + extra_seeds() {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut world = World::scripted(seed, Vec::new(), FAULTS_END_MS, None);
-        world.alone();
+        let mut world = World::with_faults(seed, Vec::new(), FAULTS_END_MS, None);
+        world.remove_users();
         for n in 0..12 {
             let mut spec = limited_job(n, 3, if n < 6 { 300 } else { 20 });
             spec.zone = (n % 4 == 0).then(|| Zone::new("b"));
@@ -340,28 +353,28 @@
                 world.cancel_last(44_000 + rng.random_range(0..30_000));
             }
         }
-        world.watch_to(36_000 + rng.random_range(0..5_000));
+        world.run_checked_until(36_000 + rng.random_range(0..5_000));
         running += count_limited_tasks(&world);
         if seed % 2 == 0 {
-            struck +=
-                world.cut_machines(20_000 + rng.random_range(0..25_000), 1 + seed as usize % 3);
+            struck += world
+                .partition_machines(20_000 + rng.random_range(0..25_000), 1 + seed as usize % 3);
         } else {
-            world.strike(Fault::MachinesDeaf(
+            world.inject_fault(Fault::MachinesInboundLost(
                 20_000 + rng.random_range(0..25_000),
                 1 + seed as u32 % 3,
             ));
             struck += 1;
         }
         for _ in 0..2 {
-            world.watch_to(world.now + rng.random_range(500..7_000));
-            world.strike(Fault::Leader(if seed % 4 < 2 {
-                Upon::Crash
+            world.run_checked_until(world.now + rng.random_range(500..7_000));
+            world.inject_fault(Fault::Leader(if seed % 4 < 2 {
+                LeaderFault::Crash
             } else {
-                Upon::Down(12_000)
+                LeaderFault::Down(12_000)
             }));
         }
-        world.watch_to(FAULTS_END_MS + 150_000);
-        finished(&world, &format!("seed {seed}"));
+        world.run_checked_until(FAULTS_END_MS + 150_000);
+        assert_finished(&world, &format!("seed {seed}"));
     }
     assert!(struck >= 12, "{struck} machines were unreachable or got no answers");
     assert!(running >= 100, "the team was at its limit: {running} tasks over all days");
@@ -377,30 +390,30 @@
 /// starts none.
 #[test]
 fn a_partitioned_leader_reports_no_older_state() {
-    show_log();
+    init_log();
     let mut cancelled = 0;
-    for seed in 0..8 + more_days() {
+    for seed in 0..8 + extra_seeds() {
         let span = [6_000, 20_000, 35_000, 60_000][seed as usize % 4];
-        let mut world = World::scripted(seed, Vec::new(), FAULTS_END_MS, None);
-        world.alone();
+        let mut world = World::with_faults(seed, Vec::new(), FAULTS_END_MS, None);
+        world.remove_users();
         add_long_jobs(&mut world, 10, 2_000, |n| Some(38_500 + seed * 130 + n * 1_300));
         for n in 0..6 {
             world.add_job_at(limited_job(n, 2, 12), 30_000 + n * 1_500);
         }
-        world.watch_to(38_000 + seed * 370);
-        let Some(old) = world.leads() else { panic!("seed {seed}: nobody leads") };
-        world.strike(Fault::NodeParted(old, span));
-        world.strike(Fault::PollStorm(span + 10_000, 6));
+        world.run_checked_until(38_000 + seed * 370);
+        let Some(old) = world.leader() else { panic!("seed {seed}: nobody leads") };
+        world.inject_fault(Fault::NodeIsolated(old, span));
+        world.inject_fault(Fault::PollStorm(span + 10_000, 6));
         let until = world.now + span + 10_000;
-        while world.before(until) {
-            world.door = (world.now / 1_000).is_multiple_of(2).then_some(old);
-            world.watch_to(world.now + 1_000);
-            check(&world, &format!("seed {seed}, {span} ms"));
+        while world.continues_before(until) {
+            world.load_balancer_target = (world.now / 1_000).is_multiple_of(2).then_some(old);
+            world.run_checked_until(world.now + 1_000);
+            assert_rules(&world, &format!("seed {seed}, {span} ms"));
         }
-        cancelled += world.told(JobStatus::Cancelled);
-        world.door = None;
-        world.watch_to(FAULTS_END_MS);
-        finished(&world, &format!("seed {seed}, {span} ms"));
+        cancelled += world.count_with_known_status(JobStatus::Cancelled);
+        world.load_balancer_target = None;
+        world.run_checked_until(FAULTS_END_MS);
+        assert_finished(&world, &format!("seed {seed}, {span} ms"));
     }
     assert!(cancelled >= 60, "{cancelled} jobs were cancelled meanwhile");
 }
@@ -421,18 +434,18 @@
 #[test]
 fn an_old_report_does_not_replace_a_newer_pending_one() {
     let mut solo = Solo::new();
-    solo.hold = |op| matches!(op, StoreOp::List { .. });
-    solo.pass(500);
+    solo.holds_reply = |op| matches!(op, StoreOp::List { .. });
+    solo.advance(500);
     let ask = |solo: &mut Solo, session, report_seq| {
-        solo.ask(Request::Report(Box::new(report("i-1", "a", session, report_seq, 0))))
+        solo.send_request(Request::Report(Box::new(report("i-1", "a", session, report_seq, 0))))
     };
     let newer = ask(&mut solo, 2, 5);
     let old = [ask(&mut solo, 2, 4), ask(&mut solo, 1, 80), ask(&mut solo, 2, 5)];
     assert!(old.iter().all(|conn| solo.reply(*conn).is_some_and(|r| r.status == 409)));
     assert_eq!(solo.reply(newer), None, "it waits for the job table");
-    solo.hold = |_| false;
-    solo.release();
-    solo.pass(100);
+    solo.holds_reply = |_| false;
+    solo.release_held();
+    solo.advance(100);
     assert_eq!(solo.reply(newer).map(|r| r.status), Some(200));
 }
 
@@ -452,16 +465,18 @@
         Change::put("live/req-1".into(), json!(live)),
         Change::put("asg/req-1/0000".into(), json!(record)),
     ]);
-    solo.pass(500);
-    let token = solo.core.valid_token(solo.clock().mono).expect("it leads").0;
+    solo.advance(500);
+    let token = solo.controller.valid_token(solo.clock().mono).expect("it leads").0;
     (solo, token)
 }
 
 /// The attempt of that task in the leader's job table, and whether it was sent.
 fn assigned_attempt(solo: &Solo) -> Option<(u64, RunSent)> {
     let task = TaskId::new(&JobId::new("req-1"), 0);
-    let hold =
-        solo.core.leader_term().and_then(|leader_term| leader_term.job_table.assignment(&task));
+    let hold = solo
+        .controller
+        .leader_term()
+        .and_then(|leader_term| leader_term.job_table.assignment(&task));
     hold.map(|hold| (hold.attempt.0, hold.run_sent))
 }
 
@@ -483,8 +498,8 @@
         let (mut solo, token) = leader_with_assigned_task();
         let running = first_task_row(9, TaskPhase::Running);
         let current = Report { tasks: vec![running], ..report("i-1", "a", 2, 20, token) };
-        solo.ask(Request::Report(Box::new(current)));
-        solo.pass(100);
+        solo.send_request(Request::Report(Box::new(current)));
+        solo.advance(100);
         let answer = Report {
             tasks,
             ..report("i-1", "a", session, 21, if knows_token { token } else { 0 })
@@ -511,7 +526,7 @@
         Change::put("live/req-1".into(), json!(live)),
         Change::put("asg/req-1/0000".into(), json!(record)),
     ]);
-    solo.pass(2_000);
+    solo.advance(2_000);
     let final_record = solo.state.rows("over/req-1");
     assert!(!final_record.is_empty() && solo.state.rows("live/").is_empty(), "{final_record:?}");
     assert!(solo.state.rows("asg/").is_empty(), "its assignment records are deleted too");
@@ -544,13 +559,13 @@
         if lists_earlier_attempt {
             old.tasks.push(first_task_row(9, TaskPhase::Running));
         }
-        solo.ask(Request::Report(Box::new(old)));
+        solo.send_request(Request::Report(Box::new(old)));
         assert_eq!(assigned_attempt(&solo), Some((9, RunSent::Inherited)), "{context}");
         // Cancelled at once, when the strictest rule applies: an order that was not sent counts as gone.
-        solo.ask(Request::Abort(JobId::new("req-1")));
-        solo.pass(1_000);
+        solo.send_request(Request::Abort(JobId::new("req-1")));
+        solo.advance(1_000);
         assert_eq!(assigned_attempt(&solo).map(|h| h.0), Some(9), "{context}: cancelled");
-        solo.ask(Request::Report(Box::new(report("i-1", "a", 2, 20, token))));
+        solo.send_request(Request::Report(Box::new(report("i-1", "a", 2, 20, token))));
         assert_eq!(
             assigned_attempt(&solo),
             None,
@@ -563,23 +578,24 @@
 /// assigned to the silent machines twice a second until these count as lost.
 #[test]
 fn no_task_is_assigned_to_machines_that_died_in_an_outage() {
-    show_log();
-    for seed in 0..4 + more_days() {
-        let faults = vec![(60_000, Fault::StoreOutage(45_000)), (75_000, Fault::HalfDie)];
-        let mut world = World::scripted(seed, faults, 110_000, None);
-        world.alone();
+    init_log();
+    for seed in 0..4 + extra_seeds() {
+        let faults =
+            vec![(60_000, Fault::StoreOutage(45_000)), (75_000, Fault::HalfOfMachinesTerminated)];
+        let mut world = World::with_faults(seed, faults, 110_000, None);
+        world.remove_users();
         for n in 0..8 {
             world.add_job_at(small_array(&format!("req-{n}"), 200), 5_000 + n * 500);
         }
-        world.play_to(74_000);
+        world.run_until(74_000);
         let machines =
             |world: &World| -> Vec<String> { world.region.workers.keys().cloned().collect() };
         let before = machines(&world);
         let running = world.region.checker.on_machines().count();
         assert!(running >= 6, "seed {seed}: {running} tasks run");
-        world.play_to(104_000);
+        world.run_until(104_000);
         let left = machines(&world);
-        world.play_to(170_000);
+        world.run_until(170_000);
         let dead = before.iter().filter(|host| !left.contains(host));
         let dead: Vec<HostId> = dead.map(|host| HostId::new(host)).collect();
         assert!(!dead.is_empty(), "seed {seed}: machines died");
@@ -593,34 +609,34 @@
         );
         let running_again = world.region.checker.on_machines().count();
         assert!(running_again >= running, "seed {seed}: {running_again} tasks run again");
-        check(&world, &format!("seed {seed}"));
+        assert_rules(&world, &format!("seed {seed}"));
     }
 }
 
 /// Direct commands are delayed for seconds while leaders fail, lose leadership or are paused; jobs are cancelled, preempted
 /// and drained meanwhile.
-fn delay_commands_of_former_leaders(seed: u64) -> Met {
+fn delay_commands_of_former_leaders(seed: u64) -> Coverage {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let changes: Vec<u64> =
         (0..5).map(|n| 25_000 + n * 24_000 + rng.random_range(0..8_000)).collect();
-    let mut faults = vec![(5_000, Fault::LateCommands(FAULTS_END_MS - 25_000, 950))];
+    let mut faults = vec![(5_000, Fault::DelayedCommands(FAULTS_END_MS - 25_000, 950))];
     for at in &changes {
         let machine = match rng.random_range(0..3) {
-            0 => Fault::SpotTaken,
+            0 => Fault::SpotReclaimed,
             1 => Fault::MachineHangs(12_000),
-            _ => Fault::MachineCut(12_000),
+            _ => Fault::MachinePartitioned(12_000),
         };
         faults.push((at - rng.random_range(500..4_000), machine));
         let upon = match rng.random_range(0..4) {
-            0 => Fault::Leader(Upon::Crash),
-            1 => Fault::Leader(Upon::Refused(9_000)),
-            2 => Fault::Leader(Upon::Parted(9_000)),
-            _ => Fault::LeaderAsleep(7_000),
+            0 => Fault::Leader(LeaderFault::Crash),
+            1 => Fault::Leader(LeaderFault::StoreRefuses(9_000)),
+            2 => Fault::Leader(LeaderFault::Isolated(9_000)),
+            _ => Fault::LeaderPaused(7_000),
         };
         faults.push((*at, upon));
     }
     faults.sort_by_key(|(at, _)| *at);
-    let mut world = World::scripted(seed, faults, FAULTS_END_MS, Some(Shape::Gang));
+    let mut world = World::with_faults(seed, faults, FAULTS_END_MS, Some(Shape::Gang));
     world.restart_ms = [50, 300, 5_000][rng.random_range(0..3)];
     add_long_jobs_around(&mut world, &mut rng, &changes);
     // Machines reach no controller while their jobs are cancelled: stops reach them by repeated direct commands only.
@@ -631,11 +647,11 @@
         }
     }
     for at in &changes {
-        world.watch_to(at - 15_000);
-        world.mute(rng.random_range(12_000..26_000), 1);
+        world.run_checked_until(at - 15_000);
+        world.silence_machines(rng.random_range(12_000..26_000), 1);
     }
-    world.watch_to(FAULTS_END_MS + 190_000);
-    finished(&world, &format!("seed {seed}"));
+    world.run_checked_until(FAULTS_END_MS + 190_000);
+    assert_finished(&world, &format!("seed {seed}"));
     world.machines.met
 }
 
@@ -643,16 +659,16 @@
 /// directly, they name an attempt that no later leader reuses, and a worker that knows a later leader's token refuses them.
 #[test]
 fn late_direct_commands_of_a_former_leader_change_nothing() {
-    show_log();
-    let mut sum = Met::default();
-    for seed in 300..308 + more_days() {
+    init_log();
+    let mut sum = Coverage::default();
+    for seed in 300..308 + extra_seeds() {
         let met = delay_commands_of_former_leaders(seed);
         sum.outranked += met.outranked;
         sum.deposed += met.deposed;
-        sum.stopped += met.stopped;
+        sum.stops_of_running_tasks += met.stops_of_running_tasks;
     }
     eprintln!("{sum:?}");
-    assert!(sum.outranked > 20 && sum.deposed > 10 && sum.stopped > 4, "{sum:?}");
+    assert!(sum.outranked > 20 && sum.deposed > 10 && sum.stops_of_running_tasks > 4, "{sum:?}");
 }
 
 /// A worker refuses a task of a gang that is being assembled. Guards against the same attempt being assigned to the same
@@ -681,8 +697,8 @@
             ),
             Change::put("asg/req-1/0000".into(), json!(record)),
         ]);
-        solo.pass(500);
-        let token = solo.core.valid_token(solo.clock().mono).expect("it leads").0;
+        solo.advance(500);
+        let token = solo.controller.valid_token(solo.clock().mono).expect("it leads").0;
         // The tasks of each machine, as it would report them.
         let mut machine_tasks: [Vec<TaskReport>; 2] = [
             vec![task_row("req-1/0", Attempt(5), TaskPhase::Exited, Some(cause))],
@@ -694,8 +710,8 @@
                 let mut machine_report =
                     report(host, "a", 1, report_seq, if report_seq > 1 { token } else { 0 });
                 machine_report.tasks = machine_tasks[at].clone();
-                let conn = solo.ask(Request::Report(Box::new(machine_report)));
-                solo.pass(1_000);
+                let conn = solo.send_request(Request::Report(Box::new(machine_report)));
+                solo.advance(1_000);
                 let answer = solo.reply(conn).map(|r| r.body.clone()).unwrap_or_default();
                 let Ok(answer) = serde_json::from_str::<ReportAnswer>(&answer) else { continue };
                 for order in answer.orders {
--- a/tests/members.rs
+++ b/tests/members.rs
@@ -11,19 +11,19 @@
 #[test]
 fn one_that_is_refused_alone_says_so_though_nobody_asks_it_anything() {
     for (seed, node) in (0..6).flat_map(|seed| (0..3).map(move |node| (seed, node))) {
-        let faults = vec![(40_000, Fault::Refused(node, 40_000))];
-        let mut world = World::scripted(seed, faults, 90_000, None);
-        world.alone();
+        let faults = vec![(40_000, Fault::StoreRefuses(node, 40_000))];
+        let mut world = World::with_faults(seed, faults, 90_000, None);
+        world.remove_users();
         world.probing = true;
-        world.play_to(90_000);
-        let before = world.healthy(10_000, 40_000);
+        world.run_until(90_000);
+        let before = world.healthy_probe_share(10_000, 40_000);
         assert!(before.iter().all(|share| *share > 0.95), "seed {seed}: {before:?}");
-        let during = world.healthy(54_000, 78_000);
+        let during = world.healthy_probe_share(54_000, 78_000);
         for (other, share) in during.iter().enumerate() {
             let right = if other == node { *share < 0.05 } else { *share > 0.95 };
             assert!(right, "seed {seed}, {node} refused: {during:?}");
         }
-        let after = world.healthy(86_000, 90_000);
+        let after = world.healthy_probe_share(86_000, 90_000);
         assert!(after[node] > 0.7, "seed {seed}: {after:?}");
     }
 }
@@ -33,11 +33,11 @@
 fn in_an_outage_all_stay_up() {
     for seed in 0..4 {
         let faults = vec![(40_000, Fault::StoreOutage(30_000))];
-        let mut world = World::scripted(seed, faults, 90_000, None);
-        world.alone();
+        let mut world = World::with_faults(seed, faults, 90_000, None);
+        world.remove_users();
         world.probing = true;
-        world.play_to(90_000);
-        let during = world.healthy(42_000, 70_000);
+        world.run_until(90_000);
+        let during = world.healthy_probe_share(42_000, 70_000);
         assert!(during.iter().all(|share| *share > 0.95), "seed {seed}: {during:?}");
     }
 }
@@ -54,8 +54,8 @@
                 faults.push((at + 50, Fault::Crash((n as usize + 1) % 3)));
             }
         }
-        let mut world = World::scripted(seed, faults, 120_000, None);
-        world.play();
+        let mut world = World::with_faults(seed, faults, 120_000, None);
+        world.run();
         let broken = &world.region.checker.broken;
         assert!(broken.is_empty(), "seed {seed} breaks rules: {broken:#?}");
         let unfinished = world.unfinished();
--- a/tests/ops.rs
+++ b/tests/ops.rs
@@ -11,14 +11,14 @@
 use oatloom_protocol::wire::{JobSpec, Rank, Shape};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use world::{Fault, World, more_days, show_log};
+use world::{Fault, World, extra_seeds, init_log};
 
 const CALM_FROM: u64 = 150_000;
 
 fn check(world: &World, seed: u64) {
     let broken = &world.region.checker.broken;
     assert!(broken.is_empty(), "seed {seed} breaks rules: {broken:#?}");
-    assert_eq!(world.two_leaders, None, "seed {seed}: two leaders at once");
+    assert_eq!(world.two_leaders_at, None, "seed {seed}: two leaders at once");
     // Guards against work that takes nothing of what a team has used up, as its book shows after a takeover: planned
     // and refused without end.
     assert_eq!(world.wrong_plans, 0, "seed {seed}: starts planned that may not be");
@@ -35,15 +35,15 @@
     let node = rng.random_range(0..3);
     let span = rng.random_range(1_000..45_000);
     let fault = match rng.random_range(0..14) {
-        0 | 1 => Fault::LeaderAsleep(span),
+        0 | 1 => Fault::LeaderPaused(span),
         2 => Fault::NodeFrozen(node, span),
         3 => Fault::NodeDown(node, 2 * span),
-        4 => Fault::NodeCut(node, 2 * span),
-        5 => Fault::Refused(node, span),
-        6 => Fault::Apart(node, rng.random_range(0..3), span),
+        4 => Fault::NodePartitioned(node, 2 * span),
+        5 => Fault::StoreRefuses(node, span),
+        6 => Fault::NodeZonePartition(node, rng.random_range(0..3), span),
         7 => Fault::PollStorm(span, 8),
-        8 => Fault::Boots(2 * span, 50, 0),
-        9 => Fault::Boots(2 * span, 4_000, 300),
+        8 => Fault::SlowBoots(2 * span, 50, 0),
+        9 => Fault::SlowBoots(2 * span, 4_000, 300),
         10 => Fault::Crash(node),
         11 => Fault::CrashAll,
         12 => Fault::StoreOutage(span / 3),
@@ -58,7 +58,7 @@
     let count = rng.random_range(5..14);
     let mut faults: Vec<_> = (0..count).map(|_| drawn(&mut rng)).collect();
     faults.sort_by_key(|(at, _)| *at);
-    let mut world = World::scripted(seed, faults, CALM_FROM, None);
+    let mut world = World::with_faults(seed, faults, CALM_FROM, None);
     world.restart_ms = rng.random_range(50..1_000);
     for n in 0..rng.random_range(0..3) {
         // Fails on every machine until its user cancels it.
@@ -98,10 +98,10 @@
 }
 
 fn days(first: u64, count: u64) {
-    show_log();
-    for seed in first..first + count + more_days() {
+    init_log();
+    for seed in first..first + count + extra_seeds() {
         let mut world = day(seed);
-        world.play();
+        world.run();
         finished(&world, seed);
     }
 }
@@ -124,31 +124,34 @@
 /// Plays the one seed that `OATLOOM_SEED` names, if any.
 #[test]
 fn one_seed() {
-    show_log();
+    init_log();
     if let Some(seed) = std::env::var("OATLOOM_SEED").ok().and_then(|s| s.parse().ok()) {
         let mut world = day(seed);
-        world.play();
+        world.run();
         finished(&world, seed);
     }
 }
 
 /// How long nobody may give orders after each end, in milliseconds, sorted.
 fn pauses(seed: u64, all: bool, restart_ms: u64) -> Vec<u64> {
-    let mut world = World::scripted(seed, Vec::new(), CALM_FROM, None);
+    let mut world = World::with_faults(seed, Vec::new(), CALM_FROM, None);
     world.restart_ms = restart_ms;
-    world.play_to(8_000);
+    world.run_until(8_000);
     let mut pauses = Vec::new();
     for _ in 0..8 {
-        let leads = world.leads();
+        let leads = world.leader();
         let at = world.now;
         let ended = if all { Fault::CrashAll } else { Fault::Crash(leads.expect("a leader")) };
-        world.strike(ended);
-        while world.leads().is_none() {
-            assert!(world.before(at + 20_000), "seed {seed}: nobody leads, or a rule is broken");
-            world.play_to(world.now + 1);
+        world.inject_fault(ended);
+        while world.leader().is_none() {
+            assert!(
+                world.continues_before(at + 20_000),
+                "seed {seed}: nobody leads, or a rule is broken"
+            );
+            world.run_until(world.now + 1);
         }
         pauses.push(world.now - at);
-        world.play_to(world.now + 5_000);
+        world.run_until(world.now + 5_000);
         check(&world, seed);
     }
     pauses.sort_unstable();
@@ -175,19 +178,19 @@
 #[test]
 fn one_follower_alone_takes_a_burst_of_submissions() {
     for seed in 0..6 {
-        let mut world = World::scripted(seed, Vec::new(), CALM_FROM, None);
-        world.play_to(8_000);
-        let leader = world.leads().expect("a leader");
-        world.door = Some((leader + 1) % 3);
+        let mut world = World::with_faults(seed, Vec::new(), CALM_FROM, None);
+        world.run_until(8_000);
+        let leader = world.leader().expect("a leader");
+        world.load_balancer_target = Some((leader + 1) % 3);
         for n in 0..120 {
             world.add_job_at(guest(7_500 + n, 1, 2.0), 10_000 + n * 167);
         }
-        world.play_to(32_000);
+        world.run_until(32_000);
         let waits = world.accepted_after(|spec| spec.class == "guest");
         let late = waits.iter().filter(|wait| wait.is_none_or(|wait| wait > 700)).count();
         println!("seed {seed}: {late} late of {}; median {:?}", waits.len(), waits[60]);
         assert!(waits.len() == 120 && late <= 12, "seed {seed}: {late} late, {waits:?}");
-        world.play();
+        world.run();
         finished(&world, seed);
     }
 }
@@ -212,18 +215,18 @@
             at += rng.random_range(500..5_000);
             n += 1;
         }
-        let mut world = World::scripted(seed, faults, CALM_FROM, None);
+        let mut world = World::with_faults(seed, faults, CALM_FROM, None);
         world.restart_ms = rng.random_range(50..1_000);
-        world.play();
+        world.run();
         finished(&world, seed);
         // The service allows a second's worth at once beside its rates, and does not forget what former lives have spent.
         // Guards against lives that each begin with a full burst.
-        let most = |which: fn(&(u32, u32)) -> u32| world.spent.values().map(which).max();
+        let most = |which: fn(&(u32, u32)) -> u32| world.store_traffic.values().map(which).max();
         let (requests, changes) = (most(|s| s.0), most(|s| s.1));
         println!("seed {seed}: {requests:?} requests and {changes:?} changes in a second at most");
         assert!(requests < Some(2 * 120) && changes < Some(2 * 25), "{requests:?}, {changes:?}");
         let sustained = |which: fn(&(u32, u32)) -> u32| {
-            let seconds: Vec<u32> = world.spent.values().map(which).collect();
+            let seconds: Vec<u32> = world.store_traffic.values().map(which).collect();
             seconds.windows(10).map(|ten| ten.iter().sum::<u32>()).max()
         };
         assert!(sustained(|s| s.0) < Some(11 * 120) && sustained(|s| s.1) < Some(11 * 25));
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -557,7 +557,7 @@
 const CORE_STEP_MS: u64 = 50;
 
 fn seeds() -> impl Iterator<Item = u64> {
-    1..=1 + world::more_days()
+    1..=1 + world::extra_seeds()
 }
 
 /// Whether all that must hold after a takeover holds.
--- a/tests/owners.rs
+++ b/tests/owners.rs
@@ -17,7 +17,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
-use world::more_days;
+use world::extra_seeds;
 use world::state::State;
 
 const STEP_MS: u64 = 50;
@@ -338,7 +338,7 @@
     fn step(&mut self) {
         self.now += STEP_MS;
         if self.outage_until > 0 && self.now >= self.outage_until {
-            self.state.refill(self.now);
+            self.state.restore_leases(self.now);
             self.outage_until = 0;
         }
         if self.outage_until == 0 {
@@ -477,7 +477,7 @@
 fn every_share_has_one_owner_under_random_faults() {
     let mut moves = 0;
     for (nodes, workers) in [(1, 30), (2, 60), (3, 120), (5, 120), (7, 200)] {
-        for seed in 0..4 + more_days() {
+        for seed in 0..4 + extra_seeds() {
             let mut world = World::new(seed * 100 + nodes as u64, nodes, workers);
             let mut faults_until = 0;
             while world.now < 240_000 {
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -13,14 +13,14 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde_json::json;
-use world::limits::{NEGLECTED_MS, Terms, site};
-use world::looks::Look;
-use world::pipelines::Draw;
+use world::limits::{NEGLECTED_MS, TeamLimits, site};
+use world::looks::UserRequest;
+use world::pipelines::PipelineDistribution;
 use world::state::State;
 use world::state::limits::StateLimits;
 use world::troubles::trouble;
 use world::upgrades::site_with_next_limits;
-use world::{Fault, Site, Upon, World, finished, more_days, show_log, small_array};
+use world::{Fault, LeaderFault, Site, World, assert_finished, extra_seeds, init_log, small_array};
 
 /// All faults end by this time of the simulation.
 const FAULTS_END_MS: u64 = 180_000;
@@ -151,12 +151,12 @@
 
 /// A world in which no controller runs, with the users of the chain's jobs.
 fn without_controllers() -> World {
-    let teams = [Terms { name: "blue", ..Terms::default() }];
-    let mut world = World::deployed(site(&teams), &mut ChaCha8Rng::seed_from_u64(1), 0);
-    (0..3).for_each(|node| world.strike(Fault::NodeDown(node, 1_000_000)));
+    let teams = [TeamLimits { name: "blue", ..TeamLimits::default() }];
+    let mut world = World::without_users(site(&teams), &mut ChaCha8Rng::seed_from_u64(1), 0);
+    (0..3).for_each(|node| world.inject_fault(Fault::NodeDown(node, 1_000_000)));
     chain_of_three().into_iter().for_each(|spec| world.add_job(spec));
-    world.accept_all();
-    world.quiet = true;
+    world.mark_all_accepted();
+    world.stop_polling_when_final = true;
     world
 }
 
@@ -201,7 +201,7 @@
             world.write(&put(&format!("over/{job}"), json!({"s": end, "n": 1})));
         }
         let reply = HttpReply { status, ..HttpReply::json(200, &json!({"status": job_status})) };
-        world.look_at_answer(job, &reply, status != 200);
+        world.check_user_response(job, &reply, status != 200);
         let broken = world.region.checker.broken.first().cloned().unwrap_or_default();
         broken.split([' ', ':']).nth(2).unwrap_or_default().to_owned()
     };
@@ -226,7 +226,7 @@
         if ended {
             world.write(&put("over/req-1", json!({"s": "done", "n": 1})));
         }
-        world.play_to(2 * NEGLECTED_MS);
+        world.run_until(2 * NEGLECTED_MS);
         let broken = &world.region.checker.broken;
         assert!(broken.iter().all(|text| text.contains(" neglected: ")), "{broken:?}");
         broken.iter().filter(|text| text.contains("req-2")).count()
@@ -299,8 +299,8 @@
 impl Outcomes {
     fn add(&mut self, world: &World) {
         self.accepted += world.accepted_dependents();
-        self.done += world.told(JobStatus::Done);
-        self.cancelled += world.told(JobStatus::Cancelled);
+        self.done += world.count_with_known_status(JobStatus::Done);
+        self.cancelled += world.count_with_known_status(JobStatus::Cancelled);
     }
 
     fn assert_all_occurred(&self, context: &str) {
@@ -310,9 +310,9 @@
 }
 
 /// A day with pipelines and some other jobs, and these faults.
-fn pipeline_day(seed: u64, faults: Vec<(u64, Fault)>, draw: Draw) -> World {
-    show_log();
-    let mut world = World::scripted(seed, faults, FAULTS_END_MS, None);
+fn pipeline_day(seed: u64, faults: Vec<(u64, Fault)>, draw: PipelineDistribution) -> World {
+    init_log();
+    let mut world = World::with_faults(seed, faults, FAULTS_END_MS, None);
     world.restart_ms = [50, 300, 1_000, 5_000][(seed % 4) as usize];
     world.add_pipelines(seed, draw);
     world
@@ -337,11 +337,11 @@
 
 fn play_random_days(first_seed: u64, count: u64, overlapping: u64) {
     let mut outcomes = Outcomes::default();
-    for seed in first_seed..first_seed + count + more_days() {
+    for seed in first_seed..first_seed + count + extra_seeds() {
         let faults = random_faults(seed, overlapping);
-        let mut world = pipeline_day(seed, faults.clone(), Draw::default());
-        world.play();
-        finished(&world, &format!("seed {seed}, {faults:?}"));
+        let mut world = pipeline_day(seed, faults.clone(), PipelineDistribution::default());
+        world.run();
+        assert_finished(&world, &format!("seed {seed}, {faults:?}"));
         outcomes.add(&world);
     }
     outcomes.assert_all_occurred("days with random faults");
@@ -359,10 +359,10 @@
 #[test]
 fn every_pipeline_finishes_on_days_without_faults() {
     let mut outcomes = Outcomes::default();
-    for seed in 0..4 + more_days() {
-        let mut world = pipeline_day(seed, Vec::new(), Draw::default());
-        world.play();
-        finished(&world, &format!("seed {seed}"));
+    for seed in 0..4 + extra_seeds() {
+        let mut world = pipeline_day(seed, Vec::new(), PipelineDistribution::default());
+        world.run();
+        assert_finished(&world, &format!("seed {seed}"));
         outcomes.add(&world);
     }
     outcomes.assert_all_occurred("days without faults");
@@ -397,8 +397,8 @@
 
 /// A world with only a long job, jobs that depend on it, and a chain that depends on the last of those.
 fn long_job_with_dependents(seed: u64, site: Site) -> World {
-    show_log();
-    let mut world = World::deployed(site, &mut ChaCha8Rng::seed_from_u64(seed), FAULTS_END_MS);
+    init_log();
+    let mut world = World::without_users(site, &mut ChaCha8Rng::seed_from_u64(seed), FAULTS_END_MS);
     world.add_job_at(small_array(job_id(0).as_str(), 300), 2_000);
     for n in 1..=DEPENDENTS {
         let dependency = if n + CHAINED_DEPENDENTS > DEPENDENTS { n - 1 } else { 0 };
@@ -413,14 +413,16 @@
 
 /// Plays until the user of the first job is told that it is cancelled.
 fn play_until_first_is_cancelled(world: &mut World, context: &str) {
-    world.play_to(CANCELLED_AT_MS - 1_000);
+    world.run_until(CANCELLED_AT_MS - 1_000);
     assert_eq!(
         world.accepted_dependents(),
         DEPENDENTS as usize,
         "{context}: all dependents wait by then"
     );
     world.cancel(job_id(0).as_str(), CANCELLED_AT_MS);
-    while !world.told_cancelled(job_id(0).as_str()) && world.before(CANCELLED_AT_MS + 20_000) {
+    while !world.known_cancelled(job_id(0).as_str())
+        && world.continues_before(CANCELLED_AT_MS + 20_000)
+    {
         world.step();
     }
 }
@@ -431,30 +433,34 @@
 fn leader_failover_during_a_cascade_leaves_no_dependent_open() {
     let mut longest = 0;
     let mut interrupted = 0;
-    for seed in 0..24 + more_days() {
+    for seed in 0..24 + extra_seeds() {
         let lowers_limits = seed % 2 == 1;
         let site = if lowers_limits { site_with_next_limits() } else { Site::default() };
         let mut world = long_job_with_dependents(seed, site);
         let context = format!("seed {seed}");
         if lowers_limits {
-            world.trouble([(20_000, Fault::LimitsFall)]);
+            world.add_faults([(20_000, Fault::LimitsLowered)]);
         }
         play_until_first_is_cancelled(&mut world, &context);
-        world.play_to(world.now + [0, 50, 150, 400, 1_000, 2_500][(seed % 6) as usize]);
-        let before = world.stored("over/").len();
+        world.run_until(world.now + [0, 50, 150, 400, 1_000, 2_500][(seed % 6) as usize]);
+        let before = world.stored_rows("over/").len();
         interrupted += usize::from(before < 1 + DEPENDENTS as usize);
-        world.strike(Fault::Leader(match seed % 4 {
-            0 => Upon::Crash,
-            1 => Upon::Down(20_000),
-            2 => Upon::Refused(8_000),
-            _ => Upon::Parted(8_000),
+        world.inject_fault(Fault::Leader(match seed % 4 {
+            0 => LeaderFault::Crash,
+            1 => LeaderFault::Down(20_000),
+            2 => LeaderFault::StoreRefuses(8_000),
+            _ => LeaderFault::Isolated(8_000),
         }));
         if seed % 3 == 0 {
-            world.trouble([(world.now + 6_000, Fault::Leader(Upon::Crash))]);
+            world.add_faults([(world.now + 6_000, Fault::Leader(LeaderFault::Crash))]);
         }
-        world.play();
-        finished(&world, &context);
-        assert_eq!(world.told(JobStatus::Cancelled), 1 + DEPENDENTS as usize, "{context}");
+        world.run();
+        assert_finished(&world, &context);
+        assert_eq!(
+            world.count_with_known_status(JobStatus::Cancelled),
+            1 + DEPENDENTS as usize,
+            "{context}"
+        );
         longest = longest.max(world.region.checker.orphaned_ms);
     }
     println!(
@@ -467,18 +473,22 @@
 /// a dependent that stays open for ever.
 #[test]
 fn state_service_outage_during_a_cascade_leaves_no_dependent_open() {
-    for seed in 0..8 + more_days() {
+    for seed in 0..8 + extra_seeds() {
         let mut world = long_job_with_dependents(seed, Site::default());
         let context = format!("seed {seed}");
         play_until_first_is_cancelled(&mut world, &context);
-        world.play_to(world.now + [0, 50, 300, 900][(seed % 4) as usize]);
-        world.strike(Fault::StoreOutage(60_000));
+        world.run_until(world.now + [0, 50, 300, 900][(seed % 4) as usize]);
+        world.inject_fault(Fault::StoreOutage(60_000));
         if seed % 2 == 0 {
-            world.strike(Fault::Leader(Upon::Crash));
+            world.inject_fault(Fault::Leader(LeaderFault::Crash));
         }
-        world.play();
-        finished(&world, &context);
-        assert_eq!(world.told(JobStatus::Cancelled), 1 + DEPENDENTS as usize, "{context}");
+        world.run();
+        assert_finished(&world, &context);
+        assert_eq!(
+            world.count_with_known_status(JobStatus::Cancelled),
+            1 + DEPENDENTS as usize,
+            "{context}"
+        );
     }
 }
 
@@ -487,24 +497,26 @@
 #[test]
 fn cascaded_cancellations_are_reported_only_after_the_first_is_durable() {
     let mut requests = 0;
-    for seed in 0..8 + more_days() {
+    for seed in 0..8 + extra_seeds() {
         let mut world = long_job_with_dependents(seed, Site::default());
         let first = job_id(0);
-        world.play_to(CANCELLED_AT_MS);
-        world.strike(Fault::StoreSlow(4_000, 4 + (seed % 4) as u32 * 4));
-        world.look(first.as_str(), (seed % 3) as usize, Look::Abort, 0);
+        world.run_until(CANCELLED_AT_MS);
+        world.inject_fault(Fault::SlowStore(4_000, 4 + (seed % 4) as u32 * 4));
+        world.send_user_request(first.as_str(), (seed % 3) as usize, UserRequest::Abort, 0);
         for after in (20..1_500).step_by(40) {
             let dependent = job_id(1 + after as u32 % DEPENDENTS);
-            (0..3).for_each(|node| world.look(dependent.as_str(), node, Look::View, after));
+            (0..3).for_each(|node| {
+                world.send_user_request(dependent.as_str(), node, UserRequest::View, after)
+            });
         }
         if seed % 2 == 1 {
             let at = world.now + 50 + 60 * seed;
-            world.trouble([(at, Fault::Leader(Upon::Crash))]);
+            world.add_faults([(at, Fault::Leader(LeaderFault::Crash))]);
         }
-        world.play_finely_to(world.now + 3_000);
-        world.play();
-        finished(&world, &format!("seed {seed}"));
-        requests += world.looks.sent;
+        world.run_finely_until(world.now + 3_000);
+        world.run();
+        assert_finished(&world, &format!("seed {seed}"));
+        requests += world.looks.requests_sent;
     }
     assert!(requests > 500, "{requests}");
 }
@@ -515,37 +527,46 @@
 fn leader_and_store_faults(seed: u64) -> Vec<(u64, Fault)> {
     match seed % 6 {
         0 => vec![],
-        1 => vec![(17_000, Fault::Leader(Upon::Crash)), (25_000, Fault::Leader(Upon::Crash))],
-        2 => vec![(18_000, Fault::Leader(Upon::Refused(7_000)))],
-        3 => vec![(6_000, Fault::AnswersLost(30_000, 400))],
-        4 => vec![(16_000, Fault::Leader(Upon::Parted(9_000)))],
-        _ => vec![(8_000, Fault::LateWrites(30_000, 300))],
+        1 => vec![
+            (17_000, Fault::Leader(LeaderFault::Crash)),
+            (25_000, Fault::Leader(LeaderFault::Crash)),
+        ],
+        2 => vec![(18_000, Fault::Leader(LeaderFault::StoreRefuses(7_000)))],
+        3 => vec![(6_000, Fault::WriteRepliesLost(30_000, 400))],
+        4 => vec![(16_000, Fault::Leader(LeaderFault::Isolated(9_000)))],
+        _ => vec![(8_000, Fault::DelayedWrites(30_000, 300))],
     }
 }
 
 /// A day of pipelines alone, played in fine steps; users react to each answer by asking every node at once.
-fn reactive_day(seed: u64, draw: Draw, prepare: impl Fn(&mut World)) -> World {
-    let mut world = World::scripted(seed, leader_and_store_faults(seed), 70_000, None);
-    world.alone();
+fn reactive_day(seed: u64, draw: PipelineDistribution, prepare: impl Fn(&mut World)) -> World {
+    let mut world = World::with_faults(seed, leader_and_store_faults(seed), 70_000, None);
+    world.remove_users();
     world.restart_ms = [50, 1_000][(seed % 2) as usize];
-    world.looks.close = true;
+    world.looks.enabled = true;
     prepare(&mut world);
     world.add_pipelines(seed, draw);
-    world.play_finely_to(50_000);
-    world.play_to(190_000);
-    finished(&world, &format!("seed {seed}, {:?}", leader_and_store_faults(seed)));
+    world.run_finely_until(50_000);
+    world.run_until(190_000);
+    assert_finished(&world, &format!("seed {seed}, {:?}", leader_and_store_faults(seed)));
     world
 }
 
-const OFTEN_CANCELLED: Draw =
-    Draw { count: 7, from: 2_000, to: 30_000, cancelled: 0.6, cancelled_within: 12_000, late: 0.3 };
+const OFTEN_CANCELLED: PipelineDistribution = PipelineDistribution {
+    count: 7,
+    arrive_from_ms: 2_000,
+    arrive_to_ms: 30_000,
+    cancelled_share: 0.6,
+    max_cancel_delay_ms: 12_000,
+    late_share: 0.3,
+};
 
 /// Each job is submitted at any node within milliseconds of the acceptance or cancellation of its dependencies at another
 /// node. Guards against dependencies that are checked against one node's memory.
 #[test]
 fn dependencies_accepted_milliseconds_ago_are_known_at_every_node() {
     let mut outcomes = Outcomes::default();
-    for seed in 0..12 + more_days() {
+    for seed in 0..12 + extra_seeds() {
         let world = reactive_day(seed, OFTEN_CANCELLED, |_| {});
         outcomes.add(&world);
     }
@@ -556,8 +577,9 @@
 #[test]
 fn dependencies_cancelled_during_submission_have_one_outcome() {
     let mut outcomes = Outcomes::default();
-    for seed in 100..112 + more_days() {
-        let world = reactive_day(seed, OFTEN_CANCELLED, |world| world.looks.abort_at_once = 0.25);
+    for seed in 100..112 + extra_seeds() {
+        let world =
+            reactive_day(seed, OFTEN_CANCELLED, |world| world.looks.abort_on_accept_share = 0.25);
         outcomes.add(&world);
     }
     outcomes.assert_all_occurred("cancelled at acceptance");
@@ -568,15 +590,15 @@
 #[test]
 fn cancellation_racing_with_the_last_task_of_a_stage_has_one_outcome() {
     let (mut outcomes, mut cancelled_at_end) = (Outcomes::default(), 0);
-    for seed in 200..216 + more_days() {
+    for seed in 200..216 + extra_seeds() {
         let within = [60, 300, 900, 4_500][(seed % 4) as usize];
-        let strike = [None, Some((4, Fault::Leader(Upon::Crash)))][(seed / 2 % 2) as usize];
-        let draw = Draw { cancelled: 0.0, ..OFTEN_CANCELLED };
+        let strike = [None, Some((4, Fault::Leader(LeaderFault::Crash)))][(seed / 2 % 2) as usize];
+        let draw = PipelineDistribution { cancelled_share: 0.0, ..OFTEN_CANCELLED };
         let world = reactive_day(seed, draw, |world| {
-            world.looks.abort_at_end = (0.4, within);
-            world.looks.strike_at_end = strike;
+            world.looks.abort_on_end = (0.4, within);
+            world.looks.fault_at_end = strike;
         });
-        cancelled_at_end += world.looks.called_off.len();
+        cancelled_at_end += world.looks.cancelled_at_end.len();
         outcomes.add(&world);
     }
     outcomes.assert_all_occurred("cancelled at the end");
@@ -586,10 +608,10 @@
 /// Two jobs of one pipeline are cancelled at the same moment, at different nodes.
 #[test]
 fn two_cancellations_in_one_pipeline_have_one_outcome() {
-    for seed in 300..312 + more_days() {
-        let mut world = World::scripted(seed, leader_and_store_faults(seed), 70_000, None);
-        world.alone();
-        world.looks.close = true;
+    for seed in 300..312 + extra_seeds() {
+        let mut world = World::with_faults(seed, leader_and_store_faults(seed), 70_000, None);
+        world.remove_users();
+        world.looks.enabled = true;
         for n in 0..6 {
             let spec = JobSpec {
                 dependencies: (n > 0).then(|| job_id(n - 1)).into_iter().collect(),
@@ -598,17 +620,17 @@
             world.add_job_at(spec, 2_000);
         }
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        world.play_finely_to(rng.random_range(3_000..30_000));
+        world.run_finely_until(rng.random_range(3_000..30_000));
         let first = rng.random_range(0..5);
         for (n, node) in [(first, 0), (rng.random_range(first + 1..6), 1)] {
             if world.is_accepted(job_id(n).as_str()) {
                 let after = rng.random_range(0..40);
-                world.look(job_id(n).as_str(), node, Look::Abort, after);
+                world.send_user_request(job_id(n).as_str(), node, UserRequest::Abort, after);
             }
         }
-        world.play_finely_to(45_000);
-        world.play_to(180_000);
-        finished(&world, &format!("seed {seed}"));
+        world.run_finely_until(45_000);
+        world.run_until(180_000);
+        assert_finished(&world, &format!("seed {seed}"));
     }
 }
 
@@ -616,51 +638,51 @@
 #[test]
 fn dependencies_on_unknown_jobs_and_services_are_refused() {
     let mut world =
-        World::deployed(Site::default(), &mut ChaCha8Rng::seed_from_u64(5), FAULTS_END_MS);
+        World::without_users(Site::default(), &mut ChaCha8Rng::seed_from_u64(5), FAULTS_END_MS);
     let service = JobSpec { shape: Shape::Service, ..small_array("req-000001", 0) };
     world.add_job_at(service, 1_000);
-    world.play_to(20_000);
+    world.run_until(20_000);
     assert!(world.is_accepted("req-000001"));
     for named in ["req-000009", "req-000001"] {
         let spec =
             JobSpec { dependencies: vec![JobId::new(named)], ..small_array("req-000002", 2) };
-        let text = World::text_of(&spec).to_string();
-        (0..3).for_each(|node| world.send_odd(node, "POST", "/v2/runs", &text));
+        let text = World::json_of(&spec).to_string();
+        (0..3).for_each(|node| world.send_raw_request(node, "POST", "/v2/runs", &text));
     }
-    world.play_to(40_000);
-    assert_eq!(world.looks.odd.len(), 6);
-    for odd in &world.looks.odd {
+    world.run_until(40_000);
+    assert_eq!(world.looks.raw_requests.len(), 6);
+    for odd in &world.looks.raw_requests {
         let status = odd.answer.as_ref().map(|(_, reply)| reply.status);
         assert_eq!(status, Some(422), "{odd:?}");
     }
-    assert!(!world.ever_written("req-000002"));
+    assert!(!world.was_ever_written("req-000002"));
 }
 
 // --- While jobs wait -----------------------------------------------------------------------------
 
 /// Many pipelines at nearly the same time.
-const SIMULTANEOUS_PIPELINES: Draw = Draw {
+const SIMULTANEOUS_PIPELINES: PipelineDistribution = PipelineDistribution {
     count: 12,
-    from: 2_000,
-    to: 20_000,
-    cancelled: 0.35,
-    cancelled_within: 40_000,
-    late: 0.1,
+    arrive_from_ms: 2_000,
+    arrive_to_ms: 20_000,
+    cancelled_share: 0.35,
+    max_cancel_delay_ms: 40_000,
+    late_share: 0.1,
 };
 
 /// The state service is out while jobs wait for one whose tasks end meanwhile. Guards against a job that starts before its
 /// dependency's final state is written.
 #[test]
 fn an_outage_starts_no_waiting_job_early() {
-    for seed in 0..10 + more_days() {
+    for seed in 0..10 + extra_seeds() {
         let mut world = pipeline_day(seed, Vec::new(), SIMULTANEOUS_PIPELINES);
-        let waiting = world.play_until_waiting(6, 100_000).expect("jobs wait");
-        world.strike(Fault::StoreOutage(5_000 + (seed % 5) * 12_000));
+        let waiting = world.run_until_waiting(6, 100_000).expect("jobs wait");
+        world.inject_fault(Fault::StoreOutage(5_000 + (seed % 5) * 12_000));
         if seed % 3 == 0 {
-            world.trouble([(waiting + 2_000, Fault::Leader(Upon::Crash))]);
+            world.add_faults([(waiting + 2_000, Fault::Leader(LeaderFault::Crash))]);
         }
-        world.play();
-        finished(&world, &format!("seed {seed}"));
+        world.run();
+        assert_finished(&world, &format!("seed {seed}"));
     }
 }
 
@@ -669,12 +691,12 @@
 #[test]
 fn a_waiting_job_uses_none_of_its_teams_limit() {
     let teams = [
-        Terms { name: "blue", ..Terms::default() },
-        Terms { name: "narrow", gpus_max: 4.0, ..Terms::default() },
+        TeamLimits { name: "blue", ..TeamLimits::default() },
+        TeamLimits { name: "narrow", gpus_max: 4.0, ..TeamLimits::default() },
     ];
     for seed in 0..4 {
         let mut world =
-            World::deployed(site(&teams), &mut ChaCha8Rng::seed_from_u64(seed), FAULTS_END_MS);
+            World::without_users(site(&teams), &mut ChaCha8Rng::seed_from_u64(seed), FAULTS_END_MS);
         world.add_job_at(small_array("req-000001", 70), 1_000);
         let gang = JobSpec {
             team: "narrow".into(),
@@ -689,14 +711,14 @@
             let spec = JobSpec { team: "narrow".into(), ..small_array(&id, 4) };
             world.add_job_at(spec, 8_000);
         }
-        world.play_to(60_000);
+        world.run_until(60_000);
         assert_eq!(
-            world.told(JobStatus::Done),
+            world.count_with_known_status(JobStatus::Done),
             4,
             "seed {seed}: the team's other jobs are done by now"
         );
-        world.play();
-        finished(&world, &format!("seed {seed}"));
+        world.run();
+        assert_finished(&world, &format!("seed {seed}"));
     }
 }
 
@@ -705,12 +727,12 @@
 #[test]
 fn a_deadline_counts_from_the_submission() {
     let teams = [
-        Terms { name: "blue", ..Terms::default() },
-        Terms { name: "narrow", gpus_max: 2.0, ..Terms::default() },
+        TeamLimits { name: "blue", ..TeamLimits::default() },
+        TeamLimits { name: "narrow", gpus_max: 2.0, ..TeamLimits::default() },
     ];
     for seed in 0..6 {
         let mut world =
-            World::deployed(site(&teams), &mut ChaCha8Rng::seed_from_u64(seed), FAULTS_END_MS);
+            World::without_users(site(&teams), &mut ChaCha8Rng::seed_from_u64(seed), FAULTS_END_MS);
         let narrow = |id: &str, seconds, deadline_s| JobSpec {
             team: "narrow".into(),
             deadline_s,
@@ -725,8 +747,8 @@
         // Occupies the place until both wait for it.
         world.add_job_at(narrow("req-000003", 60, None), 2_000);
         world.add_job_at(narrow("req-000004", 5, Some(110.0)), 20_000);
-        world.play();
-        finished(&world, &format!("seed {seed}"));
+        world.run();
+        assert_finished(&world, &format!("seed {seed}"));
         let finished_at = |id: &str| world.region.checker.over_at(id).expect("it has finished");
         let (last, later) = (finished_at("req-000002"), finished_at("req-000004"));
         assert!(last < later, "seed {seed}: {last} ms and {later} ms");
@@ -737,18 +759,18 @@
 #[test]
 fn lowered_state_service_limits_keep_the_rules_of_pipelines() {
     let mut outcomes = Outcomes::default();
-    for seed in 0..10 + more_days() {
+    for seed in 0..10 + extra_seeds() {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut world = World::deployed(site_with_next_limits(), &mut rng, FAULTS_END_MS);
+        let mut world = World::without_users(site_with_next_limits(), &mut rng, FAULTS_END_MS);
         world.add_users(8, &mut rng);
         world.add_pipelines(seed, SIMULTANEOUS_PIPELINES);
-        world.play_until_waiting(5, 100_000).expect("jobs wait");
-        world.strike(Fault::LimitsFall);
+        world.run_until_waiting(5, 100_000).expect("jobs wait");
+        world.inject_fault(Fault::LimitsLowered);
         if seed % 2 == 0 {
-            world.strike(Fault::Leader(Upon::Crash));
+            world.inject_fault(Fault::Leader(LeaderFault::Crash));
         }
-        world.play();
-        finished(&world, &format!("seed {seed}"));
+        world.run();
+        assert_finished(&world, &format!("seed {seed}"));
         let refused = &world.refusals().too_large;
         assert!(refused.is_empty(), "seed {seed}: {refused:?}");
         outcomes.add(&world);
@@ -765,11 +787,11 @@
 
 /// Plays a world with only these jobs to its end.
 fn play_many(site: Site, jobs: Vec<JobSpec>) -> World {
-    show_log();
-    let mut world = World::deployed(site, &mut ChaCha8Rng::seed_from_u64(7), 240_000);
-    world.quiet = true;
+    init_log();
+    let mut world = World::without_users(site, &mut ChaCha8Rng::seed_from_u64(7), 240_000);
+    world.stop_polling_when_final = true;
     jobs.into_iter().for_each(|spec| world.add_job_at(spec, 2_000));
-    world.play();
+    world.run();
     world
 }
 
@@ -778,8 +800,8 @@
     let mut jobs: Vec<JobSpec> = (1..=300).map(|n| short_job(n, Vec::new())).collect();
     jobs.push(short_job(0, (1..=300).map(job_id).collect()));
     let world = play_many(Site::default(), jobs);
-    finished(&world, "one job with many dependencies");
-    assert_eq!(world.told(JobStatus::Done), 301);
+    assert_finished(&world, "one job with many dependencies");
+    assert_eq!(world.count_with_known_status(JobStatus::Done), 301);
 }
 
 #[test]
@@ -787,27 +809,27 @@
     let dependents = (1..=300).map(|n| short_job(n, vec![job_id(0)]));
     let jobs = std::iter::once(short_job(0, Vec::new())).chain(dependents).collect();
     let world = play_many(Site::default(), jobs);
-    finished(&world, "many dependents of one job");
-    assert_eq!(world.told(JobStatus::Done), 301);
+    assert_finished(&world, "many dependents of one job");
+    assert_eq!(world.count_with_known_status(JobStatus::Done), 301);
 }
 
 /// The first job of a long chain is cancelled once all are accepted, with five changes allowed per transaction.
 #[test]
 fn a_cancelled_chain_of_150_jobs_ends_in_time() {
-    show_log();
+    init_log();
     let mut rng = ChaCha8Rng::seed_from_u64(7);
-    let mut world = World::deployed(site_with_next_limits(), &mut rng, 200_000);
-    world.trouble([(10_000, Fault::LimitsFall)]);
+    let mut world = World::without_users(site_with_next_limits(), &mut rng, 200_000);
+    world.add_faults([(10_000, Fault::LimitsLowered)]);
     world.add_job_at(small_array(job_id(0).as_str(), 400), 2_000);
     for n in 1..150 {
         world.add_job_at(short_job(n, vec![job_id(n - 1)]), 2_000);
     }
-    world.play_to(100_000);
+    world.run_until(100_000);
     assert_eq!(world.accepted_dependents(), 149);
     world.cancel(job_id(0).as_str(), world.now);
-    world.play();
-    finished(&world, "a long chain");
-    assert_eq!(world.told(JobStatus::Cancelled), 150);
+    world.run();
+    assert_finished(&world, "a long chain");
+    assert_eq!(world.count_with_known_status(JobStatus::Cancelled), 150);
 }
 
 /// Requests that the state service may still throttle after the first seconds: three controllers share its rate without
@@ -823,8 +845,8 @@
     let mut jobs: Vec<JobSpec> = (1..=DEPENDENCIES).map(|n| short_job(n, Vec::new())).collect();
     jobs.push(short_job(0, (1..=DEPENDENCIES).map(job_id).collect()));
     let world = play_many(site_with_next_limits(), jobs);
-    finished(&world, "one job with many dependencies");
-    assert_eq!(world.told(JobStatus::Done), DEPENDENCIES as usize + 1);
+    assert_finished(&world, "one job with many dependencies");
+    assert_eq!(world.count_with_known_status(JobStatus::Done), DEPENDENCIES as usize + 1);
 }
 
 /// More is to be written than the lowered rate allows. Guards against controllers that keep exceeding it.
@@ -832,15 +854,15 @@
 fn a_lowered_rate_is_respected_within_seconds() {
     for seed in 0..3 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut world = World::deployed(site_with_next_limits(), &mut rng, 240_000);
-        world.quiet = true;
+        let mut world = World::without_users(site_with_next_limits(), &mut rng, 240_000);
+        world.stop_polling_when_final = true;
         (0..300).for_each(|n| world.add_job_at(short_job(n, Vec::new()), 2_000));
-        world.play_to(10_000);
-        world.strike(Fault::LimitsFall);
-        world.play_to(13_000);
+        world.run_until(10_000);
+        world.inject_fault(Fault::LimitsLowered);
+        world.run_until(13_000);
         let throttled_early = world.refusals().throttled;
-        world.play();
-        finished(&world, &format!("seed {seed}"));
+        world.run();
+        assert_finished(&world, &format!("seed {seed}"));
         let later = world.refusals().throttled - throttled_early;
         println!(
             "seed {seed}: {throttled_early} throttled within 3 s of the lowering, {later} later"
--- a/tests/quiet_controllers.rs
+++ b/tests/quiet_controllers.rs
@@ -28,7 +28,7 @@
 use oatloom_protocol::wire::Change;
 use std::collections::BTreeMap;
 use world::solo::Solo;
-use world::{Fault, World, more_days};
+use world::{Fault, World, extra_seeds};
 
 /// A call that gets no answer is given up after so long, in milliseconds.
 const GIVEN_UP_MS: u64 = 2_500;
@@ -50,12 +50,12 @@
 /// A controller that follows and asks the state service for nothing but the leader's key.
 fn follower() -> Solo {
     let mut solo = Solo::new();
-    solo.led_by_another();
+    solo.set_other_leader();
     let versions = ["n-0", "n-1", "n-2"].map(|member| {
         Change::put(format!("version/{member}"), serde_json::json!({ "v": u64::from(u32::MAX) }))
     });
     solo.write(versions.into());
-    solo.pass(2_000);
+    solo.advance(2_000);
     solo
 }
 
@@ -63,12 +63,12 @@
 /// Says when it was not up, in milliseconds.
 fn not_up(lost: impl Fn(u64) -> bool) -> Vec<u64> {
     let mut solo = follower();
-    solo.hold = |op| matches!(op, StoreOp::Get { .. });
+    solo.holds_reply = |op| matches!(op, StoreOp::Get { .. });
     let mut reads = 0;
     let mut unanswered: BTreeMap<OpId, u64> = BTreeMap::new();
     let mut bad = Vec::new();
     while solo.now < 60_000 {
-        solo.pass(50);
+        solo.advance(50);
         for (id, op, _) in std::mem::take(&mut solo.held) {
             reads += 1;
             if lost(reads) {
@@ -86,8 +86,8 @@
             solo.event(Event::Store { id, reply: StoreReply::Lost });
         }
         if solo.now.is_multiple_of(1_000) {
-            solo.ask(greeting(&solo, 100));
-            let conn = solo.ask(Request::HealthProbe);
+            solo.send_request(greeting(&solo, 100));
+            let conn = solo.send_request(Request::HealthProbe);
             if solo.reply(conn).map(|reply| reply.status) != Some(200) {
                 bad.push(solo.now);
             }
@@ -123,17 +123,17 @@
         let mut solo = follower();
         let mut bad = Vec::new();
         while solo.now < begins + 30_000 {
-            solo.pass(50);
+            solo.advance(50);
             if solo.now >= begins {
-                solo.hold = |op| matches!(op, StoreOp::Get { .. });
+                solo.holds_reply = |op| matches!(op, StoreOp::Get { .. });
                 for (id, _, _) in std::mem::take(&mut solo.held) {
                     solo.event(Event::Store { id, reply: StoreReply::Refused });
                 }
             }
             if solo.now.is_multiple_of(500) {
                 let served_ms = 100 + solo.now.saturating_sub(begins);
-                solo.ask(greeting(&solo, served_ms));
-                let conn = solo.ask(Request::HealthProbe);
+                solo.send_request(greeting(&solo, served_ms));
+                let conn = solo.send_request(Request::HealthProbe);
                 if solo.reply(conn).map(|reply| reply.status) != Some(200) {
                     bad.push(solo.now);
                 }
@@ -150,15 +150,15 @@
     let mut bad = Vec::new();
     let asks = |now: u64| [10_000, 57_000].contains(&now) || now >= 100_000;
     while solo.now < 150_000 {
-        solo.pass(1_000);
-        solo.ask(greeting(&solo, 100));
+        solo.advance(1_000);
+        solo.send_request(greeting(&solo, 100));
         if asks(solo.now) {
-            solo.ask(Request::View(JobId::new("req-000001")));
-            for (id, _) in std::mem::take(&mut solo.asked) {
+            solo.send_request(Request::View(JobId::new("req-000001")));
+            for (id, _) in std::mem::take(&mut solo.peer_requests) {
                 solo.event(Event::PeerReply { id, reply: None });
             }
         }
-        let conn = solo.ask(Request::HealthProbe);
+        let conn = solo.send_request(Request::HealthProbe);
         if solo.reply(conn).map(|reply| reply.status) != Some(200) {
             bad.push(solo.now);
         }
@@ -171,13 +171,13 @@
 #[test]
 fn all_stay_up_in_an_outage() {
     let mut wrong = Vec::new();
-    for seed in 0..30 + more_days() {
+    for seed in 0..30 + extra_seeds() {
         let mut world =
-            World::scripted(seed, vec![(40_000, Fault::StoreOutage(30_000))], 90_000, None);
-        world.alone();
+            World::with_faults(seed, vec![(40_000, Fault::StoreOutage(30_000))], 90_000, None);
+        world.remove_users();
         world.probing = true;
-        world.play_to(90_000);
-        let during = world.healthy(42_000, 70_000);
+        world.run_until(90_000);
+        let during = world.healthy_probe_share(42_000, 70_000);
         if !during.iter().all(|share| *share > 0.95) {
             wrong.push((seed, during));
         }
@@ -189,14 +189,15 @@
 #[test]
 fn the_others_are_up_while_one_is_refused() {
     let mut wrong = Vec::new();
-    for (seed, node) in (0..30 + more_days()).flat_map(|seed| (0..3).map(move |node| (seed, node)))
+    for (seed, node) in
+        (0..30 + extra_seeds()).flat_map(|seed| (0..3).map(move |node| (seed, node)))
     {
-        let faults = vec![(40_000, Fault::Refused(node, 40_000))];
-        let mut world = World::scripted(seed, faults, 90_000, None);
-        world.alone();
+        let faults = vec![(40_000, Fault::StoreRefuses(node, 40_000))];
+        let mut world = World::with_faults(seed, faults, 90_000, None);
+        world.remove_users();
         world.probing = true;
-        world.play_to(90_000);
-        let during = world.healthy(54_000, 78_000);
+        world.run_until(90_000);
+        let during = world.healthy_probe_share(54_000, 78_000);
         let right = |(other, share): (usize, &f64)| {
             if other == node { *share < 0.05 } else { *share > 0.95 }
         };
--- a/tests/repeats.rs
+++ b/tests/repeats.rs
@@ -10,7 +10,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeSet;
-use world::{Fault, World, more_days, show_log};
+use world::{Fault, World, extra_seeds, init_log};
 
 const CLASSES: &str = "((classes (class (name \"quick\") (repeats 2) (on-exhausted fail-job))
     (class (name \"slow\") (repeats 1) (on-exhausted finish-rest))))";
@@ -42,15 +42,15 @@
         };
         world.region.outside.broken.insert(job, broken);
     }
-    world.trouble((0..1).map(|_| (rng.random_range(8_000..110_000), Fault::FaultyMachine)));
-    world.trouble((0..3).map(|n| (rng.random_range(8_000..110_000), Fault::Crash(n))));
-    world.limit(classes);
+    world.add_faults((0..1).map(|_| (rng.random_range(8_000..110_000), Fault::FaultyMachine)));
+    world.add_faults((0..3).map(|n| (rng.random_range(8_000..110_000), Fault::Crash(n))));
+    world.set_operator_settings(classes);
     world
 }
 
 fn play(seed: u64, tally: &mut Tally) {
     let mut world = day(seed, CLASSES);
-    world.play();
+    world.run();
     let (wrong, broken): (Vec<String>, Vec<String>) =
         world.region.checker.broken.iter().cloned().partition(|b| b.contains(" repeats: "));
     assert!(broken.is_empty(), "seed {seed} breaks rules: {broken:#?}");
@@ -59,7 +59,7 @@
         assert!(unfinished.is_empty(), "seed {seed} leaves undone: {unfinished:#?}");
     }
     tally.wrong.extend(wrong.into_iter().map(|text| format!("seed {seed}: {text}")));
-    tally.failed += world.told(JobStatus::Failed);
+    tally.failed += world.count_with_known_status(JobStatus::Failed);
     tally.broken_jobs += world.region.outside.broken.len();
     tally.refused_ms.append(&mut world.region.checker.refused_ms);
     let checker = &world.region.checker;
@@ -76,8 +76,8 @@
 }
 
 fn seeds(from: u64, count: u64) {
-    show_log();
-    let more = more_days();
+    init_log();
+    let more = extra_seeds();
     let mut tally = Tally::default();
     for seed in from..from + count + more {
         play(seed, &mut tally);
@@ -143,7 +143,7 @@
 /// Arrays' failures are in the records as often as they happened: none that was heard is missing, none stands there twice.
 fn count_is_exact(world: &World, step: u64) {
     let checker = &world.region.checker;
-    let charged = world.charged();
+    let charged = world.max_failures();
     let of_array = |job: &str| world.region.outside.specs[job].shape == Shape::Array;
     for (job, index, heard) in checker.heard_failures().filter(|(job, ..)| of_array(job)) {
         // What fails once a job is cancelled or refused counts for nothing.
@@ -168,7 +168,7 @@
     let plays = (0..60).flat_map(|step| [300, 1_000].map(|restart_ms| (step, restart_ms)));
     for (step, restart_ms) in plays {
         let mut world =
-            World::scripted(7, vec![(14_000 + step * 450, Fault::CrashAll)], 60_000, None);
+            World::with_faults(7, vec![(14_000 + step * 450, Fault::CrashAll)], 60_000, None);
         world.restart_ms = restart_ms;
         let mut jobs: Vec<String> = world.region.outside.specs.keys().cloned().collect();
         jobs.sort();
@@ -176,8 +176,8 @@
             let broken = if n % 2 == 0 { Broken::Always } else { Broken::Often(0.5) };
             world.region.outside.broken.insert(job, broken);
         }
-        world.limit(CLASSES);
-        world.play();
+        world.set_operator_settings(CLASSES);
+        world.run();
         // Guards against a test that hangs on luck: a job whose tasks fail every other time may have three unlike
         // tasks fail on one sound machine, which is then believed faulty, whoever led meanwhile (step 16 with
         // restarts after 1 s). That is a wrong verdict, counted here as elsewhere; the counts themselves are exact.
@@ -189,7 +189,7 @@
             assert!(world.unfinished().is_empty(), "step {step}: {:#?}", world.unfinished());
         }
         wrong.extend(mistaken.into_iter().map(|text| format!("step {step}: {text}")));
-        failed += world.told(JobStatus::Failed);
+        failed += world.count_with_known_status(JobStatus::Failed);
     }
     assert!(failed >= 120, "{failed} jobs failed in 120 plays");
     println!("{failed} failed, wrong: {wrong:?}");
@@ -203,7 +203,7 @@
     let mean = |failing: bool| {
         let (mut sum, mut count) = (0, 0);
         for seed in 0..10 {
-            let mut world = World::scripted(seed, Vec::new(), 100_000, Some(Shape::Array));
+            let mut world = World::with_faults(seed, Vec::new(), 100_000, Some(Shape::Array));
             let mut jobs: Vec<String> = world.region.outside.specs.keys().cloned().collect();
             jobs.sort();
             let is_array = |job: &String| world.region.outside.specs[job].shape == Shape::Array;
@@ -212,11 +212,11 @@
                 if failing {
                     world.region.outside.broken.insert(job.clone(), Broken::Always);
                 } else {
-                    world.drop_user(job);
+                    world.remove_user(job);
                 }
             }
-            world.limit("((classes (default (repeats 1000))))");
-            world.play();
+            world.set_operator_settings("((classes (default (repeats 1000))))");
+            world.run();
             let broken = &world.region.checker.broken;
             assert!(broken.is_empty(), "seed {seed}: {broken:#?}");
             let sound = jobs.iter().filter(|job| !arrays.iter().step_by(4).any(|a| a == *job));
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -7,13 +7,13 @@
 use oatloom_emulator::checker::{Checker, Limit, OnMachine, Place};
 use oatloom_protocol::ids::Attempt;
 use oatloom_protocol::wire::{JobStatus, Order};
-use world::{World, more_days, show_log};
+use world::{World, extra_seeds, init_log};
 
 fn play(seed: u64, faults: bool) -> World {
     // `LOG_LEVEL=debug` shows what the controllers of a failing seed say.
-    show_log();
+    init_log();
     let mut world = World::new(seed, faults);
-    world.play();
+    world.run();
     let broken = &world.region.checker.broken;
     assert!(broken.is_empty(), "seed {seed} breaks rules: {broken:#?}");
     let unfinished = world.unfinished();
@@ -23,12 +23,12 @@
 }
 
 fn seeds(first: u64, count: u64) {
-    let more = more_days();
+    let more = extra_seeds();
     let (mut done, mut cancelled) = (0, 0);
     for seed in first..first + count + more {
         let world = play(seed, true);
-        done += world.told(JobStatus::Done);
-        cancelled += world.told(JobStatus::Cancelled);
+        done += world.count_with_known_status(JobStatus::Done);
+        cancelled += world.count_with_known_status(JobStatus::Cancelled);
     }
     assert!(done > 0 && cancelled > 0, "{done} done, {cancelled} cancelled");
 }
@@ -44,7 +44,7 @@
 #[test]
 fn a_calm_day_finishes_everything() {
     let world = play(1, false);
-    assert!(world.told(JobStatus::Done) > 5);
+    assert!(world.count_with_known_status(JobStatus::Done) > 5);
 }
 
 #[test]
--- a/tests/served.rs
+++ b/tests/served.rs
@@ -10,8 +10,8 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeSet;
-use world::served::{Served, Watch};
-use world::{Fault, Site, Upon, World, more_days, show_log};
+use world::served::{Served, ServiceMonitor};
+use world::{Fault, LeaderFault, Site, World, extra_seeds, init_log};
 
 /// When the last job comes, and when the day ends, in milliseconds.
 const DAY_MS: (u64, u64) = (450_000, 800_000);
@@ -156,10 +156,10 @@
 fn day(seed: u64, machines: u32, faults: Vec<(u64, Fault)>, burst: Option<Burst>) -> World {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let (jobs_until, day_ms) = if machines == LARGE { LARGE_DAY_MS } else { DAY_MS };
-    let mut world = World::deployed(site(machines), &mut rng, day_ms);
-    world.quiet = true;
+    let mut world = World::without_users(site(machines), &mut rng, day_ms);
+    world.stop_polling_when_final = true;
     world.restart_ms = 300;
-    world.trouble(faults);
+    world.add_faults(faults);
     let mut number = 0;
     for (at, class) in CLASSES.iter().enumerate() {
         let mut now = 0.0;
@@ -190,33 +190,36 @@
 }
 
 /// Plays a day to its end, with a look each second; the rules have held.
-fn watched(what: &str, world: &mut World, mut look: impl FnMut(&World)) -> Watch {
-    let mut watch = Watch::default();
-    while world.before(world.calm_from) {
-        world.play_to((world.now / 1_000 + 1) * 1_000);
+fn watched(what: &str, world: &mut World, mut look: impl FnMut(&World)) -> ServiceMonitor {
+    let mut watch = ServiceMonitor::default();
+    while world.continues_before(world.faults_end_at) {
+        world.run_until((world.now / 1_000 + 1) * 1_000);
         watch.look(world);
         look(world);
     }
     let broken = &world.region.checker.broken;
     assert!(broken.is_empty(), "{what} breaks rules: {broken:#?}");
-    assert_eq!(world.two_leaders, None, "{what}: two leaders at once");
+    assert_eq!(world.two_leaders_at, None, "{what}: two leaders at once");
     watch
 }
 
 /// What the class or team got that got least, by the strictest reading, and what of the replicas could have been up.
 fn least_served(what: &str, mut world: World, mut look: impl FnMut(&World)) -> (f64, f64) {
-    show_log();
+    init_log();
     let mut most = 0;
     let watch = watched(what, &mut world, |world| {
         most = most.max(world.region.workers.len());
         look(world);
     });
-    println!("{what}: {most} machines at most, replicas could be up {:.3}", watch.bound.of());
+    println!(
+        "{what}: {most} machines at most, replicas could be up {:.3}",
+        watch.achievable_up.ratio()
+    );
     let served = watch.served(&world);
     for (name, share) in &served {
         println!("{what}: {name}: {share}");
     }
-    (served.values().map(Served::least).fold(1.0, f64::min), watch.bound.of())
+    (served.values().map(Served::lowest).fold(1.0, f64::min), watch.achievable_up.ratio())
 }
 
 fn burst(class: usize) -> Option<Burst> {
@@ -224,7 +227,7 @@
 }
 
 fn zone_gone(at: u64, zone: usize, span: u64) -> Vec<(u64, Fault)> {
-    (0..3).map(|node| (at, Fault::Apart(node, zone, span))).collect()
+    (0..3).map(|node| (at, Fault::NodeZonePartition(node, zone, span))).collect()
 }
 
 #[test]
@@ -248,7 +251,7 @@
 #[test]
 fn half_of_the_machines_die_in_a_burst() {
     for class in [0, 3] {
-        let faults = vec![(120_000, Fault::HalfDie)];
+        let faults = vec![(120_000, Fault::HalfOfMachinesTerminated)];
         half_served("half dead", day(30 + class as u64, SMALL, faults, burst(class)));
     }
 }
@@ -277,8 +280,8 @@
         let at = rng.random_range(70_000..180_000);
         match rng.random_range(0..6) {
             0 => {
-                faults.push((at, Fault::HalfDie));
-                faults.push((at, Fault::Scarce(rng.random_range(0..DAY_MS.1))));
+                faults.push((at, Fault::HalfOfMachinesTerminated));
+                faults.push((at, Fault::CapacityHalved(rng.random_range(0..DAY_MS.1))));
             }
             1 => faults.push((at, Fault::CloudOutage(rng.random_range(20_000..60_000)))),
             2 => faults.extend(zone_gone(
@@ -311,13 +314,14 @@
 #[test]
 fn half_of_the_largest_services_and_gangs_begin_in_time() {
     let mut short = Vec::new();
-    for seed in 1_000..1_006 + more_days() {
+    for seed in 1_000..1_006 + extra_seeds() {
         let mut world = drawn(seed, SMALL);
         let watch = watched(&format!("seed {seed}"), &mut world, |_| {});
-        if watch.bound.of() < OUT_OF_REACH {
+        if watch.achievable_up.ratio() < OUT_OF_REACH {
             continue;
         }
-        let served = watch.served(&world).into_iter().map(|(name, s)| (name, s.largest_whole.of()));
+        let served =
+            watch.served(&world).into_iter().map(|(name, s)| (name, s.largest_whole.ratio()));
         short.extend(
             served.filter(|(_, share)| *share < 0.5).map(|(name, share)| (seed, name, share)),
         );
@@ -329,7 +333,7 @@
 /// on which even all machines together could not have half of the replicas up are no service's to win.
 #[test]
 fn no_drawn_day_falls_short_that_could_be_served() {
-    let more = 1_006..1_006 + more_days();
+    let more = 1_006..1_006 + extra_seeds();
     let days: BTreeSet<u64> = [1_011, 1_013, 1_019, 1_035].into_iter().chain(more).collect();
     let (mut short, mut lost) = (Vec::new(), Vec::new());
     for seed in days {
@@ -348,16 +352,16 @@
 /// half of each class and team is served all the same.
 #[test]
 fn more_work_than_room_over_slow_links() {
-    for seed in 80..81 + more_days() {
-        let mut faults = vec![(10_000, Fault::Scarce(250_000))];
-        faults.extend((0..4).map(|n| (110_000 + n * 30_000, Fault::Leader(Upon::Crash))));
+    for seed in 80..81 + extra_seeds() {
+        let mut faults = vec![(10_000, Fault::CapacityHalved(250_000))];
+        faults.extend((0..4).map(|n| (110_000 + n * 30_000, Fault::Leader(LeaderFault::Crash))));
         let mut world = day(seed, SMALL / 3, faults, burst([3, 1][seed as usize % 2]));
         world.slow_links = (u64::MAX, 100, 450);
         let (mut full, mut looks) = (0, 0);
         let least = least_served(&format!("slow links, seed {seed}"), world, |world| {
-            let asks = world.now > 100_000 && world.now < 300_000 && world.leads().is_some();
+            let asks = world.now > 100_000 && world.now < 300_000 && world.leader().is_some();
             looks += u32::from(asks);
-            full += u32::from(asks && world.unplaced().0 > 0);
+            full += u32::from(asks && world.pending_tasks_and_machines_up().0 > 0);
         });
         println!("slow links, seed {seed}: {least:?}, tasks waited at {full} of {looks} looks");
         assert!(full * 4 > looks * 3, "there is more work than room");
@@ -369,7 +373,10 @@
 #[test]
 fn half_of_the_capacity_is_gone_for_good() {
     for class in [1, 2] {
-        let faults = vec![(120_000, Fault::HalfDie), (120_000, Fault::Scarce(DAY_MS.1))];
+        let faults = vec![
+            (120_000, Fault::HalfOfMachinesTerminated),
+            (120_000, Fault::CapacityHalved(DAY_MS.1)),
+        ];
         half_served("half gone", day(60 + class as u64, SMALL, faults, burst(class)));
     }
 }
@@ -403,7 +410,7 @@
         }
     });
     let largest = world.largest_value();
-    let changes = world.spent.values().map(|s| s.1).max();
+    let changes = world.store_traffic.values().map(|s| s.1).max();
     println!(
         "done after {:?} ms; {most} tasks on a machine, {largest} bytes in a value, {changes:?} changes in a second at most",
         done_at.map(|at| at - 20_000)
@@ -412,7 +419,7 @@
     assert!(changes < Some(100), "{changes:?} changes in a second");
     for (name, share) in watch.served(&world) {
         println!("{name}: {share}");
-        assert!(share.least() > 0.8, "{name}: {share}");
+        assert!(share.lowest() > 0.8, "{name}: {share}");
     }
     assert!(done_at.is_some(), "the array is not done");
 }
--- a/tests/shortage.rs
+++ b/tests/shortage.rs
@@ -26,7 +26,7 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
-use world::{Fault, Site, World, check, more_days, show_log};
+use world::{Fault, Site, World, assert_rules, extra_seeds, init_log};
 
 /// When the first and the second piece of room falls free, in milliseconds.
 const FREED_MS: [u64; 2] = [200_000, 230_000];
@@ -83,8 +83,8 @@
 /// Most replicas that each service had at once up to a moment.
 fn most_replicas(world: &mut World, until: u64) -> BTreeMap<String, u32> {
     let mut most: BTreeMap<String, u32> = BTreeMap::new();
-    while world.before(until) {
-        world.play_to(world.now + 1_000);
+    while world.continues_before(until) {
+        world.run_until(world.now + 1_000);
         let mut replicas: BTreeMap<&str, u32> = BTreeMap::new();
         for task in world.region.checker.on_machines() {
             *replicas.entry(&task.job).or_default() += 1;
@@ -101,11 +101,11 @@
 /// while services of four come every three seconds: the one that was begun is completed.
 #[test]
 fn a_service_that_was_begun_is_completed_before_parts_of_others() {
-    show_log();
-    for seed in 0..4 + more_days() {
+    init_log();
+    for seed in 0..4 + extra_seeds() {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut world = World::deployed(site(), &mut rng, 300_000);
-        world.quiet = true;
+        let mut world = World::without_users(site(), &mut rng, 300_000);
+        world.stop_polling_when_final = true;
         world.add_job_at(service(1, 12, false), 5_000);
         world.add_job_at(service(2, 6, false), 10_000);
         for (number, freed) in [3, 4].into_iter().zip(FREED_MS) {
@@ -117,7 +117,7 @@
             world.add_job_at(service(10 + number, 4, false), 190_000 + 3_000 * number as u64);
         }
         let most = most_replicas(&mut world, COMPLETE_MS);
-        check(&world, &format!("seed {seed}"));
+        assert_rules(&world, &format!("seed {seed}"));
         assert_eq!(most.get("req-000005"), Some(&6), "seed {seed}: replicas at once: {most:?}");
     }
 }
@@ -126,20 +126,20 @@
 /// gets half of its replicas there, and the rest in the others, from which replicas of those that are up move over.
 #[test]
 fn a_spread_service_is_completed_though_room_is_left_in_one_zone_alone() {
-    show_log();
+    init_log();
     const BACK_AT: u64 = 150_000;
     const ALL_UP_BY: u64 = 360_000;
-    for seed in 0..4 + more_days() {
+    for seed in 0..4 + extra_seeds() {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut world = World::deployed(site(), &mut rng, 390_000);
-        world.quiet = true;
-        world.leaky = false;
-        world.trouble((0..3).map(|node| (1_000, Fault::Apart(node, 2, BACK_AT))));
+        let mut world = World::without_users(site(), &mut rng, 390_000);
+        world.stop_polling_when_final = true;
+        world.delivers_after_partition = false;
+        world.add_faults((0..3).map(|node| (1_000, Fault::NodeZonePartition(node, 2, BACK_AT))));
         for (number, at) in [(1, 5_000), (2, 10_000), (3, 100_000)] {
             world.add_job_at(service(number, 8, true), at);
         }
         most_replicas(&mut world, ALL_UP_BY);
-        check(&world, &format!("seed {seed}"));
+        assert_rules(&world, &format!("seed {seed}"));
         let mut now: BTreeMap<&str, u32> = BTreeMap::new();
         for task in world.region.checker.on_machines() {
             *now.entry(&task.job).or_default() += 1;
--- a/tests/terms.rs
+++ b/tests/terms.rs
@@ -72,23 +72,23 @@
 fn a_new_leader_answers_no_report_before_it_has_read_its_book() {
     for released in [true, false] {
         let mut solo = with_a_cancelled_job();
-        solo.hold = |op| matches!(op, StoreOp::List { .. });
-        solo.pass(500);
-        assert!(solo.core.valid_token(solo.clock().mono).is_some(), "it leads");
-        let conn = solo.ask(report(1, vec![running("req-1/0")]));
-        solo.pass(1_000);
+        solo.holds_reply = |op| matches!(op, StoreOp::List { .. });
+        solo.advance(500);
+        assert!(solo.controller.valid_token(solo.clock().mono).is_some(), "it leads");
+        let conn = solo.send_request(report(1, vec![running("req-1/0")]));
+        solo.advance(1_000);
         assert_eq!(solo.reply(conn), None, "nothing is said while the book is being read");
         if released {
-            solo.hold = |_| false;
-            solo.release();
-            solo.pass(100);
+            solo.holds_reply = |_| false;
+            solo.release_held();
+            solo.advance(100);
             let reply = solo.reply(conn).expect("it has read its book");
             let answer: ReportAnswer = serde_json::from_str(&reply.body).unwrap();
             let stops =
                 matches!(&answer.orders[..], [Order::Stop { task, .. }] if task == "req-1/0");
             assert!(reply.status == 200 && stops, "{answer:?}");
         } else {
-            solo.pass(2_500);
+            solo.advance(2_500);
             assert_eq!(solo.reply(conn).map(|r| r.status), Some(503), "its worker goes elsewhere");
         }
     }
@@ -98,7 +98,7 @@
 #[test]
 fn stops_come_before_all_else_that_an_answer_holds() {
     let mut solo = with_a_cancelled_job();
-    solo.pass(500);
+    solo.advance(500);
     let mut tasks: Vec<TaskReport> = (0..400)
         .map(|n| TaskReport {
             status: TaskPhase::Exited,
@@ -107,7 +107,7 @@
         })
         .collect();
     tasks.push(running("req-1/0"));
-    let conn = solo.ask(report(1, tasks));
+    let conn = solo.send_request(report(1, tasks));
     let reply = solo.reply(conn).expect("it has orders");
     let answer: ReportAnswer = serde_json::from_str(&reply.body).unwrap();
     let first = answer.orders.first();
@@ -121,11 +121,11 @@
 fn what_was_asked_before_a_term_opens_no_job_in_it() {
     for lookup in [false, true] {
         let mut solo = Solo::new();
-        let lease = solo.led_by_another();
-        solo.pass(500);
+        let lease = solo.set_other_leader();
+        solo.advance(500);
         let id = JobId::new("req-7");
         solo.execute_held = true;
-        solo.hold = |op| match op {
+        solo.holds_reply = |op| match op {
             StoreOp::Txn(txn) => txn.conditions.iter().any(|c| c.key.starts_with(LIVE_PREFIX)),
             StoreOp::Get { key } => key.starts_with(LIVE_PREFIX),
             _ => false,
@@ -133,11 +133,11 @@
         if lookup {
             let record = LiveRecord { spec: spec("req-7"), wall_ms: 1_000_000, part: None };
             solo.write(vec![Change::put("live/req-7".into(), json!(record))]);
-            solo.ask(Request::View(id.clone()));
+            solo.send_request(Request::View(id.clone()));
             // The leader does not answer, so the key is read.
-            solo.pass(800);
+            solo.advance(800);
         } else {
-            solo.ask(Request::Submit(Submission::Spec(Box::new(spec("req-7")))));
+            solo.send_request(Request::Submit(Submission::Spec(Box::new(spec("req-7")))));
         }
         assert_eq!(solo.held.len(), 1);
         solo.write(vec![
@@ -145,13 +145,15 @@
             Change::Delete { key: "live/req-7".into() },
         ]);
         solo.state.execute(solo.now, &StoreOp::Revoke { lease });
-        solo.pass(1_000);
-        assert!(solo.core.valid_token(solo.clock().mono).is_some(), "it leads now");
-        solo.hold = |_| false;
-        solo.release();
-        assert!(solo.core.leader_term().is_some_and(|reign| reign.job_table.get(&id).is_none()));
-        let conn = solo.ask(Request::View(id.clone()));
-        solo.pass(100);
+        solo.advance(1_000);
+        assert!(solo.controller.valid_token(solo.clock().mono).is_some(), "it leads now");
+        solo.holds_reply = |_| false;
+        solo.release_held();
+        assert!(
+            solo.controller.leader_term().is_some_and(|reign| reign.job_table.get(&id).is_none())
+        );
+        let conn = solo.send_request(Request::View(id.clone()));
+        solo.advance(100);
         let said = solo.reply(conn).map(|reply| reply.body.contains("cancelled"));
         assert_eq!(said, Some(true), "lookup {lookup}: {:?}", solo.reply(conn));
     }
@@ -161,10 +163,10 @@
 #[test]
 fn a_job_that_is_over_is_not_accepted_again() {
     let mut solo = Solo::new();
-    solo.led_by_another();
-    solo.pass(500);
+    solo.set_other_leader();
+    solo.advance(500);
     solo.write(vec![Change::put("over/req-6".into(), cancelled())]);
-    let conn = solo.ask(Request::Submit(Submission::Spec(Box::new(spec("req-6")))));
+    let conn = solo.send_request(Request::Submit(Submission::Spec(Box::new(spec("req-6")))));
     let said = solo.reply(conn).map(|reply| (reply.status, reply.body.contains("cancelled")));
     assert_eq!(said, Some((200, true)));
     assert!(solo.state.rows("live/").is_empty());
@@ -175,21 +177,21 @@
 #[test]
 fn what_a_leader_wrote_is_void_once_another_leads() {
     let mut solo = Solo::new();
-    solo.pass(500);
+    solo.advance(500);
     let record = LiveRecord { spec: spec("req-5"), wall_ms: 1_000_000, part: None };
     solo.write(vec![Change::put("live/req-5".into(), json!(record))]);
-    solo.pass(200);
-    solo.hold = |op| match op {
+    solo.advance(200);
+    solo.holds_reply = |op| match op {
         StoreOp::Txn(txn) => txn.conditions.iter().any(|c| c.key.starts_with("over/")),
         _ => false,
     };
-    solo.ask(Request::Abort(JobId::new("req-5")));
-    solo.pass(100);
+    solo.send_request(Request::Abort(JobId::new("req-5")));
+    solo.advance(100);
     assert_eq!(solo.held.len(), 1, "its end is under way");
     let lease = solo.state.rows("lead")[0].lease.expect("the seat has a lease");
     solo.state.execute(solo.now, &StoreOp::Revoke { lease });
-    solo.led_by_another();
-    solo.release();
+    solo.set_other_leader();
+    solo.release_held();
     assert!(solo.state.rows("over/").is_empty() && solo.state.rows("live/").len() == 1);
 }
 
@@ -198,22 +200,24 @@
 #[test]
 fn a_watch_that_fell_behind_ends_the_term() {
     let mut solo = Solo::new();
-    solo.pass(1_000);
-    let before = solo.core.valid_token(solo.clock().mono).expect("it leads");
+    solo.advance(1_000);
+    let before = solo.controller.valid_token(solo.clock().mono).expect("it leads");
     let at =
         solo.watches.iter().position(|(_, prefix, _)| prefix == LIVE_PREFIX).expect("it watches");
     let (id, ..) = solo.watches.remove(at);
     solo.event(Event::Store { id, reply: StoreReply::TooOld });
-    assert_eq!(solo.core.valid_token(solo.clock().mono), None);
-    solo.pass(6_000);
-    let after = solo.core.valid_token(solo.clock().mono).expect("it leads again");
+    assert_eq!(solo.controller.valid_token(solo.clock().mono), None);
+    solo.advance(6_000);
+    let after = solo.controller.valid_token(solo.clock().mono).expect("it leads again");
     assert!(after > before, "{before:?} {after:?}");
     // What is accepted elsewhere is seen though the watch of the earlier term is still open.
     let record = LiveRecord { spec: spec("req-8"), wall_ms: 1_000_000, part: None };
     solo.write(vec![Change::put("live/req-8".into(), json!(record))]);
-    solo.pass(200);
+    solo.advance(200);
     let open = |solo: &Solo| {
-        solo.core.leader_term().is_some_and(|r| r.job_table.get(&JobId::new("req-8")).is_some())
+        solo.controller
+            .leader_term()
+            .is_some_and(|r| r.job_table.get(&JobId::new("req-8")).is_some())
     };
     assert!(open(&solo));
 }
@@ -223,10 +227,10 @@
 #[test]
 fn what_a_leader_said_long_ago_is_not_passed_on() {
     let mut solo = Solo::new();
-    solo.led_by_another();
-    solo.pass(500);
-    let conn = solo.ask(Request::View(JobId::new("req-9")));
-    let (id, _) = solo.asked.pop().expect("the leader is asked");
+    solo.set_other_leader();
+    solo.advance(500);
+    let conn = solo.send_request(Request::View(JobId::new("req-9")));
+    let (id, _) = solo.peer_requests.pop().expect("the leader is asked");
     solo.now += 10_000;
     let view = json!({"nameId": "req-9", "status": "running", "done": 0, "running": 1});
     solo.event(Event::PeerReply { id, reply: Some(HttpReply::json(200, &view)) });
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -22,27 +22,27 @@
 #[test]
 fn the_upgrade_is_known_once_every_member_has_shown_its_version() {
     let mut solo = Solo::new();
-    solo.pass(3_000);
+    solo.advance(3_000);
     let own = solo.state.rows("version/");
     assert_eq!(own.len(), 1, "{own:?}");
     assert_eq!((own[0].key.as_str(), &own[0].value), ("version/n-0", &serde_json::json!({"v": 2})));
-    assert!(!solo.core.all_upgraded());
+    assert!(!solo.controller.all_upgraded());
     announce(&mut solo, "n-1", 2);
     announce(&mut solo, "n-2", 1);
     // A stranger's key counts for nobody.
     announce(&mut solo, "n-7", 2);
-    solo.pass(3_000);
-    assert!(!solo.core.all_upgraded(), "one member shows an earlier version");
+    solo.advance(3_000);
+    assert!(!solo.controller.all_upgraded(), "one member shows an earlier version");
     announce(&mut solo, "n-2", 2);
-    solo.pass(3_000);
-    assert!(solo.core.all_upgraded());
+    solo.advance(3_000);
+    assert!(solo.controller.all_upgraded());
     let written = solo.state.history().iter();
     let own = written.filter(|change| change.put.as_deref() == Some("version/n-0")).count();
     assert_eq!(own, 1, "its own key is written once");
     // Nothing is asked any more, and it stays so.
     solo.write(vec![Change::Delete { key: "version/n-1".into() }]);
-    solo.pass(5_000);
-    assert!(solo.core.all_upgraded());
+    solo.advance(5_000);
+    assert!(solo.controller.all_upgraded());
 }
 
 /// Guards against a second write by a process that starts anew, and against one that never ends asking after an answer
@@ -51,10 +51,10 @@
 fn a_members_version_survives_lost_answers_and_a_new_start() {
     let mut solo = Solo::new();
     // The write of its own key is applied, and its answer is lost.
-    solo.hold = |op| matches!(op, StoreOp::Txn(_)) && format!("{op:?}").contains("version/");
+    solo.holds_reply = |op| matches!(op, StoreOp::Txn(_)) && format!("{op:?}").contains("version/");
     solo.execute_held = true;
-    solo.pass(2_000);
-    solo.hold = |_| false;
+    solo.advance(2_000);
+    solo.holds_reply = |_| false;
     assert_eq!(solo.held.len(), 1, "{:?}", solo.held);
     for (id, ..) in std::mem::take(&mut solo.held) {
         solo.event(Event::Store { id, reply: StoreReply::Lost });
@@ -62,12 +62,12 @@
     for member in ["n-1", "n-2"] {
         announce(&mut solo, member, 2);
     }
-    solo.pass(3_000);
-    assert!(solo.core.all_upgraded());
+    solo.advance(3_000);
+    assert!(solo.controller.all_upgraded());
     let mut again = Solo::new();
     again.state = std::mem::take(&mut solo.state);
-    again.pass(3_000);
-    assert!(again.core.all_upgraded());
+    again.advance(3_000);
+    assert!(again.controller.all_upgraded());
     let own =
         |change: &&oatloom_protocol::wire::Logged| change.put.as_deref() == Some("version/n-0");
     assert_eq!(again.state.history().iter().filter(own).count(), 1);
@@ -110,12 +110,12 @@
         let settings = world::settings(&world::SETTINGS.replace("txn_ops = 16\n", NEXT), 0);
         let core = Controller::new(settings, OperatorSettings::default(), 7);
         let mut solo = Solo::new();
-        (solo.core, solo.hold) = (core, refuses);
+        (solo.controller, solo.holds_reply) = (core, refuses);
         for member in ["n-1", "n-2"].iter().filter(|_| upgraded) {
             announce(&mut solo, member, 2);
         }
-        solo.pass(6_000);
-        assert!(solo.core.holds_leader_key() && solo.core.all_upgraded() == upgraded);
+        solo.advance(6_000);
+        assert!(solo.controller.holds_leader_key() && solo.controller.all_upgraded() == upgraded);
         Self { solo, refused: Vec::new(), tally: 0 }
     }
 
@@ -127,7 +127,7 @@
                 let assigned = self.assigned();
                 (0..machines).for_each(|n| self.report(n, &assigned));
             }
-            self.solo.pass(250);
+            self.solo.advance(250);
             for (id, op, _) in std::mem::take(&mut self.solo.held) {
                 self.refused.push(op);
                 let reply = StoreReply::Malformed("400 over the limit".into());
@@ -160,7 +160,7 @@
             stored: false,
             ran_ms: None,
         });
-        let token = self.solo.core.valid_token(self.solo.clock().mono).unwrap_or_default();
+        let token = self.solo.controller.valid_token(self.solo.clock().mono).unwrap_or_default();
         let report = Report {
             host: host.clone(),
             addr: "10.0.0.9:1".into(),
@@ -173,14 +173,14 @@
             notice_s: None,
             tasks: running.collect(),
         };
-        self.solo.ask(Request::Report(Box::new(report)));
+        self.solo.send_request(Request::Report(Box::new(report)));
     }
 
     fn submit(&mut self, id: &str, tasks: u32) -> u16 {
         let mut spec = world::small_array(id, 10);
         spec.tasks = tasks;
         spec.team = "blue".into();
-        let conn = self.solo.ask(Request::Submit(Submission::Spec(Box::new(spec))));
+        let conn = self.solo.send_request(Request::Submit(Submission::Spec(Box::new(spec))));
         self.pass(0, 1);
         self.solo.reply(conn).map_or(0, |reply| reply.status)
     }
@@ -206,7 +206,7 @@
     fallen.pass(96, 30);
     assert!(fallen.durable() >= 96, "{} assignments are durable", fallen.durable());
     assert!(fallen.refused.is_empty(), "{} were refused", fallen.refused.len());
-    let abort = fallen.solo.ask(Request::Abort(JobId::new("req-3")));
+    let abort = fallen.solo.send_request(Request::Abort(JobId::new("req-3")));
     fallen.pass(96, 3);
     assert_eq!(fallen.solo.reply(abort).map(|reply| reply.status), Some(200));
     assert_eq!(fallen.solo.state.rows("over/").len(), 1);
@@ -223,7 +223,7 @@
     assert!(fallen.durable() >= 96, "{} assignments are durable", fallen.durable());
     assert!(!fallen.refused.is_empty() && fallen.repeated() == 0, "{} twice", fallen.repeated());
     for n in 0..12 {
-        fallen.solo.ask(Request::Abort(JobId::new(&format!("req-{n}"))));
+        fallen.solo.send_request(Request::Abort(JobId::new(&format!("req-{n}"))));
     }
     fallen.pass(96, 20);
     assert_eq!(fallen.solo.state.rows("over/").len(), 12);
--- a/tests/upgrade_days.rs
+++ b/tests/upgrade_days.rs
@@ -11,10 +11,10 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde_json::json;
-use world::pipelines::Draw;
+use world::pipelines::PipelineDistribution;
 use world::troubles::trouble;
 use world::upgrades::site_with_next_limits;
-use world::{Fault, Upon, World, finished, more_days, show_log, small_array};
+use world::{Fault, LeaderFault, World, assert_finished, extra_seeds, init_log, small_array};
 
 /// Troubles are over from then on, in milliseconds.
 const CALM_MS: u64 = 200_000;
@@ -23,24 +23,24 @@
 /// How long after its turn a node comes back, as on the sites.
 const AWAY_MS: u64 = 6_000;
 /// Pipelines' users come once the upgrade is over.
-const PIPELINES: Draw = Draw {
+const PIPELINES: PipelineDistribution = PipelineDistribution {
     count: 6,
-    from: FIRST_TURN_MS,
-    to: 150_000,
-    cancelled: 0.35,
-    cancelled_within: 40_000,
-    late: 0.3,
+    arrive_from_ms: FIRST_TURN_MS,
+    arrive_to_ms: 150_000,
+    cancelled_share: 0.35,
+    max_cancel_delay_ms: 40_000,
+    late_share: 0.3,
 };
 /// A day that begins with the previous version everywhere. Pipelines come once all nodes have had their turn.
 fn day(seed: u64, faults: Vec<(u64, Fault)>) -> World {
-    show_log();
+    init_log();
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let mut world = World::deployed(site_with_next_limits(), &mut rng, CALM_MS);
+    let mut world = World::without_users(site_with_next_limits(), &mut rng, CALM_MS);
     world.begin_with_previous_version();
     world.restart_ms = [300, 2_000, 6_000][(seed % 3) as usize];
     world.add_users(16, &mut rng);
     world.add_pipelines(seed, PIPELINES);
-    world.trouble(faults);
+    world.add_faults(faults);
     world
 }
 
@@ -53,10 +53,10 @@
 
 /// Plays a day to its end: all was upgraded, and nothing was ever larger than the state service takes.
 fn play(world: &mut World, what: &str) {
-    world.play();
-    finished(world, what);
+    world.run();
+    assert_finished(world, what);
     assert!(world.all_current(), "{what}: some node had no turn");
-    assert!(world.all_know_the_upgrade(), "{what}: somebody does not know that all were upgraded");
+    assert!(world.all_detected_upgrade(), "{what}: somebody does not know that all were upgraded");
     let refused = &world.refusals().too_large;
     assert!(refused.is_empty(), "{what}: refused for their size: {refused:?}");
 }
@@ -72,8 +72,8 @@
 impl Tried {
     fn add(&mut self, world: &World) {
         self.dependents += world.accepted_dependents();
-        self.done += world.told(JobStatus::Done);
-        self.cancelled += world.told(JobStatus::Cancelled);
+        self.done += world.count_with_known_status(JobStatus::Done);
+        self.cancelled += world.count_with_known_status(JobStatus::Cancelled);
     }
 
     fn assert_some(&self, what: &str) {
@@ -85,7 +85,7 @@
 /// Plays days of some seeds with the troubles that `faults` gives each.
 fn play_days(what: &str, first: u64, count: u64, faults: impl Fn(u64) -> Vec<(u64, Fault)>) {
     let mut tried = Tried::default();
-    for seed in first..first + count + more_days() {
+    for seed in first..first + count + extra_seeds() {
         let faults = faults(seed);
         let mut world = day(seed, faults.clone());
         play(&mut world, &format!("{what}, seed {seed}, {faults:?}"));
@@ -103,7 +103,7 @@
 fn a_new_form_beside_the_previous_version_is_caught() {
     let broken = |key: &str, value: serde_json::Value, upgraded: bool| {
         let mut rng = rng_of(1);
-        let mut world = World::deployed(site_with_next_limits(), &mut rng, CALM_MS);
+        let mut world = World::without_users(site_with_next_limits(), &mut rng, CALM_MS);
         if !upgraded {
             world.begin_with_previous_version();
         }
@@ -126,31 +126,31 @@
 /// A job that names others is not taken while any controller may run the previous version, at whichever node.
 #[test]
 fn nothing_new_is_accepted_before_all_are_upgraded() {
-    for seed in 0..6 + more_days() {
+    for seed in 0..6 + extra_seeds() {
         let mut world = day(seed, turns(seed, FIRST_TURN_MS, 10_000, AWAY_MS));
         world.add_job_at(small_array("req-000001", 5), 1_000);
-        world.play_to(12_000);
+        world.run_until(12_000);
         assert!(world.is_accepted("req-000001"), "seed {seed}");
         let dependencies = vec![JobId::new("req-000001")];
         let dependent = JobSpec { dependencies, ..small_array("req-000002", 5) };
-        let text = World::text_of(&dependent).to_string();
+        let text = World::json_of(&dependent).to_string();
         // The last turn is at 40 s; the first to come back is there from 26 s on.
-        while world.before(40_000) {
+        while world.continues_before(40_000) {
             let upgraded: Vec<usize> = (0..3).filter(|node| world.is_current(*node)).collect();
             for node in upgraded {
-                world.send_odd(node, "POST", "/v2/runs", &text);
+                world.send_raw_request(node, "POST", "/v2/runs", &text);
             }
-            world.play_to(world.now + 700);
+            world.run_until(world.now + 700);
         }
         let answers: Vec<u16> = world
             .looks
-            .odd
+            .raw_requests
             .iter()
             .filter_map(|odd| odd.answer.as_ref().map(|(_, reply)| reply.status))
             .collect();
         assert!(answers.len() > 10, "seed {seed}: {answers:?}");
         assert!(answers.iter().all(|status| matches!(status, 503 | 599)), "{answers:?}");
-        assert!(!world.ever_written("req-000002"), "seed {seed}");
+        assert!(!world.was_ever_written("req-000002"), "seed {seed}");
     }
 }
 
@@ -170,7 +170,7 @@
     play_days("late writes", 2_000, 6, |seed| {
         let every = [2_000, 5_000, 9_000][(seed % 3) as usize];
         let mut faults = turns(seed, FIRST_TURN_MS, every, AWAY_MS);
-        faults.push((FIRST_TURN_MS - 5_000, Fault::LateWrites(40_000, 300)));
+        faults.push((FIRST_TURN_MS - 5_000, Fault::DelayedWrites(40_000, 300)));
         faults
     });
 }
@@ -194,7 +194,10 @@
         for _ in 0..3 {
             let at = rng.random_range(10_000..56_000);
             let any = Fault::Crash(rng.random_range(0..3));
-            faults.push((at, if rng.random_bool(0.5) { Fault::Leader(Upon::Crash) } else { any }));
+            faults.push((
+                at,
+                if rng.random_bool(0.5) { Fault::Leader(LeaderFault::Crash) } else { any },
+            ));
         }
         faults
     });
@@ -205,7 +208,7 @@
 fn an_earlier_process_that_wakes_up_late_keeps_the_rules() {
     play_days("asleep", 5_000, 6, |seed| {
         let mut faults = turns(seed, FIRST_TURN_MS, 5_000, AWAY_MS);
-        let asleep = Fault::LeaderAsleep(3_000 + (seed % 5) * 3_000);
+        let asleep = Fault::LeaderPaused(3_000 + (seed % 5) * 3_000);
         faults.push((FIRST_TURN_MS - 1_000 + (seed % 3) * 5_000, asleep));
         faults
     });
@@ -236,7 +239,7 @@
 /// After a usual upgrade, the limits fall at `FALL_MS`, with these troubles beside it.
 fn fall(seed: u64, beside: impl IntoIterator<Item = (u64, Fault)>) -> Vec<(u64, Fault)> {
     let mut faults = turns(seed, FIRST_TURN_MS, 8_000, AWAY_MS);
-    faults.push((FALL_MS, Fault::LimitsFall));
+    faults.push((FALL_MS, Fault::LimitsLowered));
     faults.extend(beside);
     faults
 }
@@ -260,9 +263,9 @@
     play_days("limits fall at a takeover", 12_000, 9, |seed| {
         let at = FALL_MS - 5_000 + (seed % 9) * 1_000;
         let what = match seed % 3 {
-            0 => Upon::Crash,
-            1 => Upon::Refused(9_000),
-            _ => Upon::Parted(9_000),
+            0 => LeaderFault::Crash,
+            1 => LeaderFault::StoreRefuses(9_000),
+            _ => LeaderFault::Isolated(9_000),
         };
         fall(seed, [(at, Fault::Leader(what))])
     });
@@ -285,7 +288,7 @@
 /// A gang and an array so wide that their records had the former size, held across the fall, cancelled or ended after it.
 #[test]
 fn wide_jobs_across_a_fall_end_well() {
-    for seed in 14_000..14_006 + more_days() {
+    for seed in 14_000..14_006 + extra_seeds() {
         let mut world = day(seed, fall(seed, []));
         for (n, shape) in [Shape::Array, Shape::Gang, Shape::Array].into_iter().enumerate() {
             let wide = JobSpec {
@@ -307,14 +310,14 @@
 #[test]
 fn records_full_of_detail_fit_lowered_limits() {
     let mut largest = 0;
-    for seed in 15_000..15_004 + more_days() {
+    for seed in 15_000..15_004 + extra_seeds() {
         let mut world = day(seed, fall(seed, []));
-        world.limit("((ledger . #t) (classes (default (repeats 1000))))");
+        world.set_operator_settings("((ledger . #t) (classes (default (repeats 1000))))");
         for n in 0..3 {
             let id = format!("req-00000{n}");
             let wide = JobSpec { tasks: 96, gpus: 0.1, cpus: 0.1, ..small_array(&id, 2) };
             world.add_job_at(wide, 5_000 + n * 2_000);
-            world.call_off(&id, 150_000 + n * 3_000);
+            world.schedule_cancel(&id, 150_000 + n * 3_000);
             world.region.outside.broken.insert(id, Broken::Often(0.8));
         }
         play(&mut world, &format!("full records, seed {seed}"));
--- a/tests/usage.rs
+++ b/tests/usage.rs
@@ -10,7 +10,7 @@
 use oatloom_ledger::tally::{UsageByBucket, UsageSums, end_name};
 use oatloom_protocol::wire::{Cause, Shape};
 use std::collections::BTreeMap;
-use world::{World, more_days, show_log};
+use world::{World, extra_seeds, init_log};
 
 /// Sums by cause of everything that is accounted, wherever it stands.
 fn accounted(world: &World) -> BTreeMap<String, UsageSums> {
@@ -21,16 +21,16 @@
         }
     };
     let mut through = BTreeMap::new();
-    for row in world.stored(ROLLUP_PREFIX) {
+    for row in world.stored_rows(ROLLUP_PREFIX) {
         let rollup: Rollup = serde_json::from_value(row.value).unwrap();
         assert!(!rollup.incomplete);
         add(&rollup.tally);
         through.insert(RollupId::parse(&row.key).unwrap(), rollup.counted_through);
     }
-    let cursor = world.stored(CURSOR_KEY).pop();
+    let cursor = world.stored_rows(CURSOR_KEY).pop();
     let cursor: Cursor =
         cursor.map_or_else(Cursor::default, |row| serde_json::from_value(row.value).unwrap());
-    for row in world.stored("over/") {
+    for row in world.stored_rows("over/") {
         let record: FinalRecord = serde_json::from_value(row.value).unwrap();
         let Some(spent) = record.spent else { continue };
         for (day, tally) in spent.days.days() {
@@ -42,7 +42,7 @@
             }
         }
     }
-    for row in world.stored("asg/") {
+    for row in world.stored_rows("asg/") {
         let record: ChunkRecord = serde_json::from_value(row.value).unwrap();
         let usage: UsageByDay = record.usage;
         usage.days().for_each(|(_, tally)| add(tally));
@@ -51,13 +51,13 @@
 }
 
 fn seeds(from: u64, count: u64) {
-    show_log();
-    let more = more_days();
+    init_log();
+    let more = extra_seeds();
     let (mut attempts, mut unseen, mut inferred, mut exact) = (0, 0, 0, 0);
     for seed in from..from + count + more {
         let mut world = World::new(seed, true);
-        world.limit("((ledger . #t))");
-        world.play();
+        world.set_operator_settings("((ledger . #t))");
+        world.run();
         let broken = &world.region.checker.broken;
         assert!(broken.is_empty(), "seed {seed} breaks rules: {broken:#?}");
         assert!(world.unfinished().is_empty(), "seed {seed}: {:#?}", world.unfinished());
@@ -66,7 +66,7 @@
         // attempt to its machine again before the first end was written.
         let ended = world.ended_attempts();
         let mut entries: BTreeMap<_, Vec<((usize, u64), UsageEntry)>> = BTreeMap::new();
-        for (node, life, entry) in &world.entries {
+        for (node, life, entry) in &world.accounting_entries {
             let key = (entry.task.index, entry.attempt.0, entry.host.clone());
             if ended.contains_key(&key) {
                 let list = entries.entry((entry.task.clone(), key)).or_default();
