--- a/tests/world/graphs.rs
+++ b/tests/world/graphs.rs
@@ -69,10 +69,10 @@
     ended_sessions: BTreeMap<String, u64>,
     /// The session of each graph that ends with its session.
     owning_sessions: BTreeMap<GraphId, String>,
-    pub broken: Vec<String>,
-    pub done: usize,
-    pub failures: usize,
-    pub starts: usize,
+    pub violations: Vec<String>,
+    pub done_graphs: usize,
+    pub failed_graphs: usize,
+    pub node_starts: usize,
 }
 
 fn kinds() -> serde_json::Value {
@@ -148,7 +148,7 @@
     }
 
     /// Adds one client with this graph, which follows it to its end.
-    pub fn add_one(&mut self, class: &str, add: AddNodes) -> GraphId {
+    pub fn add_client(&mut self, class: &str, add: AddNodes) -> GraphId {
         let (session, key) = ("s-1".to_owned(), add.key.clone());
         let graph = GraphId::parse("graph-1").expect("an id");
         let open = OpenSession {
@@ -188,7 +188,7 @@
     }
 
     /// Each job of a graph with the jobs that produce its inputs.
-    pub fn inputs(&self) -> BTreeMap<String, BTreeSet<String>> {
+    pub fn input_jobs(&self) -> BTreeMap<String, BTreeSet<String>> {
         let maker = |graph: GraphId, at: NodeIx| {
             let mut jobs = self.parts.keys();
             jobs.find(|job| (0..400).any(|task| self.node_of(job, task) == Some((graph, at))))
@@ -206,7 +206,7 @@
     }
 
     /// All clients stop sending at this time.
-    pub fn vanish(&mut self, at: u64) {
+    pub fn disappear_at(&mut self, at: u64) {
         self.clients.iter_mut().for_each(|client| client.behavior = Behavior::Disappears(at));
     }
 
@@ -289,7 +289,7 @@
             reply.status,
             reply.body
         );
-        let mut fail = |text: String| self.broken.push(format!("{} ms {text}", now));
+        let mut fail = |text: String| self.violations.push(format!("{} ms {text}", now));
         match reply.status {
             200 | 201 if heartbeat => client.next_heartbeat_at = now + 5_000,
             200 | 201 => {}
@@ -339,8 +339,8 @@
                 if !view.more && client.final_status.is_none() && client.pending_requests.is_empty()
                 {
                     client.final_status = Some(view.status);
-                    self.done += usize::from(view.status == GraphStatus::Done);
-                    self.failures += usize::from(view.status == GraphStatus::Failed);
+                    self.done_graphs += usize::from(view.status == GraphStatus::Done);
+                    self.failed_graphs += usize::from(view.status == GraphStatus::Failed);
                     let failed = view.failure.as_ref().and_then(|f| f.failure.as_ref());
                     if view.status == GraphStatus::Failed && failed.is_none() {
                         fail(format!("{}: failed without a reported cause", client.graph));
@@ -457,22 +457,23 @@
         let checker = &mut region.checker;
         for task in checker.begun.as_mut().map(std::mem::take).unwrap_or_default() {
             let Some((graph, at)) = self.node_of(&task.job, task.index) else { continue };
-            self.starts += 1;
+            self.node_starts += 1;
             let (name, needs) = &self.nodes[&graph][&at];
             let early = needs.iter().find(|input| !self.is_done(graph, **input));
             if let Some(input) = early {
                 let input = &self.nodes[&graph][input].0;
-                self.broken.push(format!("{now} ms {graph} {name} starts before {input} is done"));
+                self.violations
+                    .push(format!("{now} ms {graph} {name} starts before {input} is done"));
             }
             let elsewhere = checker.on_machines().find(|on| {
                 on.job != task.job && self.node_of(&on.job, on.index) == Some((graph, at))
             });
             if let Some(other) = elsewhere {
-                self.broken
+                self.violations
                     .push(format!("{now} ms {graph} {name} runs twice: {task:?}, {other:?}"));
             }
             if self.is_done(graph, at) && self.parts[&task.job].batch() {
-                self.broken.push(format!(
+                self.violations.push(format!(
                     "{now} ms {graph} {name} starts again though it is done: {task:?}"
                 ));
             }
@@ -486,7 +487,7 @@
                     .get(&graph)
                     .and_then(|session| self.ended_sessions.get(session));
                 if ended.is_some_and(|at| now > at + MAX_CANCEL_MS) {
-                    self.broken
+                    self.violations
                         .push(format!("{now} ms {on:?} still runs though its session has ended"));
                 }
             }
@@ -495,8 +496,8 @@
 
     /// Checks what must hold after the recovery phase: every client that stayed knows the result, and nothing remains of those
     /// that left. `stored` lists the keys under a prefix in the state service.
-    pub fn end(&mut self, stored: &dyn Fn(&str) -> Vec<String>) {
-        let mut fail = |text: String| self.broken.push(text);
+    pub fn check_final_state(&mut self, stored: &dyn Fn(&str) -> Vec<String>) {
+        let mut fail = |text: String| self.violations.push(text);
         for client in &self.clients {
             let gone = matches!(client.behavior, Behavior::Disappears(_));
             if !gone && client.final_status.is_none() {
--- a/tests/world/limits.rs
+++ b/tests/world/limits.rs
@@ -15,20 +15,20 @@
 
 /// Since when each waiting job could run without interruption.
 #[derive(Debug, Default)]
-pub struct Neglect {
+pub struct NeglectTracker {
     since: BTreeMap<String, u64>,
     /// The longest such wait, in milliseconds.
-    pub longest: u64,
+    pub longest_wait_ms: u64,
 }
 
-impl Neglect {
+impl NeglectTracker {
     /// Records which jobs could run now; returns those that have waited for too long.
     pub fn look(&mut self, now: u64, runnable: BTreeSet<String>) -> Vec<String> {
         self.since.retain(|job, _| runnable.contains(job));
         let mut overdue = Vec::new();
         for job in runnable {
             let waited = now - *self.since.entry(job.clone()).or_insert(now);
-            self.longest = self.longest.max(waited);
+            self.longest_wait_ms = self.longest_wait_ms.max(waited);
             if waited > NEGLECTED_MS {
                 // Each violation is reported once, and the wait is counted anew.
                 self.since.remove(&job);
@@ -40,7 +40,7 @@
 }
 
 /// A machine and its free resources according to its worker.
-pub struct Free {
+pub struct MachineRoom {
     pub flavor: String,
     pub zone: String,
     pub spot: bool,
@@ -48,7 +48,7 @@
 }
 
 /// How many further tasks of a job could be placed at once, given its running tasks by zone.
-pub fn placeable(spec: &JobSpec, others: &BTreeMap<String, u32>, machines: &[Free]) -> u32 {
+pub fn placeable(spec: &JobSpec, others: &BTreeMap<String, u32>, machines: &[MachineRoom]) -> u32 {
     let need = Resources::from(spec);
     let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
     for machine in machines {
@@ -75,7 +75,7 @@
 
 /// A team's guarantee and limit, in cores and GPUs; 0 means none.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Terms {
+pub struct TeamLimits {
     pub name: &'static str,
     pub cpus: f64,
     pub cpus_max: f64,
@@ -84,7 +84,7 @@
 }
 
 /// The default site with other teams.
-pub fn site(teams: &[Terms]) -> Site {
+pub fn site(teams: &[TeamLimits]) -> Site {
     let (head, rest) = SETTINGS.split_once("[[facts.teams]]").expect("settings with teams");
     let (_, tail) = rest.split_once("[[facts.objectives]]").expect("settings with objectives");
     let mut text = head.to_owned();
@@ -134,7 +134,7 @@
                 taken.entry(&worker.host).or_default().add(&Resources::from(spec));
             }
         }
-        let free: Vec<Free> = self
+        let free: Vec<MachineRoom> = self
             .region
             .workers
             .values()
@@ -147,7 +147,7 @@
                     .unwrap_or_default();
                 room.subtract(&taken.get(worker.host.as_str()).copied().unwrap_or_default());
                 let place = worker.place.clone();
-                Free { flavor: place.flavor, zone: place.zone, spot: place.spot, room }
+                MachineRoom { flavor: place.flavor, zone: place.zone, spot: place.spot, room }
             })
             .collect();
         let teams = settings(&self.site.settings, 0).facts.teams;
@@ -185,11 +185,11 @@
 
     /// After all faults, no job waits for long if it could run.
     pub(super) fn check_neglected(&mut self) {
-        if self.now < self.calm_from {
+        if self.now < self.faults_end_at {
             return;
         }
         let runnable = self.runnable_jobs();
-        for job in self.neglect.look(self.now, runnable) {
+        for job in self.neglect_tracker.look(self.now, runnable) {
             let text =
                 format!("{job} could run but waits: {:?}", self.region.outside.specs.get(&job));
             self.region.checker.fail(self.now, "neglected", text);
@@ -206,7 +206,7 @@
     }
 
     /// Marks the jobs of all users as accepted.
-    pub fn accept_all(&mut self) {
+    pub fn mark_all_accepted(&mut self) {
         self.users.iter_mut().for_each(|user| user.accepted = true);
     }
 
@@ -250,13 +250,13 @@
     }
 
     /// The number of leader terms, counted by writes of the leader key.
-    pub fn terms(&self) -> usize {
+    pub fn leader_term_count(&self) -> usize {
         let lead = |key: &Option<String>| key.as_deref() == Some("lead");
         self.state.history().iter().filter(|change| lead(&change.put)).count()
     }
 
     /// Whether a job's user knows that it is cancelled.
-    pub fn told_cancelled(&self, job: &str) -> bool {
+    pub fn known_cancelled(&self, job: &str) -> bool {
         self.region.checker.over(job) == Some(JobStatus::Cancelled)
     }
 }
--- a/tests/world/looks.rs
+++ b/tests/world/looks.rs
@@ -18,69 +18,69 @@
 
 /// A raw HTTP request that belongs to no user's job, and its response.
 #[derive(Debug)]
-pub struct Odd {
+pub struct RawRequest {
     pub node: usize,
-    pub what: String,
+    pub request: String,
     pub answer: Option<(u64, HttpReply)>,
 }
 
 /// What users do beyond the default behaviour, and counts of what happened. Nothing by default.
 #[derive(Debug, Default)]
-pub struct Looks {
+pub struct AggressiveUsers {
     /// Whether they query all nodes and resubmit as soon as the state of their job changes.
-    pub close: bool,
+    pub enabled: bool,
     /// The share of users who cancel their job the moment they learn that it is accepted.
-    pub abort_at_once: f64,
+    pub abort_on_accept_share: f64,
     /// The share of users who cancel when the job's last task ends, up to this many milliseconds later.
-    pub abort_at_end: (f64, u64),
+    pub abort_on_end: (f64, u64),
     /// The fault injected when the last task of every n-th job ends, up to the same delay later.
-    pub strike_at_end: Option<(usize, Fault)>,
+    pub fault_at_end: Option<(usize, Fault)>,
     /// Jobs whose users learned that they are accepted, done or cancelled and then sent further requests.
     pub accepted: u32,
     pub done: u32,
     pub cancelled: u32,
     /// Further requests that were sent.
-    pub sent: u32,
+    pub requests_sent: u32,
     /// Jobs that were cancelled when their last task ended.
-    pub called_off: BTreeSet<String>,
+    pub cancelled_at_end: BTreeSet<String>,
     /// Jobs for which a start order has left a controller.
     pub started: BTreeSet<String>,
-    pub odd: Vec<Odd>,
+    pub raw_requests: Vec<RawRequest>,
     last_status: BTreeMap<String, JobStatus>,
     ended_jobs: BTreeSet<String>,
 }
 
 /// A further request for a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Look {
+pub enum UserRequest {
     View,
     Submit,
     Abort,
     /// The submission, with a field missing.
-    SubmitBroken,
+    SubmitIncomplete,
 }
 
 impl World {
     /// A job's user sends a node a request after the given delay.
-    pub fn look(&mut self, job: &str, node: usize, look: Look, after: u64) {
+    pub fn send_user_request(&mut self, job: &str, node: usize, look: UserRequest, after: u64) {
         let Some(user) = self.users.iter_mut().find(|u| u.spec.id.as_str() == job) else { return };
         let id = user.spec.id.clone();
         let request = match look {
-            Look::View => Request::View(id),
-            Look::Submit => Request::Submit(Submission::Spec(Box::new(user.spec.clone()))),
-            Look::SubmitBroken => Request::Submit(Submission::Invalid {
+            UserRequest::View => Request::View(id),
+            UserRequest::Submit => Request::Submit(Submission::Spec(Box::new(user.spec.clone()))),
+            UserRequest::SubmitIncomplete => Request::Submit(Submission::Invalid {
                 id: Some(id),
                 text: "a field is missing".into(),
             }),
-            Look::Abort => {
+            UserRequest::Abort => {
                 user.abort_at.get_or_insert(self.now);
                 self.region.checker.cancel_asked(job);
                 Request::Abort(id)
             }
         };
-        self.looks.sent += 1;
-        let submission = matches!(look, Look::Submit | Look::SubmitBroken);
-        let (abort, asked_at) = (look == Look::Abort, self.now + after);
+        self.looks.requests_sent += 1;
+        let submission = matches!(look, UserRequest::Submit | UserRequest::SubmitIncomplete);
+        let (abort, asked_at) = (look == UserRequest::Abort, self.now + after);
         let from = Sender::User { job: job.to_owned(), submission, abort, asked_at };
         let delay = after + self.delay();
         self.send(delay, Message::Request { node, from, request, forwarded: false });
@@ -90,17 +90,17 @@
     fn query_all_nodes(&mut self, job: &str) {
         for node in 0..3 {
             for after in QUERY_DELAYS_MS {
-                self.look(job, node, Look::View, after);
+                self.send_user_request(job, node, UserRequest::View, after);
             }
             for after in RESUBMIT_DELAYS_MS {
-                self.look(job, node, Look::Submit, after);
+                self.send_user_request(job, node, UserRequest::Submit, after);
             }
         }
     }
 
     /// A user has received the status of its job.
     pub(super) fn receive_status(&mut self, job: &str, body: &str) {
-        if !self.looks.close {
+        if !self.looks.enabled {
             return;
         }
         let value: serde_json::Value = serde_json::from_str(body).unwrap_or_default();
@@ -117,12 +117,12 @@
             JobStatus::Cancelled => self.looks.cancelled += 1,
             _ => self.looks.accepted += 1,
         }
-        if !status.is_final() && self.rng.random_bool(self.looks.abort_at_once) {
+        if !status.is_final() && self.rng.random_bool(self.looks.abort_on_accept_share) {
             // Sent to some or all nodes, each before or after the queries.
             for node in 0..3 {
                 if self.rng.random_bool(0.6) {
                     let after = self.rng.random_range(0..30);
-                    self.look(job, node, Look::Abort, after);
+                    self.send_user_request(job, node, UserRequest::Abort, after);
                 }
             }
         }
@@ -131,7 +131,7 @@
 
     /// Handles jobs whose last task has just ended on its machine.
     pub(super) fn step_aggressive_users(&mut self) {
-        let (share, within) = self.looks.abort_at_end;
+        let (share, within) = self.looks.abort_on_end;
         if share <= 0.0 {
             return;
         }
@@ -142,22 +142,22 @@
         for job in jobs {
             self.looks.ended_jobs.insert(job.clone());
             let nth = self.looks.ended_jobs.len();
-            if let Some((every, fault)) = self.looks.strike_at_end
+            if let Some((every, fault)) = self.looks.fault_at_end
                 && nth.is_multiple_of(every)
             {
                 let at = self.now + self.rng.random_range(0..=within);
-                self.trouble([(at, fault)]);
+                self.add_faults([(at, fault)]);
             }
             if !self.rng.random_bool(share) || self.region.checker.over(&job).is_some() {
                 continue;
             }
-            self.looks.called_off.insert(job.clone());
+            self.looks.cancelled_at_end.insert(job.clone());
             for _ in 0..self.rng.random_range(1..4) {
                 let (node, after) =
                     (self.rng.random_range(0..3), self.rng.random_range(0..=within));
-                self.look(&job, node, Look::Abort, after);
-                self.look(&job, (node + 1) % 3, Look::View, after);
-                self.look(&job, (node + 2) % 3, Look::Submit, after);
+                self.send_user_request(&job, node, UserRequest::Abort, after);
+                self.send_user_request(&job, (node + 1) % 3, UserRequest::View, after);
+                self.send_user_request(&job, (node + 2) % 3, UserRequest::Submit, after);
             }
         }
     }
@@ -181,14 +181,14 @@
     }
 
     /// Sends a raw HTTP request to a node; one that fails to parse is answered at once without the controller.
-    pub fn send_odd(&mut self, node: usize, method: &str, path: &str, body: &str) {
-        let number = self.looks.odd.len();
+    pub fn send_raw_request(&mut self, node: usize, method: &str, path: &str, body: &str) {
+        let number = self.looks.raw_requests.len();
         let what = format!("{method} {path} {body}");
         let (answer, request) = match parse(method, path, body.as_bytes()) {
             Ok(request) => (None, Some(request)),
             Err(reply) => (Some((self.now, reply)), None),
         };
-        self.looks.odd.push(Odd { node, what, answer });
+        self.looks.raw_requests.push(RawRequest { node, request: what, answer });
         if let Some(request) = request {
             let delay = self.delay();
             let from = Sender::RawRequest(number);
@@ -197,7 +197,7 @@
     }
 
     /// Whether anything was ever written for a job.
-    pub fn ever_written(&self, job: &str) -> bool {
+    pub fn was_ever_written(&self, job: &str) -> bool {
         self.state.history().iter().any(|change| {
             let key = change.put.as_deref().unwrap_or_default();
             key.split('/').nth(1) == Some(job)
@@ -205,9 +205,9 @@
     }
 
     /// Runs in fine steps to the given time, or to the first broken rule.
-    pub fn play_finely_to(&mut self, until: u64) {
+    pub fn run_finely_until(&mut self, until: u64) {
         self.step_ms = FINE_STEP_MS;
-        self.play_to(until);
+        self.run_until(until);
         self.step_ms = super::STEP_MS;
     }
 
@@ -217,12 +217,12 @@
     }
 
     /// Whether any task of a job is on a machine.
-    pub fn on_machine(&self, job: &str) -> bool {
+    pub fn runs_on_machine(&self, job: &str) -> bool {
         self.region.checker.on_machines().any(|on| on.job == job)
     }
 
     /// The JSON of a job as its user sends it.
-    pub fn text_of(spec: &JobSpec) -> serde_json::Value {
+    pub fn json_of(spec: &JobSpec) -> serde_json::Value {
         serde_json::to_value(spec).expect("a description is JSON")
     }
 
--- a/tests/world/machines.rs
+++ b/tests/world/machines.rs
@@ -9,11 +9,11 @@
 
 /// When the reports saved for the next leader are delivered to every controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Given {
+pub enum ReplayTiming {
     /// When it may issue orders, before it has loaded its job table.
-    AsItBegins,
+    AtTermStart,
     /// Once a worker has acknowledged its token, spread over three seconds.
-    OnceItActed,
+    AfterFirstAck,
 }
 
 /// Capacity for saved reports; further ones replace random ones, so that reports of all ages remain.
@@ -22,7 +22,7 @@
 struct SavedReports {
     rng: ChaCha8Rng,
     share: f64,
-    timing: Given,
+    timing: ReplayTiming,
     reports: Vec<Report>,
     /// The token of the leader to which reports were last delivered.
     last_token: Option<Token>,
@@ -30,27 +30,27 @@
 
 /// Counts of what happened, so that a test can check that it covered its case.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Met {
+pub struct Coverage {
     /// Reports delivered, and those delivered before the leader had any report of their machine.
-    pub given: usize,
-    pub first: usize,
+    pub replayed: usize,
+    pub before_first_report: usize,
     /// Those of an earlier session of their worker, and those with an attempt that is no longer on the machine.
     pub older_session: usize,
     pub older_attempt: usize,
     /// Reports that machines could not send.
-    pub refused: usize,
+    pub unsent_reports: usize,
     /// Direct commands that arrived late: at a worker that has acknowledged a later leader, and at one that has not although
     /// there is one; and the stop orders of the latter for tasks on the machine.
     pub outranked: usize,
     pub deposed: usize,
-    pub stopped: usize,
+    pub stops_of_running_tasks: usize,
 }
 
 #[derive(Default)]
-pub struct Machines {
+pub struct MachineFaults {
     saved: Option<SavedReports>,
     silent_until: BTreeMap<String, u64>,
-    pub met: Met,
+    pub met: Coverage,
     /// When direct commands arrived at each silent machine.
     pub told: BTreeMap<String, Vec<u64>>,
     /// Token, session and number of the latest report of each machine that a leader had processed.
@@ -59,15 +59,15 @@
 
 impl World {
     /// From now on saves copies of a share of the reports for the next leader.
-    pub fn keep_reports(&mut self, share: f64, given: Given) {
+    pub fn save_reports(&mut self, share: f64, given: ReplayTiming) {
         let rng = ChaCha8Rng::seed_from_u64(self.now ^ 0x6d61_6368);
-        let last_token = self.leads().and_then(|n| self.leader_term_of(n)).map(|r| r.token);
+        let last_token = self.leader().and_then(|n| self.leader_term_of(n)).map(|r| r.token);
         self.machines.saved =
             Some(SavedReports { rng, share, timing: given, reports: Vec::new(), last_token });
     }
 
     /// Every n-th of the busy machines that are up reaches no controller for this long; returns how many.
-    pub fn mute(&mut self, span: u64, every: usize) -> usize {
+    pub fn silence_machines(&mut self, span: u64, every: usize) -> usize {
         let (now, until) = (self.now, self.now + span);
         let up = self.region.workers.iter().filter(|(_, w)| now >= w.up_at && !w.tasks.is_empty());
         let affected: Vec<String> = up.map(|(host, _)| host.clone()).step_by(every).collect();
@@ -76,12 +76,12 @@
         count
     }
 
-    pub fn is_mute(&self, host: &str) -> bool {
+    pub fn is_silent(&self, host: &str) -> bool {
         self.machines.silent_until.get(host).is_some_and(|until| self.now < *until)
     }
 
     /// A zone's machines and its controller reach nothing outside it; users and the cloud still reach the controller.
-    pub fn cut_zone(&mut self, zone: usize, span: u64) {
+    pub fn isolate_zone(&mut self, zone: usize, span: u64) {
         self.nodes[zone].isolated_until = self.now + span;
         for node in 0..3 {
             let others = (0..3).filter(|z| (*z == zone) != (node == zone));
@@ -95,7 +95,7 @@
 
     /// The leader term of the node that may issue orders, once it has loaded its job table.
     pub fn active_term(&self) -> Option<&LeaderTerm> {
-        self.leader_term_of(self.leads()?).filter(|term| term.stage == Stage::Active)
+        self.leader_term_of(self.leader()?).filter(|term| term.stage == Stage::Active)
     }
 
     /// A report is about to leave its machine: may save a copy, and returns whether it cannot be sent.
@@ -109,21 +109,21 @@
             }
             saved.reports.push(report.clone());
         }
-        let silent = self.is_mute(host);
-        self.machines.met.refused += usize::from(silent);
+        let silent = self.is_silent(host);
+        self.machines.met.unsent_reports += usize::from(silent);
         silent
     }
 
     /// A direct command arrives at a machine, in time if its sender still waits for the response.
     pub(super) fn record_command(&mut self, host: &str, in_time: bool) {
-        if in_time && self.is_mute(host) {
+        if in_time && self.is_silent(host) {
             self.machines.told.entry(host.to_owned()).or_default().push(self.now);
         }
     }
 
     /// A direct command whose sender no longer waits arrives at a machine.
     pub(super) fn record_late_command(&mut self, host: &str, command: &Command) {
-        let leader = self.leads().and_then(|n| self.leader_term_of(n)).map(|term| term.token);
+        let leader = self.leader().and_then(|n| self.leader_term_of(n)).map(|term| term.token);
         let Some(worker) = self.region.workers.get(host) else { return };
         let met = &mut self.machines.met;
         if worker.token > command.token.0 {
@@ -140,18 +140,19 @@
                 }
                 _ => false,
             };
-            met.stopped += command.orders.iter().filter(there).count();
+            met.stops_of_running_tasks += command.orders.iter().filter(there).count();
         }
     }
 
     /// Delivers saved reports to every controller when a new leader begins or has acted: unchanged, twice to nodes that do
     /// not lead so that they forward them, and once as if forwarded by another controller.
     pub(super) fn replay_reports(&mut self) {
-        let Some(node) = self.leads() else { return };
+        let Some(node) = self.leader() else { return };
         let Some(token) = self.leader_term_of(node).map(|term| term.token) else { return };
         let Some(mut saved) = self.machines.saved.take() else { return };
         let acted = self.region.workers.values().any(|w| w.token == token.0);
-        if saved.last_token == Some(token) || saved.timing == Given::OnceItActed && !acted {
+        if saved.last_token == Some(token) || saved.timing == ReplayTiming::AfterFirstAck && !acted
+        {
             self.machines.saved = Some(saved);
             return;
         }
@@ -159,7 +160,7 @@
         saved.reports.shuffle(&mut saved.rng);
         for report in &saved.reports {
             self.record_replayed(node, report);
-            let span = if saved.timing == Given::AsItBegins { 30 } else { 3_000 };
+            let span = if saved.timing == ReplayTiming::AtTermStart { 30 } else { 3_000 };
             for to in 0..3 {
                 for forwarded in [false, to == node] {
                     let request = Request::Report(Box::new(report.clone()));
@@ -193,8 +194,8 @@
         };
         let older_attempt = worker.is_some_and(gone);
         let met = &mut self.machines.met;
-        met.given += 1;
-        met.first += usize::from(first);
+        met.replayed += 1;
+        met.before_first_report += usize::from(first);
         met.older_session += usize::from(older_session);
         met.older_attempt += usize::from(older_attempt);
     }
@@ -202,7 +203,7 @@
     /// Invariants under any reports: the leader's job table holds every task that is on a machine, with its place, and a leader
     /// never goes back to an older report of a machine. All rules about where tasks may start depend on them.
     pub fn check_job_table(&mut self) {
-        let Some(term) = self.leads().and_then(|n| self.leader_term_of(n)) else { return };
+        let Some(term) = self.leader().and_then(|n| self.leader_term_of(n)) else { return };
         if term.stage != Stage::Active {
             return;
         }
@@ -246,7 +247,7 @@
     }
 
     /// Tasks that are on machines this long or longer after their user learned that the job is cancelled.
-    pub fn lingering(&self, for_ms: u64) -> Vec<String> {
+    pub fn running_after_cancel(&self, for_ms: u64) -> Vec<String> {
         let checker = &self.region.checker;
         let late = |job: &str| {
             checker.over(job) == Some(JobStatus::Cancelled)
@@ -256,7 +257,7 @@
     }
 
     /// Assignments in the leader's job table that are not durable yet, to machines that have been up for less than this long.
-    pub fn hasty_assignments(&self, up_for_ms: u64) -> usize {
+    pub fn assignments_to_new_machines(&self, up_for_ms: u64) -> usize {
         let Some(term) = self.active_term() else { return 0 };
         let new = |host: &HostId| {
             let worker = self.region.workers.get(host.as_str());
@@ -270,7 +271,7 @@
     }
 
     /// Every n-th machine that holds a task is partitioned for this long; returns how many.
-    pub fn cut_machines(&mut self, span: u64, every: usize) -> usize {
+    pub fn partition_machines(&mut self, span: u64, every: usize) -> usize {
         let now = self.now;
         let busy = self.region.workers.values_mut().filter(|w| now >= w.up_at);
         let busy = busy.filter(|w| !w.tasks.is_empty()).step_by(every);
@@ -278,8 +279,8 @@
     }
 
     /// Runs to the given time, or to the first broken rule, and checks the job table after every step.
-    pub fn watch_to(&mut self, until: u64) {
-        while self.before(until) {
+    pub fn run_checked_until(&mut self, until: u64) {
+        while self.continues_before(until) {
             self.step();
             self.check_job_table();
         }
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -13,8 +13,8 @@
 pub mod upgrades;
 
 use graphs::Clients;
-use limits::Neglect;
-use looks::Looks;
+use limits::NeglectTracker;
+use looks::AggressiveUsers;
 use oatloom_core::api::{Request, Submission};
 use oatloom_core::cloud::{CloudOp, CloudReply};
 use oatloom_core::constants::CLOCK_START_MS;
@@ -168,68 +168,68 @@
     CrashAll,
     StoreOutage(u64),
     /// The state service refuses all requests of one node.
-    Refused(usize, u64),
+    StoreRefuses(usize, u64),
     MachineTerminated,
     /// Terminates every second machine that is up.
-    HalfDie,
+    HalfOfMachinesTerminated,
     /// Halves the cloud's capacity for this long.
-    Scarce(u64),
+    CapacityHalved(u64),
     MachineHangs(u64),
-    MachineCut(u64),
+    MachinePartitioned(u64),
     /// A node and all machines of a zone cannot reach each other.
-    Apart(usize, usize, u64),
-    SpotTaken,
+    NodeZonePartition(usize, usize, u64),
+    SpotReclaimed,
     NodeFrozen(usize, u64),
     /// The leader is paused while it handles an event: the actions it decided on leave when it resumes.
-    LeaderAsleep(u64),
+    LeaderPaused(u64),
     /// A node is stopped, or its whole network is partitioned, for this long.
     NodeDown(usize, u64),
-    NodeCut(usize, u64),
+    NodePartitioned(usize, u64),
     /// Users poll this many times as often.
     PollStorm(u64, u32),
     /// Machines hired meanwhile boot slower by this factor in thousandths; this many of a thousand never boot.
-    Boots(u64, u32, u32),
+    SlowBoots(u64, u32, u32),
     FaultyMachine,
     /// The cloud refuses every request.
     CloudOutage(u64),
     /// The cloud executes half of the requests this much later and sends no response to them.
-    CloudLate(u64, u64),
+    CloudDelayed(u64, u64),
     /// The state service executes requests, but its responses are lost.
-    StoreLoses(u64),
+    StoreRepliesLost(u64),
     /// Each request in transit to the state service is executed or not, and no response is sent.
     StoreRestart,
     /// This many of a thousand transactions get no response and are executed 2 to 12 s later.
-    LateWrites(u64, u32),
+    DelayedWrites(u64, u32),
     /// This many of a thousand transactions are executed at once and get no response; reads are not affected.
-    AnswersLost(u64, u32),
+    WriteRepliesLost(u64, u32),
     /// This many of a thousand reports are delivered a second time, 2 s to more than twice a lease later.
     DuplicateReports(u64, u32),
     /// This many of a thousand direct commands are delayed, unanswered, and executed 2 to 16 s later if the worker still
     /// accepts them.
-    LateCommands(u64, u32),
+    DelayedCommands(u64, u32),
     /// Every n-th machine that is up: its reports arrive, but responses and direct commands to it are lost.
-    MachinesDeaf(u64, u32),
+    MachinesInboundLost(u64, u32),
     /// A node loses the state service and the other nodes, but not its workers or users.
-    NodeParted(usize, u64),
+    NodeIsolated(usize, u64),
     /// Two nodes cannot reach each other; all other links work.
-    PeersApart(usize, usize, u64),
+    PeersPartitioned(usize, usize, u64),
     /// The state service takes this many times as long.
-    StoreSlow(u64, u32),
+    SlowStore(u64, u32),
     /// The state service enforces the lower limits that the settings announce, from now on.
-    LimitsFall,
+    LimitsLowered,
     /// A node is killed and restarts with the new version this much later.
     Upgrade(usize, u64),
     /// The given fault hits the node that leads at that moment.
-    Leader(Upon),
+    Leader(LeaderFault),
 }
 
 /// Faults that can hit the leader.
 #[derive(Clone, Copy, Debug)]
-pub enum Upon {
+pub enum LeaderFault {
     Crash,
-    Refused(u64),
-    Cut(u64),
-    Parted(u64),
+    StoreRefuses(u64),
+    Partitioned(u64),
+    Isolated(u64),
     Down(u64),
 }
 
@@ -329,7 +329,7 @@
     /// Length of a step in milliseconds, a divisor of [`STEP_MS`].
     pub step_ms: u64,
     /// Users who send extra requests within milliseconds of a response.
-    pub looks: Looks,
+    pub looks: AggressiveUsers,
     /// Which two nodes cannot reach each other, and until when.
     partitioned_peers: (usize, usize, u64),
     /// Until when messages to these machines are lost.
@@ -339,20 +339,20 @@
     slow_boots_until: u64,
     reduced_capacity_until: u64,
     /// When two nodes first considered themselves the leader at the same time, which must never happen.
-    pub two_leaders: Option<u64>,
+    pub two_leaders_at: Option<u64>,
     /// The most invalid task starts that the plans of one leader term contained.
     pub wrong_plans: u32,
     /// Whether messages held back by a partition may be delivered after it; otherwise they are lost.
-    pub leaky: bool,
+    pub delivers_after_partition: bool,
     /// Whether the load balancer probes each node once a second, and the results: time, node, status.
     pub probing: bool,
-    pub probes: Vec<(u64, usize, u16)>,
+    pub probe_results: Vec<(u64, usize, u16)>,
     /// How long a crashed node stays down.
     pub restart_ms: u64,
     /// The operators' settings of the controllers.
     pub operators: OperatorSettings,
     /// Usage accounting entries of the controllers, in order, each with its node and that node's incarnation.
-    pub entries: Vec<(usize, u64, UsageEntry)>,
+    pub accounting_entries: Vec<(usize, u64, UsageEntry)>,
     /// Whether the state service enforces its lower limits, and writes refused for size: node, incarnation and digest.
     pub limits_lowered: bool,
     refused_writes: BTreeSet<(usize, u64, u64)>,
@@ -360,51 +360,51 @@
     released: BTreeSet<JobId>,
     site: Site,
     /// Requests and changes sent to the state service, by second.
-    pub spent: BTreeMap<u64, (u32, u32)>,
+    pub store_traffic: BTreeMap<u64, (u32, u32)>,
     /// The node to which the load balancer sends all requests; any node if none is set.
-    pub door: Option<usize>,
+    pub load_balancer_target: Option<usize>,
     /// Whether users stop polling once they know the final state of their job.
-    pub quiet: bool,
+    pub stop_polling_when_final: bool,
     nodes: Vec<Node>,
     watches: Vec<StoreWatch>,
     pub region: Region,
     /// Jobs that wait although they could run.
-    pub neglect: Neglect,
+    pub neglect_tracker: NeglectTracker,
     /// Until when message delays are drawn from this range, in milliseconds.
     pub slow_links: (u64, u64, u64),
     /// Task graph clients and the invariants checked for them.
     pub clients: Clients,
     /// Faults that concern the reports of machines.
-    pub machines: machines::Machines,
+    pub machines: machines::MachineFaults,
     users: Vec<User>,
     faults: Vec<(u64, Fault)>,
     partitions: Vec<(usize, usize, u64)>,
-    pub calm_from: u64,
+    pub faults_end_at: u64,
 }
 
 /// Prints the controllers' log as far as `LOG_LEVEL` asks for it.
-pub fn show_log() {
+pub fn init_log() {
     let level = std::env::var("LOG_LEVEL").unwrap_or_default();
     let _ = env_logger::Builder::new().parse_filters(&level).is_test(true).try_init();
 }
 
 /// Asserts that no rule is broken, two nodes never led at once and no plan contained an invalid start.
-pub fn check(world: &World, what: &str) {
+pub fn assert_rules(world: &World, what: &str) {
     let broken = &world.region.checker.broken;
     assert!(broken.is_empty(), "{what}: broken rules: {broken:#?}");
-    assert_eq!(world.two_leaders, None, "{what}: two nodes led at once");
+    assert_eq!(world.two_leaders_at, None, "{what}: two nodes led at once");
     assert_eq!(world.wrong_plans, 0, "{what}: a plan had an invalid start");
 }
 
 /// The same, and every accepted job's user knows its final state.
-pub fn finished(world: &World, what: &str) {
-    check(world, what);
+pub fn assert_finished(world: &World, what: &str) {
+    assert_rules(world, what);
     let unfinished = world.unfinished();
     assert!(unfinished.is_empty(), "{what}: unfinished jobs: {unfinished:#?}");
 }
 
 /// The number of further seeds to run beyond the fixed ones, from `OATLOOM_SEEDS`.
-pub fn more_days() -> u64 {
+pub fn extra_seeds() -> u64 {
     let Ok(seeds) = std::env::var("OATLOOM_SEEDS") else { return 0 };
     seeds.parse().unwrap_or_else(|e| panic!("OATLOOM_SEEDS must be a number: {seeds:?}: {e}"))
 }
@@ -494,7 +494,7 @@
 
 impl World {
     /// Controllers, a state service and a cloud, without users.
-    pub fn deployed(site: Site, rng: &mut ChaCha8Rng, calm_from: u64) -> Self {
+    pub fn without_users(site: Site, rng: &mut ChaCha8Rng, calm_from: u64) -> Self {
         let mut world = Self {
             digest: 0,
             now: 0,
@@ -511,20 +511,20 @@
             delayed_commands: (0, 0),
             write_replies_lost: (0, 0),
             step_ms: STEP_MS,
-            looks: Looks::default(),
+            looks: AggressiveUsers::default(),
             partitioned_peers: (0, 0, 0),
             inbound_lost_until: BTreeMap::new(),
             poll_storm: (0, 1),
             slow_boots_until: 0,
             reduced_capacity_until: 0,
-            two_leaders: None,
+            two_leaders_at: None,
             wrong_plans: 0,
-            leaky: true,
+            delivers_after_partition: true,
             probing: false,
-            probes: Vec::new(),
+            probe_results: Vec::new(),
             restart_ms: 5_000,
             operators: OperatorSettings::default(),
-            entries: Vec::new(),
+            accounting_entries: Vec::new(),
             limits_lowered: false,
             refused_writes: BTreeSet::new(),
             released: BTreeSet::new(),
@@ -532,17 +532,17 @@
             watches: Vec::new(),
             region: region(&site, rng.random()),
             site,
-            spent: BTreeMap::new(),
-            door: None,
-            quiet: false,
-            neglect: Neglect::default(),
+            store_traffic: BTreeMap::new(),
+            load_balancer_target: None,
+            stop_polling_when_final: false,
+            neglect_tracker: NeglectTracker::default(),
             slow_links: (0, 0, 0),
             clients: Clients::default(),
-            machines: machines::Machines::default(),
+            machines: machines::MachineFaults::default(),
             users: Vec::new(),
             faults: Vec::new(),
             partitions: Vec::new(),
-            calm_from,
+            faults_end_at: calm_from,
             rng: ChaCha8Rng::seed_from_u64(rng.random()),
         };
         for _ in 0..3 {
@@ -567,7 +567,7 @@
     pub fn new(seed: u64, faults: bool) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let calm_from = 150_000;
-        let mut world = Self::deployed(Site::default(), &mut rng, calm_from);
+        let mut world = Self::without_users(Site::default(), &mut rng, calm_from);
         for n in 0..rng.random_range(14..26) {
             world.add_user(n, &mut rng, calm_from);
         }
@@ -580,12 +580,12 @@
                     0 | 1 => Fault::Crash(node),
                     2 => Fault::CrashAll,
                     3 | 4 => Fault::StoreOutage(span),
-                    5 => Fault::Refused(node, span),
+                    5 => Fault::StoreRefuses(node, span),
                     6 => Fault::MachineTerminated,
                     7 => Fault::MachineHangs(span * 2),
-                    8 => Fault::MachineCut(span * 2),
-                    9 => Fault::Apart(node, rng.random_range(0..3), span),
-                    10 => Fault::SpotTaken,
+                    8 => Fault::MachinePartitioned(span * 2),
+                    9 => Fault::NodeZonePartition(node, rng.random_range(0..3), span),
+                    10 => Fault::SpotReclaimed,
                     11 => Fault::NodeFrozen(node, span),
                     _ => Fault::FaultyMachine,
                 };
@@ -598,7 +598,7 @@
 
     /// A simulation with the given faults, and further users with jobs of `shape` if one is given. The recovery phase
     /// begins at `calm_from`, when the last fault is over.
-    pub fn scripted(
+    pub fn with_faults(
         seed: u64,
         faults: Vec<(u64, Fault)>,
         calm_from: u64,
@@ -606,7 +606,7 @@
     ) -> Self {
         let mut world = Self::new(seed, false);
         world.faults = faults;
-        world.calm_from = calm_from;
+        world.faults_end_at = calm_from;
         if let Some(shape) = shape {
             let mut rng = ChaCha8Rng::seed_from_u64(seed);
             for n in 500..512 {
@@ -623,13 +623,13 @@
     }
 
     /// Adds faults at the given times.
-    pub fn trouble(&mut self, faults: impl IntoIterator<Item = (u64, Fault)>) {
+    pub fn add_faults(&mut self, faults: impl IntoIterator<Item = (u64, Fault)>) {
         self.faults.extend(faults);
         self.faults.sort_by_key(|(at, _)| *at);
     }
 
     /// Removes all users that were added so far.
-    pub fn alone(&mut self) {
+    pub fn remove_users(&mut self) {
         self.users.clear();
     }
 
@@ -652,12 +652,12 @@
     }
 
     /// Removes the user of a job.
-    pub fn drop_user(&mut self, job: &str) {
+    pub fn remove_user(&mut self, job: &str) {
         self.users.retain(|user| user.spec.id.as_str() != job);
     }
 
     /// Applies operators' settings, which limit how often tasks of a class may fail; `text` is their TOML.
-    pub fn limit(&mut self, text: &str) {
+    pub fn set_operator_settings(&mut self, text: &str) {
         self.operators = oatloom::settings::operators(text).expect("valid settings");
         let classes = &self.operators.classes;
         for spec in self.region.outside.specs.values() {
@@ -734,7 +734,7 @@
     }
 
     fn faults_active(&self) -> bool {
-        self.now < self.calm_from && !self.faults.is_empty()
+        self.now < self.faults_end_at && !self.faults.is_empty()
     }
 
     fn clock(&self, node: usize) -> Now {
@@ -757,7 +757,7 @@
         let actions = controller.handle(clock, event);
         let entries = controller.take_usage_entries();
         let incarnation = self.nodes[node].incarnation;
-        self.entries.extend(entries.into_iter().map(|entry| (node, incarnation, entry)));
+        self.accounting_entries.extend(entries.into_iter().map(|entry| (node, incarnation, entry)));
         let mut hasher = DefaultHasher::new();
         (self.digest, node, clock.mono.0, format!("{actions:?}")).hash(&mut hasher);
         self.digest = hasher.finish();
@@ -837,7 +837,7 @@
         lane: OpClass,
         op: StoreOp,
     ) {
-        let spent = self.spent.entry(self.now / 1_000).or_default();
+        let spent = self.store_traffic.entry(self.now / 1_000).or_default();
         spent.0 += 1;
         spent.1 += if let StoreOp::Txn(txn) = &op { txn.changes.len() as u32 } else { 0 };
         if lane == OpClass::Watch
@@ -1018,7 +1018,7 @@
                 if reply.status != 599 {
                     let checker = &mut self.region.checker;
                     checker.answered(now, asked_at, &job, reply.status, &reply.body, submission);
-                    self.look_at_answer(&job, &reply, submission);
+                    self.check_user_response(&job, &reply, submission);
                 }
                 let Some(user) = self.users.iter_mut().find(|u| u.spec.id.as_str() == job) else {
                     return;
@@ -1039,9 +1039,11 @@
                     self.receive_status(&job, &reply.body);
                 }
             }
-            Sender::RawRequest(number) => self.looks.odd[number].answer = Some((now, reply)),
+            Sender::RawRequest(number) => {
+                self.looks.raw_requests[number].answer = Some((now, reply))
+            }
             Sender::DuplicateReport => {}
-            Sender::HealthProbe => self.probes.push((now, node, reply.status)),
+            Sender::HealthProbe => self.probe_results.push((now, node, reply.status)),
             Sender::Worker { host, report_id, sent_at } => {
                 let partitioned =
                     |w: &Worker| now < w.cut_until || self.is_partitioned(node, &w.place.zone);
@@ -1070,7 +1072,7 @@
             let delay = match held {
                 false => self.delay(),
                 // A report held back by a partition may arrive after it, long after the worker's timeout.
-                true if self.rng.random_bool(0.5) && self.leaky => {
+                true if self.rng.random_bool(0.5) && self.delivers_after_partition => {
                     self.rng.random_range(5_000..30_000)
                 }
                 true => continue,
@@ -1111,7 +1113,7 @@
     }
 
     /// The node that may issue orders, if any.
-    pub fn leads(&self) -> Option<usize> {
+    pub fn leader(&self) -> Option<usize> {
         (0..3).find(|n| self.may_issue_orders(*n))
     }
 
@@ -1121,7 +1123,7 @@
         controller.is_some_and(|controller| controller.valid_token(self.clock(node).mono).is_some())
     }
 
-    pub fn strike(&mut self, fault: Fault) {
+    pub fn inject_fault(&mut self, fault: Fault) {
         let now = self.now;
         log::info!("world {now}: {fault:?}");
         let host = self.region.some_machine(now).unwrap_or_default();
@@ -1129,10 +1131,10 @@
             Fault::Crash(node) => self.crash(node),
             Fault::CrashAll => (0..3).for_each(|n| self.crash(n)),
             Fault::StoreOutage(span) => self.outage_until = now + span,
-            Fault::Refused(node, span) => self.nodes[node].refused_until = now + span,
+            Fault::StoreRefuses(node, span) => self.nodes[node].refused_until = now + span,
             Fault::NodeFrozen(node, span) => self.nodes[node].frozen_until = now + span,
-            Fault::LeaderAsleep(span) => {
-                if let Some(node) = self.leads() {
+            Fault::LeaderPaused(span) => {
+                if let Some(node) = self.leader() {
                     let n = &mut self.nodes[node];
                     (n.frozen_until, n.paused_at) = (now + span, Some(now));
                     // The next event is handled, and then nothing until the node resumes.
@@ -1143,49 +1145,51 @@
                 self.crash(node);
                 self.nodes[node].restart_at = now + span;
             }
-            Fault::NodeCut(node, span) => self.nodes[node].cut_until = now + span,
-            Fault::NodeParted(node, span) => self.nodes[node].isolated_until = now + span,
-            Fault::LimitsFall => self.lower_limits(),
+            Fault::NodePartitioned(node, span) => self.nodes[node].cut_until = now + span,
+            Fault::NodeIsolated(node, span) => self.nodes[node].isolated_until = now + span,
+            Fault::LimitsLowered => self.lower_limits(),
             Fault::Upgrade(node, down_ms) => self.upgrade(node, down_ms),
             Fault::Leader(leader_fault) => {
                 // Without a valid leader, the fault hits a node that still considers itself the leader.
                 let believes_to_lead = |n: &usize| {
                     self.nodes[*n].controller.as_ref().is_some_and(|c| c.holds_leader_key())
                 };
-                let Some(node) = self.leads().or_else(|| (0..3).find(believes_to_lead)) else {
+                let Some(node) = self.leader().or_else(|| (0..3).find(believes_to_lead)) else {
                     return;
                 };
-                return self.strike(match leader_fault {
-                    Upon::Crash => Fault::Crash(node),
-                    Upon::Refused(span) => Fault::Refused(node, span),
-                    Upon::Cut(span) => Fault::NodeCut(node, span),
-                    Upon::Parted(span) => Fault::NodeParted(node, span),
-                    Upon::Down(span) => Fault::NodeDown(node, span),
+                return self.inject_fault(match leader_fault {
+                    LeaderFault::Crash => Fault::Crash(node),
+                    LeaderFault::StoreRefuses(span) => Fault::StoreRefuses(node, span),
+                    LeaderFault::Partitioned(span) => Fault::NodePartitioned(node, span),
+                    LeaderFault::Isolated(span) => Fault::NodeIsolated(node, span),
+                    LeaderFault::Down(span) => Fault::NodeDown(node, span),
                 });
             }
-            Fault::PeersApart(a, b, span) => self.partitioned_peers = (a, b, now + span),
-            Fault::LateWrites(span, share) => self.delayed_writes = (now + span, share),
-            Fault::AnswersLost(span, share) => self.write_replies_lost = (now + span, share),
+            Fault::PeersPartitioned(a, b, span) => self.partitioned_peers = (a, b, now + span),
+            Fault::DelayedWrites(span, share) => self.delayed_writes = (now + span, share),
+            Fault::WriteRepliesLost(span, share) => self.write_replies_lost = (now + span, share),
             Fault::DuplicateReports(span, share) => self.duplicate_reports = (now + span, share),
-            Fault::LateCommands(span, share) => self.delayed_commands = (now + span, share),
-            Fault::StoreSlow(span, factor) => self.slow_store = (now + span, factor),
-            Fault::MachinesDeaf(span, every) => {
+            Fault::DelayedCommands(span, share) => self.delayed_commands = (now + span, share),
+            Fault::SlowStore(span, factor) => self.slow_store = (now + span, factor),
+            Fault::MachinesInboundLost(span, every) => {
                 let up = self.region.workers.iter().filter(|(_, w)| now >= w.up_at);
                 let affected = up.map(|(host, _)| (host.clone(), now + span));
                 self.inbound_lost_until.extend(affected.step_by(every.max(1) as usize));
             }
             Fault::PollStorm(span, factor) => self.poll_storm = (now + span, factor),
-            Fault::Boots(span, slowdown, never) => {
+            Fault::SlowBoots(span, slowdown, never) => {
                 self.slow_boots_until = now + span;
                 self.region.boots = (f64::from(slowdown) / 1e3, f64::from(never) / 1e3);
             }
-            Fault::Apart(node, zone, span) => self.partitions.push((node, zone, now + span)),
-            Fault::Scarce(span) => {
+            Fault::NodeZonePartition(node, zone, span) => {
+                self.partitions.push((node, zone, now + span))
+            }
+            Fault::CapacityHalved(span) => {
                 self.reduced_capacity_until = now + span;
                 self.region.offer(self.site.capacity / 2);
             }
             Fault::MachineTerminated => self.region.take(&host),
-            Fault::HalfDie => {
+            Fault::HalfOfMachinesTerminated => {
                 let up = |(_, w): &(&String, &Worker)| now >= w.up_at;
                 let half: Vec<String> = self
                     .region
@@ -1198,17 +1202,17 @@
                 half.iter().for_each(|host| self.region.take(host));
             }
             Fault::CloudOutage(span) => self.cloud_outage_until = now + span,
-            Fault::CloudLate(span, delay) => self.cloud_delayed = (now + span, delay),
-            Fault::StoreLoses(span) => self.store_replies_lost_until = now + span,
+            Fault::CloudDelayed(span, delay) => self.cloud_delayed = (now + span, delay),
+            Fault::StoreRepliesLost(span) => self.store_replies_lost_until = now + span,
             Fault::StoreRestart => self.restart_store(),
             // Some of them are taken without notice.
-            Fault::SpotTaken => _ = self.region.take_spot(now, 3, 6_000),
+            Fault::SpotReclaimed => _ = self.region.take_spot(now, 3, 6_000),
             _ => {}
         }
         let Some(worker) = self.region.machine(&host) else { return };
         match fault {
             Fault::MachineHangs(span) => worker.hung_until = now + span,
-            Fault::MachineCut(span) => worker.cut_until = now + span,
+            Fault::MachinePartitioned(span) => worker.cut_until = now + span,
             Fault::FaultyMachine => worker.faulty = true,
             _ => {}
         }
@@ -1241,7 +1245,7 @@
                 Message::Event { node: watch.node, incarnation: watch.incarnation, event },
             );
         }
-        self.state.refill(self.now);
+        self.state.restore_leases(self.now);
     }
 
     fn crash(&mut self, node: usize) {
@@ -1272,7 +1276,7 @@
         self.wrong_plans =
             self.wrong_plans.max(self.nodes.iter().filter_map(invalid_starts).max().unwrap_or(0));
         if (0..3).filter(|n| self.may_issue_orders(*n)).count() > 1 {
-            self.two_leaders.get_or_insert(self.now);
+            self.two_leaders_at.get_or_insert(self.now);
         }
     }
 
@@ -1309,7 +1313,9 @@
                 continue;
             }
             let user = &self.users[at];
-            if self.quiet && self.region.checker.over(user.spec.id.as_str()).is_some() {
+            if self.stop_polling_when_final
+                && self.region.checker.over(user.spec.id.as_str()).is_some()
+            {
                 self.users[at].next_request_at = u64::MAX;
                 continue;
             }
@@ -1341,7 +1347,7 @@
             }
             self.users[at].requests_sent += 1;
             let node = self.rng.random_range(0..3);
-            let node = self.door.unwrap_or(node);
+            let node = self.load_balancer_target.unwrap_or(node);
             let from = Sender::User { job, submission: submit, abort, asked_at: now };
             let delay = self.delay();
             self.send(delay, Message::Request { node, from, request, forwarded: false });
@@ -1370,7 +1376,7 @@
         self.now += self.step_ms;
         let outage_ends = self.outage_until > 0 && self.now >= self.outage_until;
         if outage_ends {
-            self.state.refill(self.now);
+            self.state.restore_leases(self.now);
             self.outage_until = 0;
         }
         if self.outage_until == 0 {
@@ -1386,7 +1392,7 @@
         while let Some((_, fault)) = self.faults.first().copied().filter(|(at, _)| *at <= self.now)
         {
             self.faults.remove(0);
-            self.strike(fault);
+            self.inject_fault(fault);
             if self.faults.is_empty() {
                 // Keeps the list non-empty, so that random network faults go on until the recovery phase.
                 self.faults.push((u64::MAX, fault));
@@ -1444,13 +1450,13 @@
 
     /// Whether the simulation continues and has not reached `until`: it stops at the first broken rule, so that loops which
     /// wait for a condition end and the test fails instead of hanging.
-    pub fn before(&self, until: u64) -> bool {
+    pub fn continues_before(&self, until: u64) -> bool {
         self.now < until && self.region.checker.broken.is_empty()
     }
 
     /// Runs to the end of the recovery phase, by which all jobs must be finished.
-    pub fn play(&mut self) {
-        while self.before(self.calm_from + 190_000) {
+    pub fn run(&mut self) {
+        while self.continues_before(self.faults_end_at + 190_000) {
             self.step();
         }
     }
@@ -1472,8 +1478,11 @@
     /// other jobs.
     fn check_forgotten(&mut self) {
         let waiting = |u: &&User| {
-            let asks = u.accepted && u.abort_at.is_none_or(|at| self.now < at) && !self.quiet;
-            asks && self.now.saturating_sub(u.last_answered_at.max(self.calm_from)) > FORGOTTEN_MS
+            let asks = u.accepted
+                && u.abort_at.is_none_or(|at| self.now < at)
+                && !self.stop_polling_when_final;
+            asks && self.now.saturating_sub(u.last_answered_at.max(self.faults_end_at))
+                > FORGOTTEN_MS
         };
         let forgotten: Vec<String> =
             self.users.iter().filter(waiting).map(|u| u.spec.id.to_string()).collect();
@@ -1487,7 +1496,7 @@
     }
 
     /// Users cancel this share of the arrays and gangs, each at a random time in this range.
-    pub fn cancel_some(&mut self, share: f64, from: u64, to: u64) {
+    pub fn cancel_share(&mut self, share: f64, from: u64, to: u64) {
         let mut rng = ChaCha8Rng::seed_from_u64(self.rng.random());
         for user in self.users.iter_mut().filter(|u| u.spec.shape != Shape::Service) {
             let cancels = rng.random_bool(share);
@@ -1496,14 +1505,14 @@
     }
 
     /// Runs to the given time, or to the first broken rule.
-    pub fn play_to(&mut self, until: u64) {
-        while self.before(until) {
+    pub fn run_until(&mut self, until: u64) {
+        while self.continues_before(until) {
             self.step();
         }
     }
 
     /// The sizes of the controllers' queues, the largest of each.
-    pub fn load(&self) -> QueueSizes {
+    pub fn max_queue_load(&self) -> QueueSizes {
         let loads =
             self.nodes.iter().filter_map(|n| n.controller.as_ref()).map(Controller::queue_sizes);
         loads.fold(QueueSizes::default(), QueueSizes::field_maximum)
@@ -1511,7 +1520,7 @@
 
     /// Open tasks without a machine whose team's limit leaves room for at least one more task, and machines that
     /// are up.
-    pub fn unplaced(&self) -> (usize, usize) {
+    pub fn pending_tasks_and_machines_up(&self) -> (usize, usize) {
         let leader = self.nodes.iter().find_map(|n| n.controller.as_ref()?.leader_term());
         let pending = leader.map_or(0, |r| {
             let allowed = |j: &&Job| {
@@ -1554,7 +1563,7 @@
     }
 
     /// The highest durable failure count of each task, by job and index, including failures on machines found faulty.
-    pub fn charged(&self) -> BTreeMap<(String, u32), u32> {
+    pub fn max_failures(&self) -> BTreeMap<(String, u32), u32> {
         let mut most: BTreeMap<(String, u32), u32> = BTreeMap::new();
         for change in self.state.history() {
             let key = change.put.as_deref().unwrap_or_default();
@@ -1584,9 +1593,9 @@
     }
 
     /// The share of probes between two times that each node answered with 200.
-    pub fn healthy(&self, from: u64, to: u64) -> [f64; 3] {
+    pub fn healthy_probe_share(&self, from: u64, to: u64) -> [f64; 3] {
         let mut counts = [(0.0, 0.0); 3];
-        for (at, node, status) in &self.probes {
+        for (at, node, status) in &self.probe_results {
             if (from..to).contains(at) {
                 counts[*node].0 += f64::from(u8::from(*status == 200));
                 counts[*node].1 += 1.0;
@@ -1620,11 +1629,11 @@
     }
 
     /// The rows of the state service under a prefix.
-    pub fn stored(&self, prefix: &str) -> Vec<Row> {
+    pub fn stored_rows(&self, prefix: &str) -> Vec<Row> {
         self.state.rows(prefix)
     }
 
-    pub fn told(&self, status: JobStatus) -> usize {
+    pub fn count_with_known_status(&self, status: JobStatus) -> usize {
         self.users
             .iter()
             .filter(|u| self.region.checker.over(u.spec.id.as_str()) == Some(status))
--- a/tests/world/pipelines.rs
+++ b/tests/world/pipelines.rs
@@ -51,22 +51,29 @@
 
 /// The distribution from which pipelines are drawn.
 #[derive(Clone, Copy, Debug)]
-pub struct Draw {
+pub struct PipelineDistribution {
     pub count: usize,
     /// The time range in which their users arrive, in milliseconds.
-    pub from: u64,
-    pub to: u64,
+    pub arrive_from_ms: u64,
+    pub arrive_to_ms: u64,
     /// The share of pipelines with cancelled jobs, and how long after the user's arrival they are cancelled at the latest.
-    pub cancelled: f64,
-    pub cancelled_within: u64,
+    pub cancelled_share: f64,
+    pub max_cancel_delay_ms: u64,
     /// The share of last jobs that are submitted only when all their dependencies are finished.
-    pub late: f64,
+    pub late_share: f64,
 }
 
-impl Default for Draw {
+impl Default for PipelineDistribution {
     fn default() -> Self {
         let (cancelled, cancelled_within, late) = (0.35, 40_000, 0.3);
-        Self { count: 7, from: 2_000, to: 100_000, cancelled, cancelled_within, late }
+        Self {
+            count: 7,
+            arrive_from_ms: 2_000,
+            arrive_to_ms: 100_000,
+            cancelled_share: cancelled,
+            max_cancel_delay_ms: cancelled_within,
+            late_share: late,
+        }
     }
 }
 
@@ -124,7 +131,7 @@
 
 impl World {
     /// Adds users with random pipelines. Some of their first jobs depend on jobs of other users or of earlier pipelines.
-    pub fn add_pipelines(&mut self, seed: u64, draw: Draw) {
+    pub fn add_pipelines(&mut self, seed: u64, draw: PipelineDistribution) {
         let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x7069_7065);
         let finite = |user: &&User| user.spec.shape != Shape::Service;
         let mut known: Vec<JobId> =
@@ -149,10 +156,10 @@
         shape: PipelineShape,
         ids: &[JobId],
         known: &[JobId],
-        draw: Draw,
+        draw: PipelineDistribution,
         rng: &mut ChaCha8Rng,
     ) {
-        let at = rng.random_range(draw.from..draw.to);
+        let at = rng.random_range(draw.arrive_from_ms..draw.arrive_to_ms);
         let needs = dependency_indices(shape, ids.len(), rng);
         for (job, needed) in needs.iter().enumerate() {
             let mut spec = random_stage(ids[job].clone(), rng);
@@ -165,22 +172,22 @@
                 (spec.rank, spec.deadline_s) = (Rank::High, Some(rng.random_range(60.0..150.0)));
             }
             self.add_job_at(spec, at);
-            if last && rng.random_bool(draw.late) {
+            if last && rng.random_bool(draw.late_share) {
                 self.submit_last_after_dependencies();
             }
         }
-        if rng.random_bool(draw.cancelled) {
-            let cancelled_at = at + rng.random_range(0..draw.cancelled_within);
+        if rng.random_bool(draw.cancelled_share) {
+            let cancelled_at = at + rng.random_range(0..draw.max_cancel_delay_ms);
             // Cancels one or two jobs of the pipeline at once, with equal probability.
             let jobs = rng.random_range(1..3);
             for id in ids.choose_multiple(rng, jobs) {
-                self.call_off(id.as_str(), cancelled_at);
+                self.schedule_cancel(id.as_str(), cancelled_at);
             }
         }
     }
 
     /// A job's user, who arrives as planned, cancels it at the given time.
-    pub fn call_off(&mut self, job: &str, at: u64) {
+    pub fn schedule_cancel(&mut self, job: &str, at: u64) {
         if let Some(user) = self.users.iter_mut().find(|user| user.spec.id.as_str() == job) {
             user.abort_at = Some(at);
         }
@@ -265,7 +272,7 @@
 
     /// Checks a response to a user: a submission that names accepted jobs is never rejected permanently, and no final status is
     /// reported before the record from which it follows, of the job or of a dependency, is durable.
-    pub fn look_at_answer(&mut self, job: &str, reply: &HttpReply, submission: bool) {
+    pub fn check_user_response(&mut self, job: &str, reply: &HttpReply, submission: bool) {
         let Some(spec) = self.region.outside.specs.get(job) else { return };
         if submission && !spec.dependencies.is_empty() && matches!(reply.status, 400 | 422) {
             let text =
@@ -368,12 +375,12 @@
     }
 
     /// Runs until this many accepted jobs wait for dependencies; returns the time, or `None` if `until` comes first.
-    pub fn play_until_waiting(&mut self, jobs: usize, until: u64) -> Option<u64> {
-        while self.before(until) {
+    pub fn run_until_waiting(&mut self, jobs: usize, until: u64) -> Option<u64> {
+        while self.continues_before(until) {
             if self.waiting_jobs() >= jobs {
                 return Some(self.now);
             }
-            self.play_to(self.now + STEP_MS);
+            self.run_until(self.now + STEP_MS);
         }
         None
     }
--- a/tests/world/served.rs
+++ b/tests/world/served.rs
@@ -19,17 +19,17 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Share {
     pub wanted: u64,
-    pub had: u64,
+    pub received: u64,
 }
 
 impl Share {
     fn add(&mut self, wanted: u64, had: u64) {
         self.wanted += wanted;
-        self.had += had;
+        self.received += had;
     }
 
-    pub fn of(self) -> f64 {
-        if self.wanted == 0 { 1.0 } else { self.had as f64 / self.wanted as f64 }
+    pub fn ratio(self) -> f64 {
+        if self.wanted == 0 { 1.0 } else { self.received as f64 / self.wanted as f64 }
     }
 }
 
@@ -57,10 +57,10 @@
 
 impl Served {
     /// The lowest of the required shares.
-    pub fn least(&self) -> f64 {
+    pub fn lowest(&self) -> f64 {
         [self.accepted, self.started, self.done, self.up, self.answered, self.largest]
             .into_iter()
-            .map(Share::of)
+            .map(Share::ratio)
             .fold(1.0, f64::min)
     }
 }
@@ -69,8 +69,8 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let [a, s, d, u, q, l] =
             [self.accepted, self.started, self.done, self.up, self.answered, self.largest]
-                .map(Share::of);
-        let w = self.largest_whole.of();
+                .map(Share::ratio);
+        let w = self.largest_whole.ratio();
         write!(
             f,
             "accepted {a:.3}, started {s:.3}, done {d:.3}, up {u:.3}, answered {q:.3}, largest {l:.3} (whole {w:.3})"
@@ -80,7 +80,7 @@
 
 /// Observations of jobs, sampled once a second.
 #[derive(Debug, Default)]
-pub struct Watch {
+pub struct ServiceMonitor {
     /// The most tasks of each job on machines at once, and seconds of replicas up and wanted.
     max_running: HashMap<String, u32>,
     /// When a job first began, and when it was complete.
@@ -89,10 +89,10 @@
     up: HashMap<String, Share>,
     /// Replica seconds wanted, and those that all on-demand machines of the cloud could have provided if they served
     /// nothing else: services may not use spot machines.
-    pub bound: Share,
+    pub achievable_up: Share,
 }
 
-impl Watch {
+impl ServiceMonitor {
     /// Must be called once a second.
     pub fn look(&mut self, world: &World) {
         let mut running: HashMap<&str, u32> = HashMap::new();
@@ -142,7 +142,7 @@
                 wanted += user.spec.gpus * f64::from(user.spec.tasks);
             }
         }
-        self.bound.add(wanted as u64, wanted.min(world.gpus_offered()) as u64);
+        self.achievable_up.add(wanted as u64, wanted.min(world.gpus_offered()) as u64);
     }
 
     /// The results of each class and team, for a simulation that ends now.
@@ -173,7 +173,7 @@
                 let served = all.entry(name).or_default();
                 served.accepted.add(1, user.accepted.into());
                 served.answered.add(user.requests_sent.into(), user.requests_answered.into());
-                served.up.add(up.wanted, up.had);
+                served.up.add(up.wanted, up.received);
                 if came(user.arrives_at, MAX_BEGIN_DELAY_MS)
                     && user.abort_at.is_none()
                     && large(spec)
--- a/tests/world/solo.rs
+++ b/tests/world/solo.rs
@@ -15,20 +15,20 @@
 use oatloom_protocol::wire::{Catalog, Change, Flavor, Hire, MachineList, Txn};
 
 pub struct Solo {
-    pub core: Controller,
+    pub controller: Controller,
     pub state: State,
     pub now: u64,
     /// Which operations get their responses held back, and whether they are executed at once or on release.
-    pub hold: fn(&StoreOp) -> bool,
+    pub holds_reply: fn(&StoreOp) -> bool,
     pub execute_held: bool,
     pub held: Vec<(OpId, StoreOp, Option<StoreReply>)>,
     pub watches: Vec<(OpId, String, Revision)>,
     pub replies: Vec<(ConnId, HttpReply)>,
-    pub asked: Vec<(u64, PeerRequest)>,
+    pub peer_requests: Vec<(u64, PeerRequest)>,
     /// The cloud's response to a list request; `None`: busy, as for all other requests but the catalog.
-    pub list: Option<MachineList>,
+    pub machine_list: Option<MachineList>,
     /// Hire requests received by the cloud.
-    pub hires: Vec<Hire>,
+    pub hire_requests: Vec<Hire>,
     conns: u64,
 }
 
@@ -36,17 +36,17 @@
     /// Node 0 of three; nothing is held back.
     pub fn new() -> Self {
         Self {
-            core: Controller::new(settings(SETTINGS, 0), OperatorSettings::default(), 7),
+            controller: Controller::new(settings(SETTINGS, 0), OperatorSettings::default(), 7),
             state: State::default(),
             now: 0,
-            hold: |_| false,
+            holds_reply: |_| false,
             execute_held: false,
             held: Vec::new(),
             watches: Vec::new(),
             replies: Vec::new(),
-            asked: Vec::new(),
-            list: None,
-            hires: Vec::new(),
+            peer_requests: Vec::new(),
+            machine_list: None,
+            hire_requests: Vec::new(),
             conns: 0,
         }
     }
@@ -56,7 +56,7 @@
     }
 
     /// Another controller holds the leader key; returns its lease.
-    pub fn led_by_another(&mut self) -> LeaseId {
+    pub fn set_other_leader(&mut self) -> LeaseId {
         let StoreReply::Granted(lease) =
             self.state.execute(self.now, &StoreOp::Grant { ttl_ms: 600_000 })
         else {
@@ -76,7 +76,7 @@
         }
     }
 
-    pub fn ask(&mut self, request: Request) -> ConnId {
+    pub fn send_request(&mut self, request: Request) -> ConnId {
         self.conns += 1;
         let conn = ConnId(self.conns);
         self.event(Event::Request { conn, request, forwarded: false });
@@ -91,13 +91,13 @@
     pub fn event(&mut self, event: Event) {
         let mut events = vec![event];
         while let Some(event) = events.pop() {
-            for action in self.core.handle(self.clock(), event) {
+            for action in self.controller.handle(self.clock(), event) {
                 match action {
                     Action::Reply { conn, reply } => self.replies.push((conn, reply)),
                     Action::Store { id, op: StoreOp::Follow { prefix, after }, .. } => {
                         self.watches.push((id, prefix, after));
                     }
-                    Action::Store { id, op, .. } if (self.hold)(&op) => {
+                    Action::Store { id, op, .. } if (self.holds_reply)(&op) => {
                         let reply = self.execute_held.then(|| self.state.execute(self.now, &op));
                         self.held.push((id, op, reply));
                     }
@@ -109,18 +109,21 @@
                         let reply = CloudReply::Catalog(catalog());
                         events.push(Event::Cloud { id, reply });
                     }
-                    Action::Cloud { id, op: CloudOp::List { .. } } if self.list.is_some() => {
-                        let reply = self.list.clone().map_or(CloudReply::Busy, CloudReply::List);
+                    Action::Cloud { id, op: CloudOp::List { .. } }
+                        if self.machine_list.is_some() =>
+                    {
+                        let reply =
+                            self.machine_list.clone().map_or(CloudReply::Busy, CloudReply::List);
                         events.push(Event::Cloud { id, reply });
                     }
                     Action::Cloud { id, op } => {
                         if let CloudOp::Hire(hire) = op {
-                            self.hires.push(hire);
+                            self.hire_requests.push(hire);
                         }
                         events.push(Event::Cloud { id, reply: CloudReply::Busy });
                     }
                     Action::PeerRequest { id, request: question, .. } => {
-                        self.asked.push((id, question))
+                        self.peer_requests.push((id, question))
                     }
                     Action::Command { .. } => events.push(Event::CommandReply { report: None }),
                 }
@@ -129,7 +132,7 @@
     }
 
     /// Delivers the responses that were held back.
-    pub fn release(&mut self) {
+    pub fn release_held(&mut self) {
         for (id, op, reply) in std::mem::take(&mut self.held) {
             let reply = reply.unwrap_or_else(|| self.state.execute(self.now, &op));
             self.event(Event::Store { id, reply });
@@ -137,7 +140,7 @@
     }
 
     /// Advances the time in steps.
-    pub fn pass(&mut self, ms: u64) {
+    pub fn advance(&mut self, ms: u64) {
         let until = self.now + ms;
         while self.now < until {
             self.now += 50;
--- a/tests/world/state.rs
+++ b/tests/world/state.rs
@@ -79,7 +79,7 @@
     }
 
     /// All leases regain their full time after an outage.
-    pub fn refill(&mut self, now: u64) {
+    pub fn restore_leases(&mut self, now: u64) {
         for (ttl, end) in self.leases.values_mut() {
             *end = now + *ttl;
         }
--- a/tests/world/upgrades.rs
+++ b/tests/world/upgrades.rs
@@ -47,7 +47,7 @@
 impl World {
     /// Adds users with random jobs.
     pub fn add_users(&mut self, count: u64, rng: &mut ChaCha8Rng) {
-        let calm_from = self.calm_from;
+        let calm_from = self.faults_end_at;
         (0..count).for_each(|n| self.add_user(n, rng, calm_from));
     }
 
@@ -68,7 +68,7 @@
     }
 
     /// Whether every running controller knows that no other version is in use.
-    pub fn all_know_the_upgrade(&self) -> bool {
+    pub fn all_detected_upgrade(&self) -> bool {
         self.nodes.iter().filter_map(|node| node.controller.as_ref()).all(Controller::all_upgraded)
     }
 
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -8,7 +8,7 @@
 use oatloom_protocol::ids::{JobId, Zone};
 use oatloom_protocol::wire::{Flavor, JobSpec, Rank, Shape};
 use std::collections::BTreeSet;
-use world::{Fault, STEP_MS, World, more_days, show_log};
+use world::{Fault, STEP_MS, World, extra_seeds, init_log};
 
 const LOST_AT: u64 = 60_000;
 const LOST_FOR: u64 = 100_000;
@@ -73,20 +73,20 @@
 
 /// Machines that were rented in zone `a` while it was known to be lost, and in the other zones in the same time.
 fn hired_while_lost(seed: u64, more: impl IntoIterator<Item = (u64, Fault)>) -> (usize, usize) {
-    show_log();
+    init_log();
     let mut faults: Vec<(u64, Fault)> =
-        (0..3).map(|node| (LOST_AT, Fault::Apart(node, 0, LOST_FOR))).collect();
+        (0..3).map(|node| (LOST_AT, Fault::NodeZonePartition(node, 0, LOST_FOR))).collect();
     faults.extend(more);
     faults.sort_by_key(|(at, _)| *at);
-    let mut world = World::scripted(seed, faults, 190_000, None);
-    world.leaky = false;
+    let mut world = World::with_faults(seed, faults, 190_000, None);
+    world.delivers_after_partition = false;
     let mut known: BTreeSet<String> = BTreeSet::new();
     let (mut there, mut elsewhere) = (0, 0);
-    while world.before(LOST_AT + LOST_FOR) {
+    while world.continues_before(LOST_AT + LOST_FOR) {
         if world.now > LOST_AT - 30_000 && world.now.is_multiple_of(8_000) {
             world.add_job(array(world.now / 1_000));
         }
-        world.play_to(world.now + STEP_MS);
+        world.run_until(world.now + STEP_MS);
         let counts = world.now > LOST_AT + FOUND_AFTER;
         for (name, worker) in &world.region.workers {
             if known.insert(name.clone()) && counts {
@@ -94,7 +94,7 @@
             }
         }
     }
-    world.play();
+    world.run();
     let broken = &world.region.checker.broken;
     assert!(broken.is_empty(), "seed {seed} breaks rules: {broken:#?}");
     let unfinished = world.unfinished();
@@ -108,12 +108,12 @@
 #[test]
 fn nothing_is_hired_where_nothing_reports() {
     let (mut there, mut elsewhere) = (0, 0);
-    for seed in 0..6 + more_days() {
+    for seed in 0..6 + extra_seeds() {
         let (a, b) = hired_while_lost(seed, []);
         there += a;
         elsewhere += b;
     }
-    let most = 4 + 2 * more_days() as usize;
+    let most = 4 + 2 * extra_seeds() as usize;
     assert!(
         there <= most && elsewhere > 6,
         "{there} hired in the lost zone, {elsewhere} elsewhere"
@@ -124,14 +124,14 @@
 #[test]
 fn a_takeover_does_not_hire_in_a_lost_zone() {
     let (mut there, mut elsewhere) = (0, 0);
-    for seed in 100..106 + more_days() {
+    for seed in 100..106 + extra_seeds() {
         let crash = |node: usize| (LOST_AT + 45_000 + 15_000 * node as u64, Fault::Crash(node));
         let (a, b) = hired_while_lost(seed, (0..3).map(crash));
         there += a;
         elsewhere += b;
     }
     // One a day is hired on purpose, to see whether the zone lives.
-    let most = 12 + 6 + 2 * more_days() as usize;
+    let most = 12 + 6 + 2 * extra_seeds() as usize;
     assert!(there <= most, "{there} hired in the lost zone, {elsewhere} elsewhere");
 }
 
@@ -140,11 +140,11 @@
 #[test]
 fn a_leader_that_begins_from_nothing_does_not_hire_in_a_lost_zone() {
     let (mut there, mut elsewhere) = (0, 0);
-    for seed in 200..206 + more_days() {
+    for seed in 200..206 + extra_seeds() {
         let (a, b) = hired_while_lost(seed, [(LOST_AT + 12_000, Fault::CrashAll)]);
         there += a;
         elsewhere += b;
     }
-    let most = 2 + more_days() as usize;
+    let most = 2 + extra_seeds() as usize;
     assert!(there <= most, "{there} hired in the lost zone, {elsewhere} elsewhere");
 }
