--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -139,8 +139,8 @@
     }
     let mut neglect = NeglectTracker::default();
     let job = || BTreeSet::from(["req-1".to_owned()]);
-    assert!(neglect.look(0, job()).is_empty());
-    assert_eq!(neglect.look(NEGLECTED_MS + 1, job()), ["req-1"]);
+    assert!(neglect.update(0, job()).is_empty());
+    assert_eq!(neglect.update(NEGLECTED_MS + 1, job()), ["req-1"]);
     assert_eq!(neglect.longest_wait_ms, NEGLECTED_MS + 1);
 }
 
--- a/tests/looks.rs
+++ b/tests/looks.rs
@@ -98,20 +98,21 @@
     for seed in seeds(12) {
         let mut world = day(seed, leader_faults(seed), 40_000);
         world.restart_ms = [50, 1_000][seed as usize % 2];
-        (world.looks.enabled, world.looks.abort_on_accept_share) = (true, 0.3);
+        (world.aggressive_users.enabled, world.aggressive_users.abort_on_accept_share) =
+            (true, 0.3);
         add_jobs(&mut world, 16, 1_800, |n| one_task(&job_id(n), 1 + n as u32 % 4));
         world.cancel_share(0.25, 10_000, 38_000);
         request_early(&mut world, seed, 16, 1_800, |n| one_task(&job_id(n), 1 + n as u32 % 4));
         world.run_finely_until(45_000);
         world.run_until(150_000);
         assert_finished(&world, &format!("seed {seed}"));
-        accepted += world.looks.accepted;
-        done += world.looks.done;
-        cancelled += world.looks.cancelled;
+        accepted += world.aggressive_users.accepted;
+        done += world.aggressive_users.done;
+        cancelled += world.aggressive_users.cancelled;
         assert!(
-            world.looks.requests_sent > 600,
+            world.aggressive_users.requests_sent > 600,
             "seed {seed}: {} requests",
-            world.looks.requests_sent
+            world.aggressive_users.requests_sent
         );
     }
     println!(
@@ -130,7 +131,8 @@
         let mut faults = vec![(6_000, Fault::WriteRepliesLost(30_000, share))];
         faults.extend(leader_faults(seed));
         let mut world = day(seed, faults, 50_000);
-        (world.looks.enabled, world.looks.abort_on_accept_share) = (true, 0.2);
+        (world.aggressive_users.enabled, world.aggressive_users.abort_on_accept_share) =
+            (true, 0.2);
         add_jobs(&mut world, 14, 2_000, |n| one_task(&job_id(n), 1 + n as u32 % 4));
         world.cancel_share(0.25, 10_000, 38_000);
         request_early(&mut world, seed, 14, 2_000, |n| one_task(&job_id(n), 1 + n as u32 % 4));
@@ -157,9 +159,9 @@
         };
         let mut world = day(seed, Vec::new(), 60_000);
         world.restart_ms = [50, 300, 1_000, 5_000][seed as usize % 4];
-        world.looks.enabled = seed % 2 == 0;
-        world.looks.abort_on_end = (0.8, [60, 300, 900, 4_500][(seed / 4) as usize % 4]);
-        world.looks.fault_at_end = strike;
+        world.aggressive_users.enabled = seed % 2 == 0;
+        world.aggressive_users.abort_on_end = (0.8, [60, 300, 900, 4_500][(seed / 4) as usize % 4]);
+        world.aggressive_users.fault_at_end = strike;
         add_jobs(&mut world, 16, 1_500, |n| match n % 3 {
             0 => small_array(&job_id(n), 1 + n as u32 % 5),
             _ => one_task(&job_id(n), 1 + n as u32 % 5),
@@ -167,7 +169,7 @@
         world.run_finely_until(50_000);
         world.run_until(130_000);
         assert_finished(&world, &format!("seed {seed}"));
-        for id in world.looks.cancelled_at_end.clone() {
+        for id in world.aggressive_users.cancelled_at_end.clone() {
             raced += 1;
             match world.region.checker.over(&id) {
                 Some(JobStatus::Done) => as_done += 1,
@@ -222,8 +224,9 @@
         let context = format!("seed {seed}, {faults:?}");
         let mut world = day(seed, faults, 80_000);
         world.restart_ms = [50, 300, 1_000, 5_000][rng.random_range(0..4)];
-        (world.looks.enabled, world.looks.abort_on_accept_share) = (true, 0.15);
-        world.looks.abort_on_end = (0.4, rng.random_range(50..3_000));
+        (world.aggressive_users.enabled, world.aggressive_users.abort_on_accept_share) =
+            (true, 0.15);
+        world.aggressive_users.abort_on_end = (0.4, rng.random_range(50..3_000));
         add_jobs(&mut world, 30, 1_700, |n| match n % 3 {
             0 => small_array(&job_id(n), 1 + n as u32 % 7),
             _ => one_task(&job_id(n), 1 + n as u32 % 7),
@@ -246,7 +249,7 @@
     let (mut done, mut cancelled) = (0, 0);
     for seed in seeds(24) {
         let mut world = day(seed, Vec::new(), 60_000);
-        world.looks.enabled = true;
+        world.aggressive_users.enabled = true;
         add_jobs(&mut world, 8, 200, |n| one_task(&job_id(n), 20));
         world.step_ms = FINE_STEP_MS;
         while world.now < 50_000 && !(0..8).any(|n| world.region.checker.is_done(&job_id(n), 0)) {
@@ -285,7 +288,7 @@
     let (mut ran, mut confirmed) = (0, 0);
     for seed in seeds(12) {
         let mut world = day(seed, Vec::new(), 115_000);
-        world.looks.enabled = true;
+        world.aggressive_users.enabled = true;
         add_jobs(&mut world, 10, 300, |n| small_array(&job_id(n), 300));
         let at = 30_000;
         world.run_until(at - 500);
@@ -330,7 +333,7 @@
     for seed in seeds(16) {
         let mut world = day(seed, Vec::new(), 60_000);
         world.restart_ms = [50, 300, 1_000, 5_000][seed as usize / 4 % 4];
-        world.looks.enabled = true;
+        world.aggressive_users.enabled = true;
         add_jobs(&mut world, 12, 300, |n| match n % 2 {
             0 => small_array(&job_id(n), 200),
             _ => one_task(&job_id(n), 200),
@@ -384,7 +387,7 @@
         let mut faults = leader_faults(seed);
         faults.retain(|_| seed % 2 == 1);
         let mut world = day(seed, faults, 45_000);
-        world.looks.enabled = true;
+        world.aggressive_users.enabled = true;
         add_jobs(&mut world, 24, 1_000, |n| one_task(&job_id(n), 30));
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut placed = BTreeSet::new();
@@ -409,7 +412,7 @@
         world.run_until(130_000);
         assert_finished(&world, &format!("seed {seed}"));
         for id in placed {
-            let started = world.looks.started.contains(&id);
+            let started = world.aggressive_users.started.contains(&id);
             *(if started { &mut started_jobs } else { &mut unstarted_jobs }) += 1;
         }
     }
@@ -567,12 +570,12 @@
         assert_finished(&world, &format!("seed {seed}"));
         let is_unavailable =
             |request: &&RawRequest| request.answer.as_ref().is_some_and(|(_, r)| r.status == 503);
-        let unavailable = world.looks.raw_requests.iter().filter(is_unavailable).count();
+        let unavailable = world.aggressive_users.raw_requests.iter().filter(is_unavailable).count();
         assert!(
             seed % 4 > 0 || unavailable * 20 < sent.len(),
             "seed {seed}: {unavailable} answered with 503"
         );
-        for (request, (id, status)) in world.looks.raw_requests.iter().zip(&sent) {
+        for (request, (id, status)) in world.aggressive_users.raw_requests.iter().zip(&sent) {
             let (_, reply) =
                 request.answer.as_ref().unwrap_or_else(|| panic!("no answer to {request:?}"));
             *counts.entry(reply.status).or_default() += 1;
--- a/tests/machines.rs
+++ b/tests/machines.rs
@@ -72,7 +72,7 @@
     world.save_reports(0.4, given);
     world.run_checked_until(FAULTS_END_MS + 190_000);
     assert_finished(&world, &context);
-    world.machines.met
+    world.machine_faults.met
 }
 
 /// Guards against a new leader that takes the tasks which an old report lists, or doesn't list, for the present state.
@@ -220,7 +220,7 @@
                 world.now
             );
         }
-        let commanded = &world.machines.told;
+        let commanded = &world.machine_faults.command_times;
         assert!(
             commanded.len() * 2 > silenced,
             "{context}: {} of {silenced} got commands",
@@ -652,7 +652,7 @@
     }
     world.run_checked_until(FAULTS_END_MS + 190_000);
     assert_finished(&world, &format!("seed {seed}"));
-    world.machines.met
+    world.machine_faults.met
 }
 
 /// Guards against late orders of a failed or deposed leader that undo or repeat decisions of the next one: only stops are sent
--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -6,7 +6,7 @@
 use oatloom_protocol::wire::{JobStatus, Shape};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use world::troubles::trouble;
+use world::troubles::random_fault;
 use world::{Fault, LeaderFault, World, assert_rules, extra_seeds, init_log, small_array};
 
 const CALM_MS: u64 = 150_000;
@@ -18,10 +18,10 @@
     for n in 0..3 {
         let at = 8_000 + n * 40_000 + rng.random_range(0..8_000);
         let (span, gap) = (rng.random_range(1_000..60_000), rng.random_range(0..20_000));
-        faults.push((at, trouble(&mut rng, span)));
+        faults.push((at, random_fault(&mut rng, span)));
         for k in 1..troubles {
             let further = rng.random_range(1_000..30_000);
-            faults.push((at + gap / k, trouble(&mut rng, further)));
+            faults.push((at + gap / k, random_fault(&mut rng, further)));
         }
     }
     faults.sort_by_key(|(at, _)| *at);
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -18,7 +18,7 @@
 use world::pipelines::PipelineDistribution;
 use world::state::State;
 use world::state::limits::StateLimits;
-use world::troubles::trouble;
+use world::troubles::random_fault;
 use world::upgrades::site_with_next_limits;
 use world::{Fault, LeaderFault, Site, World, assert_finished, extra_seeds, init_log, small_array};
 
@@ -252,12 +252,12 @@
     };
     let committed = |reply: &StoreReply| matches!(reply, StoreReply::Committed(_));
     let mut state = State::default();
-    state.limit(StateLimits::new(&facts(8.0, 16, 25.0), 0));
+    state.set_limits(StateLimits::new(&facts(8.0, 16, 25.0), 0));
     assert!(committed(&state.serve(0, &large)));
     assert!(committed(&state.serve(0, &txn_of(16))));
     assert!(matches!(state.serve(0, &txn_of(17)), StoreReply::Throttled), "the burst is used up");
     assert!(matches!(state.serve(2_000, &txn_of(17)), StoreReply::Malformed(_)));
-    state.limit(StateLimits::new(&facts(2.0, 5, 18.0), 10_000));
+    state.set_limits(StateLimits::new(&facts(2.0, 5, 18.0), 10_000));
     assert!(matches!(state.serve(10_000, &large), StoreReply::Malformed(_)));
     assert!(matches!(state.serve(10_000, &txn_of(6)), StoreReply::Malformed(_)));
     assert!(committed(&state.serve(11_000, &txn_of(5))));
@@ -325,10 +325,10 @@
     for n in 0..2 {
         let at = 8_000 + n * 50_000 + rng.random_range(0..10_000);
         let longest = rng.random_range(1_000..45_000);
-        faults.push((at, trouble(&mut rng, longest)));
+        faults.push((at, random_fault(&mut rng, longest)));
         for k in 1..overlapping {
             let span = rng.random_range(1_000..30_000);
-            faults.push((at + rng.random_range(0..20_000) / k, trouble(&mut rng, span)));
+            faults.push((at + rng.random_range(0..20_000) / k, random_fault(&mut rng, span)));
         }
     }
     faults.sort_by_key(|(at, _)| *at);
@@ -516,7 +516,7 @@
         world.run_finely_until(world.now + 3_000);
         world.run();
         assert_finished(&world, &format!("seed {seed}"));
-        requests += world.looks.requests_sent;
+        requests += world.aggressive_users.requests_sent;
     }
     assert!(requests > 500, "{requests}");
 }
@@ -543,7 +543,7 @@
     let mut world = World::with_faults(seed, leader_and_store_faults(seed), 70_000, None);
     world.remove_users();
     world.restart_ms = [50, 1_000][(seed % 2) as usize];
-    world.looks.enabled = true;
+    world.aggressive_users.enabled = true;
     prepare(&mut world);
     world.add_pipelines(seed, draw);
     world.run_finely_until(50_000);
@@ -578,8 +578,9 @@
 fn dependencies_cancelled_during_submission_have_one_outcome() {
     let mut outcomes = Outcomes::default();
     for seed in 100..112 + extra_seeds() {
-        let world =
-            reactive_day(seed, OFTEN_CANCELLED, |world| world.looks.abort_on_accept_share = 0.25);
+        let world = reactive_day(seed, OFTEN_CANCELLED, |world| {
+            world.aggressive_users.abort_on_accept_share = 0.25
+        });
         outcomes.add(&world);
     }
     outcomes.assert_all_occurred("cancelled at acceptance");
@@ -595,10 +596,10 @@
         let strike = [None, Some((4, Fault::Leader(LeaderFault::Crash)))][(seed / 2 % 2) as usize];
         let draw = PipelineDistribution { cancelled_share: 0.0, ..OFTEN_CANCELLED };
         let world = reactive_day(seed, draw, |world| {
-            world.looks.abort_on_end = (0.4, within);
-            world.looks.fault_at_end = strike;
+            world.aggressive_users.abort_on_end = (0.4, within);
+            world.aggressive_users.fault_at_end = strike;
         });
-        cancelled_at_end += world.looks.cancelled_at_end.len();
+        cancelled_at_end += world.aggressive_users.cancelled_at_end.len();
         outcomes.add(&world);
     }
     outcomes.assert_all_occurred("cancelled at the end");
@@ -611,7 +612,7 @@
     for seed in 300..312 + extra_seeds() {
         let mut world = World::with_faults(seed, leader_and_store_faults(seed), 70_000, None);
         world.remove_users();
-        world.looks.enabled = true;
+        world.aggressive_users.enabled = true;
         for n in 0..6 {
             let spec = JobSpec {
                 dependencies: (n > 0).then(|| job_id(n - 1)).into_iter().collect(),
@@ -650,8 +651,8 @@
         (0..3).for_each(|node| world.send_raw_request(node, "POST", "/v2/runs", &text));
     }
     world.run_until(40_000);
-    assert_eq!(world.looks.raw_requests.len(), 6);
-    for odd in &world.looks.raw_requests {
+    assert_eq!(world.aggressive_users.raw_requests.len(), 6);
+    for odd in &world.aggressive_users.raw_requests {
         let status = odd.answer.as_ref().map(|(_, reply)| reply.status);
         assert_eq!(status, Some(422), "{odd:?}");
     }
--- a/tests/upgrade_days.rs
+++ b/tests/upgrade_days.rs
@@ -12,7 +12,7 @@
 use rand_chacha::ChaCha8Rng;
 use serde_json::json;
 use world::pipelines::PipelineDistribution;
-use world::troubles::trouble;
+use world::troubles::random_fault;
 use world::upgrades::site_with_next_limits;
 use world::{Fault, LeaderFault, World, assert_finished, extra_seeds, init_log, small_array};
 
@@ -143,7 +143,7 @@
             world.run_until(world.now + 700);
         }
         let answers: Vec<u16> = world
-            .looks
+            .aggressive_users
             .raw_requests
             .iter()
             .filter_map(|odd| odd.answer.as_ref().map(|(_, reply)| reply.status))
@@ -223,7 +223,7 @@
         for _ in 0..rng.random_range(1..4) {
             let at = rng.random_range(10_000..90_000);
             let span = rng.random_range(1_000..40_000);
-            faults.push((at, trouble(&mut rng, span)));
+            faults.push((at, random_fault(&mut rng, span)));
         }
         faults
     });
@@ -279,7 +279,7 @@
         for _ in 0..rng.random_range(1..4) {
             let at = rng.random_range(60_000..110_000);
             let span = rng.random_range(1_000..40_000);
-            beside.push((at, trouble(&mut rng, span)));
+            beside.push((at, random_fault(&mut rng, span)));
         }
         fall(seed, beside)
     });
--- a/tests/world/limits.rs
+++ b/tests/world/limits.rs
@@ -23,7 +23,7 @@
 
 impl NeglectTracker {
     /// Records which jobs could run now; returns those that have waited for too long.
-    pub fn look(&mut self, now: u64, runnable: BTreeSet<String>) -> Vec<String> {
+    pub fn update(&mut self, now: u64, runnable: BTreeSet<String>) -> Vec<String> {
         self.since.retain(|job, _| runnable.contains(job));
         let mut overdue = Vec::new();
         for job in runnable {
@@ -189,7 +189,7 @@
             return;
         }
         let runnable = self.runnable_jobs();
-        for job in self.neglect_tracker.look(self.now, runnable) {
+        for job in self.neglect_tracker.update(self.now, runnable) {
             let text =
                 format!("{job} could run but waits: {:?}", self.region.outside.specs.get(&job));
             self.region.checker.fail(self.now, "neglected", text);
--- a/tests/world/looks.rs
+++ b/tests/world/looks.rs
@@ -78,7 +78,7 @@
                 Request::Abort(id)
             }
         };
-        self.looks.requests_sent += 1;
+        self.aggressive_users.requests_sent += 1;
         let submission = matches!(look, UserRequest::Submit | UserRequest::SubmitIncomplete);
         let (abort, asked_at) = (look == UserRequest::Abort, self.now + after);
         let from = Sender::User { job: job.to_owned(), submission, abort, asked_at };
@@ -100,24 +100,24 @@
 
     /// A user has received the status of its job.
     pub(super) fn receive_status(&mut self, job: &str, body: &str) {
-        if !self.looks.enabled {
+        if !self.aggressive_users.enabled {
             return;
         }
         let value: serde_json::Value = serde_json::from_str(body).unwrap_or_default();
         let Ok(status) = serde_json::from_value::<JobStatus>(value["status"].clone()) else {
             return;
         };
-        let before = self.looks.last_status.get(job).copied();
+        let before = self.aggressive_users.last_status.get(job).copied();
         if before.is_some() && (!status.is_final() || before.is_some_and(JobStatus::is_final)) {
             return;
         }
-        self.looks.last_status.insert(job.to_owned(), status);
+        self.aggressive_users.last_status.insert(job.to_owned(), status);
         match status {
-            JobStatus::Done => self.looks.done += 1,
-            JobStatus::Cancelled => self.looks.cancelled += 1,
-            _ => self.looks.accepted += 1,
+            JobStatus::Done => self.aggressive_users.done += 1,
+            JobStatus::Cancelled => self.aggressive_users.cancelled += 1,
+            _ => self.aggressive_users.accepted += 1,
         }
-        if !status.is_final() && self.rng.random_bool(self.looks.abort_on_accept_share) {
+        if !status.is_final() && self.rng.random_bool(self.aggressive_users.abort_on_accept_share) {
             // Sent to some or all nodes, each before or after the queries.
             for node in 0..3 {
                 if self.rng.random_bool(0.6) {
@@ -131,18 +131,19 @@
 
     /// Handles jobs whose last task has just ended on its machine.
     pub(super) fn step_aggressive_users(&mut self) {
-        let (share, within) = self.looks.abort_on_end;
+        let (share, within) = self.aggressive_users.abort_on_end;
         if share <= 0.0 {
             return;
         }
         let checker = &self.region.checker;
-        let fresh = |job: &String| checker.all_done(job) && !self.looks.ended_jobs.contains(job);
+        let fresh =
+            |job: &String| checker.all_done(job) && !self.aggressive_users.ended_jobs.contains(job);
         let accepted = self.users.iter().filter(|u| u.accepted);
         let jobs: Vec<String> = accepted.map(|u| u.spec.id.to_string()).filter(fresh).collect();
         for job in jobs {
-            self.looks.ended_jobs.insert(job.clone());
-            let nth = self.looks.ended_jobs.len();
-            if let Some((every, fault)) = self.looks.fault_at_end
+            self.aggressive_users.ended_jobs.insert(job.clone());
+            let nth = self.aggressive_users.ended_jobs.len();
+            if let Some((every, fault)) = self.aggressive_users.fault_at_end
                 && nth.is_multiple_of(every)
             {
                 let at = self.now + self.rng.random_range(0..=within);
@@ -151,7 +152,7 @@
             if !self.rng.random_bool(share) || self.region.checker.over(&job).is_some() {
                 continue;
             }
-            self.looks.cancelled_at_end.insert(job.clone());
+            self.aggressive_users.cancelled_at_end.insert(job.clone());
             for _ in 0..self.rng.random_range(1..4) {
                 let (node, after) =
                     (self.rng.random_range(0..3), self.rng.random_range(0..=within));
@@ -174,7 +175,7 @@
                 if let Order::Run { task, .. } = order
                     && let Some((job, _)) = task.rsplit_once('/')
                 {
-                    self.looks.started.insert(job.to_owned());
+                    self.aggressive_users.started.insert(job.to_owned());
                 }
             }
         }
@@ -182,13 +183,13 @@
 
     /// Sends a raw HTTP request to a node; one that fails to parse is answered at once without the controller.
     pub fn send_raw_request(&mut self, node: usize, method: &str, path: &str, body: &str) {
-        let number = self.looks.raw_requests.len();
+        let number = self.aggressive_users.raw_requests.len();
         let what = format!("{method} {path} {body}");
         let (answer, request) = match parse(method, path, body.as_bytes()) {
             Ok(request) => (None, Some(request)),
             Err(reply) => (Some((self.now, reply)), None),
         };
-        self.looks.raw_requests.push(RawRequest { node, request: what, answer });
+        self.aggressive_users.raw_requests.push(RawRequest { node, request: what, answer });
         if let Some(request) = request {
             let delay = self.delay();
             let from = Sender::RawRequest(number);
--- a/tests/world/machines.rs
+++ b/tests/world/machines.rs
@@ -52,7 +52,7 @@
     silent_until: BTreeMap<String, u64>,
     pub met: Coverage,
     /// When direct commands arrived at each silent machine.
-    pub told: BTreeMap<String, Vec<u64>>,
+    pub command_times: BTreeMap<String, Vec<u64>>,
     /// Token, session and number of the latest report of each machine that a leader had processed.
     last_processed: BTreeMap<HostId, (Token, Shift, u64)>,
 }
@@ -62,7 +62,7 @@
     pub fn save_reports(&mut self, share: f64, given: ReplayTiming) {
         let rng = ChaCha8Rng::seed_from_u64(self.now ^ 0x6d61_6368);
         let last_token = self.leader().and_then(|n| self.leader_term_of(n)).map(|r| r.token);
-        self.machines.saved =
+        self.machine_faults.saved =
             Some(SavedReports { rng, share, timing: given, reports: Vec::new(), last_token });
     }
 
@@ -72,12 +72,12 @@
         let up = self.region.workers.iter().filter(|(_, w)| now >= w.up_at && !w.tasks.is_empty());
         let affected: Vec<String> = up.map(|(host, _)| host.clone()).step_by(every).collect();
         let count = affected.len();
-        self.machines.silent_until.extend(affected.into_iter().map(|host| (host, until)));
+        self.machine_faults.silent_until.extend(affected.into_iter().map(|host| (host, until)));
         count
     }
 
     pub fn is_silent(&self, host: &str) -> bool {
-        self.machines.silent_until.get(host).is_some_and(|until| self.now < *until)
+        self.machine_faults.silent_until.get(host).is_some_and(|until| self.now < *until)
     }
 
     /// A zone's machines and its controller reach nothing outside it; users and the cloud still reach the controller.
@@ -100,7 +100,7 @@
 
     /// A report is about to leave its machine: may save a copy, and returns whether it cannot be sent.
     pub(super) fn intercept_report(&mut self, host: &str, report: &Report) -> bool {
-        if let Some(saved) = &mut self.machines.saved
+        if let Some(saved) = &mut self.machine_faults.saved
             && saved.rng.random_bool(saved.share)
         {
             if saved.reports.len() == MAX_SAVED_REPORTS {
@@ -110,14 +110,14 @@
             saved.reports.push(report.clone());
         }
         let silent = self.is_silent(host);
-        self.machines.met.unsent_reports += usize::from(silent);
+        self.machine_faults.met.unsent_reports += usize::from(silent);
         silent
     }
 
     /// A direct command arrives at a machine, in time if its sender still waits for the response.
     pub(super) fn record_command(&mut self, host: &str, in_time: bool) {
         if in_time && self.is_silent(host) {
-            self.machines.told.entry(host.to_owned()).or_default().push(self.now);
+            self.machine_faults.command_times.entry(host.to_owned()).or_default().push(self.now);
         }
     }
 
@@ -125,7 +125,7 @@
     pub(super) fn record_late_command(&mut self, host: &str, command: &Command) {
         let leader = self.leader().and_then(|n| self.leader_term_of(n)).map(|term| term.token);
         let Some(worker) = self.region.workers.get(host) else { return };
-        let met = &mut self.machines.met;
+        let met = &mut self.machine_faults.met;
         if worker.token > command.token.0 {
             met.outranked += 1;
         } else if worker.shift == command.shift.0 && leader.is_some_and(|now| now > command.token) {
@@ -149,11 +149,11 @@
     pub(super) fn replay_reports(&mut self) {
         let Some(node) = self.leader() else { return };
         let Some(token) = self.leader_term_of(node).map(|term| term.token) else { return };
-        let Some(mut saved) = self.machines.saved.take() else { return };
+        let Some(mut saved) = self.machine_faults.saved.take() else { return };
         let acted = self.region.workers.values().any(|w| w.token == token.0);
         if saved.last_token == Some(token) || saved.timing == ReplayTiming::AfterFirstAck && !acted
         {
-            self.machines.saved = Some(saved);
+            self.machine_faults.saved = Some(saved);
             return;
         }
         saved.last_token = Some(token);
@@ -177,7 +177,7 @@
         }
         // Some are also delivered to the next leader after this one.
         saved.reports.truncate(MAX_SAVED_REPORTS / 4);
-        self.machines.saved = Some(saved);
+        self.machine_faults.saved = Some(saved);
     }
 
     fn record_replayed(&mut self, leader: usize, report: &Report) {
@@ -193,7 +193,7 @@
             })
         };
         let older_attempt = worker.is_some_and(gone);
-        let met = &mut self.machines.met;
+        let met = &mut self.machine_faults.met;
         met.replayed += 1;
         met.before_first_report += usize::from(first);
         met.older_session += usize::from(older_session);
@@ -234,7 +234,8 @@
             .map(|m| (m.id.clone(), m.session, m.report_seq.0))
             .collect();
         for (host, shift, tally) in latest {
-            let before = self.machines.last_processed.insert(host.clone(), (token, shift, tally));
+            let before =
+                self.machine_faults.last_processed.insert(host.clone(), (token, shift, tally));
             if before.is_some_and(|b| b.0 == token && (b.1, b.2) > (shift, tally)) {
                 violations.push(format!(
                     "{host}: went back from {before:?} to {shift:?}, report {tally}"
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -329,7 +329,7 @@
     /// Length of a step in milliseconds, a divisor of [`STEP_MS`].
     pub step_ms: u64,
     /// Users who send extra requests within milliseconds of a response.
-    pub looks: AggressiveUsers,
+    pub aggressive_users: AggressiveUsers,
     /// Which two nodes cannot reach each other, and until when.
     partitioned_peers: (usize, usize, u64),
     /// Until when messages to these machines are lost.
@@ -375,7 +375,7 @@
     /// Task graph clients and the invariants checked for them.
     pub clients: Clients,
     /// Faults that concern the reports of machines.
-    pub machines: machines::MachineFaults,
+    pub machine_faults: machines::MachineFaults,
     users: Vec<User>,
     faults: Vec<(u64, Fault)>,
     partitions: Vec<(usize, usize, u64)>,
@@ -511,7 +511,7 @@
             delayed_commands: (0, 0),
             write_replies_lost: (0, 0),
             step_ms: STEP_MS,
-            looks: AggressiveUsers::default(),
+            aggressive_users: AggressiveUsers::default(),
             partitioned_peers: (0, 0, 0),
             inbound_lost_until: BTreeMap::new(),
             poll_storm: (0, 1),
@@ -538,7 +538,7 @@
             neglect_tracker: NeglectTracker::default(),
             slow_links: (0, 0, 0),
             clients: Clients::default(),
-            machines: machines::MachineFaults::default(),
+            machine_faults: machines::MachineFaults::default(),
             users: Vec::new(),
             faults: Vec::new(),
             partitions: Vec::new(),
@@ -1040,7 +1040,7 @@
                 }
             }
             Sender::RawRequest(number) => {
-                self.looks.raw_requests[number].answer = Some((now, reply))
+                self.aggressive_users.raw_requests[number].answer = Some((now, reply))
             }
             Sender::DuplicateReport => {}
             Sender::HealthProbe => self.probe_results.push((now, node, reply.status)),
--- a/tests/world/state.rs
+++ b/tests/world/state.rs
@@ -33,7 +33,7 @@
 
 impl State {
     /// Enforces these limits from now on.
-    pub fn limit(&mut self, limits: StateLimits) {
+    pub fn set_limits(&mut self, limits: StateLimits) {
         self.limits = Some(limits);
     }
 
--- a/tests/world/troubles.rs
+++ b/tests/world/troubles.rs
@@ -5,7 +5,7 @@
 use rand_chacha::ChaCha8Rng;
 
 /// Draws a fault that lasts about `span` milliseconds.
-pub fn trouble(rng: &mut ChaCha8Rng, span: u64) -> Fault {
+pub fn random_fault(rng: &mut ChaCha8Rng, span: u64) -> Fault {
     let node = rng.random_range(0..3);
     match rng.random_range(0..23) {
         0 => Fault::Crash(node),
--- a/tests/world/upgrades.rs
+++ b/tests/world/upgrades.rs
@@ -40,7 +40,7 @@
 /// A state service with the limits of a site's settings.
 pub(super) fn limited_state(site: &Site) -> State {
     let mut state = State::default();
-    state.limit(StateLimits::new(&settings(&site.settings, 0).facts.state, 0));
+    state.set_limits(StateLimits::new(&settings(&site.settings, 0).facts.state, 0));
     state
 }
 
@@ -92,7 +92,7 @@
     /// The state service enforces the lower limits that the settings announce, from now on.
     pub(super) fn lower_limits(&mut self) {
         let facts = settings(&self.site.settings, 0).facts.state.strictest();
-        self.state.limit(StateLimits::new(&facts, self.now));
+        self.state.set_limits(StateLimits::new(&facts, self.now));
         self.limits_lowered = true;
     }
 
