--- a/tests/machines.rs
+++ b/tests/machines.rs
@@ -72,7 +72,7 @@
     world.save_reports(0.4, given);
     world.run_checked_until(FAULTS_END_MS + 190_000);
     assert_finished(&world, &context);
-    world.machine_faults.met
+    world.machine_faults.coverage
 }
 
 /// Guards against a new leader that takes the tasks which an old report lists, or doesn't list, for the present state.
@@ -652,7 +652,7 @@
     }
     world.run_checked_until(FAULTS_END_MS + 190_000);
     assert_finished(&world, &format!("seed {seed}"));
-    world.machine_faults.met
+    world.machine_faults.coverage
 }
 
 /// Guards against late orders of a failed or deposed leader that undo or repeat decisions of the next one: only stops are sent
--- a/tests/served.rs
+++ b/tests/served.rs
@@ -194,7 +194,7 @@
     let mut watch = ServiceMonitor::default();
     while world.continues_before(world.faults_end_at) {
         world.run_until((world.now / 1_000 + 1) * 1_000);
-        watch.look(world);
+        watch.sample(world);
         look(world);
     }
     let broken = &world.region.checker.broken;
--- a/tests/world/machines.rs
+++ b/tests/world/machines.rs
@@ -50,7 +50,7 @@
 pub struct MachineFaults {
     saved: Option<SavedReports>,
     silent_until: BTreeMap<String, u64>,
-    pub met: Coverage,
+    pub coverage: Coverage,
     /// When direct commands arrived at each silent machine.
     pub command_times: BTreeMap<String, Vec<u64>>,
     /// Token, session and number of the latest report of each machine that a leader had processed.
@@ -110,7 +110,7 @@
             saved.reports.push(report.clone());
         }
         let silent = self.is_silent(host);
-        self.machine_faults.met.unsent_reports += usize::from(silent);
+        self.machine_faults.coverage.unsent_reports += usize::from(silent);
         silent
     }
 
@@ -125,7 +125,7 @@
     pub(super) fn record_late_command(&mut self, host: &str, command: &Command) {
         let leader = self.leader().and_then(|n| self.leader_term_of(n)).map(|term| term.token);
         let Some(worker) = self.region.workers.get(host) else { return };
-        let met = &mut self.machine_faults.met;
+        let met = &mut self.machine_faults.coverage;
         if worker.token > command.token.0 {
             met.outranked += 1;
         } else if worker.shift == command.shift.0 && leader.is_some_and(|now| now > command.token) {
@@ -193,7 +193,7 @@
             })
         };
         let older_attempt = worker.is_some_and(gone);
-        let met = &mut self.machine_faults.met;
+        let met = &mut self.machine_faults.coverage;
         met.replayed += 1;
         met.before_first_report += usize::from(first);
         met.older_session += usize::from(older_session);
--- a/tests/world/served.rs
+++ b/tests/world/served.rs
@@ -94,7 +94,7 @@
 
 impl ServiceMonitor {
     /// Must be called once a second.
-    pub fn look(&mut self, world: &World) {
+    pub fn sample(&mut self, world: &World) {
         let mut running: HashMap<&str, u32> = HashMap::new();
         for task in world.region.checker.on_machines() {
             *running.entry(&task.job).or_default() += 1;
