--- a/crates/core/src/api.rs
+++ b/crates/core/src/api.rs
@@ -6,7 +6,7 @@
 use oatloom_graph::requests::{Ask, Look};
 use oatloom_ledger::query::UsageQuery;
 use oatloom_membership::Gossip;
-use oatloom_protocol::constants::BODY_BYTES;
+use oatloom_protocol::constants::MAX_BODY_BYTES;
 use oatloom_protocol::ids::JobId;
 use oatloom_protocol::reply::HttpReply;
 use oatloom_protocol::wire::{JobSpec, Report};
@@ -123,7 +123,7 @@
 pub fn parse(method: &str, path: &str, body: &[u8]) -> Result<Request, HttpReply> {
     let (path, query) = path.split_once('?').unwrap_or((path, ""));
     let method_not_allowed = || HttpReply::error(405, "method not allowed");
-    if body.len() > BODY_BYTES {
+    if body.len() > MAX_BODY_BYTES {
         return Err(HttpReply::error(413, "the body is over 64 KiB"));
     }
     match path {
@@ -244,7 +244,7 @@
         assert_eq!(status("DELETE", "/v2/runs/req-1", ""), 405);
         assert_eq!(status("GET", "/v2/runs", ""), 405);
         assert_eq!(status("POST", "/v1/report", "{"), 400);
-        assert_eq!(status("POST", "/v2/runs", &"x".repeat(BODY_BYTES + 1)), 413);
+        assert_eq!(status("POST", "/v2/runs", &"x".repeat(MAX_BODY_BYTES + 1)), 413);
         assert_eq!(status("POST", "/v2/runs/req-1/abort", ""), 0);
     }
 }
--- a/crates/core/src/cloud.rs
+++ b/crates/core/src/cloud.rs
@@ -3,7 +3,7 @@
 use crate::constants::*;
 use oatloom_protocol::ids::{HostId, Millis, Mono, Token, Zone};
 use oatloom_protocol::settings::CloudFacts;
-use oatloom_protocol::wire::{Catalog, Hire, Listed, MachineList};
+use oatloom_protocol::wire::{Catalog, HireRequest, ListedMachine, MachineList};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// A call to the cloud API.
@@ -11,7 +11,7 @@
 pub enum CloudOp {
     Catalog,
     List { after: String },
-    Hire(Hire),
+    Hire(HireRequest),
     Release(Vec<HostId>),
 }
 
@@ -37,8 +37,8 @@
     pub spot: bool,
 }
 
-impl From<&Hire> for MachineKind {
-    fn from(h: &Hire) -> Self {
+impl From<&HireRequest> for MachineKind {
+    fn from(h: &HireRequest) -> Self {
         Self { flavor: h.flavor.clone(), zone: h.zone.clone(), spot: h.spot }
     }
 }
@@ -48,15 +48,15 @@
 pub enum CloudEvent {
     Catalog(Catalog),
     /// A complete list, and when its first page was requested.
-    Listing(Vec<Listed>, Mono),
-    Hired(Hire, Vec<HostId>),
+    Listing(Vec<ListedMachine>, Mono),
+    Hired(HireRequest, Vec<HostId>),
     Released(Vec<HostId>),
     Nothing,
 }
 
 #[derive(Debug)]
 struct QueuedHire {
-    hire: Hire,
+    hire: HireRequest,
     tries: u32,
     sent: bool,
 }
@@ -72,7 +72,7 @@
     next_catalog: Mono,
     catalog_pending: bool,
     next_list: Mono,
-    list: Option<(Vec<Listed>, Mono)>,
+    list: Option<(Vec<ListedMachine>, Mono)>,
     list_pending: bool,
     hires: VecDeque<QueuedHire>,
     releases: BTreeSet<HostId>,
@@ -132,15 +132,15 @@
         }
         while number > 0 {
             self.counter += 1;
-            let hire = Hire {
-                request: format!("r-{}-{}", self.token, self.counter),
+            let hire = HireRequest {
+                request_id: format!("r-{}-{}", self.token, self.counter),
                 flavor: kind.flavor.clone(),
                 zone: kind.zone.clone(),
                 spot: kind.spot,
                 number: number.min(MAX_HIRE_MACHINES),
             };
             number -= hire.number;
-            log::info!("cloud: hiring {kind:?} by request {}", hire.request);
+            log::info!("cloud: hiring {kind:?} by request {}", hire.request_id);
             self.hires.push_back(QueuedHire { hire, tries: 0, sent: false });
         }
     }
@@ -166,7 +166,7 @@
 
     pub fn tick(&mut self, now: Mono, leading: bool, have_catalog: bool) -> Vec<CloudOp> {
         self.request_budget = (self.request_budget
-            + now.since(self.refilled_at).secs() * self.requests_per_s)
+            + now.since(self.refilled_at).as_secs() * self.requests_per_s)
             .min(self.requests_per_s.max(1.0));
         self.refilled_at = now;
         let mut ops = Vec::new();
@@ -260,11 +260,11 @@
         CloudEvent::Listing(rows, since)
     }
 
-    fn on_hire(&mut self, now: Mono, hire: &Hire, reply: CloudReply) -> CloudEvent {
+    fn on_hire(&mut self, now: Mono, hire: &HireRequest, reply: CloudReply) -> CloudEvent {
         let Some(first) = self.hires.front_mut() else {
             return CloudEvent::Nothing;
         };
-        if first.hire.request != hire.request {
+        if first.hire.request_id != hire.request_id {
             return CloudEvent::Nothing;
         }
         match reply {
@@ -273,7 +273,7 @@
                 if (hosts.len() as u32) < hire.number {
                     log::info!(
                         "cloud: request {} got {} of {}",
-                        hire.request,
+                        hire.request_id,
                         hosts.len(),
                         hire.number
                     );
@@ -296,7 +296,7 @@
                 CloudEvent::Nothing
             }
             other => {
-                log::warn!("cloud: request {} given up: {other:?}", hire.request);
+                log::warn!("cloud: request {} given up: {other:?}", hire.request_id);
                 self.hires.pop_front();
                 CloudEvent::Nothing
             }
@@ -360,7 +360,7 @@
     #[test]
     fn paged_lists_are_joined() {
         let (mut client, _) = client();
-        let row = |n: u32| Listed {
+        let row = |n: u32| ListedMachine {
             host: HostId::new(&format!("i-{n:06}")),
             addr: String::new(),
             flavor: "f".into(),
--- a/crates/core/src/controller/dependencies.rs
+++ b/crates/core/src/controller/dependencies.rs
@@ -53,7 +53,7 @@
         // An earlier version would load the job without its dependencies and start it.
         if !self.all_upgraded() {
             return self
-                .reply(conn, HttpReply::later("not every controller runs this version yet"));
+                .reply(conn, HttpReply::unavailable("not every controller runs this version yet"));
         }
         let unknown = spec.dependencies.clone();
         self.check_dependencies(now, DependencyCheck { conn, spec, forwarded, unknown });
@@ -92,7 +92,7 @@
         let conn = check.conn;
         let purpose = Purpose::CheckDependency { check: Box::new(check), record };
         if self.submit(now.mono, OpClass::General, StoreOp::Get { key }, purpose).is_err() {
-            self.reply(conn, HttpReply::later("the state service is busy"));
+            self.reply(conn, HttpReply::unavailable("the state service is busy"));
         }
     }
 
@@ -127,7 +127,7 @@
             }
             _ => {
                 if !self.forward_to_leader(now.mono, check.conn, &check.spec, check.forwarded) {
-                    let reply = HttpReply::later("the state service cannot be reached");
+                    let reply = HttpReply::unavailable("the state service cannot be reached");
                     self.reply(check.conn, reply);
                 }
             }
--- a/crates/core/src/controller/graphs.rs
+++ b/crates/core/src/controller/graphs.rs
@@ -72,7 +72,7 @@
         // Moved out of the leader term during the call, since the closures borrow the controller.
         let graphs = self.leader_term.as_mut().and_then(|leader_term| leader_term.graphs.take());
         let Some(mut graphs) = graphs else {
-            return self.reply(conn, HttpReply::later("graphs are being read"));
+            return self.reply(conn, HttpReply::unavailable("graphs are being read"));
         };
         let unfit = |spec: &JobSpec| self.rejection(spec);
         let team = |name: &str| self.settings.team(name).is_some();
@@ -103,7 +103,7 @@
     /// Reads the final answer of a graph that is not open on this controller.
     pub(super) fn read_graph(&mut self, now: Mono, conn: ConnId, request: Ask) {
         let Some(id) = request.graph() else {
-            return self.reply(conn, HttpReply::later("no leader can be reached"));
+            return self.reply(conn, HttpReply::unavailable("no leader can be reached"));
         };
         let op = StoreOp::Get { key: records::over_key(id) };
         let purpose = Purpose::FinishedGraph {
@@ -112,7 +112,7 @@
             step: FinalReadStep::Answer,
         };
         if self.submit(now, OpClass::General, op, purpose).is_err() {
-            self.reply(conn, HttpReply::later("the state service is busy"));
+            self.reply(conn, HttpReply::unavailable("the state service is busy"));
         }
     }
 
@@ -124,7 +124,7 @@
         step: FinalReadStep,
         reply: StoreReply,
     ) {
-        let unreadable = || HttpReply::later("its record cannot be read");
+        let unreadable = || HttpReply::unavailable("its record cannot be read");
         match (step, reply) {
             (FinalReadStep::Answer, StoreReply::Missing(_)) => {
                 // Only a leader that has loaded all graphs knows whether a graph is open; one that
@@ -143,7 +143,7 @@
                 } else if leads && not_open {
                     Desk::missing_reply(&request)
                 } else {
-                    HttpReply::later("no leader can be reached")
+                    HttpReply::unavailable("no leader can be reached")
                 };
                 self.reply(conn, reply);
             }
@@ -161,7 +161,7 @@
                         let step = FinalReadStep::Nodes(Box::new(record));
                         let purpose = Purpose::FinishedGraph { conn, request, step };
                         if self.submit(now, OpClass::General, op, purpose).is_err() {
-                            self.reply(conn, HttpReply::later("the state service is busy"));
+                            self.reply(conn, HttpReply::unavailable("the state service is busy"));
                         }
                     }
                     request => self.reply(conn, Desk::over_reply(id, request, &record)),
@@ -187,7 +187,7 @@
                 (view.next, view.more) = (last, more);
                 self.reply(conn, HttpReply::json(200, &view));
             }
-            _ => self.reply(conn, HttpReply::later("the state service cannot be reached")),
+            _ => self.reply(conn, HttpReply::unavailable("the state service cannot be reached")),
         }
     }
 
--- a/crates/core/src/controller/health.rs
+++ b/crates/core/src/controller/health.rs
@@ -44,7 +44,7 @@
                 let store_served = self.store_silence(now) <= UNHEALTHY_STORE_SILENCE_MS;
                 HttpReply::json(200, &serde_json::json!({ "up": true, "store": store_served }))
             }
-            other => HttpReply::later(other.description()),
+            other => HttpReply::unavailable(other.description()),
         }
     }
 
--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -322,7 +322,10 @@
     pub fn new(settings: Settings, operators: OperatorSettings, seed: u64) -> Self {
         let limits = limits::Limits::new(&settings.facts.state);
         Self {
-            leadership: Leadership::new(settings.member.clone(), settings.bound_alone()),
+            leadership: Leadership::new(
+                settings.member.clone(),
+                settings.exclusive_listen_address(),
+            ),
             store: StoreClient::new(&settings.facts.state, settings.peers.len() + 1),
             cloud_client: CloudClient::new(&settings.facts.cloud),
             rng: ChaCha8Rng::seed_from_u64(seed),
@@ -554,7 +557,7 @@
             self.on_peer_reply(now, id, None);
         }
         for conn in self.open_requests.expired(now.mono) {
-            self.reply(conn, HttpReply::later("took too long"));
+            self.reply(conn, HttpReply::unavailable("took too long"));
         }
     }
 
--- a/crates/core/src/controller/reports.rs
+++ b/crates/core/src/controller/reports.rs
@@ -83,7 +83,7 @@
     ) {
         self.drop_parked(&report.host);
         self.traffic.parked += 1;
-        let (session, sequence) = (report.shift, report.tally);
+        let (session, sequence) = (report.session, report.report_seq);
         // The worker has already waited for the time that the request was queued.
         let until = now.plus(Millis(MAX_PARK_MS.0.saturating_sub(self.queue_delay.0)));
         self.parked.park(report.host.clone(), conn, session, sequence, until, unprocessed);
--- a/crates/core/src/controller/usage.rs
+++ b/crates/core/src/controller/usage.rs
@@ -124,7 +124,7 @@
         let op = StoreOp::Get { key: CURSOR_KEY.to_owned() };
         let purpose = Purpose::Usage { conn, query, cursor: None };
         if self.submit(now, OpClass::General, op, purpose).is_err() {
-            self.reply(conn, HttpReply::later("the state service is busy"));
+            self.reply(conn, HttpReply::unavailable("the state service is busy"));
         }
     }
 
@@ -146,12 +146,15 @@
                 let answer = UsagePage::of(&query, found, more, cursor);
                 return self.reply(conn, HttpReply::json(200, &answer));
             }
-            _ => return self.reply(conn, HttpReply::later("the state service cannot be reached")),
+            _ => {
+                return self
+                    .reply(conn, HttpReply::unavailable("the state service cannot be reached"));
+            }
         };
         let op = StoreOp::List { prefix: ROLLUP_PREFIX.to_owned(), after: query.start_key() };
         let purpose = Purpose::Usage { conn, query, cursor: Some(cursor) };
         if self.submit(now, OpClass::General, op, purpose).is_err() {
-            self.reply(conn, HttpReply::later("the state service is busy"));
+            self.reply(conn, HttpReply::unavailable("the state service is busy"));
         }
     }
 }
--- a/crates/core/src/controller/users.rs
+++ b/crates/core/src/controller/users.rs
@@ -48,7 +48,7 @@
                 > self.user_inflight() =>
             {
                 self.traffic.user_requests += 1;
-                self.reply(conn, HttpReply::later("too many requests at once"));
+                self.reply(conn, HttpReply::unavailable("too many requests at once"));
             }
             Request::Submit(submission) => {
                 self.traffic.user_requests += 1;
@@ -73,7 +73,7 @@
     /// Maximum number of users' requests in flight.
     fn user_inflight(&self) -> usize {
         let max_requests =
-            self.settings.facts.limits.connections() as f64 * MAX_USER_INFLIGHT_SHARE;
+            self.settings.facts.limits.max_connections() as f64 * MAX_USER_INFLIGHT_SHARE;
         (max_requests as usize).max(MIN_USER_INFLIGHT_LIMIT)
     }
 
@@ -141,7 +141,7 @@
                 self.lookup(now.mono, conn, id, LookupReason::Submit(reply));
             }
             (Some(reply), ..) => self.reply(conn, reply),
-            (None, ..) => self.reply(conn, HttpReply::later("cannot decide")),
+            (None, ..) => self.reply(conn, HttpReply::unavailable("cannot decide")),
         }
     }
 
@@ -153,7 +153,7 @@
     /// Returns the reply that rejects a submission, if it cannot be accepted.
     pub(super) fn rejection(&self, spec: &JobSpec) -> Option<HttpReply> {
         let Some(catalog) = self.catalog() else {
-            return Some(HttpReply::later("the machine types are not known yet"));
+            return Some(HttpReply::unavailable("the machine types are not known yet"));
         };
         let unprocessable = |text: &str| Some(HttpReply::error(422, text));
         let Some(team) = self.settings.team(&spec.team) else {
@@ -213,7 +213,7 @@
         let sent_under = self.leadership.token();
         let purpose = Purpose::Accept { conn, record: Box::new(record), forwarded, sent_under };
         if self.submit(now.mono, OpClass::General, StoreOp::Txn(txn), purpose).is_err() {
-            self.reply(conn, HttpReply::later("the state service is busy"));
+            self.reply(conn, HttpReply::unavailable("the state service is busy"));
         }
     }
 
@@ -250,15 +250,15 @@
             }
             // The job exists: reading its keys again shows in which state.
             StoreReply::Conflict(_) | StoreReply::Lost => {
-                let later = HttpReply::later("not known whether it was accepted");
+                let later = HttpReply::unavailable("not known whether it was accepted");
                 self.lookup(now.mono, conn, id, LookupReason::Submit(later));
             }
             StoreReply::Malformed(text) => {
                 self.on_write_refused(&text);
-                self.reply(conn, HttpReply::later("the state service refused it"));
+                self.reply(conn, HttpReply::unavailable("the state service refused it"));
             }
             _ if self.forward_to_leader(now.mono, conn, &record.spec, forwarded) => {}
-            _ => self.reply(conn, HttpReply::later("the state service cannot be reached")),
+            _ => self.reply(conn, HttpReply::unavailable("the state service cannot be reached")),
         }
     }
 
@@ -288,7 +288,7 @@
         }
         if forwarded {
             // The peer that forwarded the request reads the state service itself.
-            return self.reply(conn, HttpReply::later("not the leader"));
+            return self.reply(conn, HttpReply::unavailable("not the leader"));
         }
         self.read_from_store(now.mono, conn, request);
     }
@@ -300,7 +300,7 @@
             PeerRequest::LeaderHints(_) | PeerRequest::Gossip(_) => {}
             PeerRequest::Graph(ask) => self.read_graph(now, conn, *ask),
             PeerRequest::Submit(_) => {
-                self.reply(conn, HttpReply::later("the state service cannot be reached"));
+                self.reply(conn, HttpReply::unavailable("the state service cannot be reached"));
             }
             // The worker tries the next controller after a second.
             PeerRequest::Report(_) => self.reply(conn, HttpReply::error(503, "no leader answers")),
@@ -346,7 +346,10 @@
                 match (leader_term.job_table.view(&id), leader_term.job_table.get(&id)) {
                     (Some(view), _) => self.reply(conn, HttpReply::json(200, &view)),
                     (None, Some(job)) if job.state != JobState::Finished => {
-                        self.reply(conn, HttpReply::later("its state is being written or read"));
+                        self.reply(
+                            conn,
+                            HttpReply::unavailable("its state is being written or read"),
+                        );
                     }
                     _ => self.lookup(now.mono, conn, id, LookupReason::View),
                 }
@@ -368,7 +371,7 @@
                         if now.mono < self.next_write {
                             self.reply(
                                 conn,
-                                HttpReply::later("the state service cannot be reached"),
+                                HttpReply::unavailable("the state service cannot be reached"),
                             );
                         } else {
                             self.end_waiters.entry(id).or_default().push(conn);
@@ -396,7 +399,7 @@
         let sent_under = self.leadership.token();
         let purpose = Purpose::Lookup { conn, id, reason, final_record, sent_under };
         if self.submit(now, OpClass::General, StoreOp::Get { key }, purpose).is_err() {
-            self.reply(conn, HttpReply::later("the state service is busy"));
+            self.reply(conn, HttpReply::unavailable("the state service is busy"));
         }
     }
 
@@ -428,12 +431,12 @@
                     }
                     Err(e) => {
                         log::error!("state service: {} cannot be decoded: {e}", row.key);
-                        self.reply(conn, HttpReply::later("its record cannot be read"));
+                        self.reply(conn, HttpReply::unavailable("its record cannot be read"));
                     }
                 }
             }
             StoreReply::Found(row) => self.on_live_record(now, conn, id, reason, (row, sent_under)),
-            _ => self.reply(conn, HttpReply::later("the state service cannot be reached")),
+            _ => self.reply(conn, HttpReply::unavailable("the state service cannot be reached")),
         }
     }
 
@@ -444,7 +447,7 @@
             Some(leader) if self.can_reach(&leader, now) => {
                 self.ask_peer(now, conn, leader, PeerRequest::View(id));
             }
-            _ => self.reply(conn, HttpReply::later("no leader can be reached")),
+            _ => self.reply(conn, HttpReply::unavailable("no leader can be reached")),
         }
     }
 
@@ -498,7 +501,7 @@
             LookupReason::View if !has_dependencies && !self.in_job_table(&id) => {
                 self.reply(conn, HttpReply::json(200, &JobView::queued(id)));
             }
-            _ => self.reply(conn, HttpReply::later("no leader can be reached")),
+            _ => self.reply(conn, HttpReply::unavailable("no leader can be reached")),
         }
     }
 }
--- a/crates/core/src/controller/writing.rs
+++ b/crates/core/src/controller/writing.rs
@@ -101,7 +101,7 @@
         let waiting = std::mem::take(&mut self.end_waiters);
         let waiting: Vec<ConnId> = waiting.into_values().flatten().collect();
         for conn in waiting {
-            self.reply(conn, HttpReply::later("the end could not be written yet"));
+            self.reply(conn, HttpReply::unavailable("the end could not be written yet"));
         }
     }
 
--- a/crates/core/src/jobs/fitting/tests.rs
+++ b/crates/core/src/jobs/fitting/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::jobs::tests::spec;
 use oatloom_ledger::entry::{AttemptEnd, UsageEntry};
-use oatloom_protocol::wire::Cause;
+use oatloom_protocol::wire::ExitCause;
 
 const SMALL: RecordLimits = RecordLimits { form: RecordForm::Packed, value: 1_884, most: 1_884 };
 
@@ -14,7 +14,7 @@
 fn hold(host: &str, attempt: u64) -> TaskAssignment {
     TaskAssignment {
         host: HostId::new(host),
-        session: Shift(1),
+        session: WorkerSession(1),
         zone: Zone::new("kalamaria"),
         attempt: Attempt(attempt),
         chunk_version: 0,
@@ -51,7 +51,7 @@
         held_ms: 99_999_999,
         ran_ms: 88_888_888,
         unseen_ms: 0,
-        end: AttemptEnd::Seen(Cause::Stopped),
+        end: AttemptEnd::Seen(ExitCause::Stopped),
         progress_saved: true,
         job_continues: true,
         checkpoint_ms: 30_000,
@@ -155,7 +155,7 @@
     }
     let cause = |n: u32| FailureCause {
         host: Some(HostId::new(&format!("machine-with-a-long-name-{n:030}"))),
-        cause: Cause::Error,
+        cause: ExitCause::Error,
         count: 1,
     };
     job_table.fail(
--- a/crates/core/src/jobs/job.rs
+++ b/crates/core/src/jobs/job.rs
@@ -20,7 +20,7 @@
 pub enum RunSent {
     No,
     /// In the answer to the report with this sequence number.
-    At(Tally),
+    At(ReportSeq),
     /// Possibly sent by an earlier leader.
     Inherited,
 }
@@ -48,7 +48,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct TaskAssignment {
     pub host: HostId,
-    pub session: Shift,
+    pub session: WorkerSession,
     pub zone: Zone,
     pub attempt: Attempt,
     /// First version of the chunk that contains the assignment. The start command is sent only once that
@@ -258,7 +258,7 @@
     /// Whether it is an array that has waited long with no task done or assigned and none assigned recently. A
     /// recent assignment matters because the task may have been stopped before it ran.
     pub fn is_starved(&self, now: Mono) -> bool {
-        let waited = |since: Mono, limit_s: f64| now.since(since).secs() > limit_s;
+        let waited = |since: Mono, limit_s: f64| now.since(since).as_secs() > limit_s;
         self.spec.shape == Shape::Array
             && self.done + self.assigned == 0
             && waited(self.released, FIRST_TASK_WAIT_S)
--- a/crates/core/src/jobs/mod.rs
+++ b/crates/core/src/jobs/mod.rs
@@ -138,7 +138,7 @@
         record: ChunkRecord,
         revision: Revision,
         now: Mono,
-    ) -> Vec<(u32, HostId, Shift)> {
+    ) -> Vec<(u32, HostId, WorkerSession)> {
         let job =
             self.jobs.entry(id.clone()).or_insert_with(|| Job::without_description(id, &record));
         if job.state == JobState::Waiting {
--- a/crates/core/src/jobs/packed.rs
+++ b/crates/core/src/jobs/packed.rs
@@ -9,7 +9,7 @@
 use base64::Engine;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use oatloom_policy::charges::ChargeRecord;
-use oatloom_protocol::ids::{Attempt, HostId, Shift, Zone};
+use oatloom_protocol::ids::{Attempt, HostId, WorkerSession, Zone};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -191,7 +191,7 @@
             first.saturating_add(task),
             Attempt(attempt),
             name,
-            Shift(shift as u64),
+            WorkerSession(shift as u64),
             zone.clone(),
         ));
     }
--- a/crates/core/src/jobs/packed/tests.rs
+++ b/crates/core/src/jobs/packed/tests.rs
@@ -5,7 +5,7 @@
 use rand_chacha::ChaCha8Rng;
 
 fn assignment(task: u32, attempt: u64, host: &str, zone: &str) -> AssignmentRow {
-    (task, Attempt(attempt), HostId::new(host), Shift(1), Zone::new(zone))
+    (task, Attempt(attempt), HostId::new(host), WorkerSession(1), Zone::new(zone))
 }
 
 fn random_assignments(rng: &mut ChaCha8Rng, first: u32) -> Vec<AssignmentRow> {
@@ -25,7 +25,7 @@
         let attempt = if rng.random_bool(0.02) { u64::MAX } else { attempt };
         let shift = if rng.random_bool(0.05) { rng.random() } else { rng.random_range(1..4) };
         let zone = Zone::new(["a", "b", "c"][rng.random_range(0..3)]);
-        held.push((task, Attempt(attempt), HostId::new(&host), Shift(shift), zone));
+        held.push((task, Attempt(attempt), HostId::new(&host), WorkerSession(shift), zone));
     }
     held
 }
--- a/crates/core/src/jobs/records.rs
+++ b/crates/core/src/jobs/records.rs
@@ -112,7 +112,7 @@
 }
 
 /// Task, attempt, host, shift, zone.
-pub type AssignmentRow = (u32, Attempt, HostId, Shift, Zone);
+pub type AssignmentRow = (u32, Attempt, HostId, WorkerSession, Zone);
 
 /// Form in which assignment records are written. Both are always readable.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/crates/core/src/jobs/tests.rs
+++ b/crates/core/src/jobs/tests.rs
@@ -44,7 +44,7 @@
 fn hold(host: &str) -> TaskAssignment {
     TaskAssignment {
         host: HostId::new(host),
-        session: Shift(1),
+        session: WorkerSession(1),
         zone: Zone::new("a"),
         attempt: Attempt(1),
         chunk_version: 0,
--- a/crates/core/src/operators.rs
+++ b/crates/core/src/operators.rs
@@ -5,7 +5,7 @@
 use oatloom_ledger::constants::USAGE_FLUSH_PERIOD_MS;
 use oatloom_policy::classes::Classes;
 use oatloom_protocol::ids::Millis;
-use oatloom_protocol::settings::{BadField, Settings};
+use oatloom_protocol::settings::{InvalidField, Settings};
 use serde::Deserialize;
 
 /// The operators' own settings; every field has a default.
@@ -66,24 +66,27 @@
     ///
     /// # Errors
     /// The first field that is out of range, with the allowed range.
-    pub fn check(&self) -> Result<(), BadField> {
+    pub fn check(&self) -> Result<(), InvalidField> {
         if self.log_level.parse::<log::LevelFilter>().is_err() {
-            return Err(BadField::new("log-level", "must be error, warn, info, debug or trace"));
+            return Err(InvalidField::new(
+                "log-level",
+                "must be error, warn, info, debug or trace",
+            ));
         }
         if !(100..=60_000).contains(&self.tick_ms) {
-            return Err(BadField::new("tick-ms", "must be from 100 to 60000"));
+            return Err(InvalidField::new("tick-ms", "must be from 100 to 60000"));
         }
         if !(self.beta > 0.0 && self.beta < 1.0) {
-            return Err(BadField::new("beta", "must be above 0 and below 1"));
+            return Err(InvalidField::new("beta", "must be above 0 and below 1"));
         }
         if !self.max_cores.is_finite() || self.max_cores < 0.0 {
-            return Err(BadField::new("max-cores", "must be a finite number, 0 or more"));
+            return Err(InvalidField::new("max-cores", "must be a finite number, 0 or more"));
         }
         if !(2.0..=1000.0).contains(&self.silent_reports) {
-            return Err(BadField::new("silent-reports", "must be from 2 to 1000"));
+            return Err(InvalidField::new("silent-reports", "must be from 2 to 1000"));
         }
         if !(500..=3_600_000).contains(&self.ledger_every_ms) {
-            return Err(BadField::new("ledger-every-ms", "must be from 500 to 3600000"));
+            return Err(InvalidField::new("ledger-every-ms", "must be from 500 to 3600000"));
         }
         self.graph_limits.check()?;
         Ok(())
@@ -94,13 +97,13 @@
     /// # Errors
     /// A class without an objective in the platform's settings, whose name is most likely misspelt. The default
     /// entry applies to classes without objectives.
-    pub fn check_with(&self, settings: &Settings) -> Result<(), BadField> {
+    pub fn check_with(&self, settings: &Settings) -> Result<(), InvalidField> {
         let known = |name: &&str| {
             settings.facts.objectives.iter().any(|o| o.class.as_deref() == Some(*name))
         };
         match self.classes.names().find(|name| !known(name)) {
             Some(name) => {
-                Err(BadField::new("classes", &format!("the settings know no class {name}")))
+                Err(InvalidField::new("classes", &format!("the settings know no class {name}")))
             }
             None => Ok(()),
         }
--- a/crates/core/src/owners.rs
+++ b/crates/core/src/owners.rs
@@ -8,7 +8,7 @@
 use crate::leadership::lease_end;
 use crate::store::StoreReply;
 use oatloom_protocol::ids::{LeaseId, Member, Mono, Revision, Token};
-use oatloom_protocol::wire::{Change, Condition, Logged, Row, Txn};
+use oatloom_protocol::wire::{Change, Condition, LoggedChange, Row, Txn};
 use oatloom_shares::{
     Action, Event, KeyHolder, KeyState, MapVersion, MemberIndex, OwnerRecord, OwnershipProtocol,
     ParsedRecord, ShareId, ShareMap, SharePhase, fallback_owner,
@@ -476,7 +476,7 @@
         self.watching = false;
         // The next list starts the watch again.
         let StoreReply::Changes(changes) = reply else { return };
-        for Logged { put, delete, value, version } in &changes.log {
+        for LoggedChange { put, delete, value, version } in &changes.log {
             if let Some(share) = put.as_deref().and_then(ShareId::from_key) {
                 let key = self.key_state(value, *version);
                 self.apply_event(Event::KeyRead { share, key }, requests);
--- a/crates/core/src/parked.rs
+++ b/crates/core/src/parked.rs
@@ -6,7 +6,7 @@
     MAX_PARKED_ANSWERS_PER_EVENT, MAX_PARKED_FULL_SCAN, PARKED_SWEEP_PERIOD_MS,
 };
 use crate::reply::ConnId;
-use oatloom_protocol::ids::{HostId, Mono, Shift, Tally};
+use oatloom_protocol::ids::{HostId, Mono, ReportSeq, WorkerSession};
 use oatloom_protocol::wire::Report;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,8 +14,8 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ParkedReport {
     pub conn: ConnId,
-    pub shift: Shift,
-    pub tally: Tally,
+    pub shift: WorkerSession,
+    pub tally: ReportSeq,
     /// Latest time of its answer, well before its worker times out.
     pub deadline: Mono,
     /// The report itself, if it has not been applied yet.
@@ -50,8 +50,8 @@
         &mut self,
         host: HostId,
         conn: ConnId,
-        shift: Shift,
-        tally: Tally,
+        shift: WorkerSession,
+        tally: ReportSeq,
         deadline: Mono,
         unread: Option<Box<Report>>,
     ) {
@@ -86,7 +86,7 @@
     /// Whether the same machine has a parked report that is at least as new.
     pub fn has_newer(&self, report: &Report) -> bool {
         let waiting = self.waiting.get(&report.host);
-        waiting.is_some_and(|p| (p.shift, p.tally) >= (report.shift, report.tally))
+        waiting.is_some_and(|p| (p.shift, p.tally) >= (report.session, report.report_seq))
     }
 
     /// Removes a machine's parked report: a newer one has come, or it is being answered.
--- a/crates/core/src/parked/tests.rs
+++ b/crates/core/src/parked/tests.rs
@@ -6,14 +6,28 @@
 fn an_answer_is_sent_before_its_worker_times_out() {
     let mut parked = ParkedReports::default();
     let host = HostId::new("i-1");
-    parked.park(host.clone(), ConnId(1), Shift(1), Tally(4), Mono(1_000).plus(MAX_PARK_MS), None);
+    parked.park(
+        host.clone(),
+        ConnId(1),
+        WorkerSession(1),
+        ReportSeq(4),
+        Mono(1_000).plus(MAX_PARK_MS),
+        None,
+    );
     assert!(parked.due(Mono(1_001), ParkedScan::Watched, |_, _| false).is_empty());
     assert_eq!(parked.due(Mono(1_001), ParkedScan::Watched, |h, _| *h == host).len(), 1);
     let late = Mono(1_000).plus(Millis(WORKER_ANSWER_TIMEOUT_MS.0 * 4 / 5));
     assert_eq!(parked.due(late, ParkedScan::Expired, |_, _| false).len(), 1);
     // A newer report replaces it: orders must not be sent with the answer to an older one.
-    parked.park(host.clone(), ConnId(2), Shift(1), Tally(5), Mono(2_000).plus(MAX_PARK_MS), None);
-    assert_eq!(parked.take(&host).map(|p| (p.conn, p.tally)), Some((ConnId(2), Tally(5))));
+    parked.park(
+        host.clone(),
+        ConnId(2),
+        WorkerSession(1),
+        ReportSeq(5),
+        Mono(2_000).plus(MAX_PARK_MS),
+        None,
+    );
+    assert_eq!(parked.take(&host).map(|p| (p.conn, p.tally)), Some((ConnId(2), ReportSeq(5))));
     assert!(parked.take(&host).is_none());
 }
 
@@ -26,8 +40,8 @@
         parked.park(
             host(n),
             ConnId(n as u64),
-            Shift(1),
-            Tally(1),
+            WorkerSession(1),
+            ReportSeq(1),
             Mono(1_000).plus(MAX_PARK_MS),
             None,
         );
--- a/crates/core/src/placement/exchange.rs
+++ b/crates/core/src/placement/exchange.rs
@@ -115,7 +115,7 @@
     /// Whether the replica belongs to a service that is fully up with no replica being stopped, and
     /// has run long enough: a replica that is moved again and again is of no use.
     fn is_settled(&self, job: &Job, index: u32) -> bool {
-        let settled = |at| self.now.since(at).secs() >= MIN_REPLICA_RUN_S;
+        let settled = |at| self.now.since(at).as_secs() >= MIN_REPLICA_RUN_S;
         job.spec.shape == Shape::Service
             && job.assigned == job.spec.tasks
             && job.assignments().all(|(_, hold)| hold.stop.is_none())
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -405,7 +405,7 @@
     fn starved(&self, need: &Need) -> bool {
         let job = need.job;
         job.assigned == 0
-            && (self.now.since(job.released).secs() > STARVATION_S
+            && (self.now.since(job.released).as_secs() > STARVATION_S
                 || !job.confined_to_failed_hosts()
                     && !self
                         .slot_pool
--- a/crates/core/src/placement/preemption.rs
+++ b/crates/core/src/placement/preemption.rs
@@ -34,7 +34,7 @@
     let placed_task = |(task, room): (&'m TaskId, &'m Resources)| {
         let job = job_table.get(&task.job)?;
         let hold = job.assignment(task.index)?;
-        let ran = hold.running_since.map_or(0.0, |t| now.since(t).secs());
+        let ran = hold.running_since.map_or(0.0, |t| now.since(t).as_secs());
         let lost = if job.spec.checkpoint_s > 0.0 { job.spec.save_s } else { ran };
         let loss = lost * room.cpus.max(0.1);
         let (spec, stopping) = (job.spec.clone(), hold.stop.is_some());
@@ -49,7 +49,7 @@
         let Some(within) = objective_s(self.settings, &job.spec.class, "wait") else {
             return false;
         };
-        let left = within - self.now.since(job.released).secs();
+        let left = within - self.now.since(job.released).as_secs();
         let boot = self
             .fleet
             .catalog
@@ -122,7 +122,7 @@
     pub(super) fn await_image_room(&mut self, need: &Need, fetch_s: f64) -> bool {
         let job = need.job;
         let wait_s = MAX_DOWN_REPLICA_WAIT_S.min(fetch_s * MAX_DOWN_REPLICA_WAIT_SHARE);
-        if self.now.since(job.lost_at).secs() >= wait_s {
+        if self.now.since(job.lost_at).as_secs() >= wait_s {
             return false;
         }
         self.plan.steps += self.fleet.machines.len() as u64;
--- a/crates/core/src/placement/slots.rs
+++ b/crates/core/src/placement/slots.rs
@@ -178,7 +178,7 @@
             // A machine that takes too long to boot is not waited for; another one can be hired.
             if !live
                 && !expected_back
-                && now.since(m.created_at).secs() > flavor.boot_s * MAX_BOOT_FACTOR
+                && now.since(m.created_at).as_secs() > flavor.boot_s * MAX_BOOT_FACTOR
             {
                 continue;
             }
@@ -452,7 +452,7 @@
     /// zone, so that among equal prices the zone with fewer machines wins and the loss of a zone
     /// costs less.
     pub fn weighted_price(&self, flavor: &Flavor, zone: &Zone, spot: bool) -> f64 {
-        flavor.price_as(spot)
+        flavor.hourly_price(spot)
             * (1.0 + f64::from(self.machines_in_zone(zone)) / ZONE_PRICE_DOUBLING_MACHINES)
     }
 
--- a/crates/core/src/placement/standby.rs
+++ b/crates/core/src/placement/standby.rs
@@ -16,7 +16,7 @@
     headroom: &Headroom,
 ) -> Vec<(Job, u32)> {
     let Some(boot_s) = fleet.min_boot_s() else { return Vec::new() };
-    let window_s = now.since(since).secs().min(ARRIVAL_WINDOW_S);
+    let window_s = now.since(since).as_secs().min(ARRIVAL_WINDOW_S);
     if !boot_s.is_finite() || window_s < boot_s {
         return Vec::new();
     }
@@ -29,7 +29,7 @@
         // a new leader finds, must not be taken for the rate of further arrivals.
         let bucket = buckets.entry((&spec.class, at.0 / ARRIVAL_BUCKET_MS.0)).or_default();
         *bucket += 1;
-        if now.since(*at).secs() <= window_s && *bucket <= MAX_ARRIVALS_PER_BUCKET {
+        if now.since(*at).as_secs() <= window_s && *bucket <= MAX_ARRIVALS_PER_BUCKET {
             let entry = classes.entry(&spec.class).or_insert((0, 0, 0, spec));
             *entry = (entry.0 + 1, entry.1 + spec.tasks, entry.2.max(spec.tasks), spec);
         }
@@ -102,7 +102,7 @@
                 && matches!(job.gang, GangState::Running(_))
                 && job.assigned == spec.tasks;
             let ran =
-                |h: &TaskAssignment| h.running_since.map_or(0.0, |t| self.now.since(t).secs());
+                |h: &TaskAssignment| h.running_since.map_or(0.0, |t| self.now.since(t).as_secs());
             let settled = |h: &TaskAssignment| h.stop.is_none() && ran(h) >= MIN_RUN_BEFORE_MOVE_S;
             if !movable || !job.assignments().all(|(_, h)| settled(h)) {
                 return None;
--- a/crates/core/src/reign/capacity.rs
+++ b/crates/core/src/reign/capacity.rs
@@ -218,7 +218,7 @@
         cloud: &mut CloudClient,
         now: Mono,
     ) {
-        let (target, floor, claims, headroom) = self.demand(settings, ops.tick().secs(), now);
+        let (target, floor, claims, headroom) = self.demand(settings, ops.tick().as_secs(), now);
         self.expected_jobs = {
             let first_arrival = self.job_table.arrivals.iter().map(|(at, _)| *at).min();
             let since = first_arrival.unwrap_or(self.started_at).min(self.started_at);
@@ -247,7 +247,7 @@
             self.planned_cores.min(rented)
         };
         // β is the factor per cut period, spread evenly over its ticks.
-        let beta = ops.beta.powf(ops.tick().secs() / DECREASE_PERIOD_MS.secs());
+        let beta = ops.beta.powf(ops.tick().as_secs() / DECREASE_PERIOD_MS.as_secs());
         let next = scaling::aimd_step(carried, target, bounds, beta);
         self.planned_cores = if rented <= target { next } else { next.max(target.min(rented)) };
         log::debug!(
@@ -354,7 +354,7 @@
             .filter(|m| m.reserved_for(now).is_none())
             .filter_map(|m| {
                 let f = self.fleet.flavor(&m.flavor)?;
-                Some((f.price_as(m.spot) / f.cpus.max(1.0), f.cpus, m.id.clone()))
+                Some((f.hourly_price(m.spot) / f.cpus.max(1.0), f.cpus, m.id.clone()))
             })
             .collect();
         idle.sort_by(|a, b| b.0.total_cmp(&a.0));
--- a/crates/core/src/reign/machines.rs
+++ b/crates/core/src/reign/machines.rs
@@ -41,7 +41,7 @@
     /// Applies a complete machine list. It may be older than the previous one, so a missing machine proves nothing.
     pub fn apply_machine_list(
         &mut self,
-        rows: &[Listed],
+        rows: &[ListedMachine],
         lag_s: f64,
         cloud: &mut CloudClient,
         now: Mono,
@@ -50,7 +50,7 @@
         for row in rows {
             if let Some(at) = self.fleet.tombstones.get(&row.host) {
                 // Listed long after its release: the hire took effect late, or the release had no effect.
-                if now.since(*at).secs() > 3.0 * lag_s + 40.0 {
+                if now.since(*at).as_secs() > 3.0 * lag_s + 40.0 {
                     cloud.release(&row.host);
                 }
                 continue;
@@ -110,7 +110,7 @@
     ) {
         let workers = &settings.facts.workers;
         let silent_after = Millis::from_secs(workers.report_s * ops.silent_reports);
-        let early_silence = Millis::from_secs(silent_after.secs() * EARLY_SILENCE_SHARE);
+        let early_silence = Millis::from_secs(silent_after.as_secs() * EARLY_SILENCE_SHARE);
         let taken_after = Millis::from_secs(workers.report_s * RECLAIMED_REPORT_PERIODS);
         let leader_known_by = self.silence_counted_from.plus(Millis::from_secs(MAX_REDIRECT_S));
         let silence = |m: &Machine| {
@@ -237,7 +237,7 @@
                 continue;
             };
             m.last_direct_command = now;
-            let command = Command { token: self.token, shift: m.session, orders };
+            let command = Command { token: self.token, session: m.session, orders };
             return Some((host, m.addr.clone(), command));
         }
     }
@@ -284,7 +284,7 @@
         let recently_hired = |m: &&Machine| {
             let boot_s = self.fleet.flavor(&m.flavor).map_or(0.0, |f| f.boot_s);
             m.state == MachineState::Booting
-                && now.since(m.created_at).secs() < boot_s * MAX_BOOT_FACTOR + lease_s
+                && now.since(m.created_at).as_secs() < boot_s * MAX_BOOT_FACTOR + lease_s
         };
         let hired = self.fleet.machines.values().filter(recently_hired).map(|m| m.zone.clone());
         hired.chain(cloud.pending_hires().map(|(kind, _)| kind.zone)).collect()
@@ -331,7 +331,7 @@
             let kinds = flavors_here.flat_map(|f| [true, false].map(|spot| (f, spot)));
             let priced_kinds = kinds.map(|(f, spot)| {
                 let kind = MachineKind { flavor: f.label.clone(), zone: zone.clone(), spot };
-                (f.price_as(spot), kind)
+                (f.hourly_price(spot), kind)
             });
             let cheapest = priced_kinds
                 .filter(|(_, kind)| !cloud.is_refused(kind, now))
@@ -361,12 +361,12 @@
                 };
                 // Before the cloud takes a machine, a task that cannot save its progress runs on if it
                 // may finish in time; otherwise it is stopped at once and starts again elsewhere.
-                let ran_s = hold.running_since.map_or(0.0, |t| now.since(t).secs());
+                let ran_s = hold.running_since.map_or(0.0, |t| now.since(t).as_secs());
                 let remaining_s = spec.estimate_s - ran_s;
                 let may_finish_in_time = m.reclaimed_at.is_some_and(|at| {
                     spec.checkpoint_s <= 0.0
                         && spec.shape != Shape::Service
-                        && remaining_s < at.since(now).secs()
+                        && remaining_s < at.since(now).as_secs()
                 });
                 if hold.stop.is_none() && !(may_finish_in_time && hold.run_sent != RunSent::No) {
                     stops.push((task.clone(), spec.save_s));
--- a/crates/core/src/reign/mod.rs
+++ b/crates/core/src/reign/mod.rs
@@ -27,8 +27,8 @@
 use oatloom_protocol::ids::*;
 use oatloom_protocol::settings::Settings;
 use oatloom_protocol::wire::{
-    Cause, Command, JobSpec, JobStatus, Listed, MachineStatus, Order, Report, ReportAnswer, Shape,
-    TaskPhase, TaskReport,
+    Command, ExitCause, JobSpec, JobStatus, ListedMachine, MachineStatus, Order, Report,
+    ReportAnswer, Shape, TaskPhase, TaskReport,
 };
 use oatloom_zones::{HirePolicy, ZoneObservation, ZoneStates};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/core/src/reign/repeats.rs
+++ b/crates/core/src/reign/repeats.rs
@@ -199,7 +199,7 @@
             Shape::Gang | Shape::Service => OnExhausted::FailJob,
         };
         let judged = job.charge_scope(index);
-        let cause = |(host, count)| FailureCause { host, cause: Cause::Error, count };
+        let cause = |(host, count)| FailureCause { host, cause: ExitCause::Error, count };
         let failure = Failure {
             class: job.spec.class.clone(),
             task: TaskId::new(id, index).to_string(),
--- a/crates/core/src/reign/reports.rs
+++ b/crates/core/src/reign/reports.rs
@@ -21,7 +21,7 @@
                 MachineState::Live | MachineState::Closing | MachineState::Draining
             ) && !m.addr.is_empty()
             {
-                let command = Command { token: self.token, shift: m.session, orders };
+                let command = Command { token: self.token, session: m.session, orders };
                 return Some((host, m.addr.clone(), command));
             }
         }
@@ -32,7 +32,7 @@
     /// that it shows as ended has ended.
     pub fn on_command_answer(&mut self, report: &Report, now: Mono) {
         let same_session =
-            self.fleet.machines.get(&report.host).is_some_and(|m| m.session == report.shift);
+            self.fleet.machines.get(&report.host).is_some_and(|m| m.session == report.session);
         if !same_session || report.token != self.token || self.stage != Stage::Active {
             return;
         }
@@ -71,7 +71,7 @@
                 now,
             );
             if freshness == Freshness::Confirmed {
-                self.add_start_orders(&report.host, report.shift, report.tally, &mut orders);
+                self.add_start_orders(&report.host, report.session, report.report_seq, &mut orders);
             }
         }
         Some(ReportAnswer { token: self.token, orders })
@@ -169,8 +169,8 @@
     pub fn answer_parked_report(
         &mut self,
         host: &HostId,
-        shift: Shift,
-        tally: Tally,
+        shift: WorkerSession,
+        tally: ReportSeq,
         now: Mono,
     ) -> Option<ReportAnswer> {
         let machine = self.fleet.machines.get_mut(host)?;
@@ -198,7 +198,8 @@
 
     /// Releases the tasks of older worker sessions: a newer session proves that they are gone.
     pub(super) fn release_old_sessions(&mut self, report: &Report, now: Mono) {
-        for (id, index) in self.tasks_assigned_to(&report.host, |hold| hold.session < report.shift)
+        for (id, index) in
+            self.tasks_assigned_to(&report.host, |hold| hold.session < report.session)
         {
             log::info!("task {id}/{index}: gone, {} has a new worker session", report.host);
             self.task_lost(&id, index, now);
@@ -208,7 +209,7 @@
     /// Whether the job table assigns this attempt of a task to the worker session that reports it.
     fn is_assigned_here(&self, task: &TaskId, attempt: Attempt, report: &Report) -> bool {
         self.job_table.assignment(task).is_some_and(|h| {
-            h.host == report.host && h.attempt == attempt && h.session == report.shift
+            h.host == report.host && h.attempt == attempt && h.session == report.session
         })
     }
 
@@ -286,7 +287,7 @@
                 );
                 continue;
             }
-            if row.cause == Some(Cause::Done) {
+            if row.cause == Some(ExitCause::Done) {
                 self.task_done_elsewhere(&task, now);
             }
             // The worker may forget the result only once it is durable.
@@ -347,7 +348,7 @@
         }
         for other in others {
             // These started and ended together with the reported task.
-            self.record_usage(id, other, AttemptEnd::Seen(Cause::Done), (false, ran_ms), now);
+            self.record_usage(id, other, AttemptEnd::Seen(ExitCause::Done), (false, ran_ms), now);
             self.release_task(id, other, true, now);
         }
     }
@@ -423,13 +424,13 @@
         host: &HostId,
         now: Mono,
     ) {
-        let cause = row.cause.unwrap_or(Cause::Error);
+        let cause = row.cause.unwrap_or(ExitCause::Error);
         log::debug!("task {task}: ended on {host}, {cause:?}");
         let id = &task.job;
         let (index, mut gang_failure) = (task.index, None);
         self.record_usage(id, index, AttemptEnd::Seen(cause), (row.stored, row.ran_ms), now);
         match cause {
-            Cause::Done => {
+            ExitCause::Done => {
                 if let Some(job) = self.job_table.get(id)
                     && let Some(machine) = self.fleet.machines.get_mut(host)
                 {
@@ -443,7 +444,7 @@
                 self.record_task_cost(task, now);
                 self.task_done(id, index, row.ran_ms, now);
             }
-            Cause::Stopped => {
+            ExitCause::Stopped => {
                 // A gang that has not started waits for a replacement of a task stopped by a drain.
                 let replaced = self.job_table.get(id).is_some_and(|j| {
                     let drained = |h: &TaskAssignment| {
@@ -455,11 +456,11 @@
                 self.release_task(id, index, false, now);
                 gang_failure = (!replaced).then_some("a task was stopped");
             }
-            Cause::Peers | Cause::Incomplete => {
+            ExitCause::Peers | ExitCause::Incomplete => {
                 self.release_task(id, index, false, now);
                 gang_failure = Some("its tasks lost each other");
             }
-            Cause::Error => {
+            ExitCause::Error => {
                 let failed =
                     self.job_table.assignment(task).map(|hold| FailedAttempt::of(hold, now));
                 self.release_task(id, index, false, now);
@@ -471,7 +472,7 @@
                 }
                 gang_failure = Some("a task failed");
             }
-            Cause::NoRoom => {
+            ExitCause::NoRoom => {
                 log::warn!("machine {host}: no room for {task}");
                 self.release_task(id, index, false, now);
                 if let Some(machine) = self.fleet.machines.get_mut(host) {
@@ -479,7 +480,7 @@
                 }
                 gang_failure = Some(TASK_REFUSED);
             }
-            Cause::Busy | Cause::Unknown => {
+            ExitCause::Busy | ExitCause::Unknown => {
                 log::warn!("machine {host}: refused {task}, {cause:?}");
                 self.release_task(id, index, false, now);
                 if let Some(job) = self.job_table.jobs.get_mut(id) {
@@ -550,7 +551,7 @@
         let Some(running_since) = job.assignment(task.index).and_then(|h| h.running_since) else {
             return;
         };
-        let ran_s = now.since(running_since).secs();
+        let ran_s = now.since(running_since).as_secs();
         job.measured.add(task_cores * ran_s);
         let spec = job.spec.clone();
         if job.part.is_some() {
@@ -572,7 +573,7 @@
         now: Mono,
     ) -> bool {
         let mut lost_start = false;
-        for (id, index) in self.tasks_assigned_to(&report.host, |h| h.session == report.shift) {
+        for (id, index) in self.tasks_assigned_to(&report.host, |h| h.session == report.session) {
             let task = TaskId::new(&id, index);
             if listed.contains(&task) {
                 continue;
@@ -587,7 +588,7 @@
             };
             let sent = match hold.run_sent {
                 RunSent::No => false,
-                RunSent::At(tally) => tally < report.tally,
+                RunSent::At(tally) => tally < report.report_seq,
                 RunSent::Inherited => true,
             };
             if !sent {
@@ -617,8 +618,8 @@
     pub(super) fn add_start_orders(
         &mut self,
         host: &HostId,
-        shift: Shift,
-        tally: Tally,
+        shift: WorkerSession,
+        tally: ReportSeq,
         orders: &mut Vec<Order>,
     ) {
         let Some(machine) = self.fleet.machines.get(host) else {
--- a/crates/core/src/reign/usage.rs
+++ b/crates/core/src/reign/usage.rs
@@ -54,12 +54,12 @@
             end,
             progress_saved: stored,
             job_continues: matches!(job.state, JobState::Open)
-                || end == AttemptEnd::Seen(Cause::Done),
+                || end == AttemptEnd::Seen(ExitCause::Done),
             checkpoint_ms: Millis::from_secs(spec.checkpoint_s).0,
             cpus: spec.cpus,
             gpus: spec.gpus,
             memory_gb: spec.memory_gb,
-            hourly_price: flavor.map_or(0.0, |f| f.price_as(spot)),
+            hourly_price: flavor.map_or(0.0, |f| f.hourly_price(spot)),
             machine_share: flavor
                 .map_or(0.0, |f| Resources::from(&**spec).share_of(&Resources::from(f))),
         };
--- a/crates/core/src/store.rs
+++ b/crates/core/src/store.rs
@@ -101,7 +101,7 @@
     }
 
     fn level_at(&self, now: Mono) -> f64 {
-        (self.level + now.since(self.refilled_at).secs() * self.rate).min(self.capacity())
+        (self.level + now.since(self.refilled_at).as_secs() * self.rate).min(self.capacity())
     }
 
     fn refill(&mut self, now: Mono) {
--- a/crates/core/src/workers.rs
+++ b/crates/core/src/workers.rs
@@ -96,8 +96,8 @@
     pub addr: String,
     pub state: MachineState,
     pub created_at: Mono,
-    pub session: Shift,
-    pub report_seq: Tally,
+    pub session: WorkerSession,
+    pub report_seq: ReportSeq,
     pub last_report: Option<Mono>,
     /// Whether anything but a possibly stale report shows that it exists: the cloud's list, the
     /// records, or a report with this leader's fencing token.
@@ -223,7 +223,7 @@
     /// Seconds until its next report is due; 0 if one waits for its answer.
     pub fn next_report_in_s(&self, report_s: f64, now: Mono) -> f64 {
         match self.last_report {
-            Some(at) if !self.awaits_answer() => (report_s - now.since(at).secs()).max(0.0),
+            Some(at) if !self.awaits_answer() => (report_s - now.since(at).as_secs()).max(0.0),
             _ => 0.0,
         }
     }
@@ -236,7 +236,7 @@
 /// How long after sending its last answered report a worker may keep its tasks, by any steady
 /// clock.
 pub fn lease_span(lease_s: f64) -> Millis {
-    Millis::from_secs(lease_s * (1.0 + 2.0 * MAX_CLOCK_DRIFT) + LEASE_SLACK_MS.secs())
+    Millis::from_secs(lease_s * (1.0 + 2.0 * MAX_CLOCK_DRIFT) + LEASE_SLACK_MS.as_secs())
 }
 
 /// The cancellation bound: how long a task can still be on a machine after its user was told that
@@ -318,8 +318,8 @@
                 addr: String::new(),
                 state: MachineState::Booting,
                 created_at: born,
-                session: Shift(0),
-                report_seq: Tally(0),
+                session: WorkerSession(0),
+                report_seq: ReportSeq(0),
                 last_report: None,
                 existence_confirmed: false,
                 listed_up_since: None,
@@ -346,7 +346,7 @@
         let fresh = self
             .machines
             .get(&report.host)
-            .is_none_or(|m| (report.shift, report.tally) > (m.session, m.report_seq));
+            .is_none_or(|m| (report.session, report.report_seq) > (m.session, m.report_seq));
         if !fresh {
             return Freshness::Stale;
         }
@@ -355,8 +355,8 @@
         m.zone = report.zone.clone();
         m.spot = report.spot;
         m.addr.clone_from(&report.addr);
-        m.session = report.shift;
-        m.report_seq = report.tally;
+        m.session = report.session;
+        m.report_seq = report.report_seq;
         m.last_report = Some(now);
         m.lease_lapsed = false;
         let confirmed = report.token == token;
--- a/crates/core/tests/dependencies.rs
+++ b/crates/core/tests/dependencies.rs
@@ -2,7 +2,7 @@
 //! ranks and deadlines.
 
 use oatloom_core::jobs::{ChunkRecord, FinalRecord, JobState, JobTable, LiveRecord};
-use oatloom_protocol::ids::{Attempt, HostId, JobId, Mono, Now, Revision, Shift, Zone};
+use oatloom_protocol::ids::{Attempt, HostId, JobId, Mono, Now, Revision, WorkerSession, Zone};
 use oatloom_protocol::wire::{Change, Condition, JobSpec, JobStatus, Rank, Shape, Txn};
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
@@ -213,7 +213,7 @@
     add(&mut job_table, 2, &[1]);
     let record = ChunkRecord {
         done: String::new(),
-        assignments: vec![(0, Attempt(7), HostId::new("i-1"), Shift(1), Zone::new("a"))],
+        assignments: vec![(0, Attempt(7), HostId::new("i-1"), WorkerSession(1), Zone::new("a"))],
         size: ("team".into(), 1.0, 0.0, 1.0, 1),
         charges: Default::default(),
         usage: Default::default(),
--- a/crates/ctl/src/schemas.rs
+++ b/crates/ctl/src/schemas.rs
@@ -5,7 +5,8 @@
 use oatloom_graph::requests::{AddNodes, CreateGraph, OpenSession};
 use oatloom_ledger::query::UsagePage;
 use oatloom_protocol::wire::{
-    Catalog, Command, Hire, Hosts, JobSpec, JobView, MachineList, Redirect, Report, ReportAnswer,
+    Catalog, Command, HireRequest, Hosts, JobSpec, JobView, MachineList, Redirect, Report,
+    ReportAnswer,
 };
 use schemars::generate::SchemaSettings;
 use schemars::{JsonSchema, Schema};
@@ -32,7 +33,7 @@
         ("command", of::<Command>()),
         ("redirect", of::<Redirect>()),
         ("catalog", of::<Catalog>()),
-        ("hire", of::<Hire>()),
+        ("hire", of::<HireRequest>()),
         ("hosts", of::<Hosts>()),
         ("machines", of::<MachineList>()),
     ]
--- a/crates/ctl/src/settings.rs
+++ b/crates/ctl/src/settings.rs
@@ -2,7 +2,7 @@
 
 use crate::constants::*;
 use oatloom_protocol::ids::{Member, Zone};
-use oatloom_protocol::settings::BadField;
+use oatloom_protocol::settings::InvalidField;
 use oatloom_protocol::wire::Flavor;
 use serde::Deserialize;
 use std::fmt::Write;
@@ -85,14 +85,14 @@
     ///
     /// # Errors
     /// It cannot be read, names an unknown field, or a value is out of its range.
-    pub fn parse(text: &str) -> Result<Self, BadField> {
+    pub fn parse(text: &str) -> Result<Self, InvalidField> {
         let local: Self = serde_lexpr::from_str(text)
-            .map_err(|e| BadField::new("the region's file", &e.to_string()))?;
+            .map_err(|e| InvalidField::new("the region's file", &e.to_string()))?;
         local.check()?;
         Ok(local)
     }
 
-    fn check(&self) -> Result<(), BadField> {
+    fn check(&self) -> Result<(), InvalidField> {
         let ranges = [
             ("machines", f64::from(self.machines), 1.0, 100.0),
             ("cpus", self.cpus, 1.0, 1_000.0),
@@ -112,18 +112,18 @@
         ];
         for (name, value, least, most) in ranges {
             if !(least..=most).contains(&value) {
-                return Err(BadField::new(name, &format!("must be from {least} to {most}")));
+                return Err(InvalidField::new(name, &format!("must be from {least} to {most}")));
             }
         }
         if self.lease_s + 2.0 * self.report_s > self.cancel_s {
-            return Err(BadField::new("cancel-s", "must be above lease-s and two reports"));
+            return Err(InvalidField::new("cancel-s", "must be above lease-s and two reports"));
         }
         if self.port > 65_000 {
-            return Err(BadField::new("port", "must be at most 65000"));
+            return Err(InvalidField::new("port", "must be at most 65000"));
         }
         let plain = |t: &String| t.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-');
         if self.teams.is_empty() || !self.teams.iter().all(plain) {
-            return Err(BadField::new("teams", "must be names of letters, digits and dashes"));
+            return Err(InvalidField::new("teams", "must be names of letters, digits and dashes"));
         }
         Ok(())
     }
--- a/crates/ctl/src/suite.rs
+++ b/crates/ctl/src/suite.rs
@@ -12,7 +12,7 @@
 use oatloom_emulator::worker::Broken;
 use oatloom_ledger::query::UsagePage;
 use oatloom_protocol::ids::{JobId, Millis, Zone};
-use oatloom_protocol::wire::{Cause, JobSpec, JobStatus, Rank, Shape};
+use oatloom_protocol::wire::{ExitCause, JobSpec, JobStatus, Rank, Shape};
 use oatloom_web::spawn;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
@@ -544,7 +544,7 @@
     let (done, done_ms) = of("done");
     let (unseen, _) = of("unseen");
     let region = running.emulator.region();
-    let exits = region.checker.exits.values().filter(|(cause, _)| *cause == Cause::Done);
+    let exits = region.checker.exits.values().filter(|(cause, _)| *cause == ExitCause::Done);
     let (seen, seen_ms) = exits.fold((0, 0), |(n, sum), (_, ran)| (n + 1, sum + ran));
     let mut wrong = Vec::new();
     // The first task of a gang speaks for all of them.
--- a/crates/ctl/src/up.rs
+++ b/crates/ctl/src/up.rs
@@ -110,7 +110,7 @@
                     running.emulator.region().upload(&spec);
                     HttpReply::json(200, &serde_json::json!({}))
                 }
-                Err(e) => HttpReply::later(&format!("the upload cannot be kept: {e}")),
+                Err(e) => HttpReply::unavailable(&format!("the upload cannot be kept: {e}")),
             }
         }
         Request::Show => {
--- a/crates/emulator/src/checker.rs
+++ b/crates/emulator/src/checker.rs
@@ -2,7 +2,7 @@
 
 mod dependencies;
 
-use oatloom_protocol::wire::{Cause, JobSpec, JobStatus, Order, Shape};
+use oatloom_protocol::wire::{ExitCause, JobSpec, JobStatus, Order, Shape};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// A task on a machine: from the moment it has its image until it has exited or is killed.
@@ -57,7 +57,7 @@
     /// The longest that a job was called open after its user was told that a job before it is cancelled, in milliseconds.
     pub orphaned_ms: u64,
     /// How attempts ended, by machine, job, task and attempt: the cause, and for how long they ran, in milliseconds.
-    pub exits: BTreeMap<(String, Start), (Cause, u64)>,
+    pub exits: BTreeMap<(String, Start), (ExitCause, u64)>,
     /// Tasks that came onto machines since this was last taken, where somebody takes it.
     pub begun: Option<Vec<OnMachine>>,
     errors: BTreeMap<(String, u32), Errors>,
@@ -177,7 +177,7 @@
     }
 
     /// An attempt has ended on its machine, after so many milliseconds in which it ran.
-    pub fn exited(&mut self, host: &str, key: &Start, cause: Cause, ran: u64) {
+    pub fn exited(&mut self, host: &str, key: &Start, cause: ExitCause, ran: u64) {
         self.exits.insert((host.to_owned(), key.clone()), (cause, ran));
     }
 
--- a/crates/emulator/src/region.rs
+++ b/crates/emulator/src/region.rs
@@ -7,8 +7,8 @@
 use crate::worker::{Fetch, Muster, Outside, Times, Worker};
 use oatloom_protocol::ids::{HostId, Member, Zone};
 use oatloom_protocol::wire::{
-    Catalog, Cause, Command, Flavor, Hire, JobSpec, Listed, MachineList, MachineStatus, Redirect,
-    Report, ReportAnswer, TaskPhase,
+    Catalog, Command, ExitCause, Flavor, HireRequest, JobSpec, ListedMachine, MachineList,
+    MachineStatus, Redirect, Report, ReportAnswer, TaskPhase,
 };
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
@@ -64,7 +64,7 @@
     pub outside: Outside,
     pub checker: Checker,
     hires: HashMap<String, Vec<HostId>>,
-    lists: Vec<(u64, Vec<Listed>)>,
+    lists: Vec<(u64, Vec<ListedMachine>)>,
     machines: u64,
     reports: u64,
     /// Machines that were rented and never yet reported, by when they were rented.
@@ -72,7 +72,7 @@
     /// Boot times of machines hired now, in usual ones, and the share of those that never boot beyond the usual.
     pub boots: (f64, f64),
     /// What each request was for: a name that comes back with another wish was used again.
-    wishes: HashMap<String, Hire>,
+    wishes: HashMap<String, HireRequest>,
     rented_at: HashMap<String, u64>,
 }
 
@@ -126,19 +126,19 @@
         let seen = self.lists.iter().rev().find(|(at, _)| at + age <= now);
         let rows = seen.map(|(_, rows)| rows.clone()).unwrap_or_default();
         let mut rows = rows.into_iter().filter(|r| r.host.as_str() > after);
-        let hosts: Vec<Listed> = rows.by_ref().take(most.min(self.terms.page)).collect();
+        let hosts: Vec<ListedMachine> = rows.by_ref().take(most.min(self.terms.page)).collect();
         let more = rows.next().is_some();
         MachineList { hosts, more }
     }
 
     /// Rents machines. A request that was answered gets the same answer again and rents nothing.
-    pub fn hire(&mut self, now: u64, hire: &Hire) -> Hired {
-        let wish = self.wishes.entry(hire.request.clone()).or_insert_with(|| hire.clone());
+    pub fn hire(&mut self, now: u64, hire: &HireRequest) -> Hired {
+        let wish = self.wishes.entry(hire.request_id.clone()).or_insert_with(|| hire.clone());
         if wish != hire {
-            let text = format!("{}: {wish:?}, then {hire:?}", hire.request);
+            let text = format!("{}: {wish:?}, then {hire:?}", hire.request_id);
             self.checker.fail(now, "name_used_again", text);
         }
-        if let Some(hosts) = self.hires.get(&hire.request) {
+        if let Some(hosts) = self.hires.get(&hire.request_id) {
             return Hired::Hosts(hosts.clone());
         }
         let Some(flavor) = self.terms.flavors.iter().find(|f| f.label == hire.flavor).cloned()
@@ -180,7 +180,7 @@
             self.rented_at.insert(host.clone(), now);
             hosts.push(HostId::new(&host));
         }
-        self.hires.insert(hire.request.clone(), hosts.clone());
+        self.hires.insert(hire.request_id.clone(), hosts.clone());
         Hired::Hosts(hosts)
     }
 
@@ -207,7 +207,7 @@
 
     /// Notes what the list will show later on.
     pub fn note_list(&mut self, now: u64) {
-        let row = |w: &Worker| Listed {
+        let row = |w: &Worker| ListedMachine {
             host: HostId::new(&w.host),
             addr: w.addr.clone(),
             flavor: w.place.flavor.clone(),
@@ -236,7 +236,7 @@
                 let saves = task.phase == TaskPhase::Saving;
                 let here = saves || matches!(task.phase, TaskPhase::Waiting | TaskPhase::Running);
                 seen.there += u32::from(here);
-                seen.done += u32::from(task.cause == Some(Cause::Done));
+                seen.done += u32::from(task.cause == Some(ExitCause::Done));
                 seen.saving += u32::from(saves || task.stored);
                 seen.size = self.outside.specs.get(job).map_or(u32::MAX, |spec| spec.tasks);
             }
@@ -311,7 +311,7 @@
     /// A direct command reaches a machine that is up; its worker's report in answer.
     pub fn commanded(&mut self, now: u64, host: &str, command: &Command) -> Option<(bool, Report)> {
         let worker = self.workers.get_mut(host).filter(|w| now >= w.up_at)?;
-        let obeys = command.token.0 >= worker.token && command.shift.0 == worker.shift;
+        let obeys = command.token.0 >= worker.token && command.session.0 == worker.shift;
         let report = worker.command(now, command, &self.outside, &mut self.rng, &mut self.checker);
         Some((obeys, report))
     }
--- a/crates/emulator/src/serve.rs
+++ b/crates/emulator/src/serve.rs
@@ -9,7 +9,7 @@
 use crossbeam::channel::{Receiver, Sender, bounded, unbounded};
 use oatloom_protocol::ids::{Mono, Zone};
 use oatloom_protocol::reply::HttpReply;
-use oatloom_protocol::wire::{Command, Hire, Hosts, JobSpec, Order, Report, ReportAnswer};
+use oatloom_protocol::wire::{Command, HireRequest, Hosts, JobSpec, Order, Report, ReportAnswer};
 use oatloom_state::limits::Limits;
 use oatloom_web::client::Caller;
 use oatloom_web::server::{self, Answers, Caller as Conn, Incoming};
@@ -30,7 +30,7 @@
 enum CloudRequest {
     Catalog,
     List { after: String, most: usize },
-    Hire(Hire),
+    Hire(HireRequest),
     Release(Hosts),
 }
 
--- a/crates/emulator/src/worker.rs
+++ b/crates/emulator/src/worker.rs
@@ -1,10 +1,10 @@
 //! A machine and its worker, as the protocol describes them. Deterministic: the time comes in.
 
 use crate::checker::{Checker, OnMachine, Place};
-use oatloom_protocol::ids::{Attempt, HostId, Shift, Tally, Token, Zone};
+use oatloom_protocol::ids::{Attempt, HostId, ReportSeq, Token, WorkerSession, Zone};
 use oatloom_protocol::settings::WorkerFacts;
 use oatloom_protocol::wire::{
-    Cause, Command, JobSpec, Order, Report, ReportAnswer, Shape, TaskPhase, TaskReport,
+    Command, ExitCause, JobSpec, Order, Report, ReportAnswer, Shape, TaskPhase, TaskReport,
 };
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -103,7 +103,7 @@
 #[derive(Clone, Debug)]
 pub struct Instance {
     pub phase: TaskPhase,
-    pub cause: Option<Cause>,
+    pub cause: Option<ExitCause>,
     /// End of the fetch, then of the run.
     pub until: u64,
     pub waiting_since: u64,
@@ -213,7 +213,7 @@
         }
     }
 
-    fn exit(&mut self, key: &(String, u32, u64), cause: Cause, checker: &mut Checker) {
+    fn exit(&mut self, key: &(String, u32, u64), cause: ExitCause, checker: &mut Checker) {
         let on = self.on(key);
         if let Some(task) = self.tasks.get_mut(key) {
             task.phase = TaskPhase::Exited;
@@ -260,7 +260,7 @@
                 TaskPhase::Fetching if now >= task.until => {
                     checker.started(now, self.on(&key), self.place.clone());
                     if outside.keeps_results && checker.is_done(&key.0, key.1) {
-                        self.exit(&key, Cause::Done, checker);
+                        self.exit(&key, ExitCause::Done, checker);
                     } else if gang {
                         let phase = TaskPhase::Waiting;
                         self.tasks.insert(key, Instance { phase, waiting_since: now, ..task });
@@ -274,7 +274,7 @@
                     self.changed = true;
                 }
                 TaskPhase::Waiting if now > task.waiting_since + self.times.gang_wait => {
-                    self.exit(&key, Cause::Incomplete, checker);
+                    self.exit(&key, ExitCause::Incomplete, checker);
                 }
                 TaskPhase::Saving if now >= task.until => {
                     self.saved(now, &key, &task, &spec, outside, muster, checker);
@@ -282,14 +282,14 @@
                 TaskPhase::Running if self.faulty || outside.errs(&key) => {
                     let own = outside.errs(&key);
                     checker.errored(now, &self.on(&key), key.2, own, self.faulty);
-                    self.exit(&key, Cause::Error, checker);
+                    self.exit(&key, ExitCause::Error, checker);
                 }
-                TaskPhase::Running if gang && lost() => self.exit(&key, Cause::Peers, checker),
+                TaskPhase::Running if gang && lost() => self.exit(&key, ExitCause::Peers, checker),
                 TaskPhase::Running if spec.shape != Shape::Service && now >= task.until => {
                     // The tasks of a gang complete together.
                     let all = 0..spec.tasks;
                     all.filter(|i| gang || *i == key.1).for_each(|i| checker.task_done(&key.0, i));
-                    self.exit(&key, Cause::Done, checker);
+                    self.exit(&key, ExitCause::Done, checker);
                 }
                 TaskPhase::Running if spec.checkpoint_s > 0.0 => {
                     let every = (spec.checkpoint_s * 1000.0).max(1.0) as u64;
@@ -338,7 +338,7 @@
             }
             if !outside.safe.contains(&attempt) {
                 if now > stopped_at + self.times.gang_peer {
-                    self.exit(key, Cause::Peers, checker);
+                    self.exit(key, ExitCause::Peers, checker);
                 }
                 return;
             }
@@ -346,7 +346,7 @@
         checker.saved += 1;
         outside.save(spec, key.1, progress);
         self.tasks.insert(key.clone(), Instance { stored: true, ..task.clone() });
-        self.exit(key, Cause::Stopped, checker);
+        self.exit(key, ExitCause::Stopped, checker);
     }
 
     /// Whether a report is to be sent now.
@@ -373,8 +373,8 @@
             flavor: self.place.flavor.clone(),
             zone: Zone::new(&self.place.zone),
             spot: self.place.spot,
-            shift: Shift(self.shift),
-            tally: Tally(self.tally),
+            session: WorkerSession(self.shift),
+            report_seq: ReportSeq(self.tally),
             token: Token(self.token),
             notice_s: self.notice_until.map(|t| t.saturating_sub(now) as f64 / 1000.0),
             tasks: self
@@ -428,7 +428,7 @@
         rng: &mut ChaCha8Rng,
         checker: &mut Checker,
     ) -> Report {
-        if command.token.0 >= self.token && command.shift.0 == self.shift {
+        if command.token.0 >= self.token && command.session.0 == self.shift {
             self.changed |= command.token.0 > self.token;
             self.token = command.token.0;
             let start = command.orders.iter().any(|order| matches!(order, Order::Run { .. }));
@@ -475,7 +475,7 @@
                         }
                         Some(task) if task.phase == TaskPhase::Saving && saves => {}
                         Some(task) if task.phase != TaskPhase::Exited => {
-                            self.exit(&key, Cause::Stopped, checker);
+                            self.exit(&key, ExitCause::Stopped, checker);
                         }
                         _ => {}
                     }
@@ -499,11 +499,11 @@
             active().filter_map(|((job, ..), _)| Some(outside.specs.get(job)?.gpus)).sum();
         let spec = outside.specs.get(&key.0);
         let cause = match spec {
-            None => Some(Cause::Unknown),
+            None => Some(ExitCause::Unknown),
             Some(_) if active().any(|((j, i, _), _)| *j == key.0 && *i == key.1) => {
-                Some(Cause::Busy)
+                Some(ExitCause::Busy)
             }
-            Some(spec) if used + spec.gpus > self.gpus + 1e-9 => Some(Cause::NoRoom),
+            Some(spec) if used + spec.gpus > self.gpus + 1e-9 => Some(ExitCause::NoRoom),
             Some(_) => None,
         };
         let phase = if cause.is_some() { TaskPhase::Exited } else { TaskPhase::Fetching };
@@ -554,7 +554,7 @@
 
     /// Two tasks of a gang on one machine; those named are told to stop after ten seconds. Returns what the
     /// tasks ended with, and the progress that is kept.
-    fn stop(told: &[u32]) -> (Vec<(Option<Cause>, bool)>, u64) {
+    fn stop(told: &[u32]) -> (Vec<(Option<ExitCause>, bool)>, u64) {
         let (mut outside, mut rng) = (Outside::default(), ChaCha8Rng::seed_from_u64(1));
         let id = gang(&mut outside);
         let mut checker = Checker::new(HashMap::new(), 60_000);
@@ -588,11 +588,11 @@
     #[test]
     fn a_gang_is_stopped_in_order_or_falls_back() {
         let (ends, kept) = stop(&[0, 1]);
-        assert_eq!(ends, [(Some(Cause::Stopped), true); 2]);
+        assert_eq!(ends, [(Some(ExitCause::Stopped), true); 2]);
         assert!((9_800..=10_000).contains(&kept), "{kept}");
         let (ends, kept) = stop(&[0]);
         assert!(ends.iter().all(|(_, stored)| !stored), "{ends:?}");
-        assert_eq!(ends[0].0, Some(Cause::Peers));
+        assert_eq!(ends[0].0, Some(ExitCause::Peers));
         assert!(kept % 4_000 == 0 && kept >= 8_000, "{kept}");
     }
 }
--- a/crates/graph/src/desk.rs
+++ b/crates/graph/src/desk.rs
@@ -185,7 +185,7 @@
     /// Takes up a request; `ticket` is named again when its answer comes later.
     pub fn ask(&mut self, now: Now, ticket: u64, ask: &Ask, around: &Around) -> Verdict {
         if !self.ready() {
-            return Verdict::Reply(HttpReply::later("graphs are being read"));
+            return Verdict::Reply(HttpReply::unavailable("graphs are being read"));
         }
         let checked = match ask {
             Ask::Open(open) => check(open),
@@ -214,7 +214,7 @@
             }
             Ask::Look(graph, look) => match self.graphs.get(graph) {
                 Some(Live { phase: Phase::Creating, .. }) => {
-                    Verdict::Reply(HttpReply::later("the graph is being written"))
+                    Verdict::Reply(HttpReply::unavailable("the graph is being written"))
                 }
                 Some(live) => Verdict::Reply(HttpReply::json(200, &live.view(self.token, look))),
                 None => Verdict::NotOpen,
@@ -310,8 +310,8 @@
         }
         match session.phase {
             sessions::Phase::Open => Ok(session),
-            sessions::Phase::Opening => Err(HttpReply::later("the session is being written")),
-            sessions::Phase::Closing => Err(HttpReply::later("the session is closing")),
+            sessions::Phase::Opening => Err(HttpReply::unavailable("the session is being written")),
+            sessions::Phase::Closing => Err(HttpReply::unavailable("the session is closing")),
             sessions::Phase::Ended => Err(HttpReply::error(404, "the session has ended")),
         }
     }
@@ -358,7 +358,9 @@
                     live.tickets.push(ticket);
                     Verdict::Later
                 }
-                Phase::Creating => Verdict::Reply(HttpReply::later("the graph is being written")),
+                Phase::Creating => {
+                    Verdict::Reply(HttpReply::unavailable("the graph is being written"))
+                }
                 _ => Verdict::Reply(HttpReply::json(
                     200,
                     &live.view(self.token, &Default::default()),
@@ -452,7 +454,7 @@
             Phase::Open if live.model.sealed => return refuse(409, "the graph is sealed"),
             Phase::Open => {}
             Phase::Creating | Phase::Loading => {
-                return Verdict::Reply(HttpReply::later("the graph is being written"));
+                return Verdict::Reply(HttpReply::unavailable("the graph is being written"));
             }
             _ => return refuse(409, "the graph is ending"),
         }
@@ -508,10 +510,10 @@
         }
         match live.phase {
             Phase::Creating | Phase::Loading => {
-                Verdict::Reply(HttpReply::later("the graph is being written"))
+                Verdict::Reply(HttpReply::unavailable("the graph is being written"))
             }
             Phase::Marking if live.tickets.len() >= TICKETS_MOST => {
-                Verdict::Reply(HttpReply::later("the graph is being cancelled"))
+                Verdict::Reply(HttpReply::unavailable("the graph is being cancelled"))
             }
             Phase::Open | Phase::Marking => {
                 live.tickets.push(ticket);
--- a/crates/graph/src/limits.rs
+++ b/crates/graph/src/limits.rs
@@ -1,7 +1,7 @@
 //! How much of graphs and sessions is taken on, and how fast.
 
 use oatloom_protocol::ids::{Millis, Mono};
-use oatloom_protocol::settings::BadField;
+use oatloom_protocol::settings::InvalidField;
 use serde::Deserialize;
 
 /// The operators' bounds; every field has a default. What is beyond them is refused at once, with when to come back.
@@ -52,9 +52,10 @@
     ///
     /// # Errors
     /// The first field that is out of its range, and the range.
-    pub fn check(&self) -> Result<(), BadField> {
-        let bad =
-            |field: &str, text: &str| Err(BadField::new(&format!("graph-limits: {field}"), text));
+    pub fn check(&self) -> Result<(), InvalidField> {
+        let bad = |field: &str, text: &str| {
+            Err(InvalidField::new(&format!("graph-limits: {field}"), text))
+        };
         for (field, rate) in [
             ("additions-per-s", self.additions_per_s),
             ("team-additions-per-s", self.team_additions_per_s),
@@ -100,7 +101,7 @@
     }
 
     fn refill(&mut self, rate: f64, now: Mono) {
-        self.level = (self.level + now.since(self.at).secs() * rate).min(Self::most(rate));
+        self.level = (self.level + now.since(self.at).as_secs() * rate).min(Self::most(rate));
         self.at = now;
     }
 
--- a/crates/ledger/src/entry.rs
+++ b/crates/ledger/src/entry.rs
@@ -2,13 +2,13 @@
 
 use crate::constants::{DAY_MS, MICROS_PER_UNIT};
 use oatloom_protocol::ids::{Attempt, HostId, TaskId, Zone};
-use oatloom_protocol::wire::{Cause, Rank, Shape};
+use oatloom_protocol::wire::{ExitCause, Rank, Shape};
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
     /// The worker reported the end, with this cause.
-    Seen(Cause),
+    Seen(ExitCause),
     /// The end was not observed: the machine or its lease was lost. The run time is the one reported last; the
     /// attempt may have run on until the lease expired.
     Unseen,
@@ -75,8 +75,8 @@
         let ran = self.ran_ms;
         let useful_ms = match self.end {
             _ if self.shape == Shape::Service => ran,
-            AttemptEnd::Seen(Cause::Done) => ran,
-            AttemptEnd::Seen(Cause::Stopped) if self.progress_saved => ran,
+            AttemptEnd::Seen(ExitCause::Done) => ran,
+            AttemptEnd::Seen(ExitCause::Stopped) if self.progress_saved => ran,
             _ if !self.job_continues => 0,
             _ => ran.checked_div(self.checkpoint_ms).unwrap_or(0) * self.checkpoint_ms,
         };
@@ -135,17 +135,17 @@
             assert_eq!(breakdown.useful_ms + breakdown.repeated_ms + breakdown.lost_ms, e.ran_ms);
             (breakdown.useful_ms, breakdown.repeated_ms, breakdown.lost_ms)
         };
-        assert_eq!(breakdown_of(entry(AttemptEnd::Seen(Cause::Done), 900)), (900, 0, 0));
-        assert_eq!(breakdown_of(entry(AttemptEnd::Seen(Cause::Error), 900)), (0, 900, 0));
+        assert_eq!(breakdown_of(entry(AttemptEnd::Seen(ExitCause::Done), 900)), (900, 0, 0));
+        assert_eq!(breakdown_of(entry(AttemptEnd::Seen(ExitCause::Error), 900)), (0, 900, 0));
         assert_eq!(breakdown_of(entry(AttemptEnd::Unseen, 900)), (0, 900, 0));
         let job_ended =
-            UsageEntry { job_continues: false, ..entry(AttemptEnd::Seen(Cause::Stopped), 900) };
+            UsageEntry { job_continues: false, ..entry(AttemptEnd::Seen(ExitCause::Stopped), 900) };
         assert_eq!(breakdown_of(job_ended), (0, 0, 900));
         let with_checkpoints = UsageEntry { checkpoint_ms: 400, ..entry(AttemptEnd::Unseen, 900) };
         assert_eq!(breakdown_of(with_checkpoints.clone()), (800, 100, 0));
         let saved = UsageEntry {
             progress_saved: true,
-            end: AttemptEnd::Seen(Cause::Stopped),
+            end: AttemptEnd::Seen(ExitCause::Stopped),
             ..with_checkpoints
         };
         assert_eq!(breakdown_of(saved), (900, 0, 0));
@@ -156,7 +156,7 @@
     #[test]
     fn cost_is_the_share_of_the_machine_while_held() {
         // A quarter of a machine at 3.6 an hour, for an hour.
-        let mut e = entry(AttemptEnd::Seen(Cause::Done), 0);
+        let mut e = entry(AttemptEnd::Seen(ExitCause::Done), 0);
         e.held_ms = 3_600_000;
         assert_eq!(e.cost_micros(), 900_000);
         assert_eq!(UsageEntry { hourly_price: -1.0, ..e }.cost_micros(), 0);
--- a/crates/ledger/src/query.rs
+++ b/crates/ledger/src/query.rs
@@ -189,7 +189,7 @@
     use super::*;
     use crate::entry::AttemptEnd;
     use crate::entry::tests::entry;
-    use oatloom_protocol::wire::Cause;
+    use oatloom_protocol::wire::ExitCause;
 
     #[test]
     fn days_are_parsed_and_formatted() {
@@ -222,7 +222,7 @@
         for day in 10..14 {
             for team in ["red", "blue"] {
                 let mut rollup = Rollup::default();
-                for cause in [Cause::Done, Cause::Error] {
+                for cause in [ExitCause::Done, ExitCause::Error] {
                     rollup.tally.add(&entry(AttemptEnd::Seen(cause), 7));
                 }
                 let rollup_id = RollupId { day, team: team.into(), class: "c".into() };
--- a/crates/ledger/src/tally.rs
+++ b/crates/ledger/src/tally.rs
@@ -2,7 +2,7 @@
 //! matter.
 
 use crate::entry::{AttemptEnd, UsageEntry};
-use oatloom_protocol::wire::Cause;
+use oatloom_protocol::wire::ExitCause;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -122,14 +122,14 @@
 pub fn end_name(end: AttemptEnd) -> &'static str {
     match end {
         AttemptEnd::Unseen => "unseen",
-        AttemptEnd::Seen(Cause::Done) => "done",
-        AttemptEnd::Seen(Cause::Stopped) => "halted",
-        AttemptEnd::Seen(Cause::Peers) => "peers",
-        AttemptEnd::Seen(Cause::Incomplete) => "incomplete",
-        AttemptEnd::Seen(Cause::Error) => "error",
-        AttemptEnd::Seen(Cause::NoRoom) => "no_room",
-        AttemptEnd::Seen(Cause::Busy) => "busy",
-        AttemptEnd::Seen(Cause::Unknown) => "no_such",
+        AttemptEnd::Seen(ExitCause::Done) => "done",
+        AttemptEnd::Seen(ExitCause::Stopped) => "halted",
+        AttemptEnd::Seen(ExitCause::Peers) => "peers",
+        AttemptEnd::Seen(ExitCause::Incomplete) => "incomplete",
+        AttemptEnd::Seen(ExitCause::Error) => "error",
+        AttemptEnd::Seen(ExitCause::NoRoom) => "no_room",
+        AttemptEnd::Seen(ExitCause::Busy) => "busy",
+        AttemptEnd::Seen(ExitCause::Unknown) => "no_such",
     }
 }
 
@@ -232,7 +232,7 @@
         let mut entries = Vec::new();
         for n in 0..200u64 {
             let mut e = entry(
-                if n % 3 == 0 { AttemptEnd::Unseen } else { AttemptEnd::Seen(Cause::Done) },
+                if n % 3 == 0 { AttemptEnd::Unseen } else { AttemptEnd::Seen(ExitCause::Done) },
                 n * 17,
             );
             e.flavor = format!("f{}", n % 7);
--- a/crates/ledger/tests/month.rs
+++ b/crates/ledger/tests/month.rs
@@ -9,7 +9,7 @@
 };
 use oatloom_ledger::tally::UsageSums;
 use oatloom_protocol::ids::{Attempt, HostId, JobId, Mono, Revision, TaskId, Zone};
-use oatloom_protocol::wire::{Cause, Rank, Shape};
+use oatloom_protocol::wire::{ExitCause, Rank, Shape};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
@@ -79,10 +79,10 @@
 ) -> UsageEntry {
     let ran_ms = rng.random_range(0..240_000);
     let end = match rng.random_range(0..20) {
-        0 => AttemptEnd::Seen(Cause::Error),
-        1 => AttemptEnd::Seen(Cause::Stopped),
+        0 => AttemptEnd::Seen(ExitCause::Error),
+        1 => AttemptEnd::Seen(ExitCause::Stopped),
         2 => AttemptEnd::Unseen,
-        _ => AttemptEnd::Seen(Cause::Done),
+        _ => AttemptEnd::Seen(ExitCause::Done),
     };
     UsageEntry {
         task,
--- a/crates/protocol/src/constants.rs
+++ b/crates/protocol/src/constants.rs
@@ -3,7 +3,7 @@
 /// Maximum number of tasks in a job, set by the protocol.
 pub const MAX_TASKS: u32 = 100_000;
 /// Maximum size of a request body, set by the protocol.
-pub const BODY_BYTES: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 /// Upper bound on the sockets reserved for this controller's own calls and its peers, which get a third of all.
 pub const MAX_OWN_SOCKETS: usize = 100;
 /// Lower bound on the reserved sockets: one for each thread that calls a service or a worker, and those of two peers in
--- a/crates/protocol/src/ids.rs
+++ b/crates/protocol/src/ids.rs
@@ -92,12 +92,12 @@
 counter_newtype!(
     /// A worker's session; a new one begins whenever the worker's lease has expired.
     #[cfg_attr(feature = "schema", schemars(rename = "Shift"))]
-    Shift
+    WorkerSession
 );
 counter_newtype!(
     /// Sequence number of a report within a worker session.
     #[cfg_attr(feature = "schema", schemars(rename = "Tally"))]
-    Tally
+    ReportSeq
 );
 counter_newtype!(
     /// A revision of the state service.
@@ -148,7 +148,7 @@
         Self((secs.max(0.0) * 1000.0).round() as u64)
     }
 
-    pub fn secs(self) -> f64 {
+    pub fn as_secs(self) -> f64 {
         self.0 as f64 / 1000.0
     }
 }
--- a/crates/protocol/src/reply.rs
+++ b/crates/protocol/src/reply.rs
@@ -21,7 +21,7 @@
     }
 
     /// 503 with `Retry-After`: the request cannot be served now.
-    pub fn later(text: &str) -> Self {
+    pub fn unavailable(text: &str) -> Self {
         Self { retry_after_s: Some(DEFAULT_RETRY_AFTER_S), ..Self::error(503, text) }
     }
 }
--- a/crates/protocol/src/settings.rs
+++ b/crates/protocol/src/settings.rs
@@ -7,19 +7,19 @@
 /// An invalid settings field and the reason.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: {text}")]
-pub struct BadField {
+pub struct InvalidField {
     pub field: String,
     pub text: String,
 }
 
-impl BadField {
+impl InvalidField {
     pub fn new(field: &str, text: &str) -> Self {
         Self { field: field.into(), text: text.into() }
     }
 }
 
-fn invalid(field: &str, text: &str) -> BadField {
-    BadField::new(field, text)
+fn invalid(field: &str, text: &str) -> InvalidField {
+    InvalidField::new(field, text)
 }
 
 /// The settings file of a controller.
@@ -150,7 +150,7 @@
 }
 
 impl StateFacts {
-    fn check_next(&self) -> Result<(), BadField> {
+    fn check_next(&self) -> Result<(), InvalidField> {
         let Some(next) = &self.next else { return Ok(()) };
         let amounts = [
             ("facts.state.next.rps", next.rps),
@@ -192,7 +192,7 @@
     }
 
     /// Maximum number of connections from workers and users together.
-    pub fn connections(&self) -> usize {
+    pub fn max_connections(&self) -> usize {
         self.sockets.saturating_sub(self.own_sockets())
     }
 }
@@ -204,7 +204,7 @@
 impl Settings {
     /// The address for requests, if no other process of the cluster can have bound it at the same time: a specific IP
     /// address, or a loopback address if the state service is on a loopback address too.
-    pub fn bound_alone(&self) -> Option<String> {
+    pub fn exclusive_listen_address(&self) -> Option<String> {
         let address = |text: &str| text.parse::<std::net::SocketAddr>().ok();
         let (own, state) = (address(&self.listen)?, address(&self.endpoints.state)?);
         let only_local = own.ip().is_loopback() && !state.ip().is_loopback();
@@ -216,7 +216,7 @@
     ///
     /// # Errors
     /// The first invalid field and the reason.
-    pub fn check(&self) -> Result<(), BadField> {
+    pub fn check(&self) -> Result<(), InvalidField> {
         let facts = &self.facts;
         if self.member.as_str().is_empty() {
             return Err(invalid("member", "must not be empty"));
@@ -312,8 +312,8 @@
     fn sockets_are_shared_within_their_limit() {
         for sockets in [MIN_SOCKETS, 60, 200, 600, 2_500] {
             let limits = Limits { cpu_share: 0.1, memory_mb: 40.0, sockets };
-            assert!(limits.own_sockets() >= MIN_OWN_SOCKETS && limits.connections() > 0);
-            assert_eq!(limits.own_sockets() + limits.connections(), sockets);
+            assert!(limits.own_sockets() >= MIN_OWN_SOCKETS && limits.max_connections() > 0);
+            assert_eq!(limits.own_sockets() + limits.max_connections(), sockets);
         }
     }
 }
--- a/crates/protocol/src/wire.rs
+++ b/crates/protocol/src/wire.rs
@@ -1,6 +1,8 @@
 //! Messages exchanged with users, workers, the cloud and the state service. Wire names are defined here only.
 
-use crate::ids::{Attempt, HostId, JobId, LeaseId, Member, Revision, Shift, Tally, Token, Zone};
+use crate::ids::{
+    Attempt, HostId, JobId, LeaseId, Member, ReportSeq, Revision, Token, WorkerSession, Zone,
+};
 use garde::Validate;
 use serde::{Deserialize, Deserializer, Serialize};
 use serde_json::Value;
@@ -193,7 +195,7 @@
     /// `None` for machines whose failures are only counted together.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub host: Option<HostId>,
-    pub cause: Cause,
+    pub cause: ExitCause,
     #[serde(rename = "number")]
     pub count: u32,
 }
@@ -251,7 +253,7 @@
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[cfg_attr(feature = "schema", schemars(rename = "Cause"))]
-pub enum Cause {
+pub enum ExitCause {
     #[serde(rename = "done")]
     Done,
     #[serde(rename = "halted")]
@@ -280,7 +282,7 @@
     pub attempt: Attempt,
     pub status: TaskPhase,
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub cause: Option<Cause>,
+    pub cause: Option<ExitCause>,
     #[serde(default)]
     pub stored: bool,
     /// Run time in milliseconds as measured by its worker: an optional addition to the protocol.
@@ -300,9 +302,9 @@
     #[serde(rename = "loaners")]
     pub spot: bool,
     #[serde(rename = "shift")]
-    pub shift: Shift,
+    pub session: WorkerSession,
     #[serde(rename = "tally")]
-    pub tally: Tally,
+    pub report_seq: ReportSeq,
     #[serde(rename = "baton")]
     pub token: Token,
     #[serde(rename = "warningS", default)]
@@ -354,7 +356,7 @@
     #[serde(rename = "baton")]
     pub token: Token,
     #[serde(rename = "shift")]
-    pub shift: Shift,
+    pub session: WorkerSession,
     pub orders: Vec<Order>,
 }
 
@@ -393,7 +395,7 @@
 
 impl Flavor {
     /// The current price per hour of a spot or on-demand machine.
-    pub fn price_as(&self, spot: bool) -> f64 {
+    pub fn hourly_price(&self, spot: bool) -> f64 {
         if spot { self.spot_price } else { self.price }
     }
 }
@@ -428,7 +430,7 @@
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 #[cfg_attr(feature = "schema", schemars(rename = "Listed"))]
-pub struct Listed {
+pub struct ListedMachine {
     #[serde(rename = "nameId")]
     pub host: HostId,
     #[serde(default)]
@@ -447,7 +449,7 @@
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct MachineList {
-    pub hosts: Vec<Listed>,
+    pub hosts: Vec<ListedMachine>,
     pub more: bool,
 }
 
@@ -455,9 +457,9 @@
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 #[cfg_attr(feature = "schema", schemars(rename = "Hire"))]
-pub struct Hire {
+pub struct HireRequest {
     #[serde(rename = "hire")]
-    pub request: String,
+    pub request_id: String,
     pub flavor: String,
     #[serde(rename = "yard")]
     pub zone: Zone,
@@ -569,7 +571,7 @@
 
 /// The current revision, and the keys whose condition failed if a transaction was rejected.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
-pub struct Epoch {
+pub struct RevisionReply {
     #[serde(rename = "epoch")]
     pub revision: Revision,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
@@ -606,7 +608,7 @@
 /// A change as reported by a watch.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 #[serde(bound(deserialize = "V: Deserialize<'de> + Default"))]
-pub struct Logged<V = Value> {
+pub struct LoggedChange<V = Value> {
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub put: Option<String>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -623,5 +625,5 @@
 pub struct Changes<V = Value> {
     #[serde(rename = "epoch")]
     pub revision: Revision,
-    pub log: Vec<Logged<V>>,
+    pub log: Vec<LoggedChange<V>>,
 }
--- a/crates/state/src/engine.rs
+++ b/crates/state/src/engine.rs
@@ -12,7 +12,7 @@
 use crate::snapshots::Snapshots;
 use oatloom_protocol::ids::{LeaseId, Millis, Mono, Revision};
 use oatloom_protocol::reply::HttpReply;
-use oatloom_protocol::wire::{Changes, Epoch, Grant, Logged, Page, Row, StateStatus};
+use oatloom_protocol::wire::{Changes, Grant, LoggedChange, Page, RevisionReply, Row, StateStatus};
 use serde_json::value::RawValue;
 use std::collections::VecDeque;
 
@@ -140,22 +140,22 @@
     }
 }
 
-fn logged(change: &Recent) -> Logged<&RawValue> {
+fn logged(change: &Recent) -> LoggedChange<&RawValue> {
     let key = change.key.to_string();
     let (put, delete) = match change.value {
         Some(_) => (Some(key), None),
         None => (None, Some(key)),
     };
     let value = raw(change.value.as_deref().unwrap_or("null"));
-    Logged { put, delete, value, version: Revision(change.stamp) }
+    LoggedChange { put, delete, value, version: Revision(change.stamp) }
 }
 
 fn later(status: u16, text: &str) -> HttpReply {
-    HttpReply { status, ..HttpReply::later(text) }
+    HttpReply { status, ..HttpReply::unavailable(text) }
 }
 
 fn epoch(status: u16, revision: u64, failed: Vec<String>) -> HttpReply {
-    HttpReply::json(status, &Epoch { revision: Revision(revision), failed })
+    HttpReply::json(status, &RevisionReply { revision: Revision(revision), failed })
 }
 
 impl Engine {
--- a/crates/state/src/limits.rs
+++ b/crates/state/src/limits.rs
@@ -17,7 +17,7 @@
     }
 
     fn refill(&mut self, now: Mono) {
-        self.level = (self.level + now.since(self.at).secs() * self.rate).min(self.rate);
+        self.level = (self.level + now.since(self.at).as_secs() * self.rate).min(self.rate);
         self.at = now;
     }
 
--- a/crates/state/src/settings.rs
+++ b/crates/state/src/settings.rs
@@ -1,7 +1,7 @@
 //! What operators may set: limits, sizes, and whether the disk is waited for.
 
 use crate::constants::*;
-use oatloom_protocol::settings::BadField;
+use oatloom_protocol::settings::InvalidField;
 use serde::Deserialize;
 
 /// Every field has a default; unknown ones are refused.
@@ -46,36 +46,36 @@
     ///
     /// # Errors
     /// It cannot be read, names an unknown field, or a value is out of its range.
-    pub fn parse(text: &str) -> Result<Self, BadField> {
+    pub fn parse(text: &str) -> Result<Self, InvalidField> {
         let settings: Self = serde_lexpr::from_str(text)
-            .map_err(|e| BadField::new("the settings' file", &e.to_string()))?;
+            .map_err(|e| InvalidField::new("the settings' file", &e.to_string()))?;
         settings.check()?;
         Ok(settings)
     }
 
-    fn check(&self) -> Result<(), BadField> {
+    fn check(&self) -> Result<(), InvalidField> {
         for (name, rate) in [("rps", self.rps), ("write-rps", self.write_rps)] {
             if !rate.is_finite() || rate < 0.0 {
-                return Err(BadField::new(name, "must be a finite number, 0 or more"));
+                return Err(InvalidField::new(name, "must be a finite number, 0 or more"));
             }
         }
         if !(self.value_kb > 0.0 && self.value_kb <= 60.0) {
-            return Err(BadField::new("value-kb", "must be above 0 and at most 60"));
+            return Err(InvalidField::new("value-kb", "must be above 0 and at most 60"));
         }
         if !(1..=1_000).contains(&self.txn_ops) {
-            return Err(BadField::new("txn-ops", "must be from 1 to 1000"));
+            return Err(InvalidField::new("txn-ops", "must be from 1 to 1000"));
         }
         if !(self.snapshot_mb >= 0.01 && self.snapshot_mb <= 100_000.0) {
-            return Err(BadField::new("snapshot-mb", "must be from 0.01 to 100000"));
+            return Err(InvalidField::new("snapshot-mb", "must be from 0.01 to 100000"));
         }
         if !(1..=1_000_000).contains(&self.slice_rows) {
-            return Err(BadField::new("slice-rows", "must be from 1 to 1000000"));
+            return Err(InvalidField::new("slice-rows", "must be from 1 to 1000000"));
         }
         if !(1..=100_000).contains(&self.connections) {
-            return Err(BadField::new("connections", "must be from 1 to 100000"));
+            return Err(InvalidField::new("connections", "must be from 1 to 100000"));
         }
         if self.write_rps > 0.0 && (self.txn_ops as f64) > self.write_rps {
-            return Err(BadField::new(
+            return Err(InvalidField::new(
                 "txn-ops",
                 "must not be above write-rps, or none that large is ever served",
             ));
--- a/crates/state/tests/crashes.rs
+++ b/crates/state/tests/crashes.rs
@@ -9,7 +9,7 @@
 use disk::SimDisk;
 use oatloom_protocol::ids::{Mono, Revision};
 use oatloom_protocol::reply::HttpReply;
-use oatloom_protocol::wire::{Changes, Condition, Epoch, Grant, Row};
+use oatloom_protocol::wire::{Changes, Condition, Grant, RevisionReply, Row};
 use oatloom_state::api::{Request, Txn};
 use oatloom_state::disk::Disk;
 use oatloom_state::engine::{Action, ConnId, Engine, Event, Outcome};
@@ -142,7 +142,7 @@
         let key = |rng: &mut ChaCha8Rng| format!("k/{:02}", rng.random_range(0..KEYS));
         let state = self.reference.now().clone();
         let epoch = |revision, failed: Vec<String>| {
-            serde_json::to_string(&Epoch { revision: Revision(revision), failed }).unwrap()
+            serde_json::to_string(&RevisionReply { revision: Revision(revision), failed }).unwrap()
         };
         match self.rng.random_range(0..20) {
             0..12 => {
--- a/crates/web/src/http.rs
+++ b/crates/web/src/http.rs
@@ -1,7 +1,7 @@
 //! HTTP/1.1 of one connection: bytes in, requests out, answers in, bytes out.
 
 use crate::constants::*;
-use oatloom_protocol::constants::BODY_BYTES;
+use oatloom_protocol::constants::MAX_BODY_BYTES;
 use oatloom_protocol::reply::HttpReply;
 use std::fmt::Write;
 
@@ -79,7 +79,7 @@
         }
     }
     head.length = length.unwrap_or(0);
-    if head.length > BODY_BYTES {
+    if head.length > MAX_BODY_BYTES {
         return Err(HttpReply::error(413, "the body is over 64 KiB"));
     }
     Ok(Some(head))
@@ -112,7 +112,7 @@
 
     /// Whether no more is read for now: a whole request, however large, is less.
     pub fn full(&self) -> bool {
-        self.input.len() > HEAD_BYTES + BODY_BYTES
+        self.input.len() > HEAD_BYTES + MAX_BODY_BYTES
     }
 
     /// Whether some of a request is here.
@@ -239,7 +239,7 @@
                     panic!("not read: {at}")
                 };
                 assert_eq!(*request, Ok(("POST".into(), "/v2/runs/req-7/abort".into(), 2)));
-                wire.answer(&HttpReply::later("busy"));
+                wire.answer(&HttpReply::unavailable("busy"));
                 let out = String::from_utf8(wire.out().to_vec()).unwrap();
                 assert!(out.starts_with("HTTP/1.1 503 Service Unavailable\r\n"), "{out}");
                 assert!(out.contains("Retry-After: 1\r\n") && out.ends_with("\"}"), "{out}");
--- a/crates/web/src/server.rs
+++ b/crates/web/src/server.rs
@@ -404,7 +404,7 @@
                         Ok(request) => {
                             let incoming = Incoming { caller: Caller(key), request };
                             let taken = (self.deliver)(incoming);
-                            (!taken).then(|| HttpReply::later("busy"))
+                            (!taken).then(|| HttpReply::unavailable("busy"))
                         }
                     };
                     let Some(reply) = refusal else { return Next::Keep };
--- a/src/edge/clients.rs
+++ b/src/edge/clients.rs
@@ -1,6 +1,6 @@
 //! HTTP clients of the state service, the cloud and the workers. Every call ends with a response or a time-out.
 
-use super::{EdgeError, spawn};
+use super::{StartupError, spawn};
 use crate::constants::*;
 use crossbeam::channel::{Receiver, Sender, bounded};
 use oatloom_core::cloud::{CloudOp, CloudReply};
@@ -9,7 +9,7 @@
 use oatloom_core::store::{OpClass, OpId, StoreOp, StoreReply};
 use oatloom_protocol::ids::Millis;
 use oatloom_protocol::settings::Endpoints;
-use oatloom_protocol::wire::{Changes, Command, Epoch, Grant, Hosts, Page, Row};
+use oatloom_protocol::wire::{Changes, Command, Grant, Hosts, Page, RevisionReply, Row};
 use oatloom_web::client::{Caller, escape};
 use serde::de::DeserializeOwned;
 use serde_json::json;
@@ -24,7 +24,7 @@
 }
 
 impl Clients {
-    pub fn start(endpoints: &Endpoints, events: &Sender<Event>) -> Result<Self, EdgeError> {
+    pub fn start(endpoints: &Endpoints, events: &Sender<Event>) -> Result<Self, StartupError> {
         let watch_timeout = Millis(WATCH_HOLD_MS.0 + STORE_TIMEOUT_MS.0);
         let state = &endpoints.state;
         let store =
@@ -86,7 +86,7 @@
     timeout: Millis,
     events: &Sender<Event>,
     call: fn(&Caller, Id, Op) -> Event,
-) -> Result<Sender<(Id, Op)>, EdgeError> {
+) -> Result<Sender<(Id, Op)>, StartupError> {
     let (sender, queue): (_, Receiver<(Id, Op)>) = bounded(MAX_QUEUED_CALLS);
     for _ in 0..threads {
         let (queue, events) = (queue.clone(), events.clone());
@@ -138,7 +138,7 @@
         Some((200, body)) => match op {
             StoreOp::Get { .. } => read(&body, |row: Row| StoreReply::Found(row)),
             StoreOp::List { .. } => read(&body, |page: Page| StoreReply::Page(page)),
-            StoreOp::Txn(_) => read(&body, |e: Epoch| StoreReply::Committed(e.revision)),
+            StoreOp::Txn(_) => read(&body, |e: RevisionReply| StoreReply::Committed(e.revision)),
             StoreOp::Grant { .. } => read(&body, |g: Grant| StoreReply::Granted(g.lease)),
             StoreOp::Touch { .. } | StoreOp::Revoke { .. } => StoreReply::Touched,
             StoreOp::Follow { .. } | StoreOp::Changes { .. } => {
@@ -146,10 +146,10 @@
             }
         },
         Some((404, body)) => match op {
-            StoreOp::Get { .. } => read(&body, |e: Epoch| StoreReply::Missing(e.revision)),
+            StoreOp::Get { .. } => read(&body, |e: RevisionReply| StoreReply::Missing(e.revision)),
             _ => StoreReply::NoSuchLease,
         },
-        Some((409, body)) => read(&body, |e: Epoch| StoreReply::Conflict(e.failed)),
+        Some((409, body)) => read(&body, |e: RevisionReply| StoreReply::Conflict(e.failed)),
         Some((410, _)) => StoreReply::TooOld,
         // After a server error it is unknown whether the request was executed.
         Some((status, _)) if status >= 500 => StoreReply::Lost,
--- a/src/edge/mesh_io.rs
+++ b/src/edge/mesh_io.rs
@@ -1,7 +1,7 @@
 //! Connections between controllers: a server for the requests of peers, and a client for each peer.
 
 use super::frames::{read_frame, write_frame};
-use super::{EdgeError, QueuedRequest};
+use super::{QueuedRequest, StartupError};
 use crate::constants::*;
 use crossbeam::channel::{Receiver, Sender, bounded};
 use oatloom_core::api::Request;
@@ -39,7 +39,7 @@
 }
 
 /// Accepts connections from peers and queues their requests.
-pub(crate) fn serve(address: &str, requests: Sender<QueuedRequest>) -> Result<(), EdgeError> {
+pub(crate) fn serve(address: &str, requests: Sender<QueuedRequest>) -> Result<(), StartupError> {
     let listener = bind_patiently(address, || TcpListener::bind(address))?;
     let connection_count = Arc::new(AtomicUsize::new(0));
     spawn("mesh", move || {
@@ -84,7 +84,7 @@
         if let Err(rejected) = requests.try_send(queued)
             && let QueuedRequest::Mesh(incoming) = rejected.into_inner()
         {
-            incoming.responder.send(HttpReply::later("busy"));
+            incoming.responder.send(HttpReply::unavailable("busy"));
         }
     }
 }
@@ -100,7 +100,7 @@
     address: String,
     max_queued: usize,
     events: Sender<Event>,
-) -> Result<Sender<PeerRequestFrame>, EdgeError> {
+) -> Result<Sender<PeerRequestFrame>, StartupError> {
     let (sender, queue) = bounded::<PeerRequestFrame>(max_queued.max(MAX_QUEUED_CALLS));
     spawn("mesh-out", move || send_requests(&address, &queue, &events))?;
     Ok(sender)
--- a/src/edge/mod.rs
+++ b/src/edge/mod.rs
@@ -23,7 +23,7 @@
 
 /// Why the controller could not be started.
 #[derive(Debug, thiserror::Error)]
-pub enum EdgeError {
+pub enum StartupError {
     #[error(transparent)]
     Start(#[from] StartError),
     #[error("cannot start a thread: {0}")]
@@ -84,8 +84,8 @@
 ///
 /// # Errors
 /// An address cannot be bound, or a thread cannot be started.
-pub fn run(settings: Settings, operators: OperatorSettings) -> Result<(), EdgeError> {
-    let max_connections = settings.facts.limits.connections();
+pub fn run(settings: Settings, operators: OperatorSettings) -> Result<(), StartupError> {
+    let max_connections = settings.facts.limits.max_connections();
     let (event_sender, events) = bounded(MAX_QUEUED_EVENTS);
     // Room for one request of each connection, and as many from each peer, which forwards the requests of its users. The core
     // thread moves them to its inbox in each pass.
@@ -197,7 +197,8 @@
     fn reject(&mut self, incoming: QueuedRequest, retry_after_s: u32) {
         self.dropped_reports.record_dropped(incoming.request());
         let QueuedRequest::Http(server::Incoming { caller, .. }) = incoming else { return };
-        let reply = HttpReply { retry_after_s: Some(retry_after_s), ..HttpReply::later("busy") };
+        let reply =
+            HttpReply { retry_after_s: Some(retry_after_s), ..HttpReply::unavailable("busy") };
         self.http_replies.send(caller, reply);
     }
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -65,7 +65,7 @@
         log::warn!(
             "settings: cancelled tasks may stay on silent machines for up to {:.1} s, which does not meet \
              facts.workers.cancel_s = {} with facts.workers.lease_s = {}",
-            bound.secs(),
+            bound.as_secs(),
             workers.cancel_s,
             workers.lease_s
         );
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,7 +1,7 @@
 //! Reads and checks the platform's settings file (TOML) and the operators' settings file (an S-expression).
 
 use oatloom_core::operators::OperatorSettings;
-use oatloom_protocol::settings::{BadField, Settings};
+use oatloom_protocol::settings::{InvalidField, Settings};
 use std::path::{Path, PathBuf};
 
 /// Why settings were rejected.
@@ -12,7 +12,7 @@
     #[error("{path}: {text}")]
     Text { path: PathBuf, text: String },
     #[error(transparent)]
-    Field(#[from] BadField),
+    Field(#[from] InvalidField),
 }
 
 fn read(path: &Path) -> Result<String, SettingsError> {
@@ -24,7 +24,7 @@
 /// # Errors
 /// The file cannot be read, is not TOML, or has an invalid field.
 pub fn read_platform_settings(path: &Path) -> Result<Settings, SettingsError> {
-    platform(&read(path)?).map_err(|e| match e {
+    parse_platform_settings(&read(path)?).map_err(|e| match e {
         SettingsError::Text { text, .. } => SettingsError::Text { path: path.into(), text },
         other => other,
     })
@@ -34,7 +34,7 @@
 ///
 /// # Errors
 /// The text is not TOML or has an invalid field.
-pub fn platform(text: &str) -> Result<Settings, SettingsError> {
+pub fn parse_platform_settings(text: &str) -> Result<Settings, SettingsError> {
     let settings: Settings = toml::from_str(text).map_err(|e| SettingsError::Text {
         path: PathBuf::new(),
         text: e.to_string().split_whitespace().collect::<Vec<_>>().join(" "),
@@ -48,16 +48,16 @@
 /// # Errors
 /// The file cannot be read, is not an S-expression, names an unknown field, or a value is out of range.
 pub fn read_operator_settings(path: &Path) -> Result<OperatorSettings, SettingsError> {
-    operators(&read(path)?)
+    parse_operator_settings(&read(path)?)
 }
 
 /// Parses and checks the operators' settings.
 ///
 /// # Errors
 /// The text is not an S-expression, names an unknown field, or a value is out of range.
-pub fn operators(text: &str) -> Result<OperatorSettings, SettingsError> {
+pub fn parse_operator_settings(text: &str) -> Result<OperatorSettings, SettingsError> {
     let parsed: OperatorSettings = serde_lexpr::from_str(text)
-        .map_err(|e| BadField::new("operators' file", &e.to_string()))?;
+        .map_err(|e| InvalidField::new("operators' file", &e.to_string()))?;
     parsed.check()?;
     Ok(parsed)
 }
@@ -71,7 +71,7 @@
 
     #[test]
     fn unknown_fields_are_ignored_and_invalid_fields_are_named() {
-        assert!(platform(SAMPLE).is_ok());
+        assert!(parse_platform_settings(SAMPLE).is_ok());
         let cases = [
             ("rps = 100.0", "rps = -1.0", "facts.state.rps"),
             ("lease_s = 30.0", "lease_s = nan", "facts.workers.lease_s"),
@@ -83,7 +83,9 @@
             ("memory_mb = 100.0", "memory_mb = 4.0", "facts.limits.memory_mb"),
         ];
         for (valid, invalid, field) in cases {
-            let text = platform(&SAMPLE.replacen(valid, invalid, 1)).unwrap_err().to_string();
+            let text = parse_platform_settings(&SAMPLE.replacen(valid, invalid, 1))
+                .unwrap_err()
+                .to_string();
             assert!(text.contains(field) && !text.contains('\n'), "{text}");
         }
     }
@@ -92,12 +94,12 @@
     #[test]
     fn operators_sample_equals_the_defaults() {
         let sample = include_str!("../deploy/operators.sample.lisp");
-        let parsed = operators(sample).unwrap();
+        let parsed = parse_operator_settings(sample).unwrap();
         assert_eq!(format!("{parsed:?}"), format!("{:?}", OperatorSettings::default()));
-        assert!(operators("((tick-ms . 5))").is_err());
-        assert!(operators("((beta . 1.5))").is_err());
-        assert!(operators("((novel . 1))").is_err());
-        assert!(operators("((tick-ms . 500))").is_ok_and(|o| o.tick_ms == 500));
+        assert!(parse_operator_settings("((tick-ms . 5))").is_err());
+        assert!(parse_operator_settings("((beta . 1.5))").is_err());
+        assert!(parse_operator_settings("((novel . 1))").is_err());
+        assert!(parse_operator_settings("((tick-ms . 500))").is_ok_and(|o| o.tick_ms == 500));
     }
 
     /// Classes that no objective names and invalid entries are rejected with one line that names the field.
@@ -105,9 +107,9 @@
     fn classes_are_checked_against_the_platform() {
         let objective =
             "[[facts.objectives]]\nkind = \"wait\"\nclass = \"quick\"\nwithin_s = 5.0\n";
-        let settings = platform(&format!("{SAMPLE}\n{objective}")).unwrap();
+        let settings = parse_platform_settings(&format!("{SAMPLE}\n{objective}")).unwrap();
         let read = |text: &str| {
-            let parsed = operators(text).map_err(|e| e.to_string())?;
+            let parsed = parse_operator_settings(text).map_err(|e| e.to_string())?;
             parsed.check_with(&settings).map_err(|e| e.to_string()).map(|()| parsed)
         };
         let known = "quick";
--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -23,7 +23,7 @@
 
 fn settings() -> Settings {
     let text = include_str!("sample.toml").replace("sockets = 1000", "sockets = 2500");
-    oatloom::settings::platform(&text).expect("sound settings")
+    oatloom::settings::parse_platform_settings(&text).expect("sound settings")
 }
 
 /// A leader of so many machines, each with up to so many images.
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -7,9 +7,9 @@
 use oatloom_core::api::Request;
 use oatloom_core::jobs::{ChunkRecord, LiveRecord};
 use oatloom_emulator::worker::{Broken, Instance, Worker};
-use oatloom_protocol::ids::{Attempt, HostId, JobId, Shift, Tally, Zone};
+use oatloom_protocol::ids::{Attempt, HostId, JobId, ReportSeq, WorkerSession, Zone};
 use oatloom_protocol::wire::{
-    Cause, Change, JobSpec, JobStatus, Order, Rank, Report, ReportAnswer, Shape, TaskPhase,
+    Change, ExitCause, JobSpec, JobStatus, Order, Rank, Report, ReportAnswer, Shape, TaskPhase,
     TaskReport,
 };
 use rand::seq::IndexedRandom;
@@ -751,7 +751,7 @@
         task: (*task).into(),
         attempt: Attempt(5),
         status: *status,
-        cause: (*status == TaskPhase::Exited).then_some(Cause::Done),
+        cause: (*status == TaskPhase::Exited).then_some(ExitCause::Done),
         stored: false,
         ran_ms: None,
     };
@@ -761,8 +761,8 @@
         flavor: "g4".into(),
         zone: Zone::new("a"),
         spot: false,
-        shift: Shift(1),
-        tally: Tally(report_seq),
+        session: WorkerSession(1),
+        report_seq: ReportSeq(report_seq),
         token,
         notice_s: None,
         tasks: tasks.iter().map(row).collect(),
@@ -796,7 +796,7 @@
         let gang = JobSpec { shape: Shape::Gang, ..four_gpu_job("req-1", 3) };
         let held = |index: u32| {
             let host = HostId::new(&format!("i-{}", index + 1));
-            (index, Attempt(5), host, Shift(1), Zone::new("a"))
+            (index, Attempt(5), host, WorkerSession(1), Zone::new("a"))
         };
         let record = ChunkRecord {
             done: String::new(),
--- a/tests/machines.rs
+++ b/tests/machines.rs
@@ -9,9 +9,12 @@
 use oatloom_core::controller::Event;
 use oatloom_core::jobs::{ChunkRecord, LiveRecord, RunSent};
 use oatloom_core::store::StoreOp;
-use oatloom_protocol::ids::{Attempt, HostId, JobId, Shift, Tally, TaskId, Token, Zone};
+use oatloom_protocol::ids::{
+    Attempt, HostId, JobId, ReportSeq, TaskId, Token, WorkerSession, Zone,
+};
 use oatloom_protocol::wire::{
-    Cause, Change, JobSpec, JobStatus, Order, Report, ReportAnswer, Shape, TaskPhase, TaskReport,
+    Change, ExitCause, JobSpec, JobStatus, Order, Report, ReportAnswer, Shape, TaskPhase,
+    TaskReport,
 };
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -121,8 +124,8 @@
         flavor: "g4".into(),
         zone: Zone::new(zone),
         spot: false,
-        shift: Shift(session),
-        tally: Tally(report_seq),
+        session: WorkerSession(session),
+        report_seq: ReportSeq(report_seq),
         token: Token(token),
         notice_s: None,
         tasks: Vec::new(),
@@ -420,12 +423,17 @@
 
 /// A report's row on task `req-1/0`.
 fn first_task_row(attempt: u64, status: TaskPhase) -> TaskReport {
-    let cause = (status == TaskPhase::Exited).then_some(Cause::Stopped);
+    let cause = (status == TaskPhase::Exited).then_some(ExitCause::Stopped);
     task_row("req-1/0", Attempt(attempt), status, cause)
 }
 
 /// A report's row on any task.
-fn task_row(task: &str, attempt: Attempt, status: TaskPhase, cause: Option<Cause>) -> TaskReport {
+fn task_row(
+    task: &str,
+    attempt: Attempt,
+    status: TaskPhase,
+    cause: Option<ExitCause>,
+) -> TaskReport {
     TaskReport { task: task.into(), attempt, status, cause, stored: false, ran_ms: None }
 }
 
@@ -454,7 +462,7 @@
     let mut solo = Solo::new();
     let record = ChunkRecord {
         done: String::new(),
-        assignments: vec![(0, Attempt(9), HostId::new("i-1"), Shift(2), Zone::new("a"))],
+        assignments: vec![(0, Attempt(9), HostId::new("i-1"), WorkerSession(2), Zone::new("a"))],
         size: ("blue".into(), 1.0, 1.0, 1.0, 2),
         charges: Default::default(),
         usage: Default::default(),
@@ -676,12 +684,12 @@
 /// still list the refusal when the task is there, and would end it in the job table.
 #[test]
 fn a_refused_attempt_is_not_assigned_to_the_same_machine_again() {
-    for cause in [Cause::NoRoom, Cause::Busy, Cause::Unknown] {
+    for cause in [ExitCause::NoRoom, ExitCause::Busy, ExitCause::Unknown] {
         let mut solo = Solo::new();
         let spec = JobSpec { shape: Shape::Gang, gpus: 4.0, ..small_array("req-1", 9) };
         let held = |index: u32| {
             let host = HostId::new(&format!("i-{}", index + 1));
-            (index, Attempt(5), host, Shift(1), Zone::new("a"))
+            (index, Attempt(5), host, WorkerSession(1), Zone::new("a"))
         };
         let record = ChunkRecord {
             done: String::new(),
@@ -735,7 +743,7 @@
                             for stopped in machine_tasks[at].iter_mut().filter(stopped_task) {
                                 if stopped.status != TaskPhase::Exited {
                                     stopped.status = TaskPhase::Exited;
-                                    stopped.cause = Some(Cause::Stopped);
+                                    stopped.cause = Some(ExitCause::Stopped);
                                 }
                             }
                         }
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -15,7 +15,7 @@
 use oatloom_core::reply::ConnId;
 use oatloom_core::store::{OpId, StoreOp, StoreReply};
 use oatloom_protocol::ids::{
-    Attempt, HostId, JobId, Mono, Now, Revision, Shift, Tally, Token, Zone,
+    Attempt, HostId, JobId, Mono, Now, ReportSeq, Revision, Token, WorkerSession, Zone,
 };
 use oatloom_protocol::reply::HttpReply;
 use oatloom_protocol::wire::{
@@ -212,7 +212,7 @@
         let machine_of = |task: usize| n * MACHINES_OF_JOB + task / TASKS_OF_MACHINE;
         let held = (0..spec.tasks).map(|task| {
             let machine = machine_of(task as usize);
-            (task, Attempt(FORMER.0 << 20), host(machine), Shift(1), zone_of(machine))
+            (task, Attempt(FORMER.0 << 20), host(machine), WorkerSession(1), zone_of(machine))
         });
         let record = ChunkRecord {
             done: "00".into(),
@@ -237,8 +237,8 @@
                 flavor: "f".into(),
                 zone: zone_of(machine),
                 spot: false,
-                shift: Shift(1),
-                tally: Tally(100),
+                session: WorkerSession(1),
+                report_seq: ReportSeq(100),
                 token: FORMER,
                 notice_s: None,
                 tasks: here.map(row).collect(),
@@ -269,8 +269,8 @@
             .replace("gpus_max = 14.0", "gpus_max = 0.0")
             .replace("cpu_share = 0.5", &format!("cpu_share = {CPU_SHARE}"))
             .replace("sockets = 1000", "sockets = 2500");
-        let settings = oatloom::settings::platform(&text).expect("sound settings");
-        let connections = settings.facts.limits.connections();
+        let settings = oatloom::settings::parse_platform_settings(&text).expect("sound settings");
+        let connections = settings.facts.limits.max_connections();
         let (state, mut workers, mut users) = inheritance(machines);
         // A third of the reports were under way to the former leader, and come again together a second later.
         for worker in &mut workers {
@@ -336,7 +336,7 @@
         } else {
             self.costs.dropped
         };
-        let later = HttpReply::later("busy");
+        let later = HttpReply::unavailable("busy");
         self.answered(from, &HttpReply { retry_after_s: Some(retry_after_s), ..later });
     }
 
@@ -357,7 +357,7 @@
                 self.seen.last_trouble = now;
             } else if worker.sent.is_none() && now >= worker.next {
                 worker.sent = Some(now);
-                worker.report.tally.0 += 1;
+                worker.report.report_seq.0 += 1;
                 let request = Request::Report(Box::new(worker.report.clone()));
                 self.send(From::Worker(n, now), request);
             }
--- a/tests/repeats.rs
+++ b/tests/repeats.rs
@@ -6,7 +6,7 @@
 
 use oatloom_emulator::checker::Start;
 use oatloom_emulator::worker::Broken;
-use oatloom_protocol::wire::{Cause, JobStatus, Shape};
+use oatloom_protocol::wire::{ExitCause, JobStatus, Shape};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeSet;
@@ -66,8 +66,8 @@
     for (job, _) in
         world.region.outside.broken.iter().filter(|(_, how)| matches!(how, Broken::Always))
     {
-        let failed = |((_, (of, ..)), (cause, _)): &(&(String, Start), &(Cause, u64))| {
-            of == job && *cause == Cause::Error
+        let failed = |((_, (of, ..)), (cause, _)): &(&(String, Start), &(ExitCause, u64))| {
+            of == job && *cause == ExitCause::Error
         };
         let hosts: BTreeSet<&str> =
             checker.exits.iter().filter(failed).map(|((host, _), _)| host.as_str()).collect();
@@ -152,8 +152,8 @@
         assert!(!counts || heard <= kept, "step {step}: {job}/{index}: {heard} heard, {kept} kept");
     }
     for ((job, index), kept) in charged.iter().filter(|((job, _), _)| of_array(job)) {
-        let failed = |((_, start), (cause, _)): &(&(String, Start), &(Cause, u64))| {
-            *cause == Cause::Error && start.0 == *job && start.1 == *index
+        let failed = |((_, start), (cause, _)): &(&(String, Start), &(ExitCause, u64))| {
+            *cause == ExitCause::Error && start.0 == *job && start.1 == *index
         };
         let happened = checker.exits.iter().filter(failed).count();
         assert!(*kept as usize <= happened, "step {step}: {job}/{index}: {kept} of {happened}");
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -5,7 +5,9 @@
 use oatloom_core::jobs::{Job, JobTable, LiveRecord, RunSent, TaskAssignment, TeamUsage};
 use oatloom_core::placement::{self, PlacementInputs, PlacementPlan};
 use oatloom_core::workers::{Fleet, Image, MachineState, Resources};
-use oatloom_protocol::ids::{Attempt, HostId, JobId, Millis, Mono, Now, Revision, Shift, Zone};
+use oatloom_protocol::ids::{
+    Attempt, HostId, JobId, Millis, Mono, Now, Revision, WorkerSession, Zone,
+};
 use oatloom_protocol::settings::Settings;
 use oatloom_protocol::wire::{Catalog, Flavor, JobSpec, Rank, Shape};
 use rand::{Rng, SeedableRng};
@@ -54,7 +56,7 @@
     for n in 0..machines {
         let (host, zone) = (HostId::new(&format!("i-{n:06}")), Zone::new(ZONES[n % 3]));
         let machine = fleet.add_machine(&host, "f", &zone, n % 2 == 0, NOW, NOW);
-        machine.session = Shift(1);
+        machine.session = WorkerSession(1);
         machine.set_state(MachineState::Live, "test");
     }
     fleet
@@ -127,7 +129,7 @@
         assert!(placement::may_place(settings, book, job, machine), "{id}/{index} on {host}");
         let hold = TaskAssignment {
             host: host.clone(),
-            session: Shift(1),
+            session: WorkerSession(1),
             zone: machine.zone.clone(),
             attempt: match spec.shape {
                 Shape::Gang => Attempt(1),
--- a/tests/terms.rs
+++ b/tests/terms.rs
@@ -30,8 +30,8 @@
         flavor: "g4".into(),
         zone: Zone::new("a"),
         spot: false,
-        shift: Shift(1),
-        tally: Tally(tally),
+        session: WorkerSession(1),
+        report_seq: ReportSeq(tally),
         token: Token(0),
         notice_s: None,
         tasks,
@@ -54,7 +54,7 @@
     let mut solo = Solo::new();
     let record = ChunkRecord {
         done: String::new(),
-        assignments: vec![(0, Attempt(5), HostId::new("i-1"), Shift(1), Zone::new("a"))],
+        assignments: vec![(0, Attempt(5), HostId::new("i-1"), WorkerSession(1), Zone::new("a"))],
         size: ("blue".into(), 1.0, 1.0, 1.0, 2),
         charges: Default::default(),
         usage: Default::default(),
@@ -102,7 +102,7 @@
     let mut tasks: Vec<TaskReport> = (0..400)
         .map(|n| TaskReport {
             status: TaskPhase::Exited,
-            cause: Some(Cause::Stopped),
+            cause: Some(ExitCause::Stopped),
             ..running(&format!("req-2/{n}"))
         })
         .collect();
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -68,8 +68,9 @@
     again.state = std::mem::take(&mut solo.state);
     again.advance(3_000);
     assert!(again.controller.all_upgraded());
-    let own =
-        |change: &&oatloom_protocol::wire::Logged| change.put.as_deref() == Some("version/n-0");
+    let own = |change: &&oatloom_protocol::wire::LoggedChange| {
+        change.put.as_deref() == Some("version/n-0")
+    };
     assert_eq!(again.state.history().iter().filter(own).count(), 1);
 }
 
@@ -167,8 +168,8 @@
             flavor: "g4".into(),
             zone: Zone::new("a"),
             spot: false,
-            shift: Shift(1),
-            tally: Tally(self.tally),
+            session: WorkerSession(1),
+            report_seq: ReportSeq(self.tally),
             token,
             notice_s: None,
             tasks: running.collect(),
--- a/tests/usage.rs
+++ b/tests/usage.rs
@@ -8,7 +8,7 @@
 use oatloom_ledger::entry::{AttemptEnd, UsageEntry};
 use oatloom_ledger::rollup::{CURSOR_KEY, Cursor, ROLLUP_PREFIX, Rollup, RollupId, UsageByDay};
 use oatloom_ledger::tally::{UsageByBucket, UsageSums, end_name};
-use oatloom_protocol::wire::{Cause, Shape};
+use oatloom_protocol::wire::{ExitCause, Shape};
 use std::collections::BTreeMap;
 use world::{World, extra_seeds, init_log};
 
@@ -130,7 +130,7 @@
             match (entry.end, exit) {
                 // The tasks of a gang complete together, and the first that says so speaks for all; a machine that
                 // hung in between may have it otherwise.
-                (AttemptEnd::Seen(Cause::Done), exit)
+                (AttemptEnd::Seen(ExitCause::Done), exit)
                     if entry.shape == Shape::Gang
                         && exit.is_none_or(|(_, ran)| ran != entry.ran_ms) =>
                 {
@@ -140,7 +140,10 @@
                     assert_eq!((cause, entry.ran_ms), (there, ran), "seed {seed}: {entry:?}");
                 }
                 // A start that was refused never ran.
-                (AttemptEnd::Seen(Cause::NoRoom | Cause::Busy | Cause::Unknown), None) => {
+                (
+                    AttemptEnd::Seen(ExitCause::NoRoom | ExitCause::Busy | ExitCause::Unknown),
+                    None,
+                ) => {
                     assert_eq!(entry.ran_ms, 0);
                 }
                 // Of an attempt that it was given twice, a worker tells the last end.
--- a/tests/world/machines.rs
+++ b/tests/world/machines.rs
@@ -54,7 +54,7 @@
     /// When direct commands arrived at each silent machine.
     pub command_times: BTreeMap<String, Vec<u64>>,
     /// Token, session and number of the latest report of each machine that a leader had processed.
-    last_processed: BTreeMap<HostId, (Token, Shift, u64)>,
+    last_processed: BTreeMap<HostId, (Token, WorkerSession, u64)>,
 }
 
 impl World {
@@ -128,7 +128,8 @@
         let met = &mut self.machine_faults.coverage;
         if worker.token > command.token.0 {
             met.outranked += 1;
-        } else if worker.shift == command.shift.0 && leader.is_some_and(|now| now > command.token) {
+        } else if worker.shift == command.session.0 && leader.is_some_and(|now| now > command.token)
+        {
             met.deposed += 1;
             let there = |order: &&Order| match order {
                 Order::Stop { task, attempt, .. } => {
@@ -184,7 +185,7 @@
         let machine = self.leader_term_of(leader).and_then(|r| r.fleet.machines.get(&report.host));
         let first = machine.is_none_or(|m| m.last_report.is_none());
         let worker = self.region.workers.get(report.host.as_str());
-        let older_session = worker.is_some_and(|w| w.shift > report.shift.0);
+        let older_session = worker.is_some_and(|w| w.shift > report.session.0);
         let gone = |w: &Worker| {
             report.tasks.iter().any(|row| {
                 let Some((job, index)) = row.task.rsplit_once('/') else { return false };
@@ -227,7 +228,7 @@
                 }
             }
         }
-        let latest: Vec<(HostId, Shift, u64)> = term
+        let latest: Vec<(HostId, WorkerSession, u64)> = term
             .fleet
             .machines
             .values()
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -27,7 +27,9 @@
 use oatloom_emulator::region::{Hired, Region, Sending, Terms};
 use oatloom_emulator::worker::Worker;
 use oatloom_ledger::entry::UsageEntry;
-use oatloom_protocol::ids::{HostId, JobId, Member, Millis, Mono, Now, Revision, Shift, Zone};
+use oatloom_protocol::ids::{
+    HostId, JobId, Member, Millis, Mono, Now, Revision, WorkerSession, Zone,
+};
 use oatloom_protocol::reply::HttpReply;
 use oatloom_protocol::settings::{Peer, Settings, Team};
 use oatloom_protocol::wire::{Command, Flavor, JobSpec, JobStatus, Rank, Report, Row, Shape};
@@ -414,7 +416,7 @@
 }
 
 pub fn settings(text: &str, node: usize) -> Settings {
-    let mut settings = oatloom::settings::platform(text).expect("valid settings");
+    let mut settings = oatloom::settings::parse_platform_settings(text).expect("valid settings");
     let member = |n: usize| Member::new(&format!("n-{n}"));
     settings.member = member(node);
     let peer = |n| Peer { member: member(n), zone: Zone::new(ZONES[n]), addr: String::new() };
@@ -658,7 +660,7 @@
 
     /// Applies operators' settings, which limit how often tasks of a class may fail; `text` is their TOML.
     pub fn set_operator_settings(&mut self, text: &str) {
-        self.operators = oatloom::settings::operators(text).expect("valid settings");
+        self.operators = oatloom::settings::parse_operator_settings(text).expect("valid settings");
         let classes = &self.operators.classes;
         for spec in self.region.outside.specs.values() {
             if let Some(allowance) = classes.policy_for(&spec.class) {
@@ -1541,7 +1543,7 @@
     /// history of the state service.
     pub fn ended_attempts(&self) -> BTreeMap<Placement, usize> {
         // The worker session distinguishes two assignments of one attempt to the same machine.
-        let mut held: BTreeMap<&str, BTreeSet<(Placement, Shift)>> = BTreeMap::new();
+        let mut held: BTreeMap<&str, BTreeSet<(Placement, WorkerSession)>> = BTreeMap::new();
         let mut ended = BTreeMap::new();
         for change in self.state.history() {
             let key = change.put.as_deref().or(change.delete.as_deref()).unwrap_or_default();
--- a/tests/world/solo.rs
+++ b/tests/world/solo.rs
@@ -12,7 +12,7 @@
 use oatloom_core::store::{OpId, StoreOp, StoreReply};
 use oatloom_protocol::ids::{LeaseId, Mono, Now, Revision};
 use oatloom_protocol::reply::HttpReply;
-use oatloom_protocol::wire::{Catalog, Change, Flavor, Hire, MachineList, Txn};
+use oatloom_protocol::wire::{Catalog, Change, Flavor, HireRequest, MachineList, Txn};
 
 pub struct Solo {
     pub controller: Controller,
@@ -28,7 +28,7 @@
     /// The cloud's response to a list request; `None`: busy, as for all other requests but the catalog.
     pub machine_list: Option<MachineList>,
     /// Hire requests received by the cloud.
-    pub hire_requests: Vec<Hire>,
+    pub hire_requests: Vec<HireRequest>,
     conns: u64,
 }
 
--- a/tests/world/state.rs
+++ b/tests/world/state.rs
@@ -6,7 +6,7 @@
 use limits::{Refusals, StateLimits};
 use oatloom_core::store::{StoreOp, StoreReply};
 use oatloom_protocol::ids::{LeaseId, Revision};
-use oatloom_protocol::wire::{Change, Changes, Logged, Page, Row, Txn};
+use oatloom_protocol::wire::{Change, Changes, LoggedChange, Page, Row, Txn};
 use std::collections::BTreeMap;
 
 /// The refusal of a put under an ended lease, which is unrelated to size limits.
@@ -24,7 +24,7 @@
     leases: BTreeMap<u64, (u64, u64)>,
     pub revision: u64,
     next_lease: u64,
-    log: Vec<Logged>,
+    log: Vec<LoggedChange>,
     /// The limits enforced, if any.
     limits: Option<StateLimits>,
     /// Requests refused because of the limits.
@@ -87,7 +87,7 @@
 
     fn delete(&mut self, key: &str) {
         if self.keys.remove(key).is_some() {
-            self.log.push(Logged {
+            self.log.push(LoggedChange {
                 put: None,
                 delete: Some(key.into()),
                 value: serde_json::Value::Null,
@@ -96,9 +96,9 @@
         }
     }
 
-    pub fn changes(&self, prefix: &str, after: Revision) -> Vec<Logged> {
+    pub fn changes(&self, prefix: &str, after: Revision) -> Vec<LoggedChange> {
         let from = self.log.partition_point(|l| l.version <= after);
-        let key = |l: &Logged| l.put.clone().or(l.delete.clone()).unwrap_or_default();
+        let key = |l: &LoggedChange| l.put.clone().or(l.delete.clone()).unwrap_or_default();
         self.log[from..].iter().filter(|l| key(l).starts_with(prefix)).cloned().collect()
     }
 
@@ -133,7 +133,7 @@
                     let version = self.revision;
                     let entry = Entry { value: value.clone(), version, lease: lease.map(|l| l.0) };
                     self.keys.insert(key.clone(), entry);
-                    self.log.push(Logged {
+                    self.log.push(LoggedChange {
                         put: Some(key.clone()),
                         delete: None,
                         value: value.clone(),
@@ -157,7 +157,7 @@
     }
 
     /// All changes ever made.
-    pub fn history(&self) -> &[Logged] {
+    pub fn history(&self) -> &[LoggedChange] {
         &self.log
     }
 
