--- a/crates/core/src/controller/usage.rs
+++ b/crates/core/src/controller/usage.rs
@@ -40,13 +40,13 @@
         };
         let Some(usage) = &leader_term.job_table.usage_accounting else { return };
         let step = match usage.rollups.load_progress() {
-            LoadProgress::None => ReadStep::Cursor,
+            LoadProgress::NotStarted => ReadStep::Cursor,
             // One page at a time, so that requests of users and workers are not delayed.
-            LoadProgress::After(from) => match self.final_state_scan.take() {
+            LoadProgress::Reading(from) => match self.final_state_scan.take() {
                 Some((after, at)) if after == from => ReadStep::Scan(after, at),
                 _ => ReadStep::Changes(from),
             },
-            LoadProgress::All => return,
+            LoadProgress::Complete => return,
         };
         self.submit_usage_read(now, step);
     }
@@ -74,15 +74,15 @@
         match (step, reply) {
             // A response to a read of an earlier load, which has been restarted since.
             (ReadStep::Changes(_) | ReadStep::Scan(..), _)
-                if !matches!(usage.rollups.load_progress(), LoadProgress::After(_)) => {}
+                if !matches!(usage.rollups.load_progress(), LoadProgress::Reading(_)) => {}
             (ReadStep::Cursor, StoreReply::Missing(_)) => {
                 usage.set_cursor(None, begin);
-                usage.rollups.set_load_progress(LoadProgress::All);
+                usage.rollups.set_load_progress(LoadProgress::Complete);
             }
             (ReadStep::Cursor, StoreReply::Found(row)) => match serde_json::from_value(row.value) {
                 Ok(cursor) => {
                     usage.set_cursor(Some((cursor, row.version)), begin);
-                    usage.rollups.set_load_progress(LoadProgress::After(cursor.counted_through));
+                    usage.rollups.set_load_progress(LoadProgress::Reading(cursor.counted_through));
                 }
                 Err(e) => {
                     // Nothing may be counted twice, so counting restarts here.
@@ -91,7 +91,7 @@
                     );
                     let restarted = Cursor { counted_through: begin, closed_before: 0 };
                     usage.set_cursor(Some((restarted, row.version)), begin);
-                    usage.rollups.set_load_progress(LoadProgress::After(begin));
+                    usage.rollups.set_load_progress(LoadProgress::Reading(begin));
                 }
             },
             (ReadStep::Changes(_), StoreReply::Changes(Changes { log, .. })) => {
@@ -143,7 +143,7 @@
                 let read = |row: Row| (row.key, serde_json::from_value::<Rollup>(row.value).ok());
                 let more = page.more;
                 let found = page.rows.into_iter().map(read);
-                let answer = UsagePage::of(&query, found, more, cursor);
+                let answer = UsagePage::build(&query, found, more, cursor);
                 return self.reply(conn, HttpReply::json(200, &answer));
             }
             _ => {
--- a/crates/core/src/jobs/tests.rs
+++ b/crates/core/src/jobs/tests.rs
@@ -352,7 +352,7 @@
         let (plain, id) = job_table(tasks);
         let mut account = UsageAccounting::new(Arc::default(), Millis(30_000));
         account.set_cursor(Some((Cursor::default(), Revision(2))), Revision(1));
-        account.rollups.set_load_progress(LoadProgress::All);
+        account.rollups.set_load_progress(LoadProgress::Complete);
         (JobTable { usage_accounting: Some(account), ..plain }, id)
     };
     // The job ends with no task assigned: one transaction moves the usage, and nothing else is written.
@@ -405,7 +405,7 @@
     let (plain, id) = job_table(1);
     let mut account = UsageAccounting::new(Arc::default(), Millis(30_000));
     account.set_cursor(Some((Cursor::default(), Revision(2))), Revision(1));
-    account.rollups.set_load_progress(LoadProgress::All);
+    account.rollups.set_load_progress(LoadProgress::Complete);
     let mut job_table = JobTable { usage_accounting: Some(account), ..plain };
     let slot = RollupId { day: 0, team: "t".into(), class: "other".into() };
     let found = |value: Value| Row { key: slot.key(), value, version: Revision(9), lease: None };
@@ -427,7 +427,7 @@
         })
     };
     let rollup: Rollup = serde_json::from_value(put("use/").unwrap()).unwrap();
-    assert!(rollup.incomplete && rollup.tally.total().attempts == 1);
+    assert!(rollup.incomplete && rollup.usage.total().attempts == 1);
     assert_eq!(put("use-damaged/use/"), Some(serde_json::json!({"t": "what?"})));
 }
 
--- a/crates/core/src/jobs/usage.rs
+++ b/crates/core/src/jobs/usage.rs
@@ -70,7 +70,7 @@
     /// Whether final records include usage: not if it is known that no durable cursor says where counting starts.
     /// While the cursor is unread they do; guards against a new leader that had not read it yet and left usage out.
     fn includes_usage(&self) -> bool {
-        self.rollups.load_progress() == LoadProgress::None
+        self.rollups.load_progress() == LoadProgress::NotStarted
             || self.rollups.cursor_revision() > Revision(0)
     }
 
@@ -267,7 +267,7 @@
             self.count_final_record(&id, &record, revision);
         }
         if let Some(account) = self.usage_accounting.as_mut().filter(|_| complete) {
-            account.rollups.set_load_progress(LoadProgress::All);
+            account.rollups.set_load_progress(LoadProgress::Complete);
         }
     }
 }
--- a/crates/ledger/src/query.rs
+++ b/crates/ledger/src/query.rs
@@ -136,7 +136,7 @@
 impl UsagePage {
     /// Builds a page from stored roll-ups in key order, with `None` for unreadable values. `more` says whether the
     /// store has further roll-ups.
-    pub fn of(
+    pub fn build(
         query: &UsageQuery,
         found: impl IntoIterator<Item = (String, Option<Rollup>)>,
         more: bool,
@@ -177,7 +177,7 @@
                 waited_ms: sums.waited_ms(),
                 sums: *sums,
             };
-            page.rows.extend(rollup.tally.rows().map(row));
+            page.rows.extend(rollup.usage.rows().map(row));
         }
         page.next = last.filter(|_| more);
         page
@@ -223,7 +223,7 @@
             for team in ["red", "blue"] {
                 let mut rollup = Rollup::default();
                 for cause in [ExitCause::Done, ExitCause::Error] {
-                    rollup.tally.add(&entry(AttemptEnd::Seen(cause), 7));
+                    rollup.usage.add(&entry(AttemptEnd::Seen(cause), 7));
                 }
                 let rollup_id = RollupId { day, team: team.into(), class: "c".into() };
                 store.push((rollup_id.key(), Some(rollup)));
@@ -240,7 +240,7 @@
                 let start = query.start_key();
                 let rest: Vec<_> = store.iter().filter(|(key, _)| *key > start).collect();
                 let found = rest.iter().take(page_size).map(|(k, r)| (k.clone(), r.clone()));
-                let page = UsagePage::of(&query, found, rest.len() > page_size, cursor);
+                let page = UsagePage::build(&query, found, rest.len() > page_size, cursor);
                 rows.extend(page.rows);
                 gaps.extend(page.gaps);
                 pages += 1;
--- a/crates/ledger/src/rollup.rs
+++ b/crates/ledger/src/rollup.rs
@@ -55,7 +55,7 @@
     #[serde(rename = "r", default)]
     pub counted_through: Revision,
     #[serde(rename = "t")]
-    pub tally: UsageByBucket,
+    pub usage: UsageByBucket,
     /// An earlier value was unreadable: it is stored under another key and missing from the sums.
     #[serde(rename = "g", default, skip_serializing_if = "std::ops::Not::not")]
     pub incomplete: bool,
@@ -157,11 +157,11 @@
 pub enum LoadProgress {
     /// The cursor has not been read.
     #[default]
-    None,
+    NotStarted,
     /// Final states after this revision, the cursor's, are being read.
-    After(Revision),
+    Reading(Revision),
     /// All final states after the cursor are loaded.
-    All,
+    Complete,
 }
 
 /// The part of an uncounted final state that belongs to one roll-up.
@@ -264,8 +264,8 @@
         for (day, usage) in days.days() {
             let rollup_id = RollupId { day, team: team.to_owned(), class: class.to_owned() };
             let mut rollup = self.latest(&rollup_id);
-            rollup.tally.merge(usage);
-            rollup.tally.merge_rows(self.max_rows);
+            rollup.usage.merge(usage);
+            rollup.usage.merge_rows(self.max_rows);
             self.in_flight.insert(rollup_id, rollup);
         }
     }
@@ -280,7 +280,7 @@
         let cursor_missing = self.cursor.0 == Revision(0);
         let due = cursor_missing || !self.pending.is_empty() || self.may_close(today);
         let due = now >= self.next_flush && due;
-        self.load_progress == LoadProgress::All && (due || self.pending.len() >= MAX_PENDING)
+        self.load_progress == LoadProgress::Complete && (due || self.pending.len() >= MAX_PENDING)
     }
 
     fn may_close(&self, today: u64) -> bool {
@@ -298,7 +298,7 @@
             }
             let mut rollup = self.latest(id);
             if *revision > rollup.counted_through {
-                rollup.tally.merge(usage);
+                rollup.usage.merge(usage);
             }
             self.in_flight.insert(id.clone(), rollup);
         }
@@ -307,7 +307,7 @@
             if self.pending.iter().any(|p| p.id == *id) {
                 rollup.counted_through = rollup.counted_through.max(self.newest_final);
             }
-            rollup.tally.merge_rows(self.max_rows);
+            rollup.usage.merge_rows(self.max_rows);
         }
         if left_out {
             self.next_flush = now;
@@ -440,7 +440,7 @@
                         uncounted.for_each(|(revision, job, usage)| {
                             rollups.add_final_state(job, usage, *revision)
                         });
-                        rollups.set_load_progress(LoadProgress::All);
+                        rollups.set_load_progress(LoadProgress::Complete);
                     }
                     1..6 => {
                         let mut days = UsageByDay::default();
@@ -457,7 +457,7 @@
                             expected_ms += e.ran_ms;
                             let job = JobId::new(&format!("req-{step}{n}"));
                             store.final_states.push((revision, job.clone(), job_usage.clone()));
-                            if rollups.load_progress() == LoadProgress::All {
+                            if rollups.load_progress() == LoadProgress::Complete {
                                 rollups.add_final_state(&job, &job_usage, revision);
                             }
                         }
@@ -491,7 +491,7 @@
             let uncounted = store.final_states.iter().filter(|(revision, ..)| *revision > after);
             uncounted
                 .for_each(|(revision, job, usage)| last.add_final_state(job, usage, *revision));
-            last.set_load_progress(LoadProgress::All);
+            last.set_load_progress(LoadProgress::Complete);
             let mut rounds = 0;
             while last.pending_count() > 0 {
                 rounds += 1;
@@ -509,7 +509,7 @@
                     }
                 }
             }
-            let total: u64 = store.rollups.values().map(|(r, _)| r.tally.total().ran_ms).sum();
+            let total: u64 = store.rollups.values().map(|(r, _)| r.usage.total().ran_ms).sum();
             assert_eq!(total, expected_ms, "seed {seed}");
         }
     }
--- a/crates/ledger/tests/month.rs
+++ b/crates/ledger/tests/month.rs
@@ -34,7 +34,7 @@
         self.final_states
             .iter()
             .for_each(|(revision, job, usage)| rollups.add_final_state(job, usage, *revision));
-        rollups.set_load_progress(LoadProgress::All);
+        rollups.set_load_progress(LoadProgress::Complete);
         rollups
     }
 
@@ -157,7 +157,7 @@
     );
     assert_eq!(rollups.pending_count(), 0);
     let sums =
-        |(id, (rollup, _)): (&RollupId, &(Rollup, Revision))| (id.clone(), rollup.tally.total());
+        |(id, (rollup, _)): (&RollupId, &(Rollup, Revision))| (id.clone(), rollup.usage.total());
     assert_eq!(store.rollups.iter().map(sums).collect::<BTreeMap<_, _>>(), expected);
     assert!(expected.len() <= 4 * 6 * 30, "grows with teams, classes and days only");
     for (rollup, _) in store.rollups.values() {
@@ -174,7 +174,7 @@
         let found =
             rest.iter().take(40).map(|(key, rollup)| ((*key).clone(), Some((**rollup).clone())));
         let cursor = store.cursor.unwrap_or_default().0;
-        let page = UsagePage::of(&query, found, rest.len() > 40, cursor);
+        let page = UsagePage::build(&query, found, rest.len() > 40, cursor);
         reported_cost += page.rows.iter().map(|row| row.sums.cost_micros).sum::<u64>();
         assert!(page.rows.iter().all(|row| row.closed));
         match page.next {
--- a/tests/usage.rs
+++ b/tests/usage.rs
@@ -24,7 +24,7 @@
     for row in world.stored_rows(ROLLUP_PREFIX) {
         let rollup: Rollup = serde_json::from_value(row.value).unwrap();
         assert!(!rollup.incomplete);
-        add(&rollup.tally);
+        add(&rollup.usage);
         through.insert(RollupId::parse(&row.key).unwrap(), rollup.counted_through);
     }
     let cursor = world.stored_rows(CURSOR_KEY).pop();
