--- a/tests/members.rs
+++ b/tests/members.rs
@@ -1,15 +1,15 @@
-//! What controllers know of each other, where it matters: several of them that restart, are refused by the state service
-//! alone, or end together.
+//! Controllers' knowledge of each other: restarts of several controllers, refusal of one of them by the state service, and
+//! simultaneous crashes.
 
 #[allow(dead_code)]
 mod world;
 
 use world::{Fault, World};
 
-/// Guards against a controller that the state service alone refuses and that says that it is up: users were sent to it
-/// who had asked it nothing that it could have passed on, so that it learnt nothing of the others' fortune.
+/// Guards against a controller that is the only one refused by the state service and still reports healthy: without user
+/// requests to relay, it did not learn that the others were served, and users were routed to it.
 #[test]
-fn one_that_is_refused_alone_says_so_though_nobody_asks_it_anything() {
+fn an_idle_controller_refused_alone_reports_unhealthy() {
     for (seed, node) in (0..6).flat_map(|seed| (0..3).map(move |node| (seed, node))) {
         let faults = vec![(40_000, Fault::Refused(node, 40_000))];
         let mut world = World::scripted(seed, faults, 90_000, None);
@@ -28,9 +28,9 @@
     }
 }
 
-/// In an outage none is better than another, and none says that it cannot take requests.
+/// In an outage of the state service no controller is better off than another, so none reports unhealthy.
 #[test]
-fn in_an_outage_all_stay_up() {
+fn all_controllers_stay_up_in_an_outage() {
     for seed in 0..4 {
         let faults = vec![(40_000, Fault::StoreOutage(30_000))];
         let mut world = World::scripted(seed, faults, 90_000, None);
@@ -42,7 +42,7 @@
     }
 }
 
-/// Controllers that restart in turn and two at once, again and again: the rules hold, and all work is done.
+/// Controllers restart repeatedly, one at a time and two at once: the rules hold, and all jobs finish.
 #[test]
 fn restarts_in_turn_and_two_at_once_keep_the_rules() {
     for seed in 0..6 {
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -1,6 +1,6 @@
-//! A takeover by a controller with a small share of one processor, at 4,000 and 6,000 machines: each event costs processor time
-//! by its kind, reports and polls are given up by their callers and come again. The controller has to return to its steady state
-//! by itself, with no lease lost and every job answered for.
+//! Leader takeover on a small share of one CPU, at 4,000 and 6,000 machines. Each kind of event costs CPU time, and callers
+//! time out and retry their reports and polls. The controller must return to its steady state by itself, without losing a
+//! lease and while answering for every job.
 
 #[allow(dead_code)]
 mod world;
@@ -28,70 +28,70 @@
 use world::state::State;
 
 const ZONES: [&str; 3] = ["a", "b", "c"];
-/// Share of one processor that the controller has.
+/// Share of one CPU available to the controller.
 const CPU_SHARE: f64 = 0.264;
-/// Machines on which one job has its tasks, and tasks on each machine.
-const MACHINES_OF_JOB: usize = 2;
-const TASKS_OF_MACHINE: usize = 3;
-/// The former leader's token, as all workers know it.
-const FORMER: Token = Token(5);
-/// Periods and time-outs of workers and users (protocol), in milliseconds.
-const REPORT_MS: u64 = 8_000;
-const REPORT_PATIENCE_MS: u64 = 4_000;
+/// Machines that run one job, and tasks of the job on each of them.
+const MACHINES_PER_JOB: usize = 2;
+const TASKS_PER_MACHINE: usize = 3;
+/// Fencing token of the former leader, known to all workers.
+const FORMER_TOKEN: Token = Token(5);
+/// Periods and timeouts of workers and users according to the protocol.
+const REPORT_PERIOD_MS: u64 = 8_000;
+const REPORT_TIMEOUT_MS: u64 = 4_000;
 const LEASE_MS: u64 = 34_000;
-const POLL_MS: u64 = 5_000;
-const POLL_PATIENCE_MS: u64 = 2_000;
-/// A job of which nothing can be heard for so long counts as forgotten.
-const FORGOTTEN_MS: u64 = 75_000;
-/// When steady state must have returned, and when the test ends.
+const POLL_PERIOD_MS: u64 = 5_000;
+const POLL_TIMEOUT_MS: u64 = 2_000;
+/// A job whose status cannot be read for this long counts as forgotten.
+const FORGOTTEN_AFTER_MS: u64 = 75_000;
+/// Time by which the controller must be in steady state again, and end of the test.
 const STEADY_FROM_MS: u64 = 30_000;
 const END_MS: u64 = 80_000;
 
-/// Processor time of what happens, in microseconds of a whole processor.
+/// CPU time per event, in microseconds of a whole CPU.
 #[derive(Clone, Copy, Debug)]
 struct Costs {
     report: f64,
     poll: f64,
-    /// The answer of a service.
+    /// A reply of the state service or the cloud.
     answer: f64,
     dropped: f64,
-    /// A connection that is made anew.
+    /// A new connection.
     connect: f64,
-    /// A look at a parked report.
-    look: f64,
-    /// The control loop, twice a second, for each machine.
+    /// A check of one parked report.
+    parked_check: f64,
+    /// The control loop, twice a second, per machine.
     machine: f64,
 }
 
-/// As a simulated play at 3,985 machines has it: 0.44 of a share of 0.264 with 420 reports and 460 polls a second, a half of it
-/// in the control loop.
-const MEASURED: Costs = Costs {
+/// Costs in a simulation of 3,985 machines: 0.44 of a CPU share of 0.264 at 420 reports and 460 polls per second, half of it in
+/// the control loop.
+const BASE_COSTS: Costs = Costs {
     report: 70.0,
     poll: 30.0,
     answer: 40.0,
     dropped: 10.0,
     connect: 20.0,
-    look: 0.7,
+    parked_check: 0.7,
     machine: 8.0,
 };
 
-/// More than the share carries at 6,000 machines, by a sixth.
-const DEAR: Costs = Costs { report: 160.0, poll: 60.0, connect: 40.0, ..MEASURED };
+/// At 6,000 machines, a sixth more load than the CPU share can handle.
+const HIGH_COSTS: Costs = Costs { report: 160.0, poll: 60.0, connect: 40.0, ..BASE_COSTS };
 
-/// What is planted in the code that is tested.
+/// A fault planted to show that the test detects it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Planted {
+enum PlantedFault {
     Nothing,
-    /// A first-come queue in which nothing is too old.
-    QueueWithoutAge,
-    /// All parked reports are looked at with every event.
-    LooksAtAll,
-    /// What is dropped costs as much as what is answered.
-    DearRefusals,
+    /// A FIFO queue that never drops old requests.
+    QueueWithoutAgeLimit,
+    /// Every event checks all parked reports.
+    ChecksAllParked,
+    /// Rejecting a request costs as much as answering it.
+    ExpensiveRejections,
 }
 
 #[derive(Clone, Debug)]
-enum From {
+enum Caller {
     Worker(usize, u64),
     User(usize, u64),
 }
@@ -99,9 +99,9 @@
 struct Worker {
     report: Report,
     next: u64,
-    /// When the report under way was sent.
+    /// When the outstanding report was sent.
     sent: Option<u64>,
-    heard: u64,
+    last_answered: u64,
     lost: bool,
 }
 
@@ -109,43 +109,43 @@
     job: JobId,
     next: u64,
     sent: Option<u64>,
-    heard: u64,
+    last_answered: u64,
     forgotten: bool,
 }
 
-/// What was seen.
+/// Results of a simulation.
 #[derive(Debug, Default)]
-struct Seen {
+struct Outcome {
     leases_lost: usize,
     forgotten: usize,
-    /// Reports and polls that were given up before and after steady state must have returned.
-    given_up: [u32; 2],
+    /// Reports and polls that timed out, before and after `STEADY_FROM_MS`.
+    timed_out: [u32; 2],
     answered: [u32; 2],
     longest_queue: usize,
     queue_at_end: usize,
-    /// The last moment at which anything was given up.
-    last_trouble: u64,
+    /// Time of the last timeout.
+    last_timeout_ms: u64,
 }
 
-struct Bed {
+struct Simulation {
     core: Controller,
     state: State,
-    inbox: Inbox<(From, Request)>,
+    inbox: Inbox<(Caller, Request)>,
     dropped_reports: DroppedReports,
-    plain: VecDeque<(From, Request)>,
-    planted: Planted,
+    fifo: VecDeque<(Caller, Request)>,
+    planted: PlantedFault,
     costs: Costs,
     now: u64,
     events: VecDeque<Event>,
-    calls: BTreeMap<(u64, u64), Event>,
+    scheduled: BTreeMap<(u64, u64), Event>,
     watches: Vec<(u64, OpId, String, Revision)>,
     serial: u64,
-    open: HashMap<ConnId, From>,
+    open_requests: HashMap<ConnId, Caller>,
     workers: Vec<Worker>,
     users: Vec<User>,
     rng: ChaCha8Rng,
     budget_us: f64,
-    seen: Seen,
+    outcome: Outcome,
 }
 
 fn spec(n: usize) -> JobSpec {
@@ -155,7 +155,7 @@
         team: "red".into(),
         shape: Shape::Service,
         rank: Rank::Critical,
-        tasks: (MACHINES_OF_JOB * TASKS_OF_MACHINE) as u32,
+        tasks: (MACHINES_PER_JOB * TASKS_PER_MACHINE) as u32,
         cpus: 8.0,
         gpus: 1.0,
         memory_gb: 20.0,
@@ -202,17 +202,17 @@
     assert!(matches!(state.execute(0, &StoreOp::Txn(txn)), StoreReply::Committed(_)));
 }
 
-/// What a former leader has left: each job's tasks run on its machines.
-fn inheritance(machines: usize) -> (State, Vec<Worker>, Vec<User>) {
+/// State left by a former leader: the tasks of each job run on its machines.
+fn inherited_state(machines: usize) -> (State, Vec<Worker>, Vec<User>) {
     let mut state = State::default();
     let (mut workers, mut users) = (Vec::new(), Vec::new());
-    for n in 0..machines / MACHINES_OF_JOB {
+    for n in 0..machines / MACHINES_PER_JOB {
         let spec = spec(n);
         let size = (spec.team.clone(), spec.cpus, spec.gpus, spec.memory_gb, spec.tasks);
-        let machine_of = |task: usize| n * MACHINES_OF_JOB + task / TASKS_OF_MACHINE;
+        let machine_of = |task: usize| n * MACHINES_PER_JOB + task / TASKS_PER_MACHINE;
         let held = (0..spec.tasks).map(|task| {
             let machine = machine_of(task as usize);
-            (task, Attempt(FORMER.0 << 20), host(machine), Shift(1), zone_of(machine))
+            (task, Attempt(FORMER_TOKEN.0 << 20), host(machine), Shift(1), zone_of(machine))
         });
         let record = ChunkRecord {
             done: "00".into(),
@@ -221,11 +221,11 @@
             charges: Default::default(),
             usage: Default::default(),
         };
-        for machine in (n * MACHINES_OF_JOB)..(n + 1) * MACHINES_OF_JOB {
+        for machine in (n * MACHINES_PER_JOB)..(n + 1) * MACHINES_PER_JOB {
             let here = (0..spec.tasks).filter(|task| machine_of(*task as usize) == machine);
             let row = |task| TaskReport {
                 task: format!("{}/{task}", spec.id),
-                attempt: Attempt(FORMER.0 << 20),
+                attempt: Attempt(FORMER_TOKEN.0 << 20),
                 status: TaskPhase::Running,
                 cause: None,
                 stored: false,
@@ -239,13 +239,19 @@
                 spot: false,
                 shift: Shift(1),
                 tally: Tally(100),
-                token: FORMER,
+                token: FORMER_TOKEN,
                 notice_s: None,
                 tasks: here.map(row).collect(),
             };
-            workers.push(Worker { report, next: 0, sent: None, heard: 0, lost: false });
+            workers.push(Worker { report, next: 0, sent: None, last_answered: 0, lost: false });
         }
-        users.push(User { job: spec.id.clone(), next: 0, sent: None, heard: 0, forgotten: false });
+        users.push(User {
+            job: spec.id.clone(),
+            next: 0,
+            sent: None,
+            last_answered: 0,
+            forgotten: false,
+        });
         put(
             &mut state,
             jobs::live_key(&spec.id),
@@ -257,8 +263,8 @@
     (state, workers, users)
 }
 
-impl Bed {
-    fn new(machines: usize, seed: u64, costs: Costs, planted: Planted) -> Self {
+impl Simulation {
+    fn new(machines: usize, seed: u64, costs: Costs, planted: PlantedFault) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let text = world::SETTINGS
             .replace("report_s = 3.0", "report_s = 8.0")
@@ -271,76 +277,76 @@
             .replace("sockets = 1000", "sockets = 2500");
         let settings = oatloom::settings::platform(&text).expect("sound settings");
         let connections = settings.facts.limits.connections();
-        let (state, mut workers, mut users) = inheritance(machines);
-        // A third of the reports were under way to the former leader, and come again together a second later.
+        let (state, mut workers, mut users) = inherited_state(machines);
+        // A third of the reports were in flight to the former leader; their retries arrive together a second later.
         for worker in &mut workers {
             let at_once = rng.random_bool(0.35);
             worker.next = if at_once {
                 1_000 + rng.random_range(0..100)
             } else {
-                rng.random_range(0..REPORT_MS)
+                rng.random_range(0..REPORT_PERIOD_MS)
             };
         }
         for user in &mut users {
-            user.next = rng.random_range(0..POLL_MS);
+            user.next = rng.random_range(0..POLL_PERIOD_MS);
         }
         Self {
             core: Controller::new(settings, Operators::default(), rng.random()),
             state,
             inbox: Inbox::new(connections),
             dropped_reports: DroppedReports::default(),
-            plain: VecDeque::new(),
+            fifo: VecDeque::new(),
             planted,
             costs,
             now: 0,
             events: VecDeque::new(),
-            calls: BTreeMap::new(),
+            scheduled: BTreeMap::new(),
             watches: Vec::new(),
             serial: 0,
-            open: HashMap::new(),
+            open_requests: HashMap::new(),
             workers,
             users,
             rng,
             budget_us: 0.0,
-            seen: Seen::default(),
+            outcome: Outcome::default(),
         }
     }
 
-    fn later(&mut self, delay: u64, event: Event) {
+    fn schedule(&mut self, delay: u64, event: Event) {
         self.serial += 1;
-        self.calls.insert((self.now + delay, self.serial), event);
+        self.scheduled.insert((self.now + delay, self.serial), event);
     }
 
     fn phase(&self) -> usize {
         usize::from(self.now >= STEADY_FROM_MS)
     }
 
-    fn send(&mut self, from: From, request: Request) {
+    fn send(&mut self, caller: Caller, request: Request) {
         self.budget_us -= self.costs.connect;
-        if self.planted == Planted::QueueWithoutAge {
-            return self.plain.push_back((from, request));
+        if self.planted == PlantedFault::QueueWithoutAgeLimit {
+            return self.fifo.push_back((caller, request));
         }
         let kind = self.dropped_reports.kind_of(&request, self.core.leader_token());
-        if let Some(Admitted::Drop((from, request), retry)) =
-            self.inbox.push(Mono(self.now), kind, false, (from, request))
+        if let Some(Admitted::Drop((caller, request), retry)) =
+            self.inbox.push(Mono(self.now), kind, false, (caller, request))
         {
-            self.turn_away(from, &request, retry);
+            self.reject(caller, &request, retry);
         }
     }
 
-    /// A caller is told at once to come back.
-    fn turn_away(&mut self, from: From, request: &Request, retry_after_s: u32) {
+    /// Rejects a request at once with a retry time.
+    fn reject(&mut self, caller: Caller, request: &Request, retry_after_s: u32) {
         self.dropped_reports.dropped(request);
-        self.budget_us -= if self.planted == Planted::DearRefusals {
+        self.budget_us -= if self.planted == PlantedFault::ExpensiveRejections {
             self.costs.report
         } else {
             self.costs.dropped
         };
         let later = HttpReply::later("busy");
-        self.answered(from, &HttpReply { retry_after_s: Some(retry_after_s), ..later });
+        self.handle_answer(caller, &HttpReply { retry_after_s: Some(retry_after_s), ..later });
     }
 
-    fn callers(&mut self) {
+    fn run_callers(&mut self) {
         let (now, phase) = (self.now, self.phase());
         for n in 0..self.workers.len() {
             let again = 1_000 + self.rng.random_range(0..500);
@@ -348,43 +354,44 @@
             if worker.lost {
                 continue;
             }
-            if now - worker.heard > LEASE_MS {
+            if now - worker.last_answered > LEASE_MS {
                 worker.lost = true;
-                self.seen.leases_lost += 1;
-            } else if worker.sent.is_some_and(|sent| now - sent >= REPORT_PATIENCE_MS) {
+                self.outcome.leases_lost += 1;
+            } else if worker.sent.is_some_and(|sent| now - sent >= REPORT_TIMEOUT_MS) {
                 (worker.sent, worker.next) = (None, now + again);
-                self.seen.given_up[phase] += 1;
-                self.seen.last_trouble = now;
+                self.outcome.timed_out[phase] += 1;
+                self.outcome.last_timeout_ms = now;
             } else if worker.sent.is_none() && now >= worker.next {
                 worker.sent = Some(now);
                 worker.report.tally.0 += 1;
                 let request = Request::Report(Box::new(worker.report.clone()));
-                self.send(From::Worker(n, now), request);
+                self.send(Caller::Worker(n, now), request);
             }
         }
         for n in 0..self.users.len() {
             let user = &mut self.users[n];
-            if now - user.heard > FORGOTTEN_MS && !user.forgotten {
+            if now - user.last_answered > FORGOTTEN_AFTER_MS && !user.forgotten {
                 user.forgotten = true;
-                self.seen.forgotten += 1;
+                self.outcome.forgotten += 1;
             }
-            if user.sent.is_some_and(|sent| now - sent >= POLL_PATIENCE_MS) {
-                (user.sent, user.next) = (None, now + POLL_MS - POLL_PATIENCE_MS);
-                self.seen.given_up[phase] += 1;
-                self.seen.last_trouble = now;
+            if user.sent.is_some_and(|sent| now - sent >= POLL_TIMEOUT_MS) {
+                (user.sent, user.next) = (None, now + POLL_PERIOD_MS - POLL_TIMEOUT_MS);
+                self.outcome.timed_out[phase] += 1;
+                self.outcome.last_timeout_ms = now;
             } else if user.sent.is_none() && now >= user.next {
                 user.sent = Some(now);
                 let request = Request::View(user.job.clone());
-                self.send(From::User(n, now), request);
+                self.send(Caller::User(n, now), request);
             }
         }
     }
 
-    fn answered(&mut self, from: From, reply: &HttpReply) {
+    fn handle_answer(&mut self, caller: Caller, reply: &HttpReply) {
         let (now, phase) = (self.now, self.phase());
-        match from {
-            From::Worker(n, sent) => {
-                let again = self.rng.random_range(REPORT_MS * 3 / 4..REPORT_MS * 5 / 4);
+        match caller {
+            Caller::Worker(n, sent) => {
+                let again =
+                    self.rng.random_range(REPORT_PERIOD_MS * 3 / 4..REPORT_PERIOD_MS * 5 / 4);
                 let worker = &mut self.workers[n];
                 if worker.sent != Some(sent) {
                     return;
@@ -395,20 +402,20 @@
                     return;
                 }
                 let answer: ReportAnswer = serde_json::from_str(&reply.body).expect("an answer");
-                worker.heard = sent;
-                // A higher token is a change, which is reported soon.
+                worker.last_answered = sent;
+                // A higher token is a change, and changes are reported soon.
                 let changed = answer.token > worker.report.token;
                 worker.report.token = answer.token;
                 worker.next = sent.max(now) + if changed { 500 } else { again };
-                self.seen.answered[phase] += 1;
+                self.outcome.answered[phase] += 1;
             }
-            From::User(n, sent) => {
+            Caller::User(n, sent) => {
                 let user = &mut self.users[n];
                 if user.sent == Some(sent) {
-                    (user.sent, user.next) = (None, now + POLL_MS);
+                    (user.sent, user.next) = (None, now + POLL_PERIOD_MS);
                     if reply.status == 200 {
-                        user.heard = now;
-                        self.seen.answered[phase] += 1;
+                        user.last_answered = now;
+                        self.outcome.answered[phase] += 1;
                     }
                 }
             }
@@ -433,8 +440,8 @@
     fn perform(&mut self, action: Action) {
         match action {
             Action::Reply { conn, reply } => {
-                if let Some(from) = self.open.remove(&conn) {
-                    self.answered(from, &reply);
+                if let Some(caller) = self.open_requests.remove(&conn) {
+                    self.handle_answer(caller, &reply);
                 }
             }
             Action::Store { id, op: StoreOp::Follow { prefix, after }, .. } => {
@@ -445,7 +452,7 @@
                     StoreOp::List { prefix, after } => self.page(prefix, after),
                     op => self.state.execute(self.now, op),
                 };
-                self.later(10, Event::Store { id, reply });
+                self.schedule(10, Event::Store { id, reply });
             }
             Action::Cloud { id, op } => {
                 let reply = match op {
@@ -456,30 +463,30 @@
                     CloudOp::Hire(_) => CloudReply::NoCapacity,
                     CloudOp::Release(_) => CloudReply::Released,
                 };
-                self.later(200, Event::Cloud { id, reply });
+                self.schedule(200, Event::Cloud { id, reply });
             }
-            Action::Ask { id, .. } => self.later(500, Event::Told { id, reply: None }),
-            Action::Command { .. } => self.later(800, Event::Obeyed { report: None }),
+            Action::Ask { id, .. } => self.schedule(500, Event::Told { id, reply: None }),
+            Action::Command { .. } => self.schedule(800, Event::Obeyed { report: None }),
         }
     }
 
-    /// Has the controller handle an event that costs so much.
+    /// Lets the controller handle an event and charges its cost.
     fn handle(&mut self, event: Event, cost_us: f64) {
         let now = Now { mono: Mono(CLOCK_START_MS.0 + self.now), wall_ms: 1_000_000 + self.now };
-        let (looks, parked) = (self.core.parked_looks(), self.core.waiting().parked);
+        let (checks_before, parked) = (self.core.parked_looks(), self.core.waiting().parked);
         let actions = self.core.handle(now, event);
-        let looked = match self.planted {
-            Planted::LooksAtAll => parked as u64,
-            _ => self.core.parked_looks() - looks,
+        let checked = match self.planted {
+            PlantedFault::ChecksAllParked => parked as u64,
+            _ => self.core.parked_looks() - checks_before,
         };
-        self.budget_us -= cost_us + self.costs.look * looked as f64;
+        self.budget_us -= cost_us + self.costs.parked_check * checked as f64;
         actions.into_iter().for_each(|action| self.perform(action));
     }
 
-    /// The next input, with what it costs; `None`: nothing waits.
-    fn take(&mut self) -> Option<(From, Request)> {
-        if self.planted == Planted::QueueWithoutAge {
-            return self.plain.pop_front();
+    /// The next queued request, if any.
+    fn next_request(&mut self) -> Option<(Caller, Request)> {
+        if self.planted == PlantedFault::QueueWithoutAgeLimit {
+            return self.fifo.pop_front();
         }
         loop {
             match self.inbox.pop(Mono(self.now))? {
@@ -488,15 +495,16 @@
                     self.core.lags(age);
                     return Some(next);
                 }
-                Admitted::Drop((from, request), retry) => self.turn_away(from, &request, retry),
+                Admitted::Drop((caller, request), retry) => self.reject(caller, &request, retry),
             }
         }
     }
 
-    /// One millisecond.
+    /// Advances the simulation by one millisecond.
     fn step(&mut self) {
         self.budget_us = (self.budget_us + 1_000.0 * CPU_SHARE).min(1_000.0 * CPU_SHARE);
-        while let Some(call) = self.calls.first_entry().filter(|call| call.key().0 <= self.now) {
+        while let Some(call) = self.scheduled.first_entry().filter(|call| call.key().0 <= self.now)
+        {
             self.events.push_back(call.remove());
         }
         let due =
@@ -504,107 +512,110 @@
                 now >= *until || !state.changes(prefix, *after).is_empty()
             };
         if self.now.is_multiple_of(50) {
-            let (done, open) = std::mem::take(&mut self.watches)
+            let (done, pending) = std::mem::take(&mut self.watches)
                 .into_iter()
                 .partition(|w| due(w, &self.state, self.now));
-            self.watches = open;
+            self.watches = pending;
             for (_, id, prefix, after) in Vec::from_iter::<Vec<_>>(done) {
                 let reply = self.state.follow(&prefix, after);
                 self.events.push_back(Event::Store { id, reply });
             }
         }
-        self.callers();
+        self.run_callers();
         if self.now.is_multiple_of(500) {
             self.budget_us -= self.costs.machine * self.workers.len() as f64;
         }
-        if self.now.is_multiple_of(CORE_STEP_MS) {
+        if self.now.is_multiple_of(CORE_TICK_MS) {
             self.handle(Event::Tick, 0.0);
         }
         while self.budget_us > 0.0 {
             if let Some(event) = self.events.pop_front() {
                 self.handle(event, self.costs.answer);
-            } else if let Some((from, request)) = self.take() {
+            } else if let Some((caller, request)) = self.next_request() {
                 self.serial += 1;
                 let conn = ConnId(self.serial);
-                let cost_us = if matches!(from, From::User(..)) {
+                let cost_us = if matches!(caller, Caller::User(..)) {
                     self.costs.poll
                 } else {
                     self.costs.report
                 };
-                self.open.insert(conn, from);
+                self.open_requests.insert(conn, caller);
                 self.handle(Event::Request { conn, request, forwarded: false }, cost_us);
             } else {
                 break;
             }
         }
-        let queue = self.inbox.len() + self.plain.len();
-        self.seen.longest_queue = self.seen.longest_queue.max(queue);
-        self.seen.queue_at_end = queue;
+        let queue = self.inbox.len() + self.fifo.len();
+        self.outcome.longest_queue = self.outcome.longest_queue.max(queue);
+        self.outcome.queue_at_end = queue;
         self.now += 1;
     }
 
-    fn play(mut self) -> Seen {
+    fn run(mut self) -> Outcome {
         while self.now < END_MS {
             self.step();
         }
-        let silent = self.workers.iter().filter(|worker| worker.lost).count();
-        assert_eq!(silent, self.seen.leases_lost);
-        self.seen
+        let lost = self.workers.iter().filter(|worker| worker.lost).count();
+        assert_eq!(lost, self.outcome.leases_lost);
+        self.outcome
     }
 }
 
-/// How often the core's thread wakes by itself, in milliseconds.
-const CORE_STEP_MS: u64 = 50;
+/// Tick period of the core's thread.
+const CORE_TICK_MS: u64 = 50;
 
 fn seeds() -> impl Iterator<Item = u64> {
     1..=1 + world::more_days()
 }
 
-/// Whether all that must hold after a takeover holds.
-fn recovers(seen: &Seen) -> bool {
-    let late = f64::from(seen.given_up[1]) / f64::from(seen.answered[1].max(1));
-    seen.leases_lost == 0 && seen.forgotten == 0 && late < 0.01 && seen.queue_at_end < 1_000
+/// Whether the controller recovered from the takeover.
+fn recovers(outcome: &Outcome) -> bool {
+    let late = f64::from(outcome.timed_out[1]) / f64::from(outcome.answered[1].max(1));
+    outcome.leases_lost == 0
+        && outcome.forgotten == 0
+        && late < 0.01
+        && outcome.queue_at_end < 1_000
 }
 
-fn takeover(machines: usize) {
+fn check_takeover(machines: usize) {
     for seed in seeds() {
-        let seen = Bed::new(machines, seed, MEASURED, Planted::Nothing).play();
-        println!("{machines} machines, seed {seed}: {seen:?}");
-        assert!(recovers(&seen), "{machines} machines, seed {seed}: {seen:?}");
+        let outcome = Simulation::new(machines, seed, BASE_COSTS, PlantedFault::Nothing).run();
+        println!("{machines} machines, seed {seed}: {outcome:?}");
+        assert!(recovers(&outcome), "{machines} machines, seed {seed}: {outcome:?}");
     }
 }
 
 #[test]
-fn a_controller_takes_over_4000_machines_and_recovers() {
-    takeover(4_000);
+fn takeover_of_4000_machines_recovers() {
+    check_takeover(4_000);
 }
 
 #[test]
-fn a_controller_takes_over_6000_machines_and_recovers() {
-    takeover(6_000);
+fn takeover_of_6000_machines_recovers() {
+    check_takeover(6_000);
 }
 
-/// With more to do than the share carries, questions are dropped, and leases are kept.
+/// Under more load than the CPU share can handle, polls are dropped while leases are kept.
 #[test]
-fn a_controller_that_is_too_small_keeps_leases_and_answers_for_every_job() {
+fn overloaded_controller_keeps_leases_and_answers_for_every_job() {
     for seed in seeds() {
-        let seen = Bed::new(6_000, seed, DEAR, Planted::Nothing).play();
-        println!("too small, seed {seed}: {seen:?}");
-        assert_eq!((seen.leases_lost, seen.forgotten), (0, 0), "{seen:?}");
-        assert!(seen.longest_queue < 6_000 && seen.answered[1] > 20_000, "{seen:?}");
+        let outcome = Simulation::new(6_000, seed, HIGH_COSTS, PlantedFault::Nothing).run();
+        println!("overloaded, seed {seed}: {outcome:?}");
+        assert_eq!((outcome.leases_lost, outcome.forgotten), (0, 0), "{outcome:?}");
+        assert!(outcome.longest_queue < 6_000 && outcome.answered[1] > 20_000, "{outcome:?}");
     }
 }
 
-/// With the faults that the collapse came of, it does not.
+/// Each fault that can cause an overload collapse makes the test fail.
 #[test]
-fn planted_causes_of_a_collapse_are_caught() {
+fn planted_causes_of_collapse_are_detected() {
     for (planted, costs) in [
-        (Planted::QueueWithoutAge, DEAR),
-        (Planted::DearRefusals, DEAR),
-        (Planted::LooksAtAll, MEASURED),
+        (PlantedFault::QueueWithoutAgeLimit, HIGH_COSTS),
+        (PlantedFault::ExpensiveRejections, HIGH_COSTS),
+        (PlantedFault::ChecksAllParked, BASE_COSTS),
     ] {
-        let seen = Bed::new(6_000, 1, costs, planted).play();
-        println!("{planted:?}: {seen:?}");
-        assert!(!recovers(&seen), "{planted:?}: {seen:?}");
+        let outcome = Simulation::new(6_000, 1, costs, planted).run();
+        println!("{planted:?}: {outcome:?}");
+        assert!(!recovers(&outcome), "{planted:?}: {outcome:?}");
     }
 }
--- a/tests/quiet_controllers.rs
+++ b/tests/quiet_controllers.rs
@@ -1,21 +1,13 @@
-//! Whether a controller that asks the state service hardly anything takes itself for refused.
+//! A controller that sends few requests must not conclude from them that it is refused or cut off.
 //!
-//! What happened: while one controller was refused by the state service, another one said at `/up` for three seconds that it
-//! was refused too (`tests/members.rs`, seed 3), and users were sent away from it.
-//!
-//! Why: it followed, no user asked it anything, and so it read the leader's key once in three seconds and nothing else. Two
-//! of these reads in a row got no answer (2.5 s each), and six seconds without a good answer counted as refused, however
-//! little had been asked.
-//!
-//! What showed it: the times of its questions and of its last good answer: read at 67.7 s, lost at 70.2 s; read at 70.7 s,
-//! lost at 73.2 s; last good answer at 64.8 s; `/up` answered 503 from 71.0 to 73.1 s. In 300 plays (100 seeds, three
-//! nodes) it was one.
-//!
-//! The same verdict was wrong in another place: as an outage of the state service begins for all, one that had asked last some
-//! seconds before it was silent for six seconds first, while the last good answers of the others still counted as fresh.
-//!
-//! And in a third one (seeds 145 and 148): `health: Up -> LeaderApart (... none since Some(49306) ms)`. Two questions to the
-//! leader got no answer, 47 s apart, with nothing asked between; they counted as 47 s without an answer.
+//! Guards against three false verdicts, each caused by counting the time since the last answer however little was asked:
+//! - An idle follower reads only the leader's key, once in three seconds. Two of these reads in a row timed out (2.5 s each);
+//!   six seconds without an answer counted as refused, and `/up` returned 503 from 71.0 to 73.1 s (last good answer at 64.8 s,
+//!   reads at 67.7 s and 70.7 s lost; `tests/members.rs` with seed 3, one of 300 runs).
+//! - When an outage of the state service begins for all, the controller whose last read is some seconds old reaches the six
+//!   seconds first, while the last answers of the others still count as fresh.
+//! - Two requests to the leader, 47 s apart with none in between, got no answer and counted as 47 s without one (seeds 145 and
+//!   148): `health: Up -> LeaderUnreachable (... none since Some(49306) ms)`.
 
 #[allow(dead_code)]
 mod world;
@@ -30,11 +22,11 @@
 use world::solo::Solo;
 use world::{Fault, World, more_days};
 
-/// A call that gets no answer is given up after so long, in milliseconds.
-const GIVEN_UP_MS: u64 = 2_500;
+/// Timeout of an unanswered call.
+const CALL_TIMEOUT_MS: u64 = 2_500;
 
-/// What another controller, which leads and was served so long ago, says.
-fn greeting(solo: &Solo, served_ms: u64) -> Request {
+/// Gossip of another controller, which leads and was served by the state service `served_ms` ago.
+fn leader_gossip(solo: &Solo, served_ms: u64) -> Request {
     Request::Greet(Box::new(Gossip {
         version: VERSION,
         from: Member::new("n-1"),
@@ -47,7 +39,7 @@
     }))
 }
 
-/// A controller that follows and asks the state service for nothing but the leader's key.
+/// A follower that reads nothing but the leader's key from the state service.
 fn follower() -> Solo {
     let mut solo = Solo::new();
     solo.led_by_another();
@@ -59,20 +51,20 @@
     solo
 }
 
-/// A controller that follows for a minute; of its reads of the leader's key those get no answer for whose number `lost` holds.
-/// Says when it was not up, in milliseconds.
-fn not_up(lost: impl Fn(u64) -> bool) -> Vec<u64> {
+/// Runs a follower for a minute; its reads of the leader's key for whose number `lost` holds get no answer. Returns the times
+/// at which it was not up, in milliseconds.
+fn unhealthy_times(lost: impl Fn(u64) -> bool) -> Vec<u64> {
     let mut solo = follower();
     solo.hold = |op| matches!(op, StoreOp::Get { .. });
     let mut reads = 0;
     let mut unanswered: BTreeMap<OpId, u64> = BTreeMap::new();
-    let mut bad = Vec::new();
+    let mut unhealthy_at = Vec::new();
     while solo.now < 60_000 {
         solo.pass(50);
         for (id, op, _) in std::mem::take(&mut solo.held) {
             reads += 1;
             if lost(reads) {
-                unanswered.insert(id, solo.now + GIVEN_UP_MS);
+                unanswered.insert(id, solo.now + CALL_TIMEOUT_MS);
             } else {
                 let reply = solo.state.execute(solo.now, &op);
                 solo.event(Event::Store { id, reply });
@@ -86,72 +78,75 @@
             solo.event(Event::Store { id, reply: StoreReply::Lost });
         }
         if solo.now.is_multiple_of(1_000) {
-            solo.ask(greeting(&solo, 100));
+            solo.ask(leader_gossip(&solo, 100));
             let conn = solo.ask(Request::Up);
             if solo.reply(conn).map(|reply| reply.status) != Some(200) {
-                bad.push(solo.now);
+                unhealthy_at.push(solo.now);
             }
         }
     }
-    bad
+    unhealthy_at
 }
 
 #[test]
-fn two_reads_without_an_answer_do_not_make_a_controller_refused() {
-    let bad = not_up(|read| read % 3 != 0);
-    assert!(bad.is_empty(), "it was not up at {bad:?} ms");
+fn two_unanswered_reads_do_not_count_as_refused() {
+    let unhealthy_at = unhealthy_times(|read| read % 3 != 0);
+    assert!(unhealthy_at.is_empty(), "it was not up at {unhealthy_at:?} ms");
 }
 
-/// One that gets no answer at all says so within the time that it needs to know.
+/// A controller without any answers reports unhealthy within the detection time.
 #[test]
-fn a_controller_that_gets_no_answer_says_so() {
-    let bad = not_up(|read| read > 3);
-    let first = bad.first().copied().unwrap_or(u64::MAX);
+fn a_controller_without_answers_reports_unhealthy() {
+    let unhealthy_at = unhealthy_times(|read| read > 3);
+    let first = unhealthy_at.first().copied().unwrap_or(u64::MAX);
     assert!(
-        first < 20_000 && bad.len() as u64 == 61 - first / 1_000,
-        "it was not up at {bad:?} ms"
+        first < 20_000 && unhealthy_at.len() as u64 == 61 - first / 1_000,
+        "it was not up at {unhealthy_at:?} ms"
     );
 }
 
-/// An outage begins for all at once, a while after this controller's last read: none is better off, and it stays up. The
-/// leader tells how long ago it was served itself.
+/// An outage begins for all controllers at once, some time after this one's last read: no other is better off, so it stays
+/// up. The leader reports how long ago it was served itself.
 #[test]
-fn the_first_seconds_of_an_outage_are_no_refusal() {
-    const BEGINS_MS: u64 = 20_000;
+fn the_start_of_an_outage_does_not_count_as_refused() {
+    const FIRST_OUTAGE_MS: u64 = 20_000;
     for offset in (0..3_000).step_by(250) {
-        let begins = BEGINS_MS + offset;
+        let outage_ms = FIRST_OUTAGE_MS + offset;
         let mut solo = follower();
-        let mut bad = Vec::new();
-        while solo.now < begins + 30_000 {
+        let mut unhealthy_at = Vec::new();
+        while solo.now < outage_ms + 30_000 {
             solo.pass(50);
-            if solo.now >= begins {
+            if solo.now >= outage_ms {
                 solo.hold = |op| matches!(op, StoreOp::Get { .. });
                 for (id, _, _) in std::mem::take(&mut solo.held) {
                     solo.event(Event::Store { id, reply: StoreReply::Refused });
                 }
             }
             if solo.now.is_multiple_of(500) {
-                let served_ms = 100 + solo.now.saturating_sub(begins);
-                solo.ask(greeting(&solo, served_ms));
+                let served_ms = 100 + solo.now.saturating_sub(outage_ms);
+                solo.ask(leader_gossip(&solo, served_ms));
                 let conn = solo.ask(Request::Up);
                 if solo.reply(conn).map(|reply| reply.status) != Some(200) {
-                    bad.push(solo.now);
+                    unhealthy_at.push(solo.now);
                 }
             }
         }
-        assert!(bad.is_empty(), "the outage begins at {begins} ms; it was not up at {bad:?} ms");
+        assert!(
+            unhealthy_at.is_empty(),
+            "the outage begins at {outage_ms} ms; it was not up at {unhealthy_at:?} ms"
+        );
     }
 }
 
-/// Two questions get no answer, 47 s apart, while the leader's own words come all the time; then they come back none for long.
+/// Two requests 47 s apart get no answer while the leader's gossip keeps arriving; from 100 s on every request goes unanswered.
 #[test]
-fn two_questions_far_apart_are_not_a_leader_out_of_reach() {
+fn two_unanswered_requests_far_apart_do_not_make_the_leader_unreachable() {
     let mut solo = follower();
-    let mut bad = Vec::new();
+    let mut unhealthy_at = Vec::new();
     let asks = |now: u64| [10_000, 57_000].contains(&now) || now >= 100_000;
     while solo.now < 150_000 {
         solo.pass(1_000);
-        solo.ask(greeting(&solo, 100));
+        solo.ask(leader_gossip(&solo, 100));
         if asks(solo.now) {
             solo.ask(Request::View(JobId::new("req-000001")));
             for (id, _) in std::mem::take(&mut solo.asked) {
@@ -160,16 +155,16 @@
         }
         let conn = solo.ask(Request::Up);
         if solo.reply(conn).map(|reply| reply.status) != Some(200) {
-            bad.push(solo.now);
+            unhealthy_at.push(solo.now);
         }
     }
-    let first = bad.first().copied().unwrap_or(u64::MAX);
-    assert!((129_000..135_000).contains(&first), "it was not up at {bad:?} ms");
+    let first = unhealthy_at.first().copied().unwrap_or(u64::MAX);
+    assert!((129_000..135_000).contains(&first), "it was not up at {unhealthy_at:?} ms");
 }
 
-/// The scene of `tests/members.rs` with other seeds: in an outage all stay up. `OATLOOM_SEEDS=n` plays n more.
+/// The outage of `tests/members.rs` with other seeds: all stay up. `OATLOOM_SEEDS=n` runs n more.
 #[test]
-fn all_stay_up_in_an_outage() {
+fn all_controllers_stay_up_in_an_outage_with_more_seeds() {
     let mut wrong = Vec::new();
     for seed in 0..30 + more_days() {
         let mut world =
@@ -185,9 +180,9 @@
     assert!(wrong.is_empty(), "seed, shares of probes: {wrong:?}");
 }
 
-/// The scene of `tests/members.rs` with other seeds: while one is refused, all others are up. `OATLOOM_SEEDS=n` plays n more.
+/// The refusal of `tests/members.rs` with other seeds: all others stay up. `OATLOOM_SEEDS=n` runs n more.
 #[test]
-fn the_others_are_up_while_one_is_refused() {
+fn the_others_stay_up_while_one_is_refused() {
     let mut wrong = Vec::new();
     for (seed, node) in (0..30 + more_days()).flat_map(|seed| (0..3).map(move |node| (seed, node)))
     {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,5 +1,5 @@
-//! Seeded days of the simulated world: every rule of the protocol after every step, and nothing
-//! accepted left undone once calm has returned. `OATLOOM_SEEDS=n` plays n seeds more.
+//! Seeded days of the simulated world: every rule of the protocol holds after every step, and every
+//! accepted job finishes once the faults are over. `OATLOOM_SEEDS=n` runs n more play_seeds.
 
 #[allow(dead_code)]
 mod world;
@@ -10,7 +10,7 @@
 use world::{World, more_days, show_log};
 
 fn play(seed: u64, faults: bool) -> World {
-    // `LOG_LEVEL=debug` shows what the controllers of a failing seed say.
+    // `LOG_LEVEL=debug` shows the controllers' log for a failing seed.
     show_log();
     let mut world = World::new(seed, faults);
     world.play();
@@ -22,7 +22,7 @@
     world
 }
 
-fn seeds(first: u64, count: u64) {
+fn play_seeds(first: u64, count: u64) {
     let more = more_days();
     let (mut done, mut cancelled) = (0, 0);
     for seed in first..first + count + more {
@@ -33,7 +33,7 @@
     assert!(done > 0 && cancelled > 0, "{done} done, {cancelled} cancelled");
 }
 
-/// Plays the one seed that `OATLOOM_SEED` names, if any.
+/// Runs the seed given in `OATLOOM_SEED`, if any.
 #[test]
 fn one_seed() {
     if let Some(seed) = std::env::var("OATLOOM_SEED").ok().and_then(|s| s.parse().ok()) {
@@ -42,44 +42,44 @@
 }
 
 #[test]
-fn a_calm_day_finishes_everything() {
+fn a_day_without_faults_finishes_every_job() {
     let world = play(1, false);
     assert!(world.told(JobStatus::Done) > 5);
 }
 
 #[test]
-fn days_of_trouble_keep_the_rules_1() {
-    seeds(1_000, 8);
+fn days_with_faults_keep_the_rules_1() {
+    play_seeds(1_000, 8);
 }
 
 #[test]
-fn days_of_trouble_keep_the_rules_2() {
-    seeds(2_000, 8);
+fn days_with_faults_keep_the_rules_2() {
+    play_seeds(2_000, 8);
 }
 
 #[test]
-fn days_of_trouble_keep_the_rules_3() {
-    seeds(3_000, 8);
+fn days_with_faults_keep_the_rules_3() {
+    play_seeds(3_000, 8);
 }
 
 #[test]
-fn days_of_trouble_keep_the_rules_4() {
-    seeds(4_000, 8);
+fn days_with_faults_keep_the_rules_4() {
+    play_seeds(4_000, 8);
 }
 
-/// Every action, in the same order. Guards against the order of a hashed map, which differs from
-/// process to process and from map to map: it reached the actions, and the number of starts.
+/// Two runs of a seed produce the same actions in the same order. Guards against iteration over a
+/// hash map, whose random order reached the actions and the number of starts.
 #[test]
-fn the_same_seed_gives_the_same_day() {
+fn a_seed_reproduces_the_same_actions() {
     for seed in [1_001, 4_001] {
         let (a, b) = (play(seed, true), play(seed, true));
         assert_eq!((a.digest, a.now), (b.digest, b.now), "seed {seed}");
     }
 }
 
-/// The checker finds what is planted.
+/// The checker reports each planted violation.
 #[test]
-fn the_checker_catches_planted_violations() {
+fn the_checker_detects_planted_violations() {
     let spec = |spread, one_zone| {
         let text = r#"{"nameId":"req-1","jobclass":"c","owner":"red","shape":"sweep","rank":"low",
             "shards":2,"cpus":1,"gpus":2,"memoryGb":1,"bundle":"i","pullGb":1,"flavors":["g4"],
@@ -136,12 +136,12 @@
         c.cancel_asked("req-1");
         c.answered(10, 9, "req-1", 200, &view("cancelled"), false);
     };
-    let lingers = caught(false, false, &|c| {
+    let outlives_cancel = caught(false, false, &|c| {
         c.started(1, on(0, "x"), good());
         cancelled(c);
         c.look(2_000);
     });
-    assert_eq!(lingers, ["ran_cancelled"]);
+    assert_eq!(outlives_cancel, ["ran_cancelled"]);
     let starts = caught(false, false, &|c| {
         cancelled(c);
         c.started(2_000, on(0, "x"), good());
@@ -149,8 +149,8 @@
     assert_eq!(starts, ["ran_cancelled"]);
     let answers = |list: &'static [(u16, &'static str, bool)]| {
         caught(false, false, &move |c| {
-            for (status, said, submission) in list {
-                c.answered(1, 1, "req-1", *status, &view(said), *submission);
+            for (status, state, submission) in list {
+                c.answered(1, 1, "req-1", *status, &view(state), *submission);
             }
         })
     };
@@ -165,22 +165,23 @@
         c.answered(2, 2, "req-1", 200, &view("running"), false);
     });
     assert_eq!(back, ["went_back"]);
-    // Whichever node says it: what was asked before the news may cross it, two different ends may not.
-    let crossing = |asked: u64, status: u16, said: &'static str| {
+    // On any node, a request sent before a change was announced may return the older state, but two different final states are a
+    // violation.
+    let overlapping = |asked: u64, status: u16, state: &'static str| {
         caught(false, false, &move |c| {
             (0..2).for_each(|i| c.task_done("req-1", i));
             c.cancel_asked("req-1");
             c.answered(10, 5, "req-1", 201, &view("queued"), true);
             c.answered(20, 15, "req-1", 200, &view("cancelled"), false);
-            c.answered(30, asked, "req-1", status, &view(said), false);
+            c.answered(30, asked, "req-1", status, &view(state), false);
         })
     };
-    assert!(crossing(8, 404, "").is_empty(), "asked before the acceptance was told");
-    assert_eq!(crossing(10, 404, ""), ["forgotten"]);
-    assert!(crossing(19, 200, "running").is_empty(), "asked before the end was told");
-    assert_eq!(crossing(20, 200, "running"), ["went_back"]);
-    assert_eq!(crossing(20, 200, "queued"), ["went_back"]);
-    assert_eq!(crossing(3, 200, "done"), ["went_back"], "a different end was never true");
+    assert!(overlapping(8, 404, "").is_empty(), "asked before the acceptance was announced");
+    assert_eq!(overlapping(10, 404, ""), ["forgotten"]);
+    assert!(overlapping(19, 200, "running").is_empty(), "asked before the end was announced");
+    assert_eq!(overlapping(20, 200, "running"), ["went_back"]);
+    assert_eq!(overlapping(20, 200, "queued"), ["went_back"]);
+    assert_eq!(overlapping(3, 200, "done"), ["went_back"], "a different end was never true");
     let order = |task: &str| Order::Run { task: task.into(), attempt: Attempt(7) };
     let ordered = caught(false, false, &|c| {
         c.ordered(5, &[order("req-1/0")]);
--- a/tests/served.rs
+++ b/tests/served.rs
@@ -1,6 +1,6 @@
-//! Nobody under a half: hard days on which each class and each team, guests too, must get half of what it
-//! wants at least, by every reading of "served" (docs/design.md), at 150 and at 2,300 machines.
-//! `OATLOOM_SEEDS=n` plays n drawn days more, `OATLOOM_SEED` one of them, `OATLOOM_MACHINES` says how large.
+//! Days with faults and load bursts on which every class and every team, including the guest team, must get at least half of
+//! its demand by each measure of "served" (docs/design.md), at 150 and at 2,300 machines. `OATLOOM_SEEDS=n` runs n more
+//! random days, `OATLOOM_SEED` a single one, with `OATLOOM_MACHINES` machines.
 
 #[allow(dead_code)]
 mod world;
@@ -13,18 +13,18 @@
 use world::served::{Served, Watch};
 use world::{Fault, Site, Upon, World, more_days, show_log};
 
-/// When the last job comes, and when the day ends, in milliseconds.
+/// Time of the last submission, and end of the day.
 const DAY_MS: (u64, u64) = (450_000, 800_000);
-/// The same with many machines, each of which takes its time.
+/// The same for the large fleet, which takes longer to simulate.
 const LARGE_DAY_MS: (u64, u64) = (150_000, 330_000);
-/// Where all ordinary machines together could have had no larger share of the replicas up, with nothing else on them, half of
-/// each class cannot be asked for.
-const OUT_OF_REACH: f64 = 0.6;
-/// Machines of a small day, and the most that operators have.
-const SMALL: u32 = 150;
-const LARGE: u32 = 2_300;
+/// Days on which all on-demand machines together, running nothing else, could not have had more than this share of the
+/// replicas up are exempt: half of each class is infeasible there.
+const MIN_FEASIBLE_SHARE: f64 = 0.6;
+/// Machines of a small day, and of the largest fleet in operation.
+const SMALL_FLEET: u32 = 150;
+const LARGE_FLEET: u32 = 2_300;
 
-/// A class of jobs, as users of large fleets have them; a rate a minute for 1,000 machines.
+/// A job class typical of large fleets; the rate is in jobs per minute and 1,000 machines.
 struct Class {
     name: &'static str,
     team: &'static str,
@@ -89,7 +89,7 @@
     },
 ];
 
-/// The teams' amounts grow with the fleet; the guest has no guarantee, and drivers have a limit.
+/// The teams' quotas grow with the fleet; the guest team has no guarantee, and `drivers` has a limit.
 fn site(machines: u32) -> Site {
     let gpus = f64::from(machines) * 4.0;
     let settings = format!(
@@ -144,7 +144,7 @@
     }
 }
 
-/// What makes a day hard, beside its faults.
+/// A period in which one class is submitted at three times its rate.
 #[derive(Clone, Copy, Debug, Default)]
 struct Burst {
     class: usize,
@@ -152,10 +152,10 @@
     until: u64,
 }
 
-/// Plays a day; what each class and team got of it.
+/// Sets up a day with its jobs, cancellations and faults.
 fn day(seed: u64, machines: u32, faults: Vec<(u64, Fault)>, burst: Option<Burst>) -> World {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let (jobs_until, day_ms) = if machines == LARGE { LARGE_DAY_MS } else { DAY_MS };
+    let (jobs_until, day_ms) = if machines == LARGE_FLEET { LARGE_DAY_MS } else { DAY_MS };
     let mut world = World::deployed(site(machines), &mut rng, day_ms);
     world.quiet = true;
     world.restart_ms = 300;
@@ -183,19 +183,19 @@
     world
 }
 
-/// No class and no team gets less than half, whatever is read as served, where so much could be had.
-fn half_served(what: &str, world: World) {
-    let (least, bound) = least_served(what, world, |_| {});
-    assert!(least >= 0.5 || bound < OUT_OF_REACH, "{what}: {least} of {bound}");
+/// Asserts that every class and team gets at least half by each measure, on days where that is feasible.
+fn assert_half_served(what: &str, world: World) {
+    let (least, bound) = smallest_share(what, world, |_| {});
+    assert!(least >= 0.5 || bound < MIN_FEASIBLE_SHARE, "{what}: {least} of {bound}");
 }
 
-/// Plays a day to its end, with a look each second; the rules have held.
-fn watched(what: &str, world: &mut World, mut look: impl FnMut(&World)) -> Watch {
+/// Runs a day to its end, sampling once a second, and asserts that no rule was broken.
+fn run_watched(what: &str, world: &mut World, mut sample: impl FnMut(&World)) -> Watch {
     let mut watch = Watch::default();
     while world.before(world.calm_from) {
         world.play_to((world.now / 1_000 + 1) * 1_000);
         watch.look(world);
-        look(world);
+        sample(world);
     }
     let broken = &world.region.checker.broken;
     assert!(broken.is_empty(), "{what} breaks rules: {broken:#?}");
@@ -203,13 +203,13 @@
     watch
 }
 
-/// What the class or team got that got least, by the strictest reading, and what of the replicas could have been up.
-fn least_served(what: &str, mut world: World, mut look: impl FnMut(&World)) -> (f64, f64) {
+/// The smallest share that any class or team got by the strictest measure, and the share of replicas that could have been up.
+fn smallest_share(what: &str, mut world: World, mut sample: impl FnMut(&World)) -> (f64, f64) {
     show_log();
     let mut most = 0;
-    let watch = watched(what, &mut world, |world| {
+    let watch = run_watched(what, &mut world, |world| {
         most = most.max(world.region.workers.len());
-        look(world);
+        sample(world);
     });
     println!("{what}: {most} machines at most, replicas could be up {:.3}", watch.bound.of());
     let served = watch.served(&world);
@@ -223,54 +223,57 @@
     Some(Burst { class, from: 100_000, until: 160_000 })
 }
 
-fn zone_gone(at: u64, zone: usize, span: u64) -> Vec<(u64, Fault)> {
+fn zone_outage(at: u64, zone: usize, span: u64) -> Vec<(u64, Fault)> {
     (0..3).map(|node| (at, Fault::Apart(node, zone, span))).collect()
 }
 
 #[test]
-fn bursts_of_each_class_leave_all_above_a_half() {
+fn a_burst_of_any_class_leaves_everyone_at_least_half() {
     for (class, Class { name, .. }) in CLASSES.iter().enumerate() {
-        half_served(
+        assert_half_served(
             &format!("burst of {name}"),
-            day(class as u64, SMALL, Vec::new(), burst(class)),
+            day(class as u64, SMALL_FLEET, Vec::new(), burst(class)),
         );
     }
 }
 
 #[test]
-fn the_cloud_refuses_in_a_burst() {
+fn a_cloud_outage_during_a_burst_leaves_everyone_at_least_half() {
     for class in [1, 2] {
         let faults = vec![(100_000, Fault::CloudOutage(60_000))];
-        half_served("no capacity", day(20 + class as u64, SMALL, faults, burst(class)));
+        assert_half_served(
+            "no capacity",
+            day(20 + class as u64, SMALL_FLEET, faults, burst(class)),
+        );
     }
 }
 
 #[test]
-fn half_of_the_machines_die_in_a_burst() {
+fn loss_of_half_the_machines_during_a_burst_leaves_everyone_at_least_half() {
     for class in [0, 3] {
         let faults = vec![(120_000, Fault::HalfDie)];
-        half_served("half dead", day(30 + class as u64, SMALL, faults, burst(class)));
+        assert_half_served("half dead", day(30 + class as u64, SMALL_FLEET, faults, burst(class)));
     }
 }
 
 #[test]
-fn a_zone_is_gone() {
+fn a_zone_outage_leaves_everyone_at_least_half() {
     for zone in 0..3 {
-        let world = day(40 + zone as u64, SMALL, zone_gone(110_000, zone, 100_000), None);
-        half_served("zone gone", world);
+        let world = day(40 + zone as u64, SMALL_FLEET, zone_outage(110_000, zone, 100_000), None);
+        assert_half_served("zone gone", world);
     }
 }
 
 #[test]
-fn all_controllers_restart_again_and_again() {
+fn repeated_restarts_of_all_controllers_leave_everyone_at_least_half() {
     for seed in 0..3 {
         let faults = (0..20).map(|n| (60_000 + n * 6_000, Fault::CrashAll)).collect();
-        half_served("all restart", day(50 + seed, SMALL, faults, burst(2)));
+        assert_half_served("all restart", day(50 + seed, SMALL_FLEET, faults, burst(2)));
     }
 }
 
-/// Two or three of them at once, drawn by seed.
-fn drawn(seed: u64, machines: u32) -> World {
+/// A day with two or three random faults at once.
+fn random_day(seed: u64, machines: u32) -> World {
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x5e12);
     let mut faults = Vec::new();
     for _ in 0..rng.random_range(2..4) {
@@ -281,7 +284,7 @@
                 faults.push((at, Fault::Scarce(rng.random_range(0..DAY_MS.1))));
             }
             1 => faults.push((at, Fault::CloudOutage(rng.random_range(20_000..60_000)))),
-            2 => faults.extend(zone_gone(
+            2 => faults.extend(zone_outage(
                 at,
                 rng.random_range(0..3),
                 rng.random_range(40_000..110_000),
@@ -297,24 +300,23 @@
 }
 
 #[test]
-fn drawn_days_leave_all_above_a_half() {
+fn random_days_leave_everyone_at_least_half() {
     for seed in 1_000..1_006 {
-        half_served(&format!("seed {seed}"), drawn(seed, SMALL));
+        assert_half_served(&format!("seed {seed}"), random_day(seed, SMALL_FLEET));
     }
 }
 
-/// The largest services and gangs of each class, on the same days: half of them begin in full within four minutes. The other
-/// tests of this file looked at it as well, and in vain: what was not submitted yet had no tasks, so that all of them were
-/// done, and each service and gang counted as begun one second after the start of the day. What it shows:
-/// seed 1001, `class weave` 0.333 and `class forecast` 0.467; 22 of the 200 days from 1000 on, 27 before services were completed.
-/// Mostly these are the widest gangs; which decision it is was not traced.
+/// On the same days, half of the largest services and gangs of each class start in full within four minutes. Guards against a
+/// check that passes vacuously: jobs not yet submitted have no tasks, so all of them once counted as started one second into
+/// the day. Known to fail: seed 1001 with `class weave` 0.333 and `class forecast` 0.467, and 22 of the 200 days from 1000 on
+/// (27 before started services were completed first), mostly for the widest gangs; the cause is not known.
 #[test]
 fn half_of_the_largest_services_and_gangs_begin_in_time() {
     let mut short = Vec::new();
     for seed in 1_000..1_006 + more_days() {
-        let mut world = drawn(seed, SMALL);
-        let watch = watched(&format!("seed {seed}"), &mut world, |_| {});
-        if watch.bound.of() < OUT_OF_REACH {
+        let mut world = random_day(seed, SMALL_FLEET);
+        let watch = run_watched(&format!("seed {seed}"), &mut world, |_| {});
+        if watch.bound.of() < MIN_FEASIBLE_SHARE {
             continue;
         }
         let served = watch.served(&world).into_iter().map(|(name, s)| (name, s.largest_whole.of()));
@@ -325,62 +327,63 @@
     assert!(short.is_empty(), "{short:?}");
 }
 
-/// Further days, on some of which half of the capacity is gone for good while everything comes at three times the rate. Those
-/// on which even all machines together could not have half of the replicas up are no service's to win.
+/// More random days, on some of which half of the capacity is lost permanently during a burst. Days on which even all machines
+/// together could not have half of the replicas up are exempt.
 #[test]
-fn no_drawn_day_falls_short_that_could_be_served() {
+fn every_feasible_random_day_leaves_everyone_at_least_half() {
     let more = 1_006..1_006 + more_days();
     let days: BTreeSet<u64> = [1_011, 1_013, 1_019, 1_035].into_iter().chain(more).collect();
-    let (mut short, mut lost) = (Vec::new(), Vec::new());
+    let (mut short, mut infeasible) = (Vec::new(), Vec::new());
     for seed in days {
-        let (least, bound) = least_served(&format!("seed {seed}"), drawn(seed, SMALL), |_| {});
+        let (least, bound) =
+            smallest_share(&format!("seed {seed}"), random_day(seed, SMALL_FLEET), |_| {});
         match least < 0.5 {
-            true if bound < OUT_OF_REACH => lost.push((seed, least, bound)),
+            true if bound < MIN_FEASIBLE_SHARE => infeasible.push((seed, least, bound)),
             true => short.push((seed, least, bound)),
             false => {}
         }
     }
-    println!("fall short: {short:?}; nobody could: {lost:?}");
+    println!("fall short: {short:?}; infeasible: {infeasible:?}");
     assert!(short.is_empty(), "{short:?}");
 }
 
-/// More urgent and other work than room, while every message between anybody takes hundreds of milliseconds, and leaders end:
-/// half of each class and team is served all the same.
+/// With more work than capacity, hundreds of milliseconds of latency on every link and repeated leader crashes, each class and
+/// team still gets at least half.
 #[test]
-fn more_work_than_room_over_slow_links() {
+fn overload_over_slow_links_leaves_everyone_at_least_half() {
     for seed in 80..81 + more_days() {
         let mut faults = vec![(10_000, Fault::Scarce(250_000))];
         faults.extend((0..4).map(|n| (110_000 + n * 30_000, Fault::Leader(Upon::Crash))));
-        let mut world = day(seed, SMALL / 3, faults, burst([3, 1][seed as usize % 2]));
+        let mut world = day(seed, SMALL_FLEET / 3, faults, burst([3, 1][seed as usize % 2]));
         world.slow_links = (u64::MAX, 100, 450);
-        let (mut full, mut looks) = (0, 0);
-        let least = least_served(&format!("slow links, seed {seed}"), world, |world| {
-            let asks = world.now > 100_000 && world.now < 300_000 && world.leads().is_some();
-            looks += u32::from(asks);
-            full += u32::from(asks && world.unplaced().0 > 0);
+        let (mut full, mut samples) = (0, 0);
+        let least = smallest_share(&format!("slow links, seed {seed}"), world, |world| {
+            let counts = world.now > 100_000 && world.now < 300_000 && world.leads().is_some();
+            samples += u32::from(counts);
+            full += u32::from(counts && world.unplaced().0 > 0);
         });
-        println!("slow links, seed {seed}: {least:?}, tasks waited at {full} of {looks} looks");
-        assert!(full * 4 > looks * 3, "there is more work than room");
-        assert!(least.0 >= 0.5 || least.1 < OUT_OF_REACH, "seed {seed}: {least:?}");
+        println!("slow links, seed {seed}: {least:?}, tasks waited in {full} of {samples} samples");
+        assert!(full * 4 > samples * 3, "there is more work than capacity");
+        assert!(least.0 >= 0.5 || least.1 < MIN_FEASIBLE_SHARE, "seed {seed}: {least:?}");
     }
 }
 
-/// Half of the machines die and are not to be had again while a class comes three times as often.
+/// Half of the machines die and cannot be replaced during a burst of one class.
 #[test]
-fn half_of_the_capacity_is_gone_for_good() {
+fn permanent_loss_of_half_the_capacity_leaves_everyone_at_least_half() {
     for class in [1, 2] {
         let faults = vec![(120_000, Fault::HalfDie), (120_000, Fault::Scarce(DAY_MS.1))];
-        half_served("half gone", day(60 + class as u64, SMALL, faults, burst(class)));
+        assert_half_served("half gone", day(60 + class as u64, SMALL_FLEET, faults, burst(class)));
     }
 }
 
-/// A guest's array of 25,000 tasks of 4 s and a quarter of a core, in the midst of which all controllers end, and later the
-/// leader: records stay within the service's limits, the changes suffice, nobody else goes short, and it is done in time.
+/// A guest's array of 25,000 tasks of 4 s and a quarter of a core, during which all controllers crash and later the leader:
+/// records stay within the state service's limits, the write rate suffices, no other team is starved, and the array finishes.
 #[test]
-fn a_huge_guest_array_takes_nothing_from_others() {
+fn a_huge_guest_array_does_not_starve_other_teams() {
     let faults =
         vec![(60_000, Fault::CrashAll), (110_000, Fault::Crash(0)), (112_000, Fault::Crash(1))];
-    let mut world = day(70, SMALL, faults, None);
+    let mut world = day(70, SMALL_FLEET, faults, None);
     let survey = &CLASSES[4];
     let mut rng = ChaCha8Rng::seed_from_u64(70);
     let huge = JobSpec {
@@ -396,7 +399,7 @@
     let id = huge.id.clone();
     world.add_job_at(huge, 20_000);
     let (mut done_at, mut most) = (None, 0);
-    let watch = watched("huge array", &mut world, |world| {
+    let watch = run_watched("huge array", &mut world, |world| {
         most = most.max(world.region.workers.values().map(|w| w.tasks.len()).max().unwrap_or(0));
         if done_at.is_none() && world.now > 22_000 && world.region.checker.all_done(id.as_str()) {
             done_at = Some(world.now);
@@ -417,18 +420,18 @@
     assert!(done_at.is_some(), "the array is not done");
 }
 
-/// Half as many machines again as the largest fleet, on a drawn day.
+/// A random day with 2,300 machines.
 #[test]
-fn a_large_fleet_leaves_all_above_a_half() {
-    half_served("2,300 machines", drawn(2_300, LARGE));
+fn a_large_fleet_leaves_everyone_at_least_half() {
+    assert_half_served("2,300 machines", random_day(2_300, LARGE_FLEET));
 }
 
-/// Plays the one seed that `OATLOOM_SEED` names, if any.
+/// Runs the seed given in `OATLOOM_SEED`, if any.
 #[test]
 fn one_seed() {
     let number = |name: &str| std::env::var(name).ok().and_then(|s| s.parse::<u64>().ok());
     if let Some(seed) = number("OATLOOM_SEED") {
-        let machines = number("OATLOOM_MACHINES").map_or(SMALL, |n| n as u32);
-        half_served(&format!("seed {seed}"), drawn(seed, machines));
+        let machines = number("OATLOOM_MACHINES").map_or(SMALL_FLEET, |n| n as u32);
+        assert_half_served(&format!("seed {seed}"), random_day(seed, machines));
     }
 }
--- a/tests/terms.rs
+++ b/tests/terms.rs
@@ -1,4 +1,4 @@
-//! What one controller says and takes up across its terms: answers that come late, from before, or while it reads its book.
+//! A controller across its leader terms: replies that arrive late, from before the term, or while it loads its job table.
 
 #[allow(dead_code)]
 mod world;
@@ -49,7 +49,7 @@
     }
 }
 
-/// A job that was cancelled, one task of which is on a machine by the records.
+/// A cancelled job with one task that is still assigned to a machine in the stored records.
 fn with_a_cancelled_job() -> Solo {
     let mut solo = Solo::new();
     let record = ChunkRecord {
@@ -66,10 +66,10 @@
     solo
 }
 
-/// Guards against a new leader that answers, and so keeps tasks alive for another lease, before it has read that their
-/// job was cancelled: with a state service that went away just then they outlived `cancel_s`.
+/// Guards against a new leader that answers reports, and so renews the leases of tasks, before it has read that their job was
+/// cancelled: if the state service failed at that moment, the tasks outlived `cancel_s`.
 #[test]
-fn a_new_leader_answers_no_report_before_it_has_read_its_book() {
+fn a_new_leader_answers_no_report_before_its_job_table_is_loaded() {
     for released in [true, false] {
         let mut solo = with_a_cancelled_job();
         solo.hold = |op| matches!(op, StoreOp::List { .. });
@@ -77,26 +77,31 @@
         assert!(solo.core.valid(solo.clock().mono).is_some(), "it leads");
         let conn = solo.ask(report(1, vec![running("req-1/0")]));
         solo.pass(1_000);
-        assert_eq!(solo.reply(conn), None, "nothing is said while the book is being read");
+        assert_eq!(solo.reply(conn), None, "no reply while the job table is loading");
         if released {
             solo.hold = |_| false;
             solo.release();
             solo.pass(100);
-            let reply = solo.reply(conn).expect("it has read its book");
+            let reply = solo.reply(conn).expect("it has loaded its job table");
             let answer: ReportAnswer = serde_json::from_str(&reply.body).unwrap();
             let stops =
                 matches!(&answer.orders[..], [Order::Stop { task, .. }] if task == "req-1/0");
             assert!(reply.status == 200 && stops, "{answer:?}");
         } else {
             solo.pass(2_500);
-            assert_eq!(solo.reply(conn).map(|r| r.status), Some(503), "its worker goes elsewhere");
+            assert_eq!(
+                solo.reply(conn).map(|r| r.status),
+                Some(503),
+                "the worker tries another controller"
+            );
         }
     }
 }
 
-/// Guards against an answer that is full of what ended and renews the lease of what it does not stop.
+/// Guards against an answer whose order limit is used up by orders for ended tasks, so that it omits a stop and renews the lease
+/// of the task that should stop.
 #[test]
-fn stops_come_before_all_else_that_an_answer_holds() {
+fn stop_orders_come_first_in_a_report_answer() {
     let mut solo = with_a_cancelled_job();
     solo.pass(500);
     let mut tasks: Vec<TaskReport> = (0..400)
@@ -115,10 +120,10 @@
     assert_eq!(answer.orders.len(), 300);
 }
 
-/// Guards against an answer of before this term, held up on its way: a job that another leader had cancelled meanwhile
-/// was taken up as open, called queued, and its first record could never be written, nor anything else beside it.
+/// Guards against a delayed reply to a request from before this term: a job that another leader had cancelled meanwhile was
+/// added to the job table as queued, and its first record could never be written, nor any other record in the same transaction.
 #[test]
-fn what_was_asked_before_a_term_opens_no_job_in_it() {
+fn a_reply_from_before_the_term_adds_no_job() {
     for lookup in [false, true] {
         let mut solo = Solo::new();
         let lease = solo.led_by_another();
@@ -152,28 +157,28 @@
         assert!(solo.core.reign().is_some_and(|reign| reign.book.get(&id).is_none()));
         let conn = solo.ask(Request::View(id.clone()));
         solo.pass(100);
-        let said = solo.reply(conn).map(|reply| reply.body.contains("cancelled"));
-        assert_eq!(said, Some(true), "lookup {lookup}: {:?}", solo.reply(conn));
+        let reported = solo.reply(conn).map(|reply| reply.body.contains("cancelled"));
+        assert_eq!(reported, Some(true), "lookup {lookup}: {:?}", solo.reply(conn));
     }
 }
 
-/// Guards against a job that is made anew by a repeated or late submission though it is over.
+/// Guards against a repeated or late submission that recreates a finished job.
 #[test]
-fn a_job_that_is_over_is_not_accepted_again() {
+fn a_finished_job_is_not_accepted_again() {
     let mut solo = Solo::new();
     solo.led_by_another();
     solo.pass(500);
     solo.write(vec![Change::put("over/req-6".into(), cancelled())]);
     let conn = solo.ask(Request::Submit(Submission::Spec(Box::new(spec("req-6")))));
-    let said = solo.reply(conn).map(|reply| (reply.status, reply.body.contains("cancelled")));
-    assert_eq!(said, Some((200, true)));
+    let reported = solo.reply(conn).map(|reply| (reply.status, reply.body.contains("cancelled")));
+    assert_eq!(reported, Some((200, true)));
     assert!(solo.state.rows("live/").is_empty());
 }
 
-/// Guards against a leader's write that is carried out once another leads: that one would go on with a job of which users
-/// are told elsewhere that it is cancelled.
+/// Guards against a former leader's write that takes effect after another controller leads: the new leader would continue a job
+/// that other controllers report as cancelled.
 #[test]
-fn what_a_leader_wrote_is_void_once_another_leads() {
+fn a_write_of_a_former_leader_has_no_effect() {
     let mut solo = Solo::new();
     solo.pass(500);
     let record = LiveRecord { spec: spec("req-5"), wall_ms: 1_000_000, part: None };
@@ -185,18 +190,18 @@
     };
     solo.ask(Request::Abort(JobId::new("req-5")));
     solo.pass(100);
-    assert_eq!(solo.held.len(), 1, "its end is under way");
-    let lease = solo.state.rows("lead")[0].lease.expect("the seat has a lease");
+    assert_eq!(solo.held.len(), 1, "the write of its final state is in flight");
+    let lease = solo.state.rows("lead")[0].lease.expect("the leader key has a lease");
     solo.state.execute(solo.now, &StoreOp::Revoke { lease });
     solo.led_by_another();
     solo.release();
     assert!(solo.state.rows("over/").is_empty() && solo.state.rows("live/").len() == 1);
 }
 
-/// Guards against a book that is read anew under the same token: a write of before could be applied after it was read,
-/// and its answer made assignments durable that were never written.
+/// Guards against reloading the job table under the same fencing token: an earlier write could be applied after the reload, and
+/// its reply marked assignments as durable that were never written.
 #[test]
-fn a_watch_that_fell_behind_ends_the_term() {
+fn a_compacted_watch_ends_the_term() {
     let mut solo = Solo::new();
     solo.pass(1_000);
     let before = solo.core.valid(solo.clock().mono).expect("it leads");
@@ -207,7 +212,7 @@
     solo.pass(6_000);
     let after = solo.core.valid(solo.clock().mono).expect("it leads again");
     assert!(after > before, "{before:?} {after:?}");
-    // What is accepted elsewhere is seen though the watch of the earlier term is still open.
+    // A job accepted elsewhere is seen although the watch of the earlier term is still open.
     let record = LiveRecord { spec: spec("req-8"), wall_ms: 1_000_000, part: None };
     solo.write(vec![Change::put("live/req-8".into(), json!(record))]);
     solo.pass(200);
@@ -216,10 +221,10 @@
     assert!(open(&solo));
 }
 
-/// Guards against one that stood still and then passes on what a leader had said of a job long before: its user may have
-/// heard of the job's end elsewhere meanwhile.
+/// Guards against a controller that was paused and then relays an old reply of the leader about a job: the user may have read
+/// the job's final state from another controller in the meantime.
 #[test]
-fn what_a_leader_said_long_ago_is_not_passed_on() {
+fn a_stale_leader_reply_is_not_relayed() {
     let mut solo = Solo::new();
     solo.led_by_another();
     solo.pass(500);
