--- a/tests/repeats.rs
+++ b/tests/repeats.rs
@@ -1,5 +1,5 @@
-//! Days on which tasks fail: by their own doing, on faulty machines, and both, with takeovers in between. The checker
-//! knows whose doing each failure was; the controllers do not.
+//! Days on which tasks fail through their own fault, on faulty machines, or both, with leader takeovers in between. The checker
+//! knows the cause of each failure; the controllers do not.
 
 #[allow(dead_code)]
 mod world;
@@ -15,15 +15,15 @@
 const CLASSES: &str = "((classes (class (name \"quick\") (repeats 2) (on-exhausted fail-job))
     (class (name \"slow\") (repeats 1) (on-exhausted finish-rest))))";
 
-/// What became of a day's jobs.
+/// Outcome of the jobs of all days.
 #[derive(Debug, Default)]
-struct Tally {
+struct Outcome {
     failed: usize,
     broken_jobs: usize,
     refused_ms: Vec<u64>,
-    /// Machines on which each job failed that was submitted with a mistake.
-    burnt: Vec<usize>,
-    /// Days with a wrong verdict: refused for others' faults, or started once too often.
+    /// Number of machines on which each always failing job failed.
+    machines_used: Vec<usize>,
+    /// Wrong verdicts: jobs failed for faults that were not their own, or started once too often.
     wrong: Vec<String>,
 }
 
@@ -48,7 +48,7 @@
     world
 }
 
-fn play(seed: u64, tally: &mut Tally) {
+fn play(seed: u64, outcome: &mut Outcome) {
     let mut world = day(seed, CLASSES);
     world.play();
     let (wrong, broken): (Vec<String>, Vec<String>) =
@@ -58,10 +58,10 @@
         let unfinished = world.unfinished();
         assert!(unfinished.is_empty(), "seed {seed} leaves undone: {unfinished:#?}");
     }
-    tally.wrong.extend(wrong.into_iter().map(|text| format!("seed {seed}: {text}")));
-    tally.failed += world.told(JobStatus::Failed);
-    tally.broken_jobs += world.region.outside.broken.len();
-    tally.refused_ms.append(&mut world.region.checker.refused_ms);
+    outcome.wrong.extend(wrong.into_iter().map(|text| format!("seed {seed}: {text}")));
+    outcome.failed += world.told(JobStatus::Failed);
+    outcome.broken_jobs += world.region.outside.broken.len();
+    outcome.refused_ms.append(&mut world.region.checker.refused_ms);
     let checker = &world.region.checker;
     for (job, _) in
         world.region.outside.broken.iter().filter(|(_, how)| matches!(how, Broken::Always))
@@ -71,99 +71,107 @@
         };
         let hosts: BTreeSet<&str> =
             checker.exits.iter().filter(failed).map(|((host, _), _)| host.as_str()).collect();
-        tally.burnt.extend((!hosts.is_empty()).then_some(hosts.len()));
+        outcome.machines_used.extend((!hosts.is_empty()).then_some(hosts.len()));
     }
 }
 
-fn seeds(from: u64, count: u64) {
+fn run_seeds(from: u64, count: u64) {
     show_log();
     let more = more_days();
-    let mut tally = Tally::default();
+    let mut outcome = Outcome::default();
     for seed in from..from + count + more {
-        play(seed, &mut tally);
+        play(seed, &mut outcome);
     }
-    tally.refused_ms.sort_unstable();
-    let at = |share: f64| tally.refused_ms.get((tally.refused_ms.len() as f64 * share) as usize);
+    outcome.refused_ms.sort_unstable();
+    let at =
+        |share: f64| outcome.refused_ms.get((outcome.refused_ms.len() as f64 * share) as usize);
     println!(
         "{} days, {} broken jobs, {} failed, {} wrong verdicts; refused after {:?} ms (p50), {:?} ms (p99)",
         count + more,
-        tally.broken_jobs,
-        tally.failed,
-        tally.wrong.len(),
+        outcome.broken_jobs,
+        outcome.failed,
+        outcome.wrong.len(),
         at(0.5),
         at(0.99)
     );
-    tally.burnt.sort_unstable();
-    let burnt = |share: f64| tally.burnt.get((tally.burnt.len() as f64 * share) as usize);
+    outcome.machines_used.sort_unstable();
+    let machines_used = |share: f64| {
+        outcome.machines_used.get((outcome.machines_used.len() as f64 * share) as usize)
+    };
     println!(
-        "{} jobs with a mistake failed on {:?} machines (p50), {:?} (p99), {:?} at most",
-        tally.burnt.len(),
-        burnt(0.5),
-        burnt(0.99),
-        tally.burnt.last()
+        "{} always failing jobs failed on {:?} machines (p50), {:?} (p99), {:?} at most",
+        outcome.machines_used.len(),
+        machines_used(0.5),
+        machines_used(0.99),
+        outcome.machines_used.last()
     );
-    // A job is held to the machines it has failed on once these are three; its tasks that had started by then, and
-    // machines that were lost, add a few.
-    assert!(burnt(0.5).is_none_or(|n| *n <= 4), "{:?}", tally.burnt);
-    assert!(tally.burnt.last().is_none_or(|n| *n <= 10), "{:?}", tally.burnt);
-    assert!(tally.failed > 0, "nothing was refused");
-    // One machine in ten is faulty here and one job in seven broken, ten times what the model expects, and a job
-    // that met two faulty machines in a row cannot be told from a bad one.
-    assert!(tally.wrong.len() * 15 <= tally.failed, "{:#?}", tally.wrong);
+    // Once a job has failed on three machines it is kept to them; tasks already started by then and lost machines add a few.
+    assert!(machines_used(0.5).is_none_or(|n| *n <= 4), "{:?}", outcome.machines_used);
+    assert!(outcome.machines_used.last().is_none_or(|n| *n <= 10), "{:?}", outcome.machines_used);
+    assert!(outcome.failed > 0, "nothing was refused");
+    // One machine in ten and one job in seven are faulty here, ten times what the model expects, and a job that ran on two faulty
+    // machines in a row is indistinguishable from a faulty one.
+    assert!(outcome.wrong.len() * 15 <= outcome.failed, "{:#?}", outcome.wrong);
 }
 
-/// Plays the one seed that `OATLOOM_SEED` names, if any.
+/// Runs the seed given in `OATLOOM_SEED`, if any.
 #[test]
 fn one_seed() {
     if let Some(seed) = std::env::var("OATLOOM_SEED").ok().and_then(|s| s.parse().ok()) {
-        seeds(seed, 1);
+        run_seeds(seed, 1);
     }
 }
 
 #[test]
 fn failing_days_keep_the_rules_1() {
-    seeds(11_000, 12);
+    run_seeds(11_000, 12);
 }
 
 #[test]
 fn failing_days_keep_the_rules_2() {
-    seeds(12_000, 12);
+    run_seeds(12_000, 12);
 }
 
 #[test]
 fn failing_days_keep_the_rules_3() {
-    seeds(13_000, 12);
+    run_seeds(13_000, 12);
 }
 
 #[test]
 fn failing_days_keep_the_rules_4() {
-    seeds(14_000, 12);
+    run_seeds(14_000, 12);
 }
 
-/// Arrays' failures are in the records as often as they happened: none that was heard is missing, none stands there twice.
-fn count_is_exact(world: &World, step: u64) {
+/// The records count each reported failure of an array task exactly once.
+fn assert_exact_failure_counts(world: &World, step: u64) {
     let checker = &world.region.checker;
     let charged = world.charged();
     let of_array = |job: &str| world.region.outside.specs[job].shape == Shape::Array;
-    for (job, index, heard) in checker.heard_failures().filter(|(job, ..)| of_array(job)) {
-        // What fails once a job is cancelled or refused counts for nothing.
+    for (job, index, reported) in checker.heard_failures().filter(|(job, ..)| of_array(job)) {
+        // Failures after a job was cancelled or failed are not counted.
         let counts = matches!(checker.over(job), None | Some(JobStatus::Done));
-        let kept = charged.get(&(job.to_owned(), index)).copied().unwrap_or(0) as usize;
-        assert!(!counts || heard <= kept, "step {step}: {job}/{index}: {heard} heard, {kept} kept");
+        let recorded = charged.get(&(job.to_owned(), index)).copied().unwrap_or(0) as usize;
+        assert!(
+            !counts || reported <= recorded,
+            "step {step}: {job}/{index}: {reported} reported, {recorded} recorded"
+        );
     }
-    for ((job, index), kept) in charged.iter().filter(|((job, _), _)| of_array(job)) {
+    for ((job, index), recorded) in charged.iter().filter(|((job, _), _)| of_array(job)) {
         let failed = |((_, start), (cause, _)): &(&(String, Start), &(Cause, u64))| {
             *cause == Cause::Error && start.0 == *job && start.1 == *index
         };
         let happened = checker.exits.iter().filter(failed).count();
-        assert!(*kept as usize <= happened, "step {step}: {job}/{index}: {kept} of {happened}");
+        assert!(
+            *recorded as usize <= happened,
+            "step {step}: {job}/{index}: {recorded} of {happened}"
+        );
     }
 }
 
-/// All controllers end at some moment around the failures of broken jobs and what is decided of them, in many plays
-/// of one day: no failure is forgotten, none counted twice, no verdict said before it is kept.
+/// All controllers crash at a different moment around task failures and the verdicts on them in each run of one day: no failure
+/// is lost or counted twice, and no verdict is reported before it is durable.
 #[test]
-fn a_takeover_at_any_step_counts_on() {
+fn failure_counts_survive_a_takeover_at_any_step() {
     let (mut failed, mut wrong) = (0, Vec::new());
     let plays = (0..60).flat_map(|step| [300, 1_000].map(|restart_ms| (step, restart_ms)));
     for (step, restart_ms) in plays {
@@ -178,17 +186,17 @@
         }
         world.limit(CLASSES);
         world.play();
-        // Guards against a test that hangs on luck: a job whose tasks fail every other time may have three unlike
-        // tasks fail on one sound machine, which is then believed faulty, whoever led meanwhile (step 16 with
-        // restarts after 1 s). That is a wrong verdict, counted here as elsewhere; the counts themselves are exact.
-        let (mistaken, broken): (Vec<String>, Vec<String>) =
+        // Three different tasks of a job that fails every other time may fail on one healthy machine by chance, which is then
+        // considered faulty independently of takeovers (step 16 with restarts after 1 s). This counts as a wrong verdict as in
+        // the other tests; the failure counts themselves are exact.
+        let (wrong_verdicts, broken): (Vec<String>, Vec<String>) =
             world.region.checker.broken.iter().cloned().partition(|b| b.contains(" repeats: "));
         assert!(broken.is_empty(), "step {step} breaks rules: {broken:#?}");
-        count_is_exact(&world, step);
-        if mistaken.is_empty() {
+        assert_exact_failure_counts(&world, step);
+        if wrong_verdicts.is_empty() {
             assert!(world.unfinished().is_empty(), "step {step}: {:#?}", world.unfinished());
         }
-        wrong.extend(mistaken.into_iter().map(|text| format!("step {step}: {text}")));
+        wrong.extend(wrong_verdicts.into_iter().map(|text| format!("step {step}: {text}")));
         failed += world.told(JobStatus::Failed);
     }
     assert!(failed >= 120, "{failed} jobs failed in 120 plays");
@@ -196,10 +204,10 @@
     assert!(wrong.len() * 15 <= failed, "{wrong:#?}");
 }
 
-/// Arrays that fail again and again pause between their tries and take little room from others: mean time to the end
-/// of the sound jobs of ten days, with the arrays and without them.
+/// Arrays that keep failing back off between retries and take little capacity from others: compares the mean completion time of
+/// the healthy jobs of ten days with and without the arrays.
 #[test]
-fn a_failing_array_takes_little_from_others() {
+fn failing_arrays_barely_delay_other_jobs() {
     let mean = |failing: bool| {
         let (mut sum, mut count) = (0, 0);
         for seed in 0..10 {
@@ -219,8 +227,8 @@
             world.play();
             let broken = &world.region.checker.broken;
             assert!(broken.is_empty(), "seed {seed}: {broken:#?}");
-            let sound = jobs.iter().filter(|job| !arrays.iter().step_by(4).any(|a| a == *job));
-            for at in sound.filter_map(|job| world.region.checker.over_at(job)) {
+            let healthy = jobs.iter().filter(|job| !arrays.iter().step_by(4).any(|a| a == *job));
+            for at in healthy.filter_map(|job| world.region.checker.over_at(job)) {
                 sum += at;
                 count += 1;
             }
@@ -228,6 +236,8 @@
         sum as f64 / f64::from(count)
     };
     let (without, with) = (mean(false), mean(true));
-    println!("sound jobs end after {without:.0} ms without failing arrays, {with:.0} ms with them");
+    println!(
+        "healthy jobs finish after {without:.0} ms without failing arrays, {with:.0} ms with them"
+    );
     assert!(with < without * 1.05, "{with} against {without}");
 }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -1,5 +1,5 @@
-//! What a placement pass costs on a fleet of many hundreds of machines, counted in looks at a
-//! machine and not in time, and whether its starts hold what they promise at that size.
+//! Cost of a placement pass on a fleet of many hundreds of machines, counted in machine checks
+//! instead of time, and validity of the planned starts at that size.
 
 use oatloom_core::cloud::Kind;
 use oatloom_core::jobs::{Book, Hold, Job, LiveRecord, RunSent, Usage};
@@ -60,7 +60,7 @@
     fleet
 }
 
-/// Jobs of every shape; a few sizes, as users have them.
+/// Jobs of every shape in a few common sizes.
 fn book(jobs: usize, rng: &mut ChaCha8Rng) -> Book {
     let mut book = Book::default();
     for n in 0..jobs {
@@ -114,7 +114,7 @@
     })
 }
 
-/// Takes a plan's starts up as a leader would, and checks what each must keep to.
+/// Applies the starts of a plan as a leader does, and checks the constraints of each.
 fn start(plan: &Plan, settings: &Settings, book: &mut Book, fleet: &mut Fleet) {
     let mut started: BTreeMap<&JobId, u32> = BTreeMap::new();
     for (n, (id, index, host)) in plan.starts.iter().enumerate() {
@@ -122,7 +122,7 @@
         let spec = book.get(id).expect("a known job").spec.clone();
         let need = Room::from(&*spec);
         let machine = &fleet.machines[host];
-        assert!(fleet.free_room(machine).fits(&need), "{id}/{index} finds no room on {host}");
+        assert!(fleet.free_room(machine).fits(&need), "{id}/{index} does not fit on {host}");
         let job = book.get(id).expect("a known job");
         assert!(placement::permitted(settings, book, job, machine), "{id}/{index} on {host}");
         let hold = Hold {
@@ -152,11 +152,11 @@
     }
 }
 
-/// Work grows with jobs and machines, not with tasks, and a full fleet is not searched for every
-/// job: once a pass over 1,500 machines took longer than its period, and the leader did nothing
-/// else.
+/// The cost grows with jobs and machines, not with tasks, and a full fleet is not searched for every
+/// job. Guards against a pass over 1,500 machines that took longer than its period and blocked the
+/// leader.
 #[test]
-fn passes_over_a_large_fleet_cost_a_bounded_number_of_looks() {
+fn passes_over_a_large_fleet_need_a_bounded_number_of_checks() {
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     let settings = settings();
     let (machines, jobs) = (1_200, 400);
@@ -175,21 +175,20 @@
         }
     }
     assert!(total > 3 * machines, "{total} tasks on {machines} machines");
-    // Nothing more fits: what one job has not found, the others do not look for.
+    // Nothing more fits: after one job found no machine, similar jobs do not search again.
     let full = pass(&settings, &mut book, &fleet, false);
     assert!(full.starts.is_empty());
     assert!(full.steps < 130 * machines as u64, "{}", full.steps);
 }
 
-/// Hundreds of machines wished for at once cost no more looks than machines already there.
-/// Guards against a pass that looks at the whole fleet for each job that its team's limit lets not start: that is what waits
-/// at a limit, for minutes.
+/// Guards against a pass that checks the whole fleet for each job that its team's limit keeps from starting: such jobs can wait
+/// for minutes.
 #[test]
-fn a_pass_with_1000_jobs_at_their_limit_costs_no_more_than_one_with_as_many_that_may_run() {
+fn a_pass_with_1000_jobs_at_their_limit_costs_no_more_than_without_a_limit() {
     let fleet = fleet(400);
     let free = settings();
-    let mut bound = settings();
-    bound.facts.teams[0].gpus_max = 500.0;
+    let mut limited = settings();
+    limited.facts.teams[0].gpus_max = 500.0;
     let cost = |settings: &Settings, used: f64| {
         let mut book = book(1_000, &mut ChaCha8Rng::seed_from_u64(3));
         book.usage.insert("red".into(), Usage { cpus: 0.0, gpus: used });
@@ -197,28 +196,33 @@
         let plan = pass(settings, &mut book, &fleet, true);
         (plan.steps, plan.starts.len(), from.elapsed())
     };
-    let (may, at_limit, near) = (cost(&free, 0.0), cost(&bound, 500.0), cost(&bound, 497.0));
+    let (unlimited, at_limit, near) =
+        (cost(&free, 0.0), cost(&limited, 500.0), cost(&limited, 497.0));
     println!(
-        "looks, starts, time: {may:?} that may run, {at_limit:?} at the limit, {near:?} near it"
+        "checks, starts, time: {unlimited:?} without a limit, {at_limit:?} at the limit, {near:?} near it"
+    );
+    assert!(unlimited.1 > 100 && at_limit.1 == 0 && (1..=3).contains(&near.1));
+    assert!(
+        at_limit.0 <= unlimited.0 && near.0 <= unlimited.0,
+        "{unlimited:?}, {at_limit:?}, {near:?}"
     );
-    assert!(may.1 > 100 && at_limit.1 == 0 && (1..=3).contains(&near.1));
-    assert!(at_limit.0 <= may.0 && near.0 <= may.0, "{may:?}, {at_limit:?}, {near:?}");
 }
 
+/// Requesting hundreds of machines at once costs no more checks than placing on existing ones.
 #[test]
-fn wishes_for_hundreds_of_machines_are_cheap() {
+fn requests_for_hundreds_of_machines_are_cheap() {
     let mut rng = ChaCha8Rng::seed_from_u64(9);
     let settings = settings();
     let mut book = book(400, &mut rng);
     let plan = pass(&settings, &mut book, &fleet(0), true);
     assert!(plan.hires.len() > 500, "{}", plan.hires.len());
     assert!(plan.steps < 2 * 400 * plan.hires.len() as u64, "{}", plan.steps);
-    let dear = plan.hires.iter().filter(|(kind, _)| !kind.spot).count();
-    assert!(dear < plan.hires.len(), "jobs that may use cheap machines get them");
+    let on_demand = plan.hires.iter().filter(|(kind, _)| !kind.spot).count();
+    assert!(on_demand < plan.hires.len(), "jobs that may use spot machines get them");
 }
 
-/// A fleet full of array tasks, and a gang of four in a hurry, each task as large as a machine.
-fn crowded(one_zone: bool, spread: bool) -> (Book, Fleet, JobId) {
+/// A fleet full of array tasks, and a high-priority gang of four, each task as large as a machine.
+fn full_fleet_and_gang(one_zone: bool, spread: bool) -> (Book, Fleet, JobId) {
     let settings = settings();
     let mut fleet = fleet(12);
     let mut book = Book::default();
@@ -244,15 +248,15 @@
     (book, fleet, gang)
 }
 
-/// Guards against clearing one machine at a time, which took a gang of four four report periods,
-/// and against clearing machines that it may not use together: it never started.
+/// Guards against preempting one machine at a time, which delayed a gang of four by four report
+/// periods, and against preempting machines that the gang may not use together: it never started.
 #[test]
-fn a_gang_clears_room_for_all_its_tasks_where_they_may_be_together() {
+fn a_gang_preempts_for_all_its_tasks_where_they_may_run_together() {
     for (one_zone, spread) in [(true, false), (false, true), (false, false)] {
-        let (mut book, fleet, gang) = crowded(one_zone, spread);
+        let (mut book, fleet, gang) = full_fleet_and_gang(one_zone, spread);
         let plan = pass(&settings(), &mut book, &fleet, true);
         assert_eq!((plan.stops.len(), plan.reserve.len()), (4, 4));
-        assert!(plan.hires.is_empty(), "what it clears comes sooner than what it could hire");
+        assert!(plan.hires.is_empty(), "preempted machines are free sooner than hired ones");
         let mut zones: BTreeMap<&Zone, u32> = BTreeMap::new();
         for (host, job) in &plan.reserve {
             assert_eq!(*job, gang);
@@ -263,14 +267,15 @@
     }
 }
 
-/// Room kept ready for gangs of one zone lies in one zone for each, on cheap machines, and none is
-/// hired for while work of lower rank would give way. As one job's, it moved with every change.
+/// Spare capacity for expected one-zone gangs lies in one zone per gang, on spot machines, and
+/// none is hired while work of lower rank can be preempted. Planned as a single job it changed with
+/// every pass.
 #[test]
-fn room_is_kept_ready_for_whole_gangs() {
-    let (mut book, fleet, gang) = crowded(true, false);
+fn spare_capacity_is_kept_for_whole_gangs() {
+    let (mut book, fleet, gang) = full_fleet_and_gang(true, false);
     let spec = book.get(&gang).expect("the gang").spec.clone();
     book.jobs.remove(&gang);
-    let ready = |book: &mut Book, fleet: &Fleet| {
+    let plan_spare_capacity = |book: &mut Book, fleet: &Fleet| {
         placement::plan(Inputs {
             now: NOW.plus(Millis(1_000)),
             settings: &settings(),
@@ -282,9 +287,9 @@
             refused: &|_| false,
         })
     };
-    assert!(ready(&mut book, &fleet).hires.is_empty());
+    assert!(plan_spare_capacity(&mut book, &fleet).hires.is_empty());
     let empty = Fleet { catalog: fleet.catalog.clone(), ..Fleet::default() };
-    let plan = ready(&mut Book::default(), &empty);
+    let plan = plan_spare_capacity(&mut Book::default(), &empty);
     let mut zones: BTreeMap<&Zone, u32> = BTreeMap::new();
     for (kind, _) in &plan.hires {
         assert!(kind.spot);
@@ -294,7 +299,7 @@
     assert!(zones.values().all(|count| count % 4 == 0), "{zones:?}");
 }
 
-/// A book of one-task jobs of this shape, rank and image, and tasks of a GPU.
+/// Adds a job of this shape, rank, number of tasks and image, with one GPU per task.
 fn add(book: &mut Book, n: usize, shape: Shape, rank: Rank, tasks: u32, image: &str) -> JobId {
     let service = shape == Shape::Service;
     let spec = JobSpec {
@@ -325,12 +330,12 @@
     id
 }
 
-/// Guards against a machine kept for a job for room that the same pass had given to another: the job waited for it until
-/// the time to keep it was over, 20 s, while nothing on it was to end.
+/// Guards against reserving a machine for a job because of capacity that the same pass gave to another job: the job waited
+/// until the reservation expired after 20 s, while no task on the machine was about to end.
 #[test]
-fn room_that_a_pass_gave_away_is_kept_for_nobody() {
+fn capacity_used_by_a_start_is_not_reserved_for_another_job() {
     let settings = settings();
-    // Only ordinary machines take these jobs: one, of four GPUs.
+    // Only on-demand machines can run these jobs: a single one with four GPUs.
     let fleet = fleet(2);
     let mut book = Book::default();
     let first = add(&mut book, 1, Shape::Service, Rank::Critical, 4, "img-1");
@@ -341,10 +346,10 @@
     assert!(plan.reserve.is_empty() && plan.stops.is_empty(), "{:?}", plan.reserve);
 }
 
-/// Guards against replicas of a lost zone that waited a minute and more for their image on the first room that fell free,
-/// while machines that had it ran work of lower rank. One that was never up takes the first room as before.
+/// Guards against replicas of a lost zone that fetched their image for a minute or more on the first free machine, while
+/// machines with a cached image ran work of lower rank. A replica that was never up takes the first free machine.
 #[test]
-fn a_replica_that_was_up_goes_where_its_image_is() {
+fn a_replica_that_was_up_prefers_a_machine_with_its_image() {
     let settings = settings();
     for was_up in [true, false] {
         let mut fleet = fleet(4);
@@ -364,7 +369,7 @@
             assert!(started.is_empty(), "{started:?}");
             assert_eq!(plan.reserve, [(with_image.clone(), service.clone())]);
             assert_eq!(plan.stops.len(), 1);
-            // Its room is free and kept for it: it starts there in the next pass.
+            // The capacity is free and reserved for it: it starts there in the next pass.
             let (task, ..) = &plan.stops[0];
             book.free(&task.job, task.index, false);
             let machine = fleet.machines.get_mut(&with_image).expect("a known machine");
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -1,4 +1,4 @@
-//! Two versions side by side: when the earlier one is known to be gone.
+//! Rolling upgrades: detection that no member runs the previous version, and state service limits that are lowered afterwards.
 
 #[allow(dead_code)]
 mod world;
@@ -17,10 +17,10 @@
     solo.write(vec![Change::put(format!("version/{member}"), value)])
 }
 
-/// Guards against a new form that is written while a member that has not shown its version may still be old, and
-/// against a switch that goes back when keys cannot be read.
+/// Guards against writing a new record format while a member without a version key may still run the previous version, and
+/// against reverting the switch when version keys are missing later.
 #[test]
-fn the_upgrade_is_known_once_every_member_has_shown_its_version() {
+fn the_upgrade_is_complete_once_every_member_announced_its_version() {
     let mut solo = Solo::new();
     solo.pass(3_000);
     let own = solo.state.rows("version/");
@@ -29,7 +29,7 @@
     assert!(!solo.core.all_upgraded());
     announce(&mut solo, "n-1", 2);
     announce(&mut solo, "n-2", 1);
-    // A stranger's key counts for nobody.
+    // The key of a non-member is ignored.
     announce(&mut solo, "n-7", 2);
     solo.pass(3_000);
     assert!(!solo.core.all_upgraded(), "one member shows an earlier version");
@@ -39,18 +39,17 @@
     let written = solo.state.history().iter();
     let own = written.filter(|change| change.put.as_deref() == Some("version/n-0")).count();
     assert_eq!(own, 1, "its own key is written once");
-    // Nothing is asked any more, and it stays so.
+    // The keys are not read any more, and the result is final.
     solo.write(vec![Change::Delete { key: "version/n-1".into() }]);
     solo.pass(5_000);
     assert!(solo.core.all_upgraded());
 }
 
-/// Guards against a second write by a process that starts anew, and against one that never ends asking after an answer
-/// is lost.
+/// Guards against a second write of the version key by a restarted process, and against endless reads after a lost reply.
 #[test]
-fn a_members_version_survives_lost_answers_and_a_new_start() {
+fn a_version_key_is_written_once_despite_a_lost_reply_and_a_restart() {
     let mut solo = Solo::new();
-    // The write of its own key is applied, and its answer is lost.
+    // The write of its own key is applied, and the reply is lost.
     solo.hold = |op| matches!(op, StoreOp::Txn(_)) && format!("{op:?}").contains("version/");
     solo.execute_held = true;
     solo.pass(2_000);
@@ -64,23 +63,23 @@
     }
     solo.pass(3_000);
     assert!(solo.core.all_upgraded());
-    let mut again = Solo::new();
-    again.state = std::mem::take(&mut solo.state);
-    again.pass(3_000);
-    assert!(again.core.all_upgraded());
+    let mut restarted = Solo::new();
+    restarted.state = std::mem::take(&mut solo.state);
+    restarted.pass(3_000);
+    assert!(restarted.core.all_upgraded());
     let own =
         |change: &&oatloom_protocol::wire::Logged| change.put.as_deref() == Some("version/n-0");
-    assert_eq!(again.state.history().iter().filter(own).count(), 1);
+    assert_eq!(restarted.state.history().iter().filter(own).count(), 1);
 }
 
-// --- The limits fall ----------------------------------------------------------------------------------
+// --- Lowered limits ----------------------------------------------------------------------------------
 
-/// Announced limits to come, which hold from the start of each test here: two changes fewer than a full transaction.
-const NEXT: &str =
+/// Announced future limits, in force from the start of each test below: two changes fewer than a full transaction.
+const NEXT_LIMITS: &str =
     "txn_ops = 16\nnext = { rps = 60.0, write_rps = 18.0, value_kb = 2.0, txn_ops = 5 }\n";
 
-/// What the service refuses with 400 once its limits have fallen.
-fn too_large(op: &StoreOp) -> bool {
+/// Whether the state service refuses this with 400 after its limits were lowered.
+fn over_lowered_limits(op: &StoreOp) -> bool {
     let StoreOp::Txn(txn) = op else { return false };
     let long = |change: &Change| match change {
         Change::Put { value, .. } => value.to_string().len() > 2 * 1_024,
@@ -89,25 +88,25 @@
     txn.changes.len() > 5 || txn.changes.iter().any(long)
 }
 
-/// The same where the service holds to less than it announced.
-fn too_large_for_two(op: &StoreOp) -> bool {
-    matches!(op, StoreOp::Txn(txn) if txn.changes.len() > 2) || too_large(op)
+/// The same for a service whose limits are lower than it announced.
+fn over_two_changes(op: &StoreOp) -> bool {
+    matches!(op, StoreOp::Txn(txn) if txn.changes.len() > 2) || over_lowered_limits(op)
 }
 
 fn host(n: u64) -> String {
     format!("i-{n:06}")
 }
 
-/// One controller that leads, whose service refuses what is too large by then.
-struct Fallen {
+/// A leading controller whose state service refuses operations over the lowered limits.
+struct LoweredLimits {
     solo: Solo,
     refused: Vec<StoreOp>,
     tally: u64,
 }
 
-impl Fallen {
+impl LoweredLimits {
     fn new(refuses: fn(&StoreOp) -> bool, upgraded: bool) -> Self {
-        let settings = world::settings(&world::SETTINGS.replace("txn_ops = 16\n", NEXT), 0);
+        let settings = world::settings(&world::SETTINGS.replace("txn_ops = 16\n", NEXT_LIMITS), 0);
         let core = Controller::new(settings, Operators::default(), 7);
         let mut solo = Solo::new();
         (solo.core, solo.hold) = (core, refuses);
@@ -119,7 +118,7 @@
         Self { solo, refused: Vec::new(), tally: 0 }
     }
 
-    /// Lets time pass, with a report of each machine every three seconds; what runs there is what was ordered.
+    /// Advances time; each machine reports every three seconds and runs what it was assigned.
     fn pass(&mut self, machines: u64, seconds: u64) {
         for step in 0..seconds * 4 {
             if step % 12 == 0 {
@@ -136,7 +135,7 @@
         }
     }
 
-    /// Assignments that are durable: job, and the rest.
+    /// All durable assignments.
     fn assigned(&self) -> Vec<(JobId, u32, Attempt, HostId)> {
         let mut assigned = Vec::new();
         for row in self.solo.state.rows("asg/") {
@@ -189,57 +188,57 @@
         self.assigned().len()
     }
 
-    /// Refused transactions that were refused once more just as they were.
+    /// Number of refused transactions that were repeated unchanged and refused again.
     fn repeated(&self) -> usize {
         self.refused.windows(2).filter(|two| two[0] == two[1]).count()
     }
 }
 
-/// Guards against a leader that repeats what the lowered limits refuse, once or twice a second for ever: nothing became
-/// durable any more, and what users had been told was lost.
+/// Guards against a leader that repeats a transaction over the lowered limits once or twice a second forever: nothing became
+/// durable any more, and states already reported to users were lost.
 #[test]
-fn jobs_start_and_end_once_the_limits_have_fallen() {
-    let mut fallen = Fallen::new(too_large, true);
+fn jobs_start_and_finish_under_lowered_limits() {
+    let mut lowered = LoweredLimits::new(over_lowered_limits, true);
     for n in 0..12 {
-        assert_eq!(fallen.submit(&format!("req-{n}"), 40), 201);
+        assert_eq!(lowered.submit(&format!("req-{n}"), 40), 201);
     }
-    fallen.pass(96, 30);
-    assert!(fallen.durable() >= 96, "{} assignments are durable", fallen.durable());
-    assert!(fallen.refused.is_empty(), "{} were refused", fallen.refused.len());
-    let abort = fallen.solo.ask(Request::Abort(JobId::new("req-3")));
-    fallen.pass(96, 3);
-    assert_eq!(fallen.solo.reply(abort).map(|reply| reply.status), Some(200));
-    assert_eq!(fallen.solo.state.rows("over/").len(), 1);
+    lowered.pass(96, 30);
+    assert!(lowered.durable() >= 96, "{} assignments are durable", lowered.durable());
+    assert!(lowered.refused.is_empty(), "{} were refused", lowered.refused.len());
+    let abort = lowered.solo.ask(Request::Abort(JobId::new("req-3")));
+    lowered.pass(96, 3);
+    assert_eq!(lowered.solo.reply(abort).map(|reply| reply.status), Some(200));
+    assert_eq!(lowered.solo.state.rows("over/").len(), 1);
 }
 
-/// Less than was announced is found by cutting: nothing is repeated as it was, and everything gets through.
+/// Limits below the announced ones are found by splitting transactions: none is repeated unchanged, and all writes succeed.
 #[test]
-fn limits_lower_than_announced_are_found_by_cutting() {
-    let mut fallen = Fallen::new(too_large_for_two, true);
+fn limits_lower_than_announced_are_found_by_splitting() {
+    let mut lowered = LoweredLimits::new(over_two_changes, true);
     for n in 0..12 {
-        assert_eq!(fallen.submit(&format!("req-{n}"), 40), 201);
+        assert_eq!(lowered.submit(&format!("req-{n}"), 40), 201);
     }
-    fallen.pass(96, 40);
-    assert!(fallen.durable() >= 96, "{} assignments are durable", fallen.durable());
-    assert!(!fallen.refused.is_empty() && fallen.repeated() == 0, "{} twice", fallen.repeated());
+    lowered.pass(96, 40);
+    assert!(lowered.durable() >= 96, "{} assignments are durable", lowered.durable());
+    assert!(!lowered.refused.is_empty() && lowered.repeated() == 0, "{} twice", lowered.repeated());
     for n in 0..12 {
-        fallen.solo.ask(Request::Abort(JobId::new(&format!("req-{n}"))));
+        lowered.solo.ask(Request::Abort(JobId::new(&format!("req-{n}"))));
     }
-    fallen.pass(96, 20);
-    assert_eq!(fallen.solo.state.rows("over/").len(), 12);
-    // A try at more, once in several transactions that were taken.
-    assert!(fallen.refused.len() < 40, "{} were refused", fallen.refused.len());
+    lowered.pass(96, 20);
+    assert_eq!(lowered.solo.state.rows("over/").len(), 12);
+    // A larger transaction is tried once per several successful ones.
+    assert!(lowered.refused.len() < 40, "{} were refused", lowered.refused.len());
 }
 
-/// Until all members are known to run this version, records are those that the earlier one reads; then they are packed.
+/// Records keep the format of the previous version until all members are known to run this one; then they are packed.
 #[test]
-fn records_are_packed_only_once_every_member_reads_them() {
-    let packed = |fallen: &Fallen| {
-        let rows = fallen.solo.state.rows("asg/");
+fn records_are_packed_only_once_every_member_can_read_them() {
+    let packed = |lowered: &LoweredLimits| {
+        let rows = lowered.solo.state.rows("asg/");
         assert!(!rows.is_empty());
         rows.iter().filter(|row| row.value.get("p").is_some()).count()
     };
-    let mut mixed = Fallen::new(|_| false, false);
+    let mut mixed = LoweredLimits::new(|_| false, false);
     assert_eq!(mixed.submit("req-1", 40), 201);
     mixed.pass(40, 10);
     assert!(mixed.durable() > 0);
--- a/tests/upgrade_days.rs
+++ b/tests/upgrade_days.rs
@@ -1,5 +1,5 @@
-//! Upgrades in seeded days: controllers of two versions side by side, killed and replaced in turn, under troubles; and
-//! limits of the state service that fall afterwards. `OATLOOM_SEEDS=n` plays n seeds more of each.
+//! Rolling upgrades in seeded days: controllers of two versions run together and are killed and replaced one by one while
+//! other faults occur; afterwards the limits of the state service are lowered. `OATLOOM_SEEDS=n` runs n more seeds of each.
 
 #[allow(dead_code)]
 mod world;
@@ -16,22 +16,22 @@
 use world::upgrades::site_with_next_limits;
 use world::{Fault, Upon, World, finished, more_days, show_log, small_array};
 
-/// Troubles are over from then on, in milliseconds.
+/// End of all faults.
 const CALM_MS: u64 = 200_000;
-/// The first turn of an upgrade, in milliseconds.
-const FIRST_TURN_MS: u64 = 20_000;
-/// How long after its turn a node comes back, as on the sites.
-const AWAY_MS: u64 = 6_000;
-/// Pipelines' users come once the upgrade is over.
+/// Time at which the first node is upgraded.
+const FIRST_UPGRADE_MS: u64 = 20_000;
+/// Downtime of a node during its upgrade, as in operation.
+const DOWNTIME_MS: u64 = 6_000;
+/// Pipelines are submitted from the first upgrade on.
 const PIPELINES: Draw = Draw {
     count: 6,
-    from: FIRST_TURN_MS,
+    from: FIRST_UPGRADE_MS,
     to: 150_000,
     cancelled: 0.35,
     cancelled_within: 40_000,
     late: 0.3,
 };
-/// A day that begins with the previous version everywhere. Pipelines come once all nodes have had their turn.
+/// A day that begins with the previous version on all nodes.
 fn day(seed: u64, faults: Vec<(u64, Fault)>) -> World {
     show_log();
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
@@ -44,32 +44,36 @@
     world
 }
 
-/// Turns of all nodes, one after the other, in an order of the seed's own.
-fn turns(seed: u64, first: u64, every: u64, away: u64) -> Vec<(u64, Fault)> {
+/// Upgrades of all nodes one after another, in an order given by the seed.
+fn rolling_upgrade(seed: u64, first: u64, every: u64, downtime_ms: u64) -> Vec<(u64, Fault)> {
     let from = seed as usize % 3;
-    let node = |turn: usize| (from + turn) % 3;
-    (0..3).map(|turn| (first + turn as u64 * every, Fault::Upgrade(node(turn), away))).collect()
+    let node = |position: usize| (from + position) % 3;
+    (0..3)
+        .map(|position| {
+            (first + position as u64 * every, Fault::Upgrade(node(position), downtime_ms))
+        })
+        .collect()
 }
 
-/// Plays a day to its end: all was upgraded, and nothing was ever larger than the state service takes.
+/// Runs a day to its end; all nodes are upgraded, and no write was over the size limits of the state service.
 fn play(world: &mut World, what: &str) {
     world.play();
     finished(world, what);
-    assert!(world.all_current(), "{what}: some node had no turn");
-    assert!(world.all_know_the_upgrade(), "{what}: somebody does not know that all were upgraded");
+    assert!(world.all_current(), "{what}: some node was not upgraded");
+    assert!(world.all_know_the_upgrade(), "{what}: some node does not know that all were upgraded");
     let refused = &world.refusals().too_large;
-    assert!(refused.is_empty(), "{what}: refused for their size: {refused:?}");
+    assert!(refused.is_empty(), "{what}: refused as too large: {refused:?}");
 }
 
-/// What came about over several days, so that a test can tell that it tried something.
+/// Totals over several days, to show that the test exercised something.
 #[derive(Debug, Default)]
-struct Tried {
+struct Totals {
     dependents: usize,
     done: usize,
     cancelled: usize,
 }
 
-impl Tried {
+impl Totals {
     fn add(&mut self, world: &World) {
         self.dependents += world.accepted_dependents();
         self.done += world.told(JobStatus::Done);
@@ -82,25 +86,25 @@
     }
 }
 
-/// Plays days of some seeds with the troubles that `faults` gives each.
+/// Runs one day per seed with the faults that `faults` returns for it.
 fn play_days(what: &str, first: u64, count: u64, faults: impl Fn(u64) -> Vec<(u64, Fault)>) {
-    let mut tried = Tried::default();
+    let mut totals = Totals::default();
     for seed in first..first + count + more_days() {
         let faults = faults(seed);
         let mut world = day(seed, faults.clone());
         play(&mut world, &format!("{what}, seed {seed}, {faults:?}"));
-        tried.add(&world);
+        totals.add(&world);
     }
-    tried.assert_some(what);
+    totals.assert_some(what);
 }
 
 fn rng_of(seed: u64) -> ChaCha8Rng {
     ChaCha8Rng::seed_from_u64(seed)
 }
 
-/// Whoever writes what the previous version cannot read, while it may still run, is caught.
+/// The checker reports a record that the previous version cannot read while that version may still run.
 #[test]
-fn a_new_form_beside_the_previous_version_is_caught() {
+fn the_checker_detects_new_records_beside_the_previous_version() {
     let broken = |key: &str, value: serde_json::Value, upgraded: bool| {
         let mut rng = rng_of(1);
         let mut world = World::deployed(site_with_next_limits(), &mut rng, CALM_MS);
@@ -123,18 +127,18 @@
     assert!(broken("live/req-1", json!({"s": dependent, "t": 1}), false));
 }
 
-/// A job that names others is not taken while any controller may run the previous version, at whichever node.
+/// No node accepts a job with dependencies while any controller may run the previous version.
 #[test]
-fn nothing_new_is_accepted_before_all_are_upgraded() {
+fn jobs_with_dependencies_are_rejected_until_all_are_upgraded() {
     for seed in 0..6 + more_days() {
-        let mut world = day(seed, turns(seed, FIRST_TURN_MS, 10_000, AWAY_MS));
+        let mut world = day(seed, rolling_upgrade(seed, FIRST_UPGRADE_MS, 10_000, DOWNTIME_MS));
         world.add_job_at(small_array("req-000001", 5), 1_000);
         world.play_to(12_000);
         assert!(world.is_accepted("req-000001"), "seed {seed}");
         let dependencies = vec![JobId::new("req-000001")];
         let dependent = JobSpec { dependencies, ..small_array("req-000002", 5) };
         let text = World::text_of(&dependent).to_string();
-        // The last turn is at 40 s; the first to come back is there from 26 s on.
+        // The last node is upgraded at 40 s; the first is back at 26 s.
         while world.before(40_000) {
             let upgraded: Vec<usize> = (0..3).filter(|node| world.is_current(*node)).collect();
             for node in upgraded {
@@ -155,42 +159,44 @@
 }
 
 #[test]
-fn calm_upgrades_keep_the_rules() {
-    play_days("calm", 0, 6, |seed| turns(seed, FIRST_TURN_MS, 15_000, AWAY_MS));
+fn upgrades_without_faults_keep_the_rules() {
+    play_days("calm", 0, 6, |seed| rolling_upgrade(seed, FIRST_UPGRADE_MS, 15_000, DOWNTIME_MS));
 }
 
 #[test]
-fn turns_every_two_seconds_keep_the_rules() {
-    play_days("every 2 s", 1_000, 6, |seed| turns(seed, FIRST_TURN_MS, 2_000, AWAY_MS));
+fn upgrades_every_two_seconds_keep_the_rules() {
+    play_days("every 2 s", 1_000, 6, |seed| {
+        rolling_upgrade(seed, FIRST_UPGRADE_MS, 2_000, DOWNTIME_MS)
+    });
 }
 
-/// Transactions of the previous version are carried out after the upgrade.
+/// Transactions sent by the previous version are executed after the upgrade.
 #[test]
-fn turns_during_late_writes_keep_the_rules() {
+fn upgrades_during_late_writes_keep_the_rules() {
     play_days("late writes", 2_000, 6, |seed| {
         let every = [2_000, 5_000, 9_000][(seed % 3) as usize];
-        let mut faults = turns(seed, FIRST_TURN_MS, every, AWAY_MS);
-        faults.push((FIRST_TURN_MS - 5_000, Fault::LateWrites(40_000, 300)));
+        let mut faults = rolling_upgrade(seed, FIRST_UPGRADE_MS, every, DOWNTIME_MS);
+        faults.push((FIRST_UPGRADE_MS - 5_000, Fault::LateWrites(40_000, 300)));
         faults
     });
 }
 
 #[test]
-fn a_turn_inside_an_outage_keeps_the_rules() {
+fn an_upgrade_during_an_outage_keeps_the_rules() {
     play_days("outage", 3_000, 6, |seed| {
-        let mut faults = turns(seed, FIRST_TURN_MS, 6_000, AWAY_MS);
-        let from = FIRST_TURN_MS + (seed % 6) * 2_500;
+        let mut faults = rolling_upgrade(seed, FIRST_UPGRADE_MS, 6_000, DOWNTIME_MS);
+        let from = FIRST_UPGRADE_MS + (seed % 6) * 2_500;
         faults.push((from, Fault::StoreOutage(4_000 + (seed % 4) * 4_000)));
         faults
     });
 }
 
-/// A node that crashes before its turn comes back with the previous version.
+/// A node that crashes before its upgrade restarts with the previous version.
 #[test]
-fn nodes_that_die_before_their_turns_keep_the_rules() {
-    play_days("deaths before turns", 4_000, 6, |seed| {
+fn crashes_before_upgrades_keep_the_rules() {
+    play_days("crashes before upgrades", 4_000, 6, |seed| {
         let mut rng = rng_of(seed);
-        let mut faults = turns(seed, 40_000, 8_000, AWAY_MS);
+        let mut faults = rolling_upgrade(seed, 40_000, 8_000, DOWNTIME_MS);
         for _ in 0..3 {
             let at = rng.random_range(10_000..56_000);
             let any = Fault::Crash(rng.random_range(0..3));
@@ -200,23 +206,23 @@
     });
 }
 
-/// A process of the previous version stands still in the midst of what it does while the others have their turns.
+/// A process of the previous version is suspended in the middle of its work while the others are upgraded.
 #[test]
-fn an_earlier_process_that_wakes_up_late_keeps_the_rules() {
-    play_days("asleep", 5_000, 6, |seed| {
-        let mut faults = turns(seed, FIRST_TURN_MS, 5_000, AWAY_MS);
-        let asleep = Fault::LeaderAsleep(3_000 + (seed % 5) * 3_000);
-        faults.push((FIRST_TURN_MS - 1_000 + (seed % 3) * 5_000, asleep));
+fn a_suspended_process_of_the_previous_version_keeps_the_rules() {
+    play_days("suspended", 5_000, 6, |seed| {
+        let mut faults = rolling_upgrade(seed, FIRST_UPGRADE_MS, 5_000, DOWNTIME_MS);
+        let suspended = Fault::LeaderAsleep(3_000 + (seed % 5) * 3_000);
+        faults.push((FIRST_UPGRADE_MS - 1_000 + (seed % 3) * 5_000, suspended));
         faults
     });
 }
 
 #[test]
-fn turns_under_drawn_troubles_keep_the_rules() {
-    play_days("drawn troubles", 6_000, 10, |seed| {
+fn upgrades_under_random_faults_keep_the_rules() {
+    play_days("random faults", 6_000, 10, |seed| {
         let mut rng = rng_of(seed);
         let every = rng.random_range(2_000..15_000);
-        let mut faults = turns(seed, 30_000, every, rng.random_range(500..9_000));
+        let mut faults = rolling_upgrade(seed, 30_000, every, rng.random_range(500..9_000));
         for _ in 0..rng.random_range(1..4) {
             let at = rng.random_range(10_000..90_000);
             let span = rng.random_range(1_000..40_000);
@@ -226,67 +232,70 @@
     });
 }
 
-// --- Limits of the state service that fall ----------------------------------------------------------
+// --- Lowered limits of the state service ----------------------------------------------------------
 
-/// Longest value that the state service takes from then on, in bytes.
-const LOWERED_VALUE_BYTES: usize = 2 * 1024;
-/// When the limits fall at the earliest, after the upgrade.
-const FALL_MS: u64 = 75_000;
+/// Longest value that the state service accepts after its limits were lowered.
+const MAX_LOWERED_VALUE_BYTES: usize = 2 * 1024;
+/// Earliest time at which the limits are lowered, after the upgrade.
+const LIMITS_LOWERED_MS: u64 = 75_000;
 
-/// After a usual upgrade, the limits fall at `FALL_MS`, with these troubles beside it.
-fn fall(seed: u64, beside: impl IntoIterator<Item = (u64, Fault)>) -> Vec<(u64, Fault)> {
-    let mut faults = turns(seed, FIRST_TURN_MS, 8_000, AWAY_MS);
-    faults.push((FALL_MS, Fault::LimitsFall));
-    faults.extend(beside);
+/// A normal upgrade, lowered limits at `LIMITS_LOWERED_MS`, and the given additional faults.
+fn lowered_limits(
+    seed: u64,
+    additional: impl IntoIterator<Item = (u64, Fault)>,
+) -> Vec<(u64, Fault)> {
+    let mut faults = rolling_upgrade(seed, FIRST_UPGRADE_MS, 8_000, DOWNTIME_MS);
+    faults.push((LIMITS_LOWERED_MS, Fault::LimitsFall));
+    faults.extend(additional);
     faults
 }
 
 #[test]
-fn limits_that_fall_keep_the_rules() {
-    play_days("limits fall", 10_000, 8, |seed| fall(seed, []));
+fn lowered_limits_keep_the_rules() {
+    play_days("limits lowered", 10_000, 8, |seed| lowered_limits(seed, []));
 }
 
 #[test]
-fn limits_that_fall_within_an_outage_keep_the_rules() {
-    play_days("limits fall in an outage", 11_000, 8, |seed| {
+fn limits_lowered_during_an_outage_keep_the_rules() {
+    play_days("limits lowered in an outage", 11_000, 8, |seed| {
         let before = 500 + (seed % 5) * 2_000;
-        fall(seed, [(FALL_MS - before, Fault::StoreOutage(before + 3_000))])
+        lowered_limits(seed, [(LIMITS_LOWERED_MS - before, Fault::StoreOutage(before + 3_000))])
     });
 }
 
-/// At a takeover: the leader ends a little before or after the limits fall.
+/// The leader fails shortly before or after the limits are lowered.
 #[test]
-fn limits_that_fall_at_a_takeover_keep_the_rules() {
-    play_days("limits fall at a takeover", 12_000, 9, |seed| {
-        let at = FALL_MS - 5_000 + (seed % 9) * 1_000;
+fn limits_lowered_at_a_takeover_keep_the_rules() {
+    play_days("limits lowered at a takeover", 12_000, 9, |seed| {
+        let at = LIMITS_LOWERED_MS - 5_000 + (seed % 9) * 1_000;
         let what = match seed % 3 {
             0 => Upon::Crash,
             1 => Upon::Refused(9_000),
             _ => Upon::Parted(9_000),
         };
-        fall(seed, [(at, Fault::Leader(what))])
+        lowered_limits(seed, [(at, Fault::Leader(what))])
     });
 }
 
 #[test]
-fn limits_that_fall_under_drawn_troubles_keep_the_rules() {
-    play_days("limits fall, drawn troubles", 13_000, 10, |seed| {
+fn limits_lowered_under_random_faults_keep_the_rules() {
+    play_days("limits lowered, random faults", 13_000, 10, |seed| {
         let mut rng = rng_of(seed);
-        let mut beside = Vec::new();
+        let mut additional = Vec::new();
         for _ in 0..rng.random_range(1..4) {
             let at = rng.random_range(60_000..110_000);
             let span = rng.random_range(1_000..40_000);
-            beside.push((at, trouble(&mut rng, span)));
+            additional.push((at, trouble(&mut rng, span)));
         }
-        fall(seed, beside)
+        lowered_limits(seed, additional)
     });
 }
 
-/// A gang and an array so wide that their records had the former size, held across the fall, cancelled or ended after it.
+/// A gang and arrays whose records exceed the lowered limits run while the limits change and are cancelled or finish afterwards.
 #[test]
-fn wide_jobs_across_a_fall_end_well() {
+fn wide_jobs_reach_a_final_state_after_limits_are_lowered() {
     for seed in 14_000..14_006 + more_days() {
-        let mut world = day(seed, fall(seed, []));
+        let mut world = day(seed, lowered_limits(seed, []));
         for (n, shape) in [Shape::Array, Shape::Gang, Shape::Array].into_iter().enumerate() {
             let wide = JobSpec {
                 shape,
@@ -297,18 +306,18 @@
             };
             world.add_job_at(wide, 5_000 + n as u64 * 2_000);
         }
-        world.cancel_last(FALL_MS + 4_000);
+        world.cancel_last(LIMITS_LOWERED_MS + 4_000);
         play(&mut world, &format!("wide jobs, seed {seed}"));
     }
 }
 
-/// Arrays of as many tasks as a record holds, which fail again and again on many machines, with an account of usage: what
-/// their records would hold in full is more than the lower limit. Cancelled, they end as well.
+/// Arrays with as many tasks as one record holds fail repeatedly on many machines, with usage accounting on: their full records
+/// would exceed the lowered limit. They still reach a final state when cancelled.
 #[test]
-fn records_full_of_detail_fit_lowered_limits() {
+fn detailed_records_fit_lowered_limits() {
     let mut largest = 0;
     for seed in 15_000..15_004 + more_days() {
-        let mut world = day(seed, fall(seed, []));
+        let mut world = day(seed, lowered_limits(seed, []));
         world.limit("((ledger . #t) (classes (default (repeats 1000))))");
         for n in 0..3 {
             let id = format!("req-00000{n}");
@@ -320,5 +329,8 @@
         play(&mut world, &format!("full records, seed {seed}"));
         largest = largest.max(world.largest_value());
     }
-    assert!(largest > LOWERED_VALUE_BYTES, "{largest} bytes at most, before the fall");
+    assert!(
+        largest > MAX_LOWERED_VALUE_BYTES,
+        "{largest} bytes at most, before the limits were lowered"
+    );
 }
