--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -1,5 +1,5 @@
-//! No fixed limit stands below 6,000 machines: what a leader tells its peers, what a follower keeps of it, and how many users
-//! may wait at once.
+//! Fixed limits allow for 6,000 machines: the leader hints sent to peers, the hints that a follower stores, and the number of
+//! users waiting at once.
 
 use oatloom_core::api::Request;
 use oatloom_core::constants::*;
@@ -17,7 +17,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 const MACHINES: usize = 6_000;
-/// Largest frame that any version reads.
+/// Largest frame that every version can read.
 const FRAME_BYTES: usize = 256 * 1024;
 const NOW: Mono = Mono(1_000_000_000);
 
@@ -26,63 +26,63 @@
     oatloom::settings::platform(&text).expect("sound settings")
 }
 
-/// A leader of so many machines, each with up to so many images.
+/// The term of a leader with this many machines, each with up to `images` cached images.
 fn leader(machines: usize, images: usize, rng: &mut ChaCha8Rng) -> Reign {
-    let mut reign = Reign::new(Token(7), NOW, Fleet::default(), &Terms::default());
+    let mut term = Reign::new(Token(7), NOW, Fleet::default(), &Terms::default());
     for n in 0..machines {
         let host = HostId::new(&format!("i-{n:06}"));
-        let machine = reign.fleet.adopt(&host, "f", &Zone::new("a"), false, NOW, NOW);
+        let machine = term.fleet.adopt(&host, "f", &Zone::new("a"), false, NOW, NOW);
         let image = |n| Image { name: format!("registry/image-{n:04}"), gb: 5.0, ready: true };
         machine.recall((0..rng.random_range(1..=images)).map(image).collect());
     }
-    reign
+    term
 }
 
-fn frame_bytes(notes: Notes) -> usize {
+fn frame_bytes(hints: Notes) -> usize {
     let mut bytes = Vec::new();
-    let asked = Asked { id: u64::MAX, question: Question::Notes(Box::new(notes)) };
+    let asked = Asked { id: u64::MAX, question: Question::Notes(Box::new(hints)) };
     ciborium::into_writer(&asked, &mut bytes).expect("a frame");
     bytes.len()
 }
 
-/// Notes go round a fleet of any size before they are too old, in frames that every version reads, and a follower keeps all.
+/// Leader hints cover a fleet of any size before they expire, in frames that every version can read, and a follower stores all.
 #[test]
-fn notes_tell_of_a_whole_fleet_in_time() {
+fn leader_hints_cover_a_whole_fleet_in_time() {
     let mut rng = ChaCha8Rng::seed_from_u64(45);
     for (machines, images) in [(150, 4), (4_000, 8), (MACHINES, 8), (MACHINES, 40)] {
-        let mut reign = leader(machines, images, &mut rng);
-        let (mut told, mut kept, mut notes_sent) = (BTreeSet::new(), None, 0);
-        while told.len() < machines {
-            let notes = reign.notes(NOW);
-            assert!(frame_bytes(notes.clone()) < FRAME_BYTES);
-            assert!(!notes.images.is_empty(), "{} of {machines} were told of", told.len());
-            told.extend(notes.images.iter().map(|(host, _)| host.clone()));
-            kept = Some(Notes::joined(kept, notes));
-            notes_sent += 1;
+        let mut term = leader(machines, images, &mut rng);
+        let (mut sent_hosts, mut stored, mut messages_sent) = (BTreeSet::new(), None, 0);
+        while sent_hosts.len() < machines {
+            let hints = term.notes(NOW);
+            assert!(frame_bytes(hints.clone()) < FRAME_BYTES);
+            assert!(!hints.images.is_empty(), "{} of {machines} were sent", sent_hosts.len());
+            sent_hosts.extend(hints.images.iter().map(|(host, _)| host.clone()));
+            stored = Some(Notes::joined(stored, hints));
+            messages_sent += 1;
         }
-        let took = Millis(notes_sent * NOTES_EVERY_MS.0);
-        // Forty images on each of 6,000 machines are more than frames carry in time: the rest costs fetches, no rule.
+        let took = Millis(messages_sent * NOTES_EVERY_MS.0);
+        // Forty images on each of 6,000 machines exceed what frames carry in time: missing hints cost image fetches and break no rule.
         assert!(took < NOTES_OLD_MS || images == 40, "{machines} machines take {took:?}");
-        assert_eq!(kept.map(|notes| notes.images.len()), Some(machines));
+        assert_eq!(stored.map(|hints| hints.images.len()), Some(machines));
     }
 }
 
-/// As many users may wait for a leader's answer at once as poll within the time that it is waited for.
+/// As many users can wait for a leader's answer at once as poll within its timeout.
 #[test]
-fn users_of_a_large_fleet_may_wait_together() {
+fn users_of_a_large_fleet_can_wait_at_once() {
     let mut core = Controller::new(settings(), Operators::default(), 1);
     let now = Now { mono: NOW, wall_ms: 1_000 };
     let peer = core_peer();
-    let notes = Notes { token: Token(7), leader: Some(peer), ..Notes::default() };
+    let hints = Notes { token: Token(7), leader: Some(peer), ..Notes::default() };
     core.handle(
         now,
         Event::Request {
             conn: ConnId(1),
-            request: Request::Notes(Box::new(notes)),
+            request: Request::Notes(Box::new(hints)),
             forwarded: true,
         },
     );
-    // A job on each pair of machines, polled every 5 s: twice as many as poll while one question waits.
+    // One job per two machines, polled every 5 s: twice the number of polls within one request timeout.
     let waiting = MACHINES / 2 * ASK_TIMEOUT_MS.0 as usize / 5_000 * 2;
     let mut asked = BTreeMap::new();
     for n in 0..waiting as u64 {
--- a/tests/headroom.rs
+++ b/tests/headroom.rs
@@ -1,4 +1,4 @@
-//! Teams at their limits: nothing is rented that no limit lets be used.
+//! Teams at their limits: no machines are rented that the limits keep from being used.
 
 #[allow(dead_code)]
 mod world;
@@ -9,7 +9,7 @@
 use rand_chacha::ChaCha8Rng;
 use world::{SETTINGS, Site, World, check, more_days, show_log, small_array};
 
-/// Teams with these limits in GPUs, on machines of four.
+/// Teams with these GPU limits, on machines with four GPUs.
 fn site(red: f64, blue: f64) -> Site {
     let settings = SETTINGS
         .replace("gpus_max = 14.0", &format!("gpus_max = {red:?}"))
@@ -27,10 +27,10 @@
     World::deployed(site, &mut ChaCha8Rng::seed_from_u64(seed), calm_from)
 }
 
-/// One team has far more work than its limit lets run, in gangs, services and arrays; the other's ends after a while. Guards
-/// against machines that stay rented for work which may not run: a target that sums it is never reached.
+/// One team has far more gangs, services and arrays than its limit allows to run; the other team's work ends after a while.
+/// Guards against a capacity target that includes work over the limit: it is never reached, and the machines stay rented.
 #[test]
-fn nothing_is_rented_that_no_limit_lets_be_used() {
+fn no_machine_is_rented_for_work_over_the_team_limit() {
     show_log();
     for seed in 0..3 + more_days() {
         let mut world = world(seed, site(16.0, 24.0), 400_000);
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -1,5 +1,4 @@
-//! One controller over real sockets on loopback, against stand-ins of the state service and the
-//! cloud that answer HTTP.
+//! One controller over real sockets on loopback, with HTTP stubs of the state service and the cloud.
 
 #[allow(dead_code)]
 #[path = "world/state.rs"]
@@ -20,7 +19,7 @@
     listener.local_addr().expect("an address").to_string()
 }
 
-/// Serves `answer` for every request, each on a thread of its own.
+/// Starts a server that answers each request with `answer` on a separate thread.
 fn serve(answer: impl Fn(&str, &str, &str) -> (u16, Value) + Send + Sync + 'static) -> String {
     let server = tiny_http::Server::http("127.0.0.1:0").expect("a server");
     let address = server.server_addr().to_string();
@@ -111,13 +110,13 @@
             _ => self.agent.get(url).call(),
         };
         let Ok(mut answer) = answer else { return (0, Value::Null, None) };
-        let later = answer.headers().get("Retry-After");
-        let later = later.and_then(|v| v.to_str().ok()).map(str::to_owned);
+        let retry_after = answer.headers().get("Retry-After");
+        let retry_after = retry_after.and_then(|v| v.to_str().ok()).map(str::to_owned);
         let text = answer.body_mut().read_to_string().unwrap_or_default();
-        (answer.status().as_u16(), serde_json::from_str(&text).unwrap_or_default(), later)
+        (answer.status().as_u16(), serde_json::from_str(&text).unwrap_or_default(), retry_after)
     }
 
-    fn until(&self, what: &str, good: impl Fn(&Self) -> bool) {
+    fn wait_until(&self, what: &str, good: impl Fn(&Self) -> bool) {
         let start = Instant::now();
         while !good(self) {
             assert!(start.elapsed() < Duration::from_secs(20), "{what}: not within 20 s");
@@ -184,17 +183,17 @@
     .to_string()
 }
 
-/// From a submission to a task's end and a cancellation, as users and a worker see them.
+/// Submission, task completion and cancellation, as seen by users and a worker.
 #[test]
 fn a_controller_serves_users_and_workers_over_http() {
     let node = start(1_000);
-    node.until("up", |n| n.ask("GET", "/up", None).0 == 200);
-    // A body above the size that arrives with its head, so that it is read apart.
+    node.wait_until("up", |n| n.ask("GET", "/up", None).0 == 200);
+    // The body is too large to arrive together with the header, so it is read separately.
     let submit = |id, gpus| node.ask("POST", "/v2/runs", Some(job(id, gpus))).0;
     assert_eq!(submit("req-000001", 1.0), 201);
     assert_eq!(submit("req-000001", 1.0), 200);
     assert_eq!(submit("req-000002", 9.0), 422);
-    assert_eq!(submit("req-000001", 9.0), 200, "known before its text is judged");
+    assert_eq!(submit("req-000001", 9.0), 200, "the id is known, so the spec is not validated");
     assert_eq!(submit("other-1", 1.0), 400);
     assert_eq!(node.ask("POST", "/v2/runs", Some("{".into())).0, 400);
     assert_eq!(node.ask("POST", "/v2/runs", Some("x".repeat(70_000))).0, 413);
@@ -202,16 +201,16 @@
     assert_eq!(node.ask("GET", "/elsewhere", None).0, 404);
 
     let mut tally = 1;
-    let mut say = |token: u64, tasks: Value| {
+    let mut send_report = |token: u64, tasks: Value| {
         tally += 1;
         let (status, answer, _) = node.ask("POST", "/v1/report", Some(report(tally, token, tasks)));
         assert_eq!(status, 200, "{answer}");
         answer
     };
-    let token = say(0, json!([]))["baton"].as_u64().expect("a token");
+    let token = send_report(0, json!([]))["baton"].as_u64().expect("a token");
     let start = Instant::now();
     let run = loop {
-        let answer = say(token, json!([]));
+        let answer = send_report(token, json!([]));
         if let Some(order) = answer["orders"].as_array().and_then(|o| o.first()) {
             break order.clone();
         }
@@ -221,11 +220,11 @@
     assert_eq!((&run["verb"], &run["shard"]), (&json!("run"), &json!("req-000001/0")));
     let ended = json!([{"shard": run["shard"], "try": run["try"], "status": "ended",
         "cause": "done"}]);
-    say(token, ended.clone());
-    node.until("done", |n| n.ask("GET", "/v2/runs/req-000001", None).1["status"] == "done");
-    let forget = say(token, ended);
+    send_report(token, ended.clone());
+    node.wait_until("done", |n| n.ask("GET", "/v2/runs/req-000001", None).1["status"] == "done");
+    let forget = send_report(token, ended);
     assert_eq!(forget["orders"][0]["verb"], "forget");
-    assert_eq!(submit("req-000001", 1.0), 200, "known when it is over");
+    assert_eq!(submit("req-000001", 1.0), 200, "a finished job is still known");
 
     assert_eq!(submit("req-000003", 1.0), 201);
     let cancel = || node.ask("POST", "/v2/runs/req-000003/abort", None).1["status"].clone();
@@ -234,19 +233,19 @@
     assert_eq!((status, &done["status"]), (200, &json!("done")));
 }
 
-/// Whether a connection is closed from the other side.
+/// Whether the peer has closed the connection.
 fn closed(mut stream: &std::net::TcpStream) -> bool {
     let _ = stream.set_read_timeout(Some(Duration::from_millis(5)));
     matches!(std::io::Read::read(&mut stream, &mut [0]), Ok(0))
 }
 
-/// Connections cost no threads, those beyond the limit cost only themselves, and the listener goes
-/// on: with a thread for each it stopped for good once no further thread could be had. Those beyond the
-/// limit wait with the system until others, which lie idle, have given way, and are then answered.
+/// Connections use no threads of their own, and those beyond the limit wait in the system's backlog
+/// until idle ones are closed, and are then answered. Guards against a thread per connection: the
+/// listener stopped for good once no further thread could be created.
 #[test]
-fn connections_are_bounded_and_the_listener_goes_on() {
+fn connections_are_bounded_and_the_listener_continues() {
     let node = start(300);
-    node.until("up", |n| n.ask("GET", "/up", None).0 == 200);
+    node.wait_until("up", |n| n.ask("GET", "/up", None).0 == 200);
     let count = |of: &str| std::fs::read_dir(of).map_or(0, Iterator::count);
     let (threads, descriptors) = (|| count("/proc/self/task"), || count("/proc/self/fd"));
     let address = node.base.trim_start_matches("http://").to_owned();
@@ -255,13 +254,13 @@
     let idle: Vec<_> = (0..190).map(connect).collect();
     assert_eq!(node.ask("GET", "/up", None).0, 200);
     assert!(threads() < before + 150, "{before} threads, then {}", threads());
-    let beyond: Vec<_> = (0..60).map(connect).collect();
-    // With a hundred kept for its own calls, it takes no more than two hundred. Each has two ends here, and the tests beside
-    // this one have some of their own.
-    let taken = descriptors().saturating_sub(open + idle.len() + beyond.len());
-    assert!(taken <= 200 + 60, "{taken} connections are taken");
-    node.until("idle ones give way", |_| idle.iter().any(closed));
-    for mut stream in &beyond {
+    let over_limit: Vec<_> = (0..60).map(connect).collect();
+    // With a hundred sockets reserved for its own calls, it accepts at most two hundred. Both ends of each connection are in
+    // this process, and the other tests open some as well.
+    let accepted_count = descriptors().saturating_sub(open + idle.len() + over_limit.len());
+    assert!(accepted_count <= 200 + 60, "{accepted_count} connections are accepted");
+    node.wait_until("idle connections are closed", |_| idle.iter().any(closed));
+    for mut stream in &over_limit {
         std::io::Write::write_all(&mut stream, b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
             .expect("sent");
         let _ = stream.set_read_timeout(Some(Duration::from_secs(20)));
@@ -269,13 +268,13 @@
         std::io::Read::read_exact(&mut stream, &mut start).expect("answered");
         assert_eq!(&start, b"HTTP/1.1 200");
     }
-    drop((idle, beyond));
-    node.until("served again", |n| n.ask("GET", "/up", None).0 == 200);
+    drop((idle, over_limit));
+    node.wait_until("served again", |n| n.ask("GET", "/up", None).0 == 200);
 }
 
-/// A worker that is told 503, and a user too early, learn so at once.
+/// Without the state service, workers and users get 503 at once.
 #[test]
-fn a_controller_without_its_services_answers_at_once() {
+fn a_controller_without_its_backends_answers_at_once() {
     let listen = free_address();
     let text = include_str!("sample.toml").replace("127.0.0.1:8080", &listen);
     let text = text.replace("127.0.0.1:8081", &free_address());
@@ -286,10 +285,10 @@
     let config = ureq::Agent::config_builder().http_status_as_error(false).build();
     let node =
         Node { agent: ureq::Agent::new_with_config(config), base: format!("http://{listen}") };
-    node.until("answers", |n| n.ask("GET", "/up", None).0 == 503);
+    node.wait_until("answers", |n| n.ask("GET", "/up", None).0 == 503);
     let asked = Instant::now();
-    let (status, _, later) = node.ask("POST", "/v2/runs", Some(job("req-000001", 1.0)));
-    assert_eq!((status, later.as_deref()), (503, Some("1")));
+    let (status, _, retry_after) = node.ask("POST", "/v2/runs", Some(job("req-000001", 1.0)));
+    assert_eq!((status, retry_after.as_deref()), (503, Some("1")));
     assert_eq!(node.ask("POST", "/v1/report", Some(report(1, 0, json!([])))).0, 503);
     assert!(asked.elapsed() < Duration::from_secs(1));
 }
--- a/tests/ops.rs
+++ b/tests/ops.rs
@@ -1,7 +1,6 @@
-//! Troubles that operators met and nobody had listed: controllers silent for long, or asleep in the midst of what they
-//! do, processes that are back within a fraction of a second, machines up late, never or at once, users who ask eight
-//! times as often, jobs with a mistake, a guest's huge array. Each kind is played by seed, alone and with others.
-//! `OATLOOM_SEEDS=n` plays n seeds more.
+//! Faults met in operation: controllers that are silent for long or suspended in the middle of their work, processes that
+//! restart within a fraction of a second, machines that boot late, never or at once, users who poll eight times as often, jobs
+//! that always fail, a guest's huge array. Each kind occurs alone and with others, by seed. `OATLOOM_SEEDS=n` runs n more seeds.
 
 #[allow(dead_code)]
 mod world;
@@ -13,15 +12,15 @@
 use rand_chacha::ChaCha8Rng;
 use world::{Fault, World, more_days, show_log};
 
-const CALM_FROM: u64 = 150_000;
+const CALM_FROM_MS: u64 = 150_000;
 
 fn check(world: &World, seed: u64) {
     let broken = &world.region.checker.broken;
     assert!(broken.is_empty(), "seed {seed} breaks rules: {broken:#?}");
     assert_eq!(world.two_leaders, None, "seed {seed}: two leaders at once");
-    // Guards against work that takes nothing of what a team has used up, as its book shows after a takeover: planned
-    // and refused without end.
-    assert_eq!(world.wrong_plans, 0, "seed {seed}: starts planned that may not be");
+    // Guards against work of a team whose quota is used up according to the job table after a takeover: its starts were
+    // planned and refused forever.
+    assert_eq!(world.wrong_plans, 0, "seed {seed}: planned starts that are not allowed");
 }
 
 fn finished(world: &World, seed: u64) {
@@ -30,8 +29,8 @@
     assert!(unfinished.is_empty(), "seed {seed} leaves undone: {unfinished:#?}");
 }
 
-/// Any of the troubles, at any time.
-fn drawn(rng: &mut ChaCha8Rng) -> (u64, Fault) {
+/// A random fault at a random time.
+fn random_fault(rng: &mut ChaCha8Rng) -> (u64, Fault) {
     let node = rng.random_range(0..3);
     let span = rng.random_range(1_000..45_000);
     let fault = match rng.random_range(0..14) {
@@ -49,16 +48,16 @@
         12 => Fault::StoreOutage(span / 3),
         _ => Fault::MachineHangs(span),
     };
-    (rng.random_range(5_000..CALM_FROM - 30_000), fault)
+    (rng.random_range(5_000..CALM_FROM_MS - 30_000), fault)
 }
 
-/// A day of many of them, some jobs with a mistake, and processes that are back after 50 ms to 1 s.
+/// A day with several random faults, some jobs that always fail, and processes that restart after 50 ms to 1 s.
 fn day(seed: u64) -> World {
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x09d5);
     let count = rng.random_range(5..14);
-    let mut faults: Vec<_> = (0..count).map(|_| drawn(&mut rng)).collect();
+    let mut faults: Vec<_> = (0..count).map(|_| random_fault(&mut rng)).collect();
     faults.sort_by_key(|(at, _)| *at);
-    let mut world = World::scripted(seed, faults, CALM_FROM, None);
+    let mut world = World::scripted(seed, faults, CALM_FROM_MS, None);
     world.restart_ms = rng.random_range(50..1_000);
     for n in 0..rng.random_range(0..3) {
         // Fails on every machine until its user cancels it.
@@ -66,7 +65,7 @@
         spec.team = "red".into();
         world.region.outside.broken.insert(spec.id.to_string(), Broken::Always);
         world.add_job(spec);
-        world.cancel_last(rng.random_range(40_000..CALM_FROM - 20_000));
+        world.cancel_last(rng.random_range(40_000..CALM_FROM_MS - 20_000));
     }
     world
 }
@@ -97,7 +96,7 @@
     }
 }
 
-fn days(first: u64, count: u64) {
+fn run_days(first: u64, count: u64) {
     show_log();
     for seed in first..first + count + more_days() {
         let mut world = day(seed);
@@ -107,21 +106,21 @@
 }
 
 #[test]
-fn days_of_unlisted_troubles_keep_the_rules_1() {
-    days(50_130, 10);
+fn days_with_operational_faults_keep_the_rules_1() {
+    run_days(50_130, 10);
 }
 
 #[test]
-fn days_of_unlisted_troubles_keep_the_rules_2() {
-    days(60_010, 10);
+fn days_with_operational_faults_keep_the_rules_2() {
+    run_days(60_010, 10);
 }
 
 #[test]
-fn days_of_unlisted_troubles_keep_the_rules_3() {
-    days(70_010, 10);
+fn days_with_operational_faults_keep_the_rules_3() {
+    run_days(70_010, 10);
 }
 
-/// Plays the one seed that `OATLOOM_SEED` names, if any.
+/// Runs the seed given in `OATLOOM_SEED`, if any.
 #[test]
 fn one_seed() {
     show_log();
@@ -132,50 +131,53 @@
     }
 }
 
-/// How long nobody may give orders after each end, in milliseconds, sorted.
-fn pauses(seed: u64, all: bool, restart_ms: u64) -> Vec<u64> {
-    let mut world = World::scripted(seed, Vec::new(), CALM_FROM, None);
+/// Times without a leader after each crash, in milliseconds, sorted.
+fn leaderless_ms(seed: u64, all: bool, restart_ms: u64) -> Vec<u64> {
+    let mut world = World::scripted(seed, Vec::new(), CALM_FROM_MS, None);
     world.restart_ms = restart_ms;
     world.play_to(8_000);
-    let mut pauses = Vec::new();
+    let mut leaderless_ms = Vec::new();
     for _ in 0..8 {
         let leads = world.leads();
         let at = world.now;
-        let ended = if all { Fault::CrashAll } else { Fault::Crash(leads.expect("a leader")) };
-        world.strike(ended);
+        let crash = if all { Fault::CrashAll } else { Fault::Crash(leads.expect("a leader")) };
+        world.strike(crash);
         while world.leads().is_none() {
-            assert!(world.before(at + 20_000), "seed {seed}: nobody leads, or a rule is broken");
+            assert!(
+                world.before(at + 20_000),
+                "seed {seed}: there is no leader, or a rule is broken"
+            );
             world.play_to(world.now + 1);
         }
-        pauses.push(world.now - at);
+        leaderless_ms.push(world.now - at);
         world.play_to(world.now + 5_000);
         check(&world, seed);
     }
-    pauses.sort_unstable();
-    pauses
+    leaderless_ms.sort_unstable();
+    leaderless_ms
 }
 
-/// A process that is back at once ends the lease of its former life; one that stays away has its lease waited out.
-/// Guards against a pause of four seconds in all orders where a fraction of one is enough.
+/// A process that restarts at once revokes the lease of its former incarnation; the lease of one that stays down has to expire.
+/// Guards against four seconds without a leader where a fraction of a second is enough.
 #[test]
-fn a_process_that_is_back_at_once_costs_no_lease() {
+fn a_quick_restart_does_not_wait_for_the_old_lease() {
     for seed in 0..6 {
         for all in [false, true] {
-            let back = pauses(seed, all, 300);
+            let back = leaderless_ms(seed, all, 300);
             assert!(back[4] <= 1_200 && back[7] <= 2_500, "seed {seed}, all {all}: {back:?}");
         }
-        let away = pauses(seed, false, 8_000);
-        assert!(away[0] > 3_000 && away[7] < 6_500, "seed {seed}: {away:?}");
+        let down = leaderless_ms(seed, false, 8_000);
+        assert!(down[0] > 3_000 && down[7] < 6_500, "seed {seed}: {down:?}");
     }
 }
 
-/// All users are sent to one follower, since the others are down or busy, and a class comes in a burst: six submissions a
-/// second against a follower's three and a half changes. Guards against submissions that wait behind each other there for
-/// more than a second while the leader's share of the changes lies idle.
+/// All users are routed to one follower, and a class is submitted in a burst: six submissions a second against a follower's
+/// write rate of 3.5 a second. Guards against submissions that queue there for more than a second while the leader's share of
+/// the write rate is unused.
 #[test]
-fn one_follower_alone_takes_a_burst_of_submissions() {
+fn a_single_follower_accepts_a_burst_of_submissions() {
     for seed in 0..6 {
-        let mut world = World::scripted(seed, Vec::new(), CALM_FROM, None);
+        let mut world = World::scripted(seed, Vec::new(), CALM_FROM_MS, None);
         world.play_to(8_000);
         let leader = world.leads().expect("a leader");
         world.door = Some((leader + 1) % 3);
@@ -192,10 +194,10 @@
     }
 }
 
-/// Controllers that end every half second to five seconds for two minutes: one, two in turn, and all at once. The rules
-/// hold, and what was accepted is done afterwards.
+/// Controllers crash every half second to five seconds for two minutes: one, two in turn, or all at once. The rules hold, and
+/// accepted jobs finish afterwards.
 #[test]
-fn ends_without_end_keep_the_rules() {
+fn continual_crashes_keep_the_rules() {
     for seed in 0..9 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut faults = Vec::new();
@@ -212,12 +214,12 @@
             at += rng.random_range(500..5_000);
             n += 1;
         }
-        let mut world = World::scripted(seed, faults, CALM_FROM, None);
+        let mut world = World::scripted(seed, faults, CALM_FROM_MS, None);
         world.restart_ms = rng.random_range(50..1_000);
         world.play();
         finished(&world, seed);
-        // The service allows a second's worth at once beside its rates, and does not forget what former lives have spent.
-        // Guards against lives that each begin with a full burst.
+        // The state service allows a burst of one second's requests beyond its rates, shared by all incarnations of a process.
+        // Guards against each incarnation starting with a full burst.
         let most = |which: fn(&(u32, u32)) -> u32| world.spent.values().map(which).max();
         let (requests, changes) = (most(|s| s.0), most(|s| s.1));
         println!("seed {seed}: {requests:?} requests and {changes:?} changes in a second at most");
--- a/tests/repeats.rs
+++ b/tests/repeats.rs
@@ -173,8 +173,8 @@
 #[test]
 fn failure_counts_survive_a_takeover_at_any_step() {
     let (mut failed, mut wrong) = (0, Vec::new());
-    let plays = (0..60).flat_map(|step| [300, 1_000].map(|restart_ms| (step, restart_ms)));
-    for (step, restart_ms) in plays {
+    let runs = (0..60).flat_map(|step| [300, 1_000].map(|restart_ms| (step, restart_ms)));
+    for (step, restart_ms) in runs {
         let mut world =
             World::scripted(7, vec![(14_000 + step * 450, Fault::CrashAll)], 60_000, None);
         world.restart_ms = restart_ms;
@@ -199,7 +199,7 @@
         wrong.extend(wrong_verdicts.into_iter().map(|text| format!("step {step}: {text}")));
         failed += world.told(JobStatus::Failed);
     }
-    assert!(failed >= 120, "{failed} jobs failed in 120 plays");
+    assert!(failed >= 120, "{failed} jobs failed in 120 runs");
     println!("{failed} failed, wrong: {wrong:?}");
     assert!(wrong.len() * 15 <= failed, "{wrong:#?}");
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,5 +1,5 @@
 //! Seeded days of the simulated world: every rule of the protocol holds after every step, and every
-//! accepted job finishes once the faults are over. `OATLOOM_SEEDS=n` runs n more play_seeds.
+//! accepted job finishes once the faults are over. `OATLOOM_SEEDS=n` runs n more seeds.
 
 #[allow(dead_code)]
 mod world;
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -61,8 +61,8 @@
 }
 
 /// Jobs of every shape in a few common sizes.
-fn book(jobs: usize, rng: &mut ChaCha8Rng) -> Book {
-    let mut book = Book::default();
+fn random_jobs(jobs: usize, rng: &mut ChaCha8Rng) -> Book {
+    let mut job_table = Book::default();
     for n in 0..jobs {
         let (shape, tasks, gpus, class) = match n % 4 {
             0 => (Shape::Service, [4, 8, 12][rng.random_range(0..3)], 1.0, "quick"),
@@ -94,9 +94,9 @@
             dependencies: Vec::new(),
         };
         let now = Now { mono: NOW, wall_ms: 5_000 };
-        book.insert(LiveRecord { spec, wall_ms: 1_000, part: None }, Revision(1), now);
+        job_table.insert(LiveRecord { spec, wall_ms: 1_000, part: None }, Revision(1), now);
     }
-    book
+    job_table
 }
 
 fn pass(settings: &Settings, book: &mut Book, fleet: &Fleet, hire: bool) -> Plan {
@@ -115,16 +115,16 @@
 }
 
 /// Applies the starts of a plan as a leader does, and checks the constraints of each.
-fn start(plan: &Plan, settings: &Settings, book: &mut Book, fleet: &mut Fleet) {
+fn start(plan: &Plan, settings: &Settings, job_table: &mut Book, fleet: &mut Fleet) {
     let mut started: BTreeMap<&JobId, u32> = BTreeMap::new();
     for (n, (id, index, host)) in plan.starts.iter().enumerate() {
         *started.entry(id).or_default() += 1;
-        let spec = book.get(id).expect("a known job").spec.clone();
+        let spec = job_table.get(id).expect("a known job").spec.clone();
         let need = Room::from(&*spec);
         let machine = &fleet.machines[host];
         assert!(fleet.free_room(machine).fits(&need), "{id}/{index} does not fit on {host}");
-        let job = book.get(id).expect("a known job");
-        assert!(placement::permitted(settings, book, job, machine), "{id}/{index} on {host}");
+        let job = job_table.get(id).expect("a known job");
+        assert!(placement::permitted(settings, job_table, job, machine), "{id}/{index} on {host}");
         let hold = Hold {
             host: host.clone(),
             shift: Shift(1),
@@ -141,13 +141,13 @@
             told_ms: None,
             stop: None,
         };
-        assert!(book.hold(id, *index, hold), "{id}/{index} is placed twice");
+        assert!(job_table.hold(id, *index, hold), "{id}/{index} is placed twice");
         let machine = fleet.machines.get_mut(host).expect("a known machine");
         let task = oatloom_protocol::ids::TaskId::new(id, *index);
         machine.hold(task, need, &spec.image, spec.image_gb, 100.0);
     }
     for (id, count) in started {
-        let spec = &book.get(id).expect("a known job").spec;
+        let spec = &job_table.get(id).expect("a known job").spec;
         assert!(spec.shape != Shape::Gang || count == spec.tasks, "{id} starts in part");
     }
 }
@@ -161,22 +161,22 @@
     let settings = settings();
     let (machines, jobs) = (1_200, 400);
     let mut fleet = fleet(machines);
-    let mut book = book(jobs, &mut rng);
-    let tasks: u32 = book.jobs.values().map(|j| j.spec.tasks).sum();
+    let mut job_table = random_jobs(jobs, &mut rng);
+    let tasks: u32 = job_table.jobs.values().map(|j| j.spec.tasks).sum();
     assert!(tasks > 10 * jobs as u32);
     let mut total = 0;
     for round in 0..100 {
-        let plan = pass(&settings, &mut book, &fleet, false);
+        let plan = pass(&settings, &mut job_table, &fleet, false);
         assert!(plan.steps < 2 * (machines * jobs) as u64, "round {round}: {}", plan.steps);
         total += plan.starts.len();
-        start(&plan, &settings, &mut book, &mut fleet);
+        start(&plan, &settings, &mut job_table, &mut fleet);
         if plan.starts.is_empty() {
             break;
         }
     }
     assert!(total > 3 * machines, "{total} tasks on {machines} machines");
     // Nothing more fits: after one job found no machine, similar jobs do not search again.
-    let full = pass(&settings, &mut book, &fleet, false);
+    let full = pass(&settings, &mut job_table, &fleet, false);
     assert!(full.starts.is_empty());
     assert!(full.steps < 130 * machines as u64, "{}", full.steps);
 }
@@ -190,10 +190,10 @@
     let mut limited = settings();
     limited.facts.teams[0].gpus_max = 500.0;
     let cost = |settings: &Settings, used: f64| {
-        let mut book = book(1_000, &mut ChaCha8Rng::seed_from_u64(3));
-        book.usage.insert("red".into(), Usage { cpus: 0.0, gpus: used });
+        let mut job_table = random_jobs(1_000, &mut ChaCha8Rng::seed_from_u64(3));
+        job_table.usage.insert("red".into(), Usage { cpus: 0.0, gpus: used });
         let from = std::time::Instant::now();
-        let plan = pass(settings, &mut book, &fleet, true);
+        let plan = pass(settings, &mut job_table, &fleet, true);
         (plan.steps, plan.starts.len(), from.elapsed())
     };
     let (unlimited, at_limit, near) =
@@ -213,8 +213,8 @@
 fn requests_for_hundreds_of_machines_are_cheap() {
     let mut rng = ChaCha8Rng::seed_from_u64(9);
     let settings = settings();
-    let mut book = book(400, &mut rng);
-    let plan = pass(&settings, &mut book, &fleet(0), true);
+    let mut job_table = random_jobs(400, &mut rng);
+    let plan = pass(&settings, &mut job_table, &fleet(0), true);
     assert!(plan.hires.len() > 500, "{}", plan.hires.len());
     assert!(plan.steps < 2 * 400 * plan.hires.len() as u64, "{}", plan.steps);
     let on_demand = plan.hires.iter().filter(|(kind, _)| !kind.spot).count();
@@ -225,8 +225,8 @@
 fn full_fleet_and_gang(one_zone: bool, spread: bool) -> (Book, Fleet, JobId) {
     let settings = settings();
     let mut fleet = fleet(12);
-    let mut book = Book::default();
-    let add = |book: &mut Book, n: usize, shape, tasks, rank, class: &str| {
+    let mut job_table = Book::default();
+    let add = |job_table: &mut Book, n: usize, shape, tasks, rank, class: &str| {
         let id = JobId::new(&format!("req-{n:06}"));
         let text = format!(
             r#"{{"nameId":"{id}","jobclass":"{class}","owner":"red","shape":"{shape}","rank":"{rank}",
@@ -237,15 +237,15 @@
         );
         let spec: JobSpec = serde_json::from_str(&text).expect("a description");
         let now = Now { mono: NOW, wall_ms: 5_000 };
-        book.insert(LiveRecord { spec, wall_ms: 5_000, part: None }, Revision(1), now);
+        job_table.insert(LiveRecord { spec, wall_ms: 5_000, part: None }, Revision(1), now);
         id
     };
-    add(&mut book, 1, "sweep", 12, "standard", "many");
-    let plan = pass(&settings, &mut book, &fleet, false);
+    add(&mut job_table, 1, "sweep", 12, "standard", "many");
+    let plan = pass(&settings, &mut job_table, &fleet, false);
     assert_eq!(plan.starts.len(), 12);
-    start(&plan, &settings, &mut book, &mut fleet);
-    let gang = add(&mut book, 2, "group", 4, "high", "quick");
-    (book, fleet, gang)
+    start(&plan, &settings, &mut job_table, &mut fleet);
+    let gang = add(&mut job_table, 2, "group", 4, "high", "quick");
+    (job_table, fleet, gang)
 }
 
 /// Guards against preempting one machine at a time, which delayed a gang of four by four report
@@ -253,8 +253,8 @@
 #[test]
 fn a_gang_preempts_for_all_its_tasks_where_they_may_run_together() {
     for (one_zone, spread) in [(true, false), (false, true), (false, false)] {
-        let (mut book, fleet, gang) = full_fleet_and_gang(one_zone, spread);
-        let plan = pass(&settings(), &mut book, &fleet, true);
+        let (mut job_table, fleet, gang) = full_fleet_and_gang(one_zone, spread);
+        let plan = pass(&settings(), &mut job_table, &fleet, true);
         assert_eq!((plan.stops.len(), plan.reserve.len()), (4, 4));
         assert!(plan.hires.is_empty(), "preempted machines are free sooner than hired ones");
         let mut zones: BTreeMap<&Zone, u32> = BTreeMap::new();
@@ -272,9 +272,9 @@
 /// every pass.
 #[test]
 fn spare_capacity_is_kept_for_whole_gangs() {
-    let (mut book, fleet, gang) = full_fleet_and_gang(true, false);
-    let spec = book.get(&gang).expect("the gang").spec.clone();
-    book.jobs.remove(&gang);
+    let (mut job_table, fleet, gang) = full_fleet_and_gang(true, false);
+    let spec = job_table.get(&gang).expect("the gang").spec.clone();
+    job_table.jobs.remove(&gang);
     let plan_spare_capacity = |book: &mut Book, fleet: &Fleet| {
         placement::plan(Inputs {
             now: NOW.plus(Millis(1_000)),
@@ -287,7 +287,7 @@
             refused: &|_| false,
         })
     };
-    assert!(plan_spare_capacity(&mut book, &fleet).hires.is_empty());
+    assert!(plan_spare_capacity(&mut job_table, &fleet).hires.is_empty());
     let empty = Fleet { catalog: fleet.catalog.clone(), ..Fleet::default() };
     let plan = plan_spare_capacity(&mut Book::default(), &empty);
     let mut zones: BTreeMap<&Zone, u32> = BTreeMap::new();
@@ -300,7 +300,7 @@
 }
 
 /// Adds a job of this shape, rank, number of tasks and image, with one GPU per task.
-fn add(book: &mut Book, n: usize, shape: Shape, rank: Rank, tasks: u32, image: &str) -> JobId {
+fn add(job_table: &mut Book, n: usize, shape: Shape, rank: Rank, tasks: u32, image: &str) -> JobId {
     let service = shape == Shape::Service;
     let spec = JobSpec {
         id: JobId::new(&format!("req-{n:06}")),
@@ -326,7 +326,7 @@
         dependencies: Vec::new(),
     };
     let (id, now) = (spec.id.clone(), Now { mono: NOW, wall_ms: 5_000 });
-    book.insert(LiveRecord { spec, wall_ms: 1_000, part: None }, Revision(1), now);
+    job_table.insert(LiveRecord { spec, wall_ms: 1_000, part: None }, Revision(1), now);
     id
 }
 
@@ -337,10 +337,10 @@
     let settings = settings();
     // Only on-demand machines can run these jobs: a single one with four GPUs.
     let fleet = fleet(2);
-    let mut book = Book::default();
-    let first = add(&mut book, 1, Shape::Service, Rank::Critical, 4, "img-1");
-    let second = add(&mut book, 2, Shape::Service, Rank::High, 1, "img-2");
-    let plan = pass(&settings, &mut book, &fleet, false);
+    let mut job_table = Book::default();
+    let first = add(&mut job_table, 1, Shape::Service, Rank::Critical, 4, "img-1");
+    let second = add(&mut job_table, 2, Shape::Service, Rank::High, 1, "img-2");
+    let plan = pass(&settings, &mut job_table, &fleet, false);
     assert_eq!(plan.starts.iter().filter(|(id, ..)| *id == first).count(), 4);
     assert!(plan.starts.iter().all(|(id, ..)| *id != second));
     assert!(plan.reserve.is_empty() && plan.stops.is_empty(), "{:?}", plan.reserve);
@@ -353,16 +353,16 @@
     let settings = settings();
     for was_up in [true, false] {
         let mut fleet = fleet(4);
-        let mut book = Book::default();
-        let array = add(&mut book, 1, Shape::Array, Rank::Standard, 4, "img-1");
-        let service = add(&mut book, 2, Shape::Service, Rank::Critical, 1, "img-2");
+        let mut job_table = Book::default();
+        let array = add(&mut job_table, 1, Shape::Array, Rank::Standard, 4, "img-1");
+        let service = add(&mut job_table, 2, Shape::Service, Rank::Critical, 1, "img-2");
         let (with_image, free) = (HostId::new("i-000001"), HostId::new("i-000003"));
         let machine = fleet.machines.get_mut(&with_image).expect("a known machine");
         machine.recall(vec![Image { name: "img-2".into(), gb: 20.0, ready: true }]);
         let starts = (0..4).map(|index| (array.clone(), index, with_image.clone())).collect();
-        start(&Plan { starts, ..Plan::default() }, &settings, &mut book, &mut fleet);
-        book.jobs.get_mut(&service).expect("a known job").up = was_up;
-        let plan = pass(&settings, &mut book, &fleet, false);
+        start(&Plan { starts, ..Plan::default() }, &settings, &mut job_table, &mut fleet);
+        job_table.jobs.get_mut(&service).expect("a known job").up = was_up;
+        let plan = pass(&settings, &mut job_table, &fleet, false);
         let started: Vec<&HostId> =
             plan.starts.iter().filter(|(id, ..)| *id == service).map(|(.., host)| host).collect();
         if was_up {
@@ -371,11 +371,11 @@
             assert_eq!(plan.stops.len(), 1);
             // The capacity is free and reserved for it: it starts there in the next pass.
             let (task, ..) = &plan.stops[0];
-            book.free(&task.job, task.index, false);
+            job_table.free(&task.job, task.index, false);
             let machine = fleet.machines.get_mut(&with_image).expect("a known machine");
             machine.free(task, NOW);
             machine.reserved = Some((service.clone(), NOW.plus(Millis(20_000))));
-            let plan = pass(&settings, &mut book, &fleet, false);
+            let plan = pass(&settings, &mut job_table, &fleet, false);
             assert!(plan.starts.contains(&(service, 0, with_image)), "{:?}", plan.starts);
         } else {
             assert_eq!(started, [&free]);
--- a/tests/terms.rs
+++ b/tests/terms.rs
@@ -154,7 +154,7 @@
         assert!(solo.core.valid(solo.clock().mono).is_some(), "it leads now");
         solo.hold = |_| false;
         solo.release();
-        assert!(solo.core.reign().is_some_and(|reign| reign.book.get(&id).is_none()));
+        assert!(solo.core.reign().is_some_and(|term| term.book.get(&id).is_none()));
         let conn = solo.ask(Request::View(id.clone()));
         solo.pass(100);
         let reported = solo.reply(conn).map(|reply| reply.body.contains("cancelled"));
@@ -216,8 +216,9 @@
     let record = LiveRecord { spec: spec("req-8"), wall_ms: 1_000_000, part: None };
     solo.write(vec![Change::put("live/req-8".into(), json!(record))]);
     solo.pass(200);
-    let open =
-        |solo: &Solo| solo.core.reign().is_some_and(|r| r.book.get(&JobId::new("req-8")).is_some());
+    let open = |solo: &Solo| {
+        solo.core.reign().is_some_and(|term| term.book.get(&JobId::new("req-8")).is_some())
+    };
     assert!(open(&solo));
 }
 
--- a/tests/usage.rs
+++ b/tests/usage.rs
@@ -1,5 +1,5 @@
-//! The account of usage in the simulated world: what the state service holds of it is what the workers saw, to the
-//! millisecond, whatever failed meanwhile.
+//! Usage accounting in the simulated world: the usage in the state service equals what the workers measured, to the
+//! millisecond, under any faults.
 
 #[allow(dead_code)]
 mod world;
@@ -12,8 +12,8 @@
 use std::collections::BTreeMap;
 use world::{World, more_days, show_log};
 
-/// Sums by cause of everything that is accounted, wherever it stands.
-fn accounted(world: &World) -> BTreeMap<String, Line> {
+/// Usage sums by end cause over all records: rollups, finished jobs and assignments.
+fn stored_usage(world: &World) -> BTreeMap<String, Line> {
     let mut sums: BTreeMap<String, Line> = BTreeMap::new();
     let mut add = |tally: &Tally| {
         for (bucket, line) in tally.rows() {
@@ -49,7 +49,7 @@
     sums
 }
 
-fn seeds(from: u64, count: u64) {
+fn run_seeds(from: u64, count: u64) {
     show_log();
     let more = more_days();
     let (mut attempts, mut unseen, mut inferred, mut exact) = (0, 0, 0, 0);
@@ -60,16 +60,16 @@
         let broken = &world.region.checker.broken;
         assert!(broken.is_empty(), "seed {seed} breaks rules: {broken:#?}");
         assert!(world.unfinished().is_empty(), "seed {seed}: {:#?}", world.unfinished());
-        // Whatever a leader accounted of an attempt counts if and only if its end is durable: the last entries do, as
-        // many as there were ends. Earlier ones are of leaders that ended too soon. A leader may also have given an
-        // attempt to its machine again before the first end was written.
+        // An entry counts if and only if the end of its attempt is durable: these are the last entries, as many as there
+        // were ends. Earlier entries belong to leaders that crashed before the write. A leader may also have started an
+        // attempt again on its machine before the first end was written.
         let ended = world.ended_attempts();
         let mut entries: BTreeMap<_, Vec<((usize, u64), Entry)>> = BTreeMap::new();
-        for (node, life, entry) in &world.entries {
+        for (node, incarnation, entry) in &world.entries {
             let key = (entry.task.index, entry.attempt.0, entry.host.clone());
             if ended.contains_key(&key) {
                 let list = entries.entry((entry.task.clone(), key)).or_default();
-                list.push(((*node, *life), entry.clone()));
+                list.push(((*node, *incarnation), entry.clone()));
             }
         }
         let durable = |((_, key), list): (_, Vec<((usize, u64), Entry)>)| {
@@ -80,13 +80,13 @@
         };
         let all: Vec<Entry> = entries.values().flatten().map(|(_, entry)| entry.clone()).collect();
         let entries: Vec<Entry> = entries.into_iter().flat_map(durable).collect();
-        let twice = |entry: &Entry| {
+        let has_several_entries = |entry: &Entry| {
             let same = |e: &&Entry| {
                 (&e.task, e.attempt, &e.host) == (&entry.task, entry.attempt, &entry.host)
             };
             all.iter().filter(same).count() > 1
         };
-        let again = |entry: &Entry| {
+        let has_several_durable_entries = |entry: &Entry| {
             let same = |e: &&Entry| {
                 (&e.task, e.attempt, &e.host) == (&entry.task, entry.attempt, &entry.host)
             };
@@ -99,51 +99,61 @@
             }
             sums
         };
-        let (expected, most, found) = (sums(&entries), sums(&all), accounted(&world));
-        let sure: Vec<Entry> = entries.iter().filter(|e| !twice(e)).cloned().collect();
-        let least = sums(&sure);
+        let (expected, most, found) = (sums(&entries), sums(&all), stored_usage(&world));
+        let unambiguous: Vec<Entry> =
+            entries.iter().filter(|e| !has_several_entries(e)).cloned().collect();
+        let least = sums(&unambiguous);
         if found == expected {
             exact += 1;
         } else {
-            // An attempt that several leaders gave to the same machine: its record does not tell which of its ends
-            // were written.
-            assert!(all.iter().any(twice), "seed {seed}: {found:#?}\n{expected:#?}");
+            // Several leaders started the same attempt on a machine: its record does not show which of the ends were
+            // written.
+            assert!(all.iter().any(has_several_entries), "seed {seed}: {found:#?}\n{expected:#?}");
             for (cause, line) in &found {
                 let of =
                     |sums: &BTreeMap<String, Line>| sums.get(cause).copied().unwrap_or_default();
                 let (least, most) = (of(&least), of(&most));
                 let within = |f: fn(&Line) -> u64| (f(&least)..=f(&most)).contains(&f(line));
-                let good = within(|l| l.attempts) && within(|l| l.ran_ms) && within(|l| l.held_ms);
-                assert!(good, "seed {seed} {cause}: {least:?} {line:?} {most:?}");
+                let in_range =
+                    within(|l| l.attempts) && within(|l| l.ran_ms) && within(|l| l.held_ms);
+                assert!(in_range, "seed {seed} {cause}: {least:?} {line:?} {most:?}");
             }
         }
-        // What was seen is what its worker saw, to the millisecond; what was not is at most what it may have run.
+        // A seen end matches the worker to the millisecond; an unseen one is at most the time that the task may have run.
         for entry in &entries {
             let task = (entry.task.job.to_string(), entry.task.index, entry.attempt.0);
             let key = (entry.host.to_string(), task);
             let exit = world.region.checker.exits.get(&key).copied();
             match (entry.end, exit) {
-                // The tasks of a gang complete together, and the first that says so speaks for all; a machine that
-                // hung in between may have it otherwise.
+                // The tasks of a gang complete together, and the first report counts for all; a machine that hung
+                // meanwhile may have measured another time.
                 (End::Seen(Cause::Done), exit)
                     if entry.shape == Shape::Gang
                         && exit.is_none_or(|(_, ran)| ran != entry.ran_ms) =>
                 {
                     inferred += 1;
                 }
-                (End::Seen(cause), Some((there, ran))) if !again(entry) => {
-                    assert_eq!((cause, entry.ran_ms), (there, ran), "seed {seed}: {entry:?}");
+                (End::Seen(cause), Some((cause_at_worker, ran)))
+                    if !has_several_durable_entries(entry) =>
+                {
+                    assert_eq!(
+                        (cause, entry.ran_ms),
+                        (cause_at_worker, ran),
+                        "seed {seed}: {entry:?}"
+                    );
                 }
-                // A start that was refused never ran.
+                // A refused start never ran.
                 (End::Seen(Cause::NoRoom | Cause::Busy | Cause::Unknown), None) => {
                     assert_eq!(entry.ran_ms, 0);
                 }
-                // Of an attempt that it was given twice, a worker tells the last end.
+                // A worker reports only the last end of an attempt that was started twice.
                 (End::Seen(_), Some(_)) => {}
-                (End::Seen(_), None) => panic!("seed {seed}: nobody saw {entry:?}"),
-                // Of tasks of a job that is over, a later leader does not know since when they are there.
-                // A worker that was given an attempt twice tells of the second time only.
-                (End::Unseen, Some((_, ran))) if entry.goes_on && !again(entry) => {
+                (End::Seen(_), None) => panic!("seed {seed}: no worker saw {entry:?}"),
+                // A later leader does not know when the tasks of a finished job started. A worker with an attempt that was
+                // started twice reports only the second run.
+                (End::Unseen, Some((_, ran)))
+                    if entry.goes_on && !has_several_durable_entries(entry) =>
+                {
                     assert!(ran <= entry.ran_ms + entry.unseen_ms, "seed {seed}: {ran} {entry:?}");
                 }
                 (End::Unseen, _) => {}
@@ -160,25 +170,25 @@
     assert!(attempts > unseen * 4 && inferred * 200 <= attempts);
 }
 
-/// Plays the one seed that `OATLOOM_SEED` names, if any.
+/// Runs the seed given in `OATLOOM_SEED`, if any.
 #[test]
 fn one_seed() {
     if let Some(seed) = std::env::var("OATLOOM_SEED").ok().and_then(|s| s.parse().ok()) {
-        seeds(seed, 1);
+        run_seeds(seed, 1);
     }
 }
 
 #[test]
 fn days_are_accounted_1() {
-    seeds(21_000, 12);
+    run_seeds(21_000, 12);
 }
 
 #[test]
 fn days_are_accounted_2() {
-    seeds(22_000, 12);
+    run_seeds(22_000, 12);
 }
 
 #[test]
 fn days_are_accounted_3() {
-    seeds(23_000, 12);
+    run_seeds(23_000, 12);
 }
