--- a/tests/terms.rs
+++ b/tests/terms.rs
@@ -121,7 +121,7 @@
 }
 
 /// Guards against a delayed reply to a request from before this term: a job that another leader had cancelled meanwhile was
-/// added to the job table as queued, and its first record could never be written, nor any other record in the same transaction.
+/// added to the job table as queued, and its first record could never be written, nor anything written together with it.
 #[test]
 fn a_reply_from_before_the_term_adds_no_job() {
     for lookup in [false, true] {
@@ -201,7 +201,7 @@
 /// Guards against reloading the job table under the same fencing token: an earlier write could be applied after the reload, and
 /// its reply marked assignments as durable that were never written.
 #[test]
-fn a_compacted_watch_ends_the_term() {
+fn a_watch_that_fell_behind_ends_the_term() {
     let mut solo = Solo::new();
     solo.pass(1_000);
     let before = solo.core.valid(solo.clock().mono).expect("it leads");
