--- a/crates/core/src/api.rs
+++ b/crates/core/src/api.rs
@@ -1,6 +1,6 @@
 //! The HTTP API: parses requests before the core processes them.
 
-use crate::notes::LeaderHints;
+use crate::leader_hints::LeaderHints;
 use oatloom_graph::constants::ANSWER_NODES;
 use oatloom_graph::ids::GraphId;
 use oatloom_graph::requests::{Ask, Look};
--- a/crates/core/src/controller/dependencies.rs
+++ b/crates/core/src/controller/dependencies.rs
@@ -3,12 +3,12 @@
 
 use super::leading::parse_live_record;
 use super::{Controller, LookupReason, Purpose};
+use crate::conn_id::ConnId;
 use crate::constants::{
     DEPENDENCY_RETRY_MS, DEPENDENCY_SCAN_PERIOD_MS, MAX_DEPENDENCY_READS, STORE_THROTTLED_PAUSE_MS,
 };
 use crate::jobs::{self, FinalRecord, JobLifetime, LiveRecord};
-use crate::reign::Stage;
-use crate::reply::ConnId;
+use crate::leader_term::Stage;
 use crate::store::{OpClass, StoreOp, StoreReply};
 use oatloom_protocol::ids::{JobId, Mono, Now, Token};
 use oatloom_protocol::reply::HttpReply;
--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -15,23 +15,23 @@
 
 use crate::api::{Request, Submission};
 use crate::cloud::{CloudClient, CloudEvent, CloudOp, CloudReply, MachineKind};
+use crate::conn_id::ConnId;
 use crate::constants::*;
 use crate::jobs::{
     self, FinalRecord, JobFactCache, JobLifetime, JobState, LiveRecord, PendingWrite, WriteItem,
 };
+use crate::leader_hints::LeaderHints;
+use crate::leader_term::{LeaderConfig, LeaderTerm, Stage};
 use crate::leadership::{LEADER_KEY, Leadership, LeadershipChange, LeadershipRequest};
 use crate::mesh::PeerRequest;
-use crate::notes::LeaderHints;
-use crate::open::OpenRequests;
+use crate::open_requests::OpenRequests;
 use crate::operators::OperatorSettings;
-use crate::parked::ParkedReports;
+use crate::parked_reports::ParkedReports;
 use crate::placement;
-use crate::refusals::{RejectionResponse, WriteBackoff};
-use crate::reign::{LeaderConfig, LeaderTerm, Stage};
 use crate::relay::{ReportRoute, ReportRouter};
-use crate::reply::ConnId;
 use crate::store::{OpClass, OpId, StoreClient, StoreOp, StoreReply};
 use crate::workers::Fleet;
+use crate::write_backoff::{RejectionResponse, WriteBackoff};
 use oatloom_graph::desk::{Read, Wrote};
 use oatloom_graph::requests::Ask as GraphAsk;
 use oatloom_ledger::entry::UsageEntry;
--- a/crates/core/src/controller/reports.rs
+++ b/crates/core/src/controller/reports.rs
@@ -1,7 +1,7 @@
 //! Workers' reports, parked replies, and direct commands.
 
 use super::*;
-use crate::parked::{ParkedReport, ParkedScan};
+use crate::parked_reports::{ParkedReport, ParkedScan};
 
 /// Reply to a report that is older than another one, or whose machine was released.
 const OUTDATED: &str = "an older report, or a machine that was returned";
--- a/crates/core/src/jobs/dependencies.rs
+++ b/crates/core/src/jobs/dependencies.rs
@@ -5,7 +5,7 @@
 //! final records are written, and each later leader derives the same result.
 
 use super::{Job, JobState, JobTable, WriteItem};
-use crate::jobs::writing::WritePriority;
+use crate::jobs::write_queue::WritePriority;
 use oatloom_protocol::ids::{JobId, Mono, Revision};
 use oatloom_protocol::wire::{JobStatus, Rank};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/core/src/jobs/mod.rs
+++ b/crates/core/src/jobs/mod.rs
@@ -6,26 +6,26 @@
 
 mod dependencies;
 mod dependency_list;
-mod fitting;
+mod fact_cache;
 mod job;
-mod memory;
 mod packed;
+mod record_limits;
 mod records;
 mod usage;
-mod writing;
+mod write_queue;
 
 use dependencies::Dependencies;
 pub use dependencies::Inherited;
-pub use fitting::RecordLimits;
+pub use fact_cache::{JobFactCache, JobLifetime};
 pub use job::*;
-pub use memory::{JobFactCache, JobLifetime};
+pub use record_limits::RecordLimits;
 pub use records::*;
 pub use usage::UsageAccounting;
-use writing::WritePriority;
-pub use writing::{PendingWrite, WriteItem};
+use write_queue::WritePriority;
+pub use write_queue::{PendingWrite, WriteItem};
 
 use crate::constants::*;
-use crate::refusals::{RejectionResponse, WriteBackoff};
+use crate::write_backoff::{RejectionResponse, WriteBackoff};
 use oatloom_policy::classes::{Classes, OnExhausted, RetryPolicy};
 use oatloom_protocol::ids::*;
 use oatloom_protocol::wire::{
--- a/crates/core/src/jobs/usage.rs
+++ b/crates/core/src/jobs/usage.rs
@@ -5,7 +5,7 @@
 //! record's usage moves to the roll-ups in the transaction that deletes that record. So the usage of an attempt is in
 //! exactly one durable place, and in none before the end of the attempt is durable.
 
-use super::writing::{PendingWrite, WriteItem};
+use super::write_queue::{PendingWrite, WriteItem};
 use super::*;
 use oatloom_ledger::constants::{DAY_CLOSE_DELAY_MS, DAY_MS, MAX_ROLLUP_BYTES};
 use oatloom_ledger::entry::UsageEntry;
@@ -290,7 +290,7 @@
         e.flavor,
         e.zone,
         e.spot,
-        oatloom_ledger::tally::end_name(e.end),
+        oatloom_ledger::sums::end_name(e.end),
         e.held_ms,
         e.ran_ms,
         worth.useful_ms,
--- a/crates/core/src/reign/mod.rs
+++ b/crates/core/src/leader_term/mod.rs
@@ -6,15 +6,15 @@
 mod dispatch;
 mod graphs;
 mod machines;
-mod repeats;
 mod reports;
+mod retries;
 mod usage;
 
 use crate::cloud::{CloudClient, MachineKind};
 use crate::constants::*;
 use crate::estimate::{Kalman, Measurement};
 use crate::jobs::*;
-use crate::notes::LeaderHints;
+use crate::leader_hints::LeaderHints;
 use crate::operators::OperatorSettings;
 use crate::placement::{self, PlacementInputs, PlacementPlan};
 use crate::scaling::{self, ArrayDemand, CoreBounds, Demand};
@@ -22,8 +22,8 @@
 use oatloom_graph::desk::Desk;
 use oatloom_graph::limits::Limits;
 use oatloom_graph::model::Room as RecordRoom;
-use oatloom_policy::blame::Evidence;
 use oatloom_policy::classes::Classes;
+use oatloom_policy::fault_attribution::Evidence;
 use oatloom_protocol::ids::*;
 use oatloom_protocol::settings::Settings;
 use oatloom_protocol::wire::{
--- a/crates/core/src/reign/reports.rs
+++ b/crates/core/src/leader_term/reports.rs
@@ -1,7 +1,7 @@
 //! Reconciles worker reports and answers to direct commands with the job table, and builds the
 //! orders for workers.
 
-use super::repeats::FailedAttempt;
+use super::retries::FailedAttempt;
 use super::*;
 use oatloom_ledger::entry::AttemptEnd;
 
--- a/crates/core/src/mesh.rs
+++ b/crates/core/src/mesh.rs
@@ -2,7 +2,7 @@
 //! one-way message, and the response.
 
 use crate::api::{Request, Submission};
-use crate::notes::LeaderHints;
+use crate::leader_hints::LeaderHints;
 use oatloom_graph::requests::Ask;
 use oatloom_membership::Gossip;
 use oatloom_protocol::ids::JobId;
--- a/crates/core/src/open.rs
+++ b/crates/core/src/open_requests.rs
@@ -1,6 +1,6 @@
 //! Unanswered requests, indexed by the deadline at which they are answered in any case.
 
-use crate::reply::ConnId;
+use crate::conn_id::ConnId;
 use oatloom_protocol::ids::Mono;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/core/src/parked.rs
+++ b/crates/core/src/parked_reports.rs
@@ -2,10 +2,10 @@
 //! orders are sent only with the answer to a report, so a machine that has just been answered would
 //! get its next task a whole report period later; one whose report is still open gets it at once.
 
+use crate::conn_id::ConnId;
 use crate::constants::{
     MAX_PARKED_ANSWERS_PER_EVENT, MAX_PARKED_FULL_SCAN, PARKED_SWEEP_PERIOD_MS,
 };
-use crate::reply::ConnId;
 use oatloom_protocol::ids::{HostId, Mono, ReportSeq, WorkerSession};
 use oatloom_protocol::wire::Report;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -11,4 +11,4 @@
 pub mod entry;
 pub mod query;
 pub mod rollup;
-pub mod tally;
+pub mod sums;
--- a/crates/ledger/src/query.rs
+++ b/crates/ledger/src/query.rs
@@ -2,7 +2,7 @@
 
 use crate::constants::*;
 use crate::rollup::{Cursor, ROLLUP_PREFIX, Rollup, RollupId};
-use crate::tally::UsageSums;
+use crate::sums::UsageSums;
 use serde::{Deserialize, Serialize};
 use time::Date;
 use time::format_description::well_known::Iso8601;
@@ -165,7 +165,7 @@
             if rollup.incomplete {
                 page.gaps.push(key);
             }
-            let row = |(bucket, sums): (&crate::tally::UsageBucket, &UsageSums)| UsageRow {
+            let row = |(bucket, sums): (&crate::sums::UsageBucket, &UsageSums)| UsageRow {
                 day: format_day(rollup_id.day),
                 closed: rollup_id.day < cursor.closed_before,
                 team: rollup_id.team.clone(),
--- a/crates/ledger/src/rollup.rs
+++ b/crates/ledger/src/rollup.rs
@@ -6,7 +6,7 @@
 
 use crate::constants::*;
 use crate::entry::UsageEntry;
-use crate::tally::UsageByBucket;
+use crate::sums::UsageByBucket;
 use oatloom_protocol::ids::{JobId, Millis, Mono, Revision};
 use percent_encoding::{AsciiSet, NON_ALPHANUMERIC, percent_decode_str, utf8_percent_encode};
 use serde::{Deserialize, Serialize};
--- a/crates/ledger/tests/month.rs
+++ b/crates/ledger/tests/month.rs
@@ -7,7 +7,7 @@
 use oatloom_ledger::rollup::{
     Cursor, JobUsage, LoadProgress, Rollup, RollupId, Rollups, UsageByDay,
 };
-use oatloom_ledger::tally::UsageSums;
+use oatloom_ledger::sums::UsageSums;
 use oatloom_protocol::ids::{Attempt, HostId, JobId, Mono, Revision, TaskId, Zone};
 use oatloom_protocol::wire::{ExitCause, Rank, Shape};
 use rand::{Rng, SeedableRng};
--- a/crates/policy/src/charges.rs
+++ b/crates/policy/src/charges.rs
@@ -1,9 +1,9 @@
 //! Failures charged to the tasks of one job: how often each task failed, and on which machines. Stored in the
 //! job's records, so that the next leader continues the counts.
 
-use crate::blame::Evidence;
 use crate::classes::RetryPolicy;
 use crate::constants::*;
+use crate::fault_attribution::Evidence;
 use oatloom_protocol::ids::{Attempt, HostId, JobId, Millis};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -8,7 +8,7 @@
 //! - [`backoff`]: delay before a task is retried
 
 pub mod backoff;
-pub mod blame;
 pub mod charges;
 pub mod classes;
 pub mod constants;
+pub mod fault_attribution;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,5 +2,5 @@
 //! [`oatloom_core::controller::Controller`].
 
 pub mod constants;
-pub mod edge;
+pub mod runtime;
 pub mod settings;
--- a/src/main.rs
+++ b/src/main.rs
@@ -70,7 +70,7 @@
             workers.lease_s
         );
     }
-    match oatloom::edge::run(settings, operators) {
+    match oatloom::runtime::run(settings, operators) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("oatloom: {e}");
--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -2,13 +2,13 @@
 //! users waiting at once.
 
 use oatloom_core::api::Request;
+use oatloom_core::conn_id::ConnId;
 use oatloom_core::constants::*;
 use oatloom_core::controller::{Action, Controller, Event};
+use oatloom_core::leader_hints::LeaderHints;
+use oatloom_core::leader_term::{LeaderConfig, LeaderTerm};
 use oatloom_core::mesh::{PeerRequest, PeerRequestFrame};
-use oatloom_core::notes::LeaderHints;
 use oatloom_core::operators::OperatorSettings;
-use oatloom_core::reign::{LeaderConfig, LeaderTerm};
-use oatloom_core::reply::ConnId;
 use oatloom_core::workers::{Fleet, Image};
 use oatloom_protocol::ids::{HostId, JobId, Member, Millis, Mono, Now, Token, Zone};
 use oatloom_protocol::settings::Settings;
--- a/tests/looks.rs
+++ b/tests/looks.rs
@@ -16,7 +16,7 @@
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
-use world::looks::{FINE_STEP_MS, RawRequest, UserRequest};
+use world::aggressive_users::{FINE_STEP_MS, RawRequest, UserRequest};
 use world::solo::Solo;
 use world::{
     Fault, LeaderFault, STEP_MS, World, assert_finished, extra_seeds, init_log, small_array,
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -162,7 +162,7 @@
 "#
     );
     let settings = oatloom::settings::parse_platform_settings(&text).expect("sound settings");
-    std::thread::spawn(move || oatloom::edge::run(settings, OperatorSettings::default()));
+    std::thread::spawn(move || oatloom::runtime::run(settings, OperatorSettings::default()));
     let config = ureq::Agent::config_builder().http_status_as_error(false);
     let config = config.timeout_global(Some(Duration::from_secs(5))).build();
     Node { agent: ureq::Agent::new_with_config(config), base: format!("http://{listen}") }
@@ -281,7 +281,7 @@
     let text = text.replace("127.0.0.1:1\"", &format!("{}\"", free_address()));
     let text = text.replace("127.0.0.1:2\"", &format!("{}\"", free_address()));
     let settings = oatloom::settings::parse_platform_settings(&text).expect("sound settings");
-    std::thread::spawn(move || oatloom::edge::run(settings, OperatorSettings::default()));
+    std::thread::spawn(move || oatloom::runtime::run(settings, OperatorSettings::default()));
     let config = ureq::Agent::config_builder().http_status_as_error(false).build();
     let node =
         Node { agent: ureq::Agent::new_with_config(config), base: format!("http://{listen}") };
--- a/tests/machines.rs
+++ b/tests/machines.rs
@@ -19,7 +19,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde_json::json;
-use world::machines::{Coverage, ReplayTiming};
+use world::machine_faults::{Coverage, ReplayTiming};
 use world::solo::Solo;
 use world::{
     Fault, LeaderFault, World, assert_finished, assert_rules, extra_seeds, init_log, small_array,
--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -6,7 +6,7 @@
 use oatloom_protocol::wire::{JobStatus, Shape};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use world::troubles::random_fault;
+use world::random_faults::random_fault;
 use world::{Fault, LeaderFault, World, assert_rules, extra_seeds, init_log, small_array};
 
 const CALM_MS: u64 = 150_000;
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -7,12 +7,12 @@
 
 use oatloom_core::api::Request;
 use oatloom_core::cloud::{CloudOp, CloudReply};
+use oatloom_core::conn_id::ConnId;
 use oatloom_core::constants::*;
 use oatloom_core::controller::{Action, Controller, Event};
 use oatloom_core::inbox::{Admitted, DroppedReports, Inbox};
 use oatloom_core::jobs::{self, ChunkRecord, LiveRecord};
 use oatloom_core::operators::OperatorSettings;
-use oatloom_core::reply::ConnId;
 use oatloom_core::store::{OpId, StoreOp, StoreReply};
 use oatloom_protocol::ids::{
     Attempt, HostId, JobId, Mono, Now, ReportSeq, Revision, Token, WorkerSession, Zone,
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -13,12 +13,12 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde_json::json;
+use world::aggressive_users::UserRequest;
 use world::limits::{NEGLECTED_MS, TeamLimits, site};
-use world::looks::UserRequest;
 use world::pipelines::PipelineDistribution;
+use world::random_faults::random_fault;
 use world::state::State;
 use world::state::limits::StateLimits;
-use world::troubles::random_fault;
 use world::upgrades::site_with_next_limits;
 use world::{Fault, LeaderFault, Site, World, assert_finished, extra_seeds, init_log, small_array};
 
--- a/tests/upgrade_days.rs
+++ b/tests/upgrade_days.rs
@@ -12,7 +12,7 @@
 use rand_chacha::ChaCha8Rng;
 use serde_json::json;
 use world::pipelines::PipelineDistribution;
-use world::troubles::random_fault;
+use world::random_faults::random_fault;
 use world::upgrades::site_with_next_limits;
 use world::{Fault, LeaderFault, World, assert_finished, extra_seeds, init_log, small_array};
 
--- a/tests/usage.rs
+++ b/tests/usage.rs
@@ -7,7 +7,7 @@
 use oatloom_core::jobs::{ChunkRecord, FinalRecord};
 use oatloom_ledger::entry::{AttemptEnd, UsageEntry};
 use oatloom_ledger::rollup::{CURSOR_KEY, Cursor, ROLLUP_PREFIX, Rollup, RollupId, UsageByDay};
-use oatloom_ledger::tally::{UsageByBucket, UsageSums, end_name};
+use oatloom_ledger::sums::{UsageByBucket, UsageSums, end_name};
 use oatloom_protocol::wire::{ExitCause, Shape};
 use std::collections::BTreeMap;
 use world::{World, extra_seeds, init_log};
--- a/tests/world/machines.rs
+++ b/tests/world/machine_faults.rs
@@ -2,7 +2,7 @@
 //! controller, isolated zones; and the invariants of a leader's job table under them.
 
 use super::*;
-use oatloom_core::reign::{LeaderTerm, Stage};
+use oatloom_core::leader_term::{LeaderTerm, Stage};
 use oatloom_protocol::ids::{TaskId, Token};
 use oatloom_protocol::wire::{Order, TaskPhase};
 use rand::seq::SliceRandom;
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -1,27 +1,27 @@
 //! A deterministic simulation around several controllers: state service, cloud, machines and users behave as the
 //! protocol describes, with delays, losses, late deliveries and failures, all drawn from one seed.
 
+pub mod aggressive_users;
 pub mod graphs;
 pub mod limits;
-pub mod looks;
-pub mod machines;
+pub mod machine_faults;
 pub mod pipelines;
+pub mod random_faults;
 pub mod served;
 pub mod solo;
 pub mod state;
-pub mod troubles;
 pub mod upgrades;
 
+use aggressive_users::AggressiveUsers;
 use graphs::Clients;
 use limits::NeglectTracker;
-use looks::AggressiveUsers;
 use oatloom_core::api::{Request, Submission};
 use oatloom_core::cloud::{CloudOp, CloudReply};
+use oatloom_core::conn_id::ConnId;
 use oatloom_core::constants::CLOCK_START_MS;
 use oatloom_core::controller::{Action, Controller, Event, QueueSizes};
 use oatloom_core::jobs::{ChunkRecord, Job, JobState};
 use oatloom_core::operators::OperatorSettings;
-use oatloom_core::reply::ConnId;
 use oatloom_core::store::{OpClass, OpId, StoreOp, StoreReply};
 use oatloom_emulator::checker::{Checker, Limit};
 use oatloom_emulator::region::{Hired, Region, Sending, Terms};
@@ -377,7 +377,7 @@
     /// Task graph clients and the invariants checked for them.
     pub clients: Clients,
     /// Faults that concern the reports of machines.
-    pub machine_faults: machines::MachineFaults,
+    pub machine_faults: machine_faults::MachineFaults,
     users: Vec<User>,
     faults: Vec<(u64, Fault)>,
     partitions: Vec<(usize, usize, u64)>,
@@ -540,7 +540,7 @@
             neglect_tracker: NeglectTracker::default(),
             slow_links: (0, 0, 0),
             clients: Clients::default(),
-            machine_faults: machines::MachineFaults::default(),
+            machine_faults: machine_faults::MachineFaults::default(),
             users: Vec::new(),
             faults: Vec::new(),
             partitions: Vec::new(),
