--- a/crates/core/src/jobs/mod.rs
+++ b/crates/core/src/jobs/mod.rs
@@ -113,7 +113,7 @@
                 let max_retries =
                     job.allowance.map_or(repeats, |class| class.max_retries.min(repeats));
                 let on_exhausted = job.allowance.map_or(OnExhausted::FailJob, |a| a.on_exhausted);
-                RetryPolicy { max_retries: max_retries, on_exhausted }
+                RetryPolicy { max_retries, on_exhausted }
             });
             job.allowance = node_allowance.or(job.allowance);
             if let Some(allowance) = job.allowance.as_mut().filter(|_| part.batch()) {
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -179,12 +179,12 @@
     let PlacementInputs {
         now,
         settings,
-        job_table: job_table,
+        job_table,
         fleet,
         array_task_limits: paced,
         pending_hires: awaited,
         expected_jobs: expected,
-        is_refused: is_refused,
+        is_refused,
     } = inputs;
     let guaranteed = guaranteed_jobs(settings, job_table);
     let order = placement_order(settings, job_table, &guaranteed, now);
