--- a/crates/core/src/controller/graphs.rs
+++ b/crates/core/src/controller/graphs.rs
@@ -238,9 +238,9 @@
         else {
             return;
         };
-        let progress = std::mem::take(&mut leader_term.job_table.progress);
+        let durable_node_tasks = std::mem::take(&mut leader_term.job_table.durable_node_tasks);
         let Some(graphs) = leader_term.graphs.as_mut() else { return };
-        for (id, done) in progress {
+        for (id, done) in durable_node_tasks {
             graphs.tasks_done(&id, &done);
         }
         if valid {
--- a/crates/core/src/controller/limits.rs
+++ b/crates/core/src/controller/limits.rs
@@ -48,7 +48,11 @@
             LimitsInForce::Current => &self.current,
             LimitsInForce::Announced => &self.strictest,
         };
-        RecordLimits { form, value: bytes(&self.strictest), most: bytes(facts_in_force) }
+        RecordLimits {
+            form,
+            target_bytes: bytes(&self.strictest),
+            max_bytes: bytes(facts_in_force),
+        }
     }
 
     /// Sets which limits are in force; the only place that does. Returns whether this changes any
--- a/crates/core/src/jobs/mod.rs
+++ b/crates/core/src/jobs/mod.rs
@@ -51,7 +51,7 @@
     /// Whether a class or a graph node may limit the number of failures.
     pub failures_limited: bool,
     /// Tasks that run graph nodes and whose completion became durable since this list was last taken.
-    pub progress: Vec<(JobId, Vec<u32>)>,
+    pub durable_node_tasks: Vec<(JobId, Vec<u32>)>,
     /// Usage accounting, if enabled.
     pub usage_accounting: Option<UsageAccounting>,
     /// Dependencies between the jobs.
--- a/crates/core/src/jobs/record_limits.rs
+++ b/crates/core/src/jobs/record_limits.rs
@@ -10,17 +10,17 @@
 pub struct RecordLimits {
     pub form: RecordForm,
     /// Target size of values in bytes: the smaller of the current limit and the announced one.
-    pub value: usize,
+    pub target_bytes: usize,
     /// Maximum size of values in bytes: the current limit, until it is known to have been lowered.
-    pub most: usize,
+    pub max_bytes: usize,
 }
 
 impl Default for RecordLimits {
     fn default() -> Self {
         Self {
             form: RecordForm::Rows,
-            value: DEFAULT_MAX_VALUE_BYTES,
-            most: DEFAULT_MAX_VALUE_BYTES,
+            target_bytes: DEFAULT_MAX_VALUE_BYTES,
+            max_bytes: DEFAULT_MAX_VALUE_BYTES,
         }
     }
 }
@@ -30,8 +30,8 @@
     /// only after all controllers write the packed form.
     fn chunk(&self) -> usize {
         match self.form {
-            RecordForm::Rows => self.most,
-            RecordForm::Packed => self.value,
+            RecordForm::Rows => self.max_bytes,
+            RecordForm::Packed => self.target_bytes,
         }
     }
 }
@@ -94,7 +94,7 @@
         }
         last = Some(value);
     }
-    last.filter(|value| size(value) <= limits.most)
+    last.filter(|value| size(value) <= limits.max_bytes)
 }
 
 impl JobTable {
@@ -113,7 +113,9 @@
         let mut record = job.final_record(status, spent);
         for reduce in FINAL_RECORD_REDUCTIONS {
             reduce(&mut record);
-            if serde_json::to_string(&record).is_ok_and(|text| text.len() <= self.limits.value) {
+            if serde_json::to_string(&record)
+                .is_ok_and(|text| text.len() <= self.limits.target_bytes)
+            {
                 break;
             }
         }
@@ -122,7 +124,7 @@
 
     /// Whether a value is within the current limit of the state service.
     pub(super) fn fits_limit(&self, value: &Value) -> bool {
-        size(value) <= self.limits.most
+        size(value) <= self.limits.max_bytes
     }
 
     /// Whether the record of a task's chunk has room for one more assignment. Guards against a record that grows too
--- a/crates/core/src/jobs/record_limits/tests.rs
+++ b/crates/core/src/jobs/record_limits/tests.rs
@@ -5,7 +5,8 @@
 use oatloom_ledger::entry::{AttemptEnd, UsageEntry};
 use oatloom_protocol::wire::ExitCause;
 
-const SMALL: RecordLimits = RecordLimits { form: RecordForm::Packed, value: 1_884, most: 1_884 };
+const SMALL: RecordLimits =
+    RecordLimits { form: RecordForm::Packed, target_bytes: 1_884, max_bytes: 1_884 };
 
 fn fence() -> Condition {
     Condition { key: "lead".into(), version: Revision(1) }
@@ -81,7 +82,7 @@
     }
     let (txn, _) = job_table.next_txn(fence(), 5, Mono(10_000)).unwrap();
     let Change::Put { value, .. } = &txn.changes[0] else { panic!("{txn:?}") };
-    assert!(size(value) <= SMALL.value, "{} bytes", size(value));
+    assert!(size(value) <= SMALL.target_bytes, "{} bytes", size(value));
     let read: ChunkRecord = serde_json::from_value(value.clone()).unwrap();
     assert_eq!(read.assignments, job_table.jobs[&id].record(10).assignments);
     let failures: u32 = read.charges.rows.iter().map(|row| row.2).sum();
@@ -99,7 +100,7 @@
     assert!((5..20).contains(&held), "{held}");
     let (txn, written) = job_table.next_txn(fence(), 5, Mono(10_000)).unwrap();
     let Change::Put { value, .. } = &txn.changes[0] else { panic!("{txn:?}") };
-    assert!(size(value) <= SMALL.value);
+    assert!(size(value) <= SMALL.target_bytes);
     job_table.committed(&written, Revision(9));
     assert_eq!((0..96).filter(|n| job_table.jobs[&id].assignment_durable(*n)).count(), held);
     // A task that has ended makes room for another.
@@ -113,7 +114,8 @@
 fn a_larger_record_is_read_and_rewritten_smaller() {
     for long in [8, 100] {
         let name = |n: u32| format!("{n}-{}", "x".repeat(long));
-        let (mut old, id) = job_table(96, RecordLimits { most: 16_384, ..RecordLimits::default() });
+        let (mut old, id) =
+            job_table(96, RecordLimits { max_bytes: 16_384, ..RecordLimits::default() });
         assert!((0..96).all(|n| old.assign(&id, n, hold(&name(n), 5))));
         let stored = old.jobs[&id].record(0);
         let (mut new, _) = job_table(96, SMALL);
@@ -125,7 +127,7 @@
             now = now.plus(Millis(70_000));
             if let Some((txn, written)) = new.next_txn(fence(), 5, now) {
                 let Change::Put { value, .. } = &txn.changes[0] else { panic!("{txn:?}") };
-                assert!(size(value) <= SMALL.value, "written above the limit");
+                assert!(size(value) <= SMALL.target_bytes, "written above the limit");
                 new.committed(&written, Revision(100 + u64::from(task)));
                 smallest = smallest.min(95 - task);
                 assert!(new.jobs[&id].all_durable(task));
@@ -172,7 +174,7 @@
     job_table.end(&id, JobStatus::Failed, "retries used up");
     let (txn, written) = job_table.next_txn(fence(), 5, Mono(10_000)).unwrap();
     let Change::Put { value, .. } = &txn.changes[0] else { panic!("{txn:?}") };
-    assert!(size(value) <= SMALL.value, "{} bytes", size(value));
+    assert!(size(value) <= SMALL.target_bytes, "{} bytes", size(value));
     let finished = job_table.committed(&written, Revision(9));
     assert_eq!(serde_json::to_value(&finished[0].1).unwrap(), *value);
     let failure = finished[0].1.failure.as_ref().unwrap();
--- a/crates/core/src/jobs/write_queue.rs
+++ b/crates/core/src/jobs/write_queue.rs
@@ -315,7 +315,7 @@
                     slot.key_version = if write.deletes { Revision(0) } else { revision };
                     slot.durable = slot.durable.max(write.version);
                     if !write.done.is_empty() {
-                        self.progress.push((id.clone(), write.done.clone()));
+                        self.durable_node_tasks.push((id.clone(), write.done.clone()));
                     }
                     if write.deletes {
                         job.usage.remove(chunk);
