--- a/crates/core/src/controller/dependencies.rs
+++ b/crates/core/src/controller/dependencies.rs
@@ -61,7 +61,7 @@
 
     fn check_dependencies(&mut self, now: Now, mut check: DependencyCheck) {
         while let Some(id) = check.unknown.last() {
-            match self.accepted_kind(id) {
+            match self.accepted_lifetime(id) {
                 Some(JobLifetime::Finite) => {
                     check.unknown.pop();
                 }
@@ -75,8 +75,9 @@
         self.accept(now, check.conn, check.spec, check.forwarded);
     }
 
-    /// What this controller knows for certain about a job that was accepted.
-    fn accepted_kind(&self, id: &JobId) -> Option<JobLifetime> {
+    /// Lifetime of a job, if this controller knows for certain that the job was accepted. Every job
+    /// in a final state was finite.
+    fn accepted_lifetime(&self, id: &JobId) -> Option<JobLifetime> {
         if self.finished_jobs.get(id).is_some() {
             return Some(JobLifetime::Finite);
         }
@@ -109,12 +110,12 @@
         }
         match reply {
             StoreReply::Found(row) => {
-                let kind = match parse_live_record(&row) {
-                    Some(record) => accepted_kind_of(&record),
+                let lifetime = match parse_live_record(&row) {
+                    Some(record) => lifetime_of(&record),
                     None => JobLifetime::Finite,
                 };
                 if let Some(id) = check.unknown.last() {
-                    self.accepted_jobs.insert(id.clone(), kind);
+                    self.accepted_jobs.insert(id.clone(), lifetime);
                 }
                 self.check_dependencies(now, check);
             }
@@ -142,7 +143,7 @@
 
     /// Records that a job was accepted, as its durable record shows.
     pub(super) fn record_accepted(&mut self, record: &LiveRecord) {
-        self.accepted_jobs.insert(record.spec.id.clone(), accepted_kind_of(record));
+        self.accepted_jobs.insert(record.spec.id.clone(), lifetime_of(record));
     }
 
     /// Resolves dependencies of waiting jobs that are not open in the leader's memory: from the
@@ -178,7 +179,7 @@
             let retry_at = now.plus(DEPENDENCY_RETRY_MS);
             self.dependency_reads.not_before.insert(id.clone(), retry_at);
             let op = StoreOp::Get { key: jobs::final_key(&id) };
-            // This lane is never full.
+            // Not refused: only operations of the general class are limited in number.
             let _ = self.submit(now, OpClass::Write, op, Purpose::ResolveDependency { token, id });
         }
     }
@@ -203,7 +204,7 @@
             .leader_term
             .as_mut()
             .filter(|leader_term| leader_term.token == token)
-            .map(|r| &mut r.job_table);
+            .map(|term| &mut term.job_table);
         match (record, job_table) {
             (Ok(record), job_table) => {
                 if let Some(job_table) = job_table {
@@ -225,7 +226,7 @@
     }
 }
 
-fn accepted_kind_of(record: &LiveRecord) -> JobLifetime {
+fn lifetime_of(record: &LiveRecord) -> JobLifetime {
     match record.spec.shape {
         Shape::Service => JobLifetime::Service,
         Shape::Array | Shape::Gang => JobLifetime::Finite,
--- a/crates/core/src/controller/graphs.rs
+++ b/crates/core/src/controller/graphs.rs
@@ -31,6 +31,7 @@
     LiveRecord { spec, wall_ms, part: Some(part.into()) }
 }
 
+/// Live key, final key and live record of a job that a graph starts.
 fn launch_record(launch: &Launch) -> (String, String, Value) {
     let value = serde_json::to_value(live_record_of(launch.clone())).unwrap_or(Value::Null);
     (jobs::live_key(launch.id()), jobs::final_key(launch.id()), value)
@@ -42,6 +43,8 @@
 }
 
 impl Controller {
+    /// The graphs of the current leader term; `None` if graphs are not served, or while they are
+    /// moved out for a call.
     fn open_graphs(&mut self) -> Option<&mut Desk> {
         self.leader_term.as_mut()?.graphs.as_mut()
     }
@@ -59,7 +62,7 @@
             return self.reply(conn, HttpReply::error(404, "no such path"));
         }
         let active = self.leadership.valid(now.mono).is_some()
-            && self.leader_term.as_ref().is_some_and(|r| r.stage == Stage::Active);
+            && self.leader_term.as_ref().is_some_and(|term| term.stage == Stage::Active);
         if !active {
             let leader = self.leadership.other_leader().filter(|_| !forwarded).cloned();
             return match leader.filter(|_| self.leadership.token().is_none()) {
@@ -203,9 +206,9 @@
             for effect in effects {
                 match effect {
                     Effect::Reply { ticket, reply } => self.reply(ConnId(ticket), reply),
-                    Effect::Admit(launch, stamp) => {
+                    Effect::Admit(launch, revision) => {
                         let sent_under = self.leadership.token();
-                        self.admit(now, live_record_of(*launch), stamp, sent_under);
+                        self.admit(now, live_record_of(*launch), revision, sent_under);
                     }
                     Effect::Cancel(id) => {
                         if let Some(leader_term) = self.leader_term.as_mut() {
@@ -234,7 +237,8 @@
     /// the job table has made durable.
     pub(super) fn advance_graphs(&mut self, now: Now) {
         let valid = self.was_valid;
-        let Some(leader_term) = self.leader_term.as_mut().filter(|r| r.stage == Stage::Active)
+        let Some(leader_term) =
+            self.leader_term.as_mut().filter(|term| term.stage == Stage::Active)
         else {
             return;
         };
@@ -277,7 +281,7 @@
 
     pub(super) fn on_graph_rows(&mut self, now: Now, token: Token, read: Read, reply: StoreReply) {
         self.graph_read_in_flight = false;
-        let Some(leader_term) = self.leader_term.as_mut().filter(|r| r.token == token) else {
+        let Some(leader_term) = self.leader_term.as_mut().filter(|term| term.token == token) else {
             return;
         };
         // Moved out of the leader term during the call, since the leader term is queried for the
@@ -340,6 +344,8 @@
         true
     }
 
+    /// Processes the outcome of a transaction of graphs: an unknown one is resolved by reading the
+    /// keys back, and refused writes are queued again.
     pub(super) fn on_graphs_written(
         &mut self,
         now: Now,
@@ -347,7 +353,7 @@
         written: Vec<desk::Wrote>,
         reply: StoreReply,
     ) {
-        if self.leader_term.as_ref().is_none_or(|r| r.token != token) {
+        if self.leader_term.as_ref().is_none_or(|term| term.token != token) {
             return;
         }
         self.writer = Writer::Idle;
@@ -425,7 +431,7 @@
     }
 
     pub(super) fn on_graphs_resolved(&mut self, now: Now, token: Token, reply: StoreReply) {
-        if self.leader_term.as_ref().is_none_or(|r| r.token != token) {
+        if self.leader_term.as_ref().is_none_or(|term| term.token != token) {
             return;
         }
         let writer = std::mem::replace(&mut self.writer, Writer::Idle);
--- a/crates/core/src/controller/leading.rs
+++ b/crates/core/src/controller/leading.rs
@@ -22,7 +22,7 @@
                     (OpClass::Lease, StoreOp::Revoke { lease: *lease })
                 }
             };
-            // These lanes are never full.
+            // Not refused: only operations of the general class are limited in number.
             let _ = self.submit(now, lane, op, Purpose::Leadership { request, sent: now });
         }
     }
@@ -65,8 +65,8 @@
             return;
         };
         let op = StoreOp::List { prefix: prefix.to_owned(), after: after.clone() };
-        // The writer's lane is idle while the job table is loaded, so the read is neither queued
-        // behind users' requests nor dropped.
+        // The writer sends nothing while the job table is loaded. In its class the read is neither
+        // queued behind users' requests nor dropped.
         let _ = self.submit(
             now,
             OpClass::Write,
@@ -83,7 +83,7 @@
         first_revision: Option<Revision>,
         reply: StoreReply,
     ) {
-        let Some(leader_term) = self.leader_term.as_mut().filter(|r| r.token == token) else {
+        let Some(leader_term) = self.leader_term.as_mut().filter(|term| term.token == token) else {
             return;
         };
         let loading_live = leader_term.stage == Stage::LoadingLive;
@@ -192,7 +192,7 @@
         &mut self,
         now: Now,
         record: LiveRecord,
-        stamp: Revision,
+        revision: Revision,
         sent_under: Option<Token>,
     ) {
         // Ignores stale records: a job whose end this controller has written must not become live
@@ -205,7 +205,7 @@
         }
         self.record_accepted(&record);
         if let Some(leader_term) = self.leader_term.as_mut() {
-            leader_term.job_table.insert(record, stamp, now);
+            leader_term.job_table.insert(record, revision, now);
             leader_term.request_placement();
         }
     }
--- a/crates/core/src/controller/members.rs
+++ b/crates/core/src/controller/members.rs
@@ -46,7 +46,7 @@
     /// Sends the leader's hints to the other controllers, for the next leader.
     pub(super) fn send_leader_hints(&mut self, now: Now) {
         let mono = now.mono;
-        let active = self.leader_term.as_ref().is_some_and(|r| r.stage == Stage::Active);
+        let active = self.leader_term.as_ref().is_some_and(|term| term.stage == Stage::Active);
         if !active || !self.was_valid || mono < self.next_leader_hints {
             return;
         }
--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -433,7 +433,7 @@
     /// Processes one event and returns the resulting actions. This is the only entry point.
     pub fn handle(&mut self, now: Now, event: Event) -> Vec<Action> {
         if let Some(usage) =
-            self.leader_term.as_mut().and_then(|r| r.job_table.usage_accounting.as_mut())
+            self.leader_term.as_mut().and_then(|term| term.job_table.usage_accounting.as_mut())
         {
             usage.wall_ms = now.wall_ms;
         }
--- a/crates/core/src/controller/reports.rs
+++ b/crates/core/src/controller/reports.rs
@@ -7,7 +7,9 @@
 const OUTDATED: &str = "an older report, or a machine that was returned";
 
 impl Controller {
-    /// Answers a report, or relays it to a leader that its worker cannot reach.
+    /// As the leader, answers a report, or parks it while there are no orders for its worker. As a
+    /// follower, relays it to the leader or redirects its worker. Returns `None` if the reply
+    /// follows later.
     pub(super) fn on_report(
         &mut self,
         now: Mono,
--- a/crates/core/src/controller/usage.rs
+++ b/crates/core/src/controller/usage.rs
@@ -19,22 +19,23 @@
 fn parse_final_row(
     key: &str,
     value: serde_json::Value,
-    stamp: Revision,
+    revision: Revision,
 ) -> Option<(JobId, FinalRecord, Revision)> {
     let id = JobId::parse(key.strip_prefix(jobs::FINAL_PREFIX)?)?;
     let read = serde_json::from_value(value);
     let record =
         read.map_err(|e| log::error!("state service: {key} cannot be decoded: {e}")).ok()?;
-    Some((id, record, stamp))
+    Some((id, record, revision))
 }
 
 impl Controller {
-    /// Reads what is missing, one step at a time.
+    /// Reads the cursor and the final states that are not counted yet, one step at a time.
     pub(super) fn read_usage_state(&mut self, now: Mono) {
         if self.usage_read_in_flight || now < self.next_usage_read || !self.was_valid {
             return;
         }
-        let Some(leader_term) = self.leader_term.as_ref().filter(|r| r.stage == Stage::Active)
+        let Some(leader_term) =
+            self.leader_term.as_ref().filter(|term| term.stage == Stage::Active)
         else {
             return;
         };
@@ -66,7 +67,7 @@
 
     pub(super) fn on_usage_state(&mut self, token: Token, step: ReadStep, reply: StoreReply) {
         self.usage_read_in_flight = false;
-        let Some(leader_term) = self.leader_term.as_mut().filter(|r| r.token == token) else {
+        let Some(leader_term) = self.leader_term.as_mut().filter(|term| term.token == token) else {
             return;
         };
         let begin = leader_term.load_revision;
--- a/crates/core/src/controller/users.rs
+++ b/crates/core/src/controller/users.rs
@@ -106,7 +106,7 @@
             return Some(record.view(id));
         }
         self.leadership.valid(now)?;
-        let leader_term = self.leader_term.as_ref().filter(|r| r.stage == Stage::Active)?;
+        let leader_term = self.leader_term.as_ref().filter(|term| term.stage == Stage::Active)?;
         leader_term.job_table.view(id)
     }
 
@@ -243,9 +243,9 @@
     ) {
         let id = record.spec.id.clone();
         match reply {
-            StoreReply::Committed(stamp) => {
+            StoreReply::Committed(revision) => {
                 self.record_accepted(&record);
-                self.admit(now, record, stamp, sent_under);
+                self.admit(now, record, revision, sent_under);
                 self.reply(conn, HttpReply::json(201, &JobView::queued(id)));
             }
             // The job exists: reading its keys again shows in which state.
@@ -275,7 +275,7 @@
             return self.reply(conn, reply);
         }
         let active = self.leadership.valid(now.mono).is_some()
-            && self.leader_term.as_ref().is_some_and(|r| r.stage == Stage::Active);
+            && self.leader_term.as_ref().is_some_and(|term| term.stage == Stage::Active);
         if active {
             return self.answer_as_leader(now, conn, request);
         }
@@ -483,7 +483,7 @@
             return;
         }
         if let LookupReason::Abort = reason
-            && self.leader_term.as_ref().is_some_and(|r| r.job_table.get(&id).is_some())
+            && self.leader_term.as_ref().is_some_and(|term| term.job_table.get(&id).is_some())
             && self.leadership.valid(now.mono).is_some()
         {
             return self.answer_as_leader(now, conn, PeerRequest::Abort(id));
--- a/crates/core/src/controller/writing.rs
+++ b/crates/core/src/controller/writing.rs
@@ -24,7 +24,8 @@
         let (Some(token), Some(fence)) = (self.leadership.token(), self.leadership.fence()) else {
             return false;
         };
-        let Some(leader_term) = self.leader_term.as_mut().filter(|r| r.stage == Stage::Active)
+        let Some(leader_term) =
+            self.leader_term.as_mut().filter(|term| term.stage == Stage::Active)
         else {
             return false;
         };
@@ -46,7 +47,7 @@
         written: Vec<PendingWrite>,
         reply: StoreReply,
     ) {
-        let Some(leader_term) = self.leader_term.as_mut().filter(|r| r.token == token) else {
+        let Some(leader_term) = self.leader_term.as_mut().filter(|term| term.token == token) else {
             return;
         };
         self.writer = Writer::Idle;
@@ -122,7 +123,7 @@
         item: WriteItem,
         reply: StoreReply,
     ) {
-        let Some(leader_term) = self.leader_term.as_mut().filter(|r| r.token == token) else {
+        let Some(leader_term) = self.leader_term.as_mut().filter(|term| term.token == token) else {
             return;
         };
         let Writer::Resolving(mut items) = std::mem::replace(&mut self.writer, Writer::Idle) else {
