--- a/crates/core/src/constants.rs
+++ b/crates/core/src/constants.rs
@@ -52,8 +52,8 @@
 pub const LEADER_KEY_POLL_PERIOD_MS: Millis = Millis(3_000);
 /// A read of the leader key that is not answered after this long is sent again in parallel: longer
 /// than the state service usually takes, so often that one of several reads is answered before
-/// [`UP_STORE_SILENCE_MS`], and so rarely that those under way ([`RENEW_TIMEOUT_MS`] each) leave
-/// one of [`VITAL_INFLIGHT`] calls to a claim.
+/// [`UNHEALTHY_STORE_SILENCE_MS`], and so rarely that those under way ([`LEASE_RENEWAL_TIMEOUT_MS`] each) leave
+/// one of [`MAX_LEASE_INFLIGHT`] calls to a claim.
 pub const LEADER_KEY_READ_RETRY_MS: Millis = Millis(1_000);
 /// Pause after a failed claim of the leader key, plus up to as much again at random.
 pub const CLAIM_RETRY_PAUSE_MS: Millis = Millis(300);
@@ -185,7 +185,7 @@
 /// How long an input may wait for the core's thread and still be worth an answer: its caller's
 /// timeout less what the answer itself may take. A load balancer's probe times out after 1 s, a
 /// poll after 2 s, a report after 4 s, a submission after 5 s (protocol); a peer waits for
-/// [`ASK_TIMEOUT_MS`].
+/// [`LEADER_QUERY_TIMEOUT_MS`].
 pub const MAX_CONTROL_AGE_MS: Millis = Millis(900);
 pub const MAX_QUESTION_AGE_MS: Millis = Millis(1_500);
 pub const MAX_REPORT_AGE_MS: Millis = Millis(3_000);
@@ -222,7 +222,7 @@
 /// known here once the watch delivers its acceptance.
 pub const DEPENDENCY_RETRY_MS: Millis = Millis(1_000);
 /// Requests from users under way at once, as a share of the connections, and the minimum; beyond it
-/// users are told to retry later. Without a leader each waits for [`ASK_TIMEOUT_MS`]: at 6,000
+/// users are told to retry later. Without a leader each waits for [`LEADER_QUERY_TIMEOUT_MS`]: at 6,000
 /// machines 1,250 polls a second are 875 at once.
 pub const MAX_USER_INFLIGHT_SHARE: f64 = 0.5;
 pub const MIN_USER_INFLIGHT_LIMIT: usize = 600;
@@ -252,7 +252,7 @@
 pub const HINTS_PERIOD_MS: Millis = Millis(3_000);
 /// Minimum number of machines whose images one hint covers.
 pub const MIN_HINT_MACHINES: usize = 150;
-/// Hints in which the whole fleet is covered: half of [`NOTES_OLD_MS`], so that every other hint
+/// Hints in which the whole fleet is covered: half of [`MAX_HINT_AGE_MS`], so that every other hint
 /// may be lost.
 pub const HINTS_PER_ROUND: usize = 10;
 /// Maximum bytes of images in one hint, as encoded in a frame: half of the largest frame that any
@@ -323,7 +323,7 @@
 pub const SILENT_REPORT_PERIODS: f64 = 3.5;
 /// Share of that time after which a machine counts as silent in the detection of partitions.
 pub const EARLY_SILENCE_SHARE: f64 = 0.6;
-/// As [`SILENT_REPORTS`] for a machine that the cloud has announced to reclaim: it is most likely
+/// As [`SILENT_REPORT_PERIODS`] for a machine that the cloud has announced to reclaim: it is most likely
 /// gone.
 pub const RECLAIMED_REPORT_PERIODS: f64 = 1.7;
 /// Seconds that a worker may need to find a new leader: a timeout, then one attempt per second.
--- a/crates/core/src/jobs/job.rs
+++ b/crates/core/src/jobs/job.rs
@@ -153,7 +153,7 @@
     /// task of a gang delays the whole gang.
     pub delayed_until: BTreeMap<u32, Mono>,
     /// Set until a task succeeds. Once such a job has failed on as many machines as one job may make suspect
-    /// ([`BURNT_MOST`]), it may only run on those of them that remain.
+    /// ([`MAX_FAILED_HOSTS`]), it may only run on those of them that remain.
     pub unproven: bool,
     /// When it last failed, if failures are limited.
     pub failed_at: Mono,
@@ -410,12 +410,12 @@
     pub(super) fn record(&self, chunk: u32) -> ChunkRecord {
         let first = (chunk * TASKS_PER_CHUNK) as usize;
         let end = (first + TASKS_PER_CHUNK as usize).min(self.tasks.len());
-        let slice = &self.tasks[first..end];
+        let chunk_tasks = &self.tasks[first..end];
         let charges = self.charges.to_record(first as u32..end as u32);
         let usage = self.usage.get(&chunk).cloned().unwrap_or_default();
         ChunkRecord {
-            done: to_hex(slice.iter().map(|t| *t == TaskState::Done)),
-            assignments: slice
+            done: to_hex(chunk_tasks.iter().map(|t| *t == TaskState::Done)),
+            assignments: chunk_tasks
                 .iter()
                 .enumerate()
                 .filter_map(|(i, t)| match t {
--- a/crates/core/src/jobs/mod.rs
+++ b/crates/core/src/jobs/mod.rs
@@ -1,7 +1,7 @@
 //! The job table: accepted jobs, the state of each task, and which changes are durable.
 //!
 //! Keys: `live/{id}` holds the job description, `asg/{id}/{chunk}` the completed tasks and assignments
-//! of [`CHUNK_TASKS`] tasks, `over/{id}` the final record. `live/` and `over/` change in one
+//! of [`TASKS_PER_CHUNK`] tasks, `over/{id}` the final record. `live/` and `over/` change in one
 //! transaction, so a job is always under exactly one of them.
 
 mod dependencies;
@@ -80,9 +80,13 @@
 
 impl JobTable {
     /// Creates an empty job table. `graphs` says whether graph nodes may limit failures as well.
-    pub fn new(classes: Arc<Classes>, account: Option<UsageAccounting>, graphs: bool) -> Self {
+    pub fn new(
+        classes: Arc<Classes>,
+        usage_accounting: Option<UsageAccounting>,
+        graphs: bool,
+    ) -> Self {
         let limited = graphs || !classes.is_empty();
-        Self { classes, failures_limited: limited, usage_accounting: account, ..Self::default() }
+        Self { classes, failures_limited: limited, usage_accounting, ..Self::default() }
     }
 
     pub fn get(&self, id: &JobId) -> Option<&Job> {
@@ -113,7 +117,7 @@
                 let max_retries =
                     job.allowance.map_or(repeats, |class| class.max_retries.min(repeats));
                 let on_exhausted = job.allowance.map_or(OnExhausted::FailJob, |a| a.on_exhausted);
-                RetryPolicy { max_retries: max_retries, on_exhausted }
+                RetryPolicy { max_retries, on_exhausted }
             });
             job.allowance = node_allowance.or(job.allowance);
             if let Some(allowance) = job.allowance.as_mut().filter(|_| part.batch()) {
@@ -163,10 +167,10 @@
             }
         }
         let mut held = Vec::new();
-        for (index, attempt, host, shift, zone) in record.assignments {
+        for (index, attempt, host, session, zone) in record.assignments {
             let hold = TaskAssignment {
                 host: host.clone(),
-                session: shift,
+                session,
                 zone,
                 attempt,
                 chunk_version: 0,
@@ -178,7 +182,7 @@
                 stop: None,
             };
             if self.hold_in_memory(id, index, hold) {
-                held.push((index, host, shift));
+                held.push((index, host, session));
             }
         }
         if finished {
--- a/crates/core/src/jobs/packed.rs
+++ b/crates/core/src/jobs/packed.rs
@@ -74,7 +74,7 @@
     (1..=MAX_NUMBER_DIGITS).contains(&digits.len()).then_some((prefix, digits))
 }
 
-/// One assignment. Attempt, host and shift are differences to the previous row.
+/// One assignment. Attempt, host and session are differences to the previous row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Row {
     /// Index of the task in its chunk.
@@ -83,7 +83,7 @@
     zone: u32,
     attempt: u64,
     host: i64,
-    shift: i64,
+    session: i64,
 }
 
 /// Failures charged to tasks; see [`ChargeRecord`].
@@ -123,8 +123,8 @@
     let pattern = NamePattern::of(sorted.iter().map(|(_, _, host, ..)| host.as_str()));
     let mut packed =
         Packed { first, pattern, charges: pack_charges(first, charges), ..Packed::default() };
-    let (mut last_attempt, mut last_host, mut last_shift) = (0, 0, 0);
-    for (row, (task, attempt, host, shift, zone)) in (0..).zip(sorted) {
+    let (mut last_attempt, mut last_host, mut last_session) = (0, 0, 0);
+    for (row, (task, attempt, host, session, zone)) in (0..).zip(sorted) {
         let number = packed.pattern.number(host.as_str());
         if number.is_none() {
             packed.named.push((row, host.clone()));
@@ -135,9 +135,9 @@
             zone: zone_index(&mut packed.zones, zone),
             attempt: attempt.0 - last_attempt,
             host: number - last_host,
-            shift: (shift.0 as i64).wrapping_sub(last_shift),
+            session: (session.0 as i64).wrapping_sub(last_session),
         });
-        (last_attempt, last_host, last_shift) = (attempt.0, number, shift.0 as i64);
+        (last_attempt, last_host, last_session) = (attempt.0, number, session.0 as i64);
     }
     let bytes = postcard::to_stdvec(&packed).unwrap_or_default();
     URL_SAFE_NO_PAD.encode(bytes)
@@ -177,13 +177,13 @@
     let first = packed.first;
     let mut named: BTreeMap<u32, HostId> = packed.named.into_iter().collect();
     let mut held = Vec::new();
-    let (mut attempt, mut host, mut shift) = (0u64, 0i64, 0i64);
+    let (mut attempt, mut host, mut session) = (0u64, 0i64, 0i64);
     for (index, row) in packed.rows.iter().enumerate() {
         let invalid = |field| PackedError::Row { row: index, field };
         let zone = packed.zones.get(row.zone as usize).ok_or(invalid("zone"))?;
         attempt = attempt.checked_add(row.attempt).ok_or(invalid("attempt"))?;
         host = host.checked_add(row.host).ok_or(invalid("machine"))?;
-        shift = shift.wrapping_add(row.shift);
+        session = session.wrapping_add(row.session);
         let task = Some(row.task).filter(|task| *task < TASKS_PER_CHUNK).ok_or(invalid("task"))?;
         let name = named.remove(&(index as u32));
         let name = name.unwrap_or_else(|| HostId::new(&packed.pattern.name(host)));
@@ -191,7 +191,7 @@
             first.saturating_add(task),
             Attempt(attempt),
             name,
-            WorkerSession(shift as u64),
+            WorkerSession(session as u64),
             zone.clone(),
         ));
     }
--- a/crates/core/src/jobs/packed/tests.rs
+++ b/crates/core/src/jobs/packed/tests.rs
@@ -23,9 +23,9 @@
         };
         let attempt = (rng.random_range(0..4u64) << 40) + rng.random_range(0..5_000u64);
         let attempt = if rng.random_bool(0.02) { u64::MAX } else { attempt };
-        let shift = if rng.random_bool(0.05) { rng.random() } else { rng.random_range(1..4) };
+        let session = if rng.random_bool(0.05) { rng.random() } else { rng.random_range(1..4) };
         let zone = Zone::new(["a", "b", "c"][rng.random_range(0..3)]);
-        held.push((task, Attempt(attempt), HostId::new(&host), WorkerSession(shift), zone));
+        held.push((task, Attempt(attempt), HostId::new(&host), WorkerSession(session), zone));
     }
     held
 }
--- a/crates/core/src/jobs/record_limits/tests.rs
+++ b/crates/core/src/jobs/record_limits/tests.rs
@@ -86,7 +86,7 @@
     assert_eq!(read.assignments, job_table.jobs[&id].record(10).assignments);
     let failures: u32 = read.charges.rows.iter().map(|row| row.2).sum();
     assert_eq!(failures, 20);
-    let attempts: u64 = read.usage.days().map(|(_, tally)| tally.total().attempts).sum();
+    let attempts: u64 = read.usage.days().map(|(_, usage)| usage.total().attempts).sum();
     assert_eq!(attempts, 40);
 }
 
--- a/crates/core/src/jobs/records.rs
+++ b/crates/core/src/jobs/records.rs
@@ -51,7 +51,7 @@
     wall_ms: u64,
     #[serde(rename = "g", default, skip_serializing_if = "Option::is_none")]
     part: Option<Arc<Part>>,
-    /// Packed list of the dependencies if there are more than [`DEPENDENCIES_AS_TEXT`]; the list in `spec` is then
+    /// Packed list of the dependencies if there are more than [`MAX_TEXT_DEPENDENCIES`]; the list in `spec` is then
     /// empty.
     #[serde(rename = "w", default, skip_serializing_if = "Option::is_none")]
     dependencies: Option<String>,
@@ -111,7 +111,7 @@
     }
 }
 
-/// Task, attempt, host, shift, zone.
+/// Task, attempt, host, worker session, zone.
 pub type AssignmentRow = (u32, Attempt, HostId, WorkerSession, Zone);
 
 /// Form in which assignment records are written. Both are always readable.
--- a/crates/core/src/jobs/tests.rs
+++ b/crates/core/src/jobs/tests.rs
@@ -289,7 +289,7 @@
     let record = job_table.get(&id).unwrap().record(0);
     let text = serde_json::to_string(&record).unwrap();
     assert!(text.len() < 8 * 1024, "{} bytes", text.len());
-    let attempts: u64 = record.usage.days().map(|(_, tally)| tally.total().attempts).sum();
+    let attempts: u64 = record.usage.days().map(|(_, usage)| usage.total().attempts).sum();
     assert_eq!(attempts, u64::from(TASKS_PER_CHUNK));
 }
 
@@ -350,10 +350,10 @@
     };
     let with_accounting = |tasks| {
         let (plain, id) = job_table(tasks);
-        let mut account = UsageAccounting::new(Arc::default(), Millis(30_000));
-        account.set_cursor(Some((Cursor::default(), Revision(2))), Revision(1));
-        account.rollups.set_load_progress(LoadProgress::Complete);
-        (JobTable { usage_accounting: Some(account), ..plain }, id)
+        let mut accounting = UsageAccounting::new(Arc::default(), Millis(30_000));
+        accounting.set_cursor(Some((Cursor::default(), Revision(2))), Revision(1));
+        accounting.rollups.set_load_progress(LoadProgress::Complete);
+        (JobTable { usage_accounting: Some(accounting), ..plain }, id)
     };
     // The job ends with no task assigned: one transaction moves the usage, and nothing else is written.
     let (mut job_table, id) = with_accounting(1);
@@ -403,10 +403,10 @@
     let final_record: FinalRecord = serde_json::from_str(final_record).unwrap();
     assert_eq!((final_record.status, final_record.spent), (JobStatus::Done, None));
     let (plain, id) = job_table(1);
-    let mut account = UsageAccounting::new(Arc::default(), Millis(30_000));
-    account.set_cursor(Some((Cursor::default(), Revision(2))), Revision(1));
-    account.rollups.set_load_progress(LoadProgress::Complete);
-    let mut job_table = JobTable { usage_accounting: Some(account), ..plain };
+    let mut accounting = UsageAccounting::new(Arc::default(), Millis(30_000));
+    accounting.set_cursor(Some((Cursor::default(), Revision(2))), Revision(1));
+    accounting.rollups.set_load_progress(LoadProgress::Complete);
+    let mut job_table = JobTable { usage_accounting: Some(accounting), ..plain };
     let slot = RollupId { day: 0, team: "t".into(), class: "other".into() };
     let found = |value: Value| Row { key: slot.key(), value, version: Revision(9), lease: None };
     let item = WriteItem::Rollup(slot.clone());
--- a/crates/core/src/jobs/usage.rs
+++ b/crates/core/src/jobs/usage.rs
@@ -51,7 +51,7 @@
         Self { rollups: self.rollups.with_value_limit(value_bytes), ..self }
     }
 
-    /// Whether roll-ups are postponed in favor of writes that somebody waits for, for at most [`POSTPONED_MS`].
+    /// Whether roll-ups are postponed in favor of writes that somebody waits for, for at most [`MAX_ROLLUP_DELAY_MS`].
     fn postpone(&mut self, now: Mono, awaited: bool) -> bool {
         let since = *self.postponed_since.get_or_insert(now);
         awaited && now.since(since) < MAX_ROLLUP_DELAY_MS
@@ -85,10 +85,10 @@
     /// Counts an attempt that has ended in the assignment record of its task; its end and its usage become durable in
     /// the same write.
     pub fn record_usage(&mut self, entry: &UsageEntry) {
-        let Some(account) = self.usage_accounting.as_mut() else { return };
-        account.recent_entries.push_back(entry.clone());
-        if account.recent_entries.len() > MAX_LATEST_USAGE_ENTRIES {
-            account.recent_entries.pop_front();
+        let Some(accounting) = self.usage_accounting.as_mut() else { return };
+        accounting.recent_entries.push_back(entry.clone());
+        if accounting.recent_entries.len() > MAX_LATEST_USAGE_ENTRIES {
+            accounting.recent_entries.pop_front();
         }
         log::debug!(target: "usage", "{}", usage_line(entry));
         if let Some(job) = self.jobs.get_mut(&entry.task.job) {
@@ -99,44 +99,44 @@
 
     /// The usage for a job's final record, if its assignment records are deleted in the same transaction.
     pub(super) fn spent(&self, job: &Job, with_records: bool) -> Option<Arc<JobUsage>> {
-        let account =
+        let accounting =
             self.usage_accounting.as_ref().filter(|a| with_records && a.includes_usage())?;
         let mut days = UsageByDay::default();
         job.usage.values().for_each(|chunk_usage| days.merge(chunk_usage));
-        days.move_closed_days(account.open_from());
-        let (team, class) = (job.spec.team.clone(), account.class(&job.spec.class));
+        days.move_closed_days(accounting.open_from());
+        let (team, class) = (job.spec.team.clone(), accounting.class(&job.spec.class));
         (!days.is_empty()).then(|| Arc::new(JobUsage { team, class, days }))
     }
 
     /// Moves the usage of an assignment record to the roll-ups, when the record is deleted after the final record of
     /// its job was written.
     pub(super) fn move_usage_to_rollups(&mut self, id: &JobId, chunk: u32) {
-        let Some(account) = self.usage_accounting.as_mut().filter(|a| a.includes_usage()) else {
+        let Some(accounting) = self.usage_accounting.as_mut().filter(|a| a.includes_usage()) else {
             return;
         };
         let Some(job) = self.jobs.get(id) else { return };
         let Some(mut days) = job.usage.get(&chunk).cloned() else { return };
-        days.move_closed_days(account.open_from());
-        let class = account.class(&job.spec.class);
-        account.rollups.add_usage(&job.spec.team, &class, &days);
+        days.move_closed_days(accounting.open_from());
+        let class = accounting.class(&job.spec.class);
+        accounting.rollups.add_usage(&job.spec.team, &class, &days);
     }
 
     /// Number of roll-ups that the transaction under construction changes.
     pub(super) fn rollups_touched(&self) -> usize {
-        self.usage_accounting.as_ref().map_or(0, |account| account.rollups.write_count())
+        self.usage_accounting.as_ref().map_or(0, |accounting| accounting.rollups.write_count())
     }
 
     /// Adds the writes of roll-ups to a transaction.
     pub(super) fn write_rollups(&mut self, txn: &mut Txn, written: &mut Vec<PendingWrite>) {
-        let Some(account) = &self.usage_accounting else { return };
-        for (slot, version, rollup) in account.rollups.writes() {
+        let Some(accounting) = &self.usage_accounting else { return };
+        for (slot, version, rollup) in accounting.rollups.writes() {
             let key = slot.key();
             txn.conditions.push(Condition { key: key.clone(), version });
             txn.changes.push(Change::put(key, json!(rollup)));
             written.push(PendingWrite::of(WriteItem::Rollup(slot.clone())));
         }
-        if let Some(cursor) = account.cursor {
-            let version = account.rollups.cursor_revision();
+        if let Some(cursor) = accounting.cursor {
+            let version = accounting.rollups.cursor_revision();
             txn.conditions.push(Condition { key: CURSOR_KEY.to_owned(), version });
             txn.changes.push(Change::put(CURSOR_KEY.to_owned(), json!(cursor)));
             written.push(PendingWrite::of(WriteItem::Cursor));
@@ -151,18 +151,18 @@
         now: Mono,
         awaited: bool,
     ) -> Option<(Txn, Vec<PendingWrite>)> {
-        let account = self.usage_accounting.as_mut()?;
-        let open_from = account.open_from();
-        if account.backoff.is_deferred(&()) && account.backoff.take_due(now).is_none()
-            || !account.rollups.flush_due(now, open_from)
-            || account.postpone(now, awaited)
+        let accounting = self.usage_accounting.as_mut()?;
+        let open_from = accounting.open_from();
+        if accounting.backoff.is_deferred(&()) && accounting.backoff.take_due(now).is_none()
+            || !accounting.rollups.flush_due(now, open_from)
+            || accounting.postpone(now, awaited)
         {
             return None;
         }
-        account.postponed_since = None;
+        accounting.postponed_since = None;
         let max_rollups = ops.saturating_sub(1).clamp(1, MAX_TXN_BYTES / MAX_ROLLUP_BYTES);
-        let max_rollups = max_rollups.min(account.backoff.max_items());
-        account.cursor = account.rollups.flush(max_rollups, now, open_from);
+        let max_rollups = max_rollups.min(accounting.backoff.max_items());
+        accounting.cursor = accounting.rollups.flush(max_rollups, now, open_from);
         let (mut txn, mut written) =
             (Txn { conditions: vec![fence], changes: Vec::new() }, Vec::new());
         self.write_rollups(&mut txn, &mut written);
@@ -172,10 +172,10 @@
 
     /// Handles a rejected transaction of roll-ups: the next one is smaller or delayed.
     pub(super) fn rollups_refused(&mut self, now: Mono) {
-        let Some(account) = self.usage_accounting.as_mut() else { return };
-        let rollups = vec![(); account.rollups.write_count().max(1)];
+        let Some(accounting) = self.usage_accounting.as_mut() else { return };
+        let rollups = vec![(); accounting.rollups.write_count().max(1)];
         if let Some(RejectionResponse::Deferred((), pause)) =
-            account.backoff.rejected(&rollups, now)
+            accounting.backoff.rejected(&rollups, now)
         {
             log::error!("ledger: roll-up rejected on its own; retrying in {pause:?}");
         }
@@ -183,9 +183,9 @@
 
     /// Adds copies of unreadable values under other keys to a transaction, for later inspection.
     fn write_damaged_copies(&mut self, txn: &mut Txn, ops: usize) {
-        let Some(account) = self.usage_accounting.as_mut() else { return };
+        let Some(accounting) = self.usage_accounting.as_mut() else { return };
         while txn.changes.len() < ops
-            && let Some((slot, value)) = account.damaged.pop_first()
+            && let Some((slot, value)) = accounting.damaged.pop_first()
         {
             txn.changes.push(Change::put(format!("{}{}", DAMAGED_PREFIX, slot.key()), value));
         }
@@ -193,13 +193,13 @@
 
     /// Applies the commit of a roll-up or of the cursor.
     pub(super) fn rollup_committed(&mut self, item: &WriteItem, revision: Revision) {
-        let Some(account) = self.usage_accounting.as_mut() else { return };
+        let Some(accounting) = self.usage_accounting.as_mut() else { return };
         match item {
-            WriteItem::Rollup(slot) => account.rollups.mark_committed(slot, revision),
+            WriteItem::Rollup(slot) => accounting.rollups.mark_committed(slot, revision),
             WriteItem::Cursor => {
-                account.backoff.accepted([()].iter());
-                if let Some(cursor) = account.cursor.take() {
-                    account.rollups.mark_cursor_committed(cursor, revision);
+                accounting.backoff.accepted([()].iter());
+                if let Some(cursor) = accounting.cursor.take() {
+                    accounting.rollups.mark_cursor_committed(cursor, revision);
                 }
             }
             WriteItem::FinalRecord(_) | WriteItem::Chunk(..) => {}
@@ -208,9 +208,9 @@
 
     /// Abandons the roll-up writes in flight, whose transaction failed or has an unknown outcome.
     pub(super) fn rollups_abandoned(&mut self) {
-        if let Some(account) = self.usage_accounting.as_mut() {
-            account.rollups.discard_writes();
-            account.cursor = None;
+        if let Some(accounting) = self.usage_accounting.as_mut() {
+            accounting.rollups.discard_writes();
+            accounting.cursor = None;
         }
     }
 
@@ -220,26 +220,26 @@
         item: &WriteItem,
         row: Option<(&serde_json::Value, Revision)>,
     ) {
-        let Some(account) = self.usage_accounting.as_mut() else { return };
+        let Some(accounting) = self.usage_accounting.as_mut() else { return };
         match item {
             WriteItem::Rollup(slot) => {
                 let found = row.map(|(value, revision)| {
                     let read = serde_json::from_value::<Rollup>(value.clone());
                     let rollup = read.unwrap_or_else(|e| {
                         log::error!("ledger: {} is damaged; storing a copy: {e}", slot.key());
-                        account.damaged.insert(slot.clone(), value.clone());
+                        accounting.damaged.insert(slot.clone(), value.clone());
                         Rollup { incomplete: true, ..Rollup::default() }
                     });
                     (rollup, revision)
                 });
-                account.rollups.set_stored(slot, found);
+                accounting.rollups.set_stored(slot, found);
             }
             WriteItem::Cursor => {
                 let read = |(value, revision): (&serde_json::Value, Revision)| {
                     Some((serde_json::from_value(value.clone()).ok()?, revision))
                 };
-                let start_revision = account.start_revision;
-                account.rollups.set_cursor(row.and_then(read), start_revision);
+                let start_revision = accounting.start_revision;
+                accounting.rollups.set_cursor(row.and_then(read), start_revision);
             }
             WriteItem::FinalRecord(_) | WriteItem::Chunk(..) => {}
         }
@@ -252,8 +252,8 @@
         record: &FinalRecord,
         revision: Revision,
     ) {
-        if let (Some(account), Some(spent)) = (self.usage_accounting.as_mut(), &record.spent) {
-            account.rollups.add_final_state(id, spent, revision);
+        if let (Some(accounting), Some(spent)) = (self.usage_accounting.as_mut(), &record.spent) {
+            accounting.rollups.add_final_state(id, spent, revision);
         }
     }
 
@@ -266,8 +266,8 @@
         for (id, record, revision) in records {
             self.count_final_record(&id, &record, revision);
         }
-        if let Some(account) = self.usage_accounting.as_mut().filter(|_| complete) {
-            account.rollups.set_load_progress(LoadProgress::Complete);
+        if let Some(accounting) = self.usage_accounting.as_mut().filter(|_| complete) {
+            accounting.rollups.set_load_progress(LoadProgress::Complete);
         }
     }
 }
--- a/crates/core/src/placement/exchange.rs
+++ b/crates/core/src/placement/exchange.rs
@@ -46,7 +46,7 @@
         true
     }
 
-    /// Live slots with room in zones that are closed to the job, up to [`EXCHANGE_TARGETS`] of each
+    /// Live slots with room in zones that are closed to the job, up to [`MAX_EXCHANGE_TARGETS`] of each
     /// kind.
     fn exchange_targets(&self, need: &Need) -> Vec<usize> {
         let zones = self.zones(need.job);
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -179,12 +179,12 @@
     let PlacementInputs {
         now,
         settings,
-        job_table: job_table,
+        job_table,
         fleet,
-        array_task_limits: paced,
-        pending_hires: awaited,
-        expected_jobs: expected,
-        is_refused: is_refused,
+        array_task_limits,
+        pending_hires,
+        expected_jobs,
+        is_refused,
     } = inputs;
     let guaranteed = guaranteed_jobs(settings, job_table);
     let order = placement_order(settings, job_table, &guaranteed, now);
@@ -193,7 +193,7 @@
         settings,
         fleet,
         is_refused,
-        slot_pool: SlotPool::new(fleet, &awaited, settings.facts.workers.report_s, now),
+        slot_pool: SlotPool::new(fleet, &pending_hires, settings.facts.workers.report_s, now),
         usage: job_table.usage.clone(),
         started: BTreeMap::new(),
         room_taken: BTreeMap::new(),
@@ -236,7 +236,7 @@
         };
         let allowed_tasks = match job.spec.shape {
             Shape::Array => {
-                let by_rate = paced.get(id).copied().unwrap_or(1).max(1);
+                let by_rate = array_task_limits.get(id).copied().unwrap_or(1).max(1);
                 let startable = job.startable(now);
                 let allowed_now = by_rate.saturating_sub(job.assigned).min(startable);
                 if allowed_now < startable {
@@ -270,7 +270,7 @@
         let job = &job_table.jobs[&id];
         pass.place_independent(job, &rest, false, job_table, false);
     }
-    for (job, count) in expected {
+    for (job, count) in expected_jobs {
         pass.keep_ready(job, *count, job_table);
     }
     pass.move_to_spot(job_table);
--- a/crates/core/src/placement/preemption.rs
+++ b/crates/core/src/placement/preemption.rs
@@ -83,12 +83,12 @@
             return false;
         }
         let id = &job.spec.id;
-        let kept =
+        let has_reservation =
             self.slot_pool.has_reserved(id) || self.plan.reservations.iter().any(|(_, j)| j == id);
         // A search goes through every task on every machine; jobs beyond the limit are searched for
         // in the next pass.
-        if kept || self.preemption_searches >= MAX_PREEMPTION_SEARCHES {
-            return kept;
+        if has_reservation || self.preemption_searches >= MAX_PREEMPTION_SEARCHES {
+            return has_reservation;
         }
         self.preemption_searches += 1;
         self.plan.steps += PREEMPTION_SEARCH_STEPS * self.fleet.machines.len() as u64;
@@ -105,8 +105,8 @@
         if self.slot_pool.has_reserved(id) {
             // A machine may have been reserved while none with the image was available; waiting for
             // that one would not help.
-            let kept = |m: &Machine| m.reserved_for(self.now) == Some(id);
-            return self.fleet.machines.values().any(|m| kept(m) && m.has_image(image));
+            let has_reservation = |m: &Machine| m.reserved_for(self.now) == Some(id);
+            return self.fleet.machines.values().any(|m| has_reservation(m) && m.has_image(image));
         }
         if self.image_searches >= MAX_IMAGE_SEARCHES {
             return false;
@@ -258,7 +258,7 @@
             }
             free.subtract(&need.room);
             // The costs must not decrease, so that sorting by cost keeps the order of a machine's
-            // offers.
+            // options.
             least = f64::max(least, cost);
             options.push(PreemptionOption { cost: least, machine: m, victims });
         }
--- a/crates/core/src/placement/slots.rs
+++ b/crates/core/src/placement/slots.rs
@@ -139,7 +139,12 @@
 }
 
 impl<'a> SlotPool<'a> {
-    pub fn new(fleet: &'a Fleet, awaited: &[(MachineKind, u32)], report_s: f64, now: Mono) -> Self {
+    pub fn new(
+        fleet: &'a Fleet,
+        pending_hires: &[(MachineKind, u32)],
+        report_s: f64,
+        now: Mono,
+    ) -> Self {
         let mut slot_pool = Self {
             kinds: Vec::new(),
             slots: Vec::with_capacity(fleet.machines.len()),
@@ -200,7 +205,9 @@
             };
             slot_pool.push(slot);
         }
-        for (kind, number) in awaited.iter().filter(|(kind, _)| !fleet.zones.is_lost(&kind.zone)) {
+        for (kind, number) in
+            pending_hires.iter().filter(|(kind, _)| !fleet.zones.is_lost(&kind.zone))
+        {
             let Some(flavor) = flavors().find(|f| f.label == kind.flavor) else { continue };
             let kind = slot_pool.kind_index(flavor, &kind.zone, kind.spot);
             for _ in 0..*number {
@@ -258,7 +265,7 @@
 
     /// Whether any machine, full or not, is of a kind and size that the job's tasks may use. For jobs
     /// whose failures are limited, machines that the job avoids don't count: applied to all jobs,
-    /// this rule cost the steady day of the kitchen-loom deployment 0.05 with the same seed.
+    /// this rule cost 0.05 of the score of a day without faults, with the same seed.
     pub fn any_usable(&self, need: &Need, mask: &KindMask) -> bool {
         let failures_limited = need.job.failed_host_count > 0;
         let allowed =
@@ -438,7 +445,7 @@
         }
     }
 
-    /// The live machines on which tasks were placed since the mark.
+    /// The live machines on which tasks were placed since the savepoint.
     pub fn live_machines_since(
         &self,
         savepoint: Savepoint,
@@ -456,7 +463,7 @@
             * (1.0 + f64::from(self.machines_in_zone(zone)) / ZONE_PRICE_DOUBLING_MACHINES)
     }
 
-    /// Undoes all placements and all planned hires since the mark.
+    /// Undoes all placements and all planned hires since the savepoint.
     pub fn roll_back(&mut self, savepoint: Savepoint) {
         for entry in self.undo_log.drain(savepoint.undo_log..).rev() {
             let slot = &mut self.slots[entry.slot_index];
--- a/crates/core/src/placement/standby.rs
+++ b/crates/core/src/placement/standby.rs
@@ -23,7 +23,8 @@
     let mut classes: BTreeMap<&str, (u32, u32, u32, &JobSpec)> = BTreeMap::new();
     let mut buckets: BTreeMap<(&str, u64), u32> = BTreeMap::new();
     let whole = |spec: &JobSpec| if spec.shape == Shape::Gang { spec.tasks } else { 1 };
-    let may_start = |spec: &JobSpec| headroom.tasks(spec).is_none_or(|most| most >= whole(spec));
+    let may_start =
+        |spec: &JobSpec| headroom.tasks(spec).is_none_or(|max_tasks| max_tasks >= whole(spec));
     for (at, spec) in job_table.arrivals.iter().filter(|(_, spec)| may_start(spec)) {
         // Counts only a few arrivals of a class per time bucket: an initial load, or the jobs that
         // a new leader finds, must not be taken for the rate of further arrivals.
@@ -147,7 +148,7 @@
     }
 
     /// Live spot slots for all tasks of a gang, wherever it runs now, and its longest image fetch
-    /// there, if that is at most [`MOVE_FETCH_S`].
+    /// there, if that is at most [`MAX_MOVE_FETCH_S`].
     pub(super) fn spot_gang_slots(
         &mut self,
         need: &Need,
--- a/crates/core/src/scaling.rs
+++ b/crates/core/src/scaling.rs
@@ -48,17 +48,17 @@
 /// The rate that each array gets when the sum is scaled by `factor`. A factor above 1 applies to
 /// all alike. A factor below 1 cuts the sum: the arrays with the least work left get their full
 /// rates and the others take longer, since with an even cut all of them were late.
-pub fn scaled_rates(claims: &[ArrayDemand], factor: f64) -> Vec<f64> {
+pub fn scaled_rates(demands: &[ArrayDemand], factor: f64) -> Vec<f64> {
     if factor >= 1.0 {
-        return claims.iter().map(|claim| claim.rate * factor).collect();
+        return demands.iter().map(|demand| demand.rate * factor).collect();
     }
-    let work = |index: usize| claims[index].task_cores * f64::from(claims[index].tasks_left);
-    let mut order: Vec<usize> = (0..claims.len()).collect();
+    let work = |index: usize| demands[index].task_cores * f64::from(demands[index].tasks_left);
+    let mut order: Vec<usize> = (0..demands.len()).collect();
     order.sort_by(|a, b| work(*a).total_cmp(&work(*b)));
-    let mut remaining = factor * claims.iter().map(|claim| claim.rate).sum::<f64>();
-    let mut shares = vec![0.0; claims.len()];
+    let mut remaining = factor * demands.iter().map(|demand| demand.rate).sum::<f64>();
+    let mut shares = vec![0.0; demands.len()];
     for index in order {
-        shares[index] = claims[index].rate.min(remaining);
+        shares[index] = demands[index].rate.min(remaining);
         remaining -= shares[index];
     }
     shares
@@ -85,11 +85,11 @@
     /// When scaled down, the sum is that of the Dithen paper; the least work left is served first.
     #[test]
     fn reduced_rates_serve_least_work_first() {
-        let claim = |rate, left| ArrayDemand { rate, task_cores: 2.0, tasks_left: left };
-        let claims = [claim(40.0, 900), claim(10.0, 20), claim(30.0, 100)];
-        assert_eq!(scaled_rates(&claims, 0.5), [0.0, 10.0, 30.0]);
-        assert_eq!(scaled_rates(&claims, 0.9), [32.0, 10.0, 30.0]);
-        assert_eq!(scaled_rates(&claims, 1.5), [60.0, 15.0, 45.0]);
+        let demand = |rate, left| ArrayDemand { rate, task_cores: 2.0, tasks_left: left };
+        let demands = [demand(40.0, 900), demand(10.0, 20), demand(30.0, 100)];
+        assert_eq!(scaled_rates(&demands, 0.5), [0.0, 10.0, 30.0]);
+        assert_eq!(scaled_rates(&demands, 0.9), [32.0, 10.0, 30.0]);
+        assert_eq!(scaled_rates(&demands, 1.5), [60.0, 15.0, 45.0]);
     }
 
     #[test]
--- a/crates/core/src/store.rs
+++ b/crates/core/src/store.rs
@@ -114,7 +114,7 @@
 #[derive(Debug)]
 struct QueuedOp {
     id: OpId,
-    lane: OpClass,
+    class: OpClass,
     op: StoreOp,
     expires_at: Mono,
 }
@@ -250,7 +250,7 @@
     pub fn submit(
         &mut self,
         now: Mono,
-        lane: OpClass,
+        class: OpClass,
         op: StoreOp,
         purpose: P,
         out: &mut Vec<(OpId, OpClass, StoreOp)>,
@@ -260,18 +260,18 @@
         } else {
             MAX_STORE_QUEUE - SUBMISSION_RESERVED_QUEUE
         };
-        if lane == OpClass::General && self.queue.len() >= max_queued {
+        if class == OpClass::General && self.queue.len() >= max_queued {
             return Err((QueueFull, purpose));
         }
         let id = OpId(self.next_id);
         self.next_id += 1;
-        self.purposes.insert(id, (lane, purpose));
-        if matches!(lane, OpClass::Lease | OpClass::Watch) {
-            out.push((id, lane, op));
+        self.purposes.insert(id, (class, purpose));
+        if matches!(class, OpClass::Lease | OpClass::Watch) {
+            out.push((id, class, op));
         } else {
             self.queue.push_back(QueuedOp {
                 id,
-                lane,
+                class,
                 op,
                 expires_at: now.plus(MAX_STORE_WAIT_MS),
             });
@@ -303,7 +303,7 @@
             let changes = change_count(&item.op);
             self.requests.level -= 1.0;
             self.changes.level -= changes;
-            if item.lane == OpClass::General {
+            if item.class == OpClass::General {
                 self.open_inflight += 1;
                 self.writer_lead -= changes;
             } else {
@@ -311,7 +311,7 @@
             }
             self.writer_lead =
                 self.writer_lead.clamp(-MAX_WRITER_LEAD_CHANGES, MAX_WRITER_LEAD_CHANGES);
-            out.push((item.id, item.lane, item.op));
+            out.push((item.id, item.class, item.op));
         }
     }
 
@@ -325,7 +325,7 @@
     /// polls).
     fn next_index(&self) -> Option<usize> {
         let find = |wanted: &dyn Fn(&QueuedOp) -> bool| self.queue.iter().position(wanted);
-        let is_own = |queued: &QueuedOp| queued.lane != OpClass::General;
+        let is_own = |queued: &QueuedOp| queued.class != OpClass::General;
         if let Some(read) = find(&|queued| is_own(queued) && change_count(&queued.op) <= 0.0) {
             return Some(read);
         }
@@ -361,22 +361,22 @@
     pub fn take_expired(&mut self, now: Mono) -> Vec<OpId> {
         // All have the same time-out, so the first one queued expires first. Checking only that one keeps this cheap:
         // it is called at every event.
-        let first = self.queue.iter().find(|queued| queued.lane != OpClass::Write);
+        let first = self.queue.iter().find(|queued| queued.class != OpClass::Write);
         if first.is_none_or(|queued| now < queued.expires_at) {
             return Vec::new();
         }
         let (remaining, expired): (VecDeque<_>, VecDeque<_>) = self
             .queue
             .drain(..)
-            .partition(|queued| now < queued.expires_at || queued.lane == OpClass::Write);
+            .partition(|queued| now < queued.expires_at || queued.class == OpClass::Write);
         self.queue = remaining;
         expired.into_iter().map(|queued| queued.id).collect()
     }
 
     /// Handles the reply to an operation and returns the operation's purpose.
     pub fn complete(&mut self, now: Mono, id: OpId, reply: &StoreReply, jitter: f64) -> Option<P> {
-        let (lane, purpose) = self.purposes.remove(&id)?;
-        if lane == OpClass::General && *reply != StoreReply::Unsent {
+        let (class, purpose) = self.purposes.remove(&id)?;
+        if class == OpClass::General && *reply != StoreReply::Unsent {
             self.open_inflight = self.open_inflight.saturating_sub(1);
         }
         match reply {
@@ -443,7 +443,7 @@
         for ms in (0..60_000).step_by(10) {
             let now = Mono(ms);
             // A transaction is always waiting, and four submissions arrive per second.
-            if !store.queue.iter().any(|queued| queued.lane == OpClass::Write) {
+            if !store.queue.iter().any(|queued| queued.class == OpClass::Write) {
                 assert!(store.submit(now, OpClass::Write, txn(16), 1, &mut sent).is_ok());
             }
             if ms % 250 == 0 {
@@ -454,8 +454,8 @@
                 expired += 1;
                 let _ = store.complete(now, late, &StoreReply::Unsent, 0.0);
             }
-            for (id, lane, op) in sent.split_off(0) {
-                changes[usize::from(lane == OpClass::General)] += change_count(&op) as u32;
+            for (id, class, op) in sent.split_off(0) {
+                changes[usize::from(class == OpClass::General)] += change_count(&op) as u32;
                 assert!(store.complete(now, id, &StoreReply::Touched, 0.0).is_some());
             }
         }
@@ -513,7 +513,9 @@
                     _ => own += 1,
                 }
             }
-            assert!(store.queue.iter().filter(|queued| queued.lane == OpClass::Write).count() <= 3);
+            assert!(
+                store.queue.iter().filter(|queued| queued.class == OpClass::Write).count() <= 3
+            );
         }
         assert!(own >= 58 && submitted >= 39, "{own} of the leader, {submitted} submissions");
         assert!(reads > 700, "{reads} reads");
