--- a/crates/core/src/constants.rs
+++ b/crates/core/src/constants.rs
@@ -2,22 +2,23 @@
 
 use oatloom_protocol::ids::Millis;
 
-// --- Control loop (Dithen paper) --------------------------------------------
+// --- Control loop (design specification) ------------------------------------
 
-/// Cores added by one step of the additive increase; α of the paper.
+/// Cores added by one step of the additive increase; α of the Dithen paper.
 pub const ALPHA_CORES: f64 = 5.0;
-/// Factor of the multiplicative decrease; β of the paper.
+/// Factor of the multiplicative decrease; β of the Dithen paper.
 pub const BETA: f64 = 0.9;
-/// Variance added per tick (σz²), in (core-seconds)²; from the paper.
+/// Variance added per tick (σz²), in (core-seconds)²; from the Dithen paper.
 pub const PROCESS_VARIANCE: f64 = 0.5;
-/// Variance of a measurement (σv²), in (core-seconds)²; from the paper.
+/// Variance of a measurement (σv²), in (core-seconds)²; from the Dithen paper.
 pub const MEASUREMENT_VARIANCE: f64 = 0.5;
-/// Cores that a job gets before its first measurement; the paper's cap.
+/// Cores that a job gets before its first measurement; the cap of the Dithen paper.
 pub const UNMEASURED_CAP_CORES: f64 = 10.0;
-/// Time in which a job without any deadline is to be done, in seconds (from the paper).
+/// Time in which a job without any deadline is to be done, in seconds (design specification).
 pub const DEFAULT_DEADLINE_S: f64 = 600.0;
-/// Default period of the control loop. The paper's 10 s adds one big machine per 100 s, too slow
-/// for objectives of seconds; half a second keeps α and reaches a machine of 48 cores in five.
+/// Default period of the control loop. The 10 s of the design specification add one big machine per
+/// 100 s, too slow for objectives of seconds; half a second keeps α and reaches a machine of 48
+/// cores in five.
 pub const TICK_PERIOD_MS: Millis = Millis(500);
 /// Period of the cuts of rented cores by β. Cores are added at every tick, but a machine given up
 /// too early costs another boot: with a cut every half second, machines were returned and hired
@@ -35,10 +36,10 @@
 
 // --- Clocks and leadership --------------------------------------------------
 
-/// What a process's steady clock shows at its start: jobs are older than the process that takes
+/// Value of a process's monotonic clock at its start: jobs are older than the process that takes
 /// them over, and their times must not be clamped to 0, which stands for "never".
 pub const CLOCK_START_MS: Millis = Millis(1_000_000_000);
-/// Bound on the drift between two steady clocks, as a share; twice the 0.05% of the protocol.
+/// Bound on the drift between two monotonic clocks, as a share; twice the 0.05% of the protocol.
 pub const MAX_CLOCK_DRIFT: f64 = 0.001;
 /// Time to live of the leader's lease: several renewals may be lost before a takeover, and a
 /// takeover is still much quicker than the expiry of a worker's lease.
@@ -52,8 +53,8 @@
 pub const LEADER_KEY_POLL_PERIOD_MS: Millis = Millis(3_000);
 /// A read of the leader key that is not answered after this long is sent again in parallel: longer
 /// than the state service usually takes, so often that one of several reads is answered before
-/// [`UNHEALTHY_STORE_SILENCE_MS`], and so rarely that those under way ([`LEASE_RENEWAL_TIMEOUT_MS`] each) leave
-/// one of [`MAX_LEASE_INFLIGHT`] calls to a claim.
+/// [`UNHEALTHY_STORE_SILENCE_MS`], and so rarely that those under way ([`LEASE_RENEWAL_TIMEOUT_MS`]
+/// each) leave one of [`MAX_LEASE_INFLIGHT`] calls to a claim.
 pub const LEADER_KEY_READ_RETRY_MS: Millis = Millis(1_000);
 /// Pause after a failed claim of the leader key, plus up to as much again at random.
 pub const CLAIM_RETRY_PAUSE_MS: Millis = Millis(300);
@@ -197,7 +198,7 @@
 
 // --- Users ------------------------------------------------------------------
 
-/// How long a question may wait for the leader before the state service is read instead.
+/// How long a query may wait for the leader before the state service is read instead.
 pub const LEADER_QUERY_TIMEOUT_MS: Millis = Millis(700);
 /// After this long a waiting user request is answered with 503; users wait 2 s for most answers.
 pub const USER_REQUEST_TIMEOUT_MS: Millis = Millis(1_700);
@@ -222,22 +223,22 @@
 /// known here once the watch delivers its acceptance.
 pub const DEPENDENCY_RETRY_MS: Millis = Millis(1_000);
 /// Requests from users under way at once, as a share of the connections, and the minimum; beyond it
-/// users are told to retry later. Without a leader each waits for [`LEADER_QUERY_TIMEOUT_MS`]: at 6,000
-/// machines 1,250 polls a second are 875 at once.
+/// users are told to retry later. Without a leader each waits for [`LEADER_QUERY_TIMEOUT_MS`]: at
+/// 6,000 machines 1,250 polls a second are 875 at once.
 pub const MAX_USER_INFLIGHT_SHARE: f64 = 0.5;
 pub const MIN_USER_INFLIGHT_LIMIT: usize = 600;
 /// A controller whose calls to the state service all failed for this long reports it at `/up` if a
 /// peer is better off.
 pub const UNHEALTHY_STORE_SILENCE_MS: Millis = Millis(6_000);
 
-/// After this long without an answer of the leader to any question a controller reports that it
+/// After this long without an answer of the leader to any query a controller reports that it
 /// cannot take requests: well under the 75 s within which each job has to be answered for, and
 /// longer than most partitions between controllers.
 pub const LEADER_UNREACHABLE_MS: Millis = Millis(30_000);
-/// Questions that failed further apart than this do not count as one continuous time without an
+/// Queries that failed further apart than this do not count as one continuous time without an
 /// answer: longer than the period of probes of a peer that is considered down.
 pub const MAX_UNANSWERED_GAP_MS: Millis = Millis(15_000);
-/// How long that state lasts after the last unanswered question: several probes.
+/// How long that state lasts after the last unanswered query: several probes.
 pub const LEADER_UNREACHABLE_TTL_MS: Millis = Millis(10_000);
 /// How often due probes of peers are checked for: a quarter of the probe period.
 pub const PEER_PROBE_CHECK_PERIOD_MS: Millis = Millis(500);
@@ -323,8 +324,8 @@
 pub const SILENT_REPORT_PERIODS: f64 = 3.5;
 /// Share of that time after which a machine counts as silent in the detection of partitions.
 pub const EARLY_SILENCE_SHARE: f64 = 0.6;
-/// As [`SILENT_REPORT_PERIODS`] for a machine that the cloud has announced to reclaim: it is most likely
-/// gone.
+/// As [`SILENT_REPORT_PERIODS`] for a machine that the cloud has announced to reclaim: it is most
+/// likely gone.
 pub const RECLAIMED_REPORT_PERIODS: f64 = 1.7;
 /// Seconds that a worker may need to find a new leader: a timeout, then one attempt per second.
 pub const MAX_REDIRECT_S: f64 = 8.0;
@@ -351,7 +352,7 @@
 pub const MAX_ERROR_RETRY_PAUSE_MS: Millis = Millis(60_000);
 /// A task that has run this long shows that its job's specification is sound.
 pub const MIN_SOUND_RUN_MS: Millis = Millis(30_000);
-/// Maximum number of machines that a final answer names as where a job failed.
+/// Maximum number of machines that a final record names as where a job failed.
 pub const MAX_FAILURE_HOSTS: usize = 20;
 /// Pause of a machine that refused a start for lack of room: its next reports show why.
 pub const NO_ROOM_PAUSE_MS: Millis = Millis(5_000);
@@ -433,7 +434,7 @@
 pub const PREEMPTION_SEARCH_STEPS: u64 = 8;
 /// Processor time of one step of a placement pass, in nanoseconds, on a machine of 2026.
 pub const STEP_NS: f64 = 60.0;
-/// Share of this controller's processor that placement may take: reports, renewals and questions
+/// Share of this controller's processor that placement may take: reports, renewals and queries
 /// need the rest.
 pub const MAX_PLACEMENT_CPU_SHARE: f64 = 0.3;
 /// Machines per tick for which it is checked whether their services would find room elsewhere.
--- a/crates/core/src/jobs/dependencies.rs
+++ b/crates/core/src/jobs/dependencies.rs
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Notes that a dependency was inserted into the job table, so that its end is learned here without a read.
+    /// Records that a dependency was inserted into the job table, so that its end is learned here without a read.
     pub(super) fn dependency_opened(&mut self, id: &JobId) {
         self.dependencies.unresolved.remove(id);
     }
--- a/crates/core/src/jobs/job.rs
+++ b/crates/core/src/jobs/job.rs
@@ -300,21 +300,21 @@
 
     pub fn assignment(&self, index: u32) -> Option<&TaskAssignment> {
         match self.tasks.get(index as usize) {
-            Some(TaskState::Assigned(hold)) => Some(hold),
+            Some(TaskState::Assigned(assignment)) => Some(assignment),
             _ => None,
         }
     }
 
     pub fn assignment_mut(&mut self, index: u32) -> Option<&mut TaskAssignment> {
         match self.tasks.get_mut(index as usize) {
-            Some(TaskState::Assigned(hold)) => Some(hold),
+            Some(TaskState::Assigned(assignment)) => Some(assignment),
             _ => None,
         }
     }
 
     pub fn assignments(&self) -> impl Iterator<Item = (u32, &TaskAssignment)> {
         self.tasks.iter().enumerate().filter_map(|(i, t)| match t {
-            TaskState::Assigned(hold) => Some((i as u32, &**hold)),
+            TaskState::Assigned(assignment) => Some((i as u32, &**assignment)),
             _ => None,
         })
     }
@@ -322,7 +322,7 @@
     /// Whether the task's assignment is durable, so that it may be sent to the worker.
     pub fn assignment_durable(&self, index: u32) -> bool {
         let chunk = &self.chunks[(index / TASKS_PER_CHUNK) as usize];
-        self.assignment(index).is_some_and(|hold| hold.chunk_version <= chunk.durable)
+        self.assignment(index).is_some_and(|assignment| assignment.chunk_version <= chunk.durable)
     }
 
     /// Whether all known changes of the task are durable, so that its worker may discard its result.
--- a/crates/core/src/jobs/mod.rs
+++ b/crates/core/src/jobs/mod.rs
@@ -151,10 +151,10 @@
         }
         let Some(job) = self.jobs.get_mut(id) else { return Vec::new() };
         let finished = job.state == JobState::Finished;
-        let Some(slot) = job.chunks.get_mut(chunk as usize) else {
+        let Some(chunk_state) = job.chunks.get_mut(chunk as usize) else {
             return Vec::new();
         };
-        slot.key_version = revision;
+        chunk_state.key_version = revision;
         job.charges.restore(record.charges);
         if !record.usage.is_empty() && self.usage_accounting.is_some() {
             job.usage.insert(chunk, record.usage);
@@ -166,9 +166,9 @@
                 job.done += 1;
             }
         }
-        let mut held = Vec::new();
+        let mut assignments = Vec::new();
         for (index, attempt, host, session, zone) in record.assignments {
-            let hold = TaskAssignment {
+            let assignment = TaskAssignment {
                 host: host.clone(),
                 session,
                 zone,
@@ -181,17 +181,17 @@
                 reported_run_ms: None,
                 stop: None,
             };
-            if self.hold_in_memory(id, index, hold) {
-                held.push((index, host, session));
+            if self.add_assignment(id, index, assignment) {
+                assignments.push((index, host, session));
             }
         }
         if finished {
             self.enqueue(WriteItem::Chunk(id.clone(), chunk), WritePriority::Deferred);
         }
-        held
+        assignments
     }
 
-    fn hold_in_memory(&mut self, id: &JobId, index: u32, hold: TaskAssignment) -> bool {
+    fn add_assignment(&mut self, id: &JobId, index: u32, assignment: TaskAssignment) -> bool {
         let Some(job) = self.jobs.get_mut(id) else { return false };
         let Some(task) = job.tasks.get_mut(index as usize) else { return false };
         // Guards against a plan that places a task twice, which made it run on two machines at once.
@@ -201,33 +201,33 @@
         }
         if job.spec.shape == Shape::Gang {
             match job.gang {
-                GangState::Idle => job.gang = GangState::Gathering(hold.attempt),
-                GangState::Gathering(attempt) if attempt == hold.attempt => {}
-                _ => job.gang = GangState::Clearing(hold.attempt),
+                GangState::Idle => job.gang = GangState::Gathering(assignment.attempt),
+                GangState::Gathering(attempt) if attempt == assignment.attempt => {}
+                _ => job.gang = GangState::Clearing(assignment.attempt),
             }
         }
         job.assigned += 1;
-        job.placed_at = Some(hold.assigned_at);
-        *job.zones.entry(hold.zone.clone()).or_default() += 1;
+        job.placed_at = Some(assignment.assigned_at);
+        *job.zones.entry(assignment.zone.clone()).or_default() += 1;
         let usage = self.usage.entry(job.spec.team.clone()).or_default();
         usage.cpus += job.spec.cpus;
         usage.gpus += job.spec.gpus;
-        *task = TaskState::Assigned(Box::new(hold));
+        *task = TaskState::Assigned(Box::new(assignment));
         true
     }
 
     /// Assigns a task to a machine, if the assignment record has room; the assignment still has to become durable.
-    pub fn assign(&mut self, id: &JobId, index: u32, mut hold: TaskAssignment) -> bool {
-        if !self.record_has_room(id, index, &hold) {
+    pub fn assign(&mut self, id: &JobId, index: u32, mut assignment: TaskAssignment) -> bool {
+        if !self.record_has_room(id, index, &assignment) {
             return false;
         }
         let Some(job) = self.jobs.get(id) else { return false };
-        hold.chunk_version = job.chunks[(index / TASKS_PER_CHUNK) as usize].version + 1;
-        let held = self.hold_in_memory(id, index, hold);
-        if held {
+        assignment.chunk_version = job.chunks[(index / TASKS_PER_CHUNK) as usize].version + 1;
+        let added = self.add_assignment(id, index, assignment);
+        if added {
             self.mark_changed(id, index, WritePriority::Immediate);
         }
-        held
+        added
     }
 
     /// Releases an assigned task that is proven gone from its machine: it is done, or becomes pending again.
@@ -239,12 +239,12 @@
             return;
         };
         match task {
-            TaskState::Assigned(hold) => {
+            TaskState::Assigned(assignment) => {
                 job.assigned -= 1;
-                if let Some(count) = job.zones.get_mut(&hold.zone) {
+                if let Some(count) = job.zones.get_mut(&assignment.zone) {
                     *count -= 1;
                     if *count == 0 {
-                        job.zones.remove(&hold.zone);
+                        job.zones.remove(&assignment.zone);
                     }
                 }
                 if let Some(usage) = self.usage.get_mut(&job.spec.team) {
--- a/crates/core/src/jobs/packed.rs
+++ b/crates/core/src/jobs/packed.rs
@@ -117,8 +117,8 @@
 }
 
 /// Packs the assignments and failures of a chunk whose first task is `first`.
-pub(super) fn pack(first: u32, held: &[AssignmentRow], charges: &ChargeRecord) -> String {
-    let mut sorted: Vec<&AssignmentRow> = held.iter().collect();
+pub(super) fn pack(first: u32, assignments: &[AssignmentRow], charges: &ChargeRecord) -> String {
+    let mut sorted: Vec<&AssignmentRow> = assignments.iter().collect();
     sorted.sort_by_key(|(task, attempt, ..)| (*attempt, *task));
     let pattern = NamePattern::of(sorted.iter().map(|(_, _, host, ..)| host.as_str()));
     let mut packed =
@@ -176,7 +176,7 @@
         postcard::from_bytes(&bytes).map_err(|e| PackedError::Decode(e.to_string()))?;
     let first = packed.first;
     let mut named: BTreeMap<u32, HostId> = packed.named.into_iter().collect();
-    let mut held = Vec::new();
+    let mut assignments = Vec::new();
     let (mut attempt, mut host, mut session) = (0u64, 0i64, 0i64);
     for (index, row) in packed.rows.iter().enumerate() {
         let invalid = |field| PackedError::Row { row: index, field };
@@ -187,7 +187,7 @@
         let task = Some(row.task).filter(|task| *task < TASKS_PER_CHUNK).ok_or(invalid("task"))?;
         let name = named.remove(&(index as u32));
         let name = name.unwrap_or_else(|| HostId::new(&packed.pattern.name(host)));
-        held.push((
+        assignments.push((
             first.saturating_add(task),
             Attempt(attempt),
             name,
@@ -195,8 +195,8 @@
             zone.clone(),
         ));
     }
-    held.sort_by_key(|(task, ..)| *task);
-    Ok(Unpacked { assignments: held, charges: unpack_charges(first, packed.charges) })
+    assignments.sort_by_key(|(task, ..)| *task);
+    Ok(Unpacked { assignments, charges: unpack_charges(first, packed.charges) })
 }
 
 fn unpack_charges(first: u32, packed: PackedCharges) -> ChargeRecord {
--- a/crates/core/src/jobs/packed/tests.rs
+++ b/crates/core/src/jobs/packed/tests.rs
@@ -11,7 +11,7 @@
 fn random_assignments(rng: &mut ChaCha8Rng, first: u32) -> Vec<AssignmentRow> {
     let names = ["i-", "m", "", "węzeł-", "a-b-0"];
     let prefix = names[rng.random_range(0..names.len())];
-    let mut held = Vec::new();
+    let mut assignments = Vec::new();
     for task in
         (first..first + TASKS_PER_CHUNK).filter(|_| rng.random_bool(0.7)).collect::<Vec<_>>()
     {
@@ -25,9 +25,15 @@
         let attempt = if rng.random_bool(0.02) { u64::MAX } else { attempt };
         let session = if rng.random_bool(0.05) { rng.random() } else { rng.random_range(1..4) };
         let zone = Zone::new(["a", "b", "c"][rng.random_range(0..3)]);
-        held.push((task, Attempt(attempt), HostId::new(&host), WorkerSession(session), zone));
+        assignments.push((
+            task,
+            Attempt(attempt),
+            HostId::new(&host),
+            WorkerSession(session),
+            zone,
+        ));
     }
-    held
+    assignments
 }
 
 fn random_charges(rng: &mut ChaCha8Rng, first: u32) -> ChargeRecord {
@@ -48,10 +54,10 @@
     for seed in 0..500 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let first = rng.random_range(0..1_041) * TASKS_PER_CHUNK;
-        let held = random_assignments(&mut rng, first);
+        let assignments = random_assignments(&mut rng, first);
         let charges = random_charges(&mut rng, first);
-        let text = pack(first, &held, &charges);
-        assert_eq!(unpack(&text), Ok(Unpacked { assignments: held, charges }), "seed {seed}");
+        let text = pack(first, &assignments, &charges);
+        assert_eq!(unpack(&text), Ok(Unpacked { assignments, charges }), "seed {seed}");
     }
 }
 
@@ -60,7 +66,7 @@
 fn a_full_chunk_packs_small() {
     for seed in 0..100 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let held: Vec<AssignmentRow> = (0..TASKS_PER_CHUNK)
+        let assignments: Vec<AssignmentRow> = (0..TASKS_PER_CHUNK)
             .map(|task| {
                 let leader = if rng.random_bool(0.5) { 412u64 } else { 91_234 };
                 let attempt = (leader << 20) + rng.random_range(0..20_000u64);
@@ -68,7 +74,7 @@
                 assignment(task, attempt, &host, ["a", "b", "c"][rng.random_range(0..3)])
             })
             .collect();
-        let text = pack(0, &held, &ChargeRecord::default());
+        let text = pack(0, &assignments, &ChargeRecord::default());
         assert!(text.len() <= 96 * 12, "seed {seed}: {} bytes", text.len());
     }
 }
@@ -76,8 +82,8 @@
 /// Reading damaged text never panics; truncated text and values out of range are errors.
 #[test]
 fn a_damaged_packed_record_is_rejected() {
-    let held = [assignment(3, 7, "i-000001", "a"), assignment(4, 9, "i-000002", "b")];
-    let text = pack(0, &held, &ChargeRecord::default());
+    let assignments = [assignment(3, 7, "i-000001", "a"), assignment(4, 9, "i-000002", "b")];
+    let text = pack(0, &assignments, &ChargeRecord::default());
     for length in 0..text.len() {
         assert!(unpack(&text[..length]).is_err(), "truncated to {length}");
     }
--- a/crates/core/src/jobs/record_limits.rs
+++ b/crates/core/src/jobs/record_limits.rs
@@ -131,33 +131,36 @@
         &mut self,
         id: &JobId,
         index: u32,
-        hold: &TaskAssignment,
+        assignment: &TaskAssignment,
     ) -> bool {
         let Some(job) = self.jobs.get(id) else { return false };
         let chunk = index / TASKS_PER_CHUNK;
         let limit = self.limits.chunk().saturating_sub(USAGE_RESERVE_BYTES);
         let range = job.chunk_range(chunk);
-        let max_bytes = |hold: &TaskAssignment| {
-            2 * (hold.host.as_str().len() + hold.zone.as_str().len()) + MAX_ASSIGNMENT_BYTES
+        let max_bytes = |assignment: &TaskAssignment| {
+            2 * (assignment.host.as_str().len() + assignment.zone.as_str().len())
+                + MAX_ASSIGNMENT_BYTES
         };
-        let held_bytes: usize =
+        let assigned_bytes: usize =
             range.clone().filter_map(|task| job.assignment(task)).map(max_bytes).sum();
-        if !self.failures_limited && held_bytes + max_bytes(hold) + MAX_CHUNK_HEADER_BYTES <= limit
+        if !self.failures_limited
+            && assigned_bytes + max_bytes(assignment) + MAX_CHUNK_HEADER_BYTES <= limit
         {
             return true;
         }
         let mut record = job.record(chunk);
         record.usage = Default::default();
         record.charges.merge_hosts();
-        let (host, zone) = (hold.host.clone(), hold.zone.clone());
-        record.assignments.push((index, hold.attempt, host, hold.session, zone));
+        let (host, zone) = (assignment.host.clone(), assignment.zone.clone());
+        record.assignments.push((index, assignment.attempt, host, assignment.session, zone));
         let fits = size(&record.value(self.limits.form, chunk * TASKS_PER_CHUNK)) <= limit;
         if !fits && !self.full_record_logged {
             self.full_record_logged = true;
-            let held = record.assignments.len() - 1;
+            let assigned_count = record.assignments.len() - 1;
             log::warn!(
-                "job {id}: only {held} of the {} tasks that share an assignment record can be assigned at once, \
-                 since machine names are long and the record is limited to {limit} bytes; logged only once",
+                "job {id}: only {assigned_count} of the {} tasks that share an assignment record can be \
+                 assigned at once, since machine names are long and the record is limited to {limit} bytes; \
+                 logged only once",
                 range.len()
             );
         }
--- a/crates/core/src/jobs/record_limits/tests.rs
+++ b/crates/core/src/jobs/record_limits/tests.rs
@@ -11,7 +11,7 @@
     Condition { key: "lead".into(), version: Revision(1) }
 }
 
-fn hold(host: &str, attempt: u64) -> TaskAssignment {
+fn assignment(host: &str, attempt: u64) -> TaskAssignment {
     TaskAssignment {
         host: HostId::new(host),
         session: WorkerSession(1),
@@ -69,7 +69,11 @@
     let (mut job_table, id) = job_table(100_000, SMALL);
     job_table.usage_accounting = Some(UsageAccounting::default());
     for task in 960..1_056 {
-        assert!(job_table.assign(&id, task, hold(&format!("i-{:06}", task * 37 % 4_000), 7 << 41)));
+        assert!(job_table.assign(
+            &id,
+            task,
+            assignment(&format!("i-{:06}", task * 37 % 4_000), 7 << 41)
+        ));
     }
     for n in 0..40u32 {
         let entry = entry(970, &format!("kivotos-{}", n % 20), 20_000 + u64::from(n % 2));
@@ -95,16 +99,16 @@
 fn assignments_are_limited_to_what_a_record_takes() {
     let (mut job_table, id) = job_table(96, SMALL);
     let name = |n: u32| format!("{n}-{}", "x".repeat(100));
-    let held = (0..96).filter(|n| job_table.assign(&id, *n, hold(&name(*n), 5))).count();
-    assert!((5..20).contains(&held), "{held}");
+    let assigned = (0..96).filter(|n| job_table.assign(&id, *n, assignment(&name(*n), 5))).count();
+    assert!((5..20).contains(&assigned), "{assigned}");
     let (txn, written) = job_table.next_txn(fence(), 5, Mono(10_000)).unwrap();
     let Change::Put { value, .. } = &txn.changes[0] else { panic!("{txn:?}") };
     assert!(size(value) <= SMALL.value);
     job_table.committed(&written, Revision(9));
-    assert_eq!((0..96).filter(|n| job_table.jobs[&id].assignment_durable(*n)).count(), held);
+    assert_eq!((0..96).filter(|n| job_table.jobs[&id].assignment_durable(*n)).count(), assigned);
     // A task that has ended makes room for another.
     job_table.unassign(&id, 0, true);
-    assert!(job_table.assign(&id, 95, hold(&name(95), 6)));
+    assert!(job_table.assign(&id, 95, assignment(&name(95), 6)));
 }
 
 /// A larger record of an earlier version is read, rewritten within the limit once it fits, and deleted with the job's
@@ -114,7 +118,7 @@
     for long in [8, 100] {
         let name = |n: u32| format!("{n}-{}", "x".repeat(long));
         let (mut old, id) = job_table(96, RecordLimits { most: 16_384, ..RecordLimits::default() });
-        assert!((0..96).all(|n| old.assign(&id, n, hold(&name(n), 5))));
+        assert!((0..96).all(|n| old.assign(&id, n, assignment(&name(n), 5))));
         let stored = old.jobs[&id].record(0);
         let (mut new, _) = job_table(96, SMALL);
         assert_eq!(new.load_chunk(&id, 0, stored, Revision(7), Mono(5)).len(), 96);
@@ -183,7 +187,7 @@
 #[test]
 fn row_form_matches_the_earlier_version() {
     let (mut job_table, id) = job_table(3, RecordLimits::default());
-    assert!(job_table.assign(&id, 1, hold("i-000231", (7 << 20) + 3)));
+    assert!(job_table.assign(&id, 1, assignment("i-000231", (7 << 20) + 3)));
     let (txn, _) = job_table.next_txn(fence(), 16, Mono(10_000)).unwrap();
     let Change::Put { value, .. } = &txn.changes[0] else { panic!("{txn:?}") };
     let text = r#"{"a":[[1,7340035,"i-000231",1,"kalamaria"]],"d":"0","u":["t",1.0,0.0,1.0,3]}"#;
@@ -197,7 +201,7 @@
 fn an_item_rejected_on_its_own_delays_no_other() {
     let (mut job_table, id) = job_table(960, SMALL);
     for task in (0..960).step_by(96) {
-        assert!(job_table.assign(&id, task, hold("i-000001", 5)));
+        assert!(job_table.assign(&id, task, assignment("i-000001", 5)));
     }
     let rejected_key = chunk_key(&id, 3);
     let (mut rejected_sizes, mut revision, mut now) = (Vec::new(), 10, Mono(10_000));
--- a/crates/core/src/jobs/records.rs
+++ b/crates/core/src/jobs/records.rs
@@ -167,15 +167,15 @@
     type Error = PackedError;
 
     fn try_from(stored: StoredChunk) -> Result<Self, PackedError> {
-        let StoredChunk { done, assignments: held, size, charges, usage, packed } = stored;
-        let (held, charges) = match packed {
+        let StoredChunk { done, assignments, size, charges, usage, packed } = stored;
+        let (assignments, charges) = match packed {
             Some(text) => {
                 let unpacked = packed::unpack(&text)?;
                 (unpacked.assignments, unpacked.charges)
             }
-            None => (held, charges),
+            None => (assignments, charges),
         };
-        Ok(Self { done, assignments: held, size, charges, usage })
+        Ok(Self { done, assignments, size, charges, usage })
     }
 }
 
--- a/crates/core/src/jobs/tests.rs
+++ b/crates/core/src/jobs/tests.rs
@@ -41,7 +41,7 @@
     Condition { key: "lead".into(), version: Revision(1) }
 }
 
-fn hold(host: &str) -> TaskAssignment {
+fn assignment(host: &str) -> TaskAssignment {
     TaskAssignment {
         host: HostId::new(host),
         session: WorkerSession(1),
@@ -70,7 +70,7 @@
 fn a_full_chunk_fits_a_value() {
     let (mut job_table, id) = job_table(MAX_TASKS);
     for index in MAX_TASKS - 64..MAX_TASKS {
-        let mut full = hold("i-0000000231");
+        let mut full = assignment("i-0000000231");
         full.attempt = Attempt(1 << 52);
         full.zone = Zone::new("a-long-zone-name");
         job_table.assign(&id, index, full);
@@ -89,9 +89,9 @@
 #[test]
 fn an_assignment_is_durable_only_when_committed() {
     let (mut job_table, id) = job_table(3);
-    job_table.assign(&id, 0, hold("i-1"));
+    job_table.assign(&id, 0, assignment("i-1"));
     let (_, first) = next(&mut job_table).unwrap();
-    job_table.assign(&id, 1, hold("i-2"));
+    job_table.assign(&id, 1, assignment("i-2"));
     assert!(!job_table.get(&id).unwrap().assignment_durable(0));
     job_table.committed(&first, Revision(7));
     let job = job_table.get(&id).unwrap();
@@ -107,8 +107,8 @@
 fn an_assigned_task_is_not_assigned_again() {
     let (mut job_table, id) = job_table(2);
     assert!(job_table.jobs.get_mut(&id).unwrap().pending_tasks(0, Mono(0)).is_empty());
-    assert!(job_table.assign(&id, 0, hold("i-1")));
-    assert!(!job_table.assign(&id, 0, hold("i-2")));
+    assert!(job_table.assign(&id, 0, assignment("i-1")));
+    assert!(!job_table.assign(&id, 0, assignment("i-2")));
     let job = job_table.get(&id).unwrap();
     assert_eq!((job.assigned, job.assignment(0).unwrap().host.as_str()), (1, "i-1"));
 }
@@ -117,7 +117,7 @@
 #[test]
 fn an_end_is_reported_only_when_durable() {
     let (mut job_table, id) = job_table(1);
-    job_table.assign(&id, 0, hold("i-1"));
+    job_table.assign(&id, 0, assignment("i-1"));
     let (_, written) = next(&mut job_table).unwrap();
     job_table.committed(&written, Revision(6));
     job_table.end(&id, JobStatus::Cancelled, "test");
@@ -145,7 +145,7 @@
 #[test]
 fn ends_of_tasks_share_a_write_and_the_jobs_end_deletes_the_record() {
     let (mut job_table, id) = job_table(3);
-    (0..3).for_each(|i| assert!(job_table.assign(&id, i, hold("i-1"))));
+    (0..3).for_each(|i| assert!(job_table.assign(&id, i, assignment("i-1"))));
     let (_, written) = job_table.next_txn(fence(), 16, Mono(0)).unwrap();
     job_table.committed(&written, Revision(6));
     job_table.unassign(&id, 0, true);
@@ -167,7 +167,7 @@
 #[test]
 fn a_record_written_with_the_end_is_deleted() {
     let (mut job_table, id) = job_table(1);
-    job_table.assign(&id, 0, hold("i-1"));
+    job_table.assign(&id, 0, assignment("i-1"));
     job_table.end(&id, JobStatus::Cancelled, "test");
     job_table.unassign(&id, 0, false);
     let (_, written) = job_table.next_txn(fence(), 16, Mono(0)).unwrap();
@@ -182,12 +182,12 @@
 #[test]
 fn records_reload_as_written() {
     let (mut original, id) = job_table(200);
-    original.assign(&id, 100, hold("i-7"));
+    original.assign(&id, 100, assignment("i-7"));
     original.unassign(&id, 101, true);
     let record = original.get(&id).unwrap().record(1);
     let (mut reloaded, _) = job_table(200);
-    let held = reloaded.load_chunk(&id, 1, record.clone(), Revision(3), Mono(5));
-    assert_eq!(held, vec![(100, HostId::new("i-7"), hold("i-7").session)]);
+    let assignments = reloaded.load_chunk(&id, 1, record.clone(), Revision(3), Mono(5));
+    assert_eq!(assignments, vec![(100, HostId::new("i-7"), assignment("i-7").session)]);
     let job = reloaded.get(&id).unwrap();
     assert_eq!((job.done, job.assigned), (1, 1));
     assert_eq!(job.assignment(100).unwrap().run_sent, RunSent::Inherited);
@@ -217,7 +217,7 @@
 fn races_with_a_failure_have_one_winner() {
     let failing = || {
         let (mut job_table, id) = job_table(2);
-        job_table.assign(&id, 1, hold("i-1"));
+        job_table.assign(&id, 1, assignment("i-1"));
         job_table.fail(&id, OnExhausted::FailJob, retries_used_up());
         // No final status is decided yet, so the user still sees the job as queued.
         assert_eq!(job_table.view(&id).map(|view| view.status), Some(JobStatus::Queued));
@@ -247,7 +247,7 @@
 #[test]
 fn a_failure_is_written_with_the_end_of_its_assignment() {
     let (mut job_table, id) = job_table(200);
-    job_table.assign(&id, 100, hold("i-7"));
+    job_table.assign(&id, 100, assignment("i-7"));
     let (_, written) = next(&mut job_table).unwrap();
     job_table.committed(&written, Revision(6));
     job_table.unassign(&id, 100, false);
@@ -275,7 +275,7 @@
     let (mut job_table, id) = job_table(TASKS_PER_CHUNK);
     job_table.usage_accounting = Some(UsageAccounting::default());
     for index in 0..TASKS_PER_CHUNK {
-        let mut full = hold(&format!("i-{index:06}"));
+        let mut full = assignment(&format!("i-{index:06}"));
         full.attempt = Attempt(1 << 40);
         job_table.assign(&id, index, full);
         let charges = &mut job_table.jobs.get_mut(&id).unwrap().charges;
@@ -328,12 +328,12 @@
 #[test]
 fn a_late_first_write_does_not_recreate_a_deleted_record() {
     let (mut job_table, id) = job_table(1);
-    job_table.assign(&id, 0, hold("i-1"));
+    job_table.assign(&id, 0, assignment("i-1"));
     let (first, written) = next(&mut job_table).unwrap();
     let needs = |txn: &Txn, key: String| txn.conditions.iter().any(|c| c.key == key);
     assert!(needs(&first, live_key(&id)));
     job_table.committed(&written, Revision(6));
-    job_table.assign(&id, 0, hold("i-1"));
+    job_table.assign(&id, 0, assignment("i-1"));
     job_table.unassign(&id, 0, false);
     let (later, _) = next(&mut job_table).unwrap();
     assert!(!needs(&later, live_key(&id)), "the record's own version is the condition");
@@ -344,7 +344,7 @@
 #[test]
 fn usage_moves_with_the_write_that_deletes_its_record() {
     use oatloom_ledger::rollup::{Cursor, LoadProgress};
-    let account_attempt = |job_table: &mut JobTable, id: &JobId, index| {
+    let record_attempt = |job_table: &mut JobTable, id: &JobId, index| {
         let e = entry_of(job_table, id, index);
         job_table.record_usage(&e);
     };
@@ -357,8 +357,8 @@
     };
     // The job ends with no task assigned: one transaction moves the usage, and nothing else is written.
     let (mut job_table, id) = with_accounting(1);
-    job_table.assign(&id, 0, hold("i-1"));
-    account_attempt(&mut job_table, &id, 0);
+    job_table.assign(&id, 0, assignment("i-1"));
+    record_attempt(&mut job_table, &id, 0);
     job_table.unassign(&id, 0, true);
     job_table.end(&id, JobStatus::Done, "test");
     let (txn, written) = job_table.next_txn(fence(), 16, Mono(0)).unwrap();
@@ -373,13 +373,13 @@
     assert_eq!(job_table.usage_accounting.as_ref().unwrap().rollups.pending_count(), 1);
     // The job ends with a task assigned: once the task is gone, its record is deleted and the roll-up written with it.
     let (mut job_table, id) = with_accounting(1);
-    job_table.assign(&id, 0, hold("i-1"));
+    job_table.assign(&id, 0, assignment("i-1"));
     let (_, written) = job_table.next_txn(fence(), 16, Mono(0)).unwrap();
     job_table.committed(&written, Revision(6));
     job_table.end(&id, JobStatus::Cancelled, "test");
     let (_, written) = job_table.next_txn(fence(), 16, Mono(0)).unwrap();
     job_table.committed(&written, Revision(7));
-    account_attempt(&mut job_table, &id, 0);
+    record_attempt(&mut job_table, &id, 0);
     job_table.unassign(&id, 0, false);
     let (txn, written) =
         job_table.next_txn(fence(), 16, Mono(MAX_TASK_END_WRITE_DELAY_MS.0 * 2)).unwrap();
@@ -407,12 +407,13 @@
     accounting.set_cursor(Some((Cursor::default(), Revision(2))), Revision(1));
     accounting.rollups.set_load_progress(LoadProgress::Complete);
     let mut job_table = JobTable { usage_accounting: Some(accounting), ..plain };
-    let slot = RollupId { day: 0, team: "t".into(), class: "other".into() };
-    let found = |value: Value| Row { key: slot.key(), value, version: Revision(9), lease: None };
-    let item = WriteItem::Rollup(slot.clone());
+    let rollup_id = RollupId { day: 0, team: "t".into(), class: "other".into() };
+    let found =
+        |value: Value| Row { key: rollup_id.key(), value, version: Revision(9), lease: None };
+    let item = WriteItem::Rollup(rollup_id.clone());
     assert!(job_table.resolved(&item, Some(found(serde_json::json!({"t": "what?"})))).is_none());
     // The next roll-up transaction stores the copy and the restarted roll-up together.
-    job_table.assign(&id, 0, hold("i-1"));
+    job_table.assign(&id, 0, assignment("i-1"));
     let e = entry_of(&job_table, &id, 0);
     job_table.record_usage(&e);
     job_table.unassign(&id, 0, true);
@@ -436,7 +437,7 @@
 #[test]
 fn a_stored_final_record_ends_an_unfinished_job() {
     let (mut job_table, id) = job_table(2);
-    assert!(job_table.assign(&id, 0, hold("i-1")));
+    assert!(job_table.assign(&id, 0, assignment("i-1")));
     let status = JobStatus::Cancelled;
     let record = FinalRecord { status, done: 0, failure: None, spent: None, part: None };
     let row = Row {
--- a/crates/core/src/jobs/usage.rs
+++ b/crates/core/src/jobs/usage.rs
@@ -129,11 +129,11 @@
     /// Adds the writes of roll-ups to a transaction.
     pub(super) fn write_rollups(&mut self, txn: &mut Txn, written: &mut Vec<PendingWrite>) {
         let Some(accounting) = &self.usage_accounting else { return };
-        for (slot, version, rollup) in accounting.rollups.writes() {
-            let key = slot.key();
+        for (rollup_id, version, rollup) in accounting.rollups.writes() {
+            let key = rollup_id.key();
             txn.conditions.push(Condition { key: key.clone(), version });
             txn.changes.push(Change::put(key, json!(rollup)));
-            written.push(PendingWrite::of(WriteItem::Rollup(slot.clone())));
+            written.push(PendingWrite::of(WriteItem::Rollup(rollup_id.clone())));
         }
         if let Some(cursor) = accounting.cursor {
             let version = accounting.rollups.cursor_revision();
@@ -185,9 +185,9 @@
     fn write_damaged_copies(&mut self, txn: &mut Txn, ops: usize) {
         let Some(accounting) = self.usage_accounting.as_mut() else { return };
         while txn.changes.len() < ops
-            && let Some((slot, value)) = accounting.damaged.pop_first()
+            && let Some((rollup_id, value)) = accounting.damaged.pop_first()
         {
-            txn.changes.push(Change::put(format!("{}{}", DAMAGED_PREFIX, slot.key()), value));
+            txn.changes.push(Change::put(format!("{}{}", DAMAGED_PREFIX, rollup_id.key()), value));
         }
     }
 
@@ -195,7 +195,7 @@
     pub(super) fn rollup_committed(&mut self, item: &WriteItem, revision: Revision) {
         let Some(accounting) = self.usage_accounting.as_mut() else { return };
         match item {
-            WriteItem::Rollup(slot) => accounting.rollups.mark_committed(slot, revision),
+            WriteItem::Rollup(rollup_id) => accounting.rollups.mark_committed(rollup_id, revision),
             WriteItem::Cursor => {
                 accounting.backoff.accepted([()].iter());
                 if let Some(cursor) = accounting.cursor.take() {
@@ -222,17 +222,17 @@
     ) {
         let Some(accounting) = self.usage_accounting.as_mut() else { return };
         match item {
-            WriteItem::Rollup(slot) => {
+            WriteItem::Rollup(rollup_id) => {
                 let found = row.map(|(value, revision)| {
                     let read = serde_json::from_value::<Rollup>(value.clone());
                     let rollup = read.unwrap_or_else(|e| {
-                        log::error!("ledger: {} is damaged; storing a copy: {e}", slot.key());
-                        accounting.damaged.insert(slot.clone(), value.clone());
+                        log::error!("ledger: {} is damaged; storing a copy: {e}", rollup_id.key());
+                        accounting.damaged.insert(rollup_id.clone(), value.clone());
                         Rollup { incomplete: true, ..Rollup::default() }
                     });
                     (rollup, revision)
                 });
-                accounting.rollups.set_stored(slot, found);
+                accounting.rollups.set_stored(rollup_id, found);
             }
             WriteItem::Cursor => {
                 let read = |(value, revision): (&serde_json::Value, Revision)| {
@@ -277,7 +277,7 @@
 
 /// The log line of an attempt's entry; tools parse it.
 fn usage_line(e: &UsageEntry) -> String {
-    let worth = e.run_time_breakdown();
+    let breakdown = e.run_time_breakdown();
     format!(
         "{} try {} team {} class {} {:?} on {} ({} {} spot {}): {} after {} ms, ran {} (useful {}, repeated {}, \
          lost {}, unseen {}), price {} share {:.3}",
@@ -293,9 +293,9 @@
         oatloom_ledger::sums::end_name(e.end),
         e.held_ms,
         e.ran_ms,
-        worth.useful_ms,
-        worth.repeated_ms,
-        worth.lost_ms,
+        breakdown.useful_ms,
+        breakdown.repeated_ms,
+        breakdown.lost_ms,
         e.unseen_ms,
         e.hourly_price,
         e.machine_share
--- a/crates/core/src/jobs/write_queue.rs
+++ b/crates/core/src/jobs/write_queue.rs
@@ -196,7 +196,7 @@
             WriteItem::FinalRecord(_) | WriteItem::Rollup(_) | WriteItem::Cursor => None,
             WriteItem::Chunk(id, chunk) => {
                 let job = self.jobs.get(id)?;
-                let slot = job.chunks.get(*chunk as usize)?;
+                let chunk_state = job.chunks.get(*chunk as usize)?;
                 let empty = job.chunk_range(*chunk).all(|task| job.assignment(task).is_none());
                 if job.state == JobState::Finished && empty {
                     return self.delete_chunk(id, *chunk, txn);
@@ -206,8 +206,9 @@
                     return None;
                 };
                 let key = chunk_key(id, *chunk);
-                txn.conditions.push(Condition { key: key.clone(), version: slot.key_version });
-                if slot.key_version == Revision(0) {
+                txn.conditions
+                    .push(Condition { key: key.clone(), version: chunk_state.key_version });
+                if chunk_state.key_version == Revision(0) {
                     if job.state == JobState::Finished {
                         // Assignments sent to a worker are already in a record. None is created for a finished job,
                         // since its live key, which the second condition needs, no longer exists.
@@ -225,7 +226,11 @@
                 let is_done = |task: &u32| job.tasks.get(*task as usize) == Some(&TaskState::Done);
                 let done =
                     if job.is_batch() { range.filter(is_done).collect() } else { Vec::new() };
-                Some(PendingWrite { version: slot.version, done, ..PendingWrite::of(item.clone()) })
+                Some(PendingWrite {
+                    version: chunk_state.version,
+                    done,
+                    ..PendingWrite::of(item.clone())
+                })
             }
         }
     }
@@ -266,15 +271,15 @@
         chunk: u32,
         txn: &mut Txn,
     ) -> Option<PendingWrite> {
-        let slot = self.jobs.get(id)?.chunks.get(chunk as usize)?;
-        if slot.key_version == Revision(0) {
+        let chunk_state = self.jobs.get(id)?.chunks.get(chunk as usize)?;
+        if chunk_state.key_version == Revision(0) {
             return None;
         }
         let key = chunk_key(id, chunk);
-        txn.conditions.push(Condition { key: key.clone(), version: slot.key_version });
+        txn.conditions.push(Condition { key: key.clone(), version: chunk_state.key_version });
         txn.changes.push(Change::Delete { key });
         let item = WriteItem::Chunk(id.clone(), chunk);
-        Some(PendingWrite { version: slot.version, deletes: true, ..PendingWrite::of(item) })
+        Some(PendingWrite { version: chunk_state.version, deletes: true, ..PendingWrite::of(item) })
     }
 
     /// Chunks whose records can be deleted together with the write of the final record, since no task of the job is
@@ -309,11 +314,11 @@
                     let Some(job) = self.jobs.get_mut(id) else {
                         continue;
                     };
-                    let Some(slot) = job.chunks.get_mut(*chunk as usize) else {
+                    let Some(chunk_state) = job.chunks.get_mut(*chunk as usize) else {
                         continue;
                     };
-                    slot.key_version = if write.deletes { Revision(0) } else { revision };
-                    slot.durable = slot.durable.max(write.version);
+                    chunk_state.key_version = if write.deletes { Revision(0) } else { revision };
+                    chunk_state.durable = chunk_state.durable.max(write.version);
                     if !write.done.is_empty() {
                         self.progress.push((id.clone(), write.done.clone()));
                     }
@@ -443,10 +448,10 @@
             }
             WriteItem::FinalRecord(_) => None,
             WriteItem::Chunk(id, chunk) => {
-                if let Some(slot) =
+                if let Some(chunk_state) =
                     self.jobs.get_mut(id).and_then(|job| job.chunks.get_mut(*chunk as usize))
                 {
-                    slot.key_version = revision;
+                    chunk_state.key_version = revision;
                 }
                 if revision == Revision(0)
                     && let Some(job) =
@@ -466,7 +471,7 @@
         match item {
             WriteItem::FinalRecord(id) => final_key(id),
             WriteItem::Chunk(id, chunk) => chunk_key(id, *chunk),
-            WriteItem::Rollup(slot) => slot.key(),
+            WriteItem::Rollup(rollup_id) => rollup_id.key(),
             WriteItem::Cursor => CURSOR_KEY.to_owned(),
         }
     }
--- a/crates/core/src/placement/exchange.rs
+++ b/crates/core/src/placement/exchange.rs
@@ -22,7 +22,7 @@
 impl<'a> Pass<'a> {
     /// Moves a replica of a service that is fully up to another zone, for a service that lacks
     /// replicas and that the spread rule keeps out of the zones with free room. Returns whether
-    /// room is being made. Without it, when the last free room of a region lies in one zone, for
+    /// room is being made. Without this, when the last free room of a region lies in one zone, for
     /// example after an outage of that zone, each further service gets half of its replicas and
     /// none is ever fully up.
     pub(super) fn exchange_replica(&mut self, need: &Need, job_table: &JobTable) -> bool {
@@ -118,9 +118,12 @@
         let settled = |at| self.now.since(at).as_secs() >= MIN_REPLICA_RUN_S;
         job.spec.shape == Shape::Service
             && job.assigned == job.spec.tasks
-            && job.assignments().all(|(_, hold)| hold.stop.is_none())
+            && job.assignments().all(|(_, assignment)| assignment.stop.is_none())
             && self.plan.stops.iter().all(|(task, _, _)| task.job != job.spec.id)
-            && job.assignment(index).and_then(|hold| hold.running_since).is_some_and(settled)
+            && job
+                .assignment(index)
+                .and_then(|assignment| assignment.running_since)
+                .is_some_and(settled)
     }
 
     /// The slot to which the replica on `from` can move with the shortest image fetch, and the
--- a/crates/core/src/placement/gangs.rs
+++ b/crates/core/src/placement/gangs.rs
@@ -15,10 +15,10 @@
                 continue;
             }
             let mut room = Resources::default();
-            for (task, held) in &m.assigned {
+            for (task, task_room) in &m.assigned {
                 let lower = |j: &Job| j.spec.shape == Shape::Array && j.rank() < need.job.rank();
                 if job_table.get(&task.job).is_some_and(lower) {
-                    room.add(held);
+                    room.add(task_room);
                 }
             }
             self.plan.steps += m.assigned.len() as u64;
--- a/crates/core/src/placement/limits.rs
+++ b/crates/core/src/placement/limits.rs
@@ -18,7 +18,7 @@
     if count >= f64::from(u32::MAX) { u32::MAX } else { count as u32 }
 }
 
-/// Usage of each team that has a limit, including tasks counted by [`Headroom::take`].
+/// Usage of each team that has a limit, including tasks counted by [`Headroom::subtract`].
 #[derive(Debug)]
 pub struct Headroom<'a> {
     used: BTreeMap<&'a str, (&'a Team, TeamUsage)>,
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -144,7 +144,7 @@
     // leader may show more than the limit, since the records can still hold tasks that the previous
     // leader knew to be gone.
     let within =
-        |most: f64, used: f64, each: f64| most <= 0.0 || each <= 0.0 || used + each <= most + 1e-6;
+        |max: f64, used: f64, each: f64| max <= 0.0 || each <= 0.0 || used + each <= max + 1e-6;
     need.allows(&machine.flavor, &machine.zone, machine.spot)
         && (job.anti_affinity() != Some(true) || !machine.has_task_of(&job.spec.id))
         && need.allows_zone(&machine.zone, &job.zones)
@@ -256,7 +256,7 @@
             pass.place_independent(job, &tasks, true, job_table, guaranteed.contains_key(id));
         }
     }
-    for (id, taken) in beyond_rate {
+    for (id, allowed_now) in beyond_rate {
         if pass.plan.starts.len() >= MAX_STARTS_PER_PASS {
             break;
         }
@@ -265,8 +265,11 @@
         };
         let tasks = job.pending_tasks(MAX_STARTS_PER_PASS, now);
         let already_started = |task: &u32| first_tasks.get(&id) == Some(task);
-        let rest: Vec<u32> =
-            tasks.into_iter().skip(taken as usize).filter(|task| !already_started(task)).collect();
+        let rest: Vec<u32> = tasks
+            .into_iter()
+            .skip(allowed_now as usize)
+            .filter(|task| !already_started(task))
+            .collect();
         let job = &job_table.jobs[&id];
         pass.place_independent(job, &rest, false, job_table, false);
     }
@@ -399,7 +402,7 @@
     }
 
     /// Whether an array runs nothing and has no prospect of a machine: none that it may use exists,
-    /// or it has waited long. Without it the target in cores can be met by machines of the wrong
+    /// or it has waited long. Without this the target in cores can be met by machines of the wrong
     /// zone, type or kind, or by ones on which the job has failed, and the job waits until they are
     /// returned.
     fn starved(&self, need: &Need) -> bool {
@@ -415,9 +418,9 @@
     /// The cheapest kind of machine that a task may use and that was not refused lately.
     fn cheapest_kind(&self, need: &Need, mask: &[bool]) -> Option<usize> {
         let mut best: Option<(f64, usize)> = None;
-        for (slot_index, (flavor, zone, spot)) in self.slot_pool.kinds.iter().enumerate() {
+        for (kind_index, (flavor, zone, spot)) in self.slot_pool.kinds.iter().enumerate() {
             let capacity = Resources::from(*flavor);
-            if !mask[slot_index] || !capacity.fits(&need.room) || !flavor.zones.contains(zone) {
+            if !mask[kind_index] || !capacity.fits(&need.room) || !flavor.zones.contains(zone) {
                 continue;
             }
             let kind =
@@ -428,9 +431,9 @@
             let cost =
                 self.slot_pool.weighted_price(flavor, zone, *spot) * need.room.share_of(&capacity);
             if best.is_none_or(|(c, _)| cost < c) {
-                best = Some((cost, slot_index));
+                best = Some((cost, kind_index));
             }
         }
-        best.map(|(_, slot_index)| slot_index)
+        best.map(|(_, kind_index)| kind_index)
     }
 }
--- a/crates/core/src/placement/preemption.rs
+++ b/crates/core/src/placement/preemption.rs
@@ -33,11 +33,11 @@
 fn placed_tasks<'m>(fleet: &'m Fleet, job_table: &JobTable, now: Mono) -> PlacedTasks<'m> {
     let placed_task = |(task, room): (&'m TaskId, &'m Resources)| {
         let job = job_table.get(&task.job)?;
-        let hold = job.assignment(task.index)?;
-        let ran = hold.running_since.map_or(0.0, |t| now.since(t).as_secs());
+        let assignment = job.assignment(task.index)?;
+        let ran = assignment.running_since.map_or(0.0, |t| now.since(t).as_secs());
         let lost = if job.spec.checkpoint_s > 0.0 { job.spec.save_s } else { ran };
         let loss = lost * room.cpus.max(0.1);
-        let (spec, stopping) = (job.spec.clone(), hold.stop.is_some());
+        let (spec, stopping) = (job.spec.clone(), assignment.stop.is_some());
         Some(PlacedTask { task, room, spec, rank: job.rank(), stopping, loss })
     };
     fleet.machines.values().map(|m| m.assigned.iter().filter_map(placed_task).collect()).collect()
--- a/crates/core/src/placement/slots.rs
+++ b/crates/core/src/placement/slots.rs
@@ -299,10 +299,11 @@
             .collect()
     }
 
-    /// Removes every live slot whose machine satisfies `out`.
-    pub fn exclude_live(&mut self, out: impl Fn(&Machine) -> bool) {
+    /// Removes every live slot whose machine satisfies `excluded`.
+    pub fn exclude_live(&mut self, excluded: impl Fn(&Machine) -> bool) {
         let slots = &self.slots;
-        self.live_slots.retain(|slot_index| slots[*slot_index].machine.is_none_or(|m| !out(m)));
+        self.live_slots
+            .retain(|slot_index| slots[*slot_index].machine.is_none_or(|m| !excluded(m)));
     }
 
     /// Whether the tasks are already known not to fit together.
@@ -350,11 +351,11 @@
         mask: &KindMask,
         availability: Availability,
     ) -> Option<usize> {
-        let known = match availability {
+        let collected = match availability {
             Availability::Live => search.live_slots.take(),
             Availability::Pending => search.pending_slots.take(),
         };
-        let mut heap = match known {
+        let mut heap = match collected {
             Some(heap) => heap,
             None if self.known_not_to_fit(need, mask, availability, 1) => BinaryHeap::new(),
             None => self.collect_candidates(need, mask, availability),
--- a/crates/core/src/store.rs
+++ b/crates/core/src/store.rs
@@ -129,7 +129,7 @@
     queue: VecDeque<QueuedOp>,
     /// Queued and sent operations that are not answered yet.
     purposes: BTreeMap<OpId, (OpClass, P)>,
-    open_inflight: usize,
+    general_inflight: usize,
     /// Changes sent by the writer in excess of those sent for submissions.
     writer_lead: f64,
     paused_until: Mono,
@@ -165,7 +165,7 @@
             rates,
             queue: VecDeque::new(),
             purposes: BTreeMap::new(),
-            open_inflight: 0,
+            general_inflight: 0,
             writer_lead: 0.0,
             paused_until: Mono(0),
             leading: false,
@@ -304,7 +304,7 @@
             self.requests.level -= 1.0;
             self.changes.level -= changes;
             if item.class == OpClass::General {
-                self.open_inflight += 1;
+                self.general_inflight += 1;
                 self.writer_lead -= changes;
             } else {
                 self.writer_lead += changes;
@@ -331,7 +331,7 @@
         }
         let write = find(&is_own);
         let submission = find(&|queued| !is_own(queued) && change_count(&queued.op) > 0.0)
-            .filter(|_| self.open_inflight < MAX_STORE_INFLIGHT);
+            .filter(|_| self.general_inflight < MAX_STORE_INFLIGHT);
         let change =
             if self.writer_lead > 0.0 { submission.or(write) } else { write.or(submission) };
         // A transaction larger than the bucket's capacity is sent once the bucket is full.
@@ -340,8 +340,9 @@
             self.changes.level >= needed
         };
         change.filter(affordable).or_else(|| {
-            find(&|queued| !is_own(queued) && change_count(&queued.op) <= 0.0)
-                .filter(|_| self.open_inflight < MAX_STORE_INFLIGHT - SUBMISSION_RESERVED_INFLIGHT)
+            find(&|queued| !is_own(queued) && change_count(&queued.op) <= 0.0).filter(|_| {
+                self.general_inflight < MAX_STORE_INFLIGHT - SUBMISSION_RESERVED_INFLIGHT
+            })
         })
     }
 
@@ -377,7 +378,7 @@
     pub fn complete(&mut self, now: Mono, id: OpId, reply: &StoreReply, jitter: f64) -> Option<P> {
         let (class, purpose) = self.purposes.remove(&id)?;
         if class == OpClass::General && *reply != StoreReply::Unsent {
-            self.open_inflight = self.open_inflight.saturating_sub(1);
+            self.general_inflight = self.general_inflight.saturating_sub(1);
         }
         match reply {
             StoreReply::Throttled | StoreReply::Refused => {
--- a/crates/core/src/write_backoff.rs
+++ b/crates/core/src/write_backoff.rs
@@ -86,7 +86,7 @@
         Some(item.clone())
     }
 
-    /// Notes that a transaction of these items was accepted.
+    /// Records that a transaction of these items was accepted.
     pub fn accepted<'a>(&mut self, items: impl Iterator<Item = &'a I>)
     where
         I: 'a,
--- a/crates/core/tests/dependencies.rs
+++ b/crates/core/tests/dependencies.rs
@@ -252,7 +252,7 @@
 #[derive(Default)]
 struct Stored {
     live: BTreeMap<JobId, (JobSpec, u32)>,
-    over: BTreeMap<JobId, JobStatus>,
+    final_states: BTreeMap<JobId, JobStatus>,
 }
 
 impl Stored {
@@ -262,7 +262,7 @@
                 Change::Put { key, value, .. } => {
                     if let Some(id) = key.strip_prefix("over/") {
                         let record: FinalRecord = serde_json::from_value(value.clone()).unwrap();
-                        let earlier = self.over.insert(JobId::new(id), record.status);
+                        let earlier = self.final_states.insert(JobId::new(id), record.status);
                         assert!(earlier.is_none(), "{id} ended twice");
                     }
                 }
@@ -289,7 +289,7 @@
         let mut to_visit = vec![id.clone()];
         let mut visited = BTreeSet::new();
         while let Some(id) = to_visit.pop() {
-            if self.over.get(&id) == Some(&JobStatus::Cancelled) {
+            if self.final_states.get(&id) == Some(&JobStatus::Cancelled) {
                 return true;
             }
             if visited.insert(id.clone()) {
@@ -325,7 +325,7 @@
             }
             let unresolved: Vec<JobId> = job_table.unresolved_dependencies().cloned().collect();
             for dependency in unresolved {
-                if let Some(status) = stored.over.get(&dependency)
+                if let Some(status) = stored.final_states.get(&dependency)
                     && rng.random_bool(0.5)
                 {
                     job_table.dependency_ended(&dependency, *status, Mono(2_000));
@@ -336,7 +336,7 @@
             for (id, state) in states {
                 let dependencies = &specs[&id].dependencies;
                 if state == JobState::Open {
-                    let done = |id: &JobId| stored.over.get(id) == Some(&JobStatus::Done);
+                    let done = |id: &JobId| stored.final_states.get(id) == Some(&JobStatus::Done);
                     assert!(dependencies.iter().all(done), "seed {seed}: {id} was released early");
                     if rng.random_bool(0.1) {
                         job_table.unassign(&id, 0, true);
@@ -356,8 +356,11 @@
                 job_table = stored.load();
             }
             for id in specs.keys() {
-                let status =
-                    stored.over.get(id).copied().or_else(|| job_table.view(id).map(|v| v.status));
+                let status = stored
+                    .final_states
+                    .get(id)
+                    .copied()
+                    .or_else(|| job_table.view(id).map(|v| v.status));
                 if status == Some(JobStatus::Cancelled) {
                     reported_cancelled.insert(id.clone());
                 }
@@ -369,7 +372,7 @@
             }
         }
         for (id, spec) in &specs {
-            let Some(status) = stored.over.get(id) else {
+            let Some(status) = stored.final_states.get(id) else {
                 panic!(
                     "seed {seed}: {id} has no end: {:?}, dependencies {:?}",
                     job_table.get(id),
