--- a/crates/core/src/constants.rs
+++ b/crates/core/src/constants.rs
@@ -54,7 +54,7 @@
 /// A read of the leader key that is not answered after this long is sent again in parallel: longer
 /// than the state service usually takes, so often that one of several reads is answered before
 /// [`UNHEALTHY_STORE_SILENCE_MS`], and so rarely that those under way ([`LEASE_RENEWAL_TIMEOUT_MS`]
-/// each) leave one of [`MAX_LEASE_INFLIGHT`] calls to a claim.
+/// each) leave one of [`MAX_LEASE_INFLIGHT`] calls for a claim of the leader key.
 pub const LEADER_KEY_READ_RETRY_MS: Millis = Millis(1_000);
 /// Pause after a failed claim of the leader key, plus up to as much again at random.
 pub const CLAIM_RETRY_PAUSE_MS: Millis = Millis(300);
--- a/crates/core/src/jobs/job.rs
+++ b/crates/core/src/jobs/job.rs
@@ -157,7 +157,7 @@
     pub unproven: bool,
     /// When it last failed, if failures are limited.
     pub failed_at: Mono,
-    /// Number of machines on which it failed, including those that no longer exist.
+    /// Number of machines on which it failed, including those that no longer exist; 0 if failures are not limited.
     pub failed_host_count: usize,
     /// Usage of its attempts by chunk, if usage accounting is enabled.
     pub usage: BTreeMap<u32, UsageByDay>,
--- a/crates/core/src/jobs/packed.rs
+++ b/crates/core/src/jobs/packed.rs
@@ -54,7 +54,7 @@
         })
     }
 
-    /// The name with this number.
+    /// The name with this number. Limits the padding, since a damaged record may hold any number of digits.
     fn name(&self, number: i64) -> String {
         format!("{}{number:0digits$}", self.prefix, digits = self.digits.min(MAX_NUMBER_DIGITS))
     }
--- a/crates/core/src/placement/slots.rs
+++ b/crates/core/src/placement/slots.rs
@@ -264,12 +264,13 @@
     }
 
     /// Whether any machine, full or not, is of a kind and size that the job's tasks may use. For jobs
-    /// whose failures are limited, machines that the job avoids don't count: applied to all jobs,
-    /// this rule cost 0.05 of the score of a day without faults, with the same seed.
+    /// whose failures are limited, machines that the job avoids don't count. For other jobs, whose
+    /// failed hosts are not counted, they do: applied to all jobs, this rule cost 0.05 of the score
+    /// of a day without faults, with the same seed.
     pub fn any_usable(&self, need: &Need, mask: &KindMask) -> bool {
-        let failures_limited = need.job.failed_host_count > 0;
+        let has_failed_hosts = need.job.failed_host_count > 0;
         let allowed =
-            |slot: &Slot| !failures_limited || slot.machine.is_none_or(|m| !need.job.avoids(&m.id));
+            |slot: &Slot| !has_failed_hosts || slot.machine.is_none_or(|m| !need.job.avoids(&m.id));
         self.slots
             .iter()
             .any(|slot| mask[slot.kind] && slot.capacity.fits(&need.room) && allowed(slot))
@@ -409,7 +410,7 @@
             .collect()
     }
 
-    /// Places a task on a slot and offers the rest of the slot to the job's next task.
+    /// Places a task on a slot and makes the rest of the slot a candidate for the job's next task.
     pub fn occupy(&mut self, search: &mut Search, slot_index: usize, need: &Need) {
         let spec = &need.job.spec;
         let cached = self.cached(slot_index, &spec.image);
--- a/crates/core/src/placement/standby.rs
+++ b/crates/core/src/placement/standby.rs
@@ -84,9 +84,9 @@
         }
     }
 
-    /// While no machine is wanted, moves the gang that saves most to spot machines, or hires those
-    /// for it. In a burst gangs start wherever there is room, which keeps on-demand machines rented
-    /// long afterwards.
+    /// If the pass starts and hires nothing and searched for nothing to preempt, moves the gang that
+    /// saves most to spot machines, or hires those for it. In a burst gangs start wherever there is
+    /// room, which keeps on-demand machines rented long afterwards.
     pub(super) fn move_to_spot(&mut self, job_table: &JobTable) {
         if !self.plan.hires.is_empty()
             || self.preemption_searches > 0
