--- a/crates/core/src/placement/slots.rs
+++ b/crates/core/src/placement/slots.rs
@@ -263,10 +263,10 @@
         here.map(|(_, count)| count).sum()
     }
 
-    /// Whether any machine, full or not, is of a kind and size that the job's tasks may use. For jobs
-    /// whose failures are limited, machines that the job avoids don't count. For other jobs, whose
-    /// failed hosts are not counted, they do: applied to all jobs, this rule cost 0.05 of the score
-    /// of a day without faults, with the same seed.
+    /// Whether any machine, full or not, is of a kind and size that the job's tasks may use. Machines
+    /// that the job avoids don't count if its failed hosts are counted, which is only where failures
+    /// are limited: applied to all jobs, this rule cost 0.05 of the score of a day without faults,
+    /// with the same seed.
     pub fn any_usable(&self, need: &Need, mask: &KindMask) -> bool {
         let has_failed_hosts = need.job.failed_host_count > 0;
         let allowed =
