--- a/crates/core/src/jobs/job.rs
+++ b/crates/core/src/jobs/job.rs
@@ -153,11 +153,11 @@
     /// task of a gang delays the whole gang.
     pub delayed_until: BTreeMap<u32, Mono>,
     /// Set until a task succeeds. Once such a job has failed on as many machines as one job may make suspect
-    /// ([`BURNT_MOST`]), it may only run on those of them that remain.
+    /// ([`MAX_FAILED_HOSTS`]), it may only run on those of them that remain.
     pub unproven: bool,
     /// When it last failed, if failures are limited.
     pub failed_at: Mono,
-    /// Number of machines on which it failed, including those that no longer exist.
+    /// Number of machines on which it failed, including those that no longer exist; 0 if failures are not limited.
     pub failed_host_count: usize,
     /// Usage of its attempts by chunk, if usage accounting is enabled.
     pub usage: BTreeMap<u32, UsageByDay>,
@@ -300,21 +300,21 @@
 
     pub fn assignment(&self, index: u32) -> Option<&TaskAssignment> {
         match self.tasks.get(index as usize) {
-            Some(TaskState::Assigned(hold)) => Some(hold),
+            Some(TaskState::Assigned(assignment)) => Some(assignment),
             _ => None,
         }
     }
 
     pub fn assignment_mut(&mut self, index: u32) -> Option<&mut TaskAssignment> {
         match self.tasks.get_mut(index as usize) {
-            Some(TaskState::Assigned(hold)) => Some(hold),
+            Some(TaskState::Assigned(assignment)) => Some(assignment),
             _ => None,
         }
     }
 
     pub fn assignments(&self) -> impl Iterator<Item = (u32, &TaskAssignment)> {
         self.tasks.iter().enumerate().filter_map(|(i, t)| match t {
-            TaskState::Assigned(hold) => Some((i as u32, &**hold)),
+            TaskState::Assigned(assignment) => Some((i as u32, &**assignment)),
             _ => None,
         })
     }
@@ -322,7 +322,7 @@
     /// Whether the task's assignment is durable, so that it may be sent to the worker.
     pub fn assignment_durable(&self, index: u32) -> bool {
         let chunk = &self.chunks[(index / TASKS_PER_CHUNK) as usize];
-        self.assignment(index).is_some_and(|hold| hold.chunk_version <= chunk.durable)
+        self.assignment(index).is_some_and(|assignment| assignment.chunk_version <= chunk.durable)
     }
 
     /// Whether all known changes of the task are durable, so that its worker may discard its result.
@@ -410,12 +410,12 @@
     pub(super) fn record(&self, chunk: u32) -> ChunkRecord {
         let first = (chunk * TASKS_PER_CHUNK) as usize;
         let end = (first + TASKS_PER_CHUNK as usize).min(self.tasks.len());
-        let slice = &self.tasks[first..end];
+        let chunk_tasks = &self.tasks[first..end];
         let charges = self.charges.to_record(first as u32..end as u32);
         let usage = self.usage.get(&chunk).cloned().unwrap_or_default();
         ChunkRecord {
-            done: to_hex(slice.iter().map(|t| *t == TaskState::Done)),
-            assignments: slice
+            done: to_hex(chunk_tasks.iter().map(|t| *t == TaskState::Done)),
+            assignments: chunk_tasks
                 .iter()
                 .enumerate()
                 .filter_map(|(i, t)| match t {
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -144,7 +144,7 @@
     // leader may show more than the limit, since the records can still hold tasks that the previous
     // leader knew to be gone.
     let within =
-        |most: f64, used: f64, each: f64| most <= 0.0 || each <= 0.0 || used + each <= most + 1e-6;
+        |max: f64, used: f64, each: f64| max <= 0.0 || each <= 0.0 || used + each <= max + 1e-6;
     need.allows(&machine.flavor, &machine.zone, machine.spot)
         && (job.anti_affinity() != Some(true) || !machine.has_task_of(&job.spec.id))
         && need.allows_zone(&machine.zone, &job.zones)
@@ -181,9 +181,9 @@
         settings,
         job_table,
         fleet,
-        array_task_limits: paced,
-        pending_hires: awaited,
-        expected_jobs: expected,
+        array_task_limits,
+        pending_hires,
+        expected_jobs,
         is_refused,
     } = inputs;
     let guaranteed = guaranteed_jobs(settings, job_table);
@@ -193,7 +193,7 @@
         settings,
         fleet,
         is_refused,
-        slot_pool: SlotPool::new(fleet, &awaited, settings.facts.workers.report_s, now),
+        slot_pool: SlotPool::new(fleet, &pending_hires, settings.facts.workers.report_s, now),
         usage: job_table.usage.clone(),
         started: BTreeMap::new(),
         room_taken: BTreeMap::new(),
@@ -236,7 +236,7 @@
         };
         let allowed_tasks = match job.spec.shape {
             Shape::Array => {
-                let by_rate = paced.get(id).copied().unwrap_or(1).max(1);
+                let by_rate = array_task_limits.get(id).copied().unwrap_or(1).max(1);
                 let startable = job.startable(now);
                 let allowed_now = by_rate.saturating_sub(job.assigned).min(startable);
                 if allowed_now < startable {
@@ -256,7 +256,7 @@
             pass.place_independent(job, &tasks, true, job_table, guaranteed.contains_key(id));
         }
     }
-    for (id, taken) in beyond_rate {
+    for (id, allowed_now) in beyond_rate {
         if pass.plan.starts.len() >= MAX_STARTS_PER_PASS {
             break;
         }
@@ -265,12 +265,15 @@
         };
         let tasks = job.pending_tasks(MAX_STARTS_PER_PASS, now);
         let already_started = |task: &u32| first_tasks.get(&id) == Some(task);
-        let rest: Vec<u32> =
-            tasks.into_iter().skip(taken as usize).filter(|task| !already_started(task)).collect();
+        let rest: Vec<u32> = tasks
+            .into_iter()
+            .skip(allowed_now as usize)
+            .filter(|task| !already_started(task))
+            .collect();
         let job = &job_table.jobs[&id];
         pass.place_independent(job, &rest, false, job_table, false);
     }
-    for (job, count) in expected {
+    for (job, count) in expected_jobs {
         pass.keep_ready(job, *count, job_table);
     }
     pass.move_to_spot(job_table);
@@ -399,7 +402,7 @@
     }
 
     /// Whether an array runs nothing and has no prospect of a machine: none that it may use exists,
-    /// or it has waited long. Without it the target in cores can be met by machines of the wrong
+    /// or it has waited long. Without this the target in cores can be met by machines of the wrong
     /// zone, type or kind, or by ones on which the job has failed, and the job waits until they are
     /// returned.
     fn starved(&self, need: &Need) -> bool {
@@ -415,9 +418,9 @@
     /// The cheapest kind of machine that a task may use and that was not refused lately.
     fn cheapest_kind(&self, need: &Need, mask: &[bool]) -> Option<usize> {
         let mut best: Option<(f64, usize)> = None;
-        for (slot_index, (flavor, zone, spot)) in self.slot_pool.kinds.iter().enumerate() {
+        for (kind_index, (flavor, zone, spot)) in self.slot_pool.kinds.iter().enumerate() {
             let capacity = Resources::from(*flavor);
-            if !mask[slot_index] || !capacity.fits(&need.room) || !flavor.zones.contains(zone) {
+            if !mask[kind_index] || !capacity.fits(&need.room) || !flavor.zones.contains(zone) {
                 continue;
             }
             let kind =
@@ -428,9 +431,9 @@
             let cost =
                 self.slot_pool.weighted_price(flavor, zone, *spot) * need.room.share_of(&capacity);
             if best.is_none_or(|(c, _)| cost < c) {
-                best = Some((cost, slot_index));
+                best = Some((cost, kind_index));
             }
         }
-        best.map(|(_, slot_index)| slot_index)
+        best.map(|(_, kind_index)| kind_index)
     }
 }
--- a/crates/core/src/placement/preemption.rs
+++ b/crates/core/src/placement/preemption.rs
@@ -33,11 +33,11 @@
 fn placed_tasks<'m>(fleet: &'m Fleet, job_table: &JobTable, now: Mono) -> PlacedTasks<'m> {
     let placed_task = |(task, room): (&'m TaskId, &'m Resources)| {
         let job = job_table.get(&task.job)?;
-        let hold = job.assignment(task.index)?;
-        let ran = hold.running_since.map_or(0.0, |t| now.since(t).as_secs());
+        let assignment = job.assignment(task.index)?;
+        let ran = assignment.running_since.map_or(0.0, |t| now.since(t).as_secs());
         let lost = if job.spec.checkpoint_s > 0.0 { job.spec.save_s } else { ran };
         let loss = lost * room.cpus.max(0.1);
-        let (spec, stopping) = (job.spec.clone(), hold.stop.is_some());
+        let (spec, stopping) = (job.spec.clone(), assignment.stop.is_some());
         Some(PlacedTask { task, room, spec, rank: job.rank(), stopping, loss })
     };
     fleet.machines.values().map(|m| m.assigned.iter().filter_map(placed_task).collect()).collect()
@@ -83,12 +83,12 @@
             return false;
         }
         let id = &job.spec.id;
-        let kept =
+        let has_reservation =
             self.slot_pool.has_reserved(id) || self.plan.reservations.iter().any(|(_, j)| j == id);
         // A search goes through every task on every machine; jobs beyond the limit are searched for
         // in the next pass.
-        if kept || self.preemption_searches >= MAX_PREEMPTION_SEARCHES {
-            return kept;
+        if has_reservation || self.preemption_searches >= MAX_PREEMPTION_SEARCHES {
+            return has_reservation;
         }
         self.preemption_searches += 1;
         self.plan.steps += PREEMPTION_SEARCH_STEPS * self.fleet.machines.len() as u64;
@@ -105,8 +105,8 @@
         if self.slot_pool.has_reserved(id) {
             // A machine may have been reserved while none with the image was available; waiting for
             // that one would not help.
-            let kept = |m: &Machine| m.reserved_for(self.now) == Some(id);
-            return self.fleet.machines.values().any(|m| kept(m) && m.has_image(image));
+            let has_reservation = |m: &Machine| m.reserved_for(self.now) == Some(id);
+            return self.fleet.machines.values().any(|m| has_reservation(m) && m.has_image(image));
         }
         if self.image_searches >= MAX_IMAGE_SEARCHES {
             return false;
@@ -258,7 +258,7 @@
             }
             free.subtract(&need.room);
             // The costs must not decrease, so that sorting by cost keeps the order of a machine's
-            // offers.
+            // options.
             least = f64::max(least, cost);
             options.push(PreemptionOption { cost: least, machine: m, victims });
         }
--- a/crates/core/src/placement/slots.rs
+++ b/crates/core/src/placement/slots.rs
@@ -139,7 +139,12 @@
 }
 
 impl<'a> SlotPool<'a> {
-    pub fn new(fleet: &'a Fleet, awaited: &[(MachineKind, u32)], report_s: f64, now: Mono) -> Self {
+    pub fn new(
+        fleet: &'a Fleet,
+        pending_hires: &[(MachineKind, u32)],
+        report_s: f64,
+        now: Mono,
+    ) -> Self {
         let mut slot_pool = Self {
             kinds: Vec::new(),
             slots: Vec::with_capacity(fleet.machines.len()),
@@ -200,7 +205,9 @@
             };
             slot_pool.push(slot);
         }
-        for (kind, number) in awaited.iter().filter(|(kind, _)| !fleet.zones.is_lost(&kind.zone)) {
+        for (kind, number) in
+            pending_hires.iter().filter(|(kind, _)| !fleet.zones.is_lost(&kind.zone))
+        {
             let Some(flavor) = flavors().find(|f| f.label == kind.flavor) else { continue };
             let kind = slot_pool.kind_index(flavor, &kind.zone, kind.spot);
             for _ in 0..*number {
@@ -256,13 +263,14 @@
         here.map(|(_, count)| count).sum()
     }
 
-    /// Whether any machine, full or not, is of a kind and size that the job's tasks may use. For jobs
-    /// whose failures are limited, machines that the job avoids don't count: applied to all jobs,
-    /// this rule cost the steady day of the kitchen-loom deployment 0.05 with the same seed.
+    /// Whether any machine, full or not, is of a kind and size that the job's tasks may use. Machines
+    /// that the job avoids don't count if its failed hosts are counted, which is only where failures
+    /// are limited: applied to all jobs, this rule cost 0.05 of the score of a day without faults,
+    /// with the same seed.
     pub fn any_usable(&self, need: &Need, mask: &KindMask) -> bool {
-        let failures_limited = need.job.failed_host_count > 0;
+        let has_failed_hosts = need.job.failed_host_count > 0;
         let allowed =
-            |slot: &Slot| !failures_limited || slot.machine.is_none_or(|m| !need.job.avoids(&m.id));
+            |slot: &Slot| !has_failed_hosts || slot.machine.is_none_or(|m| !need.job.avoids(&m.id));
         self.slots
             .iter()
             .any(|slot| mask[slot.kind] && slot.capacity.fits(&need.room) && allowed(slot))
@@ -292,10 +300,11 @@
             .collect()
     }
 
-    /// Removes every live slot whose machine satisfies `out`.
-    pub fn exclude_live(&mut self, out: impl Fn(&Machine) -> bool) {
+    /// Removes every live slot whose machine satisfies `excluded`.
+    pub fn exclude_live(&mut self, excluded: impl Fn(&Machine) -> bool) {
         let slots = &self.slots;
-        self.live_slots.retain(|slot_index| slots[*slot_index].machine.is_none_or(|m| !out(m)));
+        self.live_slots
+            .retain(|slot_index| slots[*slot_index].machine.is_none_or(|m| !excluded(m)));
     }
 
     /// Whether the tasks are already known not to fit together.
@@ -343,11 +352,11 @@
         mask: &KindMask,
         availability: Availability,
     ) -> Option<usize> {
-        let known = match availability {
+        let collected = match availability {
             Availability::Live => search.live_slots.take(),
             Availability::Pending => search.pending_slots.take(),
         };
-        let mut heap = match known {
+        let mut heap = match collected {
             Some(heap) => heap,
             None if self.known_not_to_fit(need, mask, availability, 1) => BinaryHeap::new(),
             None => self.collect_candidates(need, mask, availability),
@@ -401,7 +410,7 @@
             .collect()
     }
 
-    /// Places a task on a slot and offers the rest of the slot to the job's next task.
+    /// Places a task on a slot and makes the rest of the slot a candidate for the job's next task.
     pub fn occupy(&mut self, search: &mut Search, slot_index: usize, need: &Need) {
         let spec = &need.job.spec;
         let cached = self.cached(slot_index, &spec.image);
@@ -438,7 +447,7 @@
         }
     }
 
-    /// The live machines on which tasks were placed since the mark.
+    /// The live machines on which tasks were placed since the savepoint.
     pub fn live_machines_since(
         &self,
         savepoint: Savepoint,
@@ -456,7 +465,7 @@
             * (1.0 + f64::from(self.machines_in_zone(zone)) / ZONE_PRICE_DOUBLING_MACHINES)
     }
 
-    /// Undoes all placements and all planned hires since the mark.
+    /// Undoes all placements and all planned hires since the savepoint.
     pub fn roll_back(&mut self, savepoint: Savepoint) {
         for entry in self.undo_log.drain(savepoint.undo_log..).rev() {
             let slot = &mut self.slots[entry.slot_index];
