--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -176,9 +176,9 @@
     .to_string()
 }
 
-fn report(tally: u64, token: u64, tasks: Value) -> String {
+fn report(report_seq: u64, token: u64, tasks: Value) -> String {
     json!({"host": "i-000001", "addr": "127.0.0.1:9", "flavor": "g4", "yard": "a",
-        "loaners": false, "shift": 1, "tally": tally, "baton": token, "warningS": null,
+        "loaners": false, "shift": 1, "tally": report_seq, "baton": token, "warningS": null,
         "shards": tasks})
     .to_string()
 }
@@ -200,10 +200,11 @@
     assert_eq!(node.ask("GET", "/v2/runs/req-000009", None).0, 404);
     assert_eq!(node.ask("GET", "/elsewhere", None).0, 404);
 
-    let mut tally = 1;
+    let mut report_seq = 1;
     let mut send_report = |token: u64, tasks: Value| {
-        tally += 1;
-        let (status, answer, _) = node.ask("POST", "/v1/report", Some(report(tally, token, tasks)));
+        report_seq += 1;
+        let (status, answer, _) =
+            node.ask("POST", "/v1/report", Some(report(report_seq, token, tasks)));
         assert_eq!(status, 200, "{answer}");
         answer
     };
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -101,13 +101,13 @@
     job_table
 }
 
-fn pass(settings: &Settings, book: &mut JobTable, fleet: &Fleet, hire: bool) -> PlacementPlan {
-    let paced: BTreeMap<JobId, u32> = book.jobs.keys().map(|id| (id.clone(), 1_000)).collect();
+fn pass(settings: &Settings, job_table: &mut JobTable, fleet: &Fleet, hire: bool) -> PlacementPlan {
+    let paced: BTreeMap<JobId, u32> = job_table.jobs.keys().map(|id| (id.clone(), 1_000)).collect();
     let refused = |_: &MachineKind| !hire;
     placement::plan(PlacementInputs {
         now: NOW.plus(Millis(1_000)),
         settings,
-        job_table: book,
+        job_table,
         fleet,
         array_task_limits: &paced,
         pending_hires: Vec::new(),
@@ -277,11 +277,11 @@
     let (mut job_table, fleet, gang) = full_fleet_and_gang(true, false);
     let spec = job_table.get(&gang).expect("the gang").spec.clone();
     job_table.jobs.remove(&gang);
-    let plan_spare_capacity = |book: &mut JobTable, fleet: &Fleet| {
+    let plan_spare_capacity = |job_table: &mut JobTable, fleet: &Fleet| {
         placement::plan(PlacementInputs {
             now: NOW.plus(Millis(1_000)),
             settings: &settings(),
-            job_table: book,
+            job_table,
             fleet,
             array_task_limits: &BTreeMap::new(),
             pending_hires: Vec::new(),
--- a/tests/terms.rs
+++ b/tests/terms.rs
@@ -23,7 +23,7 @@
     json!(FinalRecord { status, done: 0, failure: None, spent: None, part: None })
 }
 
-fn report(tally: u64, tasks: Vec<TaskReport>) -> Request {
+fn report(report_seq: u64, tasks: Vec<TaskReport>) -> Request {
     Request::Report(Box::new(Report {
         host: HostId::new("i-1"),
         addr: "10.0.0.9:1".into(),
@@ -31,7 +31,7 @@
         zone: Zone::new("a"),
         spot: false,
         session: WorkerSession(1),
-        report_seq: ReportSeq(tally),
+        report_seq: ReportSeq(report_seq),
         token: Token(0),
         notice_s: None,
         tasks,
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -102,7 +102,7 @@
 struct LoweredLimits {
     solo: Solo,
     refused: Vec<StoreOp>,
-    tally: u64,
+    report_seq: u64,
 }
 
 impl LoweredLimits {
@@ -116,14 +116,14 @@
         }
         solo.advance(6_000);
         assert!(solo.controller.holds_leader_key() && solo.controller.all_upgraded() == upgraded);
-        Self { solo, refused: Vec::new(), tally: 0 }
+        Self { solo, refused: Vec::new(), report_seq: 0 }
     }
 
     /// Advances time; each machine reports every three seconds and runs what it was assigned.
     fn pass(&mut self, machines: u64, seconds: u64) {
         for step in 0..seconds * 4 {
             if step % 12 == 0 {
-                self.tally += 1;
+                self.report_seq += 1;
                 let assigned = self.assigned();
                 (0..machines).for_each(|n| self.report(n, &assigned));
             }
@@ -168,7 +168,7 @@
             zone: Zone::new("a"),
             spot: false,
             session: WorkerSession(1),
-            report_seq: ReportSeq(self.tally),
+            report_seq: ReportSeq(self.report_seq),
             token,
             notice_s: None,
             tasks: running.collect(),
--- a/tests/usage.rs
+++ b/tests/usage.rs
@@ -15,9 +15,9 @@
 /// Usage sums by end cause over all records: rollups, finished jobs and assignments.
 fn stored_usage(world: &World) -> BTreeMap<String, UsageSums> {
     let mut sums: BTreeMap<String, UsageSums> = BTreeMap::new();
-    let mut add = |tally: &UsageByBucket| {
-        for (bucket, line) in tally.rows() {
-            sums.entry(bucket.end.clone()).or_default().add(line);
+    let mut add = |usage: &UsageByBucket| {
+        for (bucket, bucket_sums) in usage.rows() {
+            sums.entry(bucket.end.clone()).or_default().add(bucket_sums);
         }
     };
     let mut through = BTreeMap::new();
@@ -33,19 +33,19 @@
     for row in world.stored_rows("over/") {
         let record: FinalRecord = serde_json::from_value(row.value).unwrap();
         let Some(spent) = record.spent else { continue };
-        for (day, tally) in spent.days.days() {
+        for (day, day_usage) in spent.days.days() {
             let slot = RollupId { day, team: spent.team.clone(), class: spent.class.clone() };
             let counted =
                 through.get(&slot).copied().unwrap_or_default().max(cursor.counted_through);
             if row.version > counted {
-                add(tally);
+                add(day_usage);
             }
         }
     }
     for row in world.stored_rows("asg/") {
         let record: ChunkRecord = serde_json::from_value(row.value).unwrap();
         let usage: UsageByDay = record.usage;
-        usage.days().for_each(|(_, tally)| add(tally));
+        usage.days().for_each(|(_, day_usage)| add(day_usage));
     }
     sums
 }
--- a/tests/world/aggressive_users.rs
+++ b/tests/world/aggressive_users.rs
@@ -62,10 +62,16 @@
 
 impl World {
     /// A job's user sends a node a request after the given delay.
-    pub fn send_user_request(&mut self, job: &str, node: usize, look: UserRequest, after: u64) {
+    pub fn send_user_request(
+        &mut self,
+        job: &str,
+        node: usize,
+        user_request: UserRequest,
+        after: u64,
+    ) {
         let Some(user) = self.users.iter_mut().find(|u| u.spec.id.as_str() == job) else { return };
         let id = user.spec.id.clone();
-        let request = match look {
+        let request = match user_request {
             UserRequest::View => Request::View(id),
             UserRequest::Submit => Request::Submit(Submission::Spec(Box::new(user.spec.clone()))),
             UserRequest::SubmitIncomplete => Request::Submit(Submission::Invalid {
@@ -79,8 +85,9 @@
             }
         };
         self.aggressive_users.requests_sent += 1;
-        let submission = matches!(look, UserRequest::Submit | UserRequest::SubmitIncomplete);
-        let (abort, asked_at) = (look == UserRequest::Abort, self.now + after);
+        let submission =
+            matches!(user_request, UserRequest::Submit | UserRequest::SubmitIncomplete);
+        let (abort, asked_at) = (user_request == UserRequest::Abort, self.now + after);
         let from = Sender::User { job: job.to_owned(), submission, abort, asked_at };
         let delay = after + self.delay();
         self.send(delay, Message::Request { node, from, request, forwarded: false });
--- a/tests/world/limits.rs
+++ b/tests/world/limits.rs
@@ -173,8 +173,8 @@
             }
             let Some(team) = teams.iter().find(|team| team.name == spec.team) else { return false };
             let used = used.get(spec.team.as_str()).copied().unwrap_or_default();
-            let within = |most: f64, used: f64, each: f64| {
-                most <= 0.0 || used + each * f64::from(at_once) <= most + EPSILON
+            let within = |limit: f64, used: f64, each: f64| {
+                limit <= 0.0 || used + each * f64::from(at_once) <= limit + EPSILON
             };
             within(team.cpus_max, used.cpus, spec.cpus)
                 && within(team.gpus_max, used.gpus, spec.gpus)
--- a/tests/world/machine_faults.rs
+++ b/tests/world/machine_faults.rs
@@ -234,17 +234,19 @@
             .values()
             .map(|m| (m.id.clone(), m.session, m.report_seq.0))
             .collect();
-        for (host, shift, tally) in latest {
-            let before =
-                self.machine_faults.last_processed.insert(host.clone(), (token, shift, tally));
-            if before.is_some_and(|b| b.0 == token && (b.1, b.2) > (shift, tally)) {
+        for (host, session, report_seq) in latest {
+            let before = self
+                .machine_faults
+                .last_processed
+                .insert(host.clone(), (token, session, report_seq));
+            if before.is_some_and(|b| b.0 == token && (b.1, b.2) > (session, report_seq)) {
                 violations.push(format!(
-                    "{host}: went back from {before:?} to {shift:?}, report {tally}"
+                    "{host}: went back from {before:?} to {session:?}, report {report_seq}"
                 ));
             }
         }
         for text in violations {
-            self.region.checker.fail(self.now, "book", text);
+            self.region.checker.fail(self.now, "job_table", text);
         }
     }
 
