--- a/tests/headroom.rs
+++ b/tests/headroom.rs
@@ -23,8 +23,8 @@
     spec
 }
 
-fn world(seed: u64, site: Site, calm_from: u64) -> World {
-    World::without_users(site, &mut ChaCha8Rng::seed_from_u64(seed), calm_from)
+fn world(seed: u64, site: Site, faults_end_at: u64) -> World {
+    World::without_users(site, &mut ChaCha8Rng::seed_from_u64(seed), faults_end_at)
 }
 
 /// One team has far more gangs, services and arrays than its limit allows to run; the other team's work ends after a while.
--- a/tests/inherited_machines.rs
+++ b/tests/inherited_machines.rs
@@ -138,12 +138,12 @@
             world.add_job_at(array(number, 8), 20_000 + number * 8_000);
         }
         world.run_until(ALL_CRASH_AT_MS);
-        let mut known: BTreeSet<String> = world.region.workers.keys().cloned().collect();
+        let mut known_machines: BTreeSet<String> = world.region.workers.keys().cloned().collect();
         let mut hired_at: Vec<u64> = Vec::new();
         while world.continues_before(COUNT_UNTIL_MS) {
             world.run_until(world.now + 500);
             for (host, worker) in &world.region.workers {
-                if !known.insert(host.clone()) {
+                if !known_machines.insert(host.clone()) {
                     continue;
                 }
                 match worker.place.zone == "a" {
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -116,10 +116,10 @@
         (answer.status().as_u16(), serde_json::from_str(&text).unwrap_or_default(), retry_after)
     }
 
-    fn wait_until(&self, what: &str, good: impl Fn(&Self) -> bool) {
+    fn wait_until(&self, condition: &str, good: impl Fn(&Self) -> bool) {
         let start = Instant::now();
         while !good(self) {
-            assert!(start.elapsed() < Duration::from_secs(20), "{what}: not within 20 s");
+            assert!(start.elapsed() < Duration::from_secs(20), "{condition}: not within 20 s");
             std::thread::sleep(Duration::from_millis(50));
         }
     }
--- a/tests/machines.rs
+++ b/tests/machines.rs
@@ -84,10 +84,13 @@
     init_log();
     let mut sum = Coverage::default();
     for seed in 0..6 + extra_seeds() {
-        let met = deliver_old_reports(seed, ReplayTiming::AtTermStart);
-        assert!(met.replayed > 100 && met.before_first_report > 20, "seed {seed}: {met:?}");
-        sum.older_session += met.older_session;
-        sum.older_attempt += met.older_attempt;
+        let coverage = deliver_old_reports(seed, ReplayTiming::AtTermStart);
+        assert!(
+            coverage.replayed > 100 && coverage.before_first_report > 20,
+            "seed {seed}: {coverage:?}"
+        );
+        sum.older_session += coverage.older_session;
+        sum.older_attempt += coverage.older_attempt;
     }
     assert!(sum.older_session > 20 && sum.older_attempt > 100, "{sum:?}");
 }
@@ -98,10 +101,10 @@
     init_log();
     let mut sum = Coverage::default();
     for seed in 100..106 + extra_seeds() {
-        let met = deliver_old_reports(seed, ReplayTiming::AfterFirstAck);
-        assert!(met.replayed > 100, "seed {seed}: {met:?}");
-        sum.older_session += met.older_session;
-        sum.older_attempt += met.older_attempt;
+        let coverage = deliver_old_reports(seed, ReplayTiming::AfterFirstAck);
+        assert!(coverage.replayed > 100, "seed {seed}: {coverage:?}");
+        sum.older_session += coverage.older_session;
+        sum.older_attempt += coverage.older_attempt;
     }
     assert!(sum.older_session > 20 && sum.older_attempt > 100, "{sum:?}");
 }
@@ -670,10 +673,10 @@
     init_log();
     let mut sum = Coverage::default();
     for seed in 300..308 + extra_seeds() {
-        let met = delay_commands_of_former_leaders(seed);
-        sum.outranked += met.outranked;
-        sum.deposed += met.deposed;
-        sum.stops_of_running_tasks += met.stops_of_running_tasks;
+        let coverage = delay_commands_of_former_leaders(seed);
+        sum.outranked += coverage.outranked;
+        sum.deposed += coverage.deposed;
+        sum.stops_of_running_tasks += coverage.stops_of_running_tasks;
     }
     eprintln!("{sum:?}");
     assert!(sum.outranked > 20 && sum.deposed > 10 && sum.stops_of_running_tasks > 4, "{sum:?}");
--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -30,10 +30,10 @@
     world.restart_ms = [50, 300, 1_000, 5_000][rng.random_range(0..4)];
     world.cancel_share(0.4, 15_000, 140_000);
     world.run();
-    let what = format!("seed {seed}, {faults:?}");
-    assert_rules(&world, &what);
+    let context = format!("seed {seed}, {faults:?}");
+    assert_rules(&world, &context);
     let unfinished = world.unfinished();
-    assert!(unfinished.is_empty(), "{what} leaves undone: {unfinished:#?}");
+    assert!(unfinished.is_empty(), "{context} leaves undone: {unfinished:#?}");
     world
 }
 
--- a/tests/ops.rs
+++ b/tests/ops.rs
@@ -220,8 +220,9 @@
         finished(&world, seed);
         // The state service allows a burst of one second's requests beyond its rates, shared by all incarnations of a process.
         // Guards against each incarnation starting with a full burst.
-        let most = |which: fn(&(u32, u32)) -> u32| world.store_traffic.values().map(which).max();
-        let (requests, changes) = (most(|s| s.0), most(|s| s.1));
+        let max_per_second =
+            |which: fn(&(u32, u32)) -> u32| world.store_traffic.values().map(which).max();
+        let (requests, changes) = (max_per_second(|s| s.0), max_per_second(|s| s.1));
         println!("seed {seed}: {requests:?} requests and {changes:?} changes in a second at most");
         assert!(requests < Some(2 * 120) && changes < Some(2 * 25), "{requests:?}, {changes:?}");
         let sustained = |which: fn(&(u32, u32)) -> u32| {
--- a/tests/owners.rs
+++ b/tests/owners.rs
@@ -240,9 +240,10 @@
     fn deliver(&mut self, message: Message) {
         match message {
             Message::Store { node, incarnation, request, sent, op, answer } => {
-                let out = self.now < self.outage_until || self.now < self.nodes[node].refused_until;
+                let refused =
+                    self.now < self.outage_until || self.now < self.nodes[node].refused_until;
                 let reply =
-                    if out { StoreReply::Refused } else { self.state.execute(self.now, &op) };
+                    if refused { StoreReply::Refused } else { self.state.execute(self.now, &op) };
                 if answer {
                     let delay = self.delay();
                     self.send(delay, Message::Reply { node, incarnation, request, sent, reply });
--- a/tests/quiet_controllers.rs
+++ b/tests/quiet_controllers.rs
@@ -7,7 +7,7 @@
 //! - When an outage of the state service begins for all, the controller whose last read is some seconds old reaches the six
 //!   seconds first, while the last answers of the others still count as fresh.
 //! - Two requests to the leader, 47 s apart with none in between, got no answer and counted as 47 s without one (seeds 145 and
-//!   148): `health: Up -> LeaderUnreachable (... none since Some(49306) ms)`.
+//!   148): the health went from `Up` to `LeaderUnreachable`, allegedly for want of an answer in 49,306 ms.
 
 #[allow(dead_code)]
 mod world;
@@ -51,9 +51,9 @@
     solo
 }
 
-/// Runs a follower for a minute; its reads of the leader's key for whose number `lost` holds get no answer. Returns the times
+/// Runs a follower for a minute; its reads of the leader's key for whose number `is_lost` holds get no answer. Returns the times
 /// at which it was not up, in milliseconds.
-fn unhealthy_times(lost: impl Fn(u64) -> bool) -> Vec<u64> {
+fn unhealthy_times(is_lost: impl Fn(u64) -> bool) -> Vec<u64> {
     let mut solo = follower();
     solo.holds_reply = |op| matches!(op, StoreOp::Get { .. });
     let mut reads = 0;
@@ -63,7 +63,7 @@
         solo.advance(50);
         for (id, op, _) in std::mem::take(&mut solo.held) {
             reads += 1;
-            if lost(reads) {
+            if is_lost(reads) {
                 unanswered.insert(id, solo.now + CALL_TIMEOUT_MS);
             } else {
                 let reply = solo.state.execute(solo.now, &op);
@@ -180,7 +180,8 @@
     assert!(wrong.is_empty(), "seed, shares of probes: {wrong:?}");
 }
 
-/// The refusal of `tests/members.rs` with other seeds: all others stay up. `OATLOOM_SEEDS=n` runs n more.
+/// The state service refuses one node, as in `tests/members.rs` but with other seeds: only this node is not up.
+/// `OATLOOM_SEEDS=n` runs n more.
 #[test]
 fn the_others_stay_up_while_one_is_refused() {
     let mut wrong = Vec::new();
--- a/tests/served.rs
+++ b/tests/served.rs
@@ -184,13 +184,13 @@
 }
 
 /// Asserts that every class and team gets at least half by each measure, on days where that is feasible.
-fn assert_half_served(what: &str, world: World) {
-    let (least, bound) = smallest_share(what, world, |_| {});
-    assert!(least >= 0.5 || bound < MIN_FEASIBLE_SHARE, "{what}: {least} of {bound}");
+fn assert_half_served(context: &str, world: World) {
+    let (least, bound) = smallest_share(context, world, |_| {});
+    assert!(least >= 0.5 || bound < MIN_FEASIBLE_SHARE, "{context}: {least} of {bound}");
 }
 
 /// Runs a day to its end, sampling once a second, and asserts that no rule was broken.
-fn run_watched(what: &str, world: &mut World, mut sample: impl FnMut(&World)) -> ServiceMonitor {
+fn run_watched(context: &str, world: &mut World, mut sample: impl FnMut(&World)) -> ServiceMonitor {
     let mut watch = ServiceMonitor::default();
     while world.continues_before(world.faults_end_at) {
         world.run_until((world.now / 1_000 + 1) * 1_000);
@@ -198,26 +198,26 @@
         sample(world);
     }
     let broken = &world.region.checker.broken;
-    assert!(broken.is_empty(), "{what} breaks rules: {broken:#?}");
-    assert_eq!(world.two_leaders_at, None, "{what}: two leaders at once");
+    assert!(broken.is_empty(), "{context} breaks rules: {broken:#?}");
+    assert_eq!(world.two_leaders_at, None, "{context}: two leaders at once");
     watch
 }
 
 /// The smallest share that any class or team got by the strictest measure, and the share of replicas that could have been up.
-fn smallest_share(what: &str, mut world: World, mut sample: impl FnMut(&World)) -> (f64, f64) {
+fn smallest_share(context: &str, mut world: World, mut sample: impl FnMut(&World)) -> (f64, f64) {
     init_log();
-    let mut most = 0;
-    let watch = run_watched(what, &mut world, |world| {
-        most = most.max(world.region.workers.len());
+    let mut max_machines = 0;
+    let watch = run_watched(context, &mut world, |world| {
+        max_machines = max_machines.max(world.region.workers.len());
         sample(world);
     });
     println!(
-        "{what}: {most} machines at most, replicas could be up {:.3}",
+        "{context}: {max_machines} machines at most, replicas could be up {:.3}",
         watch.achievable_up.ratio()
     );
     let served = watch.served(&world);
     for (name, share) in &served {
-        println!("{what}: {name}: {share}");
+        println!("{context}: {name}: {share}");
     }
     (served.values().map(Served::lowest).fold(1.0, f64::min), watch.achievable_up.ratio())
 }
@@ -405,9 +405,10 @@
     };
     let id = huge.id.clone();
     world.add_job_at(huge, 20_000);
-    let (mut done_at, mut most) = (None, 0);
+    let (mut done_at, mut max_tasks) = (None, 0);
     let watch = run_watched("huge array", &mut world, |world| {
-        most = most.max(world.region.workers.values().map(|w| w.tasks.len()).max().unwrap_or(0));
+        max_tasks =
+            max_tasks.max(world.region.workers.values().map(|w| w.tasks.len()).max().unwrap_or(0));
         if done_at.is_none() && world.now > 22_000 && world.region.checker.all_done(id.as_str()) {
             done_at = Some(world.now);
         }
@@ -415,7 +416,7 @@
     let largest = world.largest_value();
     let changes = world.store_traffic.values().map(|s| s.1).max();
     println!(
-        "done after {:?} ms; {most} tasks on a machine, {largest} bytes in a value, {changes:?} changes in a second at most",
+        "done after {:?} ms; {max_tasks} tasks on a machine, {largest} bytes in a value, {changes:?} changes in a second at most",
         done_at.map(|at| at - 20_000)
     );
     assert!(largest <= 16 * 1024, "{largest} bytes");
--- a/tests/shortage.rs
+++ b/tests/shortage.rs
@@ -74,7 +74,7 @@
 
 /// Maximum number of concurrent replicas of each service until a point in time.
 fn max_replicas(world: &mut World, until: u64) -> BTreeMap<String, u32> {
-    let mut most: BTreeMap<String, u32> = BTreeMap::new();
+    let mut max_counts: BTreeMap<String, u32> = BTreeMap::new();
     while world.continues_before(until) {
         world.run_until(world.now + 1_000);
         let mut replicas: BTreeMap<&str, u32> = BTreeMap::new();
@@ -82,11 +82,11 @@
             *replicas.entry(&task.job).or_default() += 1;
         }
         for (job, count) in replicas {
-            let before = most.entry(job.to_owned()).or_default();
+            let before = max_counts.entry(job.to_owned()).or_default();
             *before = count.max(*before);
         }
     }
-    most
+    max_counts
 }
 
 /// A service has two of its six replicas when all capacity is in use. Capacity for two replicas becomes free, and later for two
@@ -108,9 +108,13 @@
         for number in 0..22 {
             world.add_job_at(service(10 + number, 4, false), 190_000 + 3_000 * number as u64);
         }
-        let most = max_replicas(&mut world, COMPLETE_BY_MS);
+        let replicas = max_replicas(&mut world, COMPLETE_BY_MS);
         assert_rules(&world, &format!("seed {seed}"));
-        assert_eq!(most.get("req-000005"), Some(&6), "seed {seed}: replicas at once: {most:?}");
+        assert_eq!(
+            replicas.get("req-000005"),
+            Some(&6),
+            "seed {seed}: replicas at once: {replicas:?}"
+        );
     }
 }
 
--- a/tests/upgrade_days.rs
+++ b/tests/upgrade_days.rs
@@ -56,13 +56,16 @@
 }
 
 /// Runs a day to its end; all nodes are upgraded, and no write was over the size limits of the state service.
-fn play(world: &mut World, what: &str) {
+fn play(world: &mut World, context: &str) {
     world.run();
-    assert_finished(world, what);
-    assert!(world.all_current(), "{what}: some node was not upgraded");
-    assert!(world.all_detected_upgrade(), "{what}: some node does not know that all were upgraded");
+    assert_finished(world, context);
+    assert!(world.all_current(), "{context}: some node was not upgraded");
+    assert!(
+        world.all_detected_upgrade(),
+        "{context}: some node does not know that all were upgraded"
+    );
     let refused = &world.refusals().too_large;
-    assert!(refused.is_empty(), "{what}: refused as too large: {refused:?}");
+    assert!(refused.is_empty(), "{context}: refused as too large: {refused:?}");
 }
 
 /// Totals over several days, to show that the test exercised something.
@@ -80,22 +83,22 @@
         self.cancelled += world.count_with_known_status(JobStatus::Cancelled);
     }
 
-    fn assert_some(&self, what: &str) {
-        println!("{what}: {self:?}");
-        assert!(self.dependents > 0 && self.done > 0 && self.cancelled > 0, "{what}: {self:?}");
+    fn assert_some(&self, context: &str) {
+        println!("{context}: {self:?}");
+        assert!(self.dependents > 0 && self.done > 0 && self.cancelled > 0, "{context}: {self:?}");
     }
 }
 
 /// Runs one day per seed with the faults that `faults` returns for it.
-fn play_days(what: &str, first: u64, count: u64, faults: impl Fn(u64) -> Vec<(u64, Fault)>) {
+fn play_days(context: &str, first: u64, count: u64, faults: impl Fn(u64) -> Vec<(u64, Fault)>) {
     let mut totals = Totals::default();
     for seed in first..first + count + extra_seeds() {
         let faults = faults(seed);
         let mut world = day(seed, faults.clone());
-        play(&mut world, &format!("{what}, seed {seed}, {faults:?}"));
+        play(&mut world, &format!("{context}, seed {seed}, {faults:?}"));
         totals.add(&world);
     }
-    totals.assert_some(what);
+    totals.assert_some(context);
 }
 
 fn rng_of(seed: u64) -> ChaCha8Rng {
@@ -271,12 +274,12 @@
 fn limits_lowered_at_a_takeover_keep_the_rules() {
     play_days("limits lowered at a takeover", 12_000, 9, |seed| {
         let at = LIMITS_LOWERED_MS - 5_000 + (seed % 9) * 1_000;
-        let what = match seed % 3 {
+        let leader_fault = match seed % 3 {
             0 => LeaderFault::Crash,
             1 => LeaderFault::StoreRefuses(9_000),
             _ => LeaderFault::Isolated(9_000),
         };
-        lowered_limits(seed, [(at, Fault::Leader(what))])
+        lowered_limits(seed, [(at, Fault::Leader(leader_fault))])
     });
 }
 
--- a/tests/world/aggressive_users.rs
+++ b/tests/world/aggressive_users.rs
@@ -191,12 +191,12 @@
     /// Sends a raw HTTP request to a node; one that fails to parse is answered at once without the controller.
     pub fn send_raw_request(&mut self, node: usize, method: &str, path: &str, body: &str) {
         let number = self.aggressive_users.raw_requests.len();
-        let what = format!("{method} {path} {body}");
+        let request_text = format!("{method} {path} {body}");
         let (answer, request) = match parse(method, path, body.as_bytes()) {
             Ok(request) => (None, Some(request)),
             Err(reply) => (Some((self.now, reply)), None),
         };
-        self.aggressive_users.raw_requests.push(RawRequest { node, request: what, answer });
+        self.aggressive_users.raw_requests.push(RawRequest { node, request: request_text, answer });
         if let Some(request) = request {
             let delay = self.delay();
             let from = Sender::RawRequest(number);
--- a/tests/world/graphs.rs
+++ b/tests/world/graphs.rs
@@ -90,14 +90,14 @@
 
 impl Clients {
     /// Adds clients, each with a graph of its own; with `failing`, some nodes always fail.
-    pub fn add(&mut self, seed: u64, number: usize, calm_from: u64, failing: bool) {
+    pub fn add(&mut self, seed: u64, number: usize, faults_end_at: u64, failing: bool) {
         let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x6772);
         for n in 0..number {
             let session = format!("s-{n}");
             let key = format!("secret-{n}");
             let graph = GraphId::parse(&format!("graph-{}", 100 + n)).expect("an id");
             let owner = if rng.random_bool(0.5) { "red" } else { "blue" };
-            let from = rng.random_range(1_000..calm_from * 2 / 3);
+            let from = rng.random_range(1_000..faults_end_at * 2 / 3);
             let behavior = match rng.random_range(0..6) {
                 0 => Behavior::Cancels(from + rng.random_range(1_000..40_000)),
                 1 => Behavior::Disappears(from + rng.random_range(500..40_000)),
--- a/tests/world/machine_faults.rs
+++ b/tests/world/machine_faults.rs
@@ -125,13 +125,13 @@
     pub(super) fn record_late_command(&mut self, host: &str, command: &Command) {
         let leader = self.leader().and_then(|n| self.leader_term_of(n)).map(|term| term.token);
         let Some(worker) = self.region.workers.get(host) else { return };
-        let met = &mut self.machine_faults.coverage;
+        let coverage = &mut self.machine_faults.coverage;
         if worker.token > command.token.0 {
-            met.outranked += 1;
+            coverage.outranked += 1;
         } else if worker.shift == command.session.0 && leader.is_some_and(|now| now > command.token)
         {
-            met.deposed += 1;
-            let there = |order: &&Order| match order {
+            coverage.deposed += 1;
+            let stops_running_task = |order: &&Order| match order {
                 Order::Stop { task, attempt, .. } => {
                     worker.tasks.iter().any(|((job, index, own), t)| {
                         t.phase != TaskPhase::Exited
@@ -141,7 +141,8 @@
                 }
                 _ => false,
             };
-            met.stops_of_running_tasks += command.orders.iter().filter(there).count();
+            coverage.stops_of_running_tasks +=
+                command.orders.iter().filter(stops_running_task).count();
         }
     }
 
@@ -186,19 +187,19 @@
         let first = machine.is_none_or(|m| m.last_report.is_none());
         let worker = self.region.workers.get(report.host.as_str());
         let older_session = worker.is_some_and(|w| w.shift > report.session.0);
-        let gone = |w: &Worker| {
+        let lists_absent_task = |w: &Worker| {
             report.tasks.iter().any(|row| {
                 let Some((job, index)) = row.task.rsplit_once('/') else { return false };
                 let index = index.parse().unwrap_or(0);
                 !w.tasks.contains_key(&(job.to_owned(), index, row.attempt.0))
             })
         };
-        let older_attempt = worker.is_some_and(gone);
-        let met = &mut self.machine_faults.coverage;
-        met.replayed += 1;
-        met.before_first_report += usize::from(first);
-        met.older_session += usize::from(older_session);
-        met.older_attempt += usize::from(older_attempt);
+        let older_attempt = worker.is_some_and(lists_absent_task);
+        let coverage = &mut self.machine_faults.coverage;
+        coverage.replayed += 1;
+        coverage.before_first_report += usize::from(first);
+        coverage.older_session += usize::from(older_session);
+        coverage.older_attempt += usize::from(older_attempt);
     }
 
     /// Invariants under any reports: the leader's job table holds every task that is on a machine, with its place, and a leader
@@ -253,23 +254,27 @@
     /// Tasks that are on machines this long or longer after their user learned that the job is cancelled.
     pub fn running_after_cancel(&self, for_ms: u64) -> Vec<String> {
         let checker = &self.region.checker;
-        let late = |job: &str| {
+        let cancelled_long_ago = |job: &str| {
             checker.over(job) == Some(JobStatus::Cancelled)
                 && checker.over_at(job).is_some_and(|at| self.now >= at + for_ms)
         };
-        checker.on_machines().filter(|on| late(&on.job)).map(|on| format!("{on:?}")).collect()
+        checker
+            .on_machines()
+            .filter(|on| cancelled_long_ago(&on.job))
+            .map(|on| format!("{on:?}"))
+            .collect()
     }
 
     /// Assignments in the leader's job table that are not durable yet, to machines that have been up for less than this long.
     pub fn assignments_to_new_machines(&self, up_for_ms: u64) -> usize {
         let Some(term) = self.active_term() else { return 0 };
-        let new = |host: &HostId| {
+        let is_new = |host: &HostId| {
             let worker = self.region.workers.get(host.as_str());
             worker.is_some_and(|w| self.now >= w.up_at && self.now < w.up_at + up_for_ms)
         };
         let jobs = term.job_table.jobs.values();
         jobs.flat_map(|j| {
-            j.assignments().filter(|(i, h)| !j.assignment_durable(*i) && new(&h.host))
+            j.assignments().filter(|(i, h)| !j.assignment_durable(*i) && is_new(&h.host))
         })
         .count()
     }
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -391,18 +391,18 @@
 }
 
 /// Asserts that no rule is broken, two nodes never led at once and no plan contained an invalid start.
-pub fn assert_rules(world: &World, what: &str) {
+pub fn assert_rules(world: &World, context: &str) {
     let broken = &world.region.checker.broken;
-    assert!(broken.is_empty(), "{what}: broken rules: {broken:#?}");
-    assert_eq!(world.two_leaders_at, None, "{what}: two nodes led at once");
-    assert_eq!(world.wrong_plans, 0, "{what}: a plan had an invalid start");
+    assert!(broken.is_empty(), "{context}: broken rules: {broken:#?}");
+    assert_eq!(world.two_leaders_at, None, "{context}: two nodes led at once");
+    assert_eq!(world.wrong_plans, 0, "{context}: a plan had an invalid start");
 }
 
 /// The same, and every accepted job's user knows its final state.
-pub fn assert_finished(world: &World, what: &str) {
-    assert_rules(world, what);
+pub fn assert_finished(world: &World, context: &str) {
+    assert_rules(world, context);
     let unfinished = world.unfinished();
-    assert!(unfinished.is_empty(), "{what}: unfinished jobs: {unfinished:#?}");
+    assert!(unfinished.is_empty(), "{context}: unfinished jobs: {unfinished:#?}");
 }
 
 /// The number of further seeds to run beyond the fixed ones, from `OATLOOM_SEEDS`.
@@ -496,7 +496,7 @@
 
 impl World {
     /// Controllers, a state service and a cloud, without users.
-    pub fn without_users(site: Site, rng: &mut ChaCha8Rng, calm_from: u64) -> Self {
+    pub fn without_users(site: Site, rng: &mut ChaCha8Rng, faults_end_at: u64) -> Self {
         let mut world = Self {
             digest: 0,
             now: 0,
@@ -544,7 +544,7 @@
             users: Vec::new(),
             faults: Vec::new(),
             partitions: Vec::new(),
-            faults_end_at: calm_from,
+            faults_end_at,
             rng: ChaCha8Rng::seed_from_u64(rng.random()),
         };
         for _ in 0..3 {
@@ -568,14 +568,14 @@
 
     pub fn new(seed: u64, faults: bool) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let calm_from = 150_000;
-        let mut world = Self::without_users(Site::default(), &mut rng, calm_from);
+        let faults_end_at = 150_000;
+        let mut world = Self::without_users(Site::default(), &mut rng, faults_end_at);
         for n in 0..rng.random_range(14..26) {
-            world.add_user(n, &mut rng, calm_from);
+            world.add_user(n, &mut rng, faults_end_at);
         }
         if faults {
             for _ in 0..rng.random_range(4..12) {
-                let at = rng.random_range(5_000..calm_from - 30_000);
+                let at = rng.random_range(5_000..faults_end_at - 30_000);
                 let node = rng.random_range(0..3);
                 let span = rng.random_range(2_000..28_000);
                 let fault = match rng.random_range(0..13) {
@@ -599,20 +599,20 @@
     }
 
     /// A simulation with the given faults, and further users with jobs of `shape` if one is given. The recovery phase
-    /// begins at `calm_from`, when the last fault is over.
+    /// begins at `faults_end_at`, when the last fault is over.
     pub fn with_faults(
         seed: u64,
         faults: Vec<(u64, Fault)>,
-        calm_from: u64,
+        faults_end_at: u64,
         shape: Option<Shape>,
     ) -> Self {
         let mut world = Self::new(seed, false);
         world.faults = faults;
-        world.faults_end_at = calm_from;
+        world.faults_end_at = faults_end_at;
         if let Some(shape) = shape {
             let mut rng = ChaCha8Rng::seed_from_u64(seed);
             for n in 500..512 {
-                world.add_user(n, &mut rng, calm_from.clamp(60_000, 150_000));
+                world.add_user(n, &mut rng, faults_end_at.clamp(60_000, 150_000));
                 if let Some(user) = world.users.last_mut() {
                     user.spec.shape = shape;
                     user.spec.estimate_s = user.spec.estimate_s.max(4.0);
@@ -658,7 +658,7 @@
         self.users.retain(|user| user.spec.id.as_str() != job);
     }
 
-    /// Applies operators' settings, which limit how often tasks of a class may fail; `text` is their TOML.
+    /// Applies operators' settings, which limit how often tasks of a class may fail; `text` is the S-expression with them.
     pub fn set_operator_settings(&mut self, text: &str) {
         self.operators = oatloom::settings::parse_operator_settings(text).expect("valid settings");
         let classes = &self.operators.classes;
@@ -669,7 +669,7 @@
         }
     }
 
-    fn add_user(&mut self, n: u64, rng: &mut ChaCha8Rng, calm_from: u64) {
+    fn add_user(&mut self, n: u64, rng: &mut ChaCha8Rng, faults_end_at: u64) {
         let shape = match rng.random_range(0..10) {
             0..5 => Shape::Array,
             5..8 => Shape::Gang,
@@ -710,10 +710,10 @@
         };
         // A job cannot both be bound to one zone and be spread over several.
         let spec = JobSpec { spread: spec.spread && spec.zone.is_none(), ..spec };
-        let at = rng.random_range(500..calm_from - 20_000);
+        let at = rng.random_range(500..faults_end_at - 20_000);
         let service = shape == Shape::Service;
         let abort = service || rng.random_bool(0.15);
-        let last = calm_from - 5_000;
+        let last = faults_end_at - 5_000;
         self.region.outside.specs.insert(spec.id.to_string(), spec.clone());
         let abort_at = abort.then(|| rng.random_range(at.min(last)..last + 1));
         self.users.push(User::new(spec, at, abort_at));
@@ -725,9 +725,9 @@
     }
 
     fn delay(&mut self) -> u64 {
-        let (until, least, most) = self.slow_links;
+        let (until, min_delay, max_delay) = self.slow_links;
         if self.now < until {
-            self.rng.random_range(least..most)
+            self.rng.random_range(min_delay..max_delay)
         } else if self.rng.random_bool(0.01) {
             self.rng.random_range(100..900)
         } else {
@@ -1480,11 +1480,12 @@
     /// other jobs.
     fn check_forgotten(&mut self) {
         let waiting = |u: &&User| {
-            let asks = u.accepted
+            let is_polling = u.accepted
                 && u.abort_at.is_none_or(|at| self.now < at)
                 && !self.stop_polling_when_final;
-            asks && self.now.saturating_sub(u.last_answered_at.max(self.faults_end_at))
-                > FORGOTTEN_MS
+            is_polling
+                && self.now.saturating_sub(u.last_answered_at.max(self.faults_end_at))
+                    > FORGOTTEN_MS
         };
         let forgotten: Vec<String> =
             self.users.iter().filter(waiting).map(|u| u.spec.id.to_string()).collect();
@@ -1526,12 +1527,12 @@
         let leader = self.nodes.iter().find_map(|n| n.controller.as_ref()?.leader_term());
         let pending = leader.map_or(0, |r| {
             let allowed = |j: &&Job| {
-                let most = TEAM_GPU_LIMITS
+                let gpu_limit = TEAM_GPU_LIMITS
                     .iter()
                     .find(|(team, _)| *team == j.spec.team)
                     .map_or(0.0, |l| l.1);
                 let used = r.job_table.usage.get(&j.spec.team).map_or(0.0, |usage| usage.gpus);
-                j.state == JobState::Open && (most <= 0.0 || used + j.spec.gpus <= most)
+                j.state == JobState::Open && (gpu_limit <= 0.0 || used + j.spec.gpus <= gpu_limit)
             };
             r.job_table.jobs.values().filter(allowed).map(|j| j.pending() as usize).sum()
         });
@@ -1566,7 +1567,7 @@
 
     /// The highest durable failure count of each task, by job and index, including failures on machines found faulty.
     pub fn max_failures(&self) -> BTreeMap<(String, u32), u32> {
-        let mut most: BTreeMap<(String, u32), u32> = BTreeMap::new();
+        let mut max_failures: BTreeMap<(String, u32), u32> = BTreeMap::new();
         for change in self.state.history() {
             let key = change.put.as_deref().unwrap_or_default();
             let Some((job, _)) = key.strip_prefix("asg/").and_then(|key| key.split_once('/'))
@@ -1581,11 +1582,11 @@
                 *now.entry(task).or_default() += count;
             }
             for (task, count) in now {
-                let most = most.entry((job.to_owned(), task)).or_default();
-                *most = (*most).max(count);
+                let max_count = max_failures.entry((job.to_owned(), task)).or_default();
+                *max_count = (*max_count).max(count);
             }
         }
-        most
+        max_failures
     }
 
     /// GPU limit of each team, 0 for none.
--- a/tests/world/pipelines.rs
+++ b/tests/world/pipelines.rs
@@ -262,10 +262,10 @@
     }
 
     /// Checks, when a task of a job is assigned, that all its dependencies are durably done.
-    fn check_release(&mut self, job: &str, what: &str) {
+    fn check_release(&mut self, job: &str, action: &str) {
         let Some(spec) = self.region.outside.specs.get(job) else { return };
         if let Some(open) = self.unfinished_dependency(spec) {
-            let text = format!("{job} {what}, but {open} is not durably done");
+            let text = format!("{job} {action}, but {open} is not durably done");
             self.region.checker.fail(self.now, "too_early", text);
         }
     }
@@ -297,7 +297,7 @@
         if let Some(stored) = self.durable_status(id) {
             return stored == end;
         }
-        let mut seen: BTreeSet<&str> = BTreeSet::new();
+        let mut visited: BTreeSet<&str> = BTreeSet::new();
         let mut open = vec![id.as_str()];
         while let Some(id) = open.pop() {
             let ended = self.durable_status(&JobId::new(id));
@@ -306,7 +306,7 @@
             }
             let Some(spec) = self.region.outside.specs.get(id) else { continue };
             let needs = spec.dependencies.iter().map(|need| need.as_str());
-            open.extend(needs.filter(|need| seen.insert(need)));
+            open.extend(needs.filter(|need| visited.insert(need)));
         }
         false
     }
--- a/tests/world/served.rs
+++ b/tests/world/served.rs
@@ -101,7 +101,9 @@
         }
         let limits = world.gpu_limits();
         let at_once = |spec: &JobSpec| match limits.get(&spec.team) {
-            Some(most) if *most > 0.0 && spec.gpus > 0.0 => (most / spec.gpus) as u32,
+            Some(gpu_limit) if *gpu_limit > 0.0 && spec.gpus > 0.0 => {
+                (gpu_limit / spec.gpus) as u32
+            }
             _ => u32::MAX,
         };
         let mut wanted = 0.0;
@@ -128,8 +130,8 @@
             }
             let cancels = user.abort_at.is_some_and(|at| world.now >= at);
             if present > 0 {
-                let most = self.max_running.entry(id.to_owned()).or_default();
-                *most = (*most).max(present);
+                let max_running = self.max_running.entry(id.to_owned()).or_default();
+                *max_running = (*max_running).max(present);
             }
             if user.spec.shape == Shape::Service
                 && world.now >= user.arrives_at + MAX_SERVICE_START_MS
@@ -165,8 +167,9 @@
             let (spec, checker) = (&user.spec, &world.region.checker);
             let id = spec.id.as_str();
             let done = checker.all_done(id);
-            let most = self.max_running.get(id).copied().unwrap_or(0);
-            let full = if spec.shape == Shape::Array { done } else { done || most == spec.tasks };
+            let max_running = self.max_running.get(id).copied().unwrap_or(0);
+            let full =
+                if spec.shape == Shape::Array { done } else { done || max_running == spec.tasks };
             let up = self.up.get(id).copied().unwrap_or_default();
             let known_done = checker.over(id) == Some(JobStatus::Done);
             for name in [format!("class {}", spec.class), format!("team {}", spec.team)] {
--- a/tests/world/state.rs
+++ b/tests/world/state.rs
@@ -44,8 +44,8 @@
             None => self.execute(now, op),
             Some(reply) => {
                 match &reply {
-                    StoreReply::Malformed(why) => {
-                        self.refusals.too_large.push((now, why.clone()));
+                    StoreReply::Malformed(reason) => {
+                        self.refusals.too_large.push((now, reason.clone()));
                     }
                     _ => self.refusals.throttled += 1,
                 }
--- a/tests/world/upgrades.rs
+++ b/tests/world/upgrades.rs
@@ -47,8 +47,8 @@
 impl World {
     /// Adds users with random jobs.
     pub fn add_users(&mut self, count: u64, rng: &mut ChaCha8Rng) {
-        let calm_from = self.faults_end_at;
-        (0..count).for_each(|n| self.add_user(n, rng, calm_from));
+        let faults_end_at = self.faults_end_at;
+        (0..count).for_each(|n| self.add_user(n, rng, faults_end_at));
     }
 
     /// All controllers that are started from now on run the previous version, until each is upgraded.
@@ -126,14 +126,14 @@
 
     /// After a refusal for size, the same incarnation of a controller must not send the same changes again.
     pub(super) fn check_repeated_refusal(&mut self, node: usize, op: &StoreOp, reply: &StoreReply) {
-        let (StoreOp::Txn(txn), StoreReply::Malformed(why)) = (op, reply) else { return };
-        if why == super::state::NO_SUCH_LEASE {
+        let (StoreOp::Txn(txn), StoreReply::Malformed(reason)) = (op, reply) else { return };
+        if reason == super::state::NO_SUCH_LEASE {
             return;
         }
         let write = (node, self.nodes[node].incarnation, changes_digest(txn));
         if !self.refused_writes.insert(write) {
             let keys: Vec<&str> = txn.changes.iter().map(key_of).collect();
-            let text = format!("n-{node} repeats the refused write of {keys:?}: {why}");
+            let text = format!("n-{node} repeats the refused write of {keys:?}: {reason}");
             self.region.checker.fail(self.now, "asked_again", text);
         }
     }
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -80,7 +80,7 @@
     faults.sort_by_key(|(at, _)| *at);
     let mut world = World::with_faults(seed, faults, 190_000, None);
     world.delivers_after_partition = false;
-    let mut known: BTreeSet<String> = BTreeSet::new();
+    let mut known_machines: BTreeSet<String> = BTreeSet::new();
     let (mut in_lost_zone, mut elsewhere) = (0, 0);
     while world.continues_before(LOST_AT_MS + LOST_FOR_MS) {
         if world.now > LOST_AT_MS - 30_000 && world.now.is_multiple_of(8_000) {
@@ -89,7 +89,7 @@
         world.run_until(world.now + STEP_MS);
         let counts = world.now > LOST_AT_MS + DETECTION_MS;
         for (name, worker) in &world.region.workers {
-            if known.insert(name.clone()) && counts {
+            if known_machines.insert(name.clone()) && counts {
                 *(if worker.place.zone == "a" { &mut in_lost_zone } else { &mut elsewhere }) += 1;
             }
         }
@@ -113,9 +113,9 @@
         in_lost_zone += a;
         elsewhere += b;
     }
-    let most = 4 + 2 * extra_seeds() as usize;
+    let max_in_lost_zone = 4 + 2 * extra_seeds() as usize;
     assert!(
-        in_lost_zone <= most && elsewhere > 6,
+        in_lost_zone <= max_in_lost_zone && elsewhere > 6,
         "{in_lost_zone} hired in the lost zone, {elsewhere} elsewhere"
     );
 }
@@ -131,8 +131,11 @@
         elsewhere += b;
     }
     // One machine per day is hired on purpose to probe the zone.
-    let most = 12 + 6 + 2 * extra_seeds() as usize;
-    assert!(in_lost_zone <= most, "{in_lost_zone} hired in the lost zone, {elsewhere} elsewhere");
+    let max_in_lost_zone = 12 + 6 + 2 * extra_seeds() as usize;
+    assert!(
+        in_lost_zone <= max_in_lost_zone,
+        "{in_lost_zone} hired in the lost zone, {elsewhere} elsewhere"
+    );
 }
 
 /// After a crash of all controllers, a leader without former knowledge waits for a first report from each zone in which its
@@ -145,6 +148,9 @@
         in_lost_zone += a;
         elsewhere += b;
     }
-    let most = 2 + extra_seeds() as usize;
-    assert!(in_lost_zone <= most, "{in_lost_zone} hired in the lost zone, {elsewhere} elsewhere");
+    let max_in_lost_zone = 2 + extra_seeds() as usize;
+    assert!(
+        in_lost_zone <= max_in_lost_zone,
+        "{in_lost_zone} hired in the lost zone, {elsewhere} elsewhere"
+    );
 }
