--- a/tests/quiet_controllers.rs
+++ b/tests/quiet_controllers.rs
@@ -7,7 +7,7 @@
 //! - When an outage of the state service begins for all, the controller whose last read is some seconds old reaches the six
 //!   seconds first, while the last answers of the others still count as fresh.
 //! - Two requests to the leader, 47 s apart with none in between, got no answer and counted as 47 s without one (seeds 145 and
-//!   148): the health went from `Up` to `LeaderUnreachable`, allegedly for want of an answer in 49,306 ms.
+//!   148): the health went from `Up` to `LeaderUnreachable`, with no answer for 49,306 ms by this count.
 
 #[allow(dead_code)]
 mod world;
