--- a/tests/world/aggressive_users.rs
+++ b/tests/world/aggressive_users.rs
@@ -62,10 +62,16 @@
 
 impl World {
     /// A job's user sends a node a request after the given delay.
-    pub fn send_user_request(&mut self, job: &str, node: usize, look: UserRequest, after: u64) {
+    pub fn send_user_request(
+        &mut self,
+        job: &str,
+        node: usize,
+        user_request: UserRequest,
+        after: u64,
+    ) {
         let Some(user) = self.users.iter_mut().find(|u| u.spec.id.as_str() == job) else { return };
         let id = user.spec.id.clone();
-        let request = match look {
+        let request = match user_request {
             UserRequest::View => Request::View(id),
             UserRequest::Submit => Request::Submit(Submission::Spec(Box::new(user.spec.clone()))),
             UserRequest::SubmitIncomplete => Request::Submit(Submission::Invalid {
@@ -79,8 +85,9 @@
             }
         };
         self.aggressive_users.requests_sent += 1;
-        let submission = matches!(look, UserRequest::Submit | UserRequest::SubmitIncomplete);
-        let (abort, asked_at) = (look == UserRequest::Abort, self.now + after);
+        let submission =
+            matches!(user_request, UserRequest::Submit | UserRequest::SubmitIncomplete);
+        let (abort, asked_at) = (user_request == UserRequest::Abort, self.now + after);
         let from = Sender::User { job: job.to_owned(), submission, abort, asked_at };
         let delay = after + self.delay();
         self.send(delay, Message::Request { node, from, request, forwarded: false });
@@ -184,12 +191,12 @@
     /// Sends a raw HTTP request to a node; one that fails to parse is answered at once without the controller.
     pub fn send_raw_request(&mut self, node: usize, method: &str, path: &str, body: &str) {
         let number = self.aggressive_users.raw_requests.len();
-        let what = format!("{method} {path} {body}");
+        let request_text = format!("{method} {path} {body}");
         let (answer, request) = match parse(method, path, body.as_bytes()) {
             Ok(request) => (None, Some(request)),
             Err(reply) => (Some((self.now, reply)), None),
         };
-        self.aggressive_users.raw_requests.push(RawRequest { node, request: what, answer });
+        self.aggressive_users.raw_requests.push(RawRequest { node, request: request_text, answer });
         if let Some(request) = request {
             let delay = self.delay();
             let from = Sender::RawRequest(number);
