--- a/crates/core/src/cloud.rs
+++ b/crates/core/src/cloud.rs
@@ -374,8 +374,11 @@
             let ops = client.tick(now, true, true);
             let op = ops.iter().find(|op| matches!(op, CloudOp::List { .. })).unwrap();
             let page = MachineList { hosts: vec![row(n)], more: n < 2 };
-            let news = client.handle_reply(now, op, CloudReply::List(page));
-            assert_eq!(matches!(news, CloudEvent::Listing(ref rows, _) if rows.len() == 3), n == 2);
+            let event = client.handle_reply(now, op, CloudReply::List(page));
+            assert_eq!(
+                matches!(event, CloudEvent::Listing(ref rows, _) if rows.len() == 3),
+                n == 2
+            );
             now = now.plus(Millis(1_000));
         }
     }
--- a/crates/core/src/controller/reports.rs
+++ b/crates/core/src/controller/reports.rs
@@ -137,7 +137,9 @@
                 continue;
             };
             let answer = match &parked.unapplied {
-                None => leader_term.answer_parked_report(&host, parked.shift, parked.tally, now),
+                None => {
+                    leader_term.answer_parked_report(&host, parked.session, parked.report_seq, now)
+                }
                 Some(_) if !active => {
                     self.reply(parked.conn, HttpReply::error(503, "the book is being read"));
                     continue;
--- a/crates/core/src/leader_term/capacity.rs
+++ b/crates/core/src/leader_term/capacity.rs
@@ -21,16 +21,16 @@
 /// (Doyle et al., IC2E 2016) sums s = r/d of all jobs and has no team limits.
 fn apply_team_limits<'s>(
     settings: &'s Settings,
-    book: &JobTable,
+    job_table: &JobTable,
     guaranteed: &BTreeMap<JobId, ()>,
     demands: &mut BTreeMap<&JobId, JobDemand>,
     now: Mono,
 ) -> Headroom<'s> {
-    let mut headroom = Headroom::new(settings, book);
+    let mut headroom = Headroom::new(settings, job_table);
     if headroom.is_unlimited() {
         return headroom;
     }
-    for (id, _) in placement::placement_order(settings, book, guaranteed, now) {
+    for (id, _) in placement::placement_order(settings, job_table, guaranteed, now) {
         let Some(demand) = demands.get_mut(&id) else { continue };
         let spec = &demand.job.spec;
         let Some(max_tasks) = headroom.tasks(spec) else { continue };
@@ -89,9 +89,9 @@
         now: Mono,
     ) -> f64 {
         let left = f64::from(left);
-        let most = task_cores * left;
+        let max_cores = task_cores * left;
         let Some(task_cost) = self.expected_cost(job, task_cores) else {
-            return UNMEASURED_CAP_CORES.min(most);
+            return UNMEASURED_CAP_CORES.min(max_cores);
         };
         let deadline = placement::deadline(settings, job);
         let left_s =
@@ -102,7 +102,7 @@
         let longest_s = self.class_bias(&job.spec).recent_max * job.spec.estimate_s;
         let tail_s = TAIL_WEIGHT * (longest_s - task_s).max(0.0);
         let whole_runs = ((left_s - tail_s) / task_s).floor().max(1.0);
-        Demand { work: left * task_cost, left_s: whole_runs * task_s, max_cores: most }.rate(tick_s)
+        Demand { work: left * task_cost, left_s: whole_runs * task_s, max_cores }.rate(tick_s)
     }
 
     /// Time that a task needs besides its run: a boot, reports before and after it, and the image fetch.
@@ -114,13 +114,13 @@
     /// Passes ranks and deadlines from jobs to their dependencies, deadlines less the run times expected with the class
     /// bias: the filter and the control loop treat a pipeline as work with one deadline.
     fn inherit_urgency(&mut self, settings: &Settings) {
-        let mut book = std::mem::take(&mut self.job_table);
-        book.inherit(|job| {
+        let mut job_table = std::mem::take(&mut self.job_table);
+        job_table.inherit(|job| {
             let bias = self.class_bias(&job.spec).recent_max;
             let overhead_s = self.stage_overhead_s(settings, &job.spec);
             placement::latest_release(job, bias, overhead_s)
         });
-        self.job_table = book;
+        self.job_table = job_table;
     }
 
     /// Time that a job needs besides its run if machines are up when it is released: a report before and after it, and
--- a/crates/core/src/leader_term/dispatch.rs
+++ b/crates/core/src/leader_term/dispatch.rs
@@ -55,8 +55,8 @@
                 }
             }
         }
-        for (task, why, grace) in &plan.stops {
-            self.stop(task, *why, *grace, now);
+        for (task, reason, grace) in &plan.stops {
+            self.stop(task, *reason, *grace, now);
             self.clear_stopped_gang(task);
         }
         for id in &plan.moves_to_spot {
@@ -100,7 +100,7 @@
         }
         let spec = job.spec.clone();
         let cache = self.fleet.flavor(&machine.flavor).map_or(0.0, |f| f.cache_gb);
-        let hold = TaskAssignment {
+        let assignment = TaskAssignment {
             host: host.clone(),
             session: machine.session,
             zone: machine.zone.clone(),
@@ -113,7 +113,7 @@
             reported_run_ms: None,
             stop: None,
         };
-        if !self.job_table.assign(id, index, hold) {
+        if !self.job_table.assign(id, index, assignment) {
             return;
         }
         if let Some(machine) = self.fleet.machines.get_mut(host) {
--- a/crates/core/src/leader_term/graphs.rs
+++ b/crates/core/src/leader_term/graphs.rs
@@ -9,8 +9,8 @@
 pub(super) type NodeCosts = BTreeMap<(GraphId, u16), (Kalman, Measurement)>;
 
 /// The task graphs of a new leader term; `None` if graphs are not served.
-pub(super) fn desk(terms: &LeaderConfig, token: Token, now: Mono) -> Option<Desk> {
-    let (limits, record_space) = terms.graphs.clone()?;
+pub(super) fn desk(config: &LeaderConfig, token: Token, now: Mono) -> Option<Desk> {
+    let (limits, record_space) = config.graphs.clone()?;
     Some(Desk::new(limits, token, record_space, now))
 }
 
--- a/crates/core/src/leader_term/machines.rs
+++ b/crates/core/src/leader_term/machines.rs
@@ -243,8 +243,8 @@
     }
 
     /// Summarizes the reports of each zone's machines: one silent for longer than `early_silence`, counted from
-    /// `leader_known_by` at the earliest, should have reported. Only attested machines that are not being released count:
-    /// old reports of machines released long ago would make their zone appear lost.
+    /// `leader_known_by` at the earliest, should have reported. Only machines that are confirmed to exist and not being
+    /// released count: old reports of machines released long ago would make their zone appear lost.
     fn zone_observations(
         &self,
         early_silence: Millis,
@@ -356,19 +356,21 @@
                     continue;
                 };
                 let spec = &job.spec;
-                let Some(hold) = job.assignment(task.index) else {
+                let Some(assignment) = job.assignment(task.index) else {
                     continue;
                 };
                 // Before the cloud takes a machine, a task that cannot save its progress runs on if it
                 // may finish in time; otherwise it is stopped at once and starts again elsewhere.
-                let ran_s = hold.running_since.map_or(0.0, |t| now.since(t).as_secs());
+                let ran_s = assignment.running_since.map_or(0.0, |t| now.since(t).as_secs());
                 let remaining_s = spec.estimate_s - ran_s;
                 let may_finish_in_time = m.reclaimed_at.is_some_and(|at| {
                     spec.checkpoint_s <= 0.0
                         && spec.shape != Shape::Service
                         && remaining_s < at.since(now).as_secs()
                 });
-                if hold.stop.is_none() && !(may_finish_in_time && hold.run_sent != RunSent::No) {
+                if assignment.stop.is_none()
+                    && !(may_finish_in_time && assignment.run_sent != RunSent::No)
+                {
                     stops.push((task.clone(), spec.save_s));
                 }
             }
@@ -377,7 +379,11 @@
             if matches!(self.job_table.get(&task.job).map(|j| j.gang), Some(GangState::Running(_)))
             {
                 self.stop_gang(&task.job, StopReason::Draining, now);
-            } else if self.job_table.assignment(&task).is_some_and(|hold| hold.stop.is_none()) {
+            } else if self
+                .job_table
+                .assignment(&task)
+                .is_some_and(|assignment| assignment.stop.is_none())
+            {
                 // Otherwise it was stopped along with another task of its gang.
                 self.stop(&task, StopReason::Draining, grace, now);
             }
--- a/crates/core/src/leader_term/mod.rs
+++ b/crates/core/src/leader_term/mod.rs
@@ -93,19 +93,13 @@
     pub fn new(settings: &Settings, ops: &OperatorSettings) -> Self {
         let objective_classes = settings.facts.objectives.iter().filter_map(|o| o.class.clone());
         let limited_classes = ops.classes.names().map(str::to_owned);
-        let accounted =
+        let usage_classes =
             ops.ledger.then(|| Arc::new(objective_classes.chain(limited_classes).collect()));
-        let account_every = Millis(ops.ledger_every_ms);
+        let usage_flush_interval = Millis(ops.ledger_every_ms);
         let graphs = ops.graphs.then(|| (ops.graph_limits.clone(), graphs::record_space(settings)));
-        let value_bytes = (settings.facts.state.strictest().value_kb * 1024.0) as usize;
+        let max_value_bytes = (settings.facts.state.strictest().value_kb * 1024.0) as usize;
         let classes = Arc::new(ops.classes.clone());
-        Self {
-            classes,
-            usage_classes: accounted,
-            usage_flush_interval: account_every,
-            graphs,
-            max_value_bytes: value_bytes,
-        }
+        Self { classes, usage_classes, usage_flush_interval, graphs, max_value_bytes }
     }
 
     fn usage_accounting(&self) -> Option<UsageAccounting> {
@@ -161,7 +155,7 @@
     awaiting_evidence: BTreeMap<TaskId, Mono>,
     /// Stop orders that are sent directly instead of with the answer to the machine's next report.
     direct_stops: BTreeMap<HostId, Vec<Order>>,
-    /// Machines for which a task was assigned or stopped since the last call of [`Reign::take_changed_machines`].
+    /// Machines for which a task was assigned or stopped since the last call of [`LeaderTerm::take_changed_machines`].
     changed_machines: Vec<HostId>,
     /// Machines that do not report and still hold tasks of finished jobs, the least recently contacted one last.
     overdue_machines: Vec<HostId>,
@@ -176,7 +170,7 @@
 
 impl LeaderTerm {
     /// Starts a term with an empty job table; of `fleet` only the catalog is kept.
-    pub fn new(token: Token, now: Mono, mut fleet: Fleet, terms: &LeaderConfig) -> Self {
+    pub fn new(token: Token, now: Mono, mut fleet: Fleet, config: &LeaderConfig) -> Self {
         fleet.machines.clear();
         fleet.tombstones.clear();
         fleet.zones = ZoneStates::default();
@@ -191,9 +185,9 @@
             load_revision: Revision(0),
             invalid_assignments: 0,
             job_table: JobTable::new(
-                terms.classes.clone(),
-                terms.usage_accounting(),
-                terms.graphs.is_some(),
+                config.classes.clone(),
+                config.usage_accounting(),
+                config.graphs.is_some(),
             ),
             fleet,
             attempt_count: 0,
@@ -210,7 +204,7 @@
             direct_stops: BTreeMap::new(),
             changed_machines: Vec::new(),
             overdue_machines: Vec::new(),
-            graphs: graphs::desk(terms, token, now),
+            graphs: graphs::desk(config, token, now),
             node_costs: graphs::NodeCosts::new(),
             placement_needed: true,
             next_placement: Mono(0),
@@ -336,7 +330,7 @@
             .iter()
             .map(|(_, _, host, _, zone)| (host.clone(), zone.clone()))
             .collect();
-        for (index, host, shift) in self.job_table.load_chunk(id, chunk, record, stamp, now) {
+        for (index, host, session) in self.job_table.load_chunk(id, chunk, record, stamp, now) {
             let Some(job) = self.job_table.get(id) else {
                 continue;
             };
@@ -348,7 +342,7 @@
             let machine = self.fleet.add_machine(&host, "", zone, false, now, now);
             machine.existence_confirmed = true;
             // Marks reports of earlier sessions as stale; direct commands also have to name the session.
-            machine.session = machine.session.max(shift);
+            machine.session = machine.session.max(session);
             machine.assign(
                 TaskId::new(id, index),
                 Resources::from(&*spec),
@@ -401,27 +395,27 @@
     }
 
     /// Requests the end of an assigned task. One whose start order was never sent is released at once.
-    fn stop(&mut self, task: &TaskId, why: StopReason, grace_s: f64, now: Mono) {
+    fn stop(&mut self, task: &TaskId, reason: StopReason, grace_s: f64, now: Mono) {
         let Some(job) = self.job_table.jobs.get_mut(&task.job) else {
             return;
         };
-        let Some(hold) = job.assignment_mut(task.index) else {
+        let Some(assignment) = job.assignment_mut(task.index) else {
             return;
         };
-        if hold.run_sent == RunSent::No {
+        if assignment.run_sent == RunSent::No {
             self.release_task(&task.job, task.index, false, now);
             return;
         }
         // A later stop may only shorten the grace period.
-        let grace_s = hold.stop.as_ref().map_or(grace_s, |s| s.grace_s.min(grace_s));
-        if hold.stop.is_none() {
-            log::debug!("task {task}: stopping ({why:?}, grace {grace_s} s)");
+        let grace_s = assignment.stop.as_ref().map_or(grace_s, |s| s.grace_s.min(grace_s));
+        if assignment.stop.is_none() {
+            log::debug!("task {task}: stopping ({reason:?}, grace {grace_s} s)");
         }
-        let since = hold.stop.as_ref().map_or(now, |s| s.since);
-        hold.stop = Some(Stop { reason: why, grace_s, since });
-        self.changed_machines.push(hold.host.clone());
-        if matches!(why, StopReason::Preempted | StopReason::Draining | StopReason::Moved) {
-            let (host, attempt) = (hold.host.clone(), hold.attempt);
+        let since = assignment.stop.as_ref().map_or(now, |s| s.since);
+        assignment.stop = Some(Stop { reason, grace_s, since });
+        self.changed_machines.push(assignment.host.clone());
+        if matches!(reason, StopReason::Preempted | StopReason::Draining | StopReason::Moved) {
+            let (host, attempt) = (assignment.host.clone(), assignment.attempt);
             let orders = self.direct_stops.entry(host).or_default();
             if orders.len() < MAX_ORDERS {
                 orders.push(Order::Stop { task: task.to_string(), attempt, grace_s });
@@ -430,23 +424,23 @@
     }
 
     /// Requests the end of all assigned tasks of a job.
-    fn stop_all(&mut self, id: &JobId, why: StopReason, grace_s: f64, now: Mono) {
+    fn stop_all(&mut self, id: &JobId, reason: StopReason, grace_s: f64, now: Mono) {
         let Some(job) = self.job_table.get(id) else { return };
         let held: Vec<u32> = job.assignments().map(|(i, _)| i).collect();
         for index in held {
-            self.stop(&TaskId::new(id, index), why, grace_s, now);
+            self.stop(&TaskId::new(id, index), reason, grace_s, now);
         }
     }
 
     /// Stops a running gang so that its progress is saved: all its tasks must receive the stop within
     /// `gang_peer_s`, with a grace period long enough to save. Clearing the gang here avoids a second
     /// stop without grace, which a failed gang gets.
-    fn stop_gang(&mut self, id: &JobId, why: StopReason, now: Mono) {
+    fn stop_gang(&mut self, id: &JobId, reason: StopReason, now: Mono) {
         let Some(job) = self.job_table.jobs.get_mut(id) else { return };
         let GangState::Running(attempt) = job.gang else { return };
         job.set_gang_state(GangState::Clearing(attempt), "stopped to save its progress");
         let grace_s = job.spec.save_s;
-        self.stop_all(id, why, grace_s, now);
+        self.stop_all(id, reason, grace_s, now);
     }
 
     /// Ends a job: none of its tasks may start any more, and those on machines are stopped.
--- a/crates/core/src/leader_term/reports.rs
+++ b/crates/core/src/leader_term/reports.rs
@@ -90,7 +90,9 @@
             log::info!("machine {host}: receives no answers to its reports");
         }
         machine.paused_until = machine.paused_until.max(now.plus(MISSED_ANSWERS_PAUSE_MS));
-        for (id, index) in self.tasks_assigned_to(host, |hold| hold.run_sent == RunSent::No) {
+        for (id, index) in
+            self.tasks_assigned_to(host, |assignment| assignment.run_sent == RunSent::No)
+        {
             self.release_task(&id, index, false, now);
         }
     }
@@ -106,10 +108,11 @@
             return false;
         }
         let reserved = m.reserved_for(now).is_some();
-        let start_unsent = |hold: &TaskAssignment| hold.run_sent == RunSent::No;
+        let start_unsent = |assignment: &TaskAssignment| assignment.run_sent == RunSent::No;
         let unlikely_to_end = |task: &TaskId| {
             self.job_table.get(&task.job).is_some_and(|j| {
-                let is_running = |hold: &TaskAssignment| hold.phase == Some(TaskPhase::Running);
+                let is_running =
+                    |assignment: &TaskAssignment| assignment.phase == Some(TaskPhase::Running);
                 j.spec.shape != Shape::Array
                     && j.assignment(task.index)
                         .is_some_and(|h| h.stop.is_none() && (start_unsent(h) || is_running(h)))
@@ -131,9 +134,9 @@
         machine.state != MachineState::Live
             || machine.assigned.keys().any(|task| {
                 self.job_table.get(&task.job).is_some_and(|job| {
-                    job.assignment(task.index).is_some_and(|hold| {
-                        hold.stop.is_some()
-                            || hold.run_sent == RunSent::No
+                    job.assignment(task.index).is_some_and(|assignment| {
+                        assignment.stop.is_some()
+                            || assignment.run_sent == RunSent::No
                                 && job.state == JobState::Open
                                 && job.assignment_durable(task.index)
                     })
@@ -148,8 +151,9 @@
 
     /// Whether a machine has tasks to start or stop, now or once their assignment is durable.
     pub fn has_pending_orders(&self, host: &HostId) -> bool {
-        let order_pending =
-            |hold: &TaskAssignment| hold.run_sent == RunSent::No || hold.stop.is_some();
+        let order_pending = |assignment: &TaskAssignment| {
+            assignment.run_sent == RunSent::No || assignment.stop.is_some()
+        };
         self.fleet.machines.get(host).is_some_and(|machine| {
             machine
                 .assigned
@@ -169,19 +173,19 @@
     pub fn answer_parked_report(
         &mut self,
         host: &HostId,
-        shift: WorkerSession,
-        tally: ReportSeq,
+        session: WorkerSession,
+        report_seq: ReportSeq,
         now: Mono,
     ) -> Option<ReportAnswer> {
         let machine = self.fleet.machines.get_mut(host)?;
-        if (machine.session, machine.report_seq) != (shift, tally) {
+        if (machine.session, machine.report_seq) != (session, report_seq) {
             return None;
         }
         machine.last_answer = Some(now);
         let mut orders = Vec::new();
-        for (id, index) in
-            self.tasks_assigned_to(host, |hold| hold.stop.is_some() && hold.run_sent != RunSent::No)
-        {
+        for (id, index) in self.tasks_assigned_to(host, |assignment| {
+            assignment.stop.is_some() && assignment.run_sent != RunSent::No
+        }) {
             let task = TaskId::new(&id, index);
             let stop =
                 self.job_table.assignment(&task).and_then(|h| Some((h.stop?.grace_s, h.attempt)));
@@ -192,14 +196,14 @@
                 );
             }
         }
-        self.add_start_orders(host, shift, tally, &mut orders);
+        self.add_start_orders(host, session, report_seq, &mut orders);
         Some(ReportAnswer { token: self.token, orders })
     }
 
     /// Releases the tasks of older worker sessions: a newer session proves that they are gone.
     pub(super) fn release_old_sessions(&mut self, report: &Report, now: Mono) {
         for (id, index) in
-            self.tasks_assigned_to(&report.host, |hold| hold.session < report.session)
+            self.tasks_assigned_to(&report.host, |assignment| assignment.session < report.session)
         {
             log::info!("task {id}/{index}: gone, {} has a new worker session", report.host);
             self.task_lost(&id, index, now);
@@ -227,7 +231,7 @@
             .filter(|task| {
                 self.job_table
                     .assignment(task)
-                    .is_some_and(|hold| hold.host == *host && predicate(hold))
+                    .is_some_and(|assignment| assignment.host == *host && predicate(assignment))
             })
             .map(|task| (task.job.clone(), task.index))
             .collect()
@@ -332,13 +336,13 @@
                 .collect(),
             _ => Vec::new(),
         };
-        let attempt = job.assignment(index).map(|hold| hold.attempt);
+        let attempt = job.assignment(index).map(|assignment| assignment.attempt);
         let is_still_assigned = |i: &u32| {
-            let ran = |hold: &TaskAssignment| {
-                let runs = matches!(hold.phase, Some(TaskPhase::Running | TaskPhase::Saving));
-                runs && Some(hold.attempt) == attempt
+            let ran = |assignment: &TaskAssignment| {
+                let runs = matches!(assignment.phase, Some(TaskPhase::Running | TaskPhase::Saving));
+                runs && Some(assignment.attempt) == attempt
             };
-            job.assignment(*i).is_some_and(|hold| !ran(hold))
+            job.assignment(*i).is_some_and(|assignment| !ran(assignment))
         };
         let (still_assigned, others): (Vec<u32>, Vec<u32>) =
             others.into_iter().partition(is_still_assigned);
@@ -378,27 +382,28 @@
         {
             machine.mark_fetched(&job.spec.image);
         }
-        let Some(hold) = job.assignment_mut(task.index) else {
+        let Some(assignment) = job.assignment_mut(task.index) else {
             return;
         };
-        hold.reported_run_ms = row.ran_ms.or(hold.reported_run_ms);
-        let phase_changed = hold.phase != Some(phase);
+        assignment.reported_run_ms = row.ran_ms.or(assignment.reported_run_ms);
+        let phase_changed = assignment.phase != Some(phase);
         if phase_changed {
             log::debug!("task {task}: {phase:?} on {}", report.host);
-            hold.phase = Some(phase);
+            assignment.phase = Some(phase);
         }
-        if hold.run_sent == RunSent::No {
+        if assignment.run_sent == RunSent::No {
             // A start order of an earlier leader did arrive.
-            hold.run_sent = RunSent::Inherited;
+            assignment.run_sent = RunSent::Inherited;
         }
-        if phase == TaskPhase::Running && hold.running_since.is_none() {
-            hold.running_since = Some(now);
+        if phase == TaskPhase::Running && assignment.running_since.is_none() {
+            assignment.running_since = Some(now);
         }
-        if job_finished && hold.stop.is_none() {
-            hold.stop = Some(Stop { reason: StopReason::JobFinished, grace_s: 0.0, since: now });
+        if job_finished && assignment.stop.is_none() {
+            assignment.stop =
+                Some(Stop { reason: StopReason::JobFinished, grace_s: 0.0, since: now });
         }
-        if let Some(stop) = hold.stop {
-            let attempt = hold.attempt;
+        if let Some(stop) = assignment.stop {
+            let attempt = assignment.attempt;
             self.push_order(
                 orders,
                 Order::Stop { task: task.to_string(), attempt, grace_s: stop.grace_s },
@@ -412,7 +417,8 @@
     /// Marks a job as fully up once all of its tasks run at the same time.
     fn mark_if_fully_running(&mut self, id: &JobId) {
         let Some(job) = self.job_table.jobs.get_mut(id) else { return };
-        let running = |(_, hold): (u32, &TaskAssignment)| hold.phase == Some(TaskPhase::Running);
+        let running =
+            |(_, assignment): (u32, &TaskAssignment)| assignment.phase == Some(TaskPhase::Running);
         job.was_up |= job.assigned == job.spec.tasks && job.assignments().all(running);
     }
 
@@ -461,8 +467,10 @@
                 gang_failure = Some("its tasks lost each other");
             }
             ExitCause::Error => {
-                let failed =
-                    self.job_table.assignment(task).map(|hold| FailedAttempt::of(hold, now));
+                let failed = self
+                    .job_table
+                    .assignment(task)
+                    .map(|assignment| FailedAttempt::of(assignment, now));
                 self.release_task(id, index, false, now);
                 match failed {
                     Some(failed) if self.job_table.failures_limited => {
@@ -583,12 +591,12 @@
             };
             let open = job.state == JobState::Open;
             let gang = job.gang;
-            let Some(hold) = job.assignment_mut(index) else {
+            let Some(assignment) = job.assignment_mut(index) else {
                 continue;
             };
-            let sent = match hold.run_sent {
+            let sent = match assignment.run_sent {
                 RunSent::No => false,
-                RunSent::At(tally) => tally < report.report_seq,
+                RunSent::At(report_seq) => report_seq < report.report_seq,
                 RunSent::Inherited => true,
             };
             if !sent {
@@ -597,8 +605,8 @@
                 }
                 continue;
             }
-            let was_seen = hold.phase.is_some();
-            if hold.stop.is_some()
+            let was_seen = assignment.phase.is_some();
+            if assignment.stop.is_some()
                 || was_seen
                 || !open
                 || !matches!(gang, GangState::Idle | GangState::Gathering(_))
@@ -607,8 +615,8 @@
                 self.task_lost(&id, index, now);
             } else {
                 // The start order was lost in transit: the same attempt may be sent again.
-                lost_start |= matches!(hold.run_sent, RunSent::At(_));
-                hold.run_sent = RunSent::No;
+                lost_start |= matches!(assignment.run_sent, RunSent::At(_));
+                assignment.run_sent = RunSent::No;
             }
         }
         lost_start
@@ -618,8 +626,8 @@
     pub(super) fn add_start_orders(
         &mut self,
         host: &HostId,
-        shift: WorkerSession,
-        tally: ReportSeq,
+        session: WorkerSession,
+        report_seq: ReportSeq,
         orders: &mut Vec<Order>,
     ) {
         let Some(machine) = self.fleet.machines.get(host) else {
@@ -640,15 +648,18 @@
             {
                 continue;
             }
-            let Some(hold) = job.assignment_mut(index) else {
+            let Some(assignment) = job.assignment_mut(index) else {
                 continue;
             };
-            if hold.session != shift || hold.stop.is_some() || orders.len() >= MAX_ORDERS {
+            if assignment.session != session
+                || assignment.stop.is_some()
+                || orders.len() >= MAX_ORDERS
+            {
                 continue;
             }
-            hold.run_sent = RunSent::At(tally);
-            log::debug!("task {task}: run on {host} try {}", hold.attempt);
-            orders.push(Order::Run { task: task.to_string(), attempt: hold.attempt });
+            assignment.run_sent = RunSent::At(report_seq);
+            log::debug!("task {task}: run on {host} try {}", assignment.attempt);
+            orders.push(Order::Run { task: task.to_string(), attempt: assignment.attempt });
         }
     }
 }
--- a/crates/core/src/leader_term/retries.rs
+++ b/crates/core/src/leader_term/retries.rs
@@ -17,10 +17,10 @@
 }
 
 impl FailedAttempt {
-    pub fn of(hold: &TaskAssignment, now: Mono) -> Self {
+    pub fn of(assignment: &TaskAssignment, now: Mono) -> Self {
         Self {
-            attempt: hold.attempt,
-            ran: hold.running_since.map_or(Millis(0), |since| now.since(since)),
+            attempt: assignment.attempt,
+            ran: assignment.running_since.map_or(Millis(0), |since| now.since(since)),
         }
     }
 }
@@ -64,7 +64,7 @@
         let runs_well = |h: &TaskAssignment| {
             h.running_since.is_some_and(|at| now.since(at) >= MIN_SOUND_RUN_MS)
         };
-        let sound = job.done > 0 || job.assignments().any(|(_, hold)| runs_well(hold));
+        let sound = job.done > 0 || job.assignments().any(|(_, assignment)| runs_well(assignment));
         job.unproven = !sound;
         job.failed_at = now;
         let failures = job.charges.failure_count(job.charge_scope(index)).max(1);
@@ -219,8 +219,8 @@
             OnExhausted::FailJob => self.stop_all(id, StopReason::JobFinished, 0.0, now),
             OnExhausted::FinishRest => {
                 // Tasks that were never sent a start order are released at once.
-                let unsent = |(index, hold): (u32, &TaskAssignment)| {
-                    (hold.run_sent == RunSent::No).then_some(index)
+                let unsent = |(index, assignment): (u32, &TaskAssignment)| {
+                    (assignment.run_sent == RunSent::No).then_some(index)
                 };
                 let unsent: Vec<u32> = self
                     .job_table
--- a/crates/core/src/leader_term/usage.rs
+++ b/crates/core/src/leader_term/usage.rs
@@ -14,23 +14,25 @@
         (stored, ran_ms): (bool, Option<u64>),
         now: Mono,
     ) {
-        let Some(account) = &self.job_table.usage_accounting else { return };
-        let wall_ms = account.wall_ms;
+        let Some(accounting) = &self.job_table.usage_accounting else { return };
+        let wall_ms = accounting.wall_ms;
         let Some(job) = self.job_table.get(id) else { return };
-        let Some(hold) = job.assignment(index).filter(|hold| hold.run_sent != RunSent::No) else {
+        let Some(assignment) =
+            job.assignment(index).filter(|assignment| assignment.run_sent != RunSent::No)
+        else {
             return;
         };
         let spec = &job.spec;
-        let machine = self.fleet.machines.get(&hold.host);
+        let machine = self.fleet.machines.get(&assignment.host);
         // An assignment made by an earlier leader is only known to be no older than its job.
-        let since = match hold.run_sent {
+        let since = match assignment.run_sent {
             // A finished job is known from its records alone, which lack the submission time.
             RunSent::Inherited if job.submitted > Mono(0) => job.submitted,
-            _ => hold.assigned_at,
+            _ => assignment.assigned_at,
         };
-        let seen_ms = hold.running_since.map_or(0, |since| now.since(since).0);
+        let seen_ms = assignment.running_since.map_or(0, |since| now.since(since).0);
         let seen_ms = if end == AttemptEnd::Unseen { 0 } else { seen_ms };
-        let ran_ms = ran_ms.or(hold.reported_run_ms).unwrap_or(seen_ms);
+        let ran_ms = ran_ms.or(assignment.reported_run_ms).unwrap_or(seen_ms);
         // Reports may arrive late, so only the proof that the task is gone bounds how long it ran after the last one.
         let unseen_ms =
             if end == AttemptEnd::Unseen { now.since(since).0.saturating_sub(ran_ms) } else { 0 };
@@ -38,17 +40,17 @@
         let spot = machine.is_some_and(|m| m.spot);
         let entry = UsageEntry {
             task: TaskId::new(id, index),
-            attempt: hold.attempt,
+            attempt: assignment.attempt,
             team: spec.team.clone(),
             class: spec.class.clone(),
             shape: spec.shape,
             rank: spec.rank,
-            host: hold.host.clone(),
+            host: assignment.host.clone(),
             flavor: flavor.map(|f| f.label.clone()).unwrap_or_default(),
-            zone: hold.zone.clone(),
+            zone: assignment.zone.clone(),
             spot,
             ended_ms: wall_ms,
-            held_ms: now.since(hold.assigned_at).0.max(ran_ms),
+            held_ms: now.since(assignment.assigned_at).0.max(ran_ms),
             ran_ms,
             unseen_ms,
             end,
--- a/crates/core/src/leadership.rs
+++ b/crates/core/src/leadership.rs
@@ -249,16 +249,16 @@
         }
     }
 
-    /// Handles the reply to `ask`, which was sent at `sent`. `random` becomes the nonce of a claim.
+    /// Handles the reply to `request`, which was sent at `sent`. `random` becomes the nonce of a claim.
     pub fn on_reply(
         &mut self,
         now: Mono,
-        ask: &LeadershipRequest,
+        request: &LeadershipRequest,
         sent: Mono,
         reply: &StoreReply,
         random: u64,
     ) -> Vec<LeadershipRequest> {
-        match ask {
+        match request {
             LeadershipRequest::Read => self.on_read(now, sent, reply),
             LeadershipRequest::Watch(after) => self.on_watch(now, *after, reply),
             LeadershipRequest::Grant => self.on_grant(now, sent, reply, random),
--- a/crates/core/src/open_requests.rs
+++ b/crates/core/src/open_requests.rs
@@ -15,8 +15,8 @@
 impl OpenRequests {
     /// Adds a request, or moves the deadline of one that is open.
     pub fn insert(&mut self, conn: ConnId, deadline: Mono) {
-        if let Some(former) = self.deadlines.insert(conn, deadline) {
-            self.by_deadline.remove(&(former, conn));
+        if let Some(previous) = self.deadlines.insert(conn, deadline) {
+            self.by_deadline.remove(&(previous, conn));
         }
         self.by_deadline.insert((deadline, conn));
     }
--- a/crates/core/src/parked_reports.rs
+++ b/crates/core/src/parked_reports.rs
@@ -14,8 +14,8 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ParkedReport {
     pub conn: ConnId,
-    pub shift: WorkerSession,
-    pub tally: ReportSeq,
+    pub session: WorkerSession,
+    pub report_seq: ReportSeq,
     /// Latest time of its answer, well before its worker times out.
     pub deadline: Mono,
     /// The report itself, if it has not been applied yet.
@@ -50,17 +50,17 @@
         &mut self,
         host: HostId,
         conn: ConnId,
-        shift: WorkerSession,
-        tally: ReportSeq,
+        session: WorkerSession,
+        report_seq: ReportSeq,
         deadline: Mono,
-        unread: Option<Box<Report>>,
+        unapplied: Option<Box<Report>>,
     ) {
         self.take(&host);
-        if unread.is_some() {
+        if unapplied.is_some() {
             self.watched.insert(host.clone());
         }
         self.by_deadline.insert((deadline, host.clone()));
-        self.waiting.insert(host, ParkedReport { conn, shift, tally, deadline, unapplied: unread });
+        self.waiting.insert(host, ParkedReport { conn, session, report_seq, deadline, unapplied });
     }
 
     /// Watches a machine for which there may be orders now or soon.
@@ -86,7 +86,7 @@
     /// Whether the same machine has a parked report that is at least as new.
     pub fn has_newer(&self, report: &Report) -> bool {
         let waiting = self.waiting.get(&report.host);
-        waiting.is_some_and(|p| (p.shift, p.tally) >= (report.session, report.report_seq))
+        waiting.is_some_and(|p| (p.session, p.report_seq) >= (report.session, report.report_seq))
     }
 
     /// Removes a machine's parked report: a newer one has come, or it is being answered.
@@ -105,11 +105,11 @@
     }
 
     /// Returns the machines whose deadline has passed, and of those checked the ones for which `ready` holds; no more
-    /// than can be answered at once. All are checked periodically, whatever `look` says, and always if there are few.
+    /// than can be answered at once. All are checked periodically, whatever `scan` says, and always if there are few.
     pub fn due(
         &mut self,
         now: Mono,
-        look: ParkedScan,
+        scan: ParkedScan,
         ready: impl Fn(&HostId, &ParkedReport) -> bool,
     ) -> Vec<HostId> {
         if self.waiting.len() <= MAX_PARKED_FULL_SCAN {
@@ -124,7 +124,7 @@
         if sweep_due {
             self.next_sweep = now.plus(PARKED_SWEEP_PERIOD_MS);
         }
-        let to_check: Box<dyn Iterator<Item = &HostId>> = match look {
+        let to_check: Box<dyn Iterator<Item = &HostId>> = match scan {
             _ if sweep_due => Box::new(self.waiting.keys()),
             ParkedScan::Watched => Box::new(self.watched.iter()),
             ParkedScan::Expired => return due,
--- a/crates/core/src/parked_reports/tests.rs
+++ b/crates/core/src/parked_reports/tests.rs
@@ -27,7 +27,7 @@
         Mono(2_000).plus(MAX_PARK_MS),
         None,
     );
-    assert_eq!(parked.take(&host).map(|p| (p.conn, p.tally)), Some((ConnId(2), ReportSeq(5))));
+    assert_eq!(parked.take(&host).map(|p| (p.conn, p.report_seq)), Some((ConnId(2), ReportSeq(5))));
     assert!(parked.take(&host).is_none());
 }
 
--- a/crates/core/src/workers.rs
+++ b/crates/core/src/workers.rs
@@ -129,10 +129,10 @@
 
 impl Machine {
     /// Changes the state; no other code does.
-    pub fn set_state(&mut self, life: MachineState, why: &str) {
-        if self.state != life && self.state != MachineState::Releasing {
-            log::info!("machine {}: {:?} -> {:?} ({why})", self.id, self.state, life);
-            self.state = life;
+    pub fn set_state(&mut self, state: MachineState, why: &str) {
+        if self.state != state && self.state != MachineState::Releasing {
+            log::info!("machine {}: {:?} -> {:?} ({why})", self.id, self.state, state);
+            self.state = state;
         }
     }
 
--- a/crates/core/src/workers/tests.rs
+++ b/crates/core/src/workers/tests.rs
@@ -1,14 +1,14 @@
 use super::*;
 
-fn report(shift: u64, tally: u64, token: u64) -> Report {
+fn report(session: u64, report_seq: u64, token: u64) -> Report {
     Report {
         host: HostId::new("i-1"),
         addr: "10.0.0.9:1".into(),
         flavor: "f".into(),
         zone: Zone::new("a"),
         spot: false,
-        session: WorkerSession(shift),
-        report_seq: ReportSeq(tally),
+        session: WorkerSession(session),
+        report_seq: ReportSeq(report_seq),
         token: Token(token),
         notice_s: None,
         tasks: Vec::new(),
