--- a/crates/core/src/leader_term/capacity.rs
+++ b/crates/core/src/leader_term/capacity.rs
@@ -224,11 +224,11 @@
             let since = first_arrival.unwrap_or(self.started_at).min(self.started_at);
             placement::expected_jobs(settings, &self.job_table, &self.fleet, now, since, &headroom)
         };
-        let awaited: f64 = cloud
+        let pending_cores: f64 = cloud
             .pending_hires()
             .filter_map(|(k, n)| Some(self.fleet.flavor(&k.flavor)?.cpus * f64::from(n)))
             .sum();
-        let rented = self.rented_cores() + awaited;
+        let rented = self.rented_cores() + pending_cores;
         let factor = scaling::rate_factor(target, rented, ops.beta);
         let (ids, claims): (Vec<JobId>, Vec<ArrayDemand>) = claims.into_iter().unzip();
         let tasks =
--- a/crates/core/src/leader_term/graphs.rs
+++ b/crates/core/src/leader_term/graphs.rs
@@ -4,8 +4,8 @@
 use oatloom_graph::desk::OpenJob;
 use oatloom_graph::ids::GraphId;
 
-/// Run time of each kind of node in each graph: the Kalman filter of the Dithen paper (Doyle et al., IC2E 2016), and the
-/// measurements of the current tick.
+/// Run time of each kind of node in each graph: the Kalman filter of the design specification, and the measurements of
+/// the current tick.
 pub(super) type NodeCosts = BTreeMap<(GraphId, u16), (Kalman, Measurement)>;
 
 /// The task graphs of a new leader term; `None` if graphs are not served.
--- a/crates/core/src/leader_term/machines.rs
+++ b/crates/core/src/leader_term/machines.rs
@@ -56,9 +56,15 @@
                 continue;
             }
             let age = Millis::from_secs(row.age_s);
-            let born = Mono(now.0.saturating_sub(age.0));
-            let machine =
-                self.fleet.add_machine(&row.host, &row.flavor, &row.zone, row.spot, born, now);
+            let created_at = Mono(now.0.saturating_sub(age.0));
+            let machine = self.fleet.add_machine(
+                &row.host,
+                &row.flavor,
+                &row.zone,
+                row.spot,
+                created_at,
+                now,
+            );
             machine.existence_confirmed = true;
             if machine.addr.is_empty() {
                 machine.addr.clone_from(&row.addr);
@@ -111,7 +117,7 @@
         let workers = &settings.facts.workers;
         let silent_after = Millis::from_secs(workers.report_s * ops.silent_reports);
         let early_silence = Millis::from_secs(silent_after.as_secs() * EARLY_SILENCE_SHARE);
-        let taken_after = Millis::from_secs(workers.report_s * RECLAIMED_REPORT_PERIODS);
+        let reclaimed_after = Millis::from_secs(workers.report_s * RECLAIMED_REPORT_PERIODS);
         let leader_known_by = self.silence_counted_from.plus(Millis::from_secs(MAX_REDIRECT_S));
         let silence = |m: &Machine| {
             let from = m.last_report.unwrap_or(m.created_at).max(leader_known_by.min(now));
@@ -161,11 +167,11 @@
                 }
                 continue;
             }
-            // A machine that the cloud had announced to take back is gone once it is silent.
-            let taken_back =
-                m.reclaimed_at.is_some() && silence(m) > taken_after && now > leader_known_by;
+            // A machine that the cloud announced to reclaim is gone once it is silent.
+            let reclaimed =
+                m.reclaimed_at.is_some() && silence(m) > reclaimed_after && now > leader_known_by;
             let silent =
-                taken_back || silence(m) > silent_after && now > leader_known_by.plus(silent_after);
+                reclaimed || silence(m) > silent_after && now > leader_known_by.plus(silent_after);
             if silent && matches!(m.state, MachineState::Live | MachineState::Closing) {
                 m.set_state(MachineState::Silent, "no reports");
             }
@@ -199,10 +205,10 @@
         let of_finished_job =
             |task: &TaskId| self.job_table.get(&task.job).is_some_and(|job| !job.may_continue());
         let overdue = |m: &&Machine| {
-            let last_heard =
+            let last_contact =
                 m.last_report.unwrap_or(self.silence_counted_from).max(self.silence_counted_from);
             !m.addr.is_empty()
-                && now.since(last_heard) > overdue_after
+                && now.since(last_contact) > overdue_after
                 && now.since(m.last_direct_command) >= repeat_after
                 && m.assigned.keys().any(of_finished_job)
         };
--- a/crates/core/src/leader_term/mod.rs
+++ b/crates/core/src/leader_term/mod.rs
@@ -290,8 +290,8 @@
             let ready = |(name, gb)| Image { name, gb, ready: true };
             self.inherited_images.insert(host, images.into_iter().map(ready).collect());
         }
-        for (class, factor) in hints.run_time_ratios {
-            self.class_biases.insert(class, ClassBias::new(factor));
+        for (class, ratio) in hints.run_time_ratios {
+            self.class_biases.insert(class, ClassBias::new(ratio));
         }
         // The job table lacks jobs that arrived before the hints were sent and have finished since.
         let mut arrivals: Vec<(Mono, Arc<JobSpec>)> =
@@ -322,7 +322,7 @@
         id: &JobId,
         chunk: u32,
         record: ChunkRecord,
-        stamp: Revision,
+        revision: Revision,
         now: Mono,
     ) {
         let zones: BTreeMap<HostId, Zone> = record
@@ -330,7 +330,7 @@
             .iter()
             .map(|(_, _, host, _, zone)| (host.clone(), zone.clone()))
             .collect();
-        for (index, host, session) in self.job_table.load_chunk(id, chunk, record, stamp, now) {
+        for (index, host, session) in self.job_table.load_chunk(id, chunk, record, revision, now) {
             let Some(job) = self.job_table.get(id) else {
                 continue;
             };
--- a/crates/core/src/leader_term/retries.rs
+++ b/crates/core/src/leader_term/retries.rs
@@ -149,8 +149,8 @@
         let Some(allowance) = job.allowance.filter(|_| job.state == JobState::Open) else { return };
         let task = TaskId::new(id, index);
         let waited = self.awaiting_evidence.get(&task).map_or(Millis(0), |since| now.since(*since));
-        let judged = job.charge_scope(index);
-        match job.charges.retry_decision(id, judged, allowance, &self.evidence, waited) {
+        let scope = job.charge_scope(index);
+        match job.charges.retry_decision(id, scope, allowance, &self.evidence, waited) {
             RetryDecision::Allowed => {
                 if self.awaiting_evidence.remove(&task).is_some() {
                     log::info!("task {task}: may be retried");
@@ -162,7 +162,7 @@
                 // No further evidence came, and the existing evidence points to the machines.
                 let hosts: Vec<HostId> = job
                     .charges
-                    .failures_by_host(judged)
+                    .failures_by_host(scope)
                     .into_iter()
                     .filter_map(|(host, _)| host)
                     .collect();
@@ -198,16 +198,16 @@
             Shape::Array => allowance.on_exhausted,
             Shape::Gang | Shape::Service => OnExhausted::FailJob,
         };
-        let judged = job.charge_scope(index);
+        let scope = job.charge_scope(index);
         let cause = |(host, count)| FailureCause { host, cause: ExitCause::Error, count };
         let failure = Failure {
             class: job.spec.class.clone(),
             task: TaskId::new(id, index).to_string(),
-            failures: job.charges.failure_count(judged),
+            failures: job.charges.failure_count(scope),
             repeats: allowance.max_retries,
             causes: job
                 .charges
-                .failures_by_host(judged)
+                .failures_by_host(scope)
                 .into_iter()
                 .take(MAX_FAILURE_HOSTS)
                 .map(cause)
--- a/crates/core/src/leadership.rs
+++ b/crates/core/src/leadership.rs
@@ -348,10 +348,10 @@
                 Vec::new()
             }
             _ => {
-                if self.leader.as_ref().is_none_or(|(_, known)| *known != token) {
+                if self.leader.as_ref().is_none_or(|(_, leader_token)| *leader_token != token) {
                     log::info!("leadership: {} leads with token {token}", record.member);
                 }
-                let mut requests = self.revoke_former_lease(now, &record, row);
+                let mut requests = self.revoke_earlier_lease(now, &record, row);
                 self.leader = Some((record.member, token));
                 requests.extend(self.watch(row.version));
                 requests
@@ -363,7 +363,7 @@
     /// waiting for it to expire. That process has ended: it had bound the address that this one has bound now. Its
     /// pending writes are fenced by the key, which is deleted with the lease. The other controllers, which know more of
     /// the fleet, may claim first.
-    fn revoke_former_lease(
+    fn revoke_earlier_lease(
         &mut self,
         now: Mono,
         record: &LeaderRecord,
@@ -600,13 +600,13 @@
             lease,
         };
         let (here, there) = (Some("10.0.0.1:80"), Some("10.0.0.2:80"));
-        let former = Some(LeaseId(5));
+        let earlier = Some(LeaseId(5));
         let cases = [
-            (row("a", here, former), true),
+            (row("a", here, earlier), true),
             (row("a", here, None), false),
-            (row("a", there, former), false),
-            (row("a", None, former), false),
-            (row("b", here, former), false),
+            (row("a", there, earlier), false),
+            (row("a", None, earlier), false),
+            (row("b", here, earlier), false),
         ];
         for bound_address in [here, None] {
             for (row, ends) in &cases {
--- a/crates/core/src/relay.rs
+++ b/crates/core/src/relay.rs
@@ -143,33 +143,33 @@
     /// After an outage a whole fleet reports to a follower: most workers are redirected instead of forwarded.
     #[test]
     fn only_a_limited_number_of_workers_is_forwarded_at_once() {
-        let mut relays = ReportRouter::default();
+        let mut router = ReportRouter::default();
         let now = Mono(10_000);
         let forwarded = (0..1_000)
-            .filter(|n| relays.route(&host(*n), true, now) == ReportRoute::Forward)
+            .filter(|n| router.route(&host(*n), true, now) == ReportRoute::Forward)
             .count();
         assert_eq!(forwarded, MAX_FIRST_VISIT_RELAYS);
         // Workers that return could not reach the leader.
-        assert_eq!(relays.route(&host(999), true, Mono(14_000)), ReportRoute::Forward);
+        assert_eq!(router.route(&host(999), true, Mono(14_000)), ReportRoute::Forward);
         // After a while they are redirected again, to try the leader themselves.
         let later = Mono(14_000 + RELAY_PERIOD_MS.0);
-        relays.route(&host(999), true, Mono(20_000));
-        assert_eq!(relays.route(&host(999), true, later), ReportRoute::Redirect);
+        router.route(&host(999), true, Mono(20_000));
+        assert_eq!(router.route(&host(999), true, later), ReportRoute::Redirect);
     }
 
     /// After the leader refuses a report, no report of any worker is forwarded for a while.
     #[test]
     fn a_refusal_by_the_leader_pauses_all_forwarding() {
-        let mut relays = ReportRouter::default();
-        assert_eq!(relays.route(&host(1), true, Mono(10_000)), ReportRoute::Forward);
-        relays.on_forward_result(Some(503), Mono(10_010));
-        assert_eq!(relays.route(&host(2), true, Mono(10_020)), ReportRoute::RetryLater);
+        let mut router = ReportRouter::default();
+        assert_eq!(router.route(&host(1), true, Mono(10_000)), ReportRoute::Forward);
+        router.on_forward_result(Some(503), Mono(10_010));
+        assert_eq!(router.route(&host(2), true, Mono(10_020)), ReportRoute::RetryLater);
         let later = Mono(10_010 + RELAY_FAILURE_PAUSE_MS.0);
-        assert_eq!(relays.route(&host(2), true, later), ReportRoute::Forward);
-        relays.on_forward_result(None, later);
-        assert_eq!(relays.route(&host(3), true, later), ReportRoute::Redirect);
-        assert_eq!(relays.route(&host(3), true, later), ReportRoute::TryOther);
-        relays.on_forward_result(Some(200), later);
-        assert_eq!(relays.route(&host(2), true, later), ReportRoute::Forward);
+        assert_eq!(router.route(&host(2), true, later), ReportRoute::Forward);
+        router.on_forward_result(None, later);
+        assert_eq!(router.route(&host(3), true, later), ReportRoute::Redirect);
+        assert_eq!(router.route(&host(3), true, later), ReportRoute::TryOther);
+        router.on_forward_result(Some(200), later);
+        assert_eq!(router.route(&host(2), true, later), ReportRoute::Forward);
     }
 }
--- a/crates/core/src/workers.rs
+++ b/crates/core/src/workers.rs
@@ -108,7 +108,7 @@
     pub last_answer: Option<Mono>,
     pub assigned: BTreeMap<TaskId, Resources>,
     pub used: Resources,
-    /// Reported tasks that the job table does not hold there, and what they take.
+    /// Reported tasks that the job table does not assign there, and the resources they take.
     pub strays: BTreeMap<(TaskId, Attempt), Resources>,
     pub reclaimed_at: Option<Mono>,
     pub idle_since: Mono,
@@ -305,7 +305,7 @@
         flavor: &str,
         zone: &Zone,
         spot: bool,
-        born: Mono,
+        created_at: Mono,
         now: Mono,
     ) -> &mut Machine {
         self.machines.entry(id.clone()).or_insert_with(|| {
@@ -317,7 +317,7 @@
                 spot,
                 addr: String::new(),
                 state: MachineState::Booting,
-                created_at: born,
+                created_at,
                 session: WorkerSession(0),
                 report_seq: ReportSeq(0),
                 last_report: None,
@@ -340,7 +340,7 @@
         })
     }
 
-    /// Orders a report among those seen before and records what it says of the machine itself. The
+    /// Orders a report among those seen before and records what it contains on the machine itself. The
     /// caller compares the tasks that it lists.
     pub fn record_report(&mut self, report: &Report, token: Token, now: Mono) -> Freshness {
         let fresh = self
@@ -374,10 +374,10 @@
         if confirmed { Freshness::Confirmed } else { Freshness::Unconfirmed }
     }
 
-    /// When a machine's tasks are certainly gone if it is not heard from again: its lease, with
+    /// When a machine's tasks are certainly gone if it does not report again: its lease, with
     /// clock drift, from the latest time at which a valid leader can have answered it.
-    pub fn tasks_gone_by(m: &Machine, lead_since: Mono, lease_s: f64) -> Mono {
-        let from = m.last_answer.unwrap_or(lead_since).max(lead_since);
+    pub fn tasks_gone_by(m: &Machine, term_started_at: Mono, lease_s: f64) -> Mono {
+        let from = m.last_answer.unwrap_or(term_started_at).max(term_started_at);
         from.plus(lease_span(lease_s))
     }
 
--- a/crates/core/src/workers/tests.rs
+++ b/crates/core/src/workers/tests.rs
@@ -18,13 +18,15 @@
 #[test]
 fn reports_are_ordered_by_session_and_sequence_number() {
     let mut fleet = Fleet::default();
-    let mut take = |s, t, k| fleet.record_report(&report(s, t, k), Token(4), Mono(1));
-    assert_eq!(take(1, 5, 3), Freshness::Unconfirmed);
-    assert_eq!(take(1, 6, 4), Freshness::Confirmed);
-    assert_eq!(take(1, 6, 4), Freshness::Stale);
-    assert_eq!(take(1, 2, 4), Freshness::Stale);
-    assert_eq!(take(2, 1, 4), Freshness::Confirmed);
-    assert_eq!(take(1, 900, 4), Freshness::Stale);
+    let mut record = |session, report_seq, token| {
+        fleet.record_report(&report(session, report_seq, token), Token(4), Mono(1))
+    };
+    assert_eq!(record(1, 5, 3), Freshness::Unconfirmed);
+    assert_eq!(record(1, 6, 4), Freshness::Confirmed);
+    assert_eq!(record(1, 6, 4), Freshness::Stale);
+    assert_eq!(record(1, 2, 4), Freshness::Stale);
+    assert_eq!(record(2, 1, 4), Freshness::Confirmed);
+    assert_eq!(record(1, 900, 4), Freshness::Stale);
 }
 
 /// The horizon allows for clock drift and for the last answers of an earlier leader.
