--- a/crates/core/src/inbox.rs
+++ b/crates/core/src/inbox.rs
@@ -18,7 +18,7 @@
     /// gets no answer for the length of a lease, and much of that lease may have passed.
     Report,
     /// The same of a machine that has acknowledged the current leader.
-    KnownReport,
+    AcknowledgedReport,
     /// A query about a job, or its cancellation: mostly answered from memory.
     Query,
     /// The submission of a job.
@@ -33,7 +33,7 @@
     pub const ALL: [Self; 7] = [
         Self::Control,
         Self::Report,
-        Self::KnownReport,
+        Self::AcknowledgedReport,
         Self::Query,
         Self::Submission,
         Self::IdleReport,
@@ -45,7 +45,7 @@
         match request {
             Request::HealthProbe | Request::LeaderHints(_) | Request::Gossip(_) => Self::Control,
             Request::Report(report) if report.tasks.is_empty() => Self::IdleReport,
-            Request::Report(report) if Some(report.token) == leader => Self::KnownReport,
+            Request::Report(report) if Some(report.token) == leader => Self::AcknowledgedReport,
             Request::Report(_) => Self::Report,
             Request::View(_) | Request::Abort(_) => Self::Query,
             Request::Submit(_) => Self::Submission,
@@ -59,7 +59,7 @@
         match self {
             Self::Control => 8,
             Self::Report => 8,
-            Self::KnownReport => 8,
+            Self::AcknowledgedReport => 8,
             Self::Query => 6,
             Self::Submission => 3,
             Self::IdleReport => 2,
@@ -73,7 +73,7 @@
         match self {
             Self::Control => MAX_CONTROL_AGE_MS,
             _ if forwarded => MAX_FORWARDED_AGE_MS,
-            Self::Report | Self::KnownReport | Self::IdleReport => MAX_REPORT_AGE_MS,
+            Self::Report | Self::AcknowledgedReport | Self::IdleReport => MAX_REPORT_AGE_MS,
             Self::Query => MAX_QUESTION_AGE_MS,
             Self::Submission | Self::Other => MAX_SUBMISSION_AGE_MS,
         }
@@ -91,7 +91,7 @@
     /// Classifies a request, taking into account whether its machine's last report was dropped.
     pub fn classify(&self, request: &Request, leader: Option<Token>) -> InputKind {
         match (InputKind::of(request, leader), request) {
-            (InputKind::KnownReport, Request::Report(report))
+            (InputKind::AcknowledgedReport, Request::Report(report))
                 if self.machines.contains(&report.host) =>
             {
                 InputKind::Report
--- a/crates/core/src/inbox/tests.rs
+++ b/crates/core/src/inbox/tests.rs
@@ -134,10 +134,10 @@
     };
     let leader = Some(Token(7));
     let mut dropped = DroppedReports::default();
-    assert_eq!(dropped.classify(&report("i-1"), leader), InputKind::KnownReport);
+    assert_eq!(dropped.classify(&report("i-1"), leader), InputKind::AcknowledgedReport);
     dropped.record_dropped(&report("i-1"));
     assert_eq!(dropped.classify(&report("i-1"), leader), InputKind::Report);
-    assert_eq!(dropped.classify(&report("i-2"), leader), InputKind::KnownReport);
+    assert_eq!(dropped.classify(&report("i-2"), leader), InputKind::AcknowledgedReport);
     dropped.record_handled(&report("i-1"));
-    assert_eq!(dropped.classify(&report("i-1"), leader), InputKind::KnownReport);
+    assert_eq!(dropped.classify(&report("i-1"), leader), InputKind::AcknowledgedReport);
 }
--- a/crates/core/src/leader_term/capacity.rs
+++ b/crates/core/src/leader_term/capacity.rs
@@ -111,8 +111,8 @@
         self.stage_overhead_s(settings, spec) + boot_s
     }
 
-    /// Passes ranks and deadlines from jobs to their dependencies, deadlines less the run times expected with the class
-    /// bias: the filter and the control loop treat a pipeline as work with one deadline.
+    /// Passes ranks and deadlines from waiting jobs to their dependencies, which must end earlier by the waiting job's
+    /// expected run time and overhead: the filter and the control loop treat a pipeline as work with one deadline.
     fn inherit_urgency(&mut self, settings: &Settings) {
         let mut job_table = std::mem::take(&mut self.job_table);
         job_table.inherit(|job| {
--- a/crates/core/src/leader_term/reports.rs
+++ b/crates/core/src/leader_term/reports.rs
@@ -327,7 +327,8 @@
 
     /// Marks a task as done. The tasks of a gang complete together: a gang with only some tasks done could never start
     /// again. Gang tasks that were not seen running in the same attempt are done too, but stay assigned until they are
-    /// provably gone: the result was one kept from an earlier attempt, and theirs may still be starting.
+    /// provably gone: the result was one kept from an earlier attempt, and theirs may still be starting. `ran_ms`: run
+    /// time reported by the worker with the end.
     pub(super) fn task_done(&mut self, id: &JobId, index: u32, ran_ms: Option<u64>, now: Mono) {
         let Some(job) = self.job_table.get(id) else { return };
         let others: Vec<u32> = match job.spec.shape {
@@ -337,15 +338,15 @@
             _ => Vec::new(),
         };
         let attempt = job.assignment(index).map(|assignment| assignment.attempt);
-        let is_still_assigned = |i: &u32| {
-            let ran = |assignment: &TaskAssignment| {
+        let not_seen_running = |i: &u32| {
+            let seen_running = |assignment: &TaskAssignment| {
                 let runs = matches!(assignment.phase, Some(TaskPhase::Running | TaskPhase::Saving));
                 runs && Some(assignment.attempt) == attempt
             };
-            job.assignment(*i).is_some_and(|assignment| !ran(assignment))
+            job.assignment(*i).is_some_and(|assignment| !seen_running(assignment))
         };
         let (still_assigned, others): (Vec<u32>, Vec<u32>) =
-            others.into_iter().partition(is_still_assigned);
+            others.into_iter().partition(not_seen_running);
         self.release_task(id, index, true, now);
         for other in still_assigned {
             self.stop(&TaskId::new(id, other), StopReason::JobFinished, 0.0, now);
@@ -502,7 +503,8 @@
         }
     }
 
-    /// Handles a task error: the machine is blamed, unless the job has failed on other machines too.
+    /// Handles a task error where retries are not limited: pauses the job, longer after each error, and blames the
+    /// machine, unless the job has failed on several machines.
     pub(super) fn task_failed(&mut self, id: &JobId, host: &HostId, now: Mono) {
         let Some(job) = self.job_table.jobs.get_mut(id) else {
             return;
@@ -512,10 +514,10 @@
         let doublings = job.error_count.saturating_sub(1).min(16);
         let pause = (ERROR_RETRY_PAUSE_MS.0 << doublings).min(MAX_ERROR_RETRY_PAUSE_MS.0);
         job.paused_until = now.plus(Millis(pause));
-        let own_fault = job.error_hosts.len() >= FAULTY_JOB_HOSTS;
+        let is_job_faulty = job.error_hosts.len() >= FAULTY_JOB_HOSTS;
         let hosts: Vec<HostId> = job.error_hosts.iter().cloned().collect();
         log::info!("job {id}: error number {} on {host}, next try in {pause} ms", job.error_count);
-        if own_fault {
+        if is_job_faulty {
             // Keeps one broken job from marking every machine as faulty.
             for host in hosts {
                 if let Some(machine) = self.fleet.machines.get_mut(&host) {
