--- a/crates/core/src/leader_term/graphs.rs
+++ b/crates/core/src/leader_term/graphs.rs
@@ -4,13 +4,13 @@
 use oatloom_graph::desk::OpenJob;
 use oatloom_graph::ids::GraphId;
 
-/// Run time of each kind of node in each graph: the Kalman filter of the Dithen paper (Doyle et al., IC2E 2016), and the
-/// measurements of the current tick.
+/// Run time of each kind of node in each graph: the Kalman filter of the design specification, and the measurements of
+/// the current tick.
 pub(super) type NodeCosts = BTreeMap<(GraphId, u16), (Kalman, Measurement)>;
 
 /// The task graphs of a new leader term; `None` if graphs are not served.
-pub(super) fn desk(terms: &LeaderConfig, token: Token, now: Mono) -> Option<Desk> {
-    let (limits, record_space) = terms.graphs.clone()?;
+pub(super) fn desk(config: &LeaderConfig, token: Token, now: Mono) -> Option<Desk> {
+    let (limits, record_space) = config.graphs.clone()?;
     Some(Desk::new(limits, token, record_space, now))
 }
 
--- a/crates/core/src/leader_term/retries.rs
+++ b/crates/core/src/leader_term/retries.rs
@@ -17,10 +17,10 @@
 }
 
 impl FailedAttempt {
-    pub fn of(hold: &TaskAssignment, now: Mono) -> Self {
+    pub fn of(assignment: &TaskAssignment, now: Mono) -> Self {
         Self {
-            attempt: hold.attempt,
-            ran: hold.running_since.map_or(Millis(0), |since| now.since(since)),
+            attempt: assignment.attempt,
+            ran: assignment.running_since.map_or(Millis(0), |since| now.since(since)),
         }
     }
 }
@@ -64,7 +64,7 @@
         let runs_well = |h: &TaskAssignment| {
             h.running_since.is_some_and(|at| now.since(at) >= MIN_SOUND_RUN_MS)
         };
-        let sound = job.done > 0 || job.assignments().any(|(_, hold)| runs_well(hold));
+        let sound = job.done > 0 || job.assignments().any(|(_, assignment)| runs_well(assignment));
         job.unproven = !sound;
         job.failed_at = now;
         let failures = job.charges.failure_count(job.charge_scope(index)).max(1);
@@ -149,8 +149,8 @@
         let Some(allowance) = job.allowance.filter(|_| job.state == JobState::Open) else { return };
         let task = TaskId::new(id, index);
         let waited = self.awaiting_evidence.get(&task).map_or(Millis(0), |since| now.since(*since));
-        let judged = job.charge_scope(index);
-        match job.charges.retry_decision(id, judged, allowance, &self.evidence, waited) {
+        let scope = job.charge_scope(index);
+        match job.charges.retry_decision(id, scope, allowance, &self.evidence, waited) {
             RetryDecision::Allowed => {
                 if self.awaiting_evidence.remove(&task).is_some() {
                     log::info!("task {task}: may be retried");
@@ -162,7 +162,7 @@
                 // No further evidence came, and the existing evidence points to the machines.
                 let hosts: Vec<HostId> = job
                     .charges
-                    .failures_by_host(judged)
+                    .failures_by_host(scope)
                     .into_iter()
                     .filter_map(|(host, _)| host)
                     .collect();
@@ -198,16 +198,16 @@
             Shape::Array => allowance.on_exhausted,
             Shape::Gang | Shape::Service => OnExhausted::FailJob,
         };
-        let judged = job.charge_scope(index);
+        let scope = job.charge_scope(index);
         let cause = |(host, count)| FailureCause { host, cause: ExitCause::Error, count };
         let failure = Failure {
             class: job.spec.class.clone(),
             task: TaskId::new(id, index).to_string(),
-            failures: job.charges.failure_count(judged),
+            failures: job.charges.failure_count(scope),
             repeats: allowance.max_retries,
             causes: job
                 .charges
-                .failures_by_host(judged)
+                .failures_by_host(scope)
                 .into_iter()
                 .take(MAX_FAILURE_HOSTS)
                 .map(cause)
@@ -219,8 +219,8 @@
             OnExhausted::FailJob => self.stop_all(id, StopReason::JobFinished, 0.0, now),
             OnExhausted::FinishRest => {
                 // Tasks that were never sent a start order are released at once.
-                let unsent = |(index, hold): (u32, &TaskAssignment)| {
-                    (hold.run_sent == RunSent::No).then_some(index)
+                let unsent = |(index, assignment): (u32, &TaskAssignment)| {
+                    (assignment.run_sent == RunSent::No).then_some(index)
                 };
                 let unsent: Vec<u32> = self
                     .job_table
