--- a/crates/ledger/src/constants.rs
+++ b/crates/ledger/src/constants.rs
@@ -17,7 +17,7 @@
 /// How long after midnight usage may still be added to the previous day: clocks of controllers differ, and a leader
 /// may have to be elected first.
 pub const DAY_CLOSE_DELAY_MS: u64 = 3_600_000;
-/// Maximum number of rows of a roll-up, in a value of [`ROLLUP_BYTES`].
+/// Maximum number of rows of a roll-up, in a value of [`MAX_ROLLUP_BYTES`].
 pub const MAX_ROLLUP_ROWS: usize = 40;
 /// Maximum size of a stored roll-up.
 pub const MAX_ROLLUP_BYTES: usize = 8 * 1024;
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -3,7 +3,7 @@
 //! `docs/design-ledger.md`.
 //!
 //! - [`entry`]: usage of one attempt, and how much of its run time was useful
-//! - [`tally`]: sums of entries, as stored in records
+//! - [`sums`]: sums of entries, as stored in records
 //! - [`rollup`]: stored totals by team, class and day, and usage not yet added to them
 //! - [`query`]: usage queries of operators and their results
 
--- a/crates/ledger/src/rollup.rs
+++ b/crates/ledger/src/rollup.rs
@@ -402,9 +402,11 @@
     impl Store {
         /// Applies the transaction if every revision matches. Returns whether it was applied.
         fn apply(&mut self, rollups: &Rollups, cursor: Option<Cursor>) -> bool {
-            let revision = |id: &RollupId| self.rollups.get(id).map_or(Revision(0), |(_, s)| *s);
+            let revision =
+                |id: &RollupId| self.rollups.get(id).map_or(Revision(0), |(_, stored)| *stored);
             let matches = rollups.writes().all(|(id, version, _)| revision(id) == version)
-                && self.cursor.map_or(Revision(0), |(_, s)| s) == rollups.cursor_revision();
+                && self.cursor.map_or(Revision(0), |(_, stored)| stored)
+                    == rollups.cursor_revision();
             if matches {
                 self.revision += 1;
                 for (id, _, rollup) in rollups.writes() {
@@ -465,7 +467,7 @@
                     _ if rollups.flush_due(now, 0) => {
                         let cursor = rollups.flush(2, now, 0);
                         let ids: Vec<RollupId> =
-                            rollups.writes().map(|(s, ..)| s.clone()).collect();
+                            rollups.writes().map(|(id, ..)| id.clone()).collect();
                         let applied = rng.random_bool(0.8) && store.apply(&rollups, cursor);
                         if applied && rng.random_bool(0.6) {
                             for id in &ids {
@@ -497,7 +499,7 @@
                 rounds += 1;
                 assert!(rounds < 50, "seed {seed}: flushing does not finish");
                 let cursor = last.flush(2, Mono(0), 0);
-                let ids: Vec<RollupId> = last.writes().map(|(s, ..)| s.clone()).collect();
+                let ids: Vec<RollupId> = last.writes().map(|(id, ..)| id.clone()).collect();
                 if store.apply(&last, cursor) {
                     let revision = Revision(store.revision);
                     ids.iter().for_each(|id| last.mark_committed(id, revision));
--- a/crates/ledger/tests/month.rs
+++ b/crates/ledger/tests/month.rs
@@ -43,7 +43,8 @@
         let mut changes = 0;
         while rollups.flush_due(now, open_from) {
             let cursor = rollups.flush(15, now, open_from);
-            let revision_of = |id: &RollupId| self.rollups.get(id).map_or(Revision(0), |(_, s)| *s);
+            let revision_of =
+                |id: &RollupId| self.rollups.get(id).map_or(Revision(0), |(_, stored)| *stored);
             let matches = rollups.writes().all(|(id, version, _)| revision_of(id) == version);
             let ids: Vec<RollupId> = rollups.writes().map(|(id, ..)| id.clone()).collect();
             if !matches {
--- a/crates/policy/src/fault_attribution.rs
+++ b/crates/policy/src/fault_attribution.rs
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Machines whose fault probability reaches [`FAULTY`].
+    /// Machines whose fault probability reaches [`MACHINE_FAULTY_PROBABILITY`].
     pub fn faulty_machines(&self) -> impl Iterator<Item = &HostId> {
         self.machine_faults
             .iter()
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -3,7 +3,7 @@
 //! design is described in `docs/design-repeats.md`.
 //!
 //! - [`classes`]: the operators' retry settings per job class
-//! - [`blame`]: fault probabilities of machines and jobs, inferred from failures and successes
+//! - [`fault_attribution`]: fault probabilities of machines and jobs, inferred from failures and successes
 //! - [`charges`]: failures charged to the tasks of one job, as stored in the state service
 //! - [`backoff`]: delay before a task is retried
 
--- a/crates/shares/src/plan.rs
+++ b/crates/shares/src/plan.rs
@@ -64,7 +64,8 @@
         return current.clone();
     }
     let total_capacity: f64 = candidates.values().map(|c| c.capacity).sum();
-    let load_of = |share: &ShareId| share_loads.get(share).map_or(1.0, |w| w.load.max(1.0));
+    let load_of =
+        |share: &ShareId| share_loads.get(share).map_or(1.0, |share_load| share_load.load.max(1.0));
     let total_load: f64 = ShareId::all().map(|share| load_of(&share)).sum();
     let target_load =
         |member: &MemberIndex| total_load * candidates[member].capacity / total_capacity;
@@ -75,8 +76,8 @@
     }
     // Relative load of an owner after taking the share; the lowest wins.
     let cost = |share: &ShareId, member: &MemberIndex, owner_loads: &BTreeMap<MemberIndex, f64>| {
-        let in_home_zone =
-            share_loads.get(share).and_then(|w| w.zone.as_ref()) == Some(&candidates[member].zone);
+        let in_home_zone = share_loads.get(share).and_then(|share_load| share_load.zone.as_ref())
+            == Some(&candidates[member].zone);
         let zone_factor = if in_home_zone { 1.0 - HOME_ZONE_LOAD_DISCOUNT } else { 1.0 };
         (owner_loads[member] + load_of(share) * zone_factor)
             / target_load(member).max(f64::MIN_POSITIVE)
@@ -300,7 +301,8 @@
                     owners = next;
                     assert!(steps < 60, "seed {seed}: the plan never converges");
                 }
-                let total_load: f64 = share_loads.values().map(|w| w.load.max(1.0)).sum();
+                let total_load: f64 =
+                    share_loads.values().map(|share_load| share_load.load.max(1.0)).sum();
                 let total_capacity: f64 = present.values().map(|c| c.capacity).sum();
                 for (member, candidate) in &present {
                     let mine = owners.iter().filter(|(_, owner)| *owner == member);
--- a/crates/shares/src/protocol.rs
+++ b/crates/shares/src/protocol.rs
@@ -102,11 +102,11 @@
 }
 
 impl OwnershipProtocol {
-    pub fn new(me: MemberIndex, shares: u16) -> Self {
+    pub fn new(me: MemberIndex, share_count: u16) -> Self {
         let (phase, key) = (SharePhase::NotOwned, KeyState::Unknown);
         let state =
             ShareState { phase, key, planned_owner: None, write_pending: false, attempt: 0 };
-        Self { me, shares: vec![state; usize::from(shares)], lease_valid: false, fault: None }
+        Self { me, shares: vec![state; usize::from(share_count)], lease_valid: false, fault: None }
     }
 
     /// Injects a fault.
