--- a/crates/zones/src/lib.rs
+++ b/crates/zones/src/lib.rs
@@ -104,8 +104,8 @@
     /// How long it has been lost; `None` if it is recovering.
     pub lost_ms: Option<u64>,
     /// Whether its few machines are silent.
-    #[serde(default)]
-    pub mute: bool,
+    #[serde(rename = "mute", default)]
+    pub silent: bool,
     /// Losses that count towards its recovery time.
     pub losses: u32,
     /// How long ago the last of them was, in ms.
@@ -157,15 +157,17 @@
     /// Updates all zones by the observations made at `now`. A zone that is not among them has no
     /// machine that could report; its timeouts still apply. A zone is lost only if other zones
     /// report: a controller that hears from nobody knows nothing of any zone.
-    pub fn observe(&mut self, seen: &BTreeMap<Zone, ZoneObservation>, now: Mono) {
-        let heard: u32 = seen.values().map(|s| s.heard).sum();
+    pub fn observe(&mut self, observations: &BTreeMap<Zone, ZoneObservation>, now: Mono) {
+        let heard: u32 = observations.values().map(|observation| observation.heard).sum();
         let empty: Vec<Zone> =
-            self.records.keys().filter(|zone| !seen.contains_key(zone)).cloned().collect();
-        let nothing = ZoneObservation::default();
-        for (zone, view) in seen.iter().chain(empty.iter().map(|zone| (zone, &nothing))) {
+            self.records.keys().filter(|zone| !observations.contains_key(zone)).cloned().collect();
+        let no_machines = ZoneObservation::default();
+        for (zone, observation) in
+            observations.iter().chain(empty.iter().map(|zone| (zone, &no_machines)))
+        {
             let record = self.record_mut(zone);
-            let missing = if heard > 0 { view.missing() } else { 0 };
-            let latest = view.latest.filter(|_| view.heard > 0);
+            let missing = if heard > 0 { observation.missing() } else { 0 };
+            let latest = observation.latest.filter(|_| observation.heard > 0);
             let next = match record.state {
                 ZoneState::Lost { .. } => latest.map(|_| {
                     let doubled = RECOVERY_MS.0 << record.losses.saturating_sub(1).min(16);
@@ -200,7 +202,7 @@
                     Some((ZoneState::Healthy, "a machine reports"))
                 }
                 ZoneState::Healthy | ZoneState::AwaitingReports | ZoneState::Unknown
-                    if view.is_awaiting_reports() =>
+                    if observation.is_awaiting_reports() =>
                 {
                     (record.state != ZoneState::AwaitingReports)
                         .then_some((ZoneState::AwaitingReports, "no machine has reported yet"))
@@ -208,10 +210,12 @@
                 _ if missing > 0 => {
                     Some((ZoneState::Silent { heard: None }, "its few machines are silent"))
                 }
-                ZoneState::Healthy if view.is_cut() => {
+                ZoneState::Healthy if observation.is_cut() => {
                     Some((ZoneState::Suspected, "most are silent"))
                 }
-                ZoneState::Suspected if !view.is_cut() => Some((ZoneState::Healthy, "most report")),
+                ZoneState::Suspected if !observation.is_cut() => {
+                    Some((ZoneState::Healthy, "most report"))
+                }
                 ZoneState::AwaitingReports => Some((ZoneState::Healthy, "no more are expected")),
                 ZoneState::Unknown => None,
                 ZoneState::Healthy | ZoneState::Suspected => None,
@@ -287,18 +291,18 @@
                 ZoneState::Lost { since } => Some(now.since(since).0),
                 _ => None,
             },
-            mute: matches!(record.state, ZoneState::Silent { .. }),
+            silent: matches!(record.state, ZoneState::Silent { .. }),
             losses: record.losses,
             last_ms: now.since(record.last_loss).0,
         };
         self.records.iter().filter(unstable).map(report).collect()
     }
 
-    /// Takes over what an earlier leader reported at `noted`. That leader may have been the one
-    /// that was cut off, so later observations take precedence.
-    pub fn restore(&mut self, told: &[ZoneReport], noted: Mono) {
-        let ago = |ms: u64| Mono(noted.0.saturating_sub(ms));
-        for report in told {
+    /// Takes over what an earlier leader reported at `reported_at`. That leader may have been the
+    /// one that was cut off, so later observations take precedence.
+    pub fn restore(&mut self, reports: &[ZoneReport], reported_at: Mono) {
+        let ago = |ms: u64| Mono(reported_at.0.saturating_sub(ms));
+        for report in reports {
             let record = self.record_mut(&report.zone);
             record.losses = report.losses;
             record.last_loss = ago(report.last_ms);
@@ -306,7 +310,7 @@
                 record.next_probe = ago(lost_ms).plus(PROBE_PERIOD_MS);
                 let state = ZoneState::Lost { since: ago(lost_ms) };
                 Self::transition(&report.zone, record, state, "reported by an earlier leader");
-            } else if report.mute {
+            } else if report.silent {
                 let state = ZoneState::Silent { heard: None };
                 Self::transition(&report.zone, record, state, "reported by an earlier leader");
             }
@@ -528,9 +532,9 @@
     fn next_leader_takes_over_lost_zones() {
         let mut zones = ZoneStates::default();
         zones.observe(&seen(all_silent(9), all_reporting(9, 10_000)), Mono(10_000));
-        let told = zones.report(Mono(25_000));
+        let reports = zones.report(Mono(25_000));
         let mut next = ZoneStates::default();
-        next.restore(&told, Mono(1_000_000));
+        next.restore(&reports, Mono(1_000_000));
         assert_eq!(next.state(&zone("a")), ZoneState::Lost { since: Mono(985_000) });
         assert!(next.due_probes(Mono(1_000_000), |_| true).is_empty());
         let probe = Mono(985_000).plus(PROBE_PERIOD_MS);
@@ -549,7 +553,7 @@
         next.restore(&zones.report(Mono(25_000)), Mono(1_000_000));
         assert_eq!(next.hire_policy(&zone("a")), HirePolicy::OneAtATime);
         // A clock whose reading is below the reported ages does no harm.
-        ZoneStates::default().restore(&told, Mono(3));
+        ZoneStates::default().restore(&reports, Mono(3));
     }
 
     /// Whatever is observed, a zone with reports is never lost, and a lost zone without reports is
@@ -572,16 +576,9 @@
                     let heard = if rng.random_bool(0.5) { 0 } else { rng.random_range(0..=known) };
                     let silent = rng.random_range(0..=known - heard);
                     let latest = (heard > 0).then_some(now);
-                    let unheard = rng.random_range(0..3);
-                    let expected = unheard + rng.random_range(0..3);
-                    let seen = ZoneObservation {
-                        known,
-                        silent,
-                        heard,
-                        latest,
-                        expected,
-                        overdue: unheard,
-                    };
+                    let overdue = rng.random_range(0..3);
+                    let expected = overdue + rng.random_range(0..3);
+                    let seen = ZoneObservation { known, silent, heard, latest, expected, overdue };
                     view.insert(zone(name), seen);
                 }
                 let before = NAMES.map(|name| zones.state(&zone(name)));
