--- a/crates/policy/src/charges.rs
+++ b/crates/policy/src/charges.rs
@@ -157,11 +157,11 @@
         &self,
         job: &JobId,
         task: Option<u32>,
-        allowance: RetryPolicy,
+        policy: RetryPolicy,
         evidence: &Evidence,
         waited: Millis,
     ) -> RetryDecision {
-        if self.failure_count(task) <= allowance.max_retries {
+        if self.failure_count(task) <= policy.max_retries {
             return RetryDecision::Allowed;
         }
         let fault_threshold = fault_threshold(waited);
@@ -169,8 +169,7 @@
             host.is_none_or(|host| evidence.machine_caused_probability(job, host) < fault_threshold)
         };
         let own_failures = self.counted_rows(task).filter(|(host, _)| is_own_fault(*host));
-        if own_failures.map(|(_, count)| count).fold(0, u32::saturating_add) > allowance.max_retries
-        {
+        if own_failures.map(|(_, count)| count).fold(0, u32::saturating_add) > policy.max_retries {
             RetryDecision::Exhausted
         } else {
             RetryDecision::AwaitingEvidence
@@ -241,40 +240,40 @@
         HostId::new(&format!("i-{n:010}"))
     }
 
-    fn allowance(repeats: u32) -> RetryPolicy {
-        RetryPolicy { max_retries: repeats, on_exhausted: OnExhausted::FailJob }
+    fn retry_policy(max_retries: u32) -> RetryPolicy {
+        RetryPolicy { max_retries, on_exhausted: OnExhausted::FailJob }
     }
 
     /// Failures on different machines exhaust the limit soon; a single one on a machine without other evidence
     /// counts only after a longer wait.
     #[test]
-    fn standing_depends_on_the_evidence() {
+    fn retry_decision_depends_on_the_evidence() {
         let (job, mut charges, mut evidence) =
             (JobId::new("req-1"), Charges::default(), Evidence::default());
-        let standing_of = |c: &Charges, e: &Evidence, repeats, waited| {
-            c.retry_decision(&job, Some(0), allowance(repeats), e, waited)
+        let decision_of = |c: &Charges, e: &Evidence, max_retries, waited| {
+            c.retry_decision(&job, Some(0), retry_policy(max_retries), e, waited)
         };
         let (without_wait, after_short_wait, after_full_wait) =
             (Millis(0), Millis(5_000), Millis(20_000));
-        assert_eq!(standing_of(&charges, &evidence, 0, without_wait), RetryDecision::Allowed);
+        assert_eq!(decision_of(&charges, &evidence, 0, without_wait), RetryDecision::Allowed);
         charges.add(0, &host(1));
         evidence.record_failure(&job, 0, &host(1), Mono(1));
-        assert_eq!(standing_of(&charges, &evidence, 1, without_wait), RetryDecision::Allowed);
+        assert_eq!(decision_of(&charges, &evidence, 1, without_wait), RetryDecision::Allowed);
         assert_eq!(
-            standing_of(&charges, &evidence, 0, after_short_wait),
+            decision_of(&charges, &evidence, 0, after_short_wait),
             RetryDecision::AwaitingEvidence
         );
-        assert_eq!(standing_of(&charges, &evidence, 0, after_full_wait), RetryDecision::Exhausted);
+        assert_eq!(decision_of(&charges, &evidence, 0, after_full_wait), RetryDecision::Exhausted);
         charges.add(0, &host(2));
         evidence.record_failure(&job, 0, &host(2), Mono(2));
         assert_eq!(
-            standing_of(&charges, &evidence, 1, without_wait),
+            decision_of(&charges, &evidence, 1, without_wait),
             RetryDecision::AwaitingEvidence
         );
-        assert_eq!(standing_of(&charges, &evidence, 1, after_short_wait), RetryDecision::Exhausted);
+        assert_eq!(decision_of(&charges, &evidence, 1, after_short_wait), RetryDecision::Exhausted);
         assert_eq!(charges.excuse(&host(1)), [0]);
         assert!(charges.excuse(&host(1)).is_empty(), "excused twice");
-        assert_eq!(standing_of(&charges, &evidence, 1, after_full_wait), RetryDecision::Allowed);
+        assert_eq!(decision_of(&charges, &evidence, 1, after_full_wait), RetryDecision::Allowed);
         assert_eq!(charges.failures_by_host(Some(0)), [(Some(host(2)), 1)]);
     }
 
--- a/crates/policy/src/classes.rs
+++ b/crates/policy/src/classes.rs
@@ -86,22 +86,23 @@
     fields: Vec<Field>,
     label: &str,
 ) -> Result<(Option<String>, RetryPolicy), ClassesError> {
-    let (mut name, mut repeats, mut on_exhausted) = (None, None, None);
+    let (mut name, mut max_retries, mut on_exhausted) = (None, None, None);
     for field in fields {
         match field {
             Field::Name((value,)) => set(&mut name, value, label, "name")?,
-            Field::Repeats((value,)) => set(&mut repeats, value, label, "repeats")?,
+            Field::Repeats((value,)) => set(&mut max_retries, value, label, "repeats")?,
             Field::OnExhausted((value,)) => set(&mut on_exhausted, value, label, "on-exhausted")?,
         }
     }
     let label = name.clone().unwrap_or_else(|| label.to_owned());
-    let repeats = repeats.ok_or_else(|| ClassesError::MissingRetries(label.clone()))?;
-    if !(0..=MAX_RETRIES).contains(&repeats) {
+    let max_retries = max_retries.ok_or_else(|| ClassesError::MissingRetries(label.clone()))?;
+    if !(0..=MAX_RETRIES).contains(&max_retries) {
         return Err(ClassesError::RetriesOutOfRange(label));
     }
     let on_exhausted = on_exhausted.unwrap_or(OnExhausted::FailJob);
-    let repeats = u32::try_from(repeats).map_err(|_| ClassesError::RetriesOutOfRange(label))?;
-    Ok((name, RetryPolicy { max_retries: repeats, on_exhausted }))
+    let max_retries =
+        u32::try_from(max_retries).map_err(|_| ClassesError::RetriesOutOfRange(label))?;
+    Ok((name, RetryPolicy { max_retries, on_exhausted }))
 }
 
 impl TryFrom<Vec<Entry>> for Classes {
@@ -115,18 +116,18 @@
         for item in entries {
             match item {
                 Entry::Class(fields) => {
-                    let (name, allowance) = parse_entry(fields, "a class")?;
+                    let (name, policy) = parse_entry(fields, "a class")?;
                     let name = name.ok_or(ClassesError::MissingName)?;
-                    if classes.named.insert(name.clone(), allowance).is_some() {
+                    if classes.named.insert(name.clone(), policy).is_some() {
                         return Err(ClassesError::DuplicateClass(name));
                     }
                 }
                 Entry::Default(fields) => {
-                    let (name, allowance) = parse_entry(fields, "default")?;
+                    let (name, policy) = parse_entry(fields, "default")?;
                     if name.is_some() {
                         return Err(ClassesError::NamedDefault);
                     }
-                    if classes.default.replace(allowance).is_some() {
+                    if classes.default.replace(policy).is_some() {
                         return Err(ClassesError::DuplicateClass("default".into()));
                     }
                 }
