--- a/crates/core/src/owners.rs
+++ b/crates/core/src/owners.rs
@@ -89,7 +89,7 @@
 
 impl ShareOwners {
     /// `peers` may include this controller.
-    pub fn new(me: &Member, peers: impl IntoIterator<Item = Member>, shares: u16) -> Self {
+    pub fn new(me: &Member, peers: impl IntoIterator<Item = Member>, share_count: u16) -> Self {
         let mut members: Vec<Member> = peers.into_iter().chain([me.clone()]).collect();
         members.sort();
         members.dedup();
@@ -98,7 +98,7 @@
         Self {
             me,
             members,
-            protocol: OwnershipProtocol::new(me, shares),
+            protocol: OwnershipProtocol::new(me, share_count),
             lease: Lease::None,
             next_grant: Mono(0),
             next_renewal: Mono(0),
@@ -405,6 +405,7 @@
         }
     }
 
+    /// Interprets a share's record, stored at `version`: which controller holds the share's key.
     fn key_state(&self, value: &serde_json::Value, version: Revision) -> KeyState {
         let holder = match ParsedRecord::parse(value) {
             ParsedRecord::Invalid => KeyHolder::Invalid,
--- a/src/runtime/clients.rs
+++ b/src/runtime/clients.rs
@@ -47,8 +47,8 @@
         })
     }
 
-    pub fn store(&self, id: OpId, lane: OpClass, op: StoreOp) -> Option<Event> {
-        let queue = match lane {
+    pub fn store(&self, id: OpId, class: OpClass, op: StoreOp) -> Option<Event> {
+        let queue = match class {
             OpClass::Lease => &self.lease,
             OpClass::Watch => &self.watch,
             OpClass::Write | OpClass::General => &self.general,
@@ -138,7 +138,7 @@
         Some((200, body)) => match op {
             StoreOp::Get { .. } => read(&body, |row: Row| StoreReply::Found(row)),
             StoreOp::List { .. } => read(&body, |page: Page| StoreReply::Page(page)),
-            StoreOp::Txn(_) => read(&body, |e: RevisionReply| StoreReply::Committed(e.revision)),
+            StoreOp::Txn(_) => read(&body, |r: RevisionReply| StoreReply::Committed(r.revision)),
             StoreOp::Grant { .. } => read(&body, |g: Grant| StoreReply::Granted(g.lease)),
             StoreOp::Touch { .. } | StoreOp::Revoke { .. } => StoreReply::Touched,
             StoreOp::Follow { .. } | StoreOp::Changes { .. } => {
@@ -146,10 +146,10 @@
             }
         },
         Some((404, body)) => match op {
-            StoreOp::Get { .. } => read(&body, |e: RevisionReply| StoreReply::Missing(e.revision)),
+            StoreOp::Get { .. } => read(&body, |r: RevisionReply| StoreReply::Missing(r.revision)),
             _ => StoreReply::NoSuchLease,
         },
-        Some((409, body)) => read(&body, |e: RevisionReply| StoreReply::Conflict(e.failed)),
+        Some((409, body)) => read(&body, |r: RevisionReply| StoreReply::Conflict(r.failed)),
         Some((410, _)) => StoreReply::TooOld,
         // After a server error it is unknown whether the request was executed.
         Some((status, _)) if status >= 500 => StoreReply::Lost,
@@ -170,7 +170,7 @@
             }
             caller.get(&path)
         }
-        CloudOp::Hire(hire) => caller.post("/machines", hire),
+        CloudOp::Hire(request) => caller.post("/machines", request),
         CloudOp::Release(hosts) => {
             caller.post("/machines/release", &Hosts { hosts: hosts.clone() })
         }
