--- a/crates/protocol/src/ids.rs
+++ b/crates/protocol/src/ids.rs
@@ -82,7 +82,7 @@
 }
 
 counter_newtype!(
-    /// Fencing token: the revision at which the leader key was created.
+    /// Fencing token: the revision at which the leader key was created, or the key of a share's owner last written.
     Token
 );
 counter_newtype!(
