--- a/crates/core/src/constants.rs
+++ b/crates/core/src/constants.rs
@@ -188,7 +188,7 @@
 /// poll after 2 s, a report after 4 s, a submission after 5 s (protocol); a peer waits for
 /// [`LEADER_QUERY_TIMEOUT_MS`].
 pub const MAX_CONTROL_AGE_MS: Millis = Millis(900);
-pub const MAX_QUESTION_AGE_MS: Millis = Millis(1_500);
+pub const MAX_QUERY_AGE_MS: Millis = Millis(1_500);
 pub const MAX_REPORT_AGE_MS: Millis = Millis(3_000);
 pub const MAX_SUBMISSION_AGE_MS: Millis = Millis(2_500);
 pub const MAX_FORWARDED_AGE_MS: Millis = Millis(600);
--- a/crates/core/src/inbox.rs
+++ b/crates/core/src/inbox.rs
@@ -74,7 +74,7 @@
             Self::Control => MAX_CONTROL_AGE_MS,
             _ if forwarded => MAX_FORWARDED_AGE_MS,
             Self::Report | Self::AcknowledgedReport | Self::IdleReport => MAX_REPORT_AGE_MS,
-            Self::Query => MAX_QUESTION_AGE_MS,
+            Self::Query => MAX_QUERY_AGE_MS,
             Self::Submission | Self::Other => MAX_SUBMISSION_AGE_MS,
         }
     }
--- a/crates/core/src/inbox/tests.rs
+++ b/crates/core/src/inbox/tests.rs
@@ -85,7 +85,7 @@
         inbox.push(Mono(0), InputKind::Query, false, n);
     }
     assert_eq!(inbox.len(), CALLERS);
-    let later = Mono(MAX_QUESTION_AGE_MS.0);
+    let later = Mono(MAX_QUERY_AGE_MS.0);
     inbox.push(later, InputKind::Query, false, 77);
     let mut retries_by_second: BTreeMap<u32, u32> = BTreeMap::new();
     loop {
