--- a/crates/state/benches/service.rs
+++ b/crates/state/benches/service.rs
@@ -1,5 +1,5 @@
-//! How much the service takes, how fast it starts, and whether a snapshot holds it up. All on one machine,
-//! clients included: `cargo bench -p oatloom-state`.
+//! Throughput of changes, time and memory of recovery, and latency of changes during a snapshot. Clients run on the same
+//! machine: `cargo bench -p oatloom-state`.
 
 use criterion::{Criterion, Throughput};
 use hdrhistogram::Histogram;
@@ -15,29 +15,30 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-const MANY_KEYS: u64 = 1_000_000;
+const KEY_COUNT: u64 = 1_000_000;
 
-fn caller(address: &str) -> Caller {
+fn new_caller(address: &str) -> Caller {
     Caller::new(address, Millis(30_000), 16 * 1024 * 1024)
 }
 
-/// A service on a thread of this process, until the process ends.
-fn start(directory: &Path, settings: Settings) -> String {
+/// Runs a service on a thread of this process until the process ends. Returns its address.
+fn start_service(directory: &Path, settings: Settings) -> String {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address").to_string();
     drop(listener);
     let (ready, is_ready) = std::sync::mpsc::channel();
-    let (at, home) = (address.clone(), directory.to_owned());
+    let (listen_address, home) = (address.clone(), directory.to_owned());
     std::thread::spawn(move || {
-        let failed = service::run(&at, &home, settings, || ready.send(()).expect("heard"));
-        eprintln!("{failed:?}");
+        let result =
+            service::run(&listen_address, &home, settings, || ready.send(()).expect("a receiver"));
+        eprintln!("{result:?}");
     });
     is_ready.recv().expect("serving");
     address
 }
 
-/// `clients` share `count` changes of keys of their own; the time for all.
-fn change(address: &str, clients: u64, count: u64) -> Duration {
+/// Has `clients` make `count` changes in total, each to its own keys. Returns the time taken.
+fn measure_changes(address: &str, clients: u64, count: u64) -> Duration {
     let barrier = std::sync::Barrier::new(clients as usize + 1);
     std::thread::scope(|scope| {
         let threads: Vec<_> = (0..clients)
@@ -45,26 +46,26 @@
                 let barrier = &barrier;
                 let share = count / clients + u64::from(client < count % clients);
                 scope.spawn(move || {
-                    let caller = caller(address);
+                    let caller = new_caller(address);
                     let _ = caller.get("/status");
                     barrier.wait();
                     for n in 0..share {
                         let value = json!({"job": "req-000412", "task": n, "host": "i-000231"});
                         let put = json!({"put": format!("asg/{client}/{}", n % 50), "data": value});
-                        let answer = caller.post("/multi", &json!({"when": [], "then": [put]}));
-                        assert!(matches!(answer, Some((200, _))));
+                        let reply = caller.post("/multi", &json!({"when": [], "then": [put]}));
+                        assert!(matches!(reply, Some((200, _))));
                     }
                 })
             })
             .collect();
         barrier.wait();
-        let began = Instant::now();
+        let started_at = Instant::now();
         threads.into_iter().for_each(|t| t.join().expect("a client"));
-        began.elapsed()
+        started_at.elapsed()
     })
 }
 
-fn changes(criterion: &mut Criterion) {
+fn bench_changes(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("changes");
     group
         .sample_size(10)
@@ -72,80 +73,86 @@
         .throughput(Throughput::Elements(1));
     for sync in [true, false] {
         let directory = tempfile::tempdir_in(env!("CARGO_TARGET_TMPDIR")).expect("a directory");
-        let address = start(directory.path(), Settings { sync, ..Settings::default() });
+        let address = start_service(directory.path(), Settings { sync, ..Settings::default() });
         for clients in [1, 16, 256] {
             let name = format!("{clients} clients, {}", if sync { "fsync" } else { "no fsync" });
             group.bench_function(name, |bencher| {
-                bencher.iter_custom(|count| change(&address, clients, count));
+                bencher.iter_custom(|count| measure_changes(&address, clients, count));
             });
         }
     }
 }
 
-/// A directory with many keys in a snapshot.
-fn fill(directory: &Path) {
+/// Writes a snapshot with `KEY_COUNT` keys to the directory.
+fn write_snapshot(directory: &Path) {
     let mut writer = SnapshotWriter::new(Directory::new(directory));
     let value = r#"{"d":"ffff00","a":[[3,41231,"i-000231",1,"a"]],"u":["red",8.0,1.0,64.0,16]}"#;
-    let row = |n: u64| Kept {
+    let make_row = |n: u64| Kept {
         key: format!("asg/req-{n:08}/0000").into(),
         value: value.into(),
         stamp: n + 1,
         lease: 0,
     };
-    writer.step(&Step::Begin).expect("begun");
-    for first in (0..MANY_KEYS).step_by(1_000) {
-        writer.step(&Step::Rows((first..first + 1_000).map(row).collect())).expect("written");
+    writer.step(&Step::Begin).expect("begin the snapshot");
+    for first in (0..KEY_COUNT).step_by(1_000) {
+        writer
+            .step(&Step::Rows((first..first + 1_000).map(make_row).collect()))
+            .expect("write rows");
     }
-    let close = Close { rows: MANY_KEYS, from: 1, revision: MANY_KEYS, ..Close::default() };
-    writer.step(&Step::Close(close)).expect("closed");
+    let footer = Close { rows: KEY_COUNT, from: 1, revision: KEY_COUNT, ..Close::default() };
+    writer.step(&Step::Close(footer)).expect("close the snapshot");
 }
 
-fn resident_bytes() -> u64 {
+fn read_resident_bytes() -> u64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text.split(' ').nth(1).and_then(|p| p.parse::<u64>().ok()).unwrap_or(0);
     pages * 4096
 }
 
-fn starts(criterion: &mut Criterion) {
+fn bench_recovery(criterion: &mut Criterion) {
     let directory = tempfile::tempdir_in(env!("CARGO_TARGET_TMPDIR")).expect("a directory");
-    fill(directory.path());
-    let before = resident_bytes();
-    let found = recover(&mut Directory::new(directory.path()), Mono(0)).expect("sound");
-    let each = (resident_bytes() - before) / found.space.len() as u64;
-    println!("memory: {each} bytes a key (keys of 21 bytes, values of 77)");
-    drop(found);
+    write_snapshot(directory.path());
+    let bytes_before = read_resident_bytes();
+    let recovered =
+        recover(&mut Directory::new(directory.path()), Mono(0)).expect("a valid directory");
+    let bytes_per_key = (read_resident_bytes() - bytes_before) / recovered.keyspace.len() as u64;
+    println!("memory: {bytes_per_key} bytes per key (keys of 21 bytes, values of 77)");
+    drop(recovered);
     let mut group = criterion.benchmark_group("start");
     group.sample_size(10);
     group.bench_function("1,000,000 keys", |bencher| {
-        bencher.iter(|| recover(&mut Directory::new(directory.path()), Mono(0)).expect("sound"));
+        bencher.iter(|| {
+            recover(&mut Directory::new(directory.path()), Mono(0)).expect("a valid directory")
+        });
     });
 }
 
-/// How long a read and a change take while nothing else happens and while a snapshot is taken.
-fn pause() {
+/// Measures the latency of changes, first without other load, then while a snapshot is taken.
+fn measure_snapshot_latency() {
     let directory = tempfile::tempdir_in(env!("CARGO_TARGET_TMPDIR")).expect("a directory");
-    fill(directory.path());
-    let address = start(directory.path(), Settings { snapshot_mb: 4.0, ..Settings::default() });
-    let snapshots = |caller: &Caller| -> u64 {
-        let (_, body) = caller.get("/status").expect("an answer");
+    write_snapshot(directory.path());
+    let address =
+        start_service(directory.path(), Settings { snapshot_mb: 4.0, ..Settings::default() });
+    let get_snapshot_count = |caller: &Caller| -> u64 {
+        let (_, body) = caller.get("/status").expect("a reply");
         serde_json::from_slice::<StateStatus>(&body).expect("a status").snapshots
     };
-    let ask = caller(&address);
-    let first = snapshots(&ask);
-    let (mut quiet, mut busy) =
-        (Histogram::<u64>::new(3).expect("one"), Histogram::new(3).expect("one"));
+    let caller = new_caller(&address);
+    let initial_count = get_snapshot_count(&caller);
+    let (mut idle, mut busy) =
+        (Histogram::<u64>::new(3).expect("a histogram"), Histogram::new(3).expect("a histogram"));
     let probe = |histogram: &mut Histogram<u64>, n: u64| {
-        let began = Instant::now();
+        let started_at = Instant::now();
         let put = json!({"put": format!("probe/{}", n % 10), "data": "x".repeat(40)});
-        assert!(matches!(ask.post("/multi", &json!({"then": [put]})), Some((200, _))));
-        let _ = histogram.record(began.elapsed().as_micros() as u64);
+        assert!(matches!(caller.post("/multi", &json!({"then": [put]})), Some((200, _))));
+        let _ = histogram.record(started_at.elapsed().as_micros() as u64);
     };
-    (0..5_000).for_each(|n| probe(&mut quiet, n));
-    // The log is filled up to where a snapshot is due, and probed while that is taken.
+    (0..5_000).for_each(|n| probe(&mut idle, n));
+    // Fills the log until a snapshot starts, and measures until it is completed.
     let filler = {
         let address = address.clone();
         std::thread::spawn(move || {
-            let caller = caller(&address);
+            let caller = new_caller(&address);
             for n in 0..400 {
                 let put = json!({"put": format!("fill/{n}"), "data": "y".repeat(15_000)});
                 let _ = caller.post("/multi", &json!({"then": [put]}));
@@ -153,29 +160,29 @@
         })
     };
     let mut n = 0;
-    while snapshots(&ask) == first && n < 400_000 {
+    while get_snapshot_count(&caller) == initial_count && n < 400_000 {
         probe(&mut busy, n);
         n += 1;
     }
     filler.join().expect("the filler");
-    let show = |name: &str, h: &Histogram<u64>| {
-        let at = |q| h.value_at_quantile(q) as f64 / 1_000.0;
+    let print_latency = |name: &str, h: &Histogram<u64>| {
+        let quantile_ms = |q| h.value_at_quantile(q) as f64 / 1_000.0;
         println!(
             "pause: {name}: {} changes, p50 {:.2} ms, p99 {:.2} ms, longest {:.2} ms",
             h.len(),
-            at(0.5),
-            at(0.99),
+            quantile_ms(0.5),
+            quantile_ms(0.99),
             h.max() as f64 / 1_000.0
         );
     };
-    show("no snapshot", &quiet);
-    show("during a snapshot of 1,000,000 keys", &busy);
+    print_latency("no snapshot", &idle);
+    print_latency("during a snapshot of 1,000,000 keys", &busy);
 }
 
 fn main() {
     let mut criterion = Criterion::default().configure_from_args();
-    changes(&mut criterion);
-    starts(&mut criterion);
-    pause();
+    bench_changes(&mut criterion);
+    bench_recovery(&mut criterion);
+    measure_snapshot_latency();
     criterion.final_summary();
 }
--- a/crates/state/src/constants.rs
+++ b/crates/state/src/constants.rs
@@ -1,69 +1,71 @@
-//! Every constant of the state service, with its unit and the reason for its value.
+//! Constants of the state service.
 
 use oatloom_protocol::ids::Millis;
 
 // --- Protocol ----------------------------------------------------------------
 
-/// Bytes that a key may have (protocol).
-pub const KEY_BYTES: usize = 200;
-/// Items that a page may hold (protocol).
-pub const PAGE_ROWS: usize = 1_000;
-/// Bytes of values and keys that a page may hold (protocol: 512 KiB), less what the rest of the rows takes.
-pub const PAGE_BYTES: usize = 512 * 1024;
-/// Bytes of a row beside its key and value: names, stamp and punctuation.
-pub const ROW_BYTES: usize = 64;
-/// Changes that watches can ask for again (protocol).
-pub const RECENT_CHANGES: usize = 10_000;
-/// Conditions for each change that a transaction may have (protocol: four times as many).
-pub const CONDITIONS_PER_CHANGE: usize = 4;
-/// Shortest and longest time to live of a lease, in milliseconds (protocol).
-pub const TTL_LEAST_MS: u64 = 100;
-pub const TTL_MOST_MS: u64 = 600_000;
-/// Longest wait of a watch (protocol).
-pub const HOLD_MOST_MS: u64 = 60_000;
+/// Largest key, in bytes (fixed by the protocol).
+pub const MAX_KEY_BYTES: usize = 200;
+/// Most rows in one page of a listing (fixed by the protocol).
+pub const MAX_PAGE_ROWS: usize = 1_000;
+/// Most bytes in one page of a listing (the protocol allows 512 KiB), including `ROW_OVERHEAD_BYTES` for each row.
+pub const MAX_PAGE_BYTES: usize = 512 * 1024;
+/// Bytes of an encoded row besides its key and value: field names, revision and punctuation.
+pub const ROW_OVERHEAD_BYTES: usize = 64;
+/// Changes kept in memory for watches that start at an earlier revision (fixed by the protocol).
+pub const MAX_RECENT_CHANGE_COUNT: usize = 10_000;
+/// A transaction may have this many conditions for each change that it may have (fixed by the protocol).
+pub const MAX_CONDITIONS_PER_CHANGE: usize = 4;
+/// Shortest and longest time to live of a lease, in milliseconds (fixed by the protocol).
+pub const MIN_LEASE_TTL_MS: u64 = 100;
+pub const MAX_LEASE_TTL_MS: u64 = 600_000;
+/// Longest time that a watch may wait for a change (fixed by the protocol).
+pub const MAX_WATCH_WAIT_MS: u64 = 60_000;
 
 // --- Disk ----------------------------------------------------------------------
 
-/// Format of log and snapshots. A file of a later one is refused.
-pub const FORMAT: u16 = 1;
-/// Smallest piece that a disk writes whole or not at all, in bytes: a torn write is told from a damaged
-/// one by pieces that were never written.
+/// Format version of log and snapshot files. Files of a later version are refused.
+pub const FORMAT_VERSION: u16 = 1;
+/// Unit that a disk writes atomically, in bytes. A torn write leaves whole sectors unwritten, which tells it from
+/// corruption.
 pub const SECTOR_BYTES: usize = 512;
-/// Largest group of records written at once, in bytes; a longer length in a frame is no length. Some
-/// hundred of the largest transactions.
-pub const GROUP_BYTES: usize = 8 * 1024 * 1024;
-/// Bytes of log after which a snapshot is taken, by default: two seconds' reading at a start.
-pub const SNAPSHOT_LOG_BYTES: u64 = 64 * 1024 * 1024;
-/// Rows handed to the snapshot's thread at once: a tenth of a millisecond's work for the service.
-pub const SLICE_ROWS: usize = 1_024;
-/// Level of compression of snapshots: the library's default weighs size and time evenly.
-pub const SNAPSHOT_LEVEL: i32 = 3;
-/// Snapshots kept: the newest, and one to fall back on should that be damaged.
-pub const SNAPSHOTS_KEPT: usize = 2;
-/// Pause before a full disk is tried again.
-pub const FULL_RETRY_MS: Millis = Millis(500);
-/// Pause before a snapshot that failed is tried again.
-pub const SNAPSHOT_RETRY_MS: Millis = Millis(30_000);
+/// Size that a group of records written at once must not exceed, in bytes: some hundred of the largest
+/// transactions. Further changes are refused once half of it waits to be written.
+pub const MAX_GROUP_BYTES: usize = 8 * 1024 * 1024;
+/// Default size of the log after which a snapshot is taken: recovery reads this much in two seconds.
+pub const DEFAULT_SNAPSHOT_LOG_BYTES: u64 = 64 * 1024 * 1024;
+/// Default number of rows copied for the snapshot thread at once: copying them takes the engine a tenth of a
+/// millisecond.
+pub const DEFAULT_SNAPSHOT_SLICE_ROWS: usize = 1_024;
+/// zstd level of snapshots: the library's default, which balances size and time.
+pub const SNAPSHOT_COMPRESSION_LEVEL: i32 = 3;
+/// Snapshots retained: the newest, and one to fall back on if that is damaged.
+pub const MAX_SNAPSHOT_COUNT: usize = 2;
+/// Delay before a group that a full disk rejected is written again.
+pub const DISK_FULL_RETRY_INTERVAL_MS: Millis = Millis(500);
+/// Delay before a failed snapshot is tried again.
+pub const SNAPSHOT_RETRY_INTERVAL_MS: Millis = Millis(30_000);
 
 // --- Time ------------------------------------------------------------------------
 
-/// Longest sleep of the service's thread: a lease may end as much as 100 ms late (protocol).
-pub const WAKE_MS: Millis = Millis(20);
-/// A pause of the whole process longer than this counts as an outage: leases regain their full time,
+/// Longest time that the engine thread waits for an event: the protocol allows a lease to expire up to 100 ms
+/// late.
+pub const TICK_INTERVAL_MS: Millis = Millis(20);
+/// A gap between two events longer than this counts as an outage of the process. All leases are renewed then,
 /// since renewals may wait unread.
-pub const STALL_MS: Millis = Millis(1_000);
+pub const STALL_TIMEOUT_MS: Millis = Millis(1_000);
 
 // --- Sizes -----------------------------------------------------------------------
 
-/// Requests that may wait for the service's thread before callers are told to come back: four for each connection.
-pub const EVENT_QUEUE: usize = 4_096;
-/// Connections served at once, by default. They do not grow with machines: a controller calls over 14, and keeps as many open
-/// for a while; what is left serves operators' tools.
-pub const CONNECTIONS: usize = 1_000;
-/// Size of a value, in KiB, and changes of a transaction, by default: the larger of the limits that the
-/// controllers' settings name.
-pub const VALUE_KB: f64 = 16.0;
-pub const TXN_CHANGES: usize = 20;
-/// Open descriptors beside connections: log, snapshot, directory, lock, poll, waker, listener and standard
+/// Events that may wait for the engine thread before requests are refused: four for each connection.
+pub const MAX_QUEUED_EVENT_COUNT: usize = 4_096;
+/// Default limit of open connections. Their number does not grow with the number of machines: a controller sends
+/// requests over 14 and keeps as many open for a while; the rest serves operators' tools.
+pub const DEFAULT_MAX_CONNECTION_COUNT: usize = 1_000;
+/// Default limits of the size of a value (in KiB) and of the changes in a transaction: the larger of the limits that
+/// the controllers' settings name.
+pub const DEFAULT_MAX_VALUE_KIB: f64 = 16.0;
+pub const DEFAULT_MAX_TXN_CHANGE_COUNT: usize = 20;
+/// Open descriptors besides connections: log, snapshot, directory, lock, poll, waker, listener and standard
 /// streams.
-pub const OWN_DESCRIPTORS: usize = 16;
+pub const RESERVED_DESCRIPTOR_COUNT: usize = 16;
--- a/crates/state/src/disk.rs
+++ b/crates/state/src/disk.rs
@@ -1,45 +1,47 @@
-//! The few operations that the service needs of a disk, and the directory that does them.
+//! File system operations used by the storage engine, and their implementation on a directory.
 
 use std::fs::{File, OpenOptions, TryLockError};
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
 
-/// A directory of files. What was written is sure to outlive a crash only once it was synced; a file made or
-/// renamed only once the directory was.
+/// A flat directory of files. Written data is durable only after [`Disk::sync`]; the creation, renaming or removal of
+/// a file only after [`Disk::sync_directory`].
 pub trait Disk {
-    /// Names of all files.
+    /// Returns the names of all files.
     fn list(&mut self) -> io::Result<Vec<String>>;
     fn read(&mut self, name: &str) -> io::Result<Vec<u8>>;
-    /// Makes an empty file, or empties one.
+    /// Creates an empty file, or truncates an existing one.
     fn create(&mut self, name: &str) -> io::Result<()>;
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()>;
+    /// Waits until the file's data is durable.
     fn sync(&mut self, name: &str) -> io::Result<()>;
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
     fn remove(&mut self, name: &str) -> io::Result<()>;
+    /// Waits until the names of files are durable.
     fn sync_directory(&mut self) -> io::Result<()>;
 }
 
-/// A real directory. It keeps the file that it wrote to last open.
+/// A directory of the file system. Keeps the file that was written last open.
 #[derive(Debug)]
 pub struct Directory {
     path: PathBuf,
-    open: Option<(String, File)>,
+    open_file: Option<(String, File)>,
 }
 
 impl Directory {
     pub fn new(path: &Path) -> Self {
-        Self { path: path.to_owned(), open: None }
+        Self { path: path.to_owned(), open_file: None }
     }
 
-    fn file(&mut self, name: &str) -> io::Result<&mut File> {
-        let known = matches!(&self.open, Some((open, _)) if open == name);
-        if !known {
+    fn open(&mut self, name: &str) -> io::Result<&mut File> {
+        let is_open = matches!(&self.open_file, Some((open_name, _)) if open_name == name);
+        if !is_open {
             let file = OpenOptions::new().append(true).open(self.path.join(name))?;
-            self.open = Some((name.to_owned(), file));
+            self.open_file = Some((name.to_owned(), file));
         }
-        let open = self.open.as_mut().map(|(_, file)| file);
-        open.ok_or_else(|| io::Error::other("no file is open"))
+        let file = self.open_file.as_mut().map(|(_, file)| file);
+        file.ok_or_else(|| io::Error::other("no file is open"))
     }
 }
 
@@ -57,29 +59,29 @@
     }
 
     fn create(&mut self, name: &str) -> io::Result<()> {
-        self.open = None;
+        self.open_file = None;
         File::create(self.path.join(name)).map(|_| ())
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        self.file(name)?.write_all(bytes)
+        self.open(name)?.write_all(bytes)
     }
 
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()> {
-        self.file(name)?.set_len(length)
+        self.open(name)?.set_len(length)
     }
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
-        self.file(name)?.sync_data()
+        self.open(name)?.sync_data()
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
-        self.open = None;
+        self.open_file = None;
         std::fs::rename(self.path.join(from), self.path.join(to))
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
-        self.open = None;
+        self.open_file = None;
         std::fs::remove_file(self.path.join(name))
     }
 
@@ -88,16 +90,16 @@
     }
 }
 
-/// The name of the file whose lock shows that a process uses the directory.
-pub const LOCK: &str = "lock";
+/// Name of the file whose lock marks the directory as in use by a process.
+pub const LOCK_FILE: &str = "lock";
 
-/// Makes the directory if need be and takes its lock, which is held until the file is closed.
+/// Creates the directory if it does not exist and locks it until the returned file is closed.
 ///
 /// # Errors
-/// It cannot be made or written to, or another process uses it.
+/// The directory cannot be created or written to, or another process has locked it.
 pub fn lock(path: &Path) -> io::Result<File> {
     std::fs::create_dir_all(path)?;
-    let file = File::create(path.join(LOCK))?;
+    let file = File::create(path.join(LOCK_FILE))?;
     match file.try_lock() {
         Ok(()) => Ok(file),
         Err(TryLockError::WouldBlock) => Err(io::Error::other("another process uses it")),
--- a/crates/state/src/engine.rs
+++ b/crates/state/src/engine.rs
@@ -1,67 +1,72 @@
-//! The service itself: turns events into actions, deterministically. Changes are applied at once and written
-//! in groups; an answer leaves only when all that it tells of is on the disk.
+//! The deterministic core of the service: turns events into actions. Changes are applied in memory at once and
+//! written to the log in groups; a reply is sent only when every change that it reveals is durable.
 
 use crate::api::{Request, Txn};
 use crate::constants::*;
 use crate::journal::{Group, Step};
-use crate::keyspace::{Entry, Keyspace, Recent};
+use crate::keyspace::{Entry, Keyspace, RecentChange};
 use crate::limits::Limits;
 use crate::records::Record;
-use crate::recovery::Found;
+use crate::recovery::Recovered;
 use crate::settings::Settings;
-use crate::snapshots::Snapshots;
+use crate::snapshots::SnapshotScheduler;
 use oatloom_protocol::ids::{LeaseId, Millis, Mono, Revision};
 use oatloom_protocol::reply::HttpReply;
 use oatloom_protocol::wire::{Changes, Grant, LoggedChange, Page, RevisionReply, Row, StateStatus};
 use serde_json::value::RawValue;
 use std::collections::VecDeque;
 
-/// Who waits for an answer.
+/// Identifies a request whose caller waits for a reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ConnId(pub u64);
 
-/// How the disk took a group.
+/// Result of writing a group to the log.
 #[derive(Debug)]
-pub enum Outcome {
+pub enum WriteOutcome {
     Durable,
-    /// Nothing of it is in the log; it may be tried again.
-    Undone {
+    /// No part of the group is in the log; writing it may be retried.
+    NotWritten {
         group: Group,
         cause: String,
     },
-    /// What is in the log is not known.
+    /// It is unknown whether the group is in the log.
     Unknown {
         cause: String,
     },
 }
 
+/// Input of the engine.
 #[derive(Debug)]
 pub enum Event {
+    /// Time has passed without another event.
     Tick,
     Request {
         conn: ConnId,
         request: Request,
     },
-    Written {
+    /// The log thread is done with a group.
+    GroupWritten {
         number: u64,
-        outcome: Outcome,
+        outcome: WriteOutcome,
     },
-    /// A step of a snapshot is done, or has failed.
-    Stepped {
-        good: bool,
+    /// The snapshot thread is done with a step.
+    SnapshotStepDone {
+        succeeded: bool,
     },
 }
 
+/// Output of the engine.
 #[derive(Debug, PartialEq)]
 pub enum Action {
     Reply {
         conn: ConnId,
         reply: HttpReply,
     },
-    /// To be written and waited for; no other group is under way.
+    /// Writes a group to the log, to be answered by [`Event::GroupWritten`]. At most one group is in flight.
     Write(Group),
+    /// Executes a step of a snapshot, to be answered by [`Event::SnapshotStepDone`]. At most one step is in flight.
     Snapshot(Step),
-    /// The process must end: only a new start can tell what was written.
+    /// Ends the process: only recovery can tell what was written.
     Fail(String),
 }
 
@@ -69,393 +74,415 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
     Serving,
-    /// The disk took nothing of the last group; it is tried again at this time.
-    Full {
-        again: Mono,
+    /// The disk rejected the last group, which is retried at this time. Changes are refused.
+    DiskFull {
+        retry_at: Mono,
     },
+    /// It is unknown what was written; the process is about to end.
     Failed,
 }
 
-/// An answer that waits until a group is durable.
-struct Waiting {
-    number: u64,
+/// A reply that is held back until a group is durable.
+struct PendingReply {
+    group: u64,
     conn: ConnId,
     reply: HttpReply,
-    /// It tells of changes without making any.
-    read: bool,
+    /// The request changed nothing.
+    is_read: bool,
 }
 
 struct Watch {
     conn: ConnId,
     prefix: String,
     after: u64,
-    until: Mono,
+    deadline: Mono,
 }
 
-/// The group that the disk has.
-struct UnderWay {
-    /// The last revision in it.
+/// The group that the log thread is writing.
+struct InFlightGroup {
+    /// The revision that the group reaches.
     revision: u64,
     bytes: usize,
 }
 
+/// State of the service: the keyspace, the position in the log, and the requests that wait.
 pub struct Engine {
-    space: Keyspace,
+    keyspace: Keyspace,
     limits: Limits,
     health: Health,
-    /// Records that were applied and not handed to the disk.
-    open: Vec<u8>,
-    /// Number of the next group to be handed over.
-    next: u64,
-    under_way: Option<UnderWay>,
-    /// A group that the disk did not take.
-    undone: Option<Group>,
-    /// The next group begins a new file.
-    opens: bool,
-    /// The last durable group, and the revision that it reached.
-    durable: u64,
+    /// Encoded records that were applied but not yet handed to the log thread.
+    unwritten: Vec<u8>,
+    /// Number of the next group.
+    next_group: u64,
+    in_flight_group: Option<InFlightGroup>,
+    /// A group that the full disk rejected, until it is retried.
+    rejected_group: Option<Group>,
+    /// The next group begins a new log file.
+    starts_file: bool,
+    /// The last durable group, and the revision that it reaches.
+    durable_group: u64,
     durable_revision: u64,
-    waiting: VecDeque<Waiting>,
+    pending_replies: VecDeque<PendingReply>,
     watches: Vec<Watch>,
-    /// Up to which revision, and when, all watches were last looked at.
-    watched: (u64, Mono),
-    snapshots: Snapshots,
-    groups: u64,
-    /// When the last event was taken up.
-    last: Mono,
-    out: Vec<Action>,
+    /// The revision up to which all watches were checked last, and the time of that check.
+    last_watch_check: (u64, Mono),
+    snapshots: SnapshotScheduler,
+    /// Number of groups written since the start.
+    written_group_count: u64,
+    /// Time of the last event.
+    last_event_at: Mono,
+    actions: Vec<Action>,
 }
 
-/// JSON text that was checked when it came in.
-fn raw(text: &str) -> &RawValue {
+/// Wraps JSON text that was validated when it was received.
+fn to_raw_json(text: &str) -> &RawValue {
     serde_json::from_str(text).unwrap_or(RawValue::NULL)
 }
 
-fn row<'a>(key: &str, entry: &'a Entry) -> Row<&'a RawValue> {
+fn to_row<'a>(key: &str, entry: &'a Entry) -> Row<&'a RawValue> {
     Row {
         key: key.to_owned(),
-        value: raw(&entry.value),
-        version: Revision(entry.stamp),
+        value: to_raw_json(&entry.value),
+        version: Revision(entry.revision),
         lease: (entry.lease > 0).then_some(LeaseId(entry.lease)),
     }
 }
 
-fn logged(change: &Recent) -> LoggedChange<&RawValue> {
+fn to_logged_change(change: &RecentChange) -> LoggedChange<&RawValue> {
     let key = change.key.to_string();
     let (put, delete) = match change.value {
         Some(_) => (Some(key), None),
         None => (None, Some(key)),
     };
-    let value = raw(change.value.as_deref().unwrap_or("null"));
-    LoggedChange { put, delete, value, version: Revision(change.stamp) }
+    let value = to_raw_json(change.value.as_deref().unwrap_or("null"));
+    LoggedChange { put, delete, value, version: Revision(change.revision) }
 }
 
-fn later(status: u16, text: &str) -> HttpReply {
+/// A reply that asks the caller to retry later.
+fn retry_reply(status: u16, text: &str) -> HttpReply {
     HttpReply { status, ..HttpReply::unavailable(text) }
 }
 
-fn epoch(status: u16, revision: u64, failed: Vec<String>) -> HttpReply {
+fn revision_reply(status: u16, revision: u64, failed: Vec<String>) -> HttpReply {
     HttpReply::json(status, &RevisionReply { revision: Revision(revision), failed })
 }
 
 impl Engine {
-    /// Serves what a start has found.
-    pub fn new(settings: &Settings, found: Found, now: Mono) -> Self {
+    /// Continues from the recovered state.
+    pub fn new(settings: &Settings, recovered: Recovered, now: Mono) -> Self {
         Self {
             limits: Limits::new(settings.rps, settings.write_rps, now),
-            snapshots: Snapshots::new(found.snapshots, found.log_bytes, settings),
+            snapshots: SnapshotScheduler::new(recovered.snapshots, recovered.log_bytes, settings),
             health: Health::Serving,
-            open: Vec::new(),
-            next: found.next,
-            under_way: None,
-            undone: None,
-            opens: found.log.is_empty(),
-            durable: found.next - 1,
-            durable_revision: found.space.revision(),
-            space: found.space,
-            waiting: VecDeque::new(),
+            unwritten: Vec::new(),
+            next_group: recovered.next_group,
+            in_flight_group: None,
+            rejected_group: None,
+            starts_file: recovered.log_file.is_empty(),
+            durable_group: recovered.next_group - 1,
+            durable_revision: recovered.keyspace.revision(),
+            keyspace: recovered.keyspace,
+            pending_replies: VecDeque::new(),
             watches: Vec::new(),
-            watched: (0, now),
-            groups: 0,
-            last: now,
-            out: Vec::new(),
+            last_watch_check: (0, now),
+            written_group_count: 0,
+            last_event_at: now,
+            actions: Vec::new(),
         }
     }
 
-    pub fn space(&self) -> &Keyspace {
-        &self.space
+    /// The keys and leases, including changes that are not durable yet.
+    pub fn keyspace(&self) -> &Keyspace {
+        &self.keyspace
     }
 
-    /// The one entrance: takes up an event and returns what is to be done.
+    /// Handles an event and returns the actions to execute, in order. All events go through here.
     pub fn handle(&mut self, now: Mono, event: Event) -> Vec<Action> {
-        if now.since(self.last) > STALL_MS {
-            // The process stood still: renewals may have come and not been read.
-            self.space.refill(now);
+        if now.since(self.last_event_at) > STALL_TIMEOUT_MS {
+            // The process was stalled: renewals may have arrived without being read.
+            self.keyspace.renew_all_leases(now);
         }
-        self.last = now;
+        self.last_event_at = now;
         match event {
             Event::Tick => {}
-            Event::Request { conn, request } => self.request(conn, request, now),
-            Event::Written { number, outcome } => self.written(number, outcome, now),
-            Event::Stepped { good } => {
-                let step = self.snapshots.stepped(good, now);
-                self.out.extend(step.map(Action::Snapshot));
+            Event::Request { conn, request } => self.on_request(conn, request, now),
+            Event::GroupWritten { number, outcome } => self.on_group_written(number, outcome, now),
+            Event::SnapshotStepDone { succeeded } => {
+                let step = self.snapshots.on_step_done(succeeded, now);
+                self.actions.extend(step.map(Action::Snapshot));
             }
         }
-        self.turn(now);
-        std::mem::take(&mut self.out)
+        self.advance(now);
+        std::mem::take(&mut self.actions)
     }
 
-    /// The one place where the health changes.
-    fn enter(&mut self, health: Health, now: Mono) {
-        if matches!(self.health, Health::Full { .. }) && health == Health::Serving {
-            // As after any outage.
-            self.space.refill(now);
+    /// Changes the health. All transitions go through here.
+    fn set_health(&mut self, health: Health, now: Mono) {
+        if matches!(self.health, Health::DiskFull { .. }) && health == Health::Serving {
+            // As after any outage, leases get their full time again.
+            self.keyspace.renew_all_leases(now);
         }
         self.health = health;
     }
 
-    /// What has to happen whatever the event was.
-    fn turn(&mut self, now: Mono) {
+    /// Does what may be due after any event: retries, lease expiry, group writes, watches and snapshots.
+    fn advance(&mut self, now: Mono) {
         match self.health {
             Health::Failed => return,
-            Health::Full { again } => {
-                if now >= again
-                    && let Some(group) = self.undone.take()
+            Health::DiskFull { retry_at } => {
+                if now >= retry_at
+                    && let Some(group) = self.rejected_group.take()
                 {
-                    self.out.push(Action::Write(group));
+                    self.actions.push(Action::Write(group));
                 }
             }
             Health::Serving => {
-                while let Some(lease) = self.space.expired(now) {
-                    self.end(lease, now);
+                while let Some(lease) = self.keyspace.next_expired_lease(now) {
+                    self.end_lease(lease, now);
                 }
-                self.hand_over(now);
+                self.start_group_write(now);
             }
         }
-        self.answer_watches(now);
-        let (applied, durable) = (self.applied(), self.durable);
-        let step = self.snapshots.next(&self.space, applied, durable);
-        self.out.extend(step.map(Action::Snapshot));
+        self.reply_to_watches(now);
+        let (last_applied, last_durable) = (self.last_applied_group(), self.durable_group);
+        let step = self.snapshots.next_step(&self.keyspace, last_applied, last_durable);
+        self.actions.extend(step.map(Action::Snapshot));
     }
 
-    /// The number of the group that holds the latest change.
-    fn applied(&self) -> u64 {
-        if self.open.is_empty() { self.next - 1 } else { self.next }
+    /// Number of the group that holds the latest change.
+    fn last_applied_group(&self) -> u64 {
+        if self.unwritten.is_empty() { self.next_group - 1 } else { self.next_group }
     }
 
-    /// Gives the disk what has gathered, if it is free.
-    fn hand_over(&mut self, now: Mono) {
-        if self.under_way.is_some() {
+    /// Hands the unwritten records to the log thread, unless it is still writing a group.
+    fn start_group_write(&mut self, now: Mono) {
+        if self.in_flight_group.is_some() {
             return;
         }
-        if let Some(step) = self.snapshots.begins(self.next, now) {
-            self.opens = true;
-            self.out.push(Action::Snapshot(step));
+        if let Some(step) = self.snapshots.try_begin(self.next_group, now) {
+            self.starts_file = true;
+            self.actions.push(Action::Snapshot(step));
         }
-        if self.open.is_empty() {
+        if self.unwritten.is_empty() {
             return;
         }
-        let records = std::mem::take(&mut self.open);
-        let opens = std::mem::take(&mut self.opens);
-        self.under_way = Some(UnderWay { revision: self.space.revision(), bytes: records.len() });
-        self.out.push(Action::Write(Group { number: self.next, records, opens }));
-        self.next += 1;
+        let records = std::mem::take(&mut self.unwritten);
+        let starts_file = std::mem::take(&mut self.starts_file);
+        self.in_flight_group =
+            Some(InFlightGroup { revision: self.keyspace.revision(), bytes: records.len() });
+        self.actions.push(Action::Write(Group { number: self.next_group, records, starts_file }));
+        self.next_group += 1;
     }
 
-    fn written(&mut self, number: u64, outcome: Outcome, now: Mono) {
+    fn on_group_written(&mut self, number: u64, outcome: WriteOutcome, now: Mono) {
         match outcome {
-            Outcome::Durable => {
-                self.enter(Health::Serving, now);
-                let Some(done) = self.under_way.take() else { return };
-                self.durable = number;
-                self.durable_revision = done.revision;
-                self.groups += 1;
-                self.snapshots.wrote(done.bytes);
-                let done = self.waiting.partition_point(|w| w.number <= number);
-                let replies = self.waiting.drain(..done);
-                self.out.extend(
-                    replies.map(|Waiting { conn, reply, .. }| Action::Reply { conn, reply }),
+            WriteOutcome::Durable => {
+                self.set_health(Health::Serving, now);
+                let Some(written) = self.in_flight_group.take() else { return };
+                self.durable_group = number;
+                self.durable_revision = written.revision;
+                self.written_group_count += 1;
+                self.snapshots.add_log_bytes(written.bytes);
+                let ready_count = self.pending_replies.partition_point(|r| r.group <= number);
+                let replies = self.pending_replies.drain(..ready_count);
+                self.actions.extend(
+                    replies.map(|PendingReply { conn, reply, .. }| Action::Reply { conn, reply }),
                 );
             }
-            Outcome::Undone { group, cause } => {
+            WriteOutcome::NotWritten { group, cause } => {
                 if self.health == Health::Serving {
                     tracing::warn!(
                         cause,
-                        "the disk takes nothing; changes are refused until it does"
+                        "the disk accepts no writes; changes are refused until it does"
                     );
                 }
-                self.undone = Some(group);
-                self.enter(Health::Full { again: now.plus(FULL_RETRY_MS) }, now);
-                // Reads wait for changes that may be long in coming; they made none themselves.
+                self.rejected_group = Some(group);
+                self.set_health(
+                    Health::DiskFull { retry_at: now.plus(DISK_FULL_RETRY_INTERVAL_MS) },
+                    now,
+                );
+                // Reads fail at once instead of waiting for a change that may not become durable for long. The replies
+                // to changes stay: their records are applied and will be written.
                 let (reads, changes): (VecDeque<_>, VecDeque<_>) =
-                    std::mem::take(&mut self.waiting).into_iter().partition(|w| w.read);
-                self.waiting = changes;
+                    std::mem::take(&mut self.pending_replies).into_iter().partition(|r| r.is_read);
+                self.pending_replies = changes;
                 for read in reads {
-                    let reply = later(503, "the disk is full");
-                    self.out.push(Action::Reply { conn: read.conn, reply });
+                    let reply = retry_reply(503, "the disk is full");
+                    self.actions.push(Action::Reply { conn: read.conn, reply });
                 }
             }
-            Outcome::Unknown { cause } => {
-                self.enter(Health::Failed, now);
-                self.out.push(Action::Fail(cause));
+            WriteOutcome::Unknown { cause } => {
+                self.set_health(Health::Failed, now);
+                self.actions.push(Action::Fail(cause));
             }
         }
     }
 
-    /// Answers once all changes so far are durable.
-    fn answer(&mut self, conn: ConnId, reply: HttpReply, read: bool) {
-        let number = self.applied();
-        if number <= self.durable {
-            self.out.push(Action::Reply { conn, reply });
+    /// Sends the reply once all changes applied so far are durable.
+    fn reply_when_durable(&mut self, conn: ConnId, reply: HttpReply, is_read: bool) {
+        let group = self.last_applied_group();
+        if group <= self.durable_group {
+            self.actions.push(Action::Reply { conn, reply });
         } else {
-            self.waiting.push_back(Waiting { number, conn, reply, read });
+            self.pending_replies.push_back(PendingReply { group, conn, reply, is_read });
         }
     }
 
-    /// Answers at once: nothing of it depends on a change.
-    fn reply(&mut self, conn: ConnId, reply: HttpReply) {
-        self.out.push(Action::Reply { conn, reply });
+    /// Sends the reply at once: it reveals no change that may be lost.
+    fn reply_now(&mut self, conn: ConnId, reply: HttpReply) {
+        self.actions.push(Action::Reply { conn, reply });
     }
 
-    /// Applies what was decided, to be written with the next group.
-    fn record(&mut self, record: &Record, now: Mono) {
-        self.space.apply(record, now);
+    /// Applies a record and adds it to the next group.
+    fn apply_and_log(&mut self, record: &Record, now: Mono) {
+        self.keyspace.apply(record, now);
         match postcard::to_allocvec(record) {
-            Ok(bytes) => self.open.extend_from_slice(&bytes),
-            // Only a writer that fails can make this fail, and a vector does not.
-            Err(e) => self.out.push(Action::Fail(format!("a record cannot be encoded: {e}"))),
+            Ok(bytes) => self.unwritten.extend_from_slice(&bytes),
+            // Serialization fails only if the writer does, and writing to a vector cannot fail.
+            Err(e) => self.actions.push(Action::Fail(format!("a record cannot be encoded: {e}"))),
         }
     }
 
-    fn end(&mut self, lease: u64, now: Mono) {
-        for record in self.space.end_of(lease) {
-            self.record(&record, now);
+    fn end_lease(&mut self, lease: u64, now: Mono) {
+        for record in self.keyspace.lease_end_records(lease) {
+            self.apply_and_log(&record, now);
         }
     }
 
-    fn request(&mut self, conn: ConnId, request: Request, now: Mono) {
+    fn on_request(&mut self, conn: ConnId, request: Request, now: Mono) {
         if request == Request::Status {
-            let status = self.status();
-            return self.reply(conn, HttpReply::json(200, &status));
+            let status = self.build_status();
+            return self.reply_now(conn, HttpReply::json(200, &status));
         }
-        let changes = matches!(&request, Request::Multi(txn) if !txn.writes.is_empty())
-            || matches!(request, Request::Grant { .. } | Request::Revoke { .. });
-        let reads =
-            matches!(request, Request::Get { .. } | Request::List { .. } | Request::Multi(_));
-        let full = self.health != Health::Serving;
-        if full && (changes || reads && self.applied() > self.durable) {
-            return self.reply(conn, later(503, "the disk takes nothing"));
+        let makes_changes = matches!(&request, Request::Txn(txn) if !txn.writes.is_empty())
+            || matches!(request, Request::GrantLease { .. } | Request::RevokeLease { .. });
+        let reads_changes =
+            matches!(request, Request::Get { .. } | Request::List { .. } | Request::Txn(_));
+        let is_write_blocked = self.health != Health::Serving;
+        if is_write_blocked
+            && (makes_changes || reads_changes && self.last_applied_group() > self.durable_group)
+        {
+            return self.reply_now(conn, retry_reply(503, "the disk accepts no writes"));
         }
-        if changes && self.open.len() > GROUP_BYTES / 2 {
-            return self.reply(conn, later(503, "the disk is behind"));
+        if makes_changes && self.unwritten.len() > MAX_GROUP_BYTES / 2 {
+            return self.reply_now(conn, retry_reply(503, "the disk is behind"));
         }
-        if !self.limits.take(request.changes(), now) {
-            return self.reply(conn, later(429, "too many requests or changes a second"));
+        if !self.limits.take(request.change_count(), now) {
+            return self
+                .reply_now(conn, retry_reply(429, "too many requests or changes per second"));
         }
         match request {
             Request::Status => {}
             Request::Get { key } => {
-                let reply = match self.space.get(&key) {
-                    Some(entry) => HttpReply::json(200, &row(&key, entry)),
-                    None => epoch(404, self.space.revision(), Vec::new()),
+                let reply = match self.keyspace.get(&key) {
+                    Some(entry) => HttpReply::json(200, &to_row(&key, entry)),
+                    None => revision_reply(404, self.keyspace.revision(), Vec::new()),
                 };
-                self.answer(conn, reply, true);
+                self.reply_when_durable(conn, reply, true);
             }
-            Request::List { prefix, after, most } => {
-                let reply = HttpReply::json(200, &self.page(&prefix, after.as_deref(), most));
-                self.answer(conn, reply, true);
+            Request::List { prefix, after, max_rows } => {
+                let reply =
+                    HttpReply::json(200, &self.list_page(&prefix, after.as_deref(), max_rows));
+                self.reply_when_durable(conn, reply, true);
             }
-            Request::Multi(txn) => self.multi(conn, txn, now),
-            Request::Grant { ttl_ms } => {
-                let lease = self.space.next_lease();
-                self.record(&Record::Granted { lease, ttl_ms }, now);
-                self.answer(conn, HttpReply::json(200, &Grant { lease: LeaseId(lease) }), false);
+            Request::Txn(txn) => self.execute_txn(conn, txn, now),
+            Request::GrantLease { ttl_ms } => {
+                let lease = self.keyspace.next_lease();
+                self.apply_and_log(&Record::Granted { lease, ttl_ms }, now);
+                self.reply_when_durable(
+                    conn,
+                    HttpReply::json(200, &Grant { lease: LeaseId(lease) }),
+                    false,
+                );
             }
-            Request::Touch { lease } => {
-                if self.space.touch(lease, now) {
-                    self.reply(conn, HttpReply::json(200, &Grant { lease: LeaseId(lease) }));
+            Request::RenewLease { lease } => {
+                if self.keyspace.renew_lease(lease, now) {
+                    self.reply_now(conn, HttpReply::json(200, &Grant { lease: LeaseId(lease) }));
                 } else {
-                    self.answer(conn, HttpReply::error(404, "no such lease"), true);
+                    self.reply_when_durable(conn, HttpReply::error(404, "no such lease"), true);
                 }
             }
-            Request::Revoke { lease } => {
-                if self.space.has_lease(lease) {
-                    self.end(lease, now);
-                    self.answer(
+            Request::RevokeLease { lease } => {
+                if self.keyspace.has_lease(lease) {
+                    self.end_lease(lease, now);
+                    self.reply_when_durable(
                         conn,
                         HttpReply::json(200, &Grant { lease: LeaseId(lease) }),
                         false,
                     );
                 } else {
-                    self.answer(conn, HttpReply::error(404, "no such lease"), true);
+                    self.reply_when_durable(conn, HttpReply::error(404, "no such lease"), true);
                 }
             }
-            Request::Follow { prefix, after, hold_ms } => {
-                let until = now.plus(Millis(hold_ms));
-                self.watches.push(Watch { conn, prefix, after, until });
-                // It may ask for what has happened already.
-                self.watched.0 = u64::MAX;
+            Request::Watch { prefix, after, wait_ms } => {
+                let deadline = now.plus(Millis(wait_ms));
+                self.watches.push(Watch { conn, prefix, after, deadline });
+                // Forces a check: the watch may start at a revision in the past.
+                self.last_watch_check.0 = u64::MAX;
             }
         }
     }
 
-    fn page<'a>(
+    fn list_page<'a>(
         &'a self,
         prefix: &'a str,
         after: Option<&'a str>,
-        most: usize,
+        max_rows: usize,
     ) -> Page<&'a RawValue> {
         let (mut rows, mut bytes, mut more) = (Vec::new(), 0, false);
-        for (key, entry) in self.space.range(prefix, after) {
-            bytes += key.len() + entry.value.len() + ROW_BYTES;
-            if rows.len() >= most || bytes > PAGE_BYTES && !rows.is_empty() {
+        for (key, entry) in self.keyspace.range(prefix, after) {
+            bytes += key.len() + entry.value.len() + ROW_OVERHEAD_BYTES;
+            if rows.len() >= max_rows || bytes > MAX_PAGE_BYTES && !rows.is_empty() {
                 more = true;
                 break;
             }
-            rows.push(row(key, entry));
+            rows.push(to_row(key, entry));
         }
-        Page { rows, more, revision: Revision(self.space.revision()) }
+        Page { rows, more, revision: Revision(self.keyspace.revision()) }
     }
 
-    fn multi(&mut self, conn: ConnId, txn: Txn, now: Mono) {
+    fn execute_txn(&mut self, conn: ConnId, txn: Txn, now: Mono) {
         let Txn { conditions, writes } = txn;
-        if writes.iter().any(|w| w.lease > 0 && !self.space.has_lease(w.lease)) {
-            return self.answer(conn, HttpReply::error(400, "no such lease"), true);
+        if writes.iter().any(|w| w.lease > 0 && !self.keyspace.has_lease(w.lease)) {
+            return self.reply_when_durable(conn, HttpReply::error(400, "no such lease"), true);
         }
-        let stamp = |key: &str| self.space.get(key).map_or(0, |entry| entry.stamp);
+        let get_revision = |key: &str| self.keyspace.get(key).map_or(0, |entry| entry.revision);
         let failed: Vec<String> = conditions
             .into_iter()
-            .filter(|c| stamp(&c.key) != c.version.0)
+            .filter(|c| get_revision(&c.key) != c.version.0)
             .map(|c| c.key)
             .collect();
         if !failed.is_empty() {
-            let revision = self.space.revision();
-            return self.answer(conn, epoch(409, revision, failed), true);
+            let revision = self.keyspace.revision();
+            return self.reply_when_durable(conn, revision_reply(409, revision, failed), true);
         }
-        let read = writes.is_empty();
-        if !read {
-            let revision = self.space.revision() + 1;
-            self.record(&Record::Changed { revision, writes }, now);
+        let is_read = writes.is_empty();
+        if !is_read {
+            let revision = self.keyspace.revision() + 1;
+            self.apply_and_log(&Record::Changed { revision, writes }, now);
         }
-        self.answer(conn, epoch(200, self.space.revision(), Vec::new()), read);
+        self.reply_when_durable(
+            conn,
+            revision_reply(200, self.keyspace.revision(), Vec::new()),
+            is_read,
+        );
     }
 
-    /// Watches see what is durable, and no more.
-    fn answer_watches(&mut self, now: Mono) {
-        let (space, to) = (&self.space, self.durable_revision);
-        if to == self.watched.0 && now.since(self.watched.1) < WAKE_MS {
+    /// Answers watches whose changes are durable or whose time is over. Watches report durable changes only.
+    fn reply_to_watches(&mut self, now: Mono) {
+        let (keyspace, to) = (&self.keyspace, self.durable_revision);
+        if to == self.last_watch_check.0 && now.since(self.last_watch_check.1) < TICK_INTERVAL_MS {
             return;
         }
-        self.watched = (to, now);
-        let out = &mut self.out;
+        self.last_watch_check = (to, now);
+        let actions = &mut self.actions;
         self.watches.retain_mut(|watch| {
-            let reply = match space.changes(&watch.prefix, watch.after, to) {
-                None => Some(HttpReply::error(410, "these changes are no longer known")),
+            let reply = match keyspace.changes_between(&watch.prefix, watch.after, to) {
+                None => Some(HttpReply::error(410, "these changes are no longer in memory")),
                 Some(changes) => {
-                    let log: Vec<_> = changes.map(logged).collect();
-                    if log.is_empty() && now < watch.until {
-                        // What was looked through need not be again.
+                    let log: Vec<_> = changes.map(to_logged_change).collect();
+                    if log.is_empty() && now < watch.deadline {
+                        // The next check can skip what was checked now.
                         watch.after = watch.after.max(to);
                         None
                     } else {
@@ -463,25 +490,25 @@
                     }
                 }
             };
-            let keep = reply.is_none();
-            out.extend(reply.map(|reply| Action::Reply { conn: watch.conn, reply }));
-            keep
+            let is_pending = reply.is_none();
+            actions.extend(reply.map(|reply| Action::Reply { conn: watch.conn, reply }));
+            is_pending
         });
     }
 
-    fn status(&self) -> StateStatus {
+    fn build_status(&self) -> StateStatus {
         StateStatus {
             revision: Revision(self.durable_revision),
-            keys: self.space.len() as u64,
-            leases: self.space.leases() as u64,
+            keys: self.keyspace.len() as u64,
+            leases: self.keyspace.lease_count() as u64,
             watches: self.watches.len() as u64,
-            waiting: self.waiting.len() as u64,
-            groups: self.groups,
+            waiting: self.pending_replies.len() as u64,
+            groups: self.written_group_count,
             log_bytes: self.snapshots.log_bytes(),
-            snapshots: self.snapshots.kept() as u64,
+            snapshots: self.snapshots.completed_count() as u64,
             health: match self.health {
                 Health::Serving => "serving",
-                Health::Full { .. } => "full",
+                Health::DiskFull { .. } => "full",
                 Health::Failed => "failed",
             }
             .to_owned(),
--- a/crates/state/src/journal.rs
+++ b/crates/state/src/journal.rs
@@ -1,185 +1,194 @@
-//! Writes the log and the snapshots. Every step is one operation of the disk, in an order in which a crash
-//! between any two loses nothing that was acknowledged.
+//! Writes the write-ahead log and snapshots. Disk operations are ordered such that a crash between any two of them
+//! loses no acknowledged change.
 
 use crate::constants::*;
 use crate::disk::Disk;
-use crate::records::{Close, Kept, Kind, Part, file_head, put_frame};
+use crate::records::{Close, FileKind, Kept, SnapshotPart, append_frame, encode_file_header};
 use std::io::{self, Write};
 
-/// Names of files carry a number of a frame: logs that of their first, snapshots that from which the log is
-/// to be applied to them.
-pub fn log_name(number: u64) -> String {
+/// Name of the log file whose first frame has this number.
+pub fn log_file_name(number: u64) -> String {
     format!("log-{number:020}")
 }
 
-pub fn snapshot_name(number: u64) -> String {
+/// Name of the snapshot to which the log from frame `number` on has to be applied.
+pub fn snapshot_file_name(number: u64) -> String {
     format!("snap-{number:020}")
 }
 
-/// A snapshot that is being written.
-pub const SNAPSHOT_DRAFT: &str = "snap.tmp";
+/// Name of a snapshot while it is being written.
+pub const SNAPSHOT_TEMP_FILE: &str = "snap.tmp";
 
-/// Reads the number in a file's name.
-pub fn number_in(name: &str, prefix: &str) -> Option<u64> {
+/// Parses the frame number out of a file name with this prefix.
+pub fn parse_file_number(name: &str, prefix: &str) -> Option<u64> {
     let digits = name.strip_prefix(prefix)?.strip_prefix('-')?;
     (digits.len() == 20).then(|| digits.parse().ok()).flatten()
 }
 
-/// One group of records that is to become durable.
+/// Encoded records that are written to the log as one frame (group commit).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Group {
     pub number: u64,
     pub records: Vec<u8>,
-    /// It begins a new file.
-    pub opens: bool,
+    /// The group begins a new log file.
+    pub starts_file: bool,
 }
 
-/// Why a group is not durable.
+/// Why a group is not known to be durable.
 #[derive(Debug)]
-pub enum Failure {
-    /// Nothing of it is in the log; the same group may be tried again.
-    Undone(io::Error),
-    /// What is in the log is not known; only a new start can tell.
+pub enum AppendError {
+    /// No part of the group is in the log; appending it may be retried.
+    NotWritten(io::Error),
+    /// It is unknown whether the group is in the log; only recovery can tell.
     Unknown(io::Error),
 }
 
-/// The end of the log.
+/// Appends groups to the write-ahead log.
 #[derive(Debug)]
-pub struct Log<D> {
+pub struct WriteAheadLog<D> {
     disk: D,
-    /// The file that is written to, and its sound length.
-    name: String,
+    /// The file that is written to, and the length of its valid part.
+    file_name: String,
     length: u64,
     sync: bool,
     buffer: Vec<u8>,
 }
 
-impl<D: Disk> Log<D> {
-    /// Goes on with a file as it was found, or, with an empty name, waits for a group that opens one.
-    pub fn new(disk: D, name: String, length: u64, sync: bool) -> Self {
-        Self { disk, name, length, sync, buffer: Vec::new() }
+impl<D: Disk> WriteAheadLog<D> {
+    /// Continues a log file of the given length; with an empty name, the first group must begin a new file.
+    pub fn new(disk: D, file_name: String, length: u64, sync: bool) -> Self {
+        Self { disk, file_name, length, sync, buffer: Vec::new() }
     }
 
-    /// Appends a group and waits until it is on the disk.
+    /// Appends a group and, if `sync` is set, waits until it is durable.
     ///
     /// # Errors
-    /// The disk failed; whether anything of the group may be on it is told.
-    pub fn append(&mut self, group: &Group) -> Result<(), Failure> {
-        if group.opens {
-            return self.open(group);
+    /// A disk operation failed; the variant says whether a part of the group may be in the log.
+    pub fn append(&mut self, group: &Group) -> Result<(), AppendError> {
+        if group.starts_file {
+            return self.start_file(group);
         }
         self.buffer.clear();
-        put_frame(&mut self.buffer, group.number, &group.records);
-        if let Err(e) = self.disk.append(&self.name, &self.buffer) {
-            // What was written of it is cut off, or the next try would follow a torn frame.
-            return Err(match self.disk.truncate(&self.name, self.length) {
-                Ok(()) => Failure::Undone(e),
-                Err(worse) => Failure::Unknown(worse),
+        append_frame(&mut self.buffer, group.number, &group.records);
+        if let Err(e) = self.disk.append(&self.file_name, &self.buffer) {
+            // Removes the part that was written: a retry must not follow a torn frame.
+            return Err(match self.disk.truncate(&self.file_name, self.length) {
+                Ok(()) => AppendError::NotWritten(e),
+                Err(truncate_error) => AppendError::Unknown(truncate_error),
             });
         }
-        self.settle()?;
+        self.sync_file()?;
         self.length += self.buffer.len() as u64;
         Ok(())
     }
 
-    /// After a failed sync nothing is known of what was written: trying again may report a success that
-    /// concerns other pages.
-    fn settle(&mut self) -> Result<(), Failure> {
-        if self.sync { self.disk.sync(&self.name).map_err(Failure::Unknown) } else { Ok(()) }
+    /// Syncs the file. A failed fsync is not retried: the kernel may have dropped the dirty pages, and a second fsync
+    /// would then succeed without them.
+    fn sync_file(&mut self) -> Result<(), AppendError> {
+        if self.sync {
+            self.disk.sync(&self.file_name).map_err(AppendError::Unknown)
+        } else {
+            Ok(())
+        }
     }
 
-    fn open(&mut self, group: &Group) -> Result<(), Failure> {
-        let name = log_name(group.number);
+    /// Begins a new log file with the group.
+    fn start_file(&mut self, group: &Group) -> Result<(), AppendError> {
+        let name = log_file_name(group.number);
         self.buffer.clear();
-        self.buffer.extend_from_slice(&file_head(Kind::Log));
-        put_frame(&mut self.buffer, group.number, &group.records);
+        self.buffer.extend_from_slice(&encode_file_header(FileKind::Log));
+        append_frame(&mut self.buffer, group.number, &group.records);
         let written = self.disk.create(&name).and_then(|()| self.disk.append(&name, &self.buffer));
         if let Err(e) = written {
             return Err(match self.disk.truncate(&name, 0) {
-                Ok(()) => Failure::Undone(e),
+                Ok(()) => AppendError::NotWritten(e),
                 Err(_) if !self.disk.list().is_ok_and(|names| names.contains(&name)) => {
-                    Failure::Undone(e)
+                    AppendError::NotWritten(e)
                 }
-                Err(worse) => Failure::Unknown(worse),
+                Err(truncate_error) => AppendError::Unknown(truncate_error),
             });
         }
-        self.name = name;
+        self.file_name = name;
         self.length = self.buffer.len() as u64;
-        self.settle()?;
-        if self.sync { self.disk.sync_directory().map_err(Failure::Unknown) } else { Ok(()) }
+        self.sync_file()?;
+        if self.sync { self.disk.sync_directory().map_err(AppendError::Unknown) } else { Ok(()) }
     }
 
-    /// The disk, for the next life of a simulated process.
+    /// Returns the disk, for a test that starts the simulated process again.
     pub fn into_disk(self) -> D {
         self.disk
     }
 }
 
-/// A step of writing a snapshot.
+/// A step in writing a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
     Begin,
     Rows(Vec<Kept>),
-    /// Closes it and makes it count.
+    /// Writes the footer, syncs the file and gives it its final name.
     Close(Close),
-    /// Leaves it; what was written of it is removed.
-    Leave,
-    /// Removes snapshots and logs that are no longer needed.
+    /// Gives up the snapshot and removes its temporary file.
+    Abort,
+    /// Removes older snapshots and log files.
     Prune {
         snapshots_below: u64,
         logs_below: u64,
     },
 }
 
-/// Writes snapshots: compressed frames behind a head, under a draft's name until whole.
+/// Writes snapshots: a file header followed by compressed frames, under a temporary name until complete.
 pub struct SnapshotWriter<D> {
     disk: D,
     encoder: Option<zstd::stream::write::Encoder<'static, Vec<u8>>>,
-    frames: u64,
+    frame_count: u64,
     buffer: Vec<u8>,
 }
 
 impl<D: Disk> SnapshotWriter<D> {
     pub fn new(disk: D) -> Self {
-        Self { disk, encoder: None, frames: 0, buffer: Vec::new() }
+        Self { disk, encoder: None, frame_count: 0, buffer: Vec::new() }
     }
 
-    /// Does a step.
+    /// Executes a step.
     ///
     /// # Errors
-    /// The disk failed; the snapshot is to be left.
+    /// A disk operation failed; the caller has to abort the snapshot.
     pub fn step(&mut self, step: &Step) -> io::Result<()> {
         match step {
             Step::Begin => {
-                self.disk.create(SNAPSHOT_DRAFT)?;
-                self.disk.append(SNAPSHOT_DRAFT, &file_head(Kind::Snapshot))?;
-                self.frames = 0;
-                self.encoder = Some(zstd::stream::write::Encoder::new(Vec::new(), SNAPSHOT_LEVEL)?);
+                self.disk.create(SNAPSHOT_TEMP_FILE)?;
+                self.disk.append(SNAPSHOT_TEMP_FILE, &encode_file_header(FileKind::Snapshot))?;
+                self.frame_count = 0;
+                self.encoder = Some(zstd::stream::write::Encoder::new(
+                    Vec::new(),
+                    SNAPSHOT_COMPRESSION_LEVEL,
+                )?);
                 Ok(())
             }
-            // The clones are reference counts: the service is not held up by what is done with them.
-            Step::Rows(rows) => self.put(&Part::Rows(rows.clone())),
+            // Cloning rows only increments reference counts, so the engine does not wait for their encoding.
+            Step::Rows(rows) => self.write_part(&SnapshotPart::Rows(rows.clone())),
             Step::Close(close) => {
-                self.put(&Part::Close(close.clone()))?;
-                let encoder = self.encoder.take().ok_or_else(not_begun)?;
-                let rest = encoder.finish()?;
-                self.disk.append(SNAPSHOT_DRAFT, &rest)?;
-                self.disk.sync(SNAPSHOT_DRAFT)?;
-                self.disk.rename(SNAPSHOT_DRAFT, &snapshot_name(close.from))?;
+                self.write_part(&SnapshotPart::Footer(close.clone()))?;
+                let encoder = self.encoder.take().ok_or_else(no_snapshot_error)?;
+                let remainder = encoder.finish()?;
+                self.disk.append(SNAPSHOT_TEMP_FILE, &remainder)?;
+                self.disk.sync(SNAPSHOT_TEMP_FILE)?;
+                self.disk.rename(SNAPSHOT_TEMP_FILE, &snapshot_file_name(close.from))?;
                 self.disk.sync_directory()
             }
-            Step::Leave => {
+            Step::Abort => {
                 self.encoder = None;
-                match self.disk.remove(SNAPSHOT_DRAFT) {
+                match self.disk.remove(SNAPSHOT_TEMP_FILE) {
                     Err(e) if e.kind() != io::ErrorKind::NotFound => Err(e),
                     _ => Ok(()),
                 }
             }
             Step::Prune { snapshots_below, logs_below } => {
                 for name in self.disk.list()? {
-                    let old = number_in(&name, "snap").is_some_and(|n| n < *snapshots_below)
-                        || number_in(&name, "log").is_some_and(|n| n < *logs_below);
-                    if old {
+                    let is_obsolete = parse_file_number(&name, "snap")
+                        .is_some_and(|n| n < *snapshots_below)
+                        || parse_file_number(&name, "log").is_some_and(|n| n < *logs_below);
+                    if is_obsolete {
                         self.disk.remove(&name)?;
                     }
                 }
@@ -188,27 +197,27 @@
         }
     }
 
-    fn put(&mut self, part: &Part) -> io::Result<()> {
-        let encoder = self.encoder.as_mut().ok_or_else(not_begun)?;
+    fn write_part(&mut self, part: &SnapshotPart) -> io::Result<()> {
+        let encoder = self.encoder.as_mut().ok_or_else(no_snapshot_error)?;
         let payload = postcard::to_allocvec(part).map_err(io::Error::other)?;
-        self.frames += 1;
+        self.frame_count += 1;
         self.buffer.clear();
-        put_frame(&mut self.buffer, self.frames, &payload);
+        append_frame(&mut self.buffer, self.frame_count, &payload);
         encoder.write_all(&self.buffer)?;
-        // What is compressed goes to the disk piece by piece: memory does not grow with the keys.
-        let ready = std::mem::take(encoder.get_mut());
-        if !ready.is_empty() {
-            self.disk.append(SNAPSHOT_DRAFT, &ready)?;
+        // Writes compressed data as it is produced, so that memory does not grow with the number of keys.
+        let compressed = std::mem::take(encoder.get_mut());
+        if !compressed.is_empty() {
+            self.disk.append(SNAPSHOT_TEMP_FILE, &compressed)?;
         }
         Ok(())
     }
 
-    /// The disk, for the next life of a simulated process.
+    /// Returns the disk, for a test that starts the simulated process again.
     pub fn into_disk(self) -> D {
         self.disk
     }
 }
 
-fn not_begun() -> io::Error {
-    io::Error::other("no snapshot was begun")
+fn no_snapshot_error() -> io::Error {
+    io::Error::other("no snapshot has been started")
 }
--- a/crates/state/src/keyspace.rs
+++ b/crates/state/src/keyspace.rs
@@ -1,202 +1,217 @@
-//! Keys, leases and the latest changes, in memory. Changes are applied as [`Record`]s, live and when the
-//! log is read again, so that both give the same.
+//! Keys, leases and the latest changes, in memory. Changes are applied as [`Record`]s, both while serving and in
+//! recovery, so that both give the same state.
 
-use crate::constants::RECENT_CHANGES;
+use crate::constants::MAX_RECENT_CHANGE_COUNT;
 use crate::records::{Close, Kept, Record, Write};
 use oatloom_protocol::ids::{Millis, Mono};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::ops::Bound;
 use std::sync::Arc;
 
+/// The value of a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// The JSON text.
+    /// The value as JSON text.
     pub value: Arc<str>,
     /// Revision of the last change.
-    pub stamp: u64,
-    /// The lease that it is attached to; 0: none.
+    pub revision: u64,
+    /// The lease that the key is attached to; 0 if none.
     pub lease: u64,
 }
 
 #[derive(Clone, Debug)]
 struct Lease {
     ttl_ms: u64,
-    ends: Mono,
+    expires_at: Mono,
     keys: BTreeSet<Arc<str>>,
 }
 
-/// A change that watches may still ask for.
+/// A change that is still available to watches; without a value, the key was deleted.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Recent {
+pub struct RecentChange {
     pub key: Arc<str>,
     pub value: Option<Arc<str>>,
-    pub stamp: u64,
+    pub revision: u64,
 }
 
+/// All keys and leases, at one revision.
 #[derive(Debug, Default)]
 pub struct Keyspace {
     keys: BTreeMap<Arc<str>, Entry>,
     leases: BTreeMap<u64, Lease>,
-    /// When leases end, soonest first.
-    ends: BTreeSet<(Mono, u64)>,
+    /// When leases expire, soonest first.
+    expirations: BTreeSet<(Mono, u64)>,
     revision: u64,
     last_lease: u64,
-    recent: VecDeque<Recent>,
-    /// Changes after this revision are all in `recent`.
-    floor: u64,
+    recent_changes: VecDeque<RecentChange>,
+    /// All changes after this revision are in `recent_changes`.
+    compacted_revision: u64,
 }
 
 impl Keyspace {
-    /// What a snapshot holds, its rows in key order; the log is still to be applied.
-    pub fn from_snapshot(rows: Vec<Kept>, close: &Close, now: Mono) -> Self {
-        let entry = |k: Kept| (k.key, Entry { value: k.value, stamp: k.stamp, lease: k.lease });
-        let mut space = Self {
-            keys: rows.into_iter().map(entry).collect(),
-            revision: close.revision,
-            last_lease: close.last_lease,
-            floor: close.revision,
+    /// Loads a snapshot, with rows in key order. The log has to be applied afterwards.
+    pub fn from_snapshot(rows: Vec<Kept>, footer: &Close, now: Mono) -> Self {
+        let to_entry = |row: Kept| {
+            (row.key, Entry { value: row.value, revision: row.stamp, lease: row.lease })
+        };
+        let mut keyspace = Self {
+            keys: rows.into_iter().map(to_entry).collect(),
+            revision: footer.revision,
+            last_lease: footer.last_lease,
+            compacted_revision: footer.revision,
             ..Self::default()
         };
-        for (lease, ttl_ms) in &close.leases {
-            space.grant(*lease, *ttl_ms, now);
+        for (lease, ttl_ms) in &footer.leases {
+            keyspace.add_lease(*lease, *ttl_ms, now);
         }
-        space
+        keyspace
     }
 
+    /// Revision of the latest change.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
+    /// Number of keys.
     pub fn len(&self) -> usize {
         self.keys.len()
     }
 
+    /// Whether there are no keys.
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty()
     }
 
+    /// Looks up a key.
     pub fn get(&self, key: &str) -> Option<&Entry> {
         self.keys.get(key)
     }
 
-    /// Keys with the prefix, in order, after `after`.
+    /// Iterates in key order over the keys with the prefix that follow `after`.
     pub fn range<'a>(
         &'a self,
         prefix: &'a str,
         after: Option<&'a str>,
     ) -> impl Iterator<Item = (&'a Arc<str>, &'a Entry)> {
-        let from = match after.filter(|after| *after >= prefix) {
+        let start = match after.filter(|after| *after >= prefix) {
             Some(after) => Bound::Excluded(after),
             None => Bound::Included(prefix),
         };
         self.keys
-            .range::<str, _>((from, Bound::Unbounded))
+            .range::<str, _>((start, Bound::Unbounded))
             .take_while(move |(key, _)| key.starts_with(prefix))
     }
 
+    /// Whether the lease exists.
     pub fn has_lease(&self, lease: u64) -> bool {
         self.leases.contains_key(&lease)
     }
 
-    pub fn leases(&self) -> usize {
+    /// Number of leases.
+    pub fn lease_count(&self) -> usize {
         self.leases.len()
     }
 
-    /// The number of the next lease; numbers are never used again.
+    /// Id of the next lease. Ids are never reused.
     pub fn next_lease(&self) -> u64 {
         self.last_lease + 1
     }
 
-    /// Gives the lease its full time again; whether it is there.
-    pub fn touch(&mut self, lease: u64, now: Mono) -> bool {
-        let Some(known) = self.leases.get_mut(&lease) else { return false };
-        self.ends.remove(&(known.ends, lease));
-        known.ends = now.plus(Millis(known.ttl_ms));
-        self.ends.insert((known.ends, lease));
+    /// Gives the lease its full time to live again; returns false if there is no such lease.
+    pub fn renew_lease(&mut self, lease: u64, now: Mono) -> bool {
+        let Some(renewed) = self.leases.get_mut(&lease) else { return false };
+        self.expirations.remove(&(renewed.expires_at, lease));
+        renewed.expires_at = now.plus(Millis(renewed.ttl_ms));
+        self.expirations.insert((renewed.expires_at, lease));
         true
     }
 
-    /// All leases regain their full time.
-    pub fn refill(&mut self, now: Mono) {
-        let all: Vec<u64> = self.leases.keys().copied().collect();
-        for lease in all {
-            self.touch(lease, now);
+    /// Gives all leases their full time to live again, as after an outage.
+    pub fn renew_all_leases(&mut self, now: Mono) {
+        let leases: Vec<u64> = self.leases.keys().copied().collect();
+        for lease in leases {
+            self.renew_lease(lease, now);
         }
     }
 
-    /// A lease whose time is over.
-    pub fn expired(&self, now: Mono) -> Option<u64> {
-        self.ends.first().filter(|(ends, _)| *ends < now).map(|(_, lease)| *lease)
+    /// Returns the lease that expired first, if one has expired.
+    pub fn next_expired_lease(&self, now: Mono) -> Option<u64> {
+        self.expirations
+            .first()
+            .filter(|(expires_at, _)| *expires_at < now)
+            .map(|(_, lease)| *lease)
     }
 
-    /// What the end of a lease is recorded as: the removal of its keys, and the end itself.
-    pub fn end_of(&self, lease: u64) -> Vec<Record> {
-        let Some(known) = self.leases.get(&lease) else { return Vec::new() };
-        let gone = |key: &Arc<str>| Write { key: key.clone(), value: None, lease: 0 };
-        let writes: Vec<Write> = known.keys.iter().map(gone).collect();
-        let removal = Record::Changed { revision: self.revision + 1, writes };
-        let removal = (!known.keys.is_empty()).then_some(removal);
-        removal.into_iter().chain([Record::Ended { lease }]).collect()
+    /// Returns the records that end a lease: the deletion of its keys, and the end of the lease itself.
+    pub fn lease_end_records(&self, lease: u64) -> Vec<Record> {
+        let Some(ended) = self.leases.get(&lease) else { return Vec::new() };
+        let delete = |key: &Arc<str>| Write { key: key.clone(), value: None, lease: 0 };
+        let writes: Vec<Write> = ended.keys.iter().map(delete).collect();
+        let deletion = Record::Changed { revision: self.revision + 1, writes };
+        let deletion = (!ended.keys.is_empty()).then_some(deletion);
+        deletion.into_iter().chain([Record::Ended { lease }]).collect()
     }
 
-    /// Applies what was decided, or read from the log.
+    /// Applies a record, new or read from the log.
     pub fn apply(&mut self, record: &Record, now: Mono) {
         match record {
             Record::Changed { revision, writes } => {
                 for write in writes {
-                    self.write(write, *revision);
+                    self.apply_write(write, *revision);
                 }
                 self.revision = self.revision.max(*revision);
             }
-            Record::Granted { lease, ttl_ms } => self.grant(*lease, *ttl_ms, now),
+            Record::Granted { lease, ttl_ms } => self.add_lease(*lease, *ttl_ms, now),
             Record::Ended { lease } => {
-                if let Some(known) = self.leases.remove(lease) {
-                    self.ends.remove(&(known.ends, *lease));
+                if let Some(ended) = self.leases.remove(lease) {
+                    self.expirations.remove(&(ended.expires_at, *lease));
                 }
             }
         }
     }
 
-    fn grant(&mut self, lease: u64, ttl_ms: u64, now: Mono) {
-        let ends = now.plus(Millis(ttl_ms));
-        if let Some(old) = self.leases.insert(lease, Lease { ttl_ms, ends, keys: BTreeSet::new() })
+    fn add_lease(&mut self, lease: u64, ttl_ms: u64, now: Mono) {
+        let expires_at = now.plus(Millis(ttl_ms));
+        if let Some(old) =
+            self.leases.insert(lease, Lease { ttl_ms, expires_at, keys: BTreeSet::new() })
         {
-            self.ends.remove(&(old.ends, lease));
+            self.expirations.remove(&(old.expires_at, lease));
         }
-        self.ends.insert((ends, lease));
+        self.expirations.insert((expires_at, lease));
         self.last_lease = self.last_lease.max(lease);
     }
 
-    fn write(&mut self, write: &Write, revision: u64) {
-        let before = match &write.value {
+    fn apply_write(&mut self, write: &Write, revision: u64) {
+        let replaced = match &write.value {
             Some(value) => {
-                let entry = Entry { value: value.clone(), stamp: revision, lease: write.lease };
+                let entry = Entry { value: value.clone(), revision, lease: write.lease };
                 self.keys.insert(write.key.clone(), entry)
             }
             None => self.keys.remove(&write.key),
         };
-        if let Some(old) = before.as_ref().and_then(|entry| self.leases.get_mut(&entry.lease)) {
+        if let Some(old) = replaced.as_ref().and_then(|entry| self.leases.get_mut(&entry.lease)) {
             old.keys.remove(&write.key);
         }
         if let Some(new) = self.leases.get_mut(&write.lease).filter(|_| write.value.is_some()) {
             new.keys.insert(write.key.clone());
         }
-        // A delete of what was not there changes nothing that a watch could show.
-        if write.value.is_some() || before.is_some() {
+        // Deleting a missing key is not a change that watches report.
+        if write.value.is_some() || replaced.is_some() {
             let (key, value) = (write.key.clone(), write.value.clone());
-            self.recent.push_back(Recent { key, value, stamp: revision });
-            if self.recent.len() > RECENT_CHANGES
-                && let Some(old) = self.recent.pop_front()
+            self.recent_changes.push_back(RecentChange { key, value, revision });
+            if self.recent_changes.len() > MAX_RECENT_CHANGE_COUNT
+                && let Some(old) = self.recent_changes.pop_front()
             {
-                self.floor = self.floor.max(old.stamp);
+                self.compacted_revision = self.compacted_revision.max(old.revision);
             }
         }
     }
 
-    /// After the log has been read: leases know their keys again and have their full time. The latest changes
-    /// begin after the snapshot (`floor`): it was taken while the service went on, so some of what the log
-    /// tells was in it already, and a delete that was leaves no trace when it is applied again.
-    pub fn settle(&mut self, now: Mono) {
+    /// Finishes recovery after the log was applied: attaches keys to their leases, and renews all leases. Watches can
+    /// only start after the revision of the snapshot (`compacted_revision`): its rows were copied while keys changed,
+    /// so it may include a deletion that the log repeats, and deleting a missing key adds nothing to
+    /// `recent_changes`.
+    pub fn finish_recovery(&mut self, now: Mono) {
         for lease in self.leases.values_mut() {
             lease.keys.clear();
         }
@@ -205,43 +220,43 @@
                 lease.keys.insert(key.clone());
             }
         }
-        self.refill(now);
+        self.renew_all_leases(now);
     }
 
-    /// The latest changes after a revision, up to another one, of keys with a prefix; `None`: some of
-    /// them are no longer known.
-    pub fn changes<'a>(
+    /// Iterates over the changes of keys with the prefix after revision `after` up to revision `to`; `None` if some of
+    /// them are no longer in memory.
+    pub fn changes_between<'a>(
         &'a self,
         prefix: &'a str,
         after: u64,
         to: u64,
-    ) -> Option<impl Iterator<Item = &'a Recent>> {
-        (after >= self.floor).then(|| {
-            let from = self.recent.partition_point(|change| change.stamp <= after);
-            self.recent
-                .range(from..)
-                .take_while(move |change| change.stamp <= to)
+    ) -> Option<impl Iterator<Item = &'a RecentChange>> {
+        (after >= self.compacted_revision).then(|| {
+            let start = self.recent_changes.partition_point(|change| change.revision <= after);
+            self.recent_changes
+                .range(start..)
+                .take_while(move |change| change.revision <= to)
                 .filter(move |change| change.key.starts_with(prefix))
         })
     }
 
-    /// The next rows for a snapshot, after a key.
-    pub fn slice(&self, after: Option<&str>, most: usize) -> Vec<Kept> {
-        let kept = |(key, entry): (&Arc<str>, &Entry)| Kept {
+    /// Copies up to `max_rows` rows after the key `after`, for a snapshot.
+    pub fn snapshot_rows(&self, after: Option<&str>, max_rows: usize) -> Vec<Kept> {
+        let to_row = |(key, entry): (&Arc<str>, &Entry)| Kept {
             key: key.clone(),
             value: entry.value.clone(),
-            stamp: entry.stamp,
+            stamp: entry.revision,
             lease: entry.lease,
         };
-        self.range("", after).take(most).map(kept).collect()
+        self.range("", after).take(max_rows).map(to_row).collect()
     }
 
-    /// Leases and their times to live, for a snapshot.
-    pub fn kept_leases(&self) -> Vec<(u64, u64)> {
+    /// Returns lease ids with their times to live in milliseconds, for a snapshot.
+    pub fn lease_ttls(&self) -> Vec<(u64, u64)> {
         self.leases.iter().map(|(id, lease)| (*id, lease.ttl_ms)).collect()
     }
 
-    /// The highest number that a lease has had.
+    /// The highest id that was given to a lease.
     pub fn last_lease(&self) -> u64 {
         self.last_lease
     }
@@ -251,37 +266,46 @@
 mod tests {
     use super::*;
 
-    fn put(space: &mut Keyspace, key: &str, lease: u64) {
-        let revision = space.revision() + 1;
+    fn put(keyspace: &mut Keyspace, key: &str, lease: u64) {
+        let revision = keyspace.revision() + 1;
         let write = Write { key: key.into(), value: Some("1".into()), lease };
-        space.apply(&Record::Changed { revision, writes: vec![write] }, Mono(0));
+        keyspace.apply(&Record::Changed { revision, writes: vec![write] }, Mono(0));
     }
 
-    /// The end of a lease removes what is attached to it now, not what was once.
+    /// The end of a lease deletes the keys that are attached to it now, not those that were before.
     #[test]
-    fn a_lease_ends_with_its_keys() {
-        let mut space = Keyspace::default();
-        space.apply(&Record::Granted { lease: 1, ttl_ms: 500 }, Mono(0));
-        ["a", "b", "c"].iter().for_each(|key| put(&mut space, key, 1));
-        put(&mut space, "b", 0);
-        assert_eq!(space.expired(Mono(500)), None, "never early");
-        assert!(space.touch(1, Mono(400)));
-        assert_eq!((space.expired(Mono(900)), space.expired(Mono(901))), (None, Some(1)));
-        for record in space.end_of(1) {
-            space.apply(&record, Mono(901));
+    fn the_end_of_a_lease_deletes_its_keys() {
+        let mut keyspace = Keyspace::default();
+        keyspace.apply(&Record::Granted { lease: 1, ttl_ms: 500 }, Mono(0));
+        ["a", "b", "c"].iter().for_each(|key| put(&mut keyspace, key, 1));
+        put(&mut keyspace, "b", 0);
+        assert_eq!(keyspace.next_expired_lease(Mono(500)), None, "expired early");
+        assert!(keyspace.renew_lease(1, Mono(400)));
+        assert_eq!(
+            (keyspace.next_expired_lease(Mono(900)), keyspace.next_expired_lease(Mono(901))),
+            (None, Some(1))
+        );
+        for record in keyspace.lease_end_records(1) {
+            keyspace.apply(&record, Mono(901));
         }
-        assert_eq!(space.slice(None, 9).iter().map(|k| &*k.key).collect::<Vec<_>>(), ["b"]);
-        assert!(!space.touch(1, Mono(902)) && space.expired(Mono(99_999)).is_none());
-        assert_eq!((space.next_lease(), space.revision()), (2, 5));
+        assert_eq!(
+            keyspace.snapshot_rows(None, 9).iter().map(|k| &*k.key).collect::<Vec<_>>(),
+            ["b"]
+        );
+        assert!(
+            !keyspace.renew_lease(1, Mono(902))
+                && keyspace.next_expired_lease(Mono(99_999)).is_none()
+        );
+        assert_eq!((keyspace.next_lease(), keyspace.revision()), (2, 5));
     }
 
-    /// A page begins after its key, within its prefix.
+    /// A range begins after the given key and stays within its prefix.
     #[test]
-    fn ranges_keep_to_their_prefix() {
-        let mut space = Keyspace::default();
-        ["a", "live/1", "live/2", "live/3", "lizard"].iter().for_each(|k| put(&mut space, k, 0));
+    fn ranges_stay_within_their_prefix() {
+        let mut keyspace = Keyspace::default();
+        ["a", "live/1", "live/2", "live/3", "lizard"].iter().for_each(|k| put(&mut keyspace, k, 0));
         let keys = |prefix, after| -> Vec<String> {
-            space.range(prefix, after).map(|(key, _)| key.to_string()).collect()
+            keyspace.range(prefix, after).map(|(key, _)| key.to_string()).collect()
         };
         assert_eq!(keys("live/", None), ["live/1", "live/2", "live/3"]);
         assert_eq!(keys("live/", Some("live/1")), ["live/2", "live/3"]);
@@ -290,14 +314,15 @@
         assert!(keys("live/", Some("m")).is_empty());
     }
 
-    /// What is no longer known is said to be so, never left out.
+    /// Changes that are no longer in memory are reported as missing: a watch that skipped them would never learn of
+    /// them.
     #[test]
-    fn old_changes_are_refused_not_left_out() {
-        let mut space = Keyspace::default();
-        (0..RECENT_CHANGES + 5).for_each(|n| put(&mut space, &format!("k/{n}"), 0));
-        let to = space.revision();
-        assert!(space.changes("k/", 4, to).is_none());
-        assert_eq!(space.changes("k/", 5, to).unwrap().count(), RECENT_CHANGES);
-        assert_eq!(space.changes("k/", to - 2, to - 1).unwrap().count(), 1);
+    fn missing_changes_are_reported() {
+        let mut keyspace = Keyspace::default();
+        (0..MAX_RECENT_CHANGE_COUNT + 5).for_each(|n| put(&mut keyspace, &format!("k/{n}"), 0));
+        let to = keyspace.revision();
+        assert!(keyspace.changes_between("k/", 4, to).is_none());
+        assert_eq!(keyspace.changes_between("k/", 5, to).unwrap().count(), MAX_RECENT_CHANGE_COUNT);
+        assert_eq!(keyspace.changes_between("k/", to - 2, to - 1).unwrap().count(), 1);
     }
 }
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -1,8 +1,9 @@
-//! A durable state service: the protocol that oatloom's controllers expect of theirs, kept on a disk.
+//! A durable key-value state service that speaks the protocol which oatloom's controllers expect.
 //!
-//! Decisions are deterministic: [`engine::Engine`] turns `(event, now)` into actions. [`journal`] and
-//! [`recovery`] write and read the disk through [`disk::Disk`], so that tests can let it crash between any
-//! two operations. Threads, sockets and clocks stay in [`service`].
+//! The keyspace is held in memory. Changes are made durable by a write-ahead log, which snapshots keep short.
+//! The core is deterministic: [`engine::Engine`] turns `(event, now)` into actions. [`journal`] and [`recovery`]
+//! write and read files through [`disk::Disk`], so that tests can simulate a crash between any two operations.
+//! Threads, sockets and the clock are confined to [`service`].
 
 pub mod api;
 pub mod constants;
--- a/crates/state/src/limits.rs
+++ b/crates/state/src/limits.rs
@@ -1,60 +1,62 @@
-//! What the service takes a second: requests and changes, each with bursts of one second's worth.
+//! Rate limits of the service: requests and changes per second, each with bursts of one second's budget.
 
 use oatloom_protocol::ids::Mono;
 
-/// A budget that refills steadily and holds one second's worth.
+/// A token bucket that holds at most the tokens of one second.
 #[derive(Clone, Debug)]
-struct Bucket {
-    /// Units a second; 0: no limit.
+struct TokenBucket {
+    /// Tokens per second; 0 for no limit.
     rate: f64,
-    level: f64,
-    at: Mono,
+    tokens: f64,
+    refilled_at: Mono,
 }
 
-impl Bucket {
+impl TokenBucket {
     fn new(rate: f64, now: Mono) -> Self {
-        Self { rate, level: rate, at: now }
+        Self { rate, tokens: rate, refilled_at: now }
     }
 
     fn refill(&mut self, now: Mono) {
-        self.level = (self.level + now.since(self.at).as_secs() * self.rate).min(self.rate);
-        self.at = now;
+        self.tokens =
+            (self.tokens + now.since(self.refilled_at).as_secs() * self.rate).min(self.rate);
+        self.refilled_at = now;
     }
 
-    fn holds(&self, units: f64) -> bool {
-        self.rate <= 0.0 || self.level + 1e-9 >= units
+    fn has_tokens(&self, count: f64) -> bool {
+        self.rate <= 0.0 || self.tokens + 1e-9 >= count
     }
 
-    fn take(&mut self, units: f64) {
+    fn remove(&mut self, count: f64) {
         if self.rate > 0.0 {
-            self.level -= units;
+            self.tokens -= count;
         }
     }
 }
 
+/// Limits the rate of requests and of changes.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    requests: Bucket,
-    changes: Bucket,
+    requests: TokenBucket,
+    changes: TokenBucket,
 }
 
 impl Limits {
-    /// Requests and changes a second; 0 sets no limit.
+    /// Limits requests and changes per second; 0 sets no limit.
     pub fn new(rps: f64, write_rps: f64, now: Mono) -> Self {
-        Self { requests: Bucket::new(rps, now), changes: Bucket::new(write_rps, now) }
+        Self { requests: TokenBucket::new(rps, now), changes: TokenBucket::new(write_rps, now) }
     }
 
-    /// Whether a request with so many changes may be served now; if so, it is counted.
+    /// Admits a request with this many changes, or returns false if a limit is exceeded. Only admitted requests count.
     pub fn take(&mut self, changes: usize, now: Mono) -> bool {
         self.requests.refill(now);
         self.changes.refill(now);
         let changes = changes as f64;
-        let may = self.requests.holds(1.0) && self.changes.holds(changes);
-        if may {
-            self.requests.take(1.0);
-            self.changes.take(changes);
+        let is_admitted = self.requests.has_tokens(1.0) && self.changes.has_tokens(changes);
+        if is_admitted {
+            self.requests.remove(1.0);
+            self.changes.remove(changes);
         }
-        may
+        is_admitted
     }
 }
 
@@ -62,17 +64,17 @@
 mod tests {
     use super::*;
 
-    /// A burst of one second's worth, then the rate, and no more however long it was quiet.
+    /// Admits a burst of one second's budget, then the rate; idle time beyond a second adds nothing.
     #[test]
-    fn bursts_hold_one_seconds_worth() {
+    fn bursts_are_limited_to_one_second() {
         let mut limits = Limits::new(100.0, 25.0, Mono(0));
-        let taken = |limits: &mut Limits, changes, now| {
+        let count_admitted = |limits: &mut Limits, changes, now| {
             (0..1_000).filter(|_| limits.take(changes, Mono(now))).count()
         };
-        assert_eq!(taken(&mut limits, 1, 0), 25);
-        assert_eq!(taken(&mut limits, 0, 0), 75);
-        assert_eq!(taken(&mut limits, 1, 200), 5);
-        assert_eq!(taken(&mut limits, 5, 60_000), 5);
-        assert_eq!(taken(&mut Limits::new(0.0, 0.0, Mono(0)), 20, 0), 1_000);
+        assert_eq!(count_admitted(&mut limits, 1, 0), 25);
+        assert_eq!(count_admitted(&mut limits, 0, 0), 75);
+        assert_eq!(count_admitted(&mut limits, 1, 200), 5);
+        assert_eq!(count_admitted(&mut limits, 5, 60_000), 5);
+        assert_eq!(count_admitted(&mut Limits::new(0.0, 0.0, Mono(0)), 20, 0), 1_000);
     }
 }
--- a/crates/state/src/main.rs
+++ b/crates/state/src/main.rs
@@ -7,7 +7,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// A durable state service for oatloom's controllers.
+/// A durable key-value state service for oatloom's controllers.
 #[derive(Parser)]
 #[command(
     name = "oatloom-state",
@@ -20,18 +20,18 @@
     /// The address to serve, an IP number and a port
     #[arg(long, value_name = "ADDRESS")]
     listen: std::net::SocketAddr,
-    /// The directory that holds the state; made if it is not there
+    /// The directory that holds the state; created if it does not exist
     #[arg(long, value_name = "DIR")]
     data: PathBuf,
-    /// Settings (an S-expression; see deploy/state.sample.lisp)
+    /// The settings file (an S-expression; see deploy/state.sample.lisp)
     #[arg(long, value_name = "FILE")]
     file: Option<PathBuf>,
-    /// How the log looks
+    /// The format of the log
     #[arg(long, value_enum, default_value_t)]
     log_format: Format,
 }
 
-fn load(file: &Option<PathBuf>) -> Result<Settings, String> {
+fn load_settings(file: &Option<PathBuf>) -> Result<Settings, String> {
     let Some(path) = file else { return Ok(Settings::default()) };
     let name = path.display();
     let text = std::fs::read_to_string(path).map_err(|e| format!("{name}: cannot be read: {e}"))?;
@@ -44,7 +44,7 @@
         eprintln!("oatloom-state: {text}");
         ExitCode::from(status)
     };
-    let settings = match load(&arguments.file) {
+    let settings = match load_settings(&arguments.file) {
         Ok(settings) => settings,
         Err(text) => return fail(text, 2),
     };
@@ -52,9 +52,9 @@
         return fail(e.to_string(), 2);
     }
     let address = arguments.listen.to_string();
-    let ready = || tracing::info!("serving {} at {address}", arguments.data.display());
-    match service::run(&address, &arguments.data, settings, ready) {
+    let on_ready = || tracing::info!("serving {} at {address}", arguments.data.display());
+    match service::run(&address, &arguments.data, settings, on_ready) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) => fail(e.to_string(), if e.while_serving() { 1 } else { 2 }),
+        Err(e) => fail(e.to_string(), if e.is_while_serving() { 1 } else { 2 }),
     }
 }
--- a/crates/state/src/records.rs
+++ b/crates/state/src/records.rs
@@ -1,26 +1,26 @@
-//! What the log and the snapshots are made of: records, and frames that show whether they are whole.
+//! Encoding of log and snapshot files: records, and frames with checksums around them.
 //!
-//! A frame holds one group of records, which became durable together:
+//! A frame holds one group of records, which are written and become durable together:
 //! marker (4 bytes), length of the payload (4), sequence number (8), CRC-32 of the payload (4), CRC-32 of
-//! these 20 bytes (4), payload, end mark (1). Numbers are little-endian. Records are encoded with
+//! these 20 bytes (4), payload, end marker (1). Integers are little-endian. Records are encoded with
 //! `postcard`.
 
 use crate::constants::*;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// One put or delete as it was applied.
+/// One put or delete.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Write {
     pub key: Arc<str>,
-    /// The JSON text; `None`: deleted.
+    /// The value as JSON text; `None` deletes the key.
     pub value: Option<Arc<str>>,
-    /// The lease that the key is attached to; 0: none.
+    /// The lease that the key is attached to; 0 if none.
     pub lease: u64,
 }
 
-/// What happened, in absolute terms: applying it twice, or onto a state that holds some of it already,
-/// gives the same result. Conditions were judged before.
+/// A change of the keyspace. Records are idempotent: applying one twice, or to a state that includes a part of it,
+/// gives the same result. The conditions of a transaction are checked before its record is made.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
     Changed { revision: u64, writes: Vec<Write> },
@@ -28,111 +28,116 @@
     Ended { lease: u64 },
 }
 
-/// A key in a snapshot.
+/// A key and its value in a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Kept {
     pub key: Arc<str>,
+    /// The value as JSON text.
     pub value: Arc<str>,
+    /// Revision of the last change.
     pub stamp: u64,
+    /// The lease that the key is attached to; 0 if none.
     pub lease: u64,
 }
 
-/// What closes a snapshot.
+/// The last part of a snapshot. A snapshot without it is incomplete.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Close {
-    /// Number of keys.
+    /// Number of rows in the snapshot.
     pub rows: u64,
-    /// Frames of the log from this one on are to be applied to it.
+    /// Recovery applies the frames of the log from this number on to the snapshot.
     pub from: u64,
-    /// The log must reach this frame: the snapshot was taken while the service went on.
-    pub to: u64,
+    /// Recovery needs the log up to this frame: rows were copied while the keyspace changed, so they may include
+    /// changes up to it.
+    pub last_group: u64,
     pub revision: u64,
     pub last_lease: u64,
-    /// Leases and their times to live in milliseconds.
+    /// Lease ids with their times to live in milliseconds.
     pub leases: Vec<(u64, u64)>,
 }
 
-/// A frame's payload in a snapshot.
+/// Payload of a frame in a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Part {
+pub enum SnapshotPart {
     Rows(Vec<Kept>),
-    Close(Close),
+    Footer(Close),
 }
 
-const MARKER: [u8; 4] = [0xFA, b'O', b'A', b'T'];
-/// Never zero, so that an unwritten last sector shows.
-const END_MARK: u8 = 0xA5;
-/// Bytes before a frame's payload.
-pub const FRAME_HEAD: usize = 24;
+const FRAME_MARKER: [u8; 4] = [0xFA, b'O', b'A', b'T'];
+/// Not zero, so that an unwritten last sector is detected.
+const END_MARKER: u8 = 0xA5;
+/// Size of the header before a frame's payload.
+pub const FRAME_HEADER_BYTES: usize = 24;
 
-/// First bytes of a log file and of a snapshot, before the format.
+/// First bytes of a log file and of a snapshot, followed by the format version.
 const LOG_MAGIC: [u8; 6] = *b"oatlog";
 const SNAPSHOT_MAGIC: [u8; 6] = *b"oatsnp";
-/// Bytes of a file's head: magic and format.
-pub const FILE_HEAD: usize = 8;
+/// Size of a file's header: magic bytes and format version.
+pub const FILE_HEADER_BYTES: usize = 8;
 
-/// Which kind of file it is.
+/// Type of a file in the data directory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum FileKind {
     Log,
     Snapshot,
 }
 
-/// Why a file's head is not accepted.
+/// Why a file's header was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BadHead {
-    /// Shorter than a head: it was being made when the process ended.
-    Short,
-    Foreign,
-    /// Written by a later version, with this format.
-    Newer(u16),
+pub enum HeaderError {
+    /// The header is incomplete or unwritten: the process ended while the file was being created.
+    Truncated,
+    /// The magic bytes or the format version belong to no known file.
+    WrongMagic,
+    /// The file was written by a later version, with this format version.
+    NewerFormat(u16),
 }
 
-/// The first bytes of a file.
-pub fn file_head(kind: Kind) -> [u8; FILE_HEAD] {
-    let mut head = [0; FILE_HEAD];
-    head[..6].copy_from_slice(match kind {
-        Kind::Log => &LOG_MAGIC,
-        Kind::Snapshot => &SNAPSHOT_MAGIC,
+/// Returns the header of a file.
+pub fn encode_file_header(kind: FileKind) -> [u8; FILE_HEADER_BYTES] {
+    let mut header = [0; FILE_HEADER_BYTES];
+    header[..6].copy_from_slice(match kind {
+        FileKind::Log => &LOG_MAGIC,
+        FileKind::Snapshot => &SNAPSHOT_MAGIC,
     });
-    head[6..].copy_from_slice(&FORMAT.to_le_bytes());
-    head
+    header[6..].copy_from_slice(&FORMAT_VERSION.to_le_bytes());
+    header
 }
 
-/// Checks the first bytes of a file.
+/// Checks the header of a file.
 ///
 /// # Errors
-/// It is too short, of another kind, or of a later format.
-pub fn check_head(kind: Kind, bytes: &[u8]) -> Result<(), BadHead> {
-    let wanted = file_head(kind);
-    let unwritten = bytes.iter().take(FILE_HEAD).all(|b| *b == 0);
-    if bytes.len() < FILE_HEAD || unwritten {
-        return Err(BadHead::Short);
+/// The header is incomplete, of another type of file, or of a later format version.
+pub fn check_file_header(kind: FileKind, bytes: &[u8]) -> Result<(), HeaderError> {
+    let expected = encode_file_header(kind);
+    let is_unwritten = bytes.iter().take(FILE_HEADER_BYTES).all(|b| *b == 0);
+    if bytes.len() < FILE_HEADER_BYTES || is_unwritten {
+        return Err(HeaderError::Truncated);
     }
-    if bytes[..6] != wanted[..6] {
-        return Err(BadHead::Foreign);
+    if bytes[..6] != expected[..6] {
+        return Err(HeaderError::WrongMagic);
     }
     match u16::from_le_bytes([bytes[6], bytes[7]]) {
-        format if format > FORMAT => Err(BadHead::Newer(format)),
-        FORMAT => Ok(()),
-        _ => Err(BadHead::Foreign),
+        version if version > FORMAT_VERSION => Err(HeaderError::NewerFormat(version)),
+        FORMAT_VERSION => Ok(()),
+        _ => Err(HeaderError::WrongMagic),
     }
 }
 
 /// Appends a frame to `out`.
-pub fn put_frame(out: &mut Vec<u8>, number: u64, payload: &[u8]) {
-    let from = out.len();
-    out.extend_from_slice(&MARKER);
+pub fn append_frame(out: &mut Vec<u8>, number: u64, payload: &[u8]) {
+    let start = out.len();
+    out.extend_from_slice(&FRAME_MARKER);
     out.extend_from_slice(&(payload.len() as u32).to_le_bytes());
     out.extend_from_slice(&number.to_le_bytes());
     out.extend_from_slice(&crc32fast::hash(payload).to_le_bytes());
-    let head = crc32fast::hash(&out[from..]);
-    out.extend_from_slice(&head.to_le_bytes());
+    let header_crc = crc32fast::hash(&out[start..]);
+    out.extend_from_slice(&header_crc.to_le_bytes());
     out.extend_from_slice(payload);
-    out.push(END_MARK);
+    out.push(END_MARKER);
 }
 
-/// A frame's number and payload.
+/// A decoded frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Frame<'a> {
     pub number: u64,
@@ -140,163 +145,184 @@
 }
 
 impl Frame<'_> {
-    /// Bytes that it takes.
+    /// Encoded size in bytes.
     pub fn size(&self) -> usize {
-        FRAME_HEAD + self.payload.len() + 1
+        FRAME_HEADER_BYTES + self.payload.len() + 1
     }
 
-    /// The records in its payload.
+    /// Decodes the records in the payload.
     ///
     /// # Errors
-    /// They cannot be read, though their checksum is right: they were written by something else.
-    pub fn records(&self) -> Result<Vec<Record>, postcard::Error> {
-        let mut rest = self.payload;
+    /// The payload is not a sequence of records. As its checksum is correct, other software wrote it.
+    pub fn decode_records(&self) -> Result<Vec<Record>, postcard::Error> {
+        let mut remaining = self.payload;
         let mut records = Vec::new();
-        while !rest.is_empty() {
-            let (record, left) = postcard::take_from_bytes(rest)?;
+        while !remaining.is_empty() {
+            let (record, unread) = postcard::take_from_bytes(remaining)?;
             records.push(record);
-            rest = left;
+            remaining = unread;
         }
         Ok(records)
     }
 }
 
-/// A frame's head, if it is as it was written.
-struct Head {
+/// Fields of a frame's header.
+struct FrameHeader {
     length: usize,
     number: u64,
-    crc: u32,
+    payload_crc: u32,
 }
 
-fn head(bytes: &[u8]) -> Option<Head> {
-    if bytes.get(..4)? != MARKER || u32_at(bytes, 20)? != crc32fast::hash(bytes.get(..20)?) {
+/// Decodes a frame's header; `None` if it is incomplete or its checksum does not match.
+fn decode_frame_header(bytes: &[u8]) -> Option<FrameHeader> {
+    if bytes.get(..4)? != FRAME_MARKER || read_u32(bytes, 20)? != crc32fast::hash(bytes.get(..20)?)
+    {
         return None;
     }
     let number = u64::from_le_bytes(bytes.get(8..16)?.try_into().ok()?);
-    Some(Head { length: u32_at(bytes, 4)? as usize, number, crc: u32_at(bytes, 16)? })
+    Some(FrameHeader {
+        length: read_u32(bytes, 4)? as usize,
+        number,
+        payload_crc: read_u32(bytes, 16)?,
+    })
 }
 
-fn u32_at(bytes: &[u8], at: usize) -> Option<u32> {
+fn read_u32(bytes: &[u8], at: usize) -> Option<u32> {
     Some(u32::from_le_bytes(bytes.get(at..at + 4)?.try_into().ok()?))
 }
 
-/// The sound frame at the start of `bytes`, if there is one.
-pub fn frame(bytes: &[u8]) -> Option<Frame<'_>> {
-    let Head { length, number, crc } = head(bytes)?;
-    let payload = bytes.get(FRAME_HEAD..FRAME_HEAD.checked_add(length)?)?;
-    let whole = *bytes.get(FRAME_HEAD + length)? == END_MARK && crc32fast::hash(payload) == crc;
-    whole.then_some(Frame { number, payload })
+/// Decodes the frame at the start of `bytes`; `None` if it is incomplete or a checksum does not match.
+pub fn decode_frame(bytes: &[u8]) -> Option<Frame<'_>> {
+    let FrameHeader { length, number, payload_crc } = decode_frame_header(bytes)?;
+    let payload = bytes.get(FRAME_HEADER_BYTES..FRAME_HEADER_BYTES.checked_add(length)?)?;
+    let is_valid = *bytes.get(FRAME_HEADER_BYTES + length)? == END_MARKER
+        && crc32fast::hash(payload) == payload_crc;
+    is_valid.then_some(Frame { number, payload })
 }
 
-/// What follows the last sound frame of a log file.
+/// What follows the last valid frame of a log file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Tail {
     /// Nothing.
-    Clean,
-    /// A write that was cut short by the process' end; nothing of it was acknowledged.
+    Empty,
+    /// A torn write: the process ended while it was writing, so nothing of it was acknowledged.
     Torn,
-    /// Something was written whole and is not as it was written.
+    /// A frame that was written completely and is corrupt.
     Damaged,
 }
 
-/// Judges what follows the last sound frame, which ends at `at`. A group is written only once the one
-/// before it is durable, so only the last one can be torn: with a sound frame behind it, or with every
-/// sector of it written, it was damaged later.
-pub fn tail(bytes: &[u8], at: usize) -> Tail {
-    let rest = &bytes[at.min(bytes.len())..];
+/// Classifies what follows the last valid frame, which ends at `valid_length`. A group is written only once the one
+/// before it is durable, so only the last one can be torn. If a valid frame follows it, or every sector of it was
+/// written, it was corrupted later.
+pub fn classify_tail(bytes: &[u8], valid_length: usize) -> Tail {
+    let rest = &bytes[valid_length.min(bytes.len())..];
     if rest.is_empty() {
-        return Tail::Clean;
+        return Tail::Empty;
     }
-    let mut from = 1;
-    while let Some(next) = find(&rest[from..], &MARKER) {
-        from += next;
-        if frame(&rest[from..]).is_some() {
+    let mut position = 1;
+    while let Some(offset) = find_bytes(&rest[position..], &FRAME_MARKER) {
+        position += offset;
+        if decode_frame(&rest[position..]).is_some() {
             return Tail::Damaged;
         }
-        from += 1;
+        position += 1;
     }
-    let short = match head(rest) {
-        Some(head) => rest.len() < FRAME_HEAD + head.length + 1,
-        None => rest.len() < FRAME_HEAD,
+    let is_incomplete = match decode_frame_header(rest) {
+        Some(header) => rest.len() < FRAME_HEADER_BYTES + header.length + 1,
+        None => rest.len() < FRAME_HEADER_BYTES,
     };
-    // Sectors are those of the file; the first and last of the rest may be parts.
-    let first = (SECTOR_BYTES - at % SECTOR_BYTES).min(rest.len());
-    let (head, others) = rest.split_at(first);
-    let unwritten = |sector: &[u8]| sector.iter().all(|b| *b == 0);
-    let gap = unwritten(head) || others.chunks(SECTOR_BYTES).any(unwritten);
-    if short || gap { Tail::Torn } else { Tail::Damaged }
+    // Sectors are aligned in the file, so the first and the last one here may be partial.
+    let first_sector_bytes = (SECTOR_BYTES - valid_length % SECTOR_BYTES).min(rest.len());
+    let (first_sector, other_sectors) = rest.split_at(first_sector_bytes);
+    let is_unwritten = |sector: &[u8]| sector.iter().all(|b| *b == 0);
+    let has_unwritten =
+        is_unwritten(first_sector) || other_sectors.chunks(SECTOR_BYTES).any(is_unwritten);
+    if is_incomplete || has_unwritten { Tail::Torn } else { Tail::Damaged }
 }
 
-fn find(bytes: &[u8], wanted: &[u8]) -> Option<usize> {
-    bytes.windows(wanted.len()).position(|window| window == wanted)
+fn find_bytes(bytes: &[u8], pattern: &[u8]) -> Option<usize> {
+    bytes.windows(pattern.len()).position(|window| window == pattern)
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    fn log(groups: u64) -> (Vec<u8>, Vec<usize>) {
+    /// A log with this many frames, and the offsets at which they end, from 0 on.
+    fn encode_log(groups: u64) -> (Vec<u8>, Vec<usize>) {
         let mut bytes = Vec::new();
         let mut ends = vec![0];
         for number in 1..=groups {
             let write = Write { key: "a/b".into(), value: Some("{\"x\":1}".into()), lease: 0 };
             let record = Record::Changed { revision: number, writes: vec![write; 40] };
-            put_frame(&mut bytes, number, &postcard::to_allocvec(&record).unwrap());
+            append_frame(&mut bytes, number, &postcard::to_allocvec(&record).unwrap());
             ends.push(bytes.len());
         }
         (bytes, ends)
     }
 
+    /// A frame decodes to the number and the records that were encoded.
     #[test]
-    fn a_frame_gives_back_what_was_put() {
-        let (bytes, ends) = log(2);
-        let first = frame(&bytes).unwrap();
+    fn a_frame_decodes_to_its_records() {
+        let (bytes, ends) = encode_log(2);
+        let first = decode_frame(&bytes).unwrap();
         assert_eq!((first.number, first.size()), (1, ends[1]));
-        let records = frame(&bytes[first.size()..]).unwrap().records().unwrap();
+        let records = decode_frame(&bytes[first.size()..]).unwrap().decode_records().unwrap();
         assert!(
             matches!(&records[..], [Record::Changed { revision: 2, writes }] if writes.len() == 40)
         );
     }
 
-    /// Wherever a write is cut, and whichever sector of it was not written, it is torn and no more.
+    /// A write that ends at any byte, or lacks any one sector, is classified as torn. If it counted as damaged, the
+    /// service would not start after a crash.
     #[test]
-    fn a_write_cut_short_is_torn() {
-        let (bytes, ends) = log(3);
+    fn an_incomplete_write_is_torn() {
+        let (bytes, ends) = encode_log(3);
         for cut in ends[2] + 1..ends[3] {
-            assert_eq!(tail(&bytes[..cut], ends[2]), Tail::Torn, "cut at {cut}");
+            assert_eq!(classify_tail(&bytes[..cut], ends[2]), Tail::Torn, "cut at {cut}");
         }
         for sector in ends[2] / SECTOR_BYTES..=(ends[3] - 1) / SECTOR_BYTES {
-            let mut holed = bytes.clone();
-            let from = (sector * SECTOR_BYTES).max(ends[2]);
-            let to = ((sector + 1) * SECTOR_BYTES).min(ends[3]);
-            holed[from..to].fill(0);
-            assert!(frame(&holed[ends[2]..]).is_none());
-            assert_eq!(tail(&holed, ends[2]), Tail::Torn, "sector {sector}");
+            let mut torn = bytes.clone();
+            let start = (sector * SECTOR_BYTES).max(ends[2]);
+            let end = ((sector + 1) * SECTOR_BYTES).min(ends[3]);
+            torn[start..end].fill(0);
+            assert!(decode_frame(&torn[ends[2]..]).is_none());
+            assert_eq!(classify_tail(&torn, ends[2]), Tail::Torn, "sector {sector}");
         }
     }
 
-    /// A flipped bit is damage, in the middle and at the end: guards against cutting off a change
-    /// that was acknowledged.
+    /// A flipped bit is classified as damage, in the middle and at the end of the log: if it counted as a torn
+    /// write, recovery would drop an acknowledged change.
     #[test]
     fn a_flipped_bit_is_damage() {
-        let (bytes, ends) = log(3);
+        let (bytes, ends) = encode_log(3);
         for group in [1, 2] {
             for at in ends[group]..ends[group + 1] {
                 let mut flipped = bytes.clone();
                 flipped[at] ^= 0x10;
-                assert!(frame(&flipped[ends[group]..]).is_none(), "{at}");
-                assert_eq!(tail(&flipped, ends[group]), Tail::Damaged, "group {group}, byte {at}");
+                assert!(decode_frame(&flipped[ends[group]..]).is_none(), "{at}");
+                assert_eq!(
+                    classify_tail(&flipped, ends[group]),
+                    Tail::Damaged,
+                    "group {group}, byte {at}"
+                );
             }
         }
     }
 
     #[test]
-    fn heads_are_told_apart() {
-        assert_eq!(check_head(Kind::Log, &file_head(Kind::Log)), Ok(()));
-        assert_eq!(check_head(Kind::Log, &file_head(Kind::Snapshot)), Err(BadHead::Foreign));
-        assert_eq!(check_head(Kind::Log, b"oat"), Err(BadHead::Short));
-        let mut newer = file_head(Kind::Log);
-        newer[6] = FORMAT as u8 + 1;
-        assert_eq!(check_head(Kind::Log, &newer), Err(BadHead::Newer(FORMAT + 1)));
+    fn file_headers_are_checked() {
+        assert_eq!(check_file_header(FileKind::Log, &encode_file_header(FileKind::Log)), Ok(()));
+        assert_eq!(
+            check_file_header(FileKind::Log, &encode_file_header(FileKind::Snapshot)),
+            Err(HeaderError::WrongMagic)
+        );
+        assert_eq!(check_file_header(FileKind::Log, b"oat"), Err(HeaderError::Truncated));
+        let mut newer = encode_file_header(FileKind::Log);
+        newer[6] = FORMAT_VERSION as u8 + 1;
+        assert_eq!(
+            check_file_header(FileKind::Log, &newer),
+            Err(HeaderError::NewerFormat(FORMAT_VERSION + 1))
+        );
     }
 }
--- a/crates/state/src/recovery.rs
+++ b/crates/state/src/recovery.rs
@@ -1,231 +1,257 @@
-//! A start: the newest sound snapshot, then the log. What a crash can leave is mended and said; anything else
-//! is refused in one line, never guessed over.
+//! Recovery at startup: loads the newest valid snapshot and applies the log to it. What a crash can leave behind (torn
+//! writes, unfinished snapshots) is repaired and logged; any other corruption is an error, never repaired by
+//! guessing.
 
-use crate::disk::{Disk, LOCK};
-use crate::journal::{SNAPSHOT_DRAFT, log_name, number_in, snapshot_name};
+use crate::disk::{Disk, LOCK_FILE};
+use crate::journal::{SNAPSHOT_TEMP_FILE, log_file_name, parse_file_number, snapshot_file_name};
 use crate::keyspace::Keyspace;
-use crate::records::{BadHead, Close, FILE_HEAD, Kept, Kind, Part, Tail, check_head, frame, tail};
+use crate::records::{
+    Close, FILE_HEADER_BYTES, FileKind, HeaderError, Kept, SnapshotPart, Tail, check_file_header,
+    classify_tail, decode_frame,
+};
 use oatloom_protocol::ids::Mono;
 use std::io::{self, Read};
 
-/// Why the directory is not served.
+/// Why the data directory cannot be recovered.
 #[derive(Debug, thiserror::Error)]
-pub enum Refusal {
+pub enum RecoveryError {
     #[error("{name}: {cause}")]
     Io { name: String, cause: io::Error },
     #[error(
         "{name} is of format {format}, which a later version wrote; this one reads {}",
-        crate::constants::FORMAT
+        crate::constants::FORMAT_VERSION
     )]
-    Newer { name: String, format: u16 },
+    NewerFormat { name: String, format: u16 },
     #[error("{name} is not a file of this service")]
-    Foreign { name: String },
-    #[error("{name} is damaged at byte {at}: what follows was acknowledged and cannot be trusted")]
-    Damaged { name: String, at: usize },
-    #[error("{name} is missing: the log goes on at {next}")]
-    Gap { name: String, next: u64 },
+    UnknownFile { name: String },
     #[error(
-        "the log ends at {end}, before the end of {snapshot} at {to}: a file is missing or was cut"
+        "{name} is damaged at byte {offset}: what follows was acknowledged and cannot be trusted"
     )]
-    Short { end: u64, snapshot: String, to: u64 },
-    #[error("no snapshot is sound, and the log that is left begins at {from}")]
-    NoSnapshot { from: u64 },
+    Damaged { name: String, offset: usize },
+    #[error("{name} is missing: the log continues at {next}")]
+    MissingLog { name: String, next: u64 },
+    #[error(
+        "the log ends at {end}, before the end of {snapshot} at {last_group}: a file is missing or was cut"
+    )]
+    LogTooShort { end: u64, snapshot: String, last_group: u64 },
+    #[error("no snapshot is valid, and the remaining log begins at {first_group}")]
+    NoSnapshot { first_group: u64 },
 }
 
-/// What a start found.
+/// The recovered state and the position at which the log continues.
 #[derive(Debug)]
-pub struct Found {
-    pub space: Keyspace,
-    /// The file that the log goes on in, and its sound length; empty: the next group opens one.
-    pub log: String,
-    pub length: u64,
+pub struct Recovered {
+    pub keyspace: Keyspace,
+    /// Name and length of the log file to continue; if the name is empty, the next group begins a new file.
+    pub log_file: String,
+    pub log_file_length: u64,
     /// Number of the next group.
-    pub next: u64,
-    /// Snapshots that are there, by number, oldest first.
+    pub next_group: u64,
+    /// Numbers of the valid snapshots, oldest first.
     pub snapshots: Vec<u64>,
-    /// Bytes of log since the snapshot.
+    /// Size of the log since the snapshot.
     pub log_bytes: u64,
-    /// What an operator ought to know.
-    pub remarks: Vec<String>,
+    /// Messages for the operator about what was repaired.
+    pub warnings: Vec<String>,
 }
 
-fn failed(name: &str) -> impl Fn(io::Error) -> Refusal + '_ {
-    move |cause| Refusal::Io { name: name.to_owned(), cause }
+fn io_error(name: &str) -> impl Fn(io::Error) -> RecoveryError + '_ {
+    move |cause| RecoveryError::Io { name: name.to_owned(), cause }
 }
 
-/// Reads the directory and makes it ready to be written to again.
+/// Recovers the state from the directory and removes incomplete writes, so that the log can be continued.
 ///
 /// # Errors
-/// The disk failed, or what is there cannot come from a crash of this service.
-pub fn recover<D: Disk>(disk: &mut D, now: Mono) -> Result<Found, Refusal> {
-    let names = disk.list().map_err(failed("the directory"))?;
-    let mut remarks = Vec::new();
-    if names.iter().any(|name| name == SNAPSHOT_DRAFT) {
-        disk.remove(SNAPSHOT_DRAFT).map_err(failed(SNAPSHOT_DRAFT))?;
-        remarks.push("a snapshot that was not finished is removed".to_owned());
+/// A disk operation failed, or the directory is in a state that no crash of this service can cause.
+pub fn recover<D: Disk>(disk: &mut D, now: Mono) -> Result<Recovered, RecoveryError> {
+    let names = disk.list().map_err(io_error("the directory"))?;
+    let mut warnings = Vec::new();
+    if names.iter().any(|name| name == SNAPSHOT_TEMP_FILE) {
+        disk.remove(SNAPSHOT_TEMP_FILE).map_err(io_error(SNAPSHOT_TEMP_FILE))?;
+        warnings.push("removed an unfinished snapshot".to_owned());
     }
-    let numbers = |prefix: &str| {
-        let mut found: Vec<u64> = names.iter().filter_map(|name| number_in(name, prefix)).collect();
-        found.sort_unstable();
-        found
+    let list_numbers = |prefix: &str| {
+        let mut numbers: Vec<u64> =
+            names.iter().filter_map(|name| parse_file_number(name, prefix)).collect();
+        numbers.sort_unstable();
+        numbers
     };
-    let known = |name: &String| {
-        [LOCK, SNAPSHOT_DRAFT].contains(&name.as_str())
-            || number_in(name, "log").is_some()
-            || number_in(name, "snap").is_some()
+    let is_known = |name: &String| {
+        [LOCK_FILE, SNAPSHOT_TEMP_FILE].contains(&name.as_str())
+            || parse_file_number(name, "log").is_some()
+            || parse_file_number(name, "snap").is_some()
     };
-    if let Some(name) = names.iter().find(|name| !known(name)) {
-        return Err(Refusal::Foreign { name: name.clone() });
+    if let Some(name) = names.iter().find(|name| !is_known(name)) {
+        return Err(RecoveryError::UnknownFile { name: name.clone() });
     }
-    let (logs, mut snapshots) = (numbers("log"), numbers("snap"));
-    let mut chosen: Option<(u64, Vec<Kept>, Close)> = None;
+    let (logs, mut snapshots) = (list_numbers("log"), list_numbers("snap"));
+    let mut newest_valid: Option<(u64, Vec<Kept>, Close)> = None;
     let mut damaged = Vec::new();
     for number in snapshots.iter().rev() {
-        let name = snapshot_name(*number);
+        let name = snapshot_file_name(*number);
         match read_snapshot(disk, &name)? {
-            Some((rows, close)) if close.from == *number => {
-                chosen = Some((*number, rows, close));
+            Some((rows, footer)) if footer.from == *number => {
+                newest_valid = Some((*number, rows, footer));
                 break;
             }
             _ => {
-                remarks.push(format!("{name} is damaged; the one before it is used"));
+                warnings.push(format!("{name} is damaged; the one before it is used"));
                 damaged.push(*number);
             }
         }
     }
     snapshots.retain(|number| !damaged.contains(number));
-    if chosen.is_none()
-        && let Some(from) = logs.first().copied().filter(|first| *first > 1)
+    if newest_valid.is_none()
+        && let Some(first_group) = logs.first().copied().filter(|first| *first > 1)
     {
-        return Err(Refusal::NoSnapshot { from });
+        return Err(RecoveryError::NoSnapshot { first_group });
     }
-    if chosen.is_none() && logs.is_empty() && !damaged.is_empty() {
-        return Err(Refusal::NoSnapshot { from: 1 });
+    if newest_valid.is_none() && logs.is_empty() && !damaged.is_empty() {
+        return Err(RecoveryError::NoSnapshot { first_group: 1 });
     }
-    let (from, to, rows, close) = match chosen {
-        Some((number, rows, close)) => (number, close.to, rows, close),
+    let (first_group, last_group, rows, footer) = match newest_valid {
+        Some((number, rows, footer)) => (number, footer.last_group, rows, footer),
         None => (1, 0, Vec::new(), Close::default()),
     };
-    let mut space = Keyspace::from_snapshot(rows, &close, now);
-    let mut found = Found {
-        space: Keyspace::default(),
-        log: String::new(),
-        length: 0,
-        next: from,
+    let mut keyspace = Keyspace::from_snapshot(rows, &footer, now);
+    let mut recovered = Recovered {
+        keyspace: Keyspace::default(),
+        log_file: String::new(),
+        log_file_length: 0,
+        next_group: first_group,
         snapshots,
         log_bytes: 0,
-        remarks,
+        warnings,
     };
-    let needed: Vec<u64> = logs.iter().copied().filter(|first| *first >= from).collect();
-    for (at, first) in needed.iter().enumerate() {
-        let last = at + 1 == needed.len();
-        if *first != found.next {
-            return Err(Refusal::Gap { name: log_name(found.next), next: *first });
+    let needed_logs: Vec<u64> =
+        logs.iter().copied().filter(|first| *first >= first_group).collect();
+    for (index, first) in needed_logs.iter().enumerate() {
+        let is_last = index + 1 == needed_logs.len();
+        if *first != recovered.next_group {
+            return Err(RecoveryError::MissingLog {
+                name: log_file_name(recovered.next_group),
+                next: *first,
+            });
         }
-        read_log(disk, *first, last, &mut space, &mut found, now)?;
+        read_log(disk, *first, is_last, &mut keyspace, &mut recovered, now)?;
     }
-    if found.next <= to {
-        let (end, snapshot) = (found.next - 1, snapshot_name(from));
-        return Err(Refusal::Short { end, snapshot, to });
+    if recovered.next_group <= last_group {
+        let (end, snapshot) = (recovered.next_group - 1, snapshot_file_name(first_group));
+        return Err(RecoveryError::LogTooShort { end, snapshot, last_group });
     }
-    // A damaged snapshot is removed only once all else is known to be sound.
+    // Damaged snapshots are removed only after everything else was read successfully.
     for number in damaged {
-        let name = snapshot_name(number);
-        disk.remove(&name).map_err(failed(&name))?;
+        let name = snapshot_file_name(number);
+        disk.remove(&name).map_err(io_error(&name))?;
     }
-    space.settle(now);
-    found.space = space;
-    Ok(found)
+    keyspace.finish_recovery(now);
+    recovered.keyspace = keyspace;
+    Ok(recovered)
 }
 
-/// Reads one file of the log. Only the last may end in a torn write, which is cut off.
+/// Applies one log file to the keyspace. A torn write at its end is removed; it is an error if the file is not the
+/// last one.
 fn read_log<D: Disk>(
     disk: &mut D,
     first: u64,
-    last: bool,
-    space: &mut Keyspace,
-    found: &mut Found,
+    is_last: bool,
+    keyspace: &mut Keyspace,
+    recovered: &mut Recovered,
     now: Mono,
-) -> Result<(), Refusal> {
-    let name = log_name(first);
-    let bytes = disk.read(&name).map_err(failed(&name))?;
-    match check_head(Kind::Log, &bytes) {
+) -> Result<(), RecoveryError> {
+    let name = log_file_name(first);
+    let bytes = disk.read(&name).map_err(io_error(&name))?;
+    match check_file_header(FileKind::Log, &bytes) {
         Ok(()) => {}
-        // Made when the process ended: its head was never synced, so nothing of it was acknowledged.
-        Err(BadHead::Short) if last && tail(&bytes, 0) != Tail::Damaged => {
-            found.remarks.push(format!("{name} was being made; it is begun anew"));
-            disk.remove(&name).map_err(failed(&name))?;
-            return disk.sync_directory().map_err(failed("the directory"));
+        // The process ended while it created the file. The header was never synced, so no group in the file was
+        // acknowledged.
+        Err(HeaderError::Truncated) if is_last && classify_tail(&bytes, 0) != Tail::Damaged => {
+            recovered
+                .warnings
+                .push(format!("removed {name}: it was being created when the process ended"));
+            disk.remove(&name).map_err(io_error(&name))?;
+            return disk.sync_directory().map_err(io_error("the directory"));
+        }
+        Err(HeaderError::Truncated) => return Err(RecoveryError::Damaged { name, offset: 0 }),
+        Err(HeaderError::WrongMagic) => return Err(RecoveryError::UnknownFile { name }),
+        Err(HeaderError::NewerFormat(format)) => {
+            return Err(RecoveryError::NewerFormat { name, format });
         }
-        Err(BadHead::Short) => return Err(Refusal::Damaged { name, at: 0 }),
-        Err(BadHead::Foreign) => return Err(Refusal::Foreign { name }),
-        Err(BadHead::Newer(format)) => return Err(Refusal::Newer { name, format }),
     }
-    let mut at = FILE_HEAD;
-    while let Some(group) = frame(&bytes[at..]) {
-        if group.number != found.next {
-            return Err(Refusal::Damaged { name, at });
+    let mut offset = FILE_HEADER_BYTES;
+    while let Some(frame) = decode_frame(&bytes[offset..]) {
+        if frame.number != recovered.next_group {
+            return Err(RecoveryError::Damaged { name, offset });
         }
-        let records = group.records();
-        for record in records.map_err(|_| Refusal::Damaged { name: name.clone(), at })? {
-            space.apply(&record, now);
+        let records = frame.decode_records();
+        for record in records.map_err(|_| RecoveryError::Damaged { name: name.clone(), offset })? {
+            keyspace.apply(&record, now);
         }
-        found.next += 1;
-        at += group.size();
+        recovered.next_group += 1;
+        offset += frame.size();
     }
-    match tail(&bytes, at) {
-        Tail::Clean => {}
-        Tail::Torn if last => {
-            let cut = bytes.len() - at;
-            found.remarks.push(format!("{name}: {cut} bytes of a write cut short are removed"));
-            disk.truncate(&name, at as u64).map_err(failed(&name))?;
-            disk.sync(&name).map_err(failed(&name))?;
+    match classify_tail(&bytes, offset) {
+        Tail::Empty => {}
+        Tail::Torn if is_last => {
+            let torn_bytes = bytes.len() - offset;
+            recovered
+                .warnings
+                .push(format!("{name}: {torn_bytes} bytes of a write cut short are removed"));
+            disk.truncate(&name, offset as u64).map_err(io_error(&name))?;
+            disk.sync(&name).map_err(io_error(&name))?;
         }
-        Tail::Torn | Tail::Damaged => return Err(Refusal::Damaged { name, at }),
+        Tail::Torn | Tail::Damaged => return Err(RecoveryError::Damaged { name, offset }),
     }
-    found.log_bytes += at as u64;
-    found.length = at as u64;
-    found.log = name;
+    recovered.log_bytes += offset as u64;
+    recovered.log_file_length = offset as u64;
+    recovered.log_file = name;
     Ok(())
 }
 
-/// Reads a snapshot; `None`: it is damaged.
-fn read_snapshot<D: Disk>(disk: &mut D, name: &str) -> Result<Option<(Vec<Kept>, Close)>, Refusal> {
-    let bytes = disk.read(name).map_err(failed(name))?;
-    match check_head(Kind::Snapshot, &bytes) {
+/// Reads a snapshot; `None` if it is damaged.
+fn read_snapshot<D: Disk>(
+    disk: &mut D,
+    name: &str,
+) -> Result<Option<(Vec<Kept>, Close)>, RecoveryError> {
+    let bytes = disk.read(name).map_err(io_error(name))?;
+    match check_file_header(FileKind::Snapshot, &bytes) {
         Ok(()) => {}
-        Err(BadHead::Short) => return Ok(None),
-        Err(BadHead::Foreign) => return Err(Refusal::Foreign { name: name.into() }),
-        Err(BadHead::Newer(format)) => return Err(Refusal::Newer { name: name.into(), format }),
+        Err(HeaderError::Truncated) => return Ok(None),
+        Err(HeaderError::WrongMagic) => {
+            return Err(RecoveryError::UnknownFile { name: name.into() });
+        }
+        Err(HeaderError::NewerFormat(format)) => {
+            return Err(RecoveryError::NewerFormat { name: name.into(), format });
+        }
     }
-    Ok(parts(&bytes[FILE_HEAD..]))
+    Ok(decode_parts(&bytes[FILE_HEADER_BYTES..]))
 }
 
-/// Unpacks the parts of a snapshot, a piece at a time.
-fn parts(packed: &[u8]) -> Option<(Vec<Kept>, Close)> {
-    let mut decoder = zstd::stream::read::Decoder::with_buffer(packed).ok()?;
-    let (mut piece, mut held) = (vec![0; 1024 * 1024], Vec::new());
-    let (mut rows, mut close, mut number) = (Vec::new(), None, 0);
+/// Decompresses and decodes the parts of a snapshot in blocks of 1 MiB.
+fn decode_parts(compressed: &[u8]) -> Option<(Vec<Kept>, Close)> {
+    let mut decoder = zstd::stream::read::Decoder::with_buffer(compressed).ok()?;
+    let (mut block, mut pending) = (vec![0; 1024 * 1024], Vec::new());
+    let (mut rows, mut footer, mut number) = (Vec::new(), None, 0);
     loop {
-        let count = decoder.read(&mut piece).ok()?;
+        let count = decoder.read(&mut block).ok()?;
         if count == 0 {
             break;
         }
-        held.extend_from_slice(&piece[..count]);
-        let mut at = 0;
-        while let Some(found) = frame(&held[at..]) {
+        pending.extend_from_slice(&block[..count]);
+        let mut offset = 0;
+        while let Some(frame) = decode_frame(&pending[offset..]) {
             number += 1;
-            if found.number != number || close.is_some() {
+            if frame.number != number || footer.is_some() {
                 return None;
             }
-            match postcard::from_bytes(found.payload).ok()? {
-                Part::Rows(more) => rows.extend(more),
-                Part::Close(last) => close = Some(last),
+            match postcard::from_bytes(frame.payload).ok()? {
+                SnapshotPart::Rows(decoded) => rows.extend(decoded),
+                SnapshotPart::Footer(decoded) => footer = Some(decoded),
             }
-            at += found.size();
+            offset += frame.size();
         }
-        held.drain(..at);
+        pending.drain(..offset);
     }
-    let close: Close = close.filter(|_| held.is_empty())?;
-    (close.rows == rows.len() as u64).then_some((rows, close))
+    let footer: Close = footer.filter(|_| pending.is_empty())?;
+    (footer.rows == rows.len() as u64).then_some((rows, footer))
 }
--- a/crates/state/src/service.rs
+++ b/crates/state/src/service.rs
@@ -1,12 +1,12 @@
-//! Threads, sockets and clocks of the service: one thread for all connections, one for the engine, one that
-//! writes the log and one that writes snapshots.
+//! Threads, sockets and the clock of the service: one thread serves all connections, one runs the engine, one writes
+//! the log and one writes snapshots.
 
 use crate::api::{self, Request};
 use crate::constants::*;
 use crate::disk::{Directory, lock};
-use crate::engine::{Action, ConnId, Engine, Event, Outcome};
-use crate::journal::{Failure, Group, Log, SnapshotWriter, Step};
-use crate::recovery::{Refusal, recover};
+use crate::engine::{Action, ConnId, Engine, Event, WriteOutcome};
+use crate::journal::{AppendError, Group, SnapshotWriter, Step, WriteAheadLog};
+use crate::recovery::{RecoveryError, recover};
 use crate::settings::Settings;
 use crossbeam::channel::{Receiver, RecvTimeoutError, Sender, bounded};
 use oatloom_protocol::ids::Mono;
@@ -16,24 +16,25 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
+/// Why the service ended or did not start.
 #[derive(Debug, thiserror::Error)]
 pub enum ServiceError {
     #[error("{directory}: {cause}")]
     Directory { directory: String, cause: std::io::Error },
-    #[error("{directory}: {refusal}")]
-    Refused { directory: String, refusal: Refusal },
+    #[error("{directory}: {error}")]
+    Recovery { directory: String, error: RecoveryError },
     #[error(transparent)]
     Start(#[from] StartError),
     #[error("cannot start a thread: {0}")]
     Thread(#[from] std::io::Error),
-    /// While serving: what was written last is not known. A new start finds out.
+    /// A write failed while serving, and it is unknown what was written. Recovery at the next start finds out.
     #[error("the disk failed: {0}")]
     Disk(String),
 }
 
 impl ServiceError {
-    /// Whether it failed while serving, not at the start.
-    pub fn while_serving(&self) -> bool {
+    /// Whether the service failed while serving, not at the start.
+    pub fn is_while_serving(&self) -> bool {
         matches!(self, Self::Disk(_))
     }
 }
@@ -51,18 +52,18 @@
     }
 }
 
-/// The engine with those who wait for its answers.
+/// Runs the engine: feeds it events and executes its actions.
 struct Runtime {
     engine: Engine,
     clock: Clock,
     answers: server::Answers,
-    waiting: HashMap<ConnId, Caller>,
+    callers: HashMap<ConnId, Caller>,
     next_conn: u64,
-    log: Sender<Group>,
-    snapshots: Sender<Step>,
+    log_groups: Sender<Group>,
+    snapshot_steps: Sender<Step>,
 }
 
-/// Serves a directory at an address until the process is killed. `ready` is told once requests are taken.
+/// Serves a data directory at an address until the process is killed. Calls `on_ready` once requests are accepted.
 ///
 /// # Errors
 /// The directory or the address cannot be used, or the disk failed while serving.
@@ -70,75 +71,88 @@
     address: &str,
     directory: &Path,
     settings: Settings,
-    ready: impl FnOnce(),
+    on_ready: impl FnOnce(),
 ) -> Result<(), ServiceError> {
-    let name = || directory.display().to_string();
-    let held =
-        lock(directory).map_err(|cause| ServiceError::Directory { directory: name(), cause })?;
+    let directory_name = || directory.display().to_string();
+    let directory_lock = lock(directory)
+        .map_err(|cause| ServiceError::Directory { directory: directory_name(), cause })?;
     let clock = Clock(Instant::now());
     let mut disk = Directory::new(directory);
-    let found = recover(&mut disk, clock.now())
-        .map_err(|refusal| ServiceError::Refused { directory: name(), refusal })?;
-    for remark in &found.remarks {
-        tracing::warn!("{remark}");
+    let recovered = recover(&mut disk, clock.now())
+        .map_err(|error| ServiceError::Recovery { directory: directory_name(), error })?;
+    for warning in &recovered.warnings {
+        tracing::warn!("{warning}");
     }
     tracing::info!(
-        keys = found.space.len(),
-        epoch = found.space.revision(),
+        keys = recovered.keyspace.len(),
+        epoch = recovered.keyspace.revision(),
         read_ms = clock.now().0,
-        "the directory is read"
+        "recovered the data directory"
     );
-    let (inputs, events) = bounded(EVENT_QUEUE);
-    let log = Log::new(Directory::new(directory), found.log.clone(), found.length, settings.sync);
-    let log = start_log(log, inputs.clone())?;
-    let snapshots =
-        start_snapshots(SnapshotWriter::new(Directory::new(directory)), inputs.clone())?;
-    let reading = settings.clone();
-    let read =
-        move |method: &str, path: &str, body: &[u8]| api::parse(&reading, method, path, body);
-    let deliver = move |incoming| inputs.try_send(Input::Http(incoming)).is_ok();
-    let answers = server::start(address, settings.connections, read, deliver)?;
+    let (inputs, events) = bounded(MAX_QUEUED_EVENT_COUNT);
+    let log = WriteAheadLog::new(
+        Directory::new(directory),
+        recovered.log_file.clone(),
+        recovered.log_file_length,
+        settings.sync,
+    );
+    let log_groups = start_log_thread(log, inputs.clone())?;
+    let snapshot_steps =
+        start_snapshot_thread(SnapshotWriter::new(Directory::new(directory)), inputs.clone())?;
+    let request_settings = settings.clone();
+    let parse_request = move |method: &str, path: &str, body: &[u8]| {
+        api::parse(&request_settings, method, path, body)
+    };
+    let enqueue = move |incoming| inputs.try_send(Input::Http(incoming)).is_ok();
+    let answers = server::start(address, settings.connections, parse_request, enqueue)?;
     let now = clock.now();
-    let engine = Engine::new(&settings, found, now);
-    let mut runtime =
-        Runtime { engine, clock, answers, waiting: HashMap::new(), next_conn: 0, log, snapshots };
-    ready();
-    let failed = runtime.serve(&events);
-    drop(held);
-    Err(ServiceError::Disk(failed))
+    let engine = Engine::new(&settings, recovered, now);
+    let mut runtime = Runtime {
+        engine,
+        clock,
+        answers,
+        callers: HashMap::new(),
+        next_conn: 0,
+        log_groups,
+        snapshot_steps,
+    };
+    on_ready();
+    let cause = runtime.serve(&events);
+    drop(directory_lock);
+    Err(ServiceError::Disk(cause))
 }
 
 impl Runtime {
-    /// Serves until the disk fails in a way that only a new start can settle.
+    /// Serves until a disk failure that only recovery can resolve, and returns its cause.
     fn serve(&mut self, events: &Receiver<Input>) -> String {
         loop {
-            let event = match events.recv_timeout(Duration::from_millis(WAKE_MS.0)) {
+            let event = match events.recv_timeout(Duration::from_millis(TICK_INTERVAL_MS.0)) {
                 Ok(Input::Event(event)) => event,
                 Ok(Input::Http(incoming)) => {
                     self.next_conn += 1;
                     let conn = ConnId(self.next_conn);
-                    self.waiting.insert(conn, incoming.caller);
+                    self.callers.insert(conn, incoming.caller);
                     Event::Request { conn, request: incoming.request }
                 }
                 Err(RecvTimeoutError::Timeout) => Event::Tick,
-                Err(RecvTimeoutError::Disconnected) => return "all threads ended".to_owned(),
+                Err(RecvTimeoutError::Disconnected) => return "all event sources ended".to_owned(),
             };
             for action in self.engine.handle(self.clock.now(), event) {
                 match action {
                     Action::Reply { conn, reply } => {
-                        if let Some(caller) = self.waiting.remove(&conn) {
+                        if let Some(caller) = self.callers.remove(&conn) {
                             self.answers.send(caller, reply);
                         }
                     }
-                    // No more than one of each is under way, so neither channel is ever full.
+                    // The engine has at most one group and one step in flight, so neither channel is ever full.
                     Action::Write(group) => {
-                        if self.log.send(group).is_err() {
-                            return "the log's thread ended".to_owned();
+                        if self.log_groups.send(group).is_err() {
+                            return "the log thread ended".to_owned();
                         }
                     }
                     Action::Snapshot(step) => {
-                        if self.snapshots.send(step).is_err() {
-                            return "the snapshots' thread ended".to_owned();
+                        if self.snapshot_steps.send(step).is_err() {
+                            return "the snapshot thread ended".to_owned();
                         }
                     }
                     Action::Fail(cause) => return cause,
@@ -148,17 +162,22 @@
     }
 }
 
-fn start_log(mut log: Log<Directory>, inputs: Sender<Input>) -> std::io::Result<Sender<Group>> {
+fn start_log_thread(
+    mut log: WriteAheadLog<Directory>,
+    inputs: Sender<Input>,
+) -> std::io::Result<Sender<Group>> {
     let (sender, groups) = bounded::<Group>(1);
     spawn("log", move || {
         while let Ok(group) = groups.recv() {
             let number = group.number;
             let outcome = match log.append(&group) {
-                Ok(()) => Outcome::Durable,
-                Err(Failure::Undone(e)) => Outcome::Undone { group, cause: e.to_string() },
-                Err(Failure::Unknown(e)) => Outcome::Unknown { cause: e.to_string() },
+                Ok(()) => WriteOutcome::Durable,
+                Err(AppendError::NotWritten(e)) => {
+                    WriteOutcome::NotWritten { group, cause: e.to_string() }
+                }
+                Err(AppendError::Unknown(e)) => WriteOutcome::Unknown { cause: e.to_string() },
             };
-            if inputs.send(Input::Event(Event::Written { number, outcome })).is_err() {
+            if inputs.send(Input::Event(Event::GroupWritten { number, outcome })).is_err() {
                 return;
             }
         }
@@ -166,7 +185,7 @@
     Ok(sender)
 }
 
-fn start_snapshots(
+fn start_snapshot_thread(
     mut writer: SnapshotWriter<Directory>,
     inputs: Sender<Input>,
 ) -> std::io::Result<Sender<Step>> {
@@ -175,17 +194,17 @@
         while let Ok(step) = steps.recv() {
             let result = writer.step(&step);
             match (&result, &step) {
-                (Err(e), _) => tracing::warn!("a snapshot could not be written: {e}"),
-                (Ok(()), Step::Close(close)) => {
+                (Err(e), _) => tracing::warn!("cannot write a snapshot: {e}"),
+                (Ok(()), Step::Close(footer)) => {
                     tracing::info!(
-                        keys = close.rows,
-                        epoch = close.revision,
-                        "a snapshot is taken"
+                        keys = footer.rows,
+                        epoch = footer.revision,
+                        "completed a snapshot"
                     );
                 }
                 _ => {}
             }
-            let event = Event::Stepped { good: result.is_ok() };
+            let event = Event::SnapshotStepDone { succeeded: result.is_ok() };
             if inputs.send(Input::Event(event)).is_err() {
                 return;
             }
--- a/crates/state/src/settings.rs
+++ b/crates/state/src/settings.rs
@@ -1,28 +1,28 @@
-//! What operators may set: limits, sizes, and whether the disk is waited for.
+//! Settings of the service: limits, sizes, and whether writes are synced.
 
 use crate::constants::*;
 use oatloom_protocol::settings::InvalidField;
 use serde::Deserialize;
 
-/// Every field has a default; unknown ones are refused.
+/// Settings of the service. Every field has a default; unknown fields are rejected.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Settings {
-    /// Requests a second; 0: no limit.
+    /// Requests per second; 0 for no limit.
     pub rps: f64,
-    /// Puts and deletes a second; 0: no limit.
+    /// Puts and deletes per second; 0 for no limit.
     pub write_rps: f64,
     /// Largest value, in KiB.
     pub value_kb: f64,
-    /// Most puts and deletes in a transaction.
+    /// Maximum number of puts and deletes in a transaction.
     pub txn_ops: usize,
-    /// Megabytes of log after which a snapshot is taken.
+    /// Size of the log in MiB after which a snapshot is taken.
     pub snapshot_mb: f64,
-    /// Rows handed to a snapshot at once: fewer hold the service up for a shorter time.
+    /// Rows copied for a snapshot at once: a smaller number blocks requests for a shorter time.
     pub slice_rows: usize,
-    /// Connections served at once.
+    /// Maximum number of open connections.
     pub connections: usize,
-    /// Whether a change is answered only once it is on the disk.
+    /// Whether a change is acknowledged only after it was synced to disk.
     pub sync: bool,
 }
 
@@ -31,21 +31,21 @@
         Self {
             rps: 0.0,
             write_rps: 0.0,
-            value_kb: VALUE_KB,
-            txn_ops: TXN_CHANGES,
-            snapshot_mb: (SNAPSHOT_LOG_BYTES / (1024 * 1024)) as f64,
-            slice_rows: SLICE_ROWS,
-            connections: CONNECTIONS,
+            value_kb: DEFAULT_MAX_VALUE_KIB,
+            txn_ops: DEFAULT_MAX_TXN_CHANGE_COUNT,
+            snapshot_mb: (DEFAULT_SNAPSHOT_LOG_BYTES / (1024 * 1024)) as f64,
+            slice_rows: DEFAULT_SNAPSHOT_SLICE_ROWS,
+            connections: DEFAULT_MAX_CONNECTION_COUNT,
             sync: true,
         }
     }
 }
 
 impl Settings {
-    /// Reads and checks an S-expression.
+    /// Parses and checks settings written as an S-expression.
     ///
     /// # Errors
-    /// It cannot be read, names an unknown field, or a value is out of its range.
+    /// The text cannot be parsed, names an unknown field, or a value is out of range.
     pub fn parse(text: &str) -> Result<Self, InvalidField> {
         let settings: Self = serde_lexpr::from_str(text)
             .map_err(|e| InvalidField::new("the settings' file", &e.to_string()))?;
@@ -77,13 +77,13 @@
         if self.write_rps > 0.0 && (self.txn_ops as f64) > self.write_rps {
             return Err(InvalidField::new(
                 "txn-ops",
-                "must not be above write-rps, or none that large is ever served",
+                "must not be above write-rps, or a transaction of that size is never admitted",
             ));
         }
         Ok(())
     }
 
-    /// Bytes of log after which a snapshot is taken.
+    /// Size of the log in bytes after which a snapshot is taken.
     pub fn snapshot_bytes(&self) -> u64 {
         (self.snapshot_mb * 1024.0 * 1024.0) as u64
     }
@@ -93,9 +93,9 @@
 mod tests {
     use super::*;
 
-    /// The shipped sample says what the defaults are, and bad values are named.
+    /// The shipped sample lists the defaults, and errors name the invalid field in one line.
     #[test]
-    fn the_sample_is_the_default() {
+    fn the_sample_equals_the_defaults() {
         let sample = include_str!("../../../deploy/state.sample.lisp");
         assert_eq!(Settings::parse(sample).unwrap(), Settings::default());
         for (text, field) in [
--- a/crates/state/src/snapshots.rs
+++ b/crates/state/src/snapshots.rs
@@ -1,6 +1,6 @@
-//! When a snapshot is taken, and how it goes on beside the service: the keys are walked a slice at a time
-//! while they change. That is sound because the log from its beginning on is applied to it again, in absolute
-//! terms; it counts only once the log up to its end is durable.
+//! Decides when a snapshot is taken and which step of it is next. Rows are copied in slices while the keyspace keeps
+//! changing (a fuzzy snapshot). Recovery makes the snapshot consistent by applying the log from the snapshot's
+//! beginning on, which is idempotent. The snapshot is therefore completed only once the log up to its end is durable.
 
 use crate::constants::*;
 use crate::journal::Step;
@@ -13,147 +13,169 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Stage {
     Idle,
-    /// Keys up to the cursor were handed over.
-    Walking {
+    /// Rows up to the cursor were handed to the writer.
+    CopyingRows {
         cursor: Option<Arc<str>>,
         rows: u64,
     },
-    /// All keys were; the log up to its end is not durable yet.
-    Waiting(Close),
-    /// It is being made to count.
+    /// All rows were handed over; the log up to the snapshot's end is not durable yet.
+    AwaitingLog(Close),
+    /// The footer is being written, and the file synced and renamed.
     Closing,
+    /// Older snapshots and log files are being removed.
     Pruning,
-    /// A step failed: what was written is being removed.
-    Leaving,
+    /// A step failed; the temporary file is being removed.
+    Aborting,
 }
 
+/// State machine of snapshots. At most one is taken at a time, and one step of it.
 #[derive(Debug)]
-pub struct Snapshots {
+pub struct SnapshotScheduler {
     stage: Stage,
-    /// A step is under way.
-    busy: bool,
-    /// The number that the one being taken begins with.
-    from: u64,
-    /// Those that count, by number, oldest first.
-    kept: Vec<u64>,
-    /// Bytes of log since the last one began, and how many make another due.
+    /// A step is being executed.
+    is_step_running: bool,
+    /// Number of the first group that recovery applies to the current snapshot.
+    first_group: u64,
+    /// Numbers of the completed snapshots that are retained, oldest first.
+    completed: Vec<u64>,
+    /// Bytes written to the log since the last snapshot began, and the size that starts another one.
     log_bytes: u64,
-    due_bytes: u64,
+    threshold_bytes: u64,
     slice_rows: usize,
+    /// Earliest time of the next snapshot, after a failed one.
     not_before: Mono,
 }
 
-impl Snapshots {
-    pub fn new(kept: Vec<u64>, log_bytes: u64, settings: &Settings) -> Self {
-        let (due_bytes, slice_rows) = (settings.snapshot_bytes(), settings.slice_rows);
-        let (stage, from, not_before) = (Stage::Idle, 0, Mono(0));
-        Self { stage, busy: false, from, kept, log_bytes, due_bytes, slice_rows, not_before }
+impl SnapshotScheduler {
+    /// Starts with the snapshots and the log size that recovery found.
+    pub fn new(completed: Vec<u64>, log_bytes: u64, settings: &Settings) -> Self {
+        let (threshold_bytes, slice_rows) = (settings.snapshot_bytes(), settings.slice_rows);
+        let (stage, first_group, not_before) = (Stage::Idle, 0, Mono(0));
+        Self {
+            stage,
+            is_step_running: false,
+            first_group,
+            completed,
+            log_bytes,
+            threshold_bytes,
+            slice_rows,
+            not_before,
+        }
     }
 
-    /// The one place where the stage changes.
-    fn enter(&mut self, stage: Stage) {
+    /// Changes the stage. All transitions go through here.
+    fn set_stage(&mut self, stage: Stage) {
         self.stage = stage;
     }
 
-    pub fn wrote(&mut self, bytes: usize) {
+    /// Counts bytes that were written to the log.
+    pub fn add_log_bytes(&mut self, bytes: usize) {
         self.log_bytes += bytes as u64;
     }
 
+    /// Bytes written to the log since the last snapshot began.
     pub fn log_bytes(&self) -> u64 {
         self.log_bytes
     }
 
-    pub fn kept(&self) -> usize {
-        self.kept.len()
+    /// Number of completed snapshots that are retained.
+    pub fn completed_count(&self) -> usize {
+        self.completed.len()
     }
 
-    /// Whether one begins with the group of this number, which then opens a new file of the log.
-    pub fn begins(&mut self, next: u64, now: Mono) -> Option<Step> {
-        let due = self.stage == Stage::Idle
-            && !self.busy
-            && self.log_bytes >= self.due_bytes
+    /// Begins a snapshot if one is due; the group `next_group` must then begin a new log file.
+    pub fn try_begin(&mut self, next_group: u64, now: Mono) -> Option<Step> {
+        let is_due = self.stage == Stage::Idle
+            && !self.is_step_running
+            && self.log_bytes >= self.threshold_bytes
             && now >= self.not_before
-            // One that begins where the last did would say the same.
-            && self.kept.last().is_none_or(|last| *last < next);
-        due.then(|| {
-            self.from = next;
+            // A snapshot that begins at the same group as the last one would be identical.
+            && self.completed.last().is_none_or(|last| *last < next_group);
+        is_due.then(|| {
+            self.first_group = next_group;
             self.log_bytes = 0;
-            self.busy = true;
-            self.enter(Stage::Walking { cursor: None, rows: 0 });
+            self.is_step_running = true;
+            self.set_stage(Stage::CopyingRows { cursor: None, rows: 0 });
             Step::Begin
         })
     }
 
-    /// The next step, if one is due: `applied` and `durable` are numbers of groups.
-    pub fn next(&mut self, space: &Keyspace, applied: u64, durable: u64) -> Option<Step> {
-        if self.busy {
+    /// Returns the next step, if one can be executed now. `last_applied` is the number of the group that holds the
+    /// latest change, `last_durable` that of the last durable group.
+    pub fn next_step(
+        &mut self,
+        keyspace: &Keyspace,
+        last_applied: u64,
+        last_durable: u64,
+    ) -> Option<Step> {
+        if self.is_step_running {
             return None;
         }
         let step = match &self.stage {
-            Stage::Idle | Stage::Closing | Stage::Pruning | Stage::Leaving => return None,
-            Stage::Walking { cursor, rows } => {
-                let slice = space.slice(cursor.as_deref(), self.slice_rows);
+            Stage::Idle | Stage::Closing | Stage::Pruning | Stage::Aborting => return None,
+            Stage::CopyingRows { cursor, rows } => {
+                let slice = keyspace.snapshot_rows(cursor.as_deref(), self.slice_rows);
                 match slice.last() {
                     Some(last) => {
                         let (cursor, rows) = (Some(last.key.clone()), rows + slice.len() as u64);
-                        self.enter(Stage::Walking { cursor, rows });
+                        self.set_stage(Stage::CopyingRows { cursor, rows });
                         Step::Rows(slice)
                     }
                     None => {
-                        let close = Close {
+                        let footer = Close {
                             rows: *rows,
-                            from: self.from,
-                            to: applied,
-                            revision: space.revision(),
-                            last_lease: space.last_lease(),
-                            leases: space.kept_leases(),
+                            from: self.first_group,
+                            last_group: last_applied,
+                            revision: keyspace.revision(),
+                            last_lease: keyspace.last_lease(),
+                            leases: keyspace.lease_ttls(),
                         };
-                        self.enter(Stage::Waiting(close));
-                        return self.next(space, applied, durable);
+                        self.set_stage(Stage::AwaitingLog(footer));
+                        return self.next_step(keyspace, last_applied, last_durable);
                     }
                 }
             }
-            Stage::Waiting(close) if durable < close.to => return None,
-            Stage::Waiting(close) => {
-                let step = Step::Close(close.clone());
-                self.enter(Stage::Closing);
+            Stage::AwaitingLog(footer) if last_durable < footer.last_group => return None,
+            Stage::AwaitingLog(footer) => {
+                let step = Step::Close(footer.clone());
+                self.set_stage(Stage::Closing);
                 step
             }
         };
-        self.busy = true;
+        self.is_step_running = true;
         Some(step)
     }
 
-    /// A step is done, or has failed.
-    pub fn stepped(&mut self, good: bool, now: Mono) -> Option<Step> {
-        self.busy = false;
+    /// Handles the result of a step and returns the step that follows it directly, if any.
+    pub fn on_step_done(&mut self, succeeded: bool, now: Mono) -> Option<Step> {
+        self.is_step_running = false;
         match self.stage {
-            Stage::Leaving | Stage::Pruning => {
-                // What could not be removed is tried again with the next one.
-                self.enter(Stage::Idle);
+            Stage::Aborting | Stage::Pruning => {
+                // Files that could not be removed are removed by the next snapshot.
+                self.set_stage(Stage::Idle);
                 None
             }
-            _ if !good => {
-                self.log_bytes = self.log_bytes.max(self.due_bytes);
-                self.not_before = now.plus(SNAPSHOT_RETRY_MS);
-                self.enter(Stage::Leaving);
-                self.busy = true;
-                Some(Step::Leave)
+            _ if !succeeded => {
+                self.log_bytes = self.log_bytes.max(self.threshold_bytes);
+                self.not_before = now.plus(SNAPSHOT_RETRY_INTERVAL_MS);
+                self.set_stage(Stage::Aborting);
+                self.is_step_running = true;
+                Some(Step::Abort)
             }
             Stage::Closing => {
-                self.kept.push(self.from);
-                while self.kept.len() > SNAPSHOTS_KEPT {
-                    self.kept.remove(0);
+                self.completed.push(self.first_group);
+                while self.completed.len() > MAX_SNAPSHOT_COUNT {
+                    self.completed.remove(0);
                 }
-                self.enter(Stage::Pruning);
-                self.busy = true;
-                // With one snapshot alone, all of the log is what there is to fall back on.
-                let whole = self.kept.len() < SNAPSHOTS_KEPT;
-                let oldest = self.kept.first().copied().unwrap_or(0);
-                let logs_below = if whole { 0 } else { oldest };
+                self.set_stage(Stage::Pruning);
+                self.is_step_running = true;
+                // With a single snapshot, the complete log is the fallback if that snapshot is damaged.
+                let keeps_all_logs = self.completed.len() < MAX_SNAPSHOT_COUNT;
+                let oldest = self.completed.first().copied().unwrap_or(0);
+                let logs_below = if keeps_all_logs { 0 } else { oldest };
                 Some(Step::Prune { snapshots_below: oldest, logs_below })
             }
-            Stage::Idle | Stage::Walking { .. } | Stage::Waiting(_) => None,
+            Stage::Idle | Stage::CopyingRows { .. } | Stage::AwaitingLog(_) => None,
         }
     }
 }
--- a/crates/state/tests/crash/disk.rs
+++ b/crates/state/tests/crash/disk.rs
@@ -1,5 +1,5 @@
-//! A disk that forgets: what was not synced may be lost, in part or in whole, at a crash, which may come
-//! between any two operations. It can be full, and a sync can fail.
+//! A simulated disk. A crash may come between any two operations and lose any part of the data that was not synced.
+//! The disk can also be full, and a sync can fail.
 
 use oatloom_state::disk::Disk;
 use rand::Rng;
@@ -9,19 +9,19 @@
 use std::io;
 use std::rc::Rc;
 
-const SECTOR: usize = 512;
+const SECTOR_BYTES: usize = 512;
 
 #[derive(Clone, Default)]
 struct File {
     synced: Vec<u8>,
     data: Vec<u8>,
-    /// The longest that the file has been since it was synced: a cut may be forgotten too.
+    /// The longest content since the last sync: a truncation may be lost too.
     longest: Vec<u8>,
 }
 
 #[derive(Clone)]
-enum Move {
-    Make(String, usize),
+enum NameChange {
+    Create(String, usize),
     Rename(String, String),
     Remove(String),
 }
@@ -30,13 +30,13 @@
 pub struct Inner {
     files: Vec<File>,
     names: BTreeMap<String, usize>,
-    sure: BTreeMap<String, usize>,
+    synced_names: BTreeMap<String, usize>,
     /// Changes of names since the directory was synced.
-    moves: Vec<Move>,
+    name_changes: Vec<NameChange>,
     /// Operations until the crash.
-    pub fuse: Option<u64>,
-    /// Bytes that still fit.
-    pub room: Option<usize>,
+    pub operations_left: Option<u64>,
+    /// Bytes that still fit on the disk.
+    pub free_bytes: Option<usize>,
     pub sync_fails: bool,
     pub operations: u64,
 }
@@ -44,69 +44,71 @@
 #[derive(Clone, Default)]
 pub struct SimDisk(pub Rc<RefCell<Inner>>);
 
-fn apply(names: &mut BTreeMap<String, usize>, change: &Move) {
+fn apply(names: &mut BTreeMap<String, usize>, change: &NameChange) {
     match change {
-        Move::Make(name, file) => drop(names.insert(name.clone(), *file)),
-        Move::Rename(from, to) => {
+        NameChange::Create(name, file) => drop(names.insert(name.clone(), *file)),
+        NameChange::Rename(from, to) => {
             if let Some(file) = names.remove(from) {
                 names.insert(to.clone(), file);
             }
         }
-        Move::Remove(name) => drop(names.remove(name)),
+        NameChange::Remove(name) => drop(names.remove(name)),
     }
 }
 
 impl SimDisk {
-    /// Counts an operation; past the fuse nothing is done any more.
+    /// Counts an operation, or fails if the crash has happened.
     fn begin(&self) -> io::Result<()> {
         let mut inner = self.0.borrow_mut();
-        if inner.fuse == Some(0) {
+        if inner.operations_left == Some(0) {
             return Err(io::Error::other("crashed"));
         }
-        inner.fuse = inner.fuse.map(|left| left - 1);
+        inner.operations_left = inner.operations_left.map(|count| count - 1);
         inner.operations += 1;
         Ok(())
     }
 
-    pub fn crashed(&self) -> bool {
-        self.0.borrow().fuse == Some(0)
+    pub fn has_crashed(&self) -> bool {
+        self.0.borrow().operations_left == Some(0)
     }
 
-    /// What is left after the crash.
+    /// Reduces the disk to what survives the crash: a random part of what was not synced.
     pub fn crash(&self, rng: &mut ChaCha8Rng) {
         let mut inner = self.0.borrow_mut();
-        let mut names = inner.sure.clone();
-        let survive = rng.random_range(0..=inner.moves.len());
-        inner.moves[..survive].iter().for_each(|change| apply(&mut names, change));
+        let mut names = inner.synced_names.clone();
+        let survivor_count = rng.random_range(0..=inner.name_changes.len());
+        inner.name_changes[..survivor_count].iter().for_each(|change| apply(&mut names, change));
         for file in &mut inner.files {
-            let from = if rng.random_bool(0.3) { &file.longest } else { &file.data };
-            let known = file.synced.len();
-            let mut left = file.synced.clone();
-            if from.len() < known {
+            let written = if rng.random_bool(0.3) { &file.longest } else { &file.data };
+            let synced_length = file.synced.len();
+            let mut survivor = file.synced.clone();
+            if written.len() < synced_length {
                 if rng.random_bool(0.5) {
-                    left = from.clone();
+                    survivor = written.clone();
                 }
             } else {
-                let keep = rng.random_range(known..=from.len());
-                left.extend_from_slice(&from[known..keep]);
-                for sector in known / SECTOR..keep.div_ceil(SECTOR) {
+                let length = rng.random_range(synced_length..=written.len());
+                survivor.extend_from_slice(&written[synced_length..length]);
+                for sector in synced_length / SECTOR_BYTES..length.div_ceil(SECTOR_BYTES) {
                     if rng.random_bool(0.15) {
-                        let (a, b) =
-                            ((sector * SECTOR).max(known), ((sector + 1) * SECTOR).min(keep));
-                        left[a..b].fill(0);
+                        let (start, end) = (
+                            (sector * SECTOR_BYTES).max(synced_length),
+                            ((sector + 1) * SECTOR_BYTES).min(length),
+                        );
+                        survivor[start..end].fill(0);
                     }
                 }
             }
-            *file = File { synced: left.clone(), data: left.clone(), longest: left };
+            *file = File { synced: survivor.clone(), data: survivor.clone(), longest: survivor };
         }
         inner.names.clone_from(&names);
-        inner.sure = names;
-        inner.moves.clear();
-        (inner.fuse, inner.room, inner.sync_fails) = (None, None, false);
+        inner.synced_names = names;
+        inner.name_changes.clear();
+        (inner.operations_left, inner.free_bytes, inner.sync_fails) = (None, None, false);
     }
 
-    /// Flips a bit of a file that is there.
-    pub fn flip(&self, name: &str, at: usize, bit: u8) {
+    /// Flips a bit of an existing file.
+    pub fn flip_bit(&self, name: &str, at: usize, bit: u8) {
         let mut inner = self.0.borrow_mut();
         let file = inner.names[name];
         let file = &mut inner.files[file];
@@ -114,21 +116,21 @@
         file.synced.clone_from(&file.data);
     }
 
-    /// A copy that shares nothing.
-    pub fn copy(&self) -> Self {
+    /// Returns an independent copy.
+    pub fn deep_copy(&self) -> Self {
         let inner = self.0.borrow();
         Self(Rc::new(RefCell::new(Inner {
             files: inner.files.clone(),
             names: inner.names.clone(),
-            sure: inner.sure.clone(),
+            synced_names: inner.synced_names.clone(),
             ..Inner::default()
         })))
     }
 
-    fn with<T>(&self, name: &str, act: impl FnOnce(&mut File) -> T) -> io::Result<T> {
+    fn with_file<T>(&self, name: &str, action: impl FnOnce(&mut File) -> T) -> io::Result<T> {
         let mut inner = self.0.borrow_mut();
         let file = *inner.names.get(name).ok_or(io::ErrorKind::NotFound)?;
-        Ok(act(&mut inner.files[file]))
+        Ok(action(&mut inner.files[file]))
     }
 }
 
@@ -138,7 +140,7 @@
     }
 
     fn read(&mut self, name: &str) -> io::Result<Vec<u8>> {
-        self.with(name, |file| file.data.clone())
+        self.with_file(name, |file| file.data.clone())
     }
 
     fn create(&mut self, name: &str) -> io::Result<()> {
@@ -147,27 +149,27 @@
         inner.files.push(File::default());
         let file = inner.files.len() - 1;
         inner.names.insert(name.to_owned(), file);
-        inner.moves.push(Move::Make(name.to_owned(), file));
+        inner.name_changes.push(NameChange::Create(name.to_owned(), file));
         Ok(())
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
         self.begin()?;
-        let room = self.0.borrow().room;
-        let fits = room.map_or(bytes.len(), |room| room.min(bytes.len()));
-        self.with(name, |file| {
-            file.data.extend_from_slice(&bytes[..fits]);
+        let free_bytes = self.0.borrow().free_bytes;
+        let length = free_bytes.map_or(bytes.len(), |free_bytes| free_bytes.min(bytes.len()));
+        self.with_file(name, |file| {
+            file.data.extend_from_slice(&bytes[..length]);
             if file.data.len() > file.longest.len() {
                 file.longest.clone_from(&file.data);
             }
         })?;
-        self.0.borrow_mut().room = room.map(|room| room - fits);
-        if fits < bytes.len() { Err(io::ErrorKind::StorageFull.into()) } else { Ok(()) }
+        self.0.borrow_mut().free_bytes = free_bytes.map(|free_bytes| free_bytes - length);
+        if length < bytes.len() { Err(io::ErrorKind::StorageFull.into()) } else { Ok(()) }
     }
 
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()> {
         self.begin()?;
-        self.with(name, |file| file.data.truncate(length as usize))
+        self.with_file(name, |file| file.data.truncate(length as usize))
     }
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
@@ -175,7 +177,7 @@
         if self.0.borrow().sync_fails {
             return Err(io::Error::other("the disk reports an error"));
         }
-        self.with(name, |file| {
+        self.with_file(name, |file| {
             file.synced.clone_from(&file.data);
             file.longest.clone_from(&file.data);
         })
@@ -184,9 +186,9 @@
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
         self.begin()?;
         let mut inner = self.0.borrow_mut();
-        let change = Move::Rename(from.to_owned(), to.to_owned());
+        let change = NameChange::Rename(from.to_owned(), to.to_owned());
         apply(&mut inner.names, &change);
-        inner.moves.push(change);
+        inner.name_changes.push(change);
         Ok(())
     }
 
@@ -194,15 +196,15 @@
         self.begin()?;
         let mut inner = self.0.borrow_mut();
         inner.names.remove(name).ok_or(io::ErrorKind::NotFound)?;
-        inner.moves.push(Move::Remove(name.to_owned()));
+        inner.name_changes.push(NameChange::Remove(name.to_owned()));
         Ok(())
     }
 
     fn sync_directory(&mut self) -> io::Result<()> {
         self.begin()?;
         let mut inner = self.0.borrow_mut();
-        inner.sure = inner.names.clone();
-        inner.moves.clear();
+        inner.synced_names = inner.names.clone();
+        inner.name_changes.clear();
         Ok(())
     }
 }
--- a/crates/state/tests/crash/reference.rs
+++ b/crates/state/tests/crash/reference.rs
@@ -1,26 +1,27 @@
-//! What the service ought to hold, in memory and without a disk: every state it went through, so that after a
-//! crash the one that it came back with can be found among them.
+//! A reference model of the service, in memory only. It records every state that the service went through, so that a
+//! test can find the recovered state among them after a crash.
 
 use std::collections::BTreeMap;
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct State {
-    /// Value, stamp, lease.
+    /// Value, revision and lease of each key.
     pub keys: BTreeMap<String, (String, u64, u64)>,
-    /// Time to live.
+    /// Time to live of each lease in milliseconds.
     pub leases: BTreeMap<u64, u64>,
     pub revision: u64,
     pub last_lease: u64,
 }
 
+/// Revision, key, and the value unless the key was deleted.
 pub type Change = (u64, String, Option<String>);
 
 #[derive(Clone, Default)]
 pub struct Reference {
     pub states: Vec<State>,
     pub changes: Vec<Change>,
-    /// When each lease ends.
-    pub ends: BTreeMap<u64, u64>,
+    /// When each lease expires.
+    pub expirations: BTreeMap<u64, u64>,
 }
 
 impl Reference {
@@ -28,88 +29,89 @@
         Self { states: vec![State::default()], ..Self::default() }
     }
 
-    pub fn now(&self) -> &State {
+    pub fn current(&self) -> &State {
         &self.states[self.states.len() - 1]
     }
 
-    pub fn at(&self) -> usize {
+    pub fn current_index(&self) -> usize {
         self.states.len() - 1
     }
 
-    fn step(&mut self, act: impl FnOnce(&mut State)) {
-        let mut state = self.now().clone();
-        act(&mut state);
+    fn transition(&mut self, action: impl FnOnce(&mut State)) {
+        let mut state = self.current().clone();
+        action(&mut state);
         self.states.push(state);
     }
 
     /// Puts and deletes under one revision.
     pub fn change(&mut self, writes: &[(String, Option<String>, u64)]) {
-        let mut seen = Vec::new();
-        self.step(|state| {
+        let mut applied = Vec::new();
+        self.transition(|state| {
             state.revision += 1;
             for (key, value, lease) in writes {
-                let before = match value {
+                let replaced = match value {
                     Some(v) => state.keys.insert(key.clone(), (v.clone(), state.revision, *lease)),
                     None => state.keys.remove(key),
                 };
-                if value.is_some() || before.is_some() {
-                    seen.push((state.revision, key.clone(), value.clone()));
+                if value.is_some() || replaced.is_some() {
+                    applied.push((state.revision, key.clone(), value.clone()));
                 }
             }
         });
-        self.changes.extend(seen);
+        self.changes.extend(applied);
     }
 
-    pub fn grant(&mut self, ttl: u64, now: u64) -> u64 {
-        self.step(|state| {
+    pub fn grant_lease(&mut self, ttl_ms: u64, now: u64) -> u64 {
+        self.transition(|state| {
             state.last_lease += 1;
-            state.leases.insert(state.last_lease, ttl);
+            state.leases.insert(state.last_lease, ttl_ms);
         });
-        let lease = self.now().last_lease;
-        self.ends.insert(lease, now + ttl);
+        let lease = self.current().last_lease;
+        self.expirations.insert(lease, now + ttl_ms);
         lease
     }
 
-    pub fn end(&mut self, lease: u64) {
-        let held = |(key, (_, _, l)): (&String, &(String, u64, u64))| {
+    pub fn end_lease(&mut self, lease: u64) {
+        let to_deletion = |(key, (_, _, l)): (&String, &(String, u64, u64))| {
             (*l == lease).then(|| (key.clone(), None, 0))
         };
-        let writes: Vec<_> = self.now().keys.iter().filter_map(held).collect();
+        let writes: Vec<_> = self.current().keys.iter().filter_map(to_deletion).collect();
         if !writes.is_empty() {
             self.change(&writes);
         }
-        self.step(|state| {
+        self.transition(|state| {
             state.leases.remove(&lease);
         });
-        self.ends.remove(&lease);
+        self.expirations.remove(&lease);
     }
 
-    pub fn expire(&mut self, now: u64) {
+    pub fn expire_leases(&mut self, now: u64) {
         while let Some(lease) = self
-            .ends
+            .expirations
             .iter()
             .filter(|(_, e)| **e < now)
             .min_by_key(|(l, e)| (**e, **l))
             .map(|(l, _)| *l)
         {
-            self.end(lease);
+            self.end_lease(lease);
         }
     }
 
-    pub fn refill(&mut self, now: u64) {
-        let leases = self.now().leases.clone();
-        self.ends = leases.into_iter().map(|(lease, ttl)| (lease, now + ttl)).collect();
+    pub fn renew_all_leases(&mut self, now: u64) {
+        let leases = self.current().leases.clone();
+        self.expirations =
+            leases.into_iter().map(|(lease, ttl_ms)| (lease, now + ttl_ms)).collect();
     }
 
-    /// The service came back with an earlier state: what came after never was.
-    pub fn back_to(&mut self, at: usize, now: u64) {
-        self.states.truncate(at + 1);
-        let revision = self.now().revision;
+    /// Continues from the state that the service recovered, and forgets all later ones.
+    pub fn roll_back(&mut self, index: usize, now: u64) {
+        self.states.truncate(index + 1);
+        let revision = self.current().revision;
         self.changes.retain(|(r, _, _)| *r <= revision);
-        self.refill(now);
+        self.renew_all_leases(now);
     }
 
-    pub fn between(&self, after: u64, to: u64) -> Vec<Change> {
+    pub fn changes_between(&self, after: u64, to: u64) -> Vec<Change> {
         self.changes.iter().filter(|(r, _, _)| *r > after && *r <= to).cloned().collect()
     }
 }
