--- a/crates/state/tests/crashes.rs
+++ b/crates/state/tests/crashes.rs
@@ -1,5 +1,6 @@
-//! Seeded lives of the service on a disk that crashes, fills up and fails: no acknowledged change is lost, no
-//! refused one appears, revisions are dense and never go back. `OATLOOM_SEEDS=n` plays n seeds more.
+//! Simulates the engine on a disk that crashes, fills up and fails, with seeded random requests. Guards against
+//! acknowledged changes that are missing after recovery, refused changes that appear, and revisions that skip numbers or
+//! decrease. `OATLOOM_SEEDS=n` runs n additional seeds.
 
 #[path = "crash/disk.rs"]
 mod disk;
@@ -12,71 +13,75 @@
 use oatloom_protocol::wire::{Changes, Condition, Grant, RevisionReply, Row};
 use oatloom_state::api::{Request, Txn};
 use oatloom_state::disk::Disk;
-use oatloom_state::engine::{Action, ConnId, Engine, Event, Outcome};
-use oatloom_state::journal::{Failure, Group, Log, SnapshotWriter, Step};
+use oatloom_state::engine::{Action, ConnId, Engine, Event, WriteOutcome};
+use oatloom_state::journal::{AppendError, Group, SnapshotWriter, Step, WriteAheadLog};
 use oatloom_state::records::Write;
-use oatloom_state::recovery::{Refusal, recover};
+use oatloom_state::recovery::{RecoveryError, recover};
 use oatloom_state::settings::Settings;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use reference::{Reference, State};
 use std::collections::HashMap;
 
-const KEYS: u32 = 24;
+const KEY_COUNT: u32 = 24;
 
-fn settings() -> Settings {
+/// Small sizes, so that many snapshots are taken in many steps.
+fn small_settings() -> Settings {
     Settings { snapshot_mb: 0.01, slice_rows: 3, ..Settings::default() }
 }
 
-/// What a client is owed.
-enum Owed {
-    /// Exactly this, and the state of the reference at that time must outlive a crash.
+/// The reply that a client expects.
+enum Expected {
+    /// Exactly this status and body. They reveal the state of the reference model with this index, which must survive
+    /// crashes once the reply is sent.
     Reply(u16, String, usize),
-    /// Changes after this revision.
+    /// The changes after this revision.
     Watch(u64),
 }
 
-struct Life {
+/// One run of the service, from its start to a crash.
+struct Run {
     engine: Engine,
-    log: Log<SimDisk>,
+    log: WriteAheadLog<SimDisk>,
     snapshots: SnapshotWriter<SimDisk>,
     group: Option<Group>,
     step: Option<Step>,
-    owed: HashMap<ConnId, Owed>,
+    expected: HashMap<ConnId, Expected>,
 }
 
-struct World {
+/// The clients, the disk and the reference model, over all runs of the service.
+struct Simulation {
     seed: u64,
     rng: ChaCha8Rng,
     now: u64,
     disk: SimDisk,
     reference: Reference,
-    /// The latest state of the reference that somebody was told of.
-    told: usize,
-    /// Where the client that watches has got to.
-    seen: u64,
-    conns: u64,
-    full: bool,
-    crashes: u32,
-    snapshots: u32,
-    refused: u32,
-    gone: u32,
+    /// Index of the latest state of the reference model that was revealed to a client.
+    acknowledged: usize,
+    /// Revision up to which the watching client has read changes.
+    watched_revision: u64,
+    last_conn: u64,
+    is_disk_full: bool,
+    crash_count: u32,
+    snapshot_count: u32,
+    refused_count: u32,
+    compacted_count: u32,
 }
 
-fn state_of(engine: &Engine) -> State {
-    let space = engine.space();
-    let row = |k: &oatloom_state::records::Kept| {
-        (k.key.to_string(), (k.value.to_string(), k.stamp, k.lease))
+fn read_state(engine: &Engine) -> State {
+    let keyspace = engine.keyspace();
+    let to_key = |row: &oatloom_state::records::Kept| {
+        (row.key.to_string(), (row.value.to_string(), row.stamp, row.lease))
     };
     State {
-        keys: space.slice(None, usize::MAX).iter().map(row).collect(),
-        leases: space.kept_leases().into_iter().collect(),
-        revision: space.revision(),
-        last_lease: space.last_lease(),
+        keys: keyspace.snapshot_rows(None, usize::MAX).iter().map(to_key).collect(),
+        leases: keyspace.lease_ttls().into_iter().collect(),
+        revision: keyspace.revision(),
+        last_lease: keyspace.last_lease(),
     }
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64) -> Self {
         Self {
             seed,
@@ -84,41 +89,40 @@
             now: 1_000,
             disk: SimDisk::default(),
             reference: Reference::new(),
-            told: 0,
-            seen: 0,
-            conns: 0,
-            full: false,
-            crashes: 0,
-            snapshots: 0,
-            refused: 0,
-            gone: 0,
+            acknowledged: 0,
+            watched_revision: 0,
+            last_conn: 0,
+            is_disk_full: false,
+            crash_count: 0,
+            snapshot_count: 0,
+            refused_count: 0,
+            compacted_count: 0,
         }
     }
 
-    /// Starts the service on what the disk holds, and finds its state among those it went through. A crash
-    /// may come while it starts.
-    fn start(&mut self) -> Life {
+    /// Starts the service from the disk and finds the recovered state in the reference model. The start may crash too.
+    fn start(&mut self) -> Run {
         loop {
             if self.rng.random_bool(0.3) {
-                self.disk.0.borrow_mut().fuse = Some(self.rng.random_range(0..4));
+                self.disk.0.borrow_mut().operations_left = Some(self.rng.random_range(0..4));
             }
             let mut disk = self.disk.clone();
             match recover(&mut disk, Mono(self.now)) {
-                Ok(found) => {
-                    self.disk.0.borrow_mut().fuse = None;
-                    let (name, length) = (found.log.clone(), found.length);
-                    let engine = Engine::new(&settings(), found, Mono(self.now));
-                    self.recognise(&engine);
-                    return Life {
+                Ok(recovered) => {
+                    self.disk.0.borrow_mut().operations_left = None;
+                    let (name, length) = (recovered.log_file.clone(), recovered.log_file_length);
+                    let engine = Engine::new(&small_settings(), recovered, Mono(self.now));
+                    self.check_recovered_state(&engine);
+                    return Run {
                         engine,
-                        log: Log::new(disk.clone(), name, length, true),
+                        log: WriteAheadLog::new(disk.clone(), name, length, true),
                         snapshots: SnapshotWriter::new(disk),
                         group: None,
                         step: None,
-                        owed: HashMap::new(),
+                        expected: HashMap::new(),
                     };
                 }
-                Err(Refusal::Io { .. }) if self.disk.crashed() => {
+                Err(RecoveryError::Io { .. }) if self.disk.has_crashed() => {
                     self.disk.crash(&mut self.rng);
                 }
                 Err(e) => panic!("seed {}: refused after a crash: {e}", self.seed),
@@ -126,22 +130,23 @@
         }
     }
 
-    fn recognise(&mut self, engine: &Engine) {
-        let state = state_of(engine);
-        let possible = self.told..self.reference.states.len();
-        let Some(at) = possible.rev().find(|at| self.reference.states[*at] == state) else {
-            let told = &self.reference.states[self.told];
-            panic!("seed {}: told of {told:#?}, came back with {state:#?}", self.seed);
+    /// The recovered state must be one that the service went through, and not before the latest acknowledged one.
+    fn check_recovered_state(&mut self, engine: &Engine) {
+        let state = read_state(engine);
+        let allowed = self.acknowledged..self.reference.states.len();
+        let Some(index) = allowed.rev().find(|index| self.reference.states[*index] == state) else {
+            let acknowledged = &self.reference.states[self.acknowledged];
+            panic!("seed {}: acknowledged {acknowledged:#?}, recovered {state:#?}", self.seed);
         };
-        self.reference.back_to(at, self.now);
+        self.reference.roll_back(index, self.now);
     }
 
-    /// Asks something, and has the reference say what the answer must be.
-    fn ask(&mut self) -> (Request, Owed) {
+    /// Makes a random request, and the reply that the reference model expects.
+    fn next_request(&mut self) -> (Request, Expected) {
         let now = self.now;
-        let key = |rng: &mut ChaCha8Rng| format!("k/{:02}", rng.random_range(0..KEYS));
-        let state = self.reference.now().clone();
-        let epoch = |revision, failed: Vec<String>| {
+        let random_key = |rng: &mut ChaCha8Rng| format!("k/{:02}", rng.random_range(0..KEY_COUNT));
+        let state = self.reference.current().clone();
+        let encode_revision = |revision, failed: Vec<String>| {
             serde_json::to_string(&RevisionReply { revision: Revision(revision), failed }).unwrap()
         };
         match self.rng.random_range(0..20) {
@@ -151,134 +156,143 @@
                 let writes: Vec<_> = (0..count)
                     .map(|_| {
                         let value = self.rng.random_bool(0.7).then(|| {
-                            let long = "x".repeat(self.rng.random_range(0..700));
-                            format!("{{\"n\":{},\"t\":\"{long}\"}}", self.rng.random::<u32>())
+                            let padding = "x".repeat(self.rng.random_range(0..700));
+                            format!("{{\"n\":{},\"t\":\"{padding}\"}}", self.rng.random::<u32>())
                         });
                         let lease = if value.is_some() { lease } else { 0 };
-                        (key(&mut self.rng), value, lease)
+                        (random_key(&mut self.rng), value, lease)
                     })
                     .collect();
                 let conditions: Vec<Condition> = (0..self.rng.random_range(0..3))
                     .map(|_| {
-                        let key = key(&mut self.rng);
-                        let right = state.keys.get(&key).map_or(0, |(_, stamp, _)| *stamp);
-                        let wrong = self.rng.random_bool(0.2);
-                        Condition { key, version: Revision(right + u64::from(wrong)) }
+                        let key = random_key(&mut self.rng);
+                        let revision = state.keys.get(&key).map_or(0, |(_, revision, _)| *revision);
+                        let is_wrong = self.rng.random_bool(0.2);
+                        Condition { key, version: Revision(revision + u64::from(is_wrong)) }
                     })
                     .collect();
-                let right = |c: &&Condition| {
-                    state.keys.get(&c.key).map_or(0, |(_, stamp, _)| *stamp) != c.version.0
+                let has_failed = |c: &&Condition| {
+                    state.keys.get(&c.key).map_or(0, |(_, revision, _)| *revision) != c.version.0
                 };
                 let failed: Vec<String> =
-                    conditions.iter().filter(right).map(|c| c.key.clone()).collect();
-                let no_lease = writes.iter().any(|w| w.2 > 0 && !state.leases.contains_key(&w.2));
-                let (status, body) = if no_lease {
+                    conditions.iter().filter(has_failed).map(|c| c.key.clone()).collect();
+                let lacks_lease =
+                    writes.iter().any(|w| w.2 > 0 && !state.leases.contains_key(&w.2));
+                let (status, body) = if lacks_lease {
                     (400, HttpReply::error(400, "no such lease").body)
                 } else if failed.is_empty() {
                     self.reference.change(&writes);
-                    (200, epoch(state.revision + 1, Vec::new()))
+                    (200, encode_revision(state.revision + 1, Vec::new()))
                 } else {
-                    (409, epoch(state.revision, failed))
+                    (409, encode_revision(state.revision, failed))
                 };
-                let put = |(key, value, lease): &(String, Option<String>, u64)| Write {
+                let to_write = |(key, value, lease): &(String, Option<String>, u64)| Write {
                     key: key.as_str().into(),
                     value: value.as_deref().map(Into::into),
                     lease: *lease,
                 };
-                let writes = writes.iter().map(put).collect();
-                let owed = Owed::Reply(status, body, self.reference.at());
-                (Request::Multi(Txn { conditions, writes }), owed)
+                let writes = writes.iter().map(to_write).collect();
+                let expected = Expected::Reply(status, body, self.reference.current_index());
+                (Request::Txn(Txn { conditions, writes }), expected)
             }
             12 | 13 => {
                 let ttl_ms = self.rng.random_range(100..2_000);
-                let lease = self.reference.grant(ttl_ms, now);
+                let lease = self.reference.grant_lease(ttl_ms, now);
                 let body =
                     serde_json::to_string(&Grant { lease: oatloom_protocol::ids::LeaseId(lease) });
-                (Request::Grant { ttl_ms }, Owed::Reply(200, body.unwrap(), self.reference.at()))
+                (
+                    Request::GrantLease { ttl_ms },
+                    Expected::Reply(200, body.unwrap(), self.reference.current_index()),
+                )
             }
             14 => {
                 let lease = self.rng.random_range(0..=state.last_lease);
-                let there = state.leases.contains_key(&lease);
-                if there {
-                    self.reference.end(lease);
+                let is_present = state.leases.contains_key(&lease);
+                if is_present {
+                    self.reference.end_lease(lease);
                 }
-                (Request::Revoke { lease }, self.about_lease(there, lease))
+                (Request::RevokeLease { lease }, self.expect_lease_reply(is_present, lease))
             }
             15 => {
                 let lease = self.rng.random_range(0..=state.last_lease);
-                let there = state.leases.get(&lease).copied();
-                if let Some(ttl) = there {
-                    self.reference.ends.insert(lease, now + ttl);
+                let ttl_ms = state.leases.get(&lease).copied();
+                if let Some(ttl_ms) = ttl_ms {
+                    self.reference.expirations.insert(lease, now + ttl_ms);
                 }
-                let owed = match self.about_lease(there.is_some(), lease) {
-                    // A renewal is answered at once: nobody is told of a state by it.
-                    Owed::Reply(200, body, _) => Owed::Reply(200, body, 0),
+                let expected = match self.expect_lease_reply(ttl_ms.is_some(), lease) {
+                    // A renewal is answered at once, so its reply may precede the durability of the lease.
+                    Expected::Reply(200, body, _) => Expected::Reply(200, body, 0),
                     other => other,
                 };
-                (Request::Touch { lease }, owed)
+                (Request::RenewLease { lease }, expected)
             }
             16 | 17 => {
-                let key = key(&mut self.rng);
+                let key = random_key(&mut self.rng);
                 let (status, body) = match state.keys.get(&key) {
-                    Some((value, stamp, lease)) => {
+                    Some((value, revision, lease)) => {
                         let value =
                             serde_json::value::RawValue::from_string(value.clone()).unwrap();
                         let lease = (*lease > 0).then_some(oatloom_protocol::ids::LeaseId(*lease));
-                        let row = Row { key: key.clone(), value, version: Revision(*stamp), lease };
+                        let row =
+                            Row { key: key.clone(), value, version: Revision(*revision), lease };
                         (200, serde_json::to_string(&row).unwrap())
                     }
-                    None => (404, epoch(state.revision, Vec::new())),
+                    None => (404, encode_revision(state.revision, Vec::new())),
                 };
-                (Request::Get { key }, Owed::Reply(status, body, self.reference.at()))
+                (
+                    Request::Get { key },
+                    Expected::Reply(status, body, self.reference.current_index()),
+                )
             }
             _ => {
-                let (after, hold_ms) = (self.seen, self.rng.random_range(0..300));
-                (Request::Follow { prefix: String::new(), after, hold_ms }, Owed::Watch(after))
+                let (after, wait_ms) = (self.watched_revision, self.rng.random_range(0..300));
+                (Request::Watch { prefix: String::new(), after, wait_ms }, Expected::Watch(after))
             }
         }
     }
 
-    fn about_lease(&self, there: bool, lease: u64) -> Owed {
-        let reply = match there {
+    fn expect_lease_reply(&self, is_present: bool, lease: u64) -> Expected {
+        let reply = match is_present {
             true => HttpReply::json(200, &Grant { lease: oatloom_protocol::ids::LeaseId(lease) }),
             false => HttpReply::error(404, "no such lease"),
         };
-        Owed::Reply(reply.status, reply.body, self.reference.at())
+        Expected::Reply(reply.status, reply.body, self.reference.current_index())
     }
 
-    fn event(&mut self, life: &mut Life, event: Event) -> bool {
-        let mut actions = life.engine.handle(Mono(self.now), event);
-        if !self.full {
-            self.reference.expire(self.now);
+    /// Has the engine handle an event; returns false if the process must end.
+    fn handle_event(&mut self, run: &mut Run, event: Event) -> bool {
+        let mut actions = run.engine.handle(Mono(self.now), event);
+        if !self.is_disk_full {
+            self.reference.expire_leases(self.now);
         }
-        let mut alive = true;
+        let mut is_alive = true;
         for action in actions.drain(..) {
             match action {
-                Action::Reply { conn, reply } => self.replied(life, conn, &reply),
-                Action::Write(group) => assert!(life.group.replace(group).is_none()),
-                Action::Snapshot(step) => assert!(life.step.replace(step).is_none()),
-                Action::Fail(_) => alive = false,
+                Action::Reply { conn, reply } => self.check_reply(run, conn, &reply),
+                Action::Write(group) => assert!(run.group.replace(group).is_none()),
+                Action::Snapshot(step) => assert!(run.step.replace(step).is_none()),
+                Action::Fail(_) => is_alive = false,
             }
         }
-        alive
+        is_alive
     }
 
-    fn replied(&mut self, life: &mut Life, conn: ConnId, reply: &HttpReply) {
+    fn check_reply(&mut self, run: &mut Run, conn: ConnId, reply: &HttpReply) {
         let seed = self.seed;
-        match life.owed.remove(&conn).expect("an answer is given once") {
-            // Refused, or given up on, while the disk was full.
-            Owed::Reply(..) if reply.status == 503 => self.refused += 1,
-            Owed::Reply(status, body, at) => {
+        match run.expected.remove(&conn).expect("exactly one reply to each request") {
+            // Refused or abandoned while the disk was full.
+            Expected::Reply(..) if reply.status == 503 => self.refused_count += 1,
+            Expected::Reply(status, body, index) => {
                 assert_eq!((reply.status, &reply.body), (status, &body), "seed {seed}");
-                self.told = self.told.max(at);
+                self.acknowledged = self.acknowledged.max(index);
             }
-            Owed::Watch(_) if reply.status == 410 => {
-                self.gone += 1;
-                self.seen = self.reference.states[self.told].revision;
+            Expected::Watch(_) if reply.status == 410 => {
+                self.compacted_count += 1;
+                self.watched_revision = self.reference.states[self.acknowledged].revision;
             }
-            Owed::Watch(after) => {
-                let said: Changes = serde_json::from_str(&reply.body).unwrap();
-                let log: Vec<reference::Change> = said
+            Expected::Watch(after) => {
+                let changes: Changes = serde_json::from_str(&reply.body).unwrap();
+                let log: Vec<reference::Change> = changes
                     .log
                     .iter()
                     .map(|l| {
@@ -286,199 +300,231 @@
                         (l.version.0, key, l.put.as_ref().map(|_| l.value.to_string()))
                     })
                     .collect();
-                assert_eq!(log, self.reference.between(after, said.revision.0), "seed {seed}");
-                let at = self.reference.states.iter().position(|s| s.revision >= said.revision.0);
-                self.told = self.told.max(at.expect("a revision that was"));
-                self.seen = self.seen.max(said.revision.0);
+                assert_eq!(
+                    log,
+                    self.reference.changes_between(after, changes.revision.0),
+                    "seed {seed}"
+                );
+                let index =
+                    self.reference.states.iter().position(|s| s.revision >= changes.revision.0);
+                self.acknowledged =
+                    self.acknowledged.max(index.expect("a revision of the reference model"));
+                self.watched_revision = self.watched_revision.max(changes.revision.0);
             }
         }
     }
 
-    fn live(&mut self, steps: u32) {
-        let mut life = self.start();
+    /// Runs the service for this many random steps, with crashes, then lets all requests finish on a healthy disk.
+    fn run(&mut self, steps: u32) {
+        let mut run = self.start();
         for _ in 0..steps {
             self.now += self.rng.random_range(0..40);
-            let mut alive = true;
+            let mut is_alive = true;
             match self.rng.random_range(0..100) {
                 0..45 => {
                     let before = self.reference.clone();
-                    let (request, owed) = self.ask();
-                    self.conns += 1;
-                    let conn = ConnId(self.conns);
-                    let refused = self.refused;
-                    life.owed.insert(conn, owed);
-                    alive = self.event(&mut life, Event::Request { conn, request });
-                    if self.refused > refused {
-                        // "Not executed" is to be believed.
-                        let (told, ends) = (self.told, before.ends.clone());
+                    let (request, expected) = self.next_request();
+                    self.last_conn += 1;
+                    let conn = ConnId(self.last_conn);
+                    let refused_before = self.refused_count;
+                    run.expected.insert(conn, expected);
+                    is_alive = self.handle_event(&mut run, Event::Request { conn, request });
+                    if self.refused_count > refused_before {
+                        // A refused request must have had no effect.
+                        let (acknowledged, expirations) =
+                            (self.acknowledged, before.expirations.clone());
                         self.reference = before;
-                        self.reference.ends = ends;
-                        assert!(told <= self.reference.at());
+                        self.reference.expirations = expirations;
+                        assert!(acknowledged <= self.reference.current_index());
                     }
                 }
                 45..75 => {
-                    if let Some(group) = life.group.take() {
+                    if let Some(group) = run.group.take() {
                         let number = group.number;
-                        let outcome = match life.log.append(&group) {
-                            Ok(()) => Outcome::Durable,
-                            Err(Failure::Undone(e)) => {
-                                Outcome::Undone { group, cause: e.to_string() }
+                        let outcome = match run.log.append(&group) {
+                            Ok(()) => WriteOutcome::Durable,
+                            Err(AppendError::NotWritten(e)) => {
+                                WriteOutcome::NotWritten { group, cause: e.to_string() }
+                            }
+                            Err(AppendError::Unknown(e)) => {
+                                WriteOutcome::Unknown { cause: e.to_string() }
                             }
-                            Err(Failure::Unknown(e)) => Outcome::Unknown { cause: e.to_string() },
                         };
-                        if !self.disk.crashed() {
-                            let durable = matches!(outcome, Outcome::Durable);
-                            if durable && self.full {
-                                self.reference.refill(self.now);
+                        if !self.disk.has_crashed() {
+                            let is_durable = matches!(outcome, WriteOutcome::Durable);
+                            if is_durable && self.is_disk_full {
+                                self.reference.renew_all_leases(self.now);
                             }
-                            self.full = !durable;
-                            alive = self.event(&mut life, Event::Written { number, outcome });
+                            self.is_disk_full = !is_durable;
+                            is_alive = self
+                                .handle_event(&mut run, Event::GroupWritten { number, outcome });
                         }
                     }
                 }
                 75..92 => {
-                    if let Some(step) = life.step.take() {
-                        let good = life.snapshots.step(&step).is_ok();
-                        self.snapshots += u32::from(good && matches!(step, Step::Close(_)));
-                        if !self.disk.crashed() {
-                            alive = self.event(&mut life, Event::Stepped { good });
+                    if let Some(step) = run.step.take() {
+                        let succeeded = run.snapshots.step(&step).is_ok();
+                        self.snapshot_count +=
+                            u32::from(succeeded && matches!(step, Step::Close(_)));
+                        if !self.disk.has_crashed() {
+                            is_alive =
+                                self.handle_event(&mut run, Event::SnapshotStepDone { succeeded });
                         }
                     }
                 }
                 92 => {
                     let mut disk = self.disk.0.borrow_mut();
-                    disk.room = match disk.room {
+                    disk.free_bytes = match disk.free_bytes {
                         Some(_) => None,
                         None => Some(self.rng.random_range(0..5_000)),
                     };
                 }
                 93 => self.disk.0.borrow_mut().sync_fails = self.rng.random_bool(0.2),
                 94 | 95 => {
-                    let fuse = self.rng.random_range(0..8);
-                    self.disk.0.borrow_mut().fuse.get_or_insert(fuse);
+                    let operations_left = self.rng.random_range(0..8);
+                    self.disk.0.borrow_mut().operations_left.get_or_insert(operations_left);
                 }
-                _ => alive = self.event(&mut life, Event::Tick),
+                _ => is_alive = self.handle_event(&mut run, Event::Tick),
             }
-            if !alive || self.disk.crashed() {
-                self.crashes += 1;
-                self.full = false;
+            if !is_alive || self.disk.has_crashed() {
+                self.crash_count += 1;
+                self.is_disk_full = false;
                 self.disk.crash(&mut self.rng);
                 self.now += 5_000;
-                life = self.start();
+                run = self.start();
             }
         }
-        // The end: the disk is well, and everything owed is given but what may still be watched.
-        (self.disk.0.borrow_mut().room, self.disk.0.borrow_mut().sync_fails) = (None, false);
-        self.disk.0.borrow_mut().fuse = None;
+        // The disk works again; every request gets its reply, also watches once their time is over.
+        (self.disk.0.borrow_mut().free_bytes, self.disk.0.borrow_mut().sync_fails) = (None, false);
+        self.disk.0.borrow_mut().operations_left = None;
         for _ in 0..400 {
             self.now += 100;
-            let outcome = life.group.take().map(|group| {
-                life.log.append(&group).expect("the disk is well");
-                (group.number, Outcome::Durable)
+            let outcome = run.group.take().map(|group| {
+                run.log.append(&group).expect("the disk works");
+                (group.number, WriteOutcome::Durable)
             });
             if let Some((number, outcome)) = outcome {
-                if std::mem::take(&mut self.full) {
-                    self.reference.refill(self.now);
+                if std::mem::take(&mut self.is_disk_full) {
+                    self.reference.renew_all_leases(self.now);
                 }
-                self.event(&mut life, Event::Written { number, outcome });
-            } else if let Some(step) = life.step.take() {
-                let good = life.snapshots.step(&step).is_ok();
-                self.event(&mut life, Event::Stepped { good });
+                self.handle_event(&mut run, Event::GroupWritten { number, outcome });
+            } else if let Some(step) = run.step.take() {
+                let succeeded = run.snapshots.step(&step).is_ok();
+                self.handle_event(&mut run, Event::SnapshotStepDone { succeeded });
             } else {
-                self.event(&mut life, Event::Tick);
+                self.handle_event(&mut run, Event::Tick);
             }
         }
-        assert!(life.owed.is_empty(), "seed {}: {} answers are owed", self.seed, life.owed.len());
-        assert_eq!(&state_of(&life.engine), self.reference.now(), "seed {}", self.seed);
+        assert!(
+            run.expected.is_empty(),
+            "seed {}: {} replies are missing",
+            self.seed,
+            run.expected.len()
+        );
+        assert_eq!(&read_state(&run.engine), self.reference.current(), "seed {}", self.seed);
     }
 }
 
-fn seeds(first: u64, count: u64) {
-    let more = match std::env::var("OATLOOM_SEEDS") {
+fn run_seeds(first: u64, count: u64) {
+    let additional_count = match std::env::var("OATLOOM_SEEDS") {
         Ok(seeds) => seeds.parse().expect("OATLOOM_SEEDS is a number of seeds"),
         Err(_) => 0,
     };
-    let (mut crashes, mut snapshots, mut refused) = (0, 0, 0);
-    for seed in first..first + count + more {
-        let mut world = World::new(seed);
-        world.live(1_500);
-        crashes += world.crashes;
-        snapshots += world.snapshots;
-        refused += world.refused;
+    let (mut crash_count, mut snapshot_count, mut refused_count) = (0, 0, 0);
+    for seed in first..first + count + additional_count {
+        let mut simulation = Simulation::new(seed);
+        simulation.run(1_500);
+        crash_count += simulation.crash_count;
+        snapshot_count += simulation.snapshot_count;
+        refused_count += simulation.refused_count;
     }
-    println!("{crashes} crashes, {snapshots} snapshots, {refused} answers refused by a full disk");
-    // Guards against a test in which nothing happens.
-    assert!(crashes > 50 && snapshots > 50 && refused > 50, "{crashes} {snapshots} {refused}");
+    println!(
+        "{crash_count} crashes, {snapshot_count} snapshots, {refused_count} requests refused by a full disk"
+    );
+    // Fails if the simulation did not exercise these paths.
+    assert!(
+        crash_count > 50 && snapshot_count > 50 && refused_count > 50,
+        "{crash_count} {snapshot_count} {refused_count}"
+    );
 }
 
 #[test]
 fn nothing_acknowledged_is_lost_1() {
-    seeds(1, 40);
+    run_seeds(1, 40);
 }
 
 #[test]
 fn nothing_acknowledged_is_lost_2() {
-    seeds(10_001, 40);
+    run_seeds(10_001, 40);
 }
 
 #[test]
 fn nothing_acknowledged_is_lost_3() {
-    seeds(20_001, 40);
+    run_seeds(20_001, 40);
 }
 
-/// A bit that has flipped is refused, or does no harm: the state is never another one.
+/// Recovery from files with a flipped bit fails or gives the same state. Guards against a corrupt file that is loaded as
+/// a different state.
 #[test]
-fn damage_is_never_guessed_over() {
-    let (mut refused, mut harmless) = (0, 0);
+fn damage_is_never_repaired_by_guessing() {
+    let (mut refused_count, mut harmless_count) = (0, 0);
     for seed in 1..12 {
-        let mut world = World::new(seed);
-        world.live(1_500);
-        let whole = recover(&mut world.disk.copy(), Mono(0)).expect("sound");
-        let whole = state_of(&Engine::new(&settings(), whole, Mono(0)));
-        let mut files = world.disk.clone();
+        let mut simulation = Simulation::new(seed);
+        simulation.run(1_500);
+        let undamaged = recover(&mut simulation.disk.deep_copy(), Mono(0)).expect("valid files");
+        let undamaged = read_state(&Engine::new(&small_settings(), undamaged, Mono(0)));
+        let mut files = simulation.disk.clone();
         for _ in 0..400 {
             let names = files.list().unwrap();
-            let name = &names[world.rng.random_range(0..names.len())];
+            let name = &names[simulation.rng.random_range(0..names.len())];
             let length = files.read(name).unwrap().len();
             if length == 0 {
                 continue;
             }
-            let mut copy = world.disk.copy();
-            let (at, bit) = (world.rng.random_range(0..length), world.rng.random_range(0..8));
-            copy.flip(name, at, bit);
+            let mut copy = simulation.disk.deep_copy();
+            let (offset, bit) =
+                (simulation.rng.random_range(0..length), simulation.rng.random_range(0..8));
+            copy.flip_bit(name, offset, bit);
             match recover(&mut copy, Mono(0)) {
-                Err(_) => refused += 1,
-                Ok(found) => {
-                    let state = state_of(&Engine::new(&settings(), found, Mono(0)));
-                    assert_eq!(state, whole, "seed {seed}: {name}, byte {at}, bit {bit}");
-                    harmless += 1;
+                Err(_) => refused_count += 1,
+                Ok(recovered) => {
+                    let state = read_state(&Engine::new(&small_settings(), recovered, Mono(0)));
+                    assert_eq!(state, undamaged, "seed {seed}: {name}, byte {offset}, bit {bit}");
+                    harmless_count += 1;
                 }
             }
         }
     }
-    assert!(refused > 500 && harmless > 100, "{refused} refused, {harmless} harmless");
+    assert!(
+        refused_count > 500 && harmless_count > 100,
+        "{refused_count} refused, {harmless_count} harmless"
+    );
 }
 
-/// A missing file is refused; a later format and a foreign file are named.
+/// Recovery refuses a directory that no crash can leave: a missing log file, a later format version, an unknown file.
+/// Guards against a start with a part of the state.
 #[test]
-fn what_no_crash_leaves_is_refused() {
-    let mut world = World::new(7);
-    world.live(3_000);
-    let (mut refused, mut files) = (0, world.disk.clone());
+fn impossible_directories_are_refused() {
+    let mut simulation = Simulation::new(7);
+    simulation.run(3_000);
+    let (mut refused_count, mut files) = (0, simulation.disk.clone());
     let logs: Vec<String> =
         files.list().unwrap().into_iter().filter(|n| n.starts_with("log")).collect();
     assert!(logs.len() >= 2, "{logs:?}");
     for name in &logs {
-        let mut copy = world.disk.copy();
+        let mut copy = simulation.disk.deep_copy();
         copy.remove(name).unwrap();
-        refused += u32::from(recover(&mut copy, Mono(0)).is_err());
+        refused_count += u32::from(recover(&mut copy, Mono(0)).is_err());
     }
-    assert!(refused >= 1);
+    assert!(refused_count >= 1);
     let last = logs.last().unwrap();
-    let mut copy = world.disk.copy();
-    copy.flip(last, 6, 1);
-    assert!(matches!(recover(&mut copy, Mono(0)), Err(Refusal::Newer { format: 3, .. })));
-    let mut copy = world.disk.copy();
+    let mut copy = simulation.disk.deep_copy();
+    copy.flip_bit(last, 6, 1);
+    assert!(matches!(
+        recover(&mut copy, Mono(0)),
+        Err(RecoveryError::NewerFormat { format: 3, .. })
+    ));
+    let mut copy = simulation.disk.deep_copy();
     copy.create("notes.txt").unwrap();
-    assert!(matches!(recover(&mut copy, Mono(0)), Err(Refusal::Foreign { .. })));
+    assert!(matches!(recover(&mut copy, Mono(0)), Err(RecoveryError::UnknownFile { .. })));
 }
--- a/crates/state/tests/kill.rs
+++ b/crates/state/tests/kill.rs
@@ -1,5 +1,5 @@
-//! The real process, killed without warning again and again while clients write: whatever was acknowledged is
-//! there afterwards. `OATLOOM_KILLS=n` sets how often.
+//! Tests of the real process over HTTP. The first kills it repeatedly (SIGKILL) while clients write, and guards against
+//! acknowledged changes that are missing after a restart. `OATLOOM_KILLS=n` sets the number of kills.
 
 use oatloom_protocol::ids::Millis;
 use oatloom_protocol::wire::{Changes, Page, Row, StateStatus};
@@ -13,64 +13,70 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-const WRITERS: usize = 6;
-const KEYS: u64 = 5;
+const WRITER_COUNT: usize = 6;
+const KEYS_PER_WRITER: u64 = 5;
 
 fn free_address() -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     listener.local_addr().expect("an address").to_string()
 }
 
-fn service(address: &str, data: &Path, more: &[&str]) -> Command {
+fn service_command(address: &str, data: &Path, arguments: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_oatloom-state"));
-    command.args(["--listen", address, "--data"]).arg(data).args(more);
+    command.args(["--listen", address, "--data"]).arg(data).args(arguments);
     command.env("LOG_LEVEL", "error").stdin(Stdio::null());
     command
 }
 
-fn caller(address: &str) -> Caller {
+fn new_caller(address: &str) -> Caller {
     Caller::new(address, Millis(2_000), 16 * 1024 * 1024)
 }
 
-fn read<T: serde::de::DeserializeOwned>(caller: &Caller, path: &str) -> Option<(u16, T)> {
+fn get_json<T: serde::de::DeserializeOwned>(caller: &Caller, path: &str) -> Option<(u16, T)> {
     let (status, body) = caller.get(path)?;
     Some((status, serde_json::from_slice(&body).ok()?))
 }
 
-fn wait_until_up(caller: &Caller) -> StateStatus {
+fn wait_until_ready(caller: &Caller) -> StateStatus {
     let start = Instant::now();
     loop {
-        if let Some((200, status)) = read(caller, "/status") {
+        if let Some((200, status)) = get_json(caller, "/status") {
             return status;
         }
-        assert!(start.elapsed() < Duration::from_secs(10), "not up within 10 s");
+        assert!(start.elapsed() < Duration::from_secs(10), "not ready within 10 s");
         std::thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// What a writer knows of one of its keys.
+/// A key of a writer: the last value requested, the last one acknowledged, and its revision.
 #[derive(Clone, Copy, Default)]
-struct Known {
-    asked: u64,
+struct WriterKey {
+    requested: u64,
     acknowledged: u64,
-    stamp: u64,
+    revision: u64,
 }
 
-/// Writes ever larger numbers, each on condition of the last, until there is no answer.
-fn write_on(address: &str, writer: usize, known: &mut [Known], stop: &AtomicBool) -> u64 {
-    let caller = caller(address);
-    let mut epoch = 0;
+/// Writes increasing numbers, each on condition that the key has the revision of the last one, until a request fails.
+/// Returns the last acknowledged revision.
+fn write_until_failure(
+    address: &str,
+    writer: usize,
+    keys: &mut [WriterKey],
+    stop: &AtomicBool,
+) -> u64 {
+    let caller = new_caller(address);
+    let mut revision = 0;
     for round in 0.. {
-        let key = &mut known[round % KEYS as usize];
-        let path = format!("w{writer}/{}", round % KEYS as usize);
-        key.asked += 1;
-        let txn = json!({"when": [{"path": path, "stamp": key.stamp}],
-            "then": [{"put": path, "data": key.asked}, {"delete": "nothing/there"}]});
+        let key = &mut keys[round % KEYS_PER_WRITER as usize];
+        let path = format!("w{writer}/{}", round % KEYS_PER_WRITER as usize);
+        key.requested += 1;
+        let txn = json!({"when": [{"path": path, "stamp": key.revision}],
+            "then": [{"put": path, "data": key.requested}, {"delete": "missing/key"}]});
         match caller.post("/multi", &txn) {
             Some((200, body)) => {
-                let said: serde_json::Value = serde_json::from_slice(&body).expect("an answer");
-                epoch = said["epoch"].as_u64().expect("an epoch");
-                (key.acknowledged, key.stamp) = (key.asked, epoch);
+                let reply: serde_json::Value = serde_json::from_slice(&body).expect("a JSON reply");
+                revision = reply["epoch"].as_u64().expect("a revision");
+                (key.acknowledged, key.revision) = (key.requested, revision);
             }
             Some((status, body)) => {
                 panic!("{path}: {status} {}", String::from_utf8_lossy(&body))
@@ -81,153 +87,195 @@
             break;
         }
     }
-    epoch
+    revision
 }
 
+/// After each kill, every key has a value between the last acknowledged and the last requested one, the revision has not
+/// decreased, and a watch misses no change.
 #[test]
-fn a_killed_process_comes_back_with_all_it_acknowledged() {
-    let kills: u32 =
+fn acknowledged_changes_survive_kills() {
+    let kill_count: u32 =
         std::env::var("OATLOOM_KILLS").ok().and_then(|n| n.parse().ok()).unwrap_or(200);
     let data = tempfile::tempdir().expect("a directory");
     let settings = data.path().join("settings.lisp");
-    // Small, so that snapshots are under way when it is killed.
-    std::fs::write(&settings, "((snapshot-mb . 0.05) (slice-rows . 4))").expect("written");
+    // Small sizes, so that kills also happen during snapshots.
+    std::fs::write(&settings, "((snapshot-mb . 0.05) (slice-rows . 4))").expect("write the file");
     let (address, home) = (free_address(), data.path().join("state"));
     let file = settings.display().to_string();
     let mut rng = ChaCha8Rng::seed_from_u64(5);
-    let mut known = vec![[Known::default(); KEYS as usize]; WRITERS];
-    let (mut epoch, mut seen, mut written, mut gone) = (0, 0, 0, 0);
-    for kill in 0..=kills {
-        let mut child = service(&address, &home, &["--file", &file]).spawn().expect("started");
-        let ask = caller(&address);
-        let status = wait_until_up(&ask);
-        assert!(status.revision.0 >= epoch, "went back from {epoch} to {status:?}");
-        // Dense: one revision for each change that anybody asked for, at most.
-        let asked: u64 = known.iter().flatten().map(|key| key.asked).sum();
-        assert!(status.revision.0 <= asked, "{status:?}, though {asked} were asked for");
-        for (writer, keys) in known.iter_mut().enumerate() {
-            for (at, key) in keys.iter_mut().enumerate() {
-                let path = format!("/keys/w{writer}/{at}");
-                let (value, stamp) = match read::<Row>(&ask, &path) {
+    let mut writer_keys = vec![[WriterKey::default(); KEYS_PER_WRITER as usize]; WRITER_COUNT];
+    let (mut acknowledged_revision, mut watched_revision, mut written, mut compacted_count) =
+        (0, 0, 0, 0);
+    for kill in 0..=kill_count {
+        let mut child = service_command(&address, &home, &["--file", &file])
+            .spawn()
+            .expect("start the process");
+        let caller = new_caller(&address);
+        let status = wait_until_ready(&caller);
+        assert!(
+            status.revision.0 >= acknowledged_revision,
+            "the revision decreased from {acknowledged_revision} to {status:?}"
+        );
+        // Revisions are dense: at most one for each requested change.
+        let requested: u64 = writer_keys.iter().flatten().map(|key| key.requested).sum();
+        assert!(
+            status.revision.0 <= requested,
+            "{status:?}, but only {requested} changes were requested"
+        );
+        for (writer, keys) in writer_keys.iter_mut().enumerate() {
+            for (index, key) in keys.iter_mut().enumerate() {
+                let path = format!("/keys/w{writer}/{index}");
+                let (value, revision) = match get_json::<Row>(&caller, &path) {
                     Some((200, row)) => (row.value.as_u64().expect("a number"), row.version.0),
                     _ => (0, 0),
                 };
-                let (least, most) = (key.acknowledged, key.asked);
-                assert!((least..=most).contains(&value), "{path}: {value} not in {least}..={most}");
-                (key.acknowledged, key.stamp) = (value, stamp);
+                let (min, max) = (key.acknowledged, key.requested);
+                assert!((min..=max).contains(&value), "{path}: {value} not in {min}..={max}");
+                (key.acknowledged, key.revision) = (value, revision);
             }
         }
-        match ask.get(&format!("/follow?prefix=w&after={seen}")) {
-            Some((410, _)) => gone += 1,
+        match caller.get(&format!("/follow?prefix=w&after={watched_revision}")) {
+            Some((410, _)) => compacted_count += 1,
             Some((200, body)) => {
-                let said: Changes = serde_json::from_slice(&body).expect("changes");
-                assert_eq!(said.log.len() as u64, said.revision.0 - seen, "a watch missed some");
+                let changes: Changes = serde_json::from_slice(&body).expect("changes");
+                assert_eq!(
+                    changes.log.len() as u64,
+                    changes.revision.0 - watched_revision,
+                    "a watch missed changes"
+                );
             }
             other => panic!("{other:?}"),
         }
-        seen = status.revision.0;
-        if kill == kills {
-            let (_, page): (u16, Page) = read(&ask, "/keys?prefix=w").expect("a page");
-            assert_eq!(page.rows.len(), WRITERS * KEYS as usize);
-            end(&mut child);
+        watched_revision = status.revision.0;
+        if kill == kill_count {
+            let (_, page): (u16, Page) = get_json(&caller, "/keys?prefix=w").expect("a page");
+            assert_eq!(page.rows.len(), WRITER_COUNT * KEYS_PER_WRITER as usize);
+            kill_process(&mut child);
             break;
         }
         let stop = AtomicBool::new(false);
-        epoch = std::thread::scope(|scope| {
+        acknowledged_revision = std::thread::scope(|scope| {
             let (address, stop) = (&address, &stop);
-            let writers: Vec<_> = known
+            let writers: Vec<_> = writer_keys
                 .iter_mut()
                 .enumerate()
-                .map(|(w, keys)| scope.spawn(move || write_on(address, w, keys, stop)))
+                .map(|(w, keys)| scope.spawn(move || write_until_failure(address, w, keys, stop)))
                 .collect();
             std::thread::sleep(Duration::from_micros(rng.random_range(500..60_000)));
-            end(&mut child);
+            kill_process(&mut child);
             stop.store(true, Ordering::Relaxed);
-            writers.into_iter().map(|w| w.join().expect("a writer")).max().unwrap_or(0).max(epoch)
+            writers
+                .into_iter()
+                .map(|w| w.join().expect("a writer"))
+                .max()
+                .unwrap_or(0)
+                .max(acknowledged_revision)
         });
-        written = epoch;
+        written = acknowledged_revision;
     }
-    // Guards against a test in which nothing was written.
-    assert!(written > u64::from(kills) * 20, "{written} written in {kills} lives");
-    println!("{written} changes in {kills} lives; {gone} watches had to read again");
+    // Fails if the writers wrote too little for the test to mean anything.
+    assert!(written > u64::from(kill_count) * 20, "{written} changes in {kill_count} runs");
+    println!(
+        "{written} changes in {kill_count} runs; {compacted_count} watches had to read all keys again"
+    );
 }
 
-fn end(child: &mut Child) {
-    child.kill().expect("killed");
-    child.wait().expect("ended");
+fn kill_process(child: &mut Child) {
+    child.kill().expect("kill the process");
+    child.wait().expect("wait for the process");
 }
 
-/// One clear line and status 2, whatever is wrong at the start.
+/// Errors at startup are reported with exit status 2 and, beyond the command line's syntax, in one line.
 #[test]
-fn what_cannot_be_served_is_said_in_one_line() {
+fn startup_errors_are_one_line() {
     let data = tempfile::tempdir().expect("a directory");
     let (address, home) = (free_address(), data.path().join("state"));
-    let refused = |address: &str, home: &Path, more: &[&str], words: &str| {
-        let output = service(address, home, more).output().expect("started");
+    let expect_failure = |address: &str, home: &Path, arguments: &[&str], message: &str| {
+        let output = service_command(address, home, arguments).output().expect("start the process");
         let text = String::from_utf8_lossy(&output.stderr).into_owned();
         assert_eq!(output.status.code(), Some(2), "{text}");
-        assert!(text.contains(words), "{text}");
+        assert!(text.contains(message), "{text}");
         text
     };
-    let one = |text: String| assert_eq!(text.trim_end().lines().count(), 1, "{text}");
-    refused("nowhere", &home, &[], "invalid value");
-    refused(&address, &home, &["--loud"], "unexpected argument");
-    one(refused(&address, &home, &["--file", "/no/such/file"], "cannot be read"));
-    let bad = data.path().join("bad.lisp");
-    std::fs::write(&bad, "((rps . -1))").expect("written");
-    one(refused(&address, &home, &["--file", &bad.display().to_string()], "rps: must be"));
-    one(refused(&address, &bad, &[], "bad.lisp: "));
-    let mut child = service(&address, &home, &[]).spawn().expect("started");
-    wait_until_up(&caller(&address));
-    one(refused(&free_address(), &home, &[], "another process uses it"));
-    one(refused(&address, &data.path().join("other"), &[], "cannot listen"));
-    end(&mut child);
-    std::fs::write(home.join("diary"), "x").expect("written");
-    one(refused(&address, &home, &[], "diary is not a file of this service"));
+    let assert_one_line = |text: String| assert_eq!(text.trim_end().lines().count(), 1, "{text}");
+    expect_failure("nowhere", &home, &[], "invalid value");
+    expect_failure(&address, &home, &["--loud"], "unexpected argument");
+    assert_one_line(expect_failure(
+        &address,
+        &home,
+        &["--file", "/no/such/file"],
+        "cannot be read",
+    ));
+    let bad_settings = data.path().join("bad.lisp");
+    std::fs::write(&bad_settings, "((rps . -1))").expect("write the file");
+    assert_one_line(expect_failure(
+        &address,
+        &home,
+        &["--file", &bad_settings.display().to_string()],
+        "rps: must be",
+    ));
+    assert_one_line(expect_failure(&address, &bad_settings, &[], "bad.lisp: "));
+    let mut child = service_command(&address, &home, &[]).spawn().expect("start the process");
+    wait_until_ready(&new_caller(&address));
+    assert_one_line(expect_failure(&free_address(), &home, &[], "another process uses it"));
+    assert_one_line(expect_failure(&address, &data.path().join("other"), &[], "cannot listen"));
+    kill_process(&mut child);
+    std::fs::write(home.join("diary"), "x").expect("write the file");
+    assert_one_line(expect_failure(&address, &home, &[], "diary is not a file of this service"));
     std::fs::remove_file(home.join("diary")).expect("removed");
     let log = home.join("log-00000000000000000001");
-    std::fs::write(&log, b"oatlog\x09\x00").expect("written");
-    one(refused(&address, &home, &[], "is of format 9, which a later version wrote"));
+    std::fs::write(&log, b"oatlog\x09\x00").expect("write the file");
+    assert_one_line(expect_failure(
+        &address,
+        &home,
+        &[],
+        "is of format 9, which a later version wrote",
+    ));
 }
 
-/// The protocol over HTTP: what is malformed gets 400, limits 429 with when to come back, watches wait.
+/// The protocol over HTTP: statuses of valid, malformed and rate-limited requests, the expiry of a lease, and watches
+/// that wait.
 #[test]
-fn the_protocol_is_spoken_over_http() {
+fn requests_are_served_over_http() {
     let data = tempfile::tempdir().expect("a directory");
     let file = data.path().join("settings.lisp");
-    std::fs::write(&file, "((rps . 40) (write-rps . 10) (txn-ops . 3))").expect("written");
+    std::fs::write(&file, "((rps . 40) (write-rps . 10) (txn-ops . 3))").expect("write the file");
     let (address, home) = (free_address(), data.path().join("state"));
     let file = file.display().to_string();
-    let mut child = service(&address, &home, &["--file", &file]).spawn().expect("started");
-    let ask = caller(&address);
-    wait_until_up(&ask);
-    let status = |answer: Option<(u16, Vec<u8>)>| answer.expect("an answer").0;
-    let put = |key: &str, stamp: u64| {
-        let txn = json!({"when": [{"path": key, "stamp": stamp}],
+    let mut child =
+        service_command(&address, &home, &["--file", &file]).spawn().expect("start the process");
+    let caller = new_caller(&address);
+    wait_until_ready(&caller);
+    let status = |reply: Option<(u16, Vec<u8>)>| reply.expect("a reply").0;
+    let put = |key: &str, revision: u64| {
+        let txn = json!({"when": [{"path": key, "stamp": revision}],
             "then": [{"put": key, "data": {"k": key}}]});
-        ask.post("/multi", &txn)
+        caller.post("/multi", &txn)
     };
     assert_eq!(status(put("a/b", 0)), 200);
     assert_eq!(status(put("a/b", 0)), 409);
-    assert_eq!(status(ask.post("/multi", &json!([]))), 400);
-    assert_eq!(status(ask.post("/multi", &json!({"then": vec![json!({"delete": "x"}); 4]}))), 400);
-    assert_eq!(status(ask.get("/keys/a/b")), 200);
-    assert_eq!(status(ask.get("/keys/a/c")), 404);
-    let (_, body) = ask.post("/grants", &json!({"ttlMs": 100})).expect("an answer");
+    assert_eq!(status(caller.post("/multi", &json!([]))), 400);
+    assert_eq!(
+        status(caller.post("/multi", &json!({"then": vec![json!({"delete": "x"}); 4]}))),
+        400
+    );
+    assert_eq!(status(caller.get("/keys/a/b")), 200);
+    assert_eq!(status(caller.get("/keys/a/c")), 404);
+    let (_, body) = caller.post("/grants", &json!({"ttlMs": 100})).expect("a reply");
     let lease =
         serde_json::from_slice::<serde_json::Value>(&body).expect("JSON")["tenancy"].clone();
     let txn = json!({"then": [{"put": "leased", "data": 1, "tenancy": lease}]});
-    assert_eq!(status(ask.post("/multi", &txn)), 200);
-    let (_, body) = ask.get("/follow?prefix=leased&after=2&holdMs=3000").expect("an answer");
-    let said: Changes = serde_json::from_slice(&body).expect("changes");
-    assert_eq!(said.log[0].delete.as_deref(), Some("leased"), "{said:?}");
-    assert_eq!(status(ask.post(&format!("/grants/{lease}/touch"), &json!({}))), 404);
-    assert_eq!(status(ask.post("/multi", &txn)), 400, "no such lease");
-    let began = Instant::now();
-    let (code, body) = ask.get("/follow?prefix=zzz&after=3&holdMs=150").expect("an answer");
-    assert!(code == 200 && began.elapsed() >= Duration::from_millis(140));
+    assert_eq!(status(caller.post("/multi", &txn)), 200);
+    let (_, body) = caller.get("/follow?prefix=leased&after=2&holdMs=3000").expect("a reply");
+    let changes: Changes = serde_json::from_slice(&body).expect("changes");
+    assert_eq!(changes.log[0].delete.as_deref(), Some("leased"), "{changes:?}");
+    assert_eq!(status(caller.post(&format!("/grants/{lease}/touch"), &json!({}))), 404);
+    assert_eq!(status(caller.post("/multi", &txn)), 400, "no such lease");
+    let started_at = Instant::now();
+    let (code, body) = caller.get("/follow?prefix=zzz&after=3&holdMs=150").expect("a reply");
+    assert!(code == 200 && started_at.elapsed() >= Duration::from_millis(140));
     assert!(String::from_utf8_lossy(&body).contains("\"log\":[]"));
     let codes: Vec<u16> = (0..15).map(|n| status(put(&format!("n/{n}"), 0))).collect();
     assert!(codes.contains(&200) && codes.contains(&429), "{codes:?}");
-    end(&mut child);
+    kill_process(&mut child);
 }
