--- a/crates/state/benches/service.rs
+++ b/crates/state/benches/service.rs
@@ -17,7 +17,7 @@
 
 const KEY_COUNT: u64 = 1_000_000;
 
-fn new_caller(address: &str) -> Caller {
+fn create_caller(address: &str) -> Caller {
     Caller::new(address, Millis(30_000), 16 * 1024 * 1024)
 }
 
@@ -46,7 +46,7 @@
                 let barrier = &barrier;
                 let share = count / clients + u64::from(client < count % clients);
                 scope.spawn(move || {
-                    let caller = new_caller(address);
+                    let caller = create_caller(address);
                     let _ = caller.get("/status");
                     barrier.wait();
                     for n in 0..share {
@@ -137,7 +137,7 @@
         let (_, body) = caller.get("/status").expect("a reply");
         serde_json::from_slice::<StateStatus>(&body).expect("a status").snapshots
     };
-    let caller = new_caller(&address);
+    let caller = create_caller(&address);
     let initial_count = get_snapshot_count(&caller);
     let (mut idle, mut busy) =
         (Histogram::<u64>::new(3).expect("a histogram"), Histogram::new(3).expect("a histogram"));
@@ -152,7 +152,7 @@
     let filler = {
         let address = address.clone();
         std::thread::spawn(move || {
-            let caller = new_caller(&address);
+            let caller = create_caller(&address);
             for n in 0..400 {
                 let put = json!({"put": format!("fill/{n}"), "data": "y".repeat(15_000)});
                 let _ = caller.post("/multi", &json!({"then": [put]}));
--- a/crates/state/src/api.rs
+++ b/crates/state/src/api.rs
@@ -19,14 +19,17 @@
 /// A validated request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Request {
+    /// Reads a key.
     Get {
         key: String,
     },
+    /// Reads a page of the keys with a prefix.
     List {
         prefix: String,
         after: Option<String>,
         max_rows: usize,
     },
+    /// Applies writes if all conditions hold.
     Txn(Txn),
     GrantLease {
         ttl_ms: u64,
--- a/crates/state/src/constants.rs
+++ b/crates/state/src/constants.rs
@@ -6,9 +6,9 @@
 
 /// Largest key, in bytes (fixed by the protocol).
 pub const MAX_KEY_BYTES: usize = 200;
-/// Most rows in one page of a listing (fixed by the protocol).
+/// Maximum number of rows in a page of a listing (fixed by the protocol).
 pub const MAX_PAGE_ROWS: usize = 1_000;
-/// Most bytes in one page of a listing (the protocol allows 512 KiB), including `ROW_OVERHEAD_BYTES` for each row.
+/// Maximum size of a page of a listing (512 KiB in the protocol), including `ROW_OVERHEAD_BYTES` for each row.
 pub const MAX_PAGE_BYTES: usize = 512 * 1024;
 /// Bytes of an encoded row besides its key and value: field names, revision and punctuation.
 pub const ROW_OVERHEAD_BYTES: usize = 64;
@@ -16,8 +16,9 @@
 pub const MAX_RECENT_CHANGE_COUNT: usize = 10_000;
 /// A transaction may have this many conditions for each change that it may have (fixed by the protocol).
 pub const MAX_CONDITIONS_PER_CHANGE: usize = 4;
-/// Shortest and longest time to live of a lease, in milliseconds (fixed by the protocol).
+/// Shortest time to live of a lease (fixed by the protocol).
 pub const MIN_LEASE_TTL_MS: u64 = 100;
+/// Longest time to live of a lease (fixed by the protocol).
 pub const MAX_LEASE_TTL_MS: u64 = 600_000;
 /// Longest time that a watch may wait for a change (fixed by the protocol).
 pub const MAX_WATCH_WAIT_MS: u64 = 60_000;
@@ -62,9 +63,9 @@
 /// Default limit of open connections. Their number does not grow with the number of machines: a controller sends
 /// requests over 14 and keeps as many open for a while; the rest serves operators' tools.
 pub const DEFAULT_MAX_CONNECTION_COUNT: usize = 1_000;
-/// Default limits of the size of a value (in KiB) and of the changes in a transaction: the larger of the limits that
-/// the controllers' settings name.
+/// Default size limit of a value: the larger of the limits in the controllers' settings.
 pub const DEFAULT_MAX_VALUE_KIB: f64 = 16.0;
+/// Default limit of puts and deletes in a transaction: the larger of the limits in the controllers' settings.
 pub const DEFAULT_MAX_TXN_CHANGE_COUNT: usize = 20;
 /// Open descriptors besides connections: log, snapshot, directory, lock, poll, waker, listener and standard
 /// streams.
--- a/crates/state/src/disk.rs
+++ b/crates/state/src/disk.rs
@@ -9,14 +9,19 @@
 pub trait Disk {
     /// Returns the names of all files.
     fn list(&mut self) -> io::Result<Vec<String>>;
+    /// Returns the content of a file.
     fn read(&mut self, name: &str) -> io::Result<Vec<u8>>;
     /// Creates an empty file, or truncates an existing one.
     fn create(&mut self, name: &str) -> io::Result<()>;
+    /// Appends to an existing file. After an error, a part of the bytes may be written.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
+    /// Cuts a file to this length.
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()>;
     /// Waits until the file's data is durable.
     fn sync(&mut self, name: &str) -> io::Result<()>;
+    /// Renames a file, replacing an existing one.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
+    /// Removes a file.
     fn remove(&mut self, name: &str) -> io::Result<()>;
     /// Waits until the names of files are durable.
     fn sync_directory(&mut self) -> io::Result<()>;
@@ -30,6 +35,7 @@
 }
 
 impl Directory {
+    /// Uses an existing directory.
     pub fn new(path: &Path) -> Self {
         Self { path: path.to_owned(), open_file: None }
     }
--- a/crates/state/src/engine.rs
+++ b/crates/state/src/engine.rs
@@ -91,6 +91,7 @@
     is_read: bool,
 }
 
+/// A caller that waits for changes of keys with a prefix after a revision.
 struct Watch {
     conn: ConnId,
     prefix: String,
@@ -159,11 +160,11 @@
 }
 
 /// A reply that asks the caller to retry later.
-fn retry_reply(status: u16, text: &str) -> HttpReply {
+fn build_retry_reply(status: u16, text: &str) -> HttpReply {
     HttpReply { status, ..HttpReply::unavailable(text) }
 }
 
-fn revision_reply(status: u16, revision: u64, failed: Vec<String>) -> HttpReply {
+fn build_revision_reply(status: u16, revision: u64, failed: Vec<String>) -> HttpReply {
     HttpReply::json(status, &RevisionReply { revision: Revision(revision), failed })
 }
 
@@ -237,7 +238,7 @@
                 }
             }
             Health::Serving => {
-                while let Some(lease) = self.keyspace.next_expired_lease(now) {
+                while let Some(lease) = self.keyspace.find_expired_lease(now) {
                     self.end_lease(lease, now);
                 }
                 self.start_group_write(now);
@@ -307,7 +308,7 @@
                     std::mem::take(&mut self.pending_replies).into_iter().partition(|r| r.is_read);
                 self.pending_replies = changes;
                 for read in reads {
-                    let reply = retry_reply(503, "the disk is full");
+                    let reply = build_retry_reply(503, "the disk is full");
                     self.actions.push(Action::Reply { conn: read.conn, reply });
                 }
             }
@@ -344,7 +345,7 @@
     }
 
     fn end_lease(&mut self, lease: u64, now: Mono) {
-        for record in self.keyspace.lease_end_records(lease) {
+        for record in self.keyspace.build_lease_end_records(lease) {
             self.apply_and_log(&record, now);
         }
     }
@@ -362,21 +363,23 @@
         if is_write_blocked
             && (makes_changes || reads_changes && self.last_applied_group() > self.durable_group)
         {
-            return self.reply_now(conn, retry_reply(503, "the disk accepts no writes"));
+            return self.reply_now(conn, build_retry_reply(503, "the disk accepts no writes"));
         }
         if makes_changes && self.unwritten.len() > MAX_GROUP_BYTES / 2 {
-            return self.reply_now(conn, retry_reply(503, "the disk is behind"));
+            return self.reply_now(conn, build_retry_reply(503, "the disk is behind"));
         }
         if !self.limits.take(request.change_count(), now) {
-            return self
-                .reply_now(conn, retry_reply(429, "too many requests or changes per second"));
+            return self.reply_now(
+                conn,
+                build_retry_reply(429, "too many requests or changes per second"),
+            );
         }
         match request {
             Request::Status => {}
             Request::Get { key } => {
                 let reply = match self.keyspace.get(&key) {
                     Some(entry) => HttpReply::json(200, &to_row(&key, entry)),
-                    None => revision_reply(404, self.keyspace.revision(), Vec::new()),
+                    None => build_revision_reply(404, self.keyspace.revision(), Vec::new()),
                 };
                 self.reply_when_durable(conn, reply, true);
             }
@@ -454,7 +457,11 @@
             .collect();
         if !failed.is_empty() {
             let revision = self.keyspace.revision();
-            return self.reply_when_durable(conn, revision_reply(409, revision, failed), true);
+            return self.reply_when_durable(
+                conn,
+                build_revision_reply(409, revision, failed),
+                true,
+            );
         }
         let is_read = writes.is_empty();
         if !is_read {
@@ -463,7 +470,7 @@
         }
         self.reply_when_durable(
             conn,
-            revision_reply(200, self.keyspace.revision(), Vec::new()),
+            build_revision_reply(200, self.keyspace.revision(), Vec::new()),
             is_read,
         );
     }
@@ -477,7 +484,7 @@
         self.last_watch_check = (to, now);
         let actions = &mut self.actions;
         self.watches.retain_mut(|watch| {
-            let reply = match keyspace.changes_between(&watch.prefix, watch.after, to) {
+            let reply = match keyspace.find_changes(&watch.prefix, watch.after, to) {
                 None => Some(HttpReply::error(410, "these changes are no longer in memory")),
                 Some(changes) => {
                     let log: Vec<_> = changes.map(to_logged_change).collect();
--- a/crates/state/src/journal.rs
+++ b/crates/state/src/journal.rs
@@ -123,17 +123,16 @@
 /// A step in writing a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
+    /// Creates the temporary file.
     Begin,
+    /// Appends rows, in key order.
     Rows(Vec<Kept>),
     /// Writes the footer, syncs the file and gives it its final name.
     Close(Close),
     /// Gives up the snapshot and removes its temporary file.
     Abort,
     /// Removes older snapshots and log files.
-    Prune {
-        snapshots_below: u64,
-        logs_below: u64,
-    },
+    Prune { snapshots_below: u64, logs_below: u64 },
 }
 
 /// Writes snapshots: a file header followed by compressed frames, under a temporary name until complete.
@@ -145,6 +144,7 @@
 }
 
 impl<D: Disk> SnapshotWriter<D> {
+    /// Writes snapshots to the disk.
     pub fn new(disk: D) -> Self {
         Self { disk, encoder: None, frame_count: 0, buffer: Vec::new() }
     }
@@ -169,7 +169,7 @@
             Step::Rows(rows) => self.write_part(&SnapshotPart::Rows(rows.clone())),
             Step::Close(close) => {
                 self.write_part(&SnapshotPart::Footer(close.clone()))?;
-                let encoder = self.encoder.take().ok_or_else(no_snapshot_error)?;
+                let encoder = self.encoder.take().ok_or_else(make_no_snapshot_error)?;
                 let remainder = encoder.finish()?;
                 self.disk.append(SNAPSHOT_TEMP_FILE, &remainder)?;
                 self.disk.sync(SNAPSHOT_TEMP_FILE)?;
@@ -198,7 +198,7 @@
     }
 
     fn write_part(&mut self, part: &SnapshotPart) -> io::Result<()> {
-        let encoder = self.encoder.as_mut().ok_or_else(no_snapshot_error)?;
+        let encoder = self.encoder.as_mut().ok_or_else(make_no_snapshot_error)?;
         let payload = postcard::to_allocvec(part).map_err(io::Error::other)?;
         self.frame_count += 1;
         self.buffer.clear();
@@ -218,6 +218,6 @@
     }
 }
 
-fn no_snapshot_error() -> io::Error {
+fn make_no_snapshot_error() -> io::Error {
     io::Error::other("no snapshot has been started")
 }
--- a/crates/state/src/keyspace.rs
+++ b/crates/state/src/keyspace.rs
@@ -135,7 +135,7 @@
     }
 
     /// Returns the lease that expired first, if one has expired.
-    pub fn next_expired_lease(&self, now: Mono) -> Option<u64> {
+    pub fn find_expired_lease(&self, now: Mono) -> Option<u64> {
         self.expirations
             .first()
             .filter(|(expires_at, _)| *expires_at < now)
@@ -143,7 +143,7 @@
     }
 
     /// Returns the records that end a lease: the deletion of its keys, and the end of the lease itself.
-    pub fn lease_end_records(&self, lease: u64) -> Vec<Record> {
+    pub fn build_lease_end_records(&self, lease: u64) -> Vec<Record> {
         let Some(ended) = self.leases.get(&lease) else { return Vec::new() };
         let delete = |key: &Arc<str>| Write { key: key.clone(), value: None, lease: 0 };
         let writes: Vec<Write> = ended.keys.iter().map(delete).collect();
@@ -225,7 +225,7 @@
 
     /// Iterates over the changes of keys with the prefix after revision `after` up to revision `to`; `None` if some of
     /// them are no longer in memory.
-    pub fn changes_between<'a>(
+    pub fn find_changes<'a>(
         &'a self,
         prefix: &'a str,
         after: u64,
@@ -241,7 +241,7 @@
     }
 
     /// Copies up to `max_rows` rows after the key `after`, for a snapshot.
-    pub fn snapshot_rows(&self, after: Option<&str>, max_rows: usize) -> Vec<Kept> {
+    pub fn copy_rows(&self, after: Option<&str>, max_rows: usize) -> Vec<Kept> {
         let to_row = |(key, entry): (&Arc<str>, &Entry)| Kept {
             key: key.clone(),
             value: entry.value.clone(),
@@ -252,7 +252,7 @@
     }
 
     /// Returns lease ids with their times to live in milliseconds, for a snapshot.
-    pub fn lease_ttls(&self) -> Vec<(u64, u64)> {
+    pub fn list_lease_ttls(&self) -> Vec<(u64, u64)> {
         self.leases.iter().map(|(id, lease)| (*id, lease.ttl_ms)).collect()
     }
 
@@ -279,22 +279,19 @@
         keyspace.apply(&Record::Granted { lease: 1, ttl_ms: 500 }, Mono(0));
         ["a", "b", "c"].iter().for_each(|key| put(&mut keyspace, key, 1));
         put(&mut keyspace, "b", 0);
-        assert_eq!(keyspace.next_expired_lease(Mono(500)), None, "expired early");
+        assert_eq!(keyspace.find_expired_lease(Mono(500)), None, "expired early");
         assert!(keyspace.renew_lease(1, Mono(400)));
         assert_eq!(
-            (keyspace.next_expired_lease(Mono(900)), keyspace.next_expired_lease(Mono(901))),
+            (keyspace.find_expired_lease(Mono(900)), keyspace.find_expired_lease(Mono(901))),
             (None, Some(1))
         );
-        for record in keyspace.lease_end_records(1) {
+        for record in keyspace.build_lease_end_records(1) {
             keyspace.apply(&record, Mono(901));
         }
-        assert_eq!(
-            keyspace.snapshot_rows(None, 9).iter().map(|k| &*k.key).collect::<Vec<_>>(),
-            ["b"]
-        );
+        assert_eq!(keyspace.copy_rows(None, 9).iter().map(|k| &*k.key).collect::<Vec<_>>(), ["b"]);
         assert!(
             !keyspace.renew_lease(1, Mono(902))
-                && keyspace.next_expired_lease(Mono(99_999)).is_none()
+                && keyspace.find_expired_lease(Mono(99_999)).is_none()
         );
         assert_eq!((keyspace.next_lease(), keyspace.revision()), (2, 5));
     }
@@ -304,14 +301,14 @@
     fn ranges_stay_within_their_prefix() {
         let mut keyspace = Keyspace::default();
         ["a", "live/1", "live/2", "live/3", "lizard"].iter().for_each(|k| put(&mut keyspace, k, 0));
-        let keys = |prefix, after| -> Vec<String> {
+        let list_keys = |prefix, after| -> Vec<String> {
             keyspace.range(prefix, after).map(|(key, _)| key.to_string()).collect()
         };
-        assert_eq!(keys("live/", None), ["live/1", "live/2", "live/3"]);
-        assert_eq!(keys("live/", Some("live/1")), ["live/2", "live/3"]);
-        assert_eq!(keys("live/", Some("a")), ["live/1", "live/2", "live/3"]);
-        assert_eq!(keys("", Some("live/3")), ["lizard"]);
-        assert!(keys("live/", Some("m")).is_empty());
+        assert_eq!(list_keys("live/", None), ["live/1", "live/2", "live/3"]);
+        assert_eq!(list_keys("live/", Some("live/1")), ["live/2", "live/3"]);
+        assert_eq!(list_keys("live/", Some("a")), ["live/1", "live/2", "live/3"]);
+        assert_eq!(list_keys("", Some("live/3")), ["lizard"]);
+        assert!(list_keys("live/", Some("m")).is_empty());
     }
 
     /// Changes that are no longer in memory are reported as missing: a watch that skipped them would never learn of
@@ -321,8 +318,8 @@
         let mut keyspace = Keyspace::default();
         (0..MAX_RECENT_CHANGE_COUNT + 5).for_each(|n| put(&mut keyspace, &format!("k/{n}"), 0));
         let to = keyspace.revision();
-        assert!(keyspace.changes_between("k/", 4, to).is_none());
-        assert_eq!(keyspace.changes_between("k/", 5, to).unwrap().count(), MAX_RECENT_CHANGE_COUNT);
-        assert_eq!(keyspace.changes_between("k/", to - 2, to - 1).unwrap().count(), 1);
+        assert!(keyspace.find_changes("k/", 4, to).is_none());
+        assert_eq!(keyspace.find_changes("k/", 5, to).unwrap().count(), MAX_RECENT_CHANGE_COUNT);
+        assert_eq!(keyspace.find_changes("k/", to - 2, to - 1).unwrap().count(), 1);
     }
 }
--- a/crates/state/src/records.rs
+++ b/crates/state/src/records.rs
@@ -23,8 +23,11 @@
 /// gives the same result. The conditions of a transaction are checked before its record is made.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
+    /// Puts and deletes of one transaction, under one revision.
     Changed { revision: u64, writes: Vec<Write> },
+    /// A lease was granted.
     Granted { lease: u64, ttl_ms: u64 },
+    /// A lease expired or was revoked. Its keys are deleted by the `Changed` record before.
     Ended { lease: u64 },
 }
 
--- a/crates/state/src/recovery.rs
+++ b/crates/state/src/recovery.rs
@@ -15,25 +15,32 @@
 /// Why the data directory cannot be recovered.
 #[derive(Debug, thiserror::Error)]
 pub enum RecoveryError {
+    /// A disk operation failed.
     #[error("{name}: {cause}")]
     Io { name: String, cause: io::Error },
+    /// The file has the format version of a later release.
     #[error(
         "{name} is of format {format}, which a later version wrote; this one reads {}",
         crate::constants::FORMAT_VERSION
     )]
     NewerFormat { name: String, format: u16 },
+    /// The file is none of the service's own.
     #[error("{name} is not a file of this service")]
     UnknownFile { name: String },
+    /// A frame of the log is corrupt, and not a torn write at its end.
     #[error(
         "{name} is damaged at byte {offset}: what follows was acknowledged and cannot be trusted"
     )]
     Damaged { name: String, offset: usize },
+    /// A log file between two others is missing.
     #[error("{name} is missing: the log continues at {next}")]
     MissingLog { name: String, next: u64 },
+    /// The log ends before the last group that the snapshot may include.
     #[error(
         "the log ends at {end}, before the end of {snapshot} at {last_group}: a file is missing or was cut"
     )]
     LogTooShort { end: u64, snapshot: String, last_group: u64 },
+    /// The beginning of the log was removed and no snapshot replaces it.
     #[error("no snapshot is valid, and the remaining log begins at {first_group}")]
     NoSnapshot { first_group: u64 },
 }
@@ -55,7 +62,7 @@
     pub warnings: Vec<String>,
 }
 
-fn io_error(name: &str) -> impl Fn(io::Error) -> RecoveryError + '_ {
+fn to_io_error(name: &str) -> impl Fn(io::Error) -> RecoveryError + '_ {
     move |cause| RecoveryError::Io { name: name.to_owned(), cause }
 }
 
@@ -64,10 +71,10 @@
 /// # Errors
 /// A disk operation failed, or the directory is in a state that no crash of this service can cause.
 pub fn recover<D: Disk>(disk: &mut D, now: Mono) -> Result<Recovered, RecoveryError> {
-    let names = disk.list().map_err(io_error("the directory"))?;
+    let names = disk.list().map_err(to_io_error("the directory"))?;
     let mut warnings = Vec::new();
     if names.iter().any(|name| name == SNAPSHOT_TEMP_FILE) {
-        disk.remove(SNAPSHOT_TEMP_FILE).map_err(io_error(SNAPSHOT_TEMP_FILE))?;
+        disk.remove(SNAPSHOT_TEMP_FILE).map_err(to_io_error(SNAPSHOT_TEMP_FILE))?;
         warnings.push("removed an unfinished snapshot".to_owned());
     }
     let list_numbers = |prefix: &str| {
@@ -142,7 +149,7 @@
     // Damaged snapshots are removed only after everything else was read successfully.
     for number in damaged {
         let name = snapshot_file_name(number);
-        disk.remove(&name).map_err(io_error(&name))?;
+        disk.remove(&name).map_err(to_io_error(&name))?;
     }
     keyspace.finish_recovery(now);
     recovered.keyspace = keyspace;
@@ -160,7 +167,7 @@
     now: Mono,
 ) -> Result<(), RecoveryError> {
     let name = log_file_name(first);
-    let bytes = disk.read(&name).map_err(io_error(&name))?;
+    let bytes = disk.read(&name).map_err(to_io_error(&name))?;
     match check_file_header(FileKind::Log, &bytes) {
         Ok(()) => {}
         // The process ended while it created the file. The header was never synced, so no group in the file was
@@ -169,8 +176,8 @@
             recovered
                 .warnings
                 .push(format!("removed {name}: it was being created when the process ended"));
-            disk.remove(&name).map_err(io_error(&name))?;
-            return disk.sync_directory().map_err(io_error("the directory"));
+            disk.remove(&name).map_err(to_io_error(&name))?;
+            return disk.sync_directory().map_err(to_io_error("the directory"));
         }
         Err(HeaderError::Truncated) => return Err(RecoveryError::Damaged { name, offset: 0 }),
         Err(HeaderError::WrongMagic) => return Err(RecoveryError::UnknownFile { name }),
@@ -197,8 +204,8 @@
             recovered
                 .warnings
                 .push(format!("{name}: {torn_bytes} bytes of a write cut short are removed"));
-            disk.truncate(&name, offset as u64).map_err(io_error(&name))?;
-            disk.sync(&name).map_err(io_error(&name))?;
+            disk.truncate(&name, offset as u64).map_err(to_io_error(&name))?;
+            disk.sync(&name).map_err(to_io_error(&name))?;
         }
         Tail::Torn | Tail::Damaged => return Err(RecoveryError::Damaged { name, offset }),
     }
@@ -213,7 +220,7 @@
     disk: &mut D,
     name: &str,
 ) -> Result<Option<(Vec<Kept>, Close)>, RecoveryError> {
-    let bytes = disk.read(name).map_err(io_error(name))?;
+    let bytes = disk.read(name).map_err(to_io_error(name))?;
     match check_file_header(FileKind::Snapshot, &bytes) {
         Ok(()) => {}
         Err(HeaderError::Truncated) => return Ok(None),
--- a/crates/state/src/service.rs
+++ b/crates/state/src/service.rs
@@ -39,11 +39,13 @@
     }
 }
 
+/// What the connections and the writer threads send to the engine thread.
 enum Input {
     Http(Incoming<Request>),
     Event(Event),
 }
 
+/// Milliseconds since the start of the process.
 struct Clock(Instant);
 
 impl Clock {
@@ -73,13 +75,13 @@
     settings: Settings,
     on_ready: impl FnOnce(),
 ) -> Result<(), ServiceError> {
-    let directory_name = || directory.display().to_string();
+    let get_directory_name = || directory.display().to_string();
     let directory_lock = lock(directory)
-        .map_err(|cause| ServiceError::Directory { directory: directory_name(), cause })?;
+        .map_err(|cause| ServiceError::Directory { directory: get_directory_name(), cause })?;
     let clock = Clock(Instant::now());
     let mut disk = Directory::new(directory);
     let recovered = recover(&mut disk, clock.now())
-        .map_err(|error| ServiceError::Recovery { directory: directory_name(), error })?;
+        .map_err(|error| ServiceError::Recovery { directory: get_directory_name(), error })?;
     for warning in &recovered.warnings {
         tracing::warn!("{warning}");
     }
--- a/crates/state/src/snapshots.rs
+++ b/crates/state/src/snapshots.rs
@@ -16,7 +16,7 @@
     /// Rows up to the cursor were handed to the writer.
     CopyingRows {
         cursor: Option<Arc<str>>,
-        rows: u64,
+        row_count: u64,
     },
     /// All rows were handed over; the log up to the snapshot's end is not durable yet.
     AwaitingLog(Close),
@@ -28,7 +28,8 @@
     Aborting,
 }
 
-/// State machine of snapshots. At most one is taken at a time, and one step of it.
+/// State machine of snapshots. At most one snapshot is taken at a time, and at most one of its steps
+/// is executed.
 #[derive(Debug)]
 pub struct SnapshotScheduler {
     stage: Stage,
@@ -95,7 +96,7 @@
             self.first_group = next_group;
             self.log_bytes = 0;
             self.is_step_running = true;
-            self.set_stage(Stage::CopyingRows { cursor: None, rows: 0 });
+            self.set_stage(Stage::CopyingRows { cursor: None, row_count: 0 });
             Step::Begin
         })
     }
@@ -113,22 +114,23 @@
         }
         let step = match &self.stage {
             Stage::Idle | Stage::Closing | Stage::Pruning | Stage::Aborting => return None,
-            Stage::CopyingRows { cursor, rows } => {
-                let slice = keyspace.snapshot_rows(cursor.as_deref(), self.slice_rows);
+            Stage::CopyingRows { cursor, row_count } => {
+                let slice = keyspace.copy_rows(cursor.as_deref(), self.slice_rows);
                 match slice.last() {
                     Some(last) => {
-                        let (cursor, rows) = (Some(last.key.clone()), rows + slice.len() as u64);
-                        self.set_stage(Stage::CopyingRows { cursor, rows });
+                        let (cursor, row_count) =
+                            (Some(last.key.clone()), row_count + slice.len() as u64);
+                        self.set_stage(Stage::CopyingRows { cursor, row_count });
                         Step::Rows(slice)
                     }
                     None => {
                         let footer = Close {
-                            rows: *rows,
+                            rows: *row_count,
                             from: self.first_group,
                             last_group: last_applied,
                             revision: keyspace.revision(),
                             last_lease: keyspace.last_lease(),
-                            leases: keyspace.lease_ttls(),
+                            leases: keyspace.list_lease_ttls(),
                         };
                         self.set_stage(Stage::AwaitingLog(footer));
                         return self.next_step(keyspace, last_applied, last_durable);
--- a/crates/state/tests/crash/reference.rs
+++ b/crates/state/tests/crash/reference.rs
@@ -111,7 +111,7 @@
         self.renew_all_leases(now);
     }
 
-    pub fn changes_between(&self, after: u64, to: u64) -> Vec<Change> {
+    pub fn find_changes(&self, after: u64, to: u64) -> Vec<Change> {
         self.changes.iter().filter(|(r, _, _)| *r > after && *r <= to).cloned().collect()
     }
 }
--- a/crates/state/tests/crashes.rs
+++ b/crates/state/tests/crashes.rs
@@ -26,7 +26,7 @@
 const KEY_COUNT: u32 = 24;
 
 /// Small sizes, so that many snapshots are taken in many steps.
-fn small_settings() -> Settings {
+fn make_settings() -> Settings {
     Settings { snapshot_mb: 0.01, slice_rows: 3, ..Settings::default() }
 }
 
@@ -74,8 +74,8 @@
         (row.key.to_string(), (row.value.to_string(), row.stamp, row.lease))
     };
     State {
-        keys: keyspace.snapshot_rows(None, usize::MAX).iter().map(to_key).collect(),
-        leases: keyspace.lease_ttls().into_iter().collect(),
+        keys: keyspace.copy_rows(None, usize::MAX).iter().map(to_key).collect(),
+        leases: keyspace.list_lease_ttls().into_iter().collect(),
         revision: keyspace.revision(),
         last_lease: keyspace.last_lease(),
     }
@@ -111,7 +111,7 @@
                 Ok(recovered) => {
                     self.disk.0.borrow_mut().operations_left = None;
                     let (name, length) = (recovered.log_file.clone(), recovered.log_file_length);
-                    let engine = Engine::new(&small_settings(), recovered, Mono(self.now));
+                    let engine = Engine::new(&make_settings(), recovered, Mono(self.now));
                     self.check_recovered_state(&engine);
                     return Run {
                         engine,
@@ -141,8 +141,8 @@
         self.reference.roll_back(index, self.now);
     }
 
-    /// Makes a random request, and the reply that the reference model expects.
-    fn next_request(&mut self) -> (Request, Expected) {
+    /// Makes a random request, and derives the expected reply from the reference model.
+    fn make_request(&mut self) -> (Request, Expected) {
         let now = self.now;
         let random_key = |rng: &mut ChaCha8Rng| format!("k/{:02}", rng.random_range(0..KEY_COUNT));
         let state = self.reference.current().clone();
@@ -220,7 +220,7 @@
                     self.reference.expirations.insert(lease, now + ttl_ms);
                 }
                 let expected = match self.expect_lease_reply(ttl_ms.is_some(), lease) {
-                    // A renewal is answered at once, so its reply may precede the durability of the lease.
+                    // A renewal is answered at once, possibly before the lease is durable, so it acknowledges no state.
                     Expected::Reply(200, body, _) => Expected::Reply(200, body, 0),
                     other => other,
                 };
@@ -302,7 +302,7 @@
                     .collect();
                 assert_eq!(
                     log,
-                    self.reference.changes_between(after, changes.revision.0),
+                    self.reference.find_changes(after, changes.revision.0),
                     "seed {seed}"
                 );
                 let index =
@@ -323,7 +323,7 @@
             match self.rng.random_range(0..100) {
                 0..45 => {
                     let before = self.reference.clone();
-                    let (request, expected) = self.next_request();
+                    let (request, expected) = self.make_request();
                     self.last_conn += 1;
                     let conn = ConnId(self.last_conn);
                     let refused_before = self.refused_count;
@@ -472,7 +472,7 @@
         let mut simulation = Simulation::new(seed);
         simulation.run(1_500);
         let undamaged = recover(&mut simulation.disk.deep_copy(), Mono(0)).expect("valid files");
-        let undamaged = read_state(&Engine::new(&small_settings(), undamaged, Mono(0)));
+        let undamaged = read_state(&Engine::new(&make_settings(), undamaged, Mono(0)));
         let mut files = simulation.disk.clone();
         for _ in 0..400 {
             let names = files.list().unwrap();
@@ -488,7 +488,7 @@
             match recover(&mut copy, Mono(0)) {
                 Err(_) => refused_count += 1,
                 Ok(recovered) => {
-                    let state = read_state(&Engine::new(&small_settings(), recovered, Mono(0)));
+                    let state = read_state(&Engine::new(&make_settings(), recovered, Mono(0)));
                     assert_eq!(state, undamaged, "seed {seed}: {name}, byte {offset}, bit {bit}");
                     harmless_count += 1;
                 }
--- a/crates/state/tests/kill.rs
+++ b/crates/state/tests/kill.rs
@@ -16,19 +16,19 @@
 const WRITER_COUNT: usize = 6;
 const KEYS_PER_WRITER: u64 = 5;
 
-fn free_address() -> String {
+fn find_free_address() -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     listener.local_addr().expect("an address").to_string()
 }
 
-fn service_command(address: &str, data: &Path, arguments: &[&str]) -> Command {
+fn build_command(address: &str, data: &Path, arguments: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_oatloom-state"));
     command.args(["--listen", address, "--data"]).arg(data).args(arguments);
     command.env("LOG_LEVEL", "error").stdin(Stdio::null());
     command
 }
 
-fn new_caller(address: &str) -> Caller {
+fn create_caller(address: &str) -> Caller {
     Caller::new(address, Millis(2_000), 16 * 1024 * 1024)
 }
 
@@ -64,14 +64,14 @@
     keys: &mut [WriterKey],
     stop: &AtomicBool,
 ) -> u64 {
-    let caller = new_caller(address);
+    let caller = create_caller(address);
     let mut revision = 0;
     for round in 0.. {
         let key = &mut keys[round % KEYS_PER_WRITER as usize];
         let path = format!("w{writer}/{}", round % KEYS_PER_WRITER as usize);
         key.requested += 1;
         let txn = json!({"when": [{"path": path, "stamp": key.revision}],
-            "then": [{"put": path, "data": key.requested}, {"delete": "missing/key"}]});
+            "then": [{"put": path, "data": key.requested}, {"delete": "nothing/there"}]});
         match caller.post("/multi", &txn) {
             Some((200, body)) => {
                 let reply: serde_json::Value = serde_json::from_slice(&body).expect("a JSON reply");
@@ -100,17 +100,16 @@
     let settings = data.path().join("settings.lisp");
     // Small sizes, so that kills also happen during snapshots.
     std::fs::write(&settings, "((snapshot-mb . 0.05) (slice-rows . 4))").expect("write the file");
-    let (address, home) = (free_address(), data.path().join("state"));
+    let (address, home) = (find_free_address(), data.path().join("state"));
     let file = settings.display().to_string();
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     let mut writer_keys = vec![[WriterKey::default(); KEYS_PER_WRITER as usize]; WRITER_COUNT];
     let (mut acknowledged_revision, mut watched_revision, mut written, mut compacted_count) =
         (0, 0, 0, 0);
     for kill in 0..=kill_count {
-        let mut child = service_command(&address, &home, &["--file", &file])
-            .spawn()
-            .expect("start the process");
-        let caller = new_caller(&address);
+        let mut child =
+            build_command(&address, &home, &["--file", &file]).spawn().expect("start the process");
+        let caller = create_caller(&address);
         let status = wait_until_ready(&caller);
         assert!(
             status.revision.0 >= acknowledged_revision,
@@ -189,9 +188,9 @@
 #[test]
 fn startup_errors_are_one_line() {
     let data = tempfile::tempdir().expect("a directory");
-    let (address, home) = (free_address(), data.path().join("state"));
+    let (address, home) = (find_free_address(), data.path().join("state"));
     let expect_failure = |address: &str, home: &Path, arguments: &[&str], message: &str| {
-        let output = service_command(address, home, arguments).output().expect("start the process");
+        let output = build_command(address, home, arguments).output().expect("start the process");
         let text = String::from_utf8_lossy(&output.stderr).into_owned();
         assert_eq!(output.status.code(), Some(2), "{text}");
         assert!(text.contains(message), "{text}");
@@ -215,9 +214,9 @@
         "rps: must be",
     ));
     assert_one_line(expect_failure(&address, &bad_settings, &[], "bad.lisp: "));
-    let mut child = service_command(&address, &home, &[]).spawn().expect("start the process");
-    wait_until_ready(&new_caller(&address));
-    assert_one_line(expect_failure(&free_address(), &home, &[], "another process uses it"));
+    let mut child = build_command(&address, &home, &[]).spawn().expect("start the process");
+    wait_until_ready(&create_caller(&address));
+    assert_one_line(expect_failure(&find_free_address(), &home, &[], "another process uses it"));
     assert_one_line(expect_failure(&address, &data.path().join("other"), &[], "cannot listen"));
     kill_process(&mut child);
     std::fs::write(home.join("diary"), "x").expect("write the file");
@@ -240,42 +239,42 @@
     let data = tempfile::tempdir().expect("a directory");
     let file = data.path().join("settings.lisp");
     std::fs::write(&file, "((rps . 40) (write-rps . 10) (txn-ops . 3))").expect("write the file");
-    let (address, home) = (free_address(), data.path().join("state"));
+    let (address, home) = (find_free_address(), data.path().join("state"));
     let file = file.display().to_string();
     let mut child =
-        service_command(&address, &home, &["--file", &file]).spawn().expect("start the process");
-    let caller = new_caller(&address);
+        build_command(&address, &home, &["--file", &file]).spawn().expect("start the process");
+    let caller = create_caller(&address);
     wait_until_ready(&caller);
-    let status = |reply: Option<(u16, Vec<u8>)>| reply.expect("a reply").0;
+    let get_status = |reply: Option<(u16, Vec<u8>)>| reply.expect("a reply").0;
     let put = |key: &str, revision: u64| {
         let txn = json!({"when": [{"path": key, "stamp": revision}],
             "then": [{"put": key, "data": {"k": key}}]});
         caller.post("/multi", &txn)
     };
-    assert_eq!(status(put("a/b", 0)), 200);
-    assert_eq!(status(put("a/b", 0)), 409);
-    assert_eq!(status(caller.post("/multi", &json!([]))), 400);
+    assert_eq!(get_status(put("a/b", 0)), 200);
+    assert_eq!(get_status(put("a/b", 0)), 409);
+    assert_eq!(get_status(caller.post("/multi", &json!([]))), 400);
     assert_eq!(
-        status(caller.post("/multi", &json!({"then": vec![json!({"delete": "x"}); 4]}))),
+        get_status(caller.post("/multi", &json!({"then": vec![json!({"delete": "x"}); 4]}))),
         400
     );
-    assert_eq!(status(caller.get("/keys/a/b")), 200);
-    assert_eq!(status(caller.get("/keys/a/c")), 404);
+    assert_eq!(get_status(caller.get("/keys/a/b")), 200);
+    assert_eq!(get_status(caller.get("/keys/a/c")), 404);
     let (_, body) = caller.post("/grants", &json!({"ttlMs": 100})).expect("a reply");
     let lease =
         serde_json::from_slice::<serde_json::Value>(&body).expect("JSON")["tenancy"].clone();
     let txn = json!({"then": [{"put": "leased", "data": 1, "tenancy": lease}]});
-    assert_eq!(status(caller.post("/multi", &txn)), 200);
+    assert_eq!(get_status(caller.post("/multi", &txn)), 200);
     let (_, body) = caller.get("/follow?prefix=leased&after=2&holdMs=3000").expect("a reply");
     let changes: Changes = serde_json::from_slice(&body).expect("changes");
     assert_eq!(changes.log[0].delete.as_deref(), Some("leased"), "{changes:?}");
-    assert_eq!(status(caller.post(&format!("/grants/{lease}/touch"), &json!({}))), 404);
-    assert_eq!(status(caller.post("/multi", &txn)), 400, "no such lease");
+    assert_eq!(get_status(caller.post(&format!("/grants/{lease}/touch"), &json!({}))), 404);
+    assert_eq!(get_status(caller.post("/multi", &txn)), 400, "no such lease");
     let started_at = Instant::now();
     let (code, body) = caller.get("/follow?prefix=zzz&after=3&holdMs=150").expect("a reply");
     assert!(code == 200 && started_at.elapsed() >= Duration::from_millis(140));
     assert!(String::from_utf8_lossy(&body).contains("\"log\":[]"));
-    let codes: Vec<u16> = (0..15).map(|n| status(put(&format!("n/{n}"), 0))).collect();
+    let codes: Vec<u16> = (0..15).map(|n| get_status(put(&format!("n/{n}"), 0))).collect();
     assert!(codes.contains(&200) && codes.contains(&429), "{codes:?}");
     kill_process(&mut child);
 }
