--- a/crates/state/benches/service.rs
+++ b/crates/state/benches/service.rs
@@ -1,5 +1,5 @@
-//! Throughput of changes, time and memory of recovery, and latency of changes during a snapshot. Clients run on the same
-//! machine: `cargo bench -p oatloom-state`.
+//! Throughput of changes, time and memory of recovery, and latency of changes during a snapshot. Clients run on the
+//! same machine: `cargo bench -p oatloom-state`.
 
 use criterion::{Criterion, Throughput};
 use hdrhistogram::Histogram;
--- a/crates/state/src/journal.rs
+++ b/crates/state/src/journal.rs
@@ -167,13 +167,13 @@
             }
             // Cloning rows only increments reference counts, so the engine does not wait for their encoding.
             Step::Rows(rows) => self.write_part(&SnapshotPart::Rows(rows.clone())),
-            Step::Close(close) => {
-                self.write_part(&SnapshotPart::Footer(close.clone()))?;
+            Step::Close(footer) => {
+                self.write_part(&SnapshotPart::Footer(footer.clone()))?;
                 let encoder = self.encoder.take().ok_or_else(make_no_snapshot_error)?;
                 let remainder = encoder.finish()?;
                 self.disk.append(SNAPSHOT_TEMP_FILE, &remainder)?;
                 self.disk.sync(SNAPSHOT_TEMP_FILE)?;
-                self.disk.rename(SNAPSHOT_TEMP_FILE, &snapshot_file_name(close.from))?;
+                self.disk.rename(SNAPSHOT_TEMP_FILE, &snapshot_file_name(footer.from))?;
                 self.disk.sync_directory()
             }
             Step::Abort => {
--- a/crates/state/src/recovery.rs
+++ b/crates/state/src/recovery.rs
@@ -24,7 +24,7 @@
         crate::constants::FORMAT_VERSION
     )]
     NewerFormat { name: String, format: u16 },
-    /// The file is none of the service's own.
+    /// The file was not written by this service.
     #[error("{name} is not a file of this service")]
     UnknownFile { name: String },
     /// A frame of the log is corrupt, and not a torn write at its end.
@@ -32,7 +32,7 @@
         "{name} is damaged at byte {offset}: what follows was acknowledged and cannot be trusted"
     )]
     Damaged { name: String, offset: usize },
-    /// A log file between two others is missing.
+    /// A log file between the snapshot and the end of the log is missing.
     #[error("{name} is missing: the log continues at {next}")]
     MissingLog { name: String, next: u64 },
     /// The log ends before the last group that the snapshot may include.
@@ -40,7 +40,7 @@
         "the log ends at {end}, before the end of {snapshot} at {last_group}: a file is missing or was cut"
     )]
     LogTooShort { end: u64, snapshot: String, last_group: u64 },
-    /// The beginning of the log was removed and no snapshot replaces it.
+    /// No snapshot is valid, and the log does not reach back to the first group.
     #[error("no snapshot is valid, and the remaining log begins at {first_group}")]
     NoSnapshot { first_group: u64 },
 }
--- a/crates/state/tests/crash/disk.rs
+++ b/crates/state/tests/crash/disk.rs
@@ -11,6 +11,7 @@
 
 const SECTOR_BYTES: usize = 512;
 
+/// A file with the content that survives any crash.
 #[derive(Clone, Default)]
 struct File {
     synced: Vec<u8>,
@@ -19,6 +20,7 @@
     longest: Vec<u8>,
 }
 
+/// A change of the directory; files are identified by their index.
 #[derive(Clone)]
 enum NameChange {
     Create(String, usize),
@@ -44,7 +46,7 @@
 #[derive(Clone, Default)]
 pub struct SimDisk(pub Rc<RefCell<Inner>>);
 
-fn apply(names: &mut BTreeMap<String, usize>, change: &NameChange) {
+fn apply_name_change(names: &mut BTreeMap<String, usize>, change: &NameChange) {
     match change {
         NameChange::Create(name, file) => drop(names.insert(name.clone(), *file)),
         NameChange::Rename(from, to) => {
@@ -77,7 +79,9 @@
         let mut inner = self.0.borrow_mut();
         let mut names = inner.synced_names.clone();
         let survivor_count = rng.random_range(0..=inner.name_changes.len());
-        inner.name_changes[..survivor_count].iter().for_each(|change| apply(&mut names, change));
+        inner.name_changes[..survivor_count]
+            .iter()
+            .for_each(|change| apply_name_change(&mut names, change));
         for file in &mut inner.files {
             let written = if rng.random_bool(0.3) { &file.longest } else { &file.data };
             let synced_length = file.synced.len();
@@ -187,7 +191,7 @@
         self.begin()?;
         let mut inner = self.0.borrow_mut();
         let change = NameChange::Rename(from.to_owned(), to.to_owned());
-        apply(&mut inner.names, &change);
+        apply_name_change(&mut inner.names, &change);
         inner.name_changes.push(change);
         Ok(())
     }
--- a/crates/state/tests/crashes.rs
+++ b/crates/state/tests/crashes.rs
@@ -1,6 +1,6 @@
 //! Simulates the engine on a disk that crashes, fills up and fails, with seeded random requests. Guards against
-//! acknowledged changes that are missing after recovery, refused changes that appear, and revisions that skip numbers or
-//! decrease. `OATLOOM_SEEDS=n` runs n additional seeds.
+//! acknowledged changes that are missing after recovery, refused changes that appear, and revisions that skip numbers
+//! or decrease. `OATLOOM_SEEDS=n` runs n additional seeds.
 
 #[path = "crash/disk.rs"]
 mod disk;
@@ -463,8 +463,8 @@
     run_seeds(20_001, 40);
 }
 
-/// Recovery from files with a flipped bit fails or gives the same state. Guards against a corrupt file that is loaded as
-/// a different state.
+/// Recovery from files with a flipped bit fails or gives the same state. Guards against a corrupt file that is loaded
+/// as a different state.
 #[test]
 fn damage_is_never_repaired_by_guessing() {
     let (mut refused_count, mut harmless_count) = (0, 0);
--- a/crates/state/tests/kill.rs
+++ b/crates/state/tests/kill.rs
@@ -90,8 +90,8 @@
     revision
 }
 
-/// After each kill, every key has a value between the last acknowledged and the last requested one, the revision has not
-/// decreased, and a watch misses no change.
+/// After each kill, every key has a value between the last acknowledged and the last requested one, the revision has
+/// not decreased, and a watch misses no change.
 #[test]
 fn acknowledged_changes_survive_kills() {
     let kill_count: u32 =
@@ -221,7 +221,7 @@
     kill_process(&mut child);
     std::fs::write(home.join("diary"), "x").expect("write the file");
     assert_one_line(expect_failure(&address, &home, &[], "diary is not a file of this service"));
-    std::fs::remove_file(home.join("diary")).expect("removed");
+    std::fs::remove_file(home.join("diary")).expect("remove the file");
     let log = home.join("log-00000000000000000001");
     std::fs::write(&log, b"oatlog\x09\x00").expect("write the file");
     assert_one_line(expect_failure(
