--- a/crates/web/src/lib.rs
+++ b/crates/web/src/lib.rs
@@ -2,8 +2,8 @@
 //! connections, and calls that always end. Knows nothing of what is said.
 
 pub mod client;
+mod connection_limit;
 pub mod constants;
-mod crowd;
 mod http;
 pub mod server;
 
--- a/crates/web/src/server.rs
+++ b/crates/web/src/server.rs
@@ -2,8 +2,8 @@
 //! A thread for each connection, as the house's usual library has it, does not fit a leader with
 //! thousands of workers: past the system's limit of threads it stopped accepting for good.
 
+use crate::connection_limit::{Crowd, Level};
 use crate::constants::*;
-use crate::crowd::{Crowd, Level};
 use crate::http::{Parsed, Wire};
 use crate::{StartError, bind_patiently, spawn};
 use crossbeam::channel::{Receiver, Sender, TryRecvError, bounded};
