--- a/crates/web/src/client.rs
+++ b/crates/web/src/client.rs
@@ -1,4 +1,4 @@
-//! HTTP calls that always end, by an answer or a time-out.
+//! Blocking HTTP client; every call ends with a response or a timeout.
 
 use oatloom_protocol::ids::Millis;
 use std::time::Duration;
@@ -6,10 +6,10 @@
 use ureq::unversioned::resolver::{DefaultResolver, ResolvedSocketAddrs, Resolver};
 use ureq::unversioned::transport::{DefaultConnector, NextTimeout};
 
-/// Status and body of an answer; `None`: there was none.
+/// Status and body of a response, or `None` if there was no response.
 pub type Raw = Option<(u16, Vec<u8>)>;
 
-/// An answer with what it says about coming back.
+/// A response with the delay from its `Retry-After` header, if any.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
     pub status: u16,
@@ -17,31 +17,31 @@
     pub retry_after_s: Option<u32>,
 }
 
-/// Calls one address over connections that are kept.
+/// HTTP client for one server address; connections are reused.
 #[derive(Clone, Debug)]
 pub struct Caller {
     agent: Agent,
-    base: String,
-    most_bytes: u64,
+    base_url: String,
+    max_bytes: u64,
 }
 
-/// Takes numeric addresses as they are. Guards against a thread for every look-up, which the
-/// library starts otherwise and which ended the caller's when no thread could be had.
+/// Resolves numeric addresses without a DNS lookup. The library starts a thread for each lookup,
+/// which ended the calling thread when the system had no thread left.
 #[derive(Debug)]
-struct Numeric(DefaultResolver);
+struct NumericResolver(DefaultResolver);
 
-impl Resolver for Numeric {
+impl Resolver for NumericResolver {
     fn resolve(
         &self,
         uri: &ureq::http::Uri,
         config: &ureq::config::Config,
         timeout: NextTimeout,
     ) -> Result<ResolvedSocketAddrs, ureq::Error> {
-        match uri.authority().and_then(|a| a.as_str().parse().ok()) {
+        match uri.authority().and_then(|authority| authority.as_str().parse().ok()) {
             Some(address) => {
-                let mut found = self.empty();
-                found.push(address);
-                Ok(found)
+                let mut resolved = self.empty();
+                resolved.push(address);
+                Ok(resolved)
             }
             None => self.0.resolve(uri, config, timeout),
         }
@@ -49,78 +49,81 @@
 }
 
 impl Caller {
-    /// `timeout` bounds a whole call, `most_bytes` its answer. An empty address is completed by each
-    /// call's path.
-    pub fn new(address: &str, timeout: Millis, most_bytes: u64) -> Self {
+    /// `timeout` bounds the whole call and `max_bytes` the size of the response body. With an empty
+    /// `address`, the path of each call contains the address.
+    pub fn new(address: &str, timeout: Millis, max_bytes: u64) -> Self {
         let config = Agent::config_builder()
             .http_status_as_error(false)
             .timeout_global(Some(Duration::from_millis(timeout.0)))
             .max_idle_connections(2)
             .max_idle_connections_per_host(2)
             .build();
-        let resolver = Numeric(DefaultResolver::default());
+        let resolver = NumericResolver(DefaultResolver::default());
         let agent = Agent::with_parts(config, DefaultConnector::default(), resolver);
-        Self { agent, base: format!("http://{address}"), most_bytes }
+        Self { agent, base_url: format!("http://{address}"), max_bytes }
     }
 
-    fn finish(&self, result: Result<ureq::http::Response<ureq::Body>, ureq::Error>) -> Raw {
-        let read = result.and_then(|mut answer| {
-            let body = answer.body_mut().with_config().limit(self.most_bytes).read_to_vec()?;
-            Ok((answer.status().as_u16(), body))
+    fn read_response(&self, result: Result<ureq::http::Response<ureq::Body>, ureq::Error>) -> Raw {
+        let outcome = result.and_then(|mut response| {
+            let body = response.body_mut().with_config().limit(self.max_bytes).read_to_vec()?;
+            Ok((response.status().as_u16(), body))
         });
-        read.inspect_err(|e| log::debug!("client: {e}")).ok()
+        outcome.inspect_err(|e| log::debug!("http client: request failed: {e}")).ok()
     }
 
+    /// Sends a `GET` request.
     pub fn get(&self, path: &str) -> Raw {
-        self.finish(self.agent.get(format!("{}{path}", self.base)).call())
+        self.read_response(self.agent.get(format!("{}{path}", self.base_url)).call())
     }
 
+    /// Sends a `POST` request with a JSON body.
     pub fn post(&self, path: &str, body: &impl serde::Serialize) -> Raw {
         let body = serde_json::to_vec(body).ok()?;
-        let request = self.agent.post(format!("{}{path}", self.base));
-        self.finish(request.content_type("application/json").send(&body[..]))
+        let request = self.agent.post(format!("{}{path}", self.base_url));
+        self.read_response(request.content_type("application/json").send(&body[..]))
     }
 
-    /// Asks as a user does, who heeds when to come back.
+    /// Sends a request and also returns the `Retry-After` delay of the response.
     pub fn ask(&self, method: &str, path: &str, body: &[u8]) -> Option<Answer> {
-        let url = format!("{}{path}", self.base);
+        let url = format!("{}{path}", self.base_url);
         let result = match method {
             "POST" => self.agent.post(url).content_type("application/json").send(body),
             _ => self.agent.get(url).call(),
         };
-        let later = |answer: &ureq::http::Response<ureq::Body>| {
-            answer.headers().get("Retry-After")?.to_str().ok()?.trim().parse().ok()
+        let parse_retry_after = |response: &ureq::http::Response<ureq::Body>| {
+            response.headers().get("Retry-After")?.to_str().ok()?.trim().parse().ok()
         };
-        let retry_after_s = result.as_ref().ok().and_then(later);
-        let (status, body) = self.finish(result)?;
+        let retry_after_s = result.as_ref().ok().and_then(parse_retry_after);
+        let (status, body) = self.read_response(result)?;
         Some(Answer { status, body, retry_after_s })
     }
 
-    /// Passes a request on as it came.
+    /// Forwards a request unchanged.
     pub fn pass(&self, method: &str, path: &str, body: &[u8]) -> Raw {
-        let url = format!("{}{path}", self.base);
-        self.finish(match method {
+        let url = format!("{}{path}", self.base_url);
+        self.read_response(match method {
             "POST" => self.agent.post(url).content_type("application/json").send(body),
             "DELETE" => self.agent.delete(url).call(),
             _ => self.agent.get(url).call(),
         })
     }
 
+    /// Sends a `DELETE` request.
     pub fn delete(&self, path: &str) -> Raw {
-        self.finish(self.agent.delete(format!("{}{path}", self.base)).call())
+        self.read_response(self.agent.delete(format!("{}{path}", self.base_url)).call())
     }
 }
 
-/// Text as it may stand in a query.
+/// Percent-encodes text for use in a query string.
 pub fn escape(text: &str) -> String {
-    let plain = |b: u8| b.is_ascii_alphanumeric() || b"-._~/".contains(&b);
-    let mut out = String::new();
+    let is_unreserved = |b: u8| b.is_ascii_alphanumeric() || b"-._~/".contains(&b);
+    let mut escaped = String::new();
     for b in text.bytes() {
-        if plain(b) {
-            out.push(b as char);
+        if is_unreserved(b) {
+            escaped.push(b as char);
         } else {
-            out.push_str(&format!("%{b:02X}"));
+            escaped.push_str(&format!("%{b:02X}"));
         }
     }
-    out
+    escaped
 }
--- a/crates/web/src/connection_limit.rs
+++ b/crates/web/src/connection_limit.rs
@@ -1,65 +1,67 @@
-//! How many connections may stay open between requests.
+//! Limits how many connections stay open between requests.
 //!
-//! A controller that alone is left is visited by more workers and users than it may have connections. Each kind of
-//! visitor needs one only while it is asked something: so connections stay open while there is room for all, and beyond
-//! [`CROWDED`] they are closed with their answers, as the protocol allows at any time. What remains free is for those who
-//! come next, health probes among them.
+//! When only one controller is left, more workers and users contact it than it may have connections. A client needs its
+//! connection only during a request. Connections are therefore kept alive while there are enough of them; above
+//! [`MAX_KEEP_ALIVE_FRACTION`] each is closed after its response, as HTTP allows at any time. The connections that stay free
+//! serve new clients, health probes included.
 
 use crate::constants::*;
 use oatloom_protocol::ids::Millis;
 use std::cmp::Reverse;
 
-/// How full the server is.
+/// How much of the connection limit is in use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Level {
-    /// Connections stay open after their answers.
-    Open,
-    /// Each is closed after its answer.
-    Crowded,
-    /// No further one has a place but that of one that lies idle.
+pub(crate) enum ConnectionUsage {
+    /// Connections are kept alive after a response.
+    Normal,
+    /// Each connection is closed after its response.
+    NearLimit,
+    /// A new connection is accepted only after an idle one has been evicted.
     Full,
 }
 
+/// The connection limit of a server.
 #[derive(Debug)]
-pub(crate) struct Crowd {
-    most: usize,
-    /// Whether it was said that all are in use, since there last was room for everybody.
-    said: bool,
+pub(crate) struct ConnectionLimit {
+    max_connections: usize,
+    /// Whether reaching the limit has been logged since usage was last normal.
+    is_full_logged: bool,
 }
 
-impl Crowd {
-    pub fn new(most: usize) -> Self {
-        Self { most, said: false }
+impl ConnectionLimit {
+    pub fn new(max_connections: usize) -> Self {
+        Self { max_connections, is_full_logged: false }
     }
 
-    /// Connections beyond which each is closed after its answer.
-    fn crowded_at(&self) -> usize {
-        (self.most as f64 * CROWDED) as usize
+    /// Number of connections from which on each is closed after its response.
+    fn near_limit_count(&self) -> usize {
+        (self.max_connections as f64 * MAX_KEEP_ALIVE_FRACTION) as usize
     }
 
-    /// How full it is with so many connections.
-    pub fn count(&mut self, open: usize) -> Level {
-        let level = match open {
-            n if n >= self.most => Level::Full,
-            n if n >= self.crowded_at().max(1) => Level::Crowded,
-            _ => Level::Open,
+    /// Returns the usage with `open` connections, and logs once when the limit is reached.
+    pub fn usage(&mut self, open: usize) -> ConnectionUsage {
+        let usage = match open {
+            n if n >= self.max_connections => ConnectionUsage::Full,
+            n if n >= self.near_limit_count().max(1) => ConnectionUsage::NearLimit,
+            _ => ConnectionUsage::Normal,
         };
-        // Guards against a line each time one of the last is taken and given back.
-        if level == Level::Full && !self.said {
-            log::info!("http: all {} connections are in use", self.most);
+        // Avoids a log line each time the last free connection is taken and released.
+        if usage == ConnectionUsage::Full && !self.is_full_logged {
+            log::info!("http: all {} connections are in use", self.max_connections);
         }
-        self.said = level != Level::Open && (self.said || level == Level::Full);
-        level
+        self.is_full_logged = usage != ConnectionUsage::Normal
+            && (self.is_full_logged || usage == ConnectionUsage::Full);
+        usage
     }
 
-    /// Which of the idle connections give their places to others, of `(key, idle for)`: those that lay idle longest, some
-    /// at once, so that not every newcomer looks through all. One that had its answer just now is left alone: whoever has
-    /// it may be asking again, and one that is new has not had the time to ask.
-    pub fn gives_way(&self, idle: impl Iterator<Item = (usize, Millis)>) -> Vec<usize> {
+    /// Selects the connections to evict from `(key, idle time)` pairs: the longest idle ones, several at once so that not
+    /// every new connection has to search all of them. Recently active connections are not evicted, because their clients
+    /// may be sending another request, and neither are new ones, whose clients have not had time to send their first.
+    pub fn select_evictions(&self, idle: impl Iterator<Item = (usize, Millis)>) -> Vec<usize> {
         let mut idle: Vec<(usize, Millis)> =
-            idle.filter(|(_, idle)| *idle >= GIVES_WAY_MS).collect();
-        idle.sort_unstable_by_key(|(key, idle)| (Reverse(*idle), *key));
-        idle.into_iter().take(GIVE_WAY_AT_ONCE).map(|(key, _)| key).collect()
+            idle.filter(|(_, idle_time)| *idle_time >= MIN_EVICTION_IDLE_MS).collect();
+        idle.sort_unstable_by_key(|(key, idle_time)| (Reverse(*idle_time), *key));
+        idle.into_iter().take(MAX_EVICTION_COUNT).map(|(key, _)| key).collect()
     }
 }
 
@@ -68,23 +70,30 @@
     use super::*;
 
     #[test]
-    fn levels_follow_the_count() {
-        for most in [1, 2, 5, 16, 400, 2_400] {
-            let mut crowd = Crowd::new(most);
-            assert_eq!([crowd.count(0), crowd.count(most)], [Level::Open, Level::Full]);
-            if most >= 5 {
-                let levels = [crowd.count(most - 1), crowd.count(most / 2)];
-                assert_eq!(levels, [Level::Crowded, Level::Open]);
+    fn usage_depends_on_the_number_of_connections() {
+        for max_connections in [1, 2, 5, 16, 400, 2_400] {
+            let mut limit = ConnectionLimit::new(max_connections);
+            assert_eq!(
+                [limit.usage(0), limit.usage(max_connections)],
+                [ConnectionUsage::Normal, ConnectionUsage::Full]
+            );
+            if max_connections >= 5 {
+                let usages = [limit.usage(max_connections - 1), limit.usage(max_connections / 2)];
+                assert_eq!(usages, [ConnectionUsage::NearLimit, ConnectionUsage::Normal]);
             }
         }
     }
 
-    /// The longest idle go first, and none that was just served.
+    /// The longest idle connections are evicted first, and recently active ones never.
     #[test]
-    fn the_longest_idle_give_way() {
-        let crowd = Crowd::new(1_000);
-        let gone = crowd.gives_way((0..1_000).map(|n| (n, Millis(n as u64 * 10))));
-        assert_eq!(gone, (1_000 - GIVE_WAY_AT_ONCE..1_000).rev().collect::<Vec<_>>());
-        assert!(crowd.gives_way((0..1_000).map(|n| (n, Millis(GIVES_WAY_MS.0 - 1)))).is_empty());
+    fn the_longest_idle_connections_are_evicted() {
+        let limit = ConnectionLimit::new(1_000);
+        let evicted = limit.select_evictions((0..1_000).map(|n| (n, Millis(n as u64 * 10))));
+        assert_eq!(evicted, (1_000 - MAX_EVICTION_COUNT..1_000).rev().collect::<Vec<_>>());
+        assert!(
+            limit
+                .select_evictions((0..1_000).map(|n| (n, Millis(MIN_EVICTION_IDLE_MS.0 - 1))))
+                .is_empty()
+        );
     }
 }
--- a/crates/web/src/lib.rs
+++ b/crates/web/src/lib.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 over sockets, as every program of oatloom serves and calls it: one thread that waits for all
-//! connections, and calls that always end. Knows nothing of what is said.
+//! HTTP/1.1 server and client shared by oatloom's programs. The server handles all connections on one thread; client calls
+//! end with a response or a timeout. The crate does not interpret the contents of requests.
 
 pub mod client;
 mod connection_limit;
@@ -11,7 +11,7 @@
 use std::io::ErrorKind;
 use std::time::{Duration, Instant};
 
-/// Why a server could not be started.
+/// Errors while starting a server.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     #[error("cannot listen on {address}: {cause}")]
@@ -20,27 +20,27 @@
     Thread(#[from] std::io::Error),
 }
 
-/// Binds an address, and waits for it for a while if somebody else still has it: a process that was killed and is started
-/// again at once may come before the last one's sockets are gone.
+/// Binds an address, retrying while it is in use: when a process is killed and restarted at once, the sockets of its
+/// predecessor may still be open.
 ///
 /// # Errors
-/// The address cannot be had, or is still in use after [`ADDRESS_PATIENCE_MS`].
+/// The address cannot be bound, or is still in use after [`BIND_TIMEOUT_MS`].
 pub fn bind_patiently<L>(
     address: &str,
     mut bind: impl FnMut() -> std::io::Result<L>,
 ) -> Result<L, StartError> {
-    let begun = Instant::now();
-    let patience = Duration::from_millis(ADDRESS_PATIENCE_MS.0);
-    let mut said = false;
+    let started = Instant::now();
+    let timeout = Duration::from_millis(BIND_TIMEOUT_MS.0);
+    let mut is_logged = false;
     loop {
         match bind() {
             Ok(listener) => return Ok(listener),
-            Err(e) if e.kind() == ErrorKind::AddrInUse && begun.elapsed() < patience => {
-                if !said {
-                    log::warn!("{address} is in use; waiting for it");
-                    said = true;
+            Err(e) if e.kind() == ErrorKind::AddrInUse && started.elapsed() < timeout => {
+                if !is_logged {
+                    log::warn!("{address} is in use; retrying");
+                    is_logged = true;
                 }
-                std::thread::sleep(Duration::from_millis(ADDRESS_RETRY_MS.0));
+                std::thread::sleep(Duration::from_millis(BIND_RETRY_INTERVAL_MS.0));
             }
             Err(e) => {
                 return Err(StartError::Listen {
@@ -52,10 +52,10 @@
     }
 }
 
-/// Starts a thread with a small stack: controllers have little memory and many threads.
+/// Starts a thread with a small stack, because controllers have little memory and many threads.
 ///
 /// # Errors
-/// The system has no thread to give.
+/// The system cannot start another thread.
 pub fn spawn(
     name: &str,
     body: impl FnOnce() + Send + 'static,
@@ -68,21 +68,21 @@
     use super::*;
     use std::net::TcpListener;
 
-    /// Guards against a controller that ends by itself because its former life's sockets are not gone yet.
+    /// A restarted controller must not exit because the sockets of its predecessor are still open.
     #[test]
-    fn an_address_in_use_is_waited_for_and_a_wrong_one_is_not() {
-        let former = TcpListener::bind("127.0.0.1:0").unwrap();
-        let address = former.local_addr().unwrap();
-        let ends = std::thread::spawn(move || {
+    fn bind_retries_while_the_address_is_in_use_but_not_on_other_errors() {
+        let occupant = TcpListener::bind("127.0.0.1:0").unwrap();
+        let address = occupant.local_addr().unwrap();
+        let release = std::thread::spawn(move || {
             std::thread::sleep(Duration::from_millis(300));
-            drop(former);
+            drop(occupant);
         });
-        let begun = Instant::now();
-        let bound = bind_patiently("it", || TcpListener::bind(address));
-        assert!(bound.is_ok() && begun.elapsed() >= Duration::from_millis(250));
-        ends.join().unwrap();
-        let begun = Instant::now();
-        assert!(bind_patiently("it", || TcpListener::bind("192.0.2.1:80")).is_err());
-        assert!(begun.elapsed() < Duration::from_millis(ADDRESS_PATIENCE_MS.0));
+        let started = Instant::now();
+        let bound = bind_patiently("test", || TcpListener::bind(address));
+        assert!(bound.is_ok() && started.elapsed() >= Duration::from_millis(250));
+        release.join().unwrap();
+        let started = Instant::now();
+        assert!(bind_patiently("test", || TcpListener::bind("192.0.2.1:80")).is_err());
+        assert!(started.elapsed() < Duration::from_millis(BIND_TIMEOUT_MS.0));
     }
 }
--- a/crates/web/src/server.rs
+++ b/crates/web/src/server.rs
@@ -1,10 +1,11 @@
-//! The HTTP server for users, workers and health checks: one thread that waits for all sockets.
-//! A thread for each connection, as the house's usual library has it, does not fit a leader with
-//! thousands of workers: past the system's limit of threads it stopped accepting for good.
+//! HTTP server for users, workers and health checks. One thread polls all sockets.
+//!
+//! A server with one thread per connection does not suit a leader with thousands of workers: above
+//! the system's limit of threads it stopped accepting connections permanently.
 
-use crate::connection_limit::{Crowd, Level};
+use crate::connection_limit::{ConnectionLimit, ConnectionUsage};
 use crate::constants::*;
-use crate::http::{Parsed, Wire};
+use crate::http::{HttpCodec, Parsed};
 use crate::{StartError, bind_patiently, spawn};
 use crossbeam::channel::{Receiver, Sender, TryRecvError, bounded};
 use mio::net::{TcpListener, TcpStream};
@@ -19,62 +20,63 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// A connection that waits for the core's answer.
+/// Identifies a connection that waits for a reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Caller(usize);
 
-/// A request, and who waits for its answer.
+/// A request and the connection that waits for its reply.
 #[derive(Debug)]
 pub struct Incoming<R> {
     pub caller: Caller,
     pub request: R,
 }
 
-/// What becomes of a request.
+/// How a request ends.
 #[derive(Debug)]
-enum Answer {
+enum Outcome {
     Reply(HttpReply),
-    /// Its connection is closed.
+    /// The connection is closed without a reply.
     Close,
 }
 
-/// Takes the core's answers to the server's thread.
+/// Sends replies to the server thread.
 ///
-/// The server ends when this is dropped.
+/// The server stops when this is dropped.
 pub struct Answers {
-    queue: Option<Sender<(Caller, Answer)>>,
+    queue: Option<Sender<(Caller, Outcome)>>,
     waker: Waker,
     address: SocketAddr,
-    /// Whether the thread has been woken and has not looked yet.
-    woken: Arc<AtomicBool>,
+    /// Whether the server thread has been woken and has not read the queue since.
+    is_woken: Arc<AtomicBool>,
 }
 
 impl Answers {
-    /// Hands over an answer; one to a connection that is gone meanwhile is dropped.
+    /// Queues a reply; it is dropped if the connection has closed in the meantime.
     pub fn send(&self, caller: Caller, reply: HttpReply) {
-        self.hand(caller, Answer::Reply(reply));
+        self.enqueue(caller, Outcome::Reply(reply));
     }
 
-    /// Closes a connection without an answer.
+    /// Closes a connection without a reply.
     pub fn close(&self, caller: Caller) {
-        self.hand(caller, Answer::Close);
+        self.enqueue(caller, Outcome::Close);
     }
 
-    /// Where the server listens: its port is known even if any was asked for.
+    /// Address the server listens on, with the actual port if port 0 was requested.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    fn hand(&self, caller: Caller, answer: Answer) {
-        let taken = self.queue.as_ref().is_some_and(|queue| queue.send((caller, answer)).is_ok());
-        if taken && !self.woken.swap(true, Ordering::AcqRel) {
+    fn enqueue(&self, caller: Caller, outcome: Outcome) {
+        let is_queued =
+            self.queue.as_ref().is_some_and(|queue| queue.send((caller, outcome)).is_ok());
+        if is_queued && !self.is_woken.swap(true, Ordering::AcqRel) {
             self.wake();
         }
     }
 
     fn wake(&self) {
         if let Err(e) = self.waker.wake() {
-            log::warn!("http: the server could not be woken: {e}");
+            log::warn!("http: cannot wake the server thread: {e}");
         }
     }
 }
@@ -90,28 +92,28 @@
 const WAKER: Token = Token(1);
 const FIRST_CONNECTION: usize = 2;
 
-/// What a connection is about.
+/// State of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// A request is awaited or half here.
+    /// No request, or only a part of one, has been received.
     Reading,
-    /// The core has the request.
+    /// The request has been delivered and its reply is pending.
     Waiting,
-    /// The answer is being written.
+    /// The reply is being sent.
     Writing,
 }
 
 struct Connection {
     stream: TcpStream,
     phase: Phase,
-    wire: Wire,
-    /// Since when it has been in its phase, or, while reading, since the last byte.
+    codec: HttpCodec,
+    /// Time of the last phase change, or of the last received bytes while reading.
     since: Instant,
-    /// The other side has closed its half.
-    ended: bool,
+    /// The peer has closed its sending side.
+    is_peer_closed: bool,
 }
 
-/// Whether a connection goes on.
+/// Whether a connection stays open.
 #[derive(PartialEq)]
 enum Next {
     Keep,
@@ -119,25 +121,25 @@
 }
 
 impl Connection {
-    /// The one place where the phase changes.
-    fn enter(&mut self, phase: Phase) {
+    /// Changes the phase; no other code does.
+    fn enter_phase(&mut self, phase: Phase) {
         self.phase = phase;
         self.since = Instant::now();
     }
 
-    /// Reads what is there, though no more than a request may have.
-    fn read(&mut self, scratch: &mut [u8]) -> Next {
-        while !self.wire.full() {
-            match self.stream.read(scratch) {
+    /// Reads the available bytes, up to the size of the largest allowed request.
+    fn read(&mut self, buffer: &mut [u8]) -> Next {
+        while !self.codec.is_input_full() {
+            match self.stream.read(buffer) {
                 Ok(0) => {
-                    self.ended = true;
+                    self.is_peer_closed = true;
                     return Next::Keep;
                 }
                 Ok(count) => {
-                    self.wire.take_in(&scratch[..count]);
+                    self.codec.push_input(&buffer[..count]);
                     self.since = Instant::now();
-                    if count < scratch.len() && self.wire.complete() {
-                        // A short read took all there was; the next byte raises a new event.
+                    if count < buffer.len() && self.codec.can_be_complete() {
+                        // A short read drained the socket; further bytes raise a new event.
                         return Next::Keep;
                     }
                 }
@@ -149,21 +151,21 @@
         Next::Keep
     }
 
-    /// Begins to send an answer, the last one on this connection if it `closes` then.
-    fn answer(&mut self, reply: &HttpReply, closes: bool) -> Next {
-        if closes {
-            self.wire.close();
+    /// Starts sending a reply. With `close_after`, the connection closes after it.
+    fn send_reply(&mut self, reply: &HttpReply, close_after: bool) -> Next {
+        if close_after {
+            self.codec.close_after_reply();
         }
-        self.wire.answer(reply);
-        self.enter(Phase::Writing);
+        self.codec.push_reply(reply);
+        self.enter_phase(Phase::Writing);
         self.write()
     }
 
     fn write(&mut self) -> Next {
-        while !self.wire.out().is_empty() {
-            match self.stream.write(self.wire.out()) {
+        while !self.codec.pending_output().is_empty() {
+            match self.stream.write(self.codec.pending_output()) {
                 Ok(0) => return Next::Close,
-                Ok(count) => self.wire.written(count),
+                Ok(count) => self.codec.mark_sent(count),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Next::Keep,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(_) => return Next::Close,
@@ -173,22 +175,22 @@
     }
 }
 
-struct Server<Read, Deliver> {
+struct Server<Decode, Deliver> {
     poll: Poll,
     listener: TcpListener,
     connections: HashMap<usize, Connection>,
-    next: usize,
-    crowd: Crowd,
-    /// Whether connections wait to be accepted until there is room for them.
-    held_back: bool,
-    /// When it was last seen that no connection gives way.
-    none_idle: Option<Instant>,
-    read: Read,
+    next_key: usize,
+    connection_limit: ConnectionLimit,
+    /// Whether accepting is paused until a connection is free.
+    is_accept_paused: bool,
+    /// When the last search found no connection to evict.
+    last_failed_eviction: Option<Instant>,
+    decode: Decode,
     deliver: Deliver,
-    scratch: Box<[u8]>,
+    read_buffer: Box<[u8]>,
 }
 
-/// Listens with a bound on the connections that wait to be accepted.
+/// Opens a listening socket with the given accept backlog.
 fn listen(address: SocketAddr, backlog: usize) -> std::io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
@@ -198,104 +200,105 @@
     Ok(TcpListener::from_std(socket.into()))
 }
 
-/// Starts serving on a thread of its own, with no more than `most` connections. `read` turns method, path
-/// and body into a request, or into the answer to a malformed one; `deliver` takes it to whoever answers
-/// it, and says whether there was room: if not, the caller is told at once to come back.
+/// Starts the server on its own thread, with at most `max_connections` connections. `decode` turns method,
+/// path and body into a request, or into the reply that rejects it. `deliver` passes the request on and
+/// returns whether it was accepted; if not, the client is told at once to retry later.
 ///
 /// # Errors
-/// The address cannot be listened on, or no thread can be had.
-pub fn start<R, Read, Deliver>(
+/// The address cannot be listened on, or a thread cannot be started.
+pub fn start<R, Decode, Deliver>(
     address: &str,
-    most: usize,
-    read: Read,
+    max_connections: usize,
+    decode: Decode,
     deliver: Deliver,
 ) -> Result<Answers, StartError>
 where
     R: 'static,
-    Read: Fn(&str, &str, &[u8]) -> Result<R, HttpReply> + Send + 'static,
+    Decode: Fn(&str, &str, &[u8]) -> Result<R, HttpReply> + Send + 'static,
     Deliver: Fn(Incoming<R>) -> bool + Send + 'static,
 {
-    let failed = |cause: String| StartError::Listen { address: address.to_owned(), cause };
+    let listen_error = |cause: String| StartError::Listen { address: address.to_owned(), cause };
     let socket = address
         .to_socket_addrs()
-        .map_err(|e| failed(e.to_string()))?
+        .map_err(|e| listen_error(e.to_string()))?
         .next()
-        .ok_or_else(|| failed("no address".into()))?;
+        .ok_or_else(|| listen_error("no address".into()))?;
     let poll = Poll::new()?;
-    let backlog = (most / BACKLOG_PART).clamp(BACKLOG_LEAST, BACKLOG_MOST);
-    let accepted = most - backlog.min(most / BACKLOG_PART);
+    let backlog = (max_connections / BACKLOG_DIVISOR).clamp(MIN_BACKLOG_COUNT, MAX_BACKLOG_COUNT);
+    let max_accepted = max_connections - backlog.min(max_connections / BACKLOG_DIVISOR);
     let mut listener = bind_patiently(address, || listen(socket, backlog))?;
     let address = listener.local_addr()?;
     poll.registry().register(&mut listener, LISTENER, Interest::READABLE)?;
     let waker = Waker::new(poll.registry(), WAKER)?;
-    let (queue, answers) = bounded(most.max(1) * ANSWERS_EACH);
-    let woken = Arc::new(AtomicBool::new(false));
+    let (queue, outcomes) =
+        bounded(max_connections.max(1) * MAX_QUEUED_REPLIES_PER_CONNECTION_COUNT);
+    let is_woken = Arc::new(AtomicBool::new(false));
     let mut server = Server {
         poll,
         listener,
         connections: HashMap::new(),
-        next: FIRST_CONNECTION,
-        crowd: Crowd::new(accepted),
-        held_back: false,
-        none_idle: None,
-        read,
+        next_key: FIRST_CONNECTION,
+        connection_limit: ConnectionLimit::new(max_accepted),
+        is_accept_paused: false,
+        last_failed_eviction: None,
+        decode,
         deliver,
-        scratch: vec![0; READ_BYTES].into_boxed_slice(),
+        read_buffer: vec![0; READ_BUFFER_BYTES].into_boxed_slice(),
     };
-    let seen = woken.clone();
-    spawn("http", move || server.serve(&answers, &seen))?;
-    Ok(Answers { queue: Some(queue), waker, address, woken })
+    let server_woken = is_woken.clone();
+    spawn("http", move || server.serve(&outcomes, &server_woken))?;
+    Ok(Answers { queue: Some(queue), waker, address, is_woken })
 }
 
-impl<R, Read, Deliver> Server<Read, Deliver>
+impl<R, Decode, Deliver> Server<Decode, Deliver>
 where
-    Read: Fn(&str, &str, &[u8]) -> Result<R, HttpReply>,
+    Decode: Fn(&str, &str, &[u8]) -> Result<R, HttpReply>,
     Deliver: Fn(Incoming<R>) -> bool,
 {
-    fn serve(&mut self, answers: &Receiver<(Caller, Answer)>, woken: &AtomicBool) {
+    fn serve(&mut self, outcomes: &Receiver<(Caller, Outcome)>, is_woken: &AtomicBool) {
         let mut events = Events::with_capacity(256);
-        let sweep = Duration::from_millis(SOCKET_SWEEP_MS.0);
-        let mut swept = Instant::now();
+        let sweep_interval = Duration::from_millis(SOCKET_SWEEP_INTERVAL_MS.0);
+        let mut last_sweep = Instant::now();
         loop {
-            if let Err(e) = self.poll.poll(&mut events, Some(sweep))
+            if let Err(e) = self.poll.poll(&mut events, Some(sweep_interval))
                 && e.kind() != ErrorKind::Interrupted
             {
-                log::warn!("http: waiting for sockets failed: {e}");
-                std::thread::sleep(Duration::from_millis(POLL_REST_MS.0));
+                log::warn!("http: polling the sockets failed: {e}");
+                std::thread::sleep(Duration::from_millis(POLL_ERROR_DELAY_MS.0));
             }
             for event in &events {
                 match event.token() {
                     LISTENER => self.accept(),
                     WAKER => {}
-                    Token(key) => self.ready(key),
+                    Token(key) => self.handle_ready(key),
                 }
             }
-            woken.store(false, Ordering::Release);
+            is_woken.store(false, Ordering::Release);
             loop {
-                match answers.try_recv() {
-                    Ok((Caller(key), Answer::Reply(reply))) => self.answer(key, &reply),
-                    Ok((Caller(key), Answer::Close)) => drop(self.connections.remove(&key)),
+                match outcomes.try_recv() {
+                    Ok((Caller(key), Outcome::Reply(reply))) => self.handle_reply(key, &reply),
+                    Ok((Caller(key), Outcome::Close)) => drop(self.connections.remove(&key)),
                     Err(TryRecvError::Empty) => break,
                     Err(TryRecvError::Disconnected) => return,
                 }
             }
-            if swept.elapsed() >= sweep {
-                swept = Instant::now();
-                self.sweep();
-                // A failed accept raises no further event: look again.
+            if last_sweep.elapsed() >= sweep_interval {
+                last_sweep = Instant::now();
+                self.close_stale_connections();
+                // A failed accept raises no further event, so accepting is retried here.
                 self.accept();
             }
-            if self.held_back {
+            if self.is_accept_paused {
                 self.accept();
             }
         }
     }
 
-    /// Accepts connections while there is room for them. The others wait in the listener's bounded queue.
+    /// Accepts connections while there is room for them. Others wait in the bounded accept backlog.
     fn accept(&mut self) {
         loop {
-            self.held_back = !self.has_room();
-            if self.held_back {
+            self.is_accept_paused = !self.ensure_room();
+            if self.is_accept_paused {
                 return;
             }
             match self.listener.accept() {
@@ -303,7 +306,7 @@
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) => {
-                    log::debug!("http: a connection could not be accepted: {e}");
+                    log::debug!("http: cannot accept a connection: {e}");
                     return;
                 }
             }
@@ -312,103 +315,108 @@
 
     fn register(&mut self, mut stream: TcpStream) {
         let _ = stream.set_nodelay(true);
-        let key = self.next;
+        let key = self.next_key;
         let interest = Interest::READABLE | Interest::WRITABLE;
         if self.poll.registry().register(&mut stream, Token(key), interest).is_err() {
             return;
         }
-        self.next += 1;
+        self.next_key += 1;
         let (phase, since) = (Phase::Reading, Instant::now());
-        let wire = Wire::default();
-        let connection = Connection { stream, phase, wire, since, ended: false };
+        let codec = HttpCodec::default();
+        let connection = Connection { stream, phase, codec, since, is_peer_closed: false };
         self.connections.insert(key, connection);
     }
 
-    /// Whether a further connection may be taken. That none lies idle is remembered for a moment: looking through all of them
-    /// for each that waits cost more than answering them.
-    fn has_room(&mut self) -> bool {
-        if self.crowd.count(self.connections.len()) != Level::Full {
+    /// Makes sure that a further connection can be accepted, evicting idle ones if needed; returns whether it can. A failed
+    /// search is not repeated for a short time: searching all connections for each waiting one cost more than serving them.
+    fn ensure_room(&mut self) -> bool {
+        if self.connection_limit.usage(self.connections.len()) != ConnectionUsage::Full {
             return true;
         }
-        let rest = Duration::from_millis(NONE_IDLE_MS.0);
-        if self.none_idle.is_some_and(|at| at.elapsed() < rest) {
+        let retry_interval = Duration::from_millis(EVICTION_RETRY_INTERVAL_MS.0);
+        if self.last_failed_eviction.is_some_and(|at| at.elapsed() < retry_interval) {
             return false;
         }
-        let room = self.make_room();
-        self.none_idle = (!room).then(Instant::now);
-        room
+        let has_evicted = self.evict_idle();
+        self.last_failed_eviction = (!has_evicted).then(Instant::now);
+        has_evicted
     }
 
-    /// Closes connections that lie idle in favour of one that has come; none of them was being asked anything.
-    fn make_room(&mut self) -> bool {
+    /// Closes idle connections to make room for new ones; none of them has a request in progress. Returns whether any was
+    /// closed.
+    fn evict_idle(&mut self) -> bool {
         let now = Instant::now();
-        let unasked = |c: &Connection| c.phase == Phase::Reading && !c.wire.begun();
+        let is_idle = |c: &Connection| c.phase == Phase::Reading && !c.codec.has_input();
         let idle = self
             .connections
             .iter()
-            .filter(|(_, c)| unasked(c))
+            .filter(|(_, c)| is_idle(c))
             .map(|(key, c)| (*key, Millis(now.duration_since(c.since).as_millis() as u64)));
-        let gone = self.crowd.gives_way(idle);
-        for key in &gone {
+        let evicted = self.connection_limit.select_evictions(idle);
+        for key in &evicted {
             self.connections.remove(key);
         }
-        !gone.is_empty()
+        !evicted.is_empty()
     }
 
-    /// A socket may be read or written again.
-    fn ready(&mut self, key: usize) {
+    /// Handles a socket that became readable or writable.
+    fn handle_ready(&mut self, key: usize) {
         let Some(connection) = self.connections.get_mut(&key) else { return };
-        let mut next = connection.read(&mut self.scratch);
+        let mut next = connection.read(&mut self.read_buffer);
         if next == Next::Keep && connection.phase == Phase::Writing {
             next = connection.write();
         }
         if next == Next::Keep {
-            next = self.go_on(key);
+            next = self.advance(key);
         }
         if next == Next::Close {
             self.connections.remove(&key);
         }
     }
 
-    /// Does what the connection's phase and bytes allow.
-    fn go_on(&mut self, key: usize) -> Next {
-        let closes = self.crowd.count(self.connections.len()) != Level::Open;
+    /// Advances a connection as far as its phase and buffers allow.
+    fn advance(&mut self, key: usize) -> Next {
+        let close_after =
+            self.connection_limit.usage(self.connections.len()) != ConnectionUsage::Normal;
         loop {
             let Some(connection) = self.connections.get_mut(&key) else { return Next::Keep };
             match connection.phase {
-                Phase::Writing if !connection.wire.out().is_empty() => return Next::Keep,
-                Phase::Writing if connection.wire.closing() => return Next::Close,
+                Phase::Writing if !connection.codec.pending_output().is_empty() => {
+                    return Next::Keep;
+                }
+                Phase::Writing if connection.codec.is_closing() => return Next::Close,
                 Phase::Writing => {
-                    connection.enter(Phase::Reading);
-                    // Bytes that were left in the socket raise no further event.
-                    if connection.wire.begun() && connection.read(&mut self.scratch) == Next::Close
+                    connection.enter_phase(Phase::Reading);
+                    // Bytes left in the socket raise no further event.
+                    if connection.codec.has_input()
+                        && connection.read(&mut self.read_buffer) == Next::Close
                     {
                         return Next::Close;
                     }
                 }
                 Phase::Waiting => return Next::Keep,
                 Phase::Reading => {
-                    let parsed = match connection.wire.parse(&self.read) {
-                        Parsed::More if connection.ended => return Next::Close,
-                        Parsed::More => return connection.write(),
-                        Parsed::Bad(reply) => Err(reply),
-                        Parsed::Request(parsed) => *parsed,
+                    let parsed = match connection.codec.parse(&self.decode) {
+                        Parsed::Incomplete if connection.is_peer_closed => return Next::Close,
+                        Parsed::Incomplete => return connection.write(),
+                        Parsed::Malformed(reply) => Err(reply),
+                        Parsed::Request(request) => *request,
                     };
-                    // Beyond the crowd's bound connections wait to be accepted, and their callers may have given up since.
-                    if connection.ended && closes {
+                    // Near the connection limit, connections wait to be accepted, and their clients may have given up meanwhile.
+                    if connection.is_peer_closed && close_after {
                         return Next::Close;
                     }
-                    connection.enter(Phase::Waiting);
-                    let refusal = match parsed {
+                    connection.enter_phase(Phase::Waiting);
+                    let rejection = match parsed {
                         Err(reply) => Some(reply),
                         Ok(request) => {
                             let incoming = Incoming { caller: Caller(key), request };
-                            let taken = (self.deliver)(incoming);
-                            (!taken).then(|| HttpReply::unavailable("busy"))
+                            let is_accepted = (self.deliver)(incoming);
+                            (!is_accepted).then(|| HttpReply::unavailable("busy"))
                         }
                     };
-                    let Some(reply) = refusal else { return Next::Keep };
-                    if connection.answer(&reply, closes) == Next::Close {
+                    let Some(reply) = rejection else { return Next::Keep };
+                    if connection.send_reply(&reply, close_after) == Next::Close {
                         return Next::Close;
                     }
                 }
@@ -416,14 +424,15 @@
         }
     }
 
-    fn answer(&mut self, key: usize, reply: &HttpReply) {
-        let closes = self.crowd.count(self.connections.len()) != Level::Open;
+    fn handle_reply(&mut self, key: usize, reply: &HttpReply) {
+        let close_after =
+            self.connection_limit.usage(self.connections.len()) != ConnectionUsage::Normal;
         let Some(connection) = self.connections.get_mut(&key) else { return };
         if connection.phase != Phase::Waiting {
             return;
         }
-        let next = match connection.answer(reply, closes) {
-            Next::Keep => self.go_on(key),
+        let next = match connection.send_reply(reply, close_after) {
+            Next::Keep => self.advance(key),
             Next::Close => Next::Close,
         };
         if next == Next::Close {
@@ -431,14 +440,15 @@
         }
     }
 
-    /// Closes connections on which nothing has happened for long.
-    fn sweep(&mut self) {
-        let old = |since: Instant, most: Millis| since.elapsed().as_millis() as u64 > most.0;
+    /// Closes connections that have been idle or slow for too long.
+    fn close_stale_connections(&mut self) {
+        let is_expired =
+            |since: Instant, timeout: Millis| since.elapsed().as_millis() as u64 > timeout.0;
         self.connections.retain(|_, c| match c.phase {
-            Phase::Reading if c.wire.begun() => !old(c.since, SLOW_REQUEST_MS),
-            Phase::Reading => !old(c.since, IDLE_CONNECTION_MS),
+            Phase::Reading if c.codec.has_input() => !is_expired(c.since, SLOW_REQUEST_TIMEOUT_MS),
+            Phase::Reading => !is_expired(c.since, IDLE_CONNECTION_TIMEOUT_MS),
             Phase::Waiting => true,
-            Phase::Writing => !old(c.since, SLOW_REQUEST_MS),
+            Phase::Writing => !is_expired(c.since, SLOW_REQUEST_TIMEOUT_MS),
         });
     }
 }
--- a/crates/web/tests/connection_limit.rs
+++ b/crates/web/tests/connection_limit.rs
@@ -1,4 +1,4 @@
-//! More visitors than connections: a controller that alone is left, at half as many machines again.
+//! More clients than connections, as for a controller that is the only one left.
 
 use crossbeam::channel::unbounded;
 use oatloom_protocol::reply::HttpReply;
@@ -7,19 +7,19 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-const MOST: usize = 40;
+const MAX_CONNECTIONS: usize = 40;
 
-/// A server that answers everything, on a thread that ends with the server.
-fn serve() -> std::net::SocketAddr {
-    let (requests, asked) = unbounded();
-    let read = |_: &str, path: &str, _: &[u8]| Ok(path.to_owned());
-    let deliver = move |incoming| requests.send(incoming).is_ok();
-    let answers: Answers = server::start("127.0.0.1:0", MOST, read, deliver).unwrap();
-    let address = answers.address();
+/// Starts a server that replies to every request, on a thread that ends with the server.
+fn start_server() -> std::net::SocketAddr {
+    let (sender, received) = unbounded();
+    let decode = |_: &str, path: &str, _: &[u8]| Ok(path.to_owned());
+    let deliver = move |incoming| sender.send(incoming).is_ok();
+    let replies: Answers = server::start("127.0.0.1:0", MAX_CONNECTIONS, decode, deliver).unwrap();
+    let address = replies.address();
     std::thread::spawn(move || {
-        for incoming in asked {
+        for incoming in received {
             let server::Incoming { caller, request } = incoming;
-            answers.send(caller, HttpReply::error(200, &request));
+            replies.send(caller, HttpReply::error(200, &request));
         }
     });
     address
@@ -31,8 +31,8 @@
     stream
 }
 
-/// Asks once; `None`: closed without an answer. Else whether the connection goes on.
-fn ask(stream: &mut TcpStream) -> Option<bool> {
+/// Sends one request. Returns `None` if the connection closed without a response, otherwise whether it stays open.
+fn send_request(stream: &mut TcpStream) -> Option<bool> {
     stream.write_all(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n").ok()?;
     let mut text = Vec::new();
     let mut bytes = [0; 1024];
@@ -49,36 +49,43 @@
     Some(!text.contains("Connection: close"))
 }
 
-/// Three times as many workers as connections, each of which would keep its own, report in turn for several rounds: all
-/// are answered every time, and so is a probe. Guards against a controller at whose limit of connections nobody new was
-/// answered, health probes included.
+/// Three times as many workers as connections, each of which would keep its own connection, report in turn for several
+/// rounds. All get a response every time, and so does a health probe. Without this, a controller at its connection limit
+/// served no new client, health probes included.
 #[test]
-fn all_are_answered_with_too_few_connections_for_all() {
-    let address = serve();
-    let mut workers: Vec<Option<TcpStream>> = (0..3 * MOST).map(|_| None).collect();
+fn every_client_is_served_when_there_are_more_clients_than_connections() {
+    let address = start_server();
+    let mut workers: Vec<Option<TcpStream>> = (0..3 * MAX_CONNECTIONS).map(|_| None).collect();
     for round in 0..5 {
         for (n, worker) in workers.iter_mut().enumerate() {
             let mut stream = worker.take().unwrap_or_else(|| connect(address));
-            let kept = ask(&mut stream).unwrap_or_else(|| panic!("round {round}, worker {n}"));
-            *worker = kept.then_some(stream);
+            let is_kept =
+                send_request(&mut stream).unwrap_or_else(|| panic!("round {round}, worker {n}"));
+            *worker = is_kept.then_some(stream);
         }
         let open = workers.iter().flatten().count();
-        assert!(open > MOST / 2 && open < MOST, "round {round}: {open} stay open");
-        assert!(ask(&mut connect(address)).is_some(), "round {round}: a probe is not answered");
+        assert!(
+            open > MAX_CONNECTIONS / 2 && open < MAX_CONNECTIONS,
+            "round {round}: {open} connections stay open"
+        );
+        assert!(
+            send_request(&mut connect(address)).is_some(),
+            "round {round}: the probe got no response"
+        );
     }
 }
 
-/// Connections that lie idle, of visitors that are gone or never ask, give way; before, newcomers are turned away rather
-/// than one that was served just now.
+/// Idle connections, whose clients are gone or send no request, are evicted for new ones. Until they have been idle long
+/// enough, new clients wait instead.
 #[test]
-fn idle_connections_give_way() {
-    let address = serve();
-    let idle: Vec<TcpStream> = (0..MOST).map(|_| connect(address)).collect();
-    let begun = Instant::now();
+fn idle_connections_are_evicted() {
+    let address = start_server();
+    let idle: Vec<TcpStream> = (0..MAX_CONNECTIONS).map(|_| connect(address)).collect();
+    let started = Instant::now();
     let served = loop {
-        assert!(begun.elapsed() < Duration::from_secs(20), "nobody gave way");
-        if ask(&mut connect(address)).is_some() {
-            break begun.elapsed();
+        assert!(started.elapsed() < Duration::from_secs(20), "no idle connection was evicted");
+        if send_request(&mut connect(address)).is_some() {
+            break started.elapsed();
         }
         std::thread::sleep(Duration::from_millis(100));
     };
