--- a/crates/graphd/src/lib.rs
+++ b/crates/graphd/src/lib.rs
@@ -1,8 +1,8 @@
 //! Task graphs over gRPC. It keeps nothing: every call is a question to the controllers, and any number of these programs
 //! may stand beside each other. The async runtime that the library needs stays on the one thread that serves.
 
-pub mod asker;
 pub mod constants;
+pub mod controller_pool;
 mod convert;
 pub mod server;
 pub mod service;
--- a/crates/graphd/src/server.rs
+++ b/crates/graphd/src/server.rs
@@ -1,7 +1,7 @@
 //! Listening, with health and reflection, until it is told to end.
 
-use crate::asker::Asker;
 use crate::constants::*;
+use crate::controller_pool::Asker;
 use crate::service::Service;
 use crate::tls::{self, Files};
 use crate::wire::DESCRIPTORS;
--- a/crates/graphd/src/service.rs
+++ b/crates/graphd/src/service.rs
@@ -1,7 +1,7 @@
 //! The calls, each a question to the controllers, and their answers as gRPC's users expect them.
 
-use crate::asker::{Asker, Full};
 use crate::constants::*;
+use crate::controller_pool::{Asker, Full};
 use crate::convert;
 use crate::wire::graphs_server::Graphs;
 use crate::wire::{self, Graph, Session};
