--- a/crates/graphd/src/constants.rs
+++ b/crates/graphd/src/constants.rs
@@ -1,29 +1,30 @@
-//! Every constant of the gRPC server, with its unit and the reason for its value.
+//! Limits, intervals and timeouts of the gRPC server.
 
 use oatloom_protocol::ids::Millis;
 
-/// Threads that ask controllers: each has one question under way, of 2 to 5 s at the most.
-pub const ASKERS: usize = 16;
-/// Questions that wait for one of them; beyond it callers are told to come back.
-pub const QUEUE: usize = 256;
-/// Streams at the same time; each asks twice a second.
-pub const WATCHES: usize = 200;
-/// Answers that wait for a client that reads slowly: then it is not asked further.
-pub const BUFFER: usize = 4;
-/// Period of a stream's questions.
-pub const LOOK_EVERY_MS: Millis = Millis(500);
-/// For how long a stream goes on while no controller answers: over a takeover and a restart of all controllers.
-pub const PATIENCE_MS: Millis = Millis(60_000);
-/// Longest a call may take where its caller sets no deadline.
-pub const CALL_MS: Millis = Millis(20_000);
-/// Largest request in bytes: what a controller takes, in another form.
-pub const REQUEST_BYTES: usize = 128 * 1024;
-/// How often it is looked whether certificates have changed.
-pub const RELOAD_MS: Millis = Millis(1_000);
-/// Handshakes at the same time, and how long one may take: a client that says nothing must not keep others out.
-pub const HANDSHAKES: usize = 64;
-pub const HANDSHAKE_MS: Millis = Millis(5_000);
-/// Calls at the same time on one connection.
-pub const CALLS: u32 = 64;
-/// How often it is asked whether controllers answer, for the health service.
-pub const HEALTH_MS: Millis = Millis(1_000);
+/// Threads that send requests to controllers. Each has one request in flight, which takes at most 2 to 5 s.
+pub const CONTROLLER_THREAD_COUNT: usize = 16;
+/// Requests that may wait for one of these threads; further calls are rejected and may be retried.
+pub const MAX_QUEUED_REQUEST_COUNT: usize = 256;
+/// Concurrent watch streams; each polls a controller twice a second.
+pub const MAX_WATCH_COUNT: usize = 200;
+/// Messages buffered for a client that reads slowly; while the buffer is full, the controllers are not polled for it.
+pub const STREAM_BUFFER_COUNT: usize = 4;
+/// Interval between polls of a watch stream.
+pub const POLL_INTERVAL_MS: Millis = Millis(500);
+/// How long a watch stream stays open while no controller responds: long enough for a change of leader and for a restart of all
+/// controllers.
+pub const WATCH_RETRY_TIMEOUT_MS: Millis = Millis(60_000);
+/// Maximum duration of a call whose client sets no deadline.
+pub const CALL_TIMEOUT_MS: Millis = Millis(20_000);
+/// Maximum size of a request: what a controller accepts as JSON, in its Protobuf form.
+pub const MAX_REQUEST_BYTES: usize = 128 * 1024;
+/// Interval between checks for changed certificate files.
+pub const CERTIFICATE_CHECK_INTERVAL_MS: Millis = Millis(1_000);
+/// Maximum number of concurrent TLS handshakes, and the timeout of each: a client that sends nothing must not block others.
+pub const MAX_HANDSHAKE_COUNT: usize = 64;
+pub const HANDSHAKE_TIMEOUT_MS: Millis = Millis(5_000);
+/// Maximum number of concurrent calls on one connection.
+pub const MAX_CALLS_PER_CONNECTION_COUNT: u32 = 64;
+/// Interval between checks whether a controller responds, for the health service.
+pub const HEALTH_CHECK_INTERVAL_MS: Millis = Millis(1_000);
--- a/crates/graphd/src/controller_pool.rs
+++ b/crates/graphd/src/controller_pool.rs
@@ -1,79 +1,79 @@
-//! Questions to the controllers, put by threads that may wait, for a thread that must not.
+//! Sends blocking HTTP requests to the controllers on worker threads, on behalf of the async thread, which must not block.
 
-use crate::constants::{ASKERS, QUEUE};
+use crate::constants::{CONTROLLER_THREAD_COUNT, MAX_QUEUED_REQUEST_COUNT};
 use crossbeam::channel::{Receiver, Sender, bounded};
 use oatloom_client::Controllers;
 use oatloom_web::client::Answer;
 use tokio::sync::oneshot;
 
-/// A question and where its answer goes.
-struct Question {
+/// A request and the channel for its response.
+struct ControllerRequest {
     method: &'static str,
     path: String,
     body: Vec<u8>,
-    answer: oneshot::Sender<Option<Answer>>,
+    response: oneshot::Sender<Option<Answer>>,
 }
 
-/// Why a question was not put.
+/// The request queue is full.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("too many questions wait")]
-pub struct Full;
+#[error("too many requests are queued")]
+pub struct QueueFull;
 
-/// The threads that ask.
+/// Handle to the threads that send requests to the controllers.
 #[derive(Clone, Debug)]
-pub struct Asker {
-    questions: Sender<Question>,
+pub struct ControllerPool {
+    requests: Sender<ControllerRequest>,
 }
 
-impl Asker {
+impl ControllerPool {
     /// Starts the threads.
     ///
     /// # Errors
-    /// No thread can be had.
+    /// A thread cannot be started.
     pub fn start(controllers: &Controllers) -> std::io::Result<Self> {
-        let (questions, queue) = bounded::<Question>(QUEUE);
-        for _ in 0..ASKERS {
+        let (requests, queue) = bounded::<ControllerRequest>(MAX_QUEUED_REQUEST_COUNT);
+        for _ in 0..CONTROLLER_THREAD_COUNT {
             let (queue, mut controllers) = (queue.clone(), controllers.clone());
             std::thread::Builder::new()
                 .name("asker".into())
-                .spawn(move || ask(&queue, &mut controllers))?;
+                .spawn(move || process_requests(&queue, &mut controllers))?;
         }
-        Ok(Self { questions })
+        Ok(Self { requests })
     }
 
-    /// Asks; `None`: no controller has answered.
+    /// Sends a request and waits for the response; `None` if no controller responded.
     ///
     /// # Errors
-    /// Too many questions wait already.
-    pub async fn ask(
+    /// Too many requests are queued already.
+    pub async fn send(
         &self,
         method: &'static str,
         path: String,
         body: Vec<u8>,
-    ) -> Result<Option<Answer>, Full> {
-        let (answer, told) = oneshot::channel();
-        let question = Question { method, path, body, answer };
-        self.questions.try_send(question).map_err(|_| Full)?;
-        Ok(told.await.unwrap_or_default())
+    ) -> Result<Option<Answer>, QueueFull> {
+        let (response, receiver) = oneshot::channel();
+        let request = ControllerRequest { method, path, body, response };
+        self.requests.try_send(request).map_err(|_| QueueFull)?;
+        Ok(receiver.await.unwrap_or_default())
     }
 }
 
-/// Each controller is tried once; one that cannot answer now is passed over.
-fn ask(queue: &Receiver<Question>, controllers: &mut Controllers) {
-    while let Ok(Question { method, path, body, answer }) = queue.recv() {
-        // Its caller may have gone, or its deadline passed.
-        if answer.is_closed() {
+/// Processes queued requests. Each controller is tried at most once per request; one that is unavailable is skipped.
+fn process_requests(queue: &Receiver<ControllerRequest>, controllers: &mut Controllers) {
+    while let Ok(ControllerRequest { method, path, body, response }) = queue.recv() {
+        // The caller has gone or its deadline has passed.
+        if response.is_closed() {
             continue;
         }
-        let mut said = None;
+        let mut latest = None;
         for _ in 0..controllers.len() {
             let next = controllers.ask_next(method, &path, &body);
-            let counts = next.as_ref().is_some_and(|a| a.status != 503);
-            said = next.or(said);
-            if counts || answer.is_closed() {
+            let is_final = next.as_ref().is_some_and(|answer| answer.status != 503);
+            latest = next.or(latest);
+            if is_final || response.is_closed() {
                 break;
             }
         }
-        let _ = answer.send(said);
+        let _ = response.send(latest);
     }
 }
--- a/crates/graphd/src/convert.rs
+++ b/crates/graphd/src/convert.rs
@@ -1,4 +1,4 @@
-//! Messages of the `.proto` to and from what controllers speak.
+//! Converts between Protobuf messages and the JSON types of the controllers.
 
 use crate::wire;
 use oatloom_graph::answers::{GraphView, NodeView, SessionView};
@@ -12,31 +12,34 @@
 use serde::Serialize;
 use tonic::Status;
 
-/// A word as the controllers' JSON has it.
-fn word(value: impl Serialize) -> String {
+/// The text of an enum value in the JSON of the controllers.
+fn json_text(value: impl Serialize) -> String {
     serde_json::to_value(value).ok().and_then(|v| v.as_str().map(str::to_owned)).unwrap_or_default()
 }
 
+/// Parses a graph ID.
 pub(crate) fn graph_id(text: &str) -> Result<GraphId, Status> {
-    let bad = || Status::invalid_argument("a graph's id is `graph-` and up to ten digits");
-    GraphId::parse(text).ok_or_else(bad)
+    let invalid_id =
+        || Status::invalid_argument("a graph id is `graph-` followed by up to ten digits");
+    GraphId::parse(text).ok_or_else(invalid_id)
 }
 
-/// A name that stands in a path; whether it is a good one, the controllers say.
-pub(crate) fn plain(name: &str) -> Result<&str, Status> {
-    let good =
+/// Checks that a session name is safe to use in a URL path. Further rules are checked by the controllers.
+pub(crate) fn validate_session_name(name: &str) -> Result<&str, Status> {
+    let is_valid =
         !name.is_empty() && name.bytes().all(|b| b.is_ascii_alphanumeric() || b"-_.:".contains(&b));
-    good.then_some(name).ok_or_else(|| {
-        Status::invalid_argument("a session's name is letters, digits or any of -_.:")
+    is_valid.then_some(name).ok_or_else(|| {
+        Status::invalid_argument("a session name consists of letters, digits and any of -_.:")
     })
 }
 
-fn unknown(field: &str) -> Status {
+fn unknown_value(field: &str) -> Status {
     Status::invalid_argument(format!("{field}: unknown value"))
 }
 
-pub(crate) fn create(request: wire::CreateGraphRequest) -> Result<CreateGraph, Status> {
-    let rank = match wire::Rank::try_from(request.rank).map_err(|_| unknown("rank"))? {
+/// Converts a request to create a graph.
+pub(crate) fn create_request(request: wire::CreateGraphRequest) -> Result<CreateGraph, Status> {
+    let rank = match wire::Rank::try_from(request.rank).map_err(|_| unknown_value("rank"))? {
         wire::Rank::Standard => Rank::Standard,
         wire::Rank::Low => Rank::Low,
         wire::Rank::High => Rank::High,
@@ -50,7 +53,7 @@
         jobclass: request.jobclass,
         rank,
         due_s: request.due_s,
-        on_failure: match on_failure.map_err(|_| unknown("on_failure"))? {
+        on_failure: match on_failure.map_err(|_| unknown_value("on_failure"))? {
             wire::OnFailure::CancelRest => OnFailure::CancelRest,
             wire::OnFailure::FinishIndependent => OnFailure::FinishIndependent,
         },
@@ -58,14 +61,16 @@
     })
 }
 
-fn kind(kind: wire::Kind) -> Result<KindSpec, Status> {
+fn kind_spec(kind: wire::Kind) -> Result<KindSpec, Status> {
     Ok(KindSpec {
-        shape: match wire::Shape::try_from(kind.shape).map_err(|_| unknown("shape"))? {
+        shape: match wire::Shape::try_from(kind.shape).map_err(|_| unknown_value("shape"))? {
             wire::Shape::Task => NodeShape::Task,
             wire::Shape::Gang => NodeShape::Gang,
             wire::Shape::Actor => NodeShape::Actor,
         },
-        strategy: match wire::Strategy::try_from(kind.strategy).map_err(|_| unknown("strategy"))? {
+        strategy: match wire::Strategy::try_from(kind.strategy)
+            .map_err(|_| unknown_value("strategy"))?
+        {
             wire::Strategy::Pack => Strategy::Pack,
             wire::Strategy::Spread => Strategy::Spread,
             wire::Strategy::StrictPack => Strategy::StrictPack,
@@ -87,8 +92,9 @@
     })
 }
 
-pub(crate) fn additions(request: wire::AddNodesRequest) -> Result<AddNodes, Status> {
-    let kinds = request.kinds.into_iter().map(|(name, spec)| Ok((name, kind(spec)?)));
+/// Converts a request to add nodes to a graph.
+pub(crate) fn add_request(request: wire::AddNodesRequest) -> Result<AddNodes, Status> {
+    let kinds = request.kinds.into_iter().map(|(name, spec)| Ok((name, kind_spec(spec)?)));
     let nodes = request.nodes.into_iter().map(|node| NewNode {
         name: node.name,
         kind: node.kind,
@@ -104,8 +110,9 @@
     })
 }
 
+/// Converts a session as a controller reports it.
 pub(crate) fn session(view: SessionView) -> wire::Session {
-    wire::Session { session: view.session, status: word(view.status), ttl_s: view.ttl_s }
+    wire::Session { session: view.session, status: json_text(view.status), ttl_s: view.ttl_s }
 }
 
 fn failure(failure: &Failure) -> wire::Failure {
@@ -119,7 +126,7 @@
 fn node(view: NodeView) -> wire::Node {
     wire::Node {
         name: view.name,
-        status: word(view.status),
+        status: json_text(view.status),
         job: view.job.map(|job| job.to_string()).unwrap_or_default(),
         failure: view.failure.as_deref().map(failure),
     }
@@ -134,10 +141,11 @@
     }
 }
 
+/// Converts a graph as a controller reports it.
 pub(crate) fn graph(view: GraphView) -> wire::Graph {
     wire::Graph {
         graph: view.graph.to_string(),
-        status: word(view.status),
+        status: json_text(view.status),
         sealed: view.sealed,
         nodes: view.nodes,
         waiting: view.waiting,
--- a/crates/graphd/src/lib.rs
+++ b/crates/graphd/src/lib.rs
@@ -1,5 +1,5 @@
-//! Task graphs over gRPC. It keeps nothing: every call is a question to the controllers, and any number of these programs
-//! may stand beside each other. The async runtime that the library needs stays on the one thread that serves.
+//! gRPC server for task graphs. It is stateless: every call becomes a request to the controllers, and any number of instances
+//! may run side by side. The async runtime that the gRPC library needs runs on the serving thread only.
 
 pub mod constants;
 pub mod controller_pool;
@@ -8,10 +8,10 @@
 pub mod service;
 pub mod tls;
 
-/// What the `.proto` makes.
+/// Code generated from the `.proto` file.
 pub mod wire {
     tonic::include_proto!("oatloom.graphs.v1");
 
-    /// The `.proto` as clients may read it from the server.
+    /// Encoded file descriptor set of the `.proto` file, served by the reflection service.
     pub const DESCRIPTORS: &[u8] = include_bytes!(concat!(env!("OUT_DIR"), "/graphs.bin"));
 }
--- a/crates/graphd/src/server.rs
+++ b/crates/graphd/src/server.rs
@@ -1,9 +1,9 @@
-//! Listening, with health and reflection, until it is told to end.
+//! Runs the gRPC server with health and reflection services until shutdown.
 
 use crate::constants::*;
-use crate::controller_pool::Asker;
+use crate::controller_pool::ControllerPool;
 use crate::service::Service;
-use crate::tls::{self, Files};
+use crate::tls::{self, TlsFiles};
 use crate::wire::DESCRIPTORS;
 use crate::wire::graphs_server::GraphsServer;
 use oatloom_client::Controllers;
@@ -15,12 +15,12 @@
 use tonic::transport::Server;
 use tonic::transport::server::TcpIncoming;
 
-/// Why the server ended.
+/// Errors that end the server.
 #[derive(Debug, thiserror::Error)]
 pub enum ServeError {
-    #[error("{0}: cannot be listened at: {1}")]
+    #[error("cannot listen on {0}: {1}")]
     Listen(SocketAddr, std::io::Error),
-    #[error("no thread or runtime could be had: {0}")]
+    #[error("cannot start a thread or the async runtime: {0}")]
     Start(#[from] std::io::Error),
     #[error("reflection: {0}")]
     Reflection(#[from] tonic_reflection::server::Error),
@@ -30,26 +30,26 @@
     Transport(#[from] tonic::transport::Error),
 }
 
-/// Serves on this thread until `end` says so: calls that are under way go on to their ends, streams are closed. With
-/// `files`, over TLS only.
+/// Serves on this thread until `shutdown` becomes true. Calls in progress are completed, streams are closed. With `files`,
+/// serves over TLS only.
 ///
 /// # Errors
-/// It cannot begin, or the transport fails.
+/// The server cannot start, or the transport fails.
 pub fn serve(
     listener: TcpListener,
     controllers: &Controllers,
-    files: Option<Files>,
-    mut end: watch::Receiver<bool>,
+    files: Option<TlsFiles>,
+    mut shutdown: watch::Receiver<bool>,
 ) -> Result<(), ServeError> {
-    let asker = Asker::start(controllers)?;
-    let configs = files.map(tls::keep).transpose()?;
+    let controllers = ControllerPool::start(controllers)?;
+    let configs = files.map(tls::watch_files).transpose()?;
     listener.set_nonblocking(true)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(async move {
         let listener = tokio::net::TcpListener::from_std(listener)?;
         let (reporter, health) = tonic_health::server::health_reporter();
-        let service = GraphsServer::new(Service::new(asker.clone()))
-            .max_decoding_message_size(REQUEST_BYTES)
+        let service = GraphsServer::new(Service::new(controllers.clone()))
+            .max_decoding_message_size(MAX_REQUEST_BYTES)
             .accept_compressed(CompressionEncoding::Gzip)
             .send_compressed(CompressionEncoding::Gzip);
         let reflection = tonic_reflection::server::Builder::configure()
@@ -57,47 +57,47 @@
             .build_v1()?;
         tokio::spawn(async move {
             loop {
-                // Whoever answers, even that it cannot serve now, is there.
-                let there = asker.ask("GET", "/up".into(), Vec::new()).await;
-                match there {
+                // Only a controller that responds with 200 counts as serving.
+                let response = controllers.send("GET", "/up".into(), Vec::new()).await;
+                match response {
                     Ok(Some(answer)) if answer.status == 200 => {
                         reporter.set_serving::<GraphsServer<Service>>().await;
                     }
                     _ => reporter.set_not_serving::<GraphsServer<Service>>().await,
                 }
-                tokio::time::sleep(Duration::from_millis(HEALTH_MS.0)).await;
+                tokio::time::sleep(Duration::from_millis(HEALTH_CHECK_INTERVAL_MS.0)).await;
             }
         });
-        let end = async move {
-            let _ = end.wait_for(|end| *end).await;
+        let shutdown = async move {
+            let _ = shutdown.wait_for(|is_requested| *is_requested).await;
         };
         let server = Server::builder()
-            .timeout(Duration::from_millis(CALL_MS.0))
-            .concurrency_limit_per_connection(CALLS as usize)
-            .max_concurrent_streams(CALLS)
+            .timeout(Duration::from_millis(CALL_TIMEOUT_MS.0))
+            .concurrency_limit_per_connection(MAX_CALLS_PER_CONNECTION_COUNT as usize)
+            .max_concurrent_streams(MAX_CALLS_PER_CONNECTION_COUNT)
             .add_service(health)
             .add_service(reflection)
             .add_service(service);
         match configs {
             Some(configs) => {
-                let (out, streams) = mpsc::channel(BUFFER);
-                tokio::spawn(tls::accept(listener, configs, out));
+                let (sender, streams) = mpsc::channel(STREAM_BUFFER_COUNT);
+                tokio::spawn(tls::accept(listener, configs, sender));
                 let streams = ReceiverStream::new(streams);
-                server.serve_with_incoming_shutdown(streams, end).await?;
+                server.serve_with_incoming_shutdown(streams, shutdown).await?;
             }
             None => {
                 let streams = TcpIncoming::from(listener);
-                server.serve_with_incoming_shutdown(streams, end).await?;
+                server.serve_with_incoming_shutdown(streams, shutdown).await?;
             }
         }
         Ok(())
     })
 }
 
-/// Listens at an address.
+/// Opens a listening socket.
 ///
 /// # Errors
-/// It is taken, or not this machine's.
+/// The address is in use, or does not belong to this machine.
 pub fn listen(address: SocketAddr) -> Result<TcpListener, ServeError> {
     TcpListener::bind(address).map_err(|e| ServeError::Listen(address, e))
 }
--- a/crates/graphd/src/service.rs
+++ b/crates/graphd/src/service.rs
@@ -1,7 +1,7 @@
-//! The calls, each a question to the controllers, and their answers as gRPC's users expect them.
+//! Implements the gRPC service: each call becomes a request to a controller, whose response is converted to a gRPC one.
 
 use crate::constants::*;
-use crate::controller_pool::{Asker, Full};
+use crate::controller_pool::{ControllerPool, QueueFull};
 use crate::convert;
 use crate::wire::graphs_server::Graphs;
 use crate::wire::{self, Graph, Session};
@@ -19,22 +19,22 @@
 use tonic::metadata::MetadataValue;
 use tonic::{Code, Request, Response, Status};
 
-/// The service. Cloned by the server for each connection.
+/// The gRPC service. The server clones it for each connection.
 #[derive(Clone, Debug)]
 pub struct Service {
-    asker: Asker,
-    watches: Arc<Semaphore>,
+    controllers: ControllerPool,
+    watch_permits: Arc<Semaphore>,
 }
 
-/// What an answer that is none means to gRPC's users. When to come back stands in `retry-after`, in seconds.
-pub fn status_of(answer: &Answer) -> Status {
-    let said: serde_json::Value = serde_json::from_slice(&answer.body).unwrap_or_default();
-    let text = said["error"].as_str().unwrap_or("no reason given").to_owned();
+/// Converts an error response to a gRPC status. The retry delay, in seconds, goes into the metadata `retry-after`.
+pub fn to_status(answer: &Answer) -> Status {
+    let error: serde_json::Value = serde_json::from_slice(&answer.body).unwrap_or_default();
+    let text = error["error"].as_str().unwrap_or("no reason given").to_owned();
     let code = match answer.status {
         400 | 422 => Code::InvalidArgument,
         403 => Code::PermissionDenied,
         404 => Code::NotFound,
-        // It is there with other contents, or no longer in a state for this.
+        // Either it already exists with different contents, or its state does not allow the request.
         409 if text.contains("there already") || text.contains("another") => Code::AlreadyExists,
         409 => Code::FailedPrecondition,
         413 => Code::OutOfRange,
@@ -42,27 +42,29 @@
         _ => Code::Unavailable,
     };
     let mut status = Status::new(code, text);
-    if let Some(later) = answer.retry_after_s
-        && let Ok(value) = MetadataValue::try_from(later.to_string())
+    if let Some(retry_after_s) = answer.retry_after_s
+        && let Ok(value) = MetadataValue::try_from(retry_after_s.to_string())
     {
         status.metadata_mut().insert("retry-after", value);
     }
     status
 }
 
-fn read<T: DeserializeOwned>(answer: Result<Option<Answer>, Full>) -> Result<T, Status> {
-    let answer = answer.map_err(|full| Status::resource_exhausted(full.to_string()))?;
-    let answer = answer.ok_or_else(|| Status::unavailable("no controller answers"))?;
+fn parse_response<T: DeserializeOwned>(
+    answer: Result<Option<Answer>, QueueFull>,
+) -> Result<T, Status> {
+    let answer = answer.map_err(|e| Status::resource_exhausted(e.to_string()))?;
+    let answer = answer.ok_or_else(|| Status::unavailable("no controller responded"))?;
     match answer.status {
         200 | 201 => serde_json::from_slice(&answer.body)
-            .map_err(|e| Status::internal(format!("an answer that cannot be read: {e}"))),
-        _ => Err(status_of(&answer)),
+            .map_err(|e| Status::internal(format!("invalid response from a controller: {e}"))),
+        _ => Err(to_status(&answer)),
     }
 }
 
 impl Service {
-    pub fn new(asker: Asker) -> Self {
-        Self { asker, watches: Arc::new(Semaphore::new(WATCHES)) }
+    pub fn new(controllers: ControllerPool) -> Self {
+        Self { controllers, watch_permits: Arc::new(Semaphore::new(MAX_WATCH_COUNT)) }
     }
 
     async fn post<T: DeserializeOwned>(
@@ -71,55 +73,60 @@
         body: &impl Serialize,
     ) -> Result<T, Status> {
         let body = serde_json::to_vec(body).map_err(|e| Status::internal(e.to_string()))?;
-        read(self.asker.ask("POST", path, body).await)
+        parse_response(self.controllers.send("POST", path, body).await)
     }
 
-    async fn keyed<T: DeserializeOwned>(&self, path: String, key: String) -> Result<T, Status> {
+    async fn post_key<T: DeserializeOwned>(&self, path: String, key: String) -> Result<T, Status> {
         self.post(path, &Keyed { key }).await
     }
 
-    async fn look(&self, graph: GraphId, after: &str) -> Result<GraphView, Status> {
+    /// Requests the nodes of a graph that changed after a position.
+    async fn fetch_changes(&self, graph: GraphId, after: &str) -> Result<GraphView, Status> {
         let path = format!("/v2/graphs/{graph}?after={}", escape(after));
-        read(self.asker.ask("GET", path, Vec::new()).await)
+        parse_response(self.controllers.send("GET", path, Vec::new()).await)
     }
 
-    /// Sends what changes until the graph is over, its client is gone, or nobody has answered for long.
-    async fn stream(
+    /// Streams changes until the graph is final, the client has gone, or no controller has responded for
+    /// [`WATCH_RETRY_TIMEOUT_MS`].
+    async fn stream_changes(
         self,
         graph: GraphId,
         mut after: String,
-        out: mpsc::Sender<Result<Graph, Status>>,
+        sender: mpsc::Sender<Result<Graph, Status>>,
         _permit: OwnedSemaphorePermit,
     ) {
-        let mut heard = Instant::now();
-        let mut first = true;
+        let mut last_response = Instant::now();
+        let mut is_first = true;
         loop {
-            match self.look(graph, &after).await {
+            match self.fetch_changes(graph, &after).await {
                 Ok(view) => {
-                    heard = Instant::now();
-                    let (more, over) = (view.more, view.status.is_final() && !view.more);
-                    let news = first || over || !view.changed.is_empty();
-                    first = false;
+                    last_response = Instant::now();
+                    let (has_more, is_over) = (view.more, view.status.is_final() && !view.more);
+                    let has_news = is_first || is_over || !view.changed.is_empty();
+                    is_first = false;
                     after.clone_from(&view.next);
-                    // A client that reads slowly is waited for, and nothing is gathered meanwhile.
-                    if news && out.send(Ok(convert::graph(view))).await.is_err() || over {
+                    // Waits for a client that reads slowly; the controllers are not polled meanwhile.
+                    if has_news && sender.send(Ok(convert::graph(view))).await.is_err() || is_over {
                         return;
                     }
-                    if more {
+                    if has_more {
                         continue;
                     }
                 }
                 Err(e) => {
-                    let passing = matches!(e.code(), Code::Unavailable | Code::ResourceExhausted);
-                    if !passing || heard.elapsed() > Duration::from_millis(PATIENCE_MS.0) {
-                        let _ = out.send(Err(e)).await;
+                    let is_transient =
+                        matches!(e.code(), Code::Unavailable | Code::ResourceExhausted);
+                    if !is_transient
+                        || last_response.elapsed() > Duration::from_millis(WATCH_RETRY_TIMEOUT_MS.0)
+                    {
+                        let _ = sender.send(Err(e)).await;
                         return;
                     }
                 }
             }
             tokio::select! {
-                () = out.closed() => return,
-                () = tokio::time::sleep(Duration::from_millis(LOOK_EVERY_MS.0)) => {}
+                () = sender.closed() => return,
+                () = tokio::time::sleep(Duration::from_millis(POLL_INTERVAL_MS.0)) => {}
             }
         }
     }
@@ -134,8 +141,8 @@
         request: Request<wire::OpenSessionRequest>,
     ) -> Result<Response<Session>, Status> {
         let wire::OpenSessionRequest { session, key, owner, ttl_s } = request.into_inner();
-        let open = OpenSession { session, key, owner, ttl_s };
-        let view: SessionView = self.post("/v2/sessions".into(), &open).await?;
+        let open_request = OpenSession { session, key, owner, ttl_s };
+        let view: SessionView = self.post("/v2/sessions".into(), &open_request).await?;
         Ok(Response::new(convert::session(view)))
     }
 
@@ -144,8 +151,8 @@
         request: Request<wire::SessionRequest>,
     ) -> Result<Response<Session>, Status> {
         let wire::SessionRequest { session, key } = request.into_inner();
-        let path = format!("/v2/sessions/{}/beat", convert::plain(&session)?);
-        Ok(Response::new(convert::session(self.keyed(path, key).await?)))
+        let path = format!("/v2/sessions/{}/beat", convert::validate_session_name(&session)?);
+        Ok(Response::new(convert::session(self.post_key(path, key).await?)))
     }
 
     async fn close_session(
@@ -153,16 +160,16 @@
         request: Request<wire::SessionRequest>,
     ) -> Result<Response<Session>, Status> {
         let wire::SessionRequest { session, key } = request.into_inner();
-        let path = format!("/v2/sessions/{}/close", convert::plain(&session)?);
-        Ok(Response::new(convert::session(self.keyed(path, key).await?)))
+        let path = format!("/v2/sessions/{}/close", convert::validate_session_name(&session)?);
+        Ok(Response::new(convert::session(self.post_key(path, key).await?)))
     }
 
     async fn create_graph(
         &self,
         request: Request<wire::CreateGraphRequest>,
     ) -> Result<Response<Graph>, Status> {
-        let create = convert::create(request.into_inner())?;
-        let view = self.post("/v2/graphs".into(), &create).await?;
+        let create_request = convert::create_request(request.into_inner())?;
+        let view = self.post("/v2/graphs".into(), &create_request).await?;
         Ok(Response::new(convert::graph(view)))
     }
 
@@ -172,8 +179,8 @@
     ) -> Result<Response<Graph>, Status> {
         let request = request.into_inner();
         let graph = convert::graph_id(&request.graph)?;
-        let add = convert::additions(request)?;
-        let view = self.post(format!("/v2/graphs/{graph}/nodes"), &add).await?;
+        let add_request = convert::add_request(request)?;
+        let view = self.post(format!("/v2/graphs/{graph}/nodes"), &add_request).await?;
         Ok(Response::new(convert::graph(view)))
     }
 
@@ -183,7 +190,7 @@
     ) -> Result<Response<Graph>, Status> {
         let wire::CancelGraphRequest { graph, key } = request.into_inner();
         let graph = convert::graph_id(&graph)?;
-        let view = self.keyed(format!("/v2/graphs/{graph}/cancel"), key).await?;
+        let view = self.post_key(format!("/v2/graphs/{graph}/cancel"), key).await?;
         Ok(Response::new(convert::graph(view)))
     }
 
@@ -193,7 +200,7 @@
     ) -> Result<Response<Graph>, Status> {
         let graph = convert::graph_id(&request.into_inner().graph)?;
         let path = format!("/v2/graphs/{graph}?most=0");
-        let view: GraphView = read(self.asker.ask("GET", path, Vec::new()).await)?;
+        let view: GraphView = parse_response(self.controllers.send("GET", path, Vec::new()).await)?;
         Ok(Response::new(convert::graph(view)))
     }
 
@@ -203,10 +210,10 @@
     ) -> Result<Response<Self::WatchGraphStream>, Status> {
         let wire::WatchGraphRequest { graph, after } = request.into_inner();
         let graph = convert::graph_id(&graph)?;
-        let permit = self.watches.clone().try_acquire_owned();
-        let permit = permit.map_err(|_| Status::resource_exhausted("too many streams"))?;
-        let (out, stream) = mpsc::channel(BUFFER);
-        tokio::spawn(self.clone().stream(graph, after, out, permit));
+        let permit = self.watch_permits.clone().try_acquire_owned();
+        let permit = permit.map_err(|_| Status::resource_exhausted("too many watch streams"))?;
+        let (sender, stream) = mpsc::channel(STREAM_BUFFER_COUNT);
+        tokio::spawn(self.clone().stream_changes(graph, after, sender, permit));
         Ok(Response::new(ReceiverStream::new(stream)))
     }
 }
--- a/crates/graphd/src/tls.rs
+++ b/crates/graphd/src/tls.rs
@@ -1,5 +1,5 @@
-//! TLS with certificates that are read again when their files change. What cannot be read then is said, and the last good
-//! ones stay.
+//! TLS with certificates that are reloaded when their files change. If a reload fails, a warning is logged and the previous
+//! certificates stay in use.
 
 use crate::constants::*;
 use std::path::{Path, PathBuf};
@@ -14,22 +14,22 @@
 use tokio_rustls::rustls::{RootCertStore, ServerConfig};
 use tokio_rustls::server::TlsStream;
 
-/// Where certificates stand, as PEM.
+/// Paths of the PEM files for TLS.
 #[derive(Clone, Debug)]
-pub struct Files {
-    /// The server's own chain, and its key.
+pub struct TlsFiles {
+    /// The certificate chain of the server, and its private key.
     pub cert: PathBuf,
     pub key: PathBuf,
-    /// Whose certificates clients must show, if they must.
+    /// The authority that must have issued client certificates; `None` if clients need no certificate.
     pub client_ca: Option<PathBuf>,
 }
 
-/// Why certificates cannot be used.
+/// Errors while loading certificates.
 #[derive(Debug, thiserror::Error)]
 pub enum TlsError {
     #[error("{0}: {1}")]
     Pem(PathBuf, tokio_rustls::rustls::pki_types::pem::Error),
-    #[error("{0}: holds no certificate")]
+    #[error("{0}: contains no certificate")]
     Empty(PathBuf),
     #[error("certificates: {0}")]
     Rustls(#[from] tokio_rustls::rustls::Error),
@@ -37,26 +37,26 @@
     Verifier(#[from] tokio_rustls::rustls::server::VerifierBuilderError),
 }
 
-fn certificates(path: &Path) -> Result<Vec<CertificateDer<'static>>, TlsError> {
-    let pem = |e| TlsError::Pem(path.to_owned(), e);
-    let read = CertificateDer::pem_file_iter(path).map_err(pem)?;
-    let read = read.collect::<Result<Vec<_>, _>>().map_err(pem)?;
-    if read.is_empty() { Err(TlsError::Empty(path.to_owned())) } else { Ok(read) }
+fn load_certificates(path: &Path) -> Result<Vec<CertificateDer<'static>>, TlsError> {
+    let pem_error = |e| TlsError::Pem(path.to_owned(), e);
+    let loaded = CertificateDer::pem_file_iter(path).map_err(pem_error)?;
+    let loaded = loaded.collect::<Result<Vec<_>, _>>().map_err(pem_error)?;
+    if loaded.is_empty() { Err(TlsError::Empty(path.to_owned())) } else { Ok(loaded) }
 }
 
-/// Reads the files.
+/// Loads the certificates.
 ///
 /// # Errors
-/// One cannot be read, or they do not belong together.
-pub fn load(files: &Files) -> Result<Arc<ServerConfig>, TlsError> {
-    let chain = certificates(&files.cert)?;
+/// A file cannot be read, or the key does not match the certificate.
+pub fn load(files: &TlsFiles) -> Result<Arc<ServerConfig>, TlsError> {
+    let chain = load_certificates(&files.cert)?;
     let key = PrivateKeyDer::from_pem_file(&files.key)
         .map_err(|e| TlsError::Pem(files.key.clone(), e))?;
     let builder = ServerConfig::builder();
     let builder = match &files.client_ca {
         Some(path) => {
             let mut roots = RootCertStore::empty();
-            for certificate in certificates(path)? {
+            for certificate in load_certificates(path)? {
                 roots.add(certificate)?;
             }
             builder.with_client_cert_verifier(WebPkiClientVerifier::builder(roots.into()).build()?)
@@ -68,69 +68,72 @@
     Ok(Arc::new(config))
 }
 
-/// When the files were last written, as far as that can be told.
-fn stamps(files: &Files) -> Vec<Option<(SystemTime, u64)>> {
+/// Modification time and size of each file; `None` where they are unavailable.
+fn file_versions(files: &TlsFiles) -> Vec<Option<(SystemTime, u64)>> {
     let paths = [Some(&files.cert), Some(&files.key), files.client_ca.as_ref()];
-    let stamp = |path: &PathBuf| {
-        let data = std::fs::metadata(path).ok()?;
-        Some((data.modified().ok()?, data.len()))
+    let read_version = |path: &PathBuf| {
+        let metadata = std::fs::metadata(path).ok()?;
+        Some((metadata.modified().ok()?, metadata.len()))
     };
-    paths.into_iter().flatten().map(stamp).collect()
+    paths.into_iter().flatten().map(read_version).collect()
 }
 
-/// Reads the files now, and again whenever they have changed, on a thread of its own.
+/// Loads the certificates, and starts a thread that reloads them whenever the files change.
 ///
 /// # Errors
-/// They cannot be used at the start, or no thread can be had.
-pub fn keep(files: Files) -> Result<watch::Receiver<Arc<ServerConfig>>, crate::server::ServeError> {
-    let mut known = stamps(&files);
+/// The certificates cannot be loaded at the start, or the thread cannot be started.
+pub fn watch_files(
+    files: TlsFiles,
+) -> Result<watch::Receiver<Arc<ServerConfig>>, crate::server::ServeError> {
+    let mut loaded_versions = file_versions(&files);
     let (sender, configs) = watch::channel(load(&files)?);
     std::thread::Builder::new().name("certificates".into()).spawn(move || {
         while !sender.is_closed() {
-            std::thread::sleep(Duration::from_millis(RELOAD_MS.0));
-            let now = stamps(&files);
-            if now == known {
+            std::thread::sleep(Duration::from_millis(CERTIFICATE_CHECK_INTERVAL_MS.0));
+            let versions = file_versions(&files);
+            if versions == loaded_versions {
                 continue;
             }
             match load(&files) {
                 Ok(config) => {
-                    tracing::info!("certificates were read again");
+                    tracing::info!("reloaded the certificates");
                     sender.send_replace(config);
-                    known = now;
+                    loaded_versions = versions;
                 }
-                // Half written, perhaps: looked at again.
-                Err(e) => tracing::warn!("certificates are not changed: {e}"),
+                // The files may be only partly written; retried at the next check.
+                Err(e) => tracing::warn!("cannot reload the certificates: {e}"),
             }
         }
     })?;
     Ok(configs)
 }
 
-/// Takes connections and shakes hands, several at a time; what takes too long or is refused is dropped.
+/// Accepts connections and performs TLS handshakes, several at a time. Connections whose handshake fails or times out are
+/// dropped.
 pub async fn accept(
     listener: TcpListener,
     configs: watch::Receiver<Arc<ServerConfig>>,
-    out: mpsc::Sender<std::io::Result<TlsStream<TcpStream>>>,
+    sender: mpsc::Sender<std::io::Result<TlsStream<TcpStream>>>,
 ) {
-    let hands = Arc::new(Semaphore::new(HANDSHAKES));
-    while !out.is_closed() {
-        let Ok(permit) = hands.clone().acquire_owned().await else { return };
-        let taken = tokio::select! {
-            taken = listener.accept() => taken,
-            () = out.closed() => return,
+    let handshake_permits = Arc::new(Semaphore::new(MAX_HANDSHAKE_COUNT));
+    while !sender.is_closed() {
+        let Ok(permit) = handshake_permits.clone().acquire_owned().await else { return };
+        let accepted = tokio::select! {
+            accepted = listener.accept() => accepted,
+            () = sender.closed() => return,
         };
-        let Ok((stream, peer)) = taken else {
-            tokio::time::sleep(Duration::from_millis(LOOK_EVERY_MS.0)).await;
+        let Ok((stream, peer)) = accepted else {
+            tokio::time::sleep(Duration::from_millis(POLL_INTERVAL_MS.0)).await;
             continue;
         };
         let acceptor = TlsAcceptor::from(configs.borrow().clone());
-        let out = out.clone();
+        let sender = sender.clone();
         tokio::spawn(async move {
-            let patience = Duration::from_millis(HANDSHAKE_MS.0);
-            match tokio::time::timeout(patience, acceptor.accept(stream)).await {
-                Ok(Ok(stream)) => _ = out.send(Ok(stream)).await,
-                Ok(Err(e)) => tracing::debug!("{peer}: no TLS: {e}"),
-                Err(_) => tracing::debug!("{peer}: the handshake took too long"),
+            let timeout = Duration::from_millis(HANDSHAKE_TIMEOUT_MS.0);
+            match tokio::time::timeout(timeout, acceptor.accept(stream)).await {
+                Ok(Ok(stream)) => _ = sender.send(Ok(stream)).await,
+                Ok(Err(e)) => tracing::debug!("{peer}: TLS handshake failed: {e}"),
+                Err(_) => tracing::debug!("{peer}: TLS handshake timed out"),
             }
             drop(permit);
         });
