--- a/crates/client/src/constants.rs
+++ b/crates/client/src/constants.rs
@@ -1,25 +1,26 @@
-//! Constants of clients, with unit and reason.
+//! Timeouts, retry delays and size limits of clients.
 
 use oatloom_protocol::ids::Millis;
 
-/// How long a user waits for the answer to a submission or a cancellation, and to a poll (protocol).
+/// Timeout of one submission or cancellation, and of one poll (protocol).
 pub const SUBMIT_TIMEOUT_MS: Millis = Millis(5_000);
 pub const POLL_TIMEOUT_MS: Millis = Millis(2_000);
-/// Least time before a request is sent again, and longest that `Retry-After` is heeded (protocol).
+/// Minimum delay before a request is retried, and the longest `Retry-After` delay that is honoured (protocol).
 pub const RETRY_LEAST_MS: Millis = Millis(1_000);
-pub const RETRY_MOST_S: u32 = 30;
-/// How long a request is sent again before it is given up (protocol).
+pub const MAX_RETRY_AFTER_S: u32 = 30;
+/// How long a request is retried before it fails (protocol).
 pub const GIVE_UP_MS: Millis = Millis(60_000);
-/// How long controllers of which none was ever reached are tried: one that was killed is back by then.
+/// How long a request is retried if no controller has been reached at all: a killed controller restarts within this time.
 pub const UNREACHABLE_MS: Millis = Millis(5_000);
-/// Largest answer read.
+/// Maximum size of a response.
 pub const ANSWER_BYTES: u64 = 1024 * 1024;
-/// Period of looks at a graph, and heartbeats within a session's time to live: several may be lost.
-pub const LOOK_EVERY_MS: Millis = Millis(500);
-pub const BEATS: u64 = 5;
-/// How often a thread that keeps a session alive looks whether it is to end.
-pub const BEAT_STEP_MS: Millis = Millis(50);
-/// Nodes and bytes of one addition: a request holds 64 KiB, and what it adds has to fit into one transaction of the
+/// Interval between polls of a graph.
+pub const WATCH_POLL_INTERVAL_MS: Millis = Millis(500);
+/// Heartbeats within the time to live of a session, so that several may be lost.
+pub const HEARTBEATS_PER_TTL_COUNT: u64 = 5;
+/// How often the heartbeat thread of a session checks whether it must stop.
+pub const HEARTBEAT_STOP_CHECK_INTERVAL_MS: Millis = Millis(50);
+/// Maximum nodes and bytes of one addition: a request holds 64 KiB, and what it adds has to fit into one transaction of the
 /// state service.
-pub const ADDITION_NODES: usize = 200;
-pub const ADDITION_BYTES: usize = 20 * 1024;
+pub const MAX_ADDITION_NODE_COUNT: usize = 200;
+pub const MAX_ADDITION_BYTES: usize = 20 * 1024;
--- a/crates/client/src/graphs.rs
+++ b/crates/client/src/graphs.rs
@@ -1,4 +1,4 @@
-//! Task graphs: a session that is kept alive while it is held, graphs that are added to in pages, and their progress.
+//! Task graphs: sessions that are kept alive by heartbeats, graphs to which nodes are added in batches, and their progress.
 
 use crate::constants::*;
 use crate::users::Controllers;
@@ -9,7 +9,7 @@
 };
 use oatloom_protocol::ids::Millis;
 use oatloom_protocol::wire::Rank;
-use oatloom_web::client::Answer;
+use oatloom_web::client::HttpResponse;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::collections::BTreeMap;
@@ -18,67 +18,67 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Why a request about graphs came to nothing.
+/// Errors of requests about graphs.
 #[derive(Debug, thiserror::Error)]
 pub enum GraphError {
-    /// A final answer: asking again would get the same.
-    #[error("refused with {status}: {text}")]
-    Refused { status: u16, text: String },
-    /// No answer that counts came in time.
-    #[error("no answer that counts in {0} s")]
+    /// Rejected permanently: a retry would get the same response.
+    #[error("rejected with status {status}: {text}")]
+    Rejected { status: u16, text: String },
+    /// There was no final response within the timeout.
+    #[error("no final response within {0} s")]
     NoAnswer(u64),
-    #[error("an answer that cannot be read: {0}")]
-    Unreadable(String),
-    #[error("no thread could be started: {0}")]
+    #[error("invalid response: {0}")]
+    InvalidResponse(String),
+    #[error("cannot start a thread: {0}")]
     Thread(#[from] std::io::Error),
 }
 
-/// Asks until there is an answer that counts. Controllers of which none was ever reached are tried as long: a session and
-/// a watch outlast a restart of all.
-fn insist<T: DeserializeOwned>(
+/// Sends a request until there is a final response. Unreachable controllers are retried for the full timeout, so that
+/// sessions and watches survive a restart of all controllers.
+fn request_with_retry<T: DeserializeOwned>(
     controllers: &mut Controllers,
     (method, path): (&str, &str),
     body: &impl Serialize,
-    patience: Millis,
+    timeout: Millis,
 ) -> Result<T, GraphError> {
     let body = if method == "GET" {
         Vec::new()
     } else {
-        serde_json::to_vec(body).map_err(|e| GraphError::Unreadable(e.to_string()))?
+        serde_json::to_vec(body).map_err(|e| GraphError::InvalidResponse(e.to_string()))?
     };
-    let judge = |Answer { status, body, .. }: &Answer| match status {
+    let interpret = |HttpResponse { status, body, .. }: &HttpResponse| match status {
         200 | 201 => {
-            let read = serde_json::from_slice(body);
-            Some(read.map_err(|e| GraphError::Unreadable(e.to_string())))
+            let parsed = serde_json::from_slice(body);
+            Some(parsed.map_err(|e| GraphError::InvalidResponse(e.to_string())))
         }
         400..=428 | 430..=499 => {
-            let said: serde_json::Value = serde_json::from_slice(body).unwrap_or_default();
-            let text = said["error"].as_str().unwrap_or_default().to_owned();
-            Some(Err(GraphError::Refused { status: *status, text }))
+            let error: serde_json::Value = serde_json::from_slice(body).unwrap_or_default();
+            let text = error["error"].as_str().unwrap_or_default().to_owned();
+            Some(Err(GraphError::Rejected { status: *status, text }))
         }
         _ => None,
     };
-    let told = controllers.retry((method, path, &body), patience, patience, judge);
-    told.unwrap_or(Err(GraphError::NoAnswer(patience.0 / 1000)))
+    let outcome = controllers.retry((method, path, &body), timeout, timeout, interpret);
+    outcome.unwrap_or(Err(GraphError::NoAnswer(timeout.0 / 1000)))
 }
 
-/// A session, kept alive by a thread of its own until it is closed, dropped, or its process ends: then what is not
-/// detached of it is cancelled, at the latest when its time to live has passed.
+/// A session, kept alive by a heartbeat thread until it is closed or dropped, or its process ends. Its graphs and nodes that
+/// are not detached are then cancelled, at the latest when its time to live has expired.
 #[derive(Debug)]
 pub struct Session {
     controllers: Controllers,
     name: String,
     key: String,
-    end: Arc<AtomicBool>,
-    lost: Arc<AtomicBool>,
-    beats: Option<JoinHandle<()>>,
+    is_stopped: Arc<AtomicBool>,
+    is_lost: Arc<AtomicBool>,
+    heartbeat_thread: Option<JoinHandle<()>>,
 }
 
 impl Session {
-    /// Opens a session of a team, or goes on with the one of this name and key.
+    /// Opens a session for a team, or resumes the one with this name and key.
     ///
     /// # Errors
-    /// It is refused, or no controller answers.
+    /// The session is rejected, or no controller responds.
     pub fn open(
         mut controllers: Controllers,
         name: &str,
@@ -86,113 +86,143 @@
         owner: &str,
         ttl_s: f64,
     ) -> Result<Self, GraphError> {
-        let open = OpenSession {
+        let open_request = OpenSession {
             session: name.to_owned(),
             key: key.to_owned(),
             owner: owner.to_owned(),
             ttl_s,
         };
-        let _: SessionView = insist(&mut controllers, ("POST", "/v2/sessions"), &open, GIVE_UP_MS)?;
-        let (end, lost) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
-        let beats = {
-            let (end, lost, mut at) = (end.clone(), lost.clone(), controllers.clone());
+        let _: SessionView = request_with_retry(
+            &mut controllers,
+            ("POST", "/v2/sessions"),
+            &open_request,
+            GIVE_UP_MS,
+        )?;
+        let (is_stopped, is_lost) =
+            (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
+        let heartbeat_thread = {
+            let (is_stopped, is_lost, mut controllers) =
+                (is_stopped.clone(), is_lost.clone(), controllers.clone());
             let path = format!("/v2/sessions/{name}/beat");
-            let keyed = Keyed { key: key.to_owned() };
-            let every = Millis::from_secs(ttl_s / BEATS as f64);
+            let key_request = Keyed { key: key.to_owned() };
+            let interval = Millis::from_secs(ttl_s / HEARTBEATS_PER_TTL_COUNT as f64);
             std::thread::Builder::new().name("session".into()).spawn(move || {
-                let mut next = Instant::now();
-                while !end.load(Ordering::Relaxed) {
-                    if Instant::now() >= next {
-                        match insist::<SessionView>(&mut at, ("POST", &path), &keyed, every) {
-                            Err(GraphError::Refused { status, text }) => {
-                                tracing::warn!("session: lost, {status}: {text}");
-                                return lost.store(true, Ordering::Relaxed);
+                let mut next_heartbeat = Instant::now();
+                while !is_stopped.load(Ordering::Relaxed) {
+                    if Instant::now() >= next_heartbeat {
+                        match request_with_retry::<SessionView>(
+                            &mut controllers,
+                            ("POST", &path),
+                            &key_request,
+                            interval,
+                        ) {
+                            Err(GraphError::Rejected { status, text }) => {
+                                tracing::warn!(
+                                    "session lost: heartbeat rejected with status {status}: {text}"
+                                );
+                                return is_lost.store(true, Ordering::Relaxed);
                             }
-                            Err(e) => tracing::debug!("session: {e}"),
+                            Err(e) => tracing::debug!("session heartbeat failed: {e}"),
                             Ok(_) => {}
                         }
-                        next = Instant::now() + Duration::from_millis(every.0);
+                        next_heartbeat = Instant::now() + Duration::from_millis(interval.0);
                     }
-                    std::thread::sleep(Duration::from_millis(BEAT_STEP_MS.0));
+                    std::thread::sleep(Duration::from_millis(HEARTBEAT_STOP_CHECK_INTERVAL_MS.0));
                 }
             })?
         };
         let (name, key) = (name.to_owned(), key.to_owned());
-        Ok(Self { controllers, name, key, end, lost, beats: Some(beats) })
+        Ok(Self {
+            controllers,
+            name,
+            key,
+            is_stopped,
+            is_lost,
+            heartbeat_thread: Some(heartbeat_thread),
+        })
     }
 
-    /// Whether a controller has said that it is no more.
-    pub fn lost(&self) -> bool {
-        self.lost.load(Ordering::Relaxed)
+    /// Whether a controller has reported that the session no longer exists.
+    pub fn is_lost(&self) -> bool {
+        self.is_lost.load(Ordering::Relaxed)
     }
 
-    fn hush(&mut self) {
-        self.end.store(true, Ordering::Relaxed);
-        if let Some(beats) = self.beats.take() {
-            let _ = beats.join();
+    fn stop_heartbeats(&mut self) {
+        self.is_stopped.store(true, Ordering::Relaxed);
+        if let Some(heartbeat_thread) = self.heartbeat_thread.take() {
+            let _ = heartbeat_thread.join();
         }
     }
 
-    /// Ends the session: what is not detached of it is cancelled.
+    /// Closes the session; its graphs and nodes that are not detached are cancelled.
     ///
     /// # Errors
-    /// No controller answers; then it ends when its time to live has passed.
+    /// No controller responds; the session then ends when its time to live has expired.
     pub fn close(mut self) -> Result<(), GraphError> {
-        self.hush();
+        self.stop_heartbeats();
         let path = format!("/v2/sessions/{}/close", self.name);
-        let keyed = Keyed { key: self.key.clone() };
-        let closed: Result<SessionView, _> =
-            insist(&mut self.controllers, ("POST", &path), &keyed, GIVE_UP_MS);
-        closed.map(|_| ())
+        let key_request = Keyed { key: self.key.clone() };
+        let result: Result<SessionView, _> =
+            request_with_retry(&mut self.controllers, ("POST", &path), &key_request, GIVE_UP_MS);
+        result.map(|_| ())
     }
 
-    /// Begins a graph, or finds it begun. Nothing runs until nodes are sent.
+    /// Creates a graph, or opens an existing one. Nothing runs until nodes are sent.
     ///
     /// # Errors
-    /// It is refused, or no controller answers.
-    pub fn graph(&self, id: GraphId, plan: &Plan) -> Result<Graph, GraphError> {
-        let create = CreateGraph {
+    /// The graph is rejected, or no controller responds.
+    pub fn graph(&self, id: GraphId, options: &Plan) -> Result<Graph, GraphError> {
+        let create_request = CreateGraph {
             graph: id,
             session: self.name.clone(),
             key: self.key.clone(),
-            jobclass: plan.class.clone(),
-            rank: plan.rank,
-            due_s: plan.due_s,
-            on_failure: plan.on_failure,
-            detached: plan.detached,
+            jobclass: options.class.clone(),
+            rank: options.rank,
+            due_s: options.due_s,
+            on_failure: options.on_failure,
+            detached: options.detached,
         };
         let mut controllers = self.controllers.clone();
-        let _: GraphView = insist(&mut controllers, ("POST", "/v2/graphs"), &create, GIVE_UP_MS)?;
+        let _: GraphView = request_with_retry(
+            &mut controllers,
+            ("POST", "/v2/graphs"),
+            &create_request,
+            GIVE_UP_MS,
+        )?;
         Ok(Graph {
             controllers,
             id,
             key: self.key.clone(),
             kinds: BTreeMap::new(),
-            nodes: Vec::new(),
-            bytes: 0,
-            sent: 0,
+            pending_nodes: Vec::new(),
+            pending_bytes: 0,
+            sent_additions: 0,
         })
     }
 }
 
 impl Drop for Session {
     fn drop(&mut self) {
-        self.hush();
+        self.stop_heartbeats();
     }
 }
 
-/// What a graph is as a whole.
+/// Options of a graph as a whole.
 #[derive(Clone, Debug)]
 pub struct Plan {
+    /// Job class of the nodes.
     pub class: String,
     pub rank: Rank,
+    /// When the graph is due, in seconds after its creation; `None` if it has no due time.
     pub due_s: Option<f64>,
     pub on_failure: OnFailure,
+    /// Whether the graph survives the end of its session.
     pub detached: bool,
 }
 
 impl Plan {
-    /// Of a class of jobs, of standard rank; without a due time, bound to its session, cancelled when a node fails.
+    /// Options for graphs of a job class, with defaults: standard rank, no due time, bound to the session, and cancelled when
+    /// a node fails.
     pub fn new(class: &str) -> Self {
         Self {
             class: class.to_owned(),
@@ -204,80 +234,85 @@
     }
 }
 
-/// A graph that grows. Nodes are gathered, and sent in additions that fit; each has a name of its own, so that one whose
-/// answer was lost adds nothing twice.
+/// A graph to which nodes can be added. Nodes are buffered and sent in additions of bounded size. Each addition has its own
+/// name, so that a retry after a lost response adds nothing twice.
 #[derive(Debug)]
 pub struct Graph {
     controllers: Controllers,
     id: GraphId,
     key: String,
     kinds: BTreeMap<String, KindSpec>,
-    nodes: Vec<NewNode>,
-    bytes: usize,
-    sent: usize,
+    pending_nodes: Vec<NewNode>,
+    pending_bytes: usize,
+    sent_additions: usize,
 }
 
 impl Graph {
+    /// The ID of the graph.
     pub fn id(&self) -> GraphId {
         self.id
     }
 
-    /// Says what nodes of a kind need.
+    /// Defines a node kind: the resources that nodes of this kind need.
     pub fn kind(&mut self, name: &str, spec: KindSpec) -> &mut Self {
         self.kinds.insert(name.to_owned(), spec);
         self
     }
 
-    /// Adds a node that takes the results of others, which have been added before.
+    /// Adds a node that depends on other nodes, which have been added before.
     ///
     /// # Errors
-    /// What was gathered had to be sent, and was refused.
-    pub fn node(
+    /// The buffered nodes had to be sent first, and sending failed.
+    pub fn add_node(
         &mut self,
         name: &str,
         kind: &str,
         needs: &[&str],
     ) -> Result<&mut Self, GraphError> {
-        let needs = needs.iter().map(|input| (*input).to_owned()).collect();
+        let needs = needs.iter().map(|name| (*name).to_owned()).collect();
         self.add(NewNode { name: name.to_owned(), kind: kind.to_owned(), needs, shards: 1 })
     }
 
-    /// Adds a node as it is.
+    /// Adds a node with all its settings.
     ///
     /// # Errors
-    /// What was gathered had to be sent, and was refused.
+    /// The buffered nodes had to be sent first, and sending failed.
     pub fn add(&mut self, node: NewNode) -> Result<&mut Self, GraphError> {
-        let size = 40 + node.name.len() + node.needs.iter().map(|n| n.len() + 4).sum::<usize>();
-        let full = self.nodes.len() >= ADDITION_NODES || self.bytes + size > ADDITION_BYTES;
-        if full && !self.nodes.is_empty() {
+        // Estimated size of the node in the JSON request.
+        let size_bytes =
+            40 + node.name.len() + node.needs.iter().map(|n| n.len() + 4).sum::<usize>();
+        let is_full = self.pending_nodes.len() >= MAX_ADDITION_NODE_COUNT
+            || self.pending_bytes + size_bytes > MAX_ADDITION_BYTES;
+        if is_full && !self.pending_nodes.is_empty() {
             self.send(false)?;
         }
-        self.bytes += size;
-        self.nodes.push(node);
+        self.pending_bytes += size_bytes;
+        self.pending_nodes.push(node);
         Ok(self)
     }
 
-    /// Sends what was gathered; `seal`: nothing more will come.
+    /// Sends the buffered nodes. With `seal`, no more nodes can be added afterwards.
     ///
     /// # Errors
-    /// It is refused, whole, or no controller answers: then the same call may be made again.
+    /// The addition is rejected as a whole, or no controller responds; in that case the call may be repeated.
     pub fn send(&mut self, seal: bool) -> Result<GraphView, GraphError> {
-        let add = AddNodes {
+        let add_request = AddNodes {
             key: self.key.clone(),
-            addition: format!("a-{}", self.sent),
+            addition: format!("a-{}", self.sent_additions),
             kinds: self.kinds.clone(),
-            nodes: self.nodes.clone(),
+            nodes: self.pending_nodes.clone(),
             seal,
         };
         let path = format!("/v2/graphs/{}/nodes", self.id);
-        let view = insist(&mut self.controllers, ("POST", &path), &add, GIVE_UP_MS)?;
-        self.sent += 1;
-        self.bytes = 0;
-        self.nodes.clear();
+        let view =
+            request_with_retry(&mut self.controllers, ("POST", &path), &add_request, GIVE_UP_MS)?;
+        self.sent_additions += 1;
+        self.pending_bytes = 0;
+        self.pending_nodes.clear();
         Ok(view)
     }
 
-    /// Its progress from the beginning.
+    /// Watches the progress of the graph from the beginning.
     pub fn watch(&self) -> Watch {
         Watch::new(self.controllers.clone(), self.id, String::new())
     }
@@ -286,62 +321,71 @@
 /// Cancels a graph.
 ///
 /// # Errors
-/// It is refused, or no controller answers.
+/// The request is rejected, or no controller responds.
 pub fn cancel(
     controllers: &mut Controllers,
     id: GraphId,
     key: &str,
 ) -> Result<GraphView, GraphError> {
-    let keyed = Keyed { key: key.to_owned() };
-    insist(controllers, ("POST", &format!("/v2/graphs/{id}/cancel")), &keyed, GIVE_UP_MS)
+    let key_request = Keyed { key: key.to_owned() };
+    request_with_retry(
+        controllers,
+        ("POST", &format!("/v2/graphs/{id}/cancel")),
+        &key_request,
+        GIVE_UP_MS,
+    )
 }
 
-/// The progress of a graph: nodes that have changed, until it is over. It goes on from its position, also in another
-/// process; after a change of the leader nodes may come again.
+/// Reports the progress of a graph, as nodes that have changed, until the graph is final. A watch can be resumed from its
+/// position, also by another process; after a change of leader, nodes may be reported again.
 #[derive(Debug)]
 pub struct Watch {
     controllers: Controllers,
     id: GraphId,
     position: String,
-    over: bool,
+    is_over: bool,
 }
 
 impl Watch {
-    /// From a position that an earlier watch has reached; empty: from the beginning.
+    /// Starts at the position that an earlier watch has reached; an empty position is the beginning.
     pub fn new(controllers: Controllers, id: GraphId, position: String) -> Self {
-        Self { controllers, id, position, over: false }
+        Self { controllers, id, position, is_over: false }
     }
 
-    /// Where it is.
+    /// The current position, from which a new watch can resume.
     pub fn position(&self) -> &str {
         &self.position
     }
 
-    /// How the graph is doing now, with the nodes that have changed since the last look.
+    /// Requests the current state of the graph, with the nodes that have changed since the last poll.
     ///
     /// # Errors
-    /// There is no such graph, or no controller answers.
+    /// The graph does not exist, or no controller responds.
     pub fn look(&mut self) -> Result<GraphView, GraphError> {
         let path = format!("/v2/graphs/{}?after={}", self.id, self.position);
-        let view: GraphView = insist(&mut self.controllers, ("GET", &path), &(), GIVE_UP_MS)?;
+        let view: GraphView =
+            request_with_retry(&mut self.controllers, ("GET", &path), &(), GIVE_UP_MS)?;
         self.position.clone_from(&view.next);
-        self.over = view.status.is_final() && !view.more;
+        self.is_over = view.status.is_final() && !view.more;
         Ok(view)
     }
 
-    /// Waits for the end, and hands every change to `each`. The last view is the final answer.
+    /// Polls until the graph is final and passes every changed node to `on_change`. Returns the final state.
     ///
     /// # Errors
-    /// There is no such graph, or no controller answers.
-    pub fn to_end(&mut self, mut each: impl FnMut(&NodeView)) -> Result<GraphView, GraphError> {
+    /// The graph does not exist, or no controller responds.
+    pub fn to_end(
+        &mut self,
+        mut on_change: impl FnMut(&NodeView),
+    ) -> Result<GraphView, GraphError> {
         loop {
             let view = self.look()?;
-            view.changed.iter().for_each(&mut each);
-            if self.over {
+            view.changed.iter().for_each(&mut on_change);
+            if self.is_over {
                 return Ok(view);
             }
             if !view.more {
-                std::thread::sleep(Duration::from_millis(LOOK_EVERY_MS.0));
+                std::thread::sleep(Duration::from_millis(WATCH_POLL_INTERVAL_MS.0));
             }
         }
     }
@@ -353,33 +397,34 @@
     use std::sync::Mutex;
     use tiny_http::{Header, Response, Server};
 
-    type Seen = Arc<Mutex<Vec<(String, serde_json::Value)>>>;
+    /// Paths and bodies of the received requests.
+    type RequestLog = Arc<Mutex<Vec<(String, serde_json::Value)>>>;
 
-    /// A controller that answers what `says` makes of the path and of how often it was asked.
-    fn controller(
-        says: impl Fn(&str, usize) -> (u16, String) + Send + 'static,
-    ) -> (Controllers, Seen) {
+    /// Starts a fake controller. `respond` maps the path and the number of requests for it so far to status and body.
+    fn start_controller(
+        respond: impl Fn(&str, usize) -> (u16, String) + Send + 'static,
+    ) -> (Controllers, RequestLog) {
         let server = Server::http("127.0.0.1:0").unwrap();
         let address = server.server_addr().to_string();
-        let seen: Seen = Arc::default();
-        let noted = seen.clone();
+        let requests: RequestLog = Arc::default();
+        let request_log = requests.clone();
         std::thread::spawn(move || {
             for mut request in server.incoming_requests() {
                 let body: serde_json::Value =
                     serde_json::from_reader(request.as_reader()).unwrap_or_default();
                 let path = request.url().to_owned();
-                let times = {
-                    let mut noted = noted.lock().unwrap();
-                    noted.push((path.clone(), body));
-                    noted.iter().filter(|(known, _)| *known == path).count()
+                let request_count = {
+                    let mut request_log = request_log.lock().unwrap();
+                    request_log.push((path.clone(), body));
+                    request_log.iter().filter(|(logged, _)| *logged == path).count()
                 };
-                let (status, text) = says(&path, times);
-                let later = Header::from_bytes("Retry-After", "1").unwrap();
-                let answer = Response::from_string(text).with_status_code(status);
-                let _ = request.respond(answer.with_header(later));
+                let (status, text) = respond(&path, request_count);
+                let retry_after = Header::from_bytes("Retry-After", "1").unwrap();
+                let response = Response::from_string(text).with_status_code(status);
+                let _ = request.respond(response.with_header(retry_after));
             }
         });
-        (Controllers::new(&[address]), seen)
+        (Controllers::new(&[address]), requests)
     }
 
     fn view(status: &str, next: &str, more: bool) -> String {
@@ -391,12 +436,14 @@
 
     const SESSION: &str = r#"{"session":"s","status":"open","ttlS":10.0}"#;
 
-    /// An addition that was refused for now is sent again as it was; what is refused for good is told.
+    /// An addition is retried unchanged after a temporary error; a permanent rejection is returned.
     #[test]
-    fn additions_are_sent_again_under_the_same_name() {
-        let (controllers, seen) = controller(|path, times| match path {
-            "/v2/graphs/graph-1/nodes" if times == 1 => (503, "{}".into()),
-            "/v2/graphs/graph-1/nodes" if times == 3 => (422, r#"{"error":"a cycle"}"#.into()),
+    fn additions_are_retried_under_the_same_name() {
+        let (controllers, requests) = start_controller(|path, request_count| match path {
+            "/v2/graphs/graph-1/nodes" if request_count == 1 => (503, "{}".into()),
+            "/v2/graphs/graph-1/nodes" if request_count == 3 => {
+                (422, r#"{"error":"a cycle"}"#.into())
+            }
             path if path.starts_with("/v2/sessions") => (200, SESSION.into()),
             _ => (200, view("open", "1.0", false)),
         });
@@ -404,26 +451,26 @@
         let id = GraphId::parse("graph-1").unwrap();
         let mut graph = session.graph(id, &Plan::new("quick")).unwrap();
         let spec: KindSpec = serde_json::from_str(r#"{"num_cpus":1.0}"#).unwrap();
-        graph.kind("k", spec).node("a", "k", &[]).unwrap();
+        graph.kind("k", spec).add_node("a", "k", &[]).unwrap();
         graph.send(false).unwrap();
-        graph.node("b", "k", &["a"]).unwrap();
-        let Err(GraphError::Refused { status: 422, text }) = graph.send(true) else { panic!() };
+        graph.add_node("b", "k", &["a"]).unwrap();
+        let Err(GraphError::Rejected { status: 422, text }) = graph.send(true) else { panic!() };
         assert_eq!(text, "a cycle");
-        let asked = seen.lock().unwrap();
-        let names: Vec<&str> = asked
+        let request_log = requests.lock().unwrap();
+        let addition_names: Vec<&str> = request_log
             .iter()
             .filter(|(path, _)| path.ends_with("/nodes"))
             .filter_map(|(_, body)| body["addition"].as_str())
             .collect();
-        assert_eq!(names, ["a-0", "a-0", "a-1"]);
-        drop(asked);
+        assert_eq!(addition_names, ["a-0", "a-0", "a-1"]);
+        drop(request_log);
         session.close().unwrap();
     }
 
-    /// A watch goes on from its position, and ends with the final answer.
+    /// A watch resumes from its position and ends with the final state.
     #[test]
-    fn a_watch_is_resumed_where_it_was() {
-        let (controllers, seen) = controller(|path, _| match path {
+    fn a_watch_resumes_from_its_position() {
+        let (controllers, requests) = start_controller(|path, _| match path {
             "/v2/graphs/graph-1?after=" => (200, view("open", "5.7", true)),
             "/v2/graphs/graph-1?after=5.7" => (200, view("done", "over.00000", false)),
             _ => (404, "{}".into()),
@@ -433,23 +480,23 @@
         watch.look().unwrap();
         let mut resumed = Watch::new(controllers, id, watch.position().to_owned());
         let mut changes = 0;
-        let over = resumed.to_end(|_| changes += 1).unwrap();
-        assert!(over.status.is_final() && changes == 1);
-        assert_eq!(seen.lock().unwrap().len(), 2);
+        let final_view = resumed.to_end(|_| changes += 1).unwrap();
+        assert!(final_view.status.is_final() && changes == 1);
+        assert_eq!(requests.lock().unwrap().len(), 2);
     }
 
-    /// A session that a controller no longer knows is lost, and says so.
+    /// A session that a controller no longer knows is reported as lost.
     #[test]
-    fn a_lost_session_is_noticed() {
-        let (controllers, _) = controller(|path, _| match path {
+    fn a_lost_session_is_detected() {
+        let (controllers, _) = start_controller(|path, _| match path {
             "/v2/sessions" => (201, SESSION.into()),
             _ => (404, r#"{"error":"no such session"}"#.into()),
         });
         let session = Session::open(controllers, "s", "secret-1", "red", 10.0).unwrap();
-        let began = Instant::now();
-        while !session.lost() && began.elapsed() < Duration::from_secs(5) {
+        let started = Instant::now();
+        while !session.is_lost() && started.elapsed() < Duration::from_secs(5) {
             std::thread::sleep(Duration::from_millis(20));
         }
-        assert!(session.lost());
+        assert!(session.is_lost());
     }
 }
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -1,5 +1,5 @@
-//! A blocking client of oatloom for programs: jobs, and task graphs with their sessions. Requests are sent again as the
-//! protocol allows, so that a lost answer makes nothing twice; nothing here keeps state that a restart would need.
+//! Blocking client library for oatloom: jobs, and task graphs with their sessions. Requests are retried as the protocol
+//! allows; a retry after a lost response creates nothing twice. The library keeps no state that must survive a restart.
 
 pub mod constants;
 pub mod graphs;
--- a/crates/client/src/users.rs
+++ b/crates/client/src/users.rs
@@ -1,33 +1,34 @@
-//! Users' requests to the controllers, sent again as the protocol allows.
+//! Job requests of users to the controllers, retried as the protocol allows.
 
 use crate::constants::*;
 use oatloom_protocol::ids::{JobId, Millis};
 use oatloom_protocol::wire::{JobSpec, JobView};
-use oatloom_web::client::{Answer, Caller};
+use oatloom_web::client::{Caller, HttpResponse};
 use std::time::{Duration, Instant};
 
-/// What became of a request.
+/// Final outcome of a job request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Told {
+    /// The current state of the job.
     View(JobView),
-    /// Refused for good, or not known: the status and what was said.
+    /// Rejected permanently, or the job is unknown: status and response body.
     Refused(u16, String),
-    /// No answer that counts within the time.
+    /// No final response within the timeout; holds the last response.
     Nothing(String),
     /// No controller could be reached at all.
     Unreachable,
 }
 
-/// Why asking again and again came to nothing.
+/// Why retrying a request was given up.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Unanswered {
-    /// No answer that counts; the last one.
-    Nothing(String),
+pub enum RetryError {
+    /// No final response; holds the last response.
+    NoFinalResponse(String),
     /// No controller could be reached at all.
     Unreachable,
 }
 
-/// What is asked about a job.
+/// A request about a job.
 #[derive(Clone, Debug)]
 pub enum Wish {
     Submit(Box<JobSpec>),
@@ -36,6 +37,7 @@
 }
 
 impl Wish {
+    /// The ID of the job.
     pub fn id(&self) -> &JobId {
         match self {
             Self::Submit(spec) => &spec.id,
@@ -43,7 +45,8 @@
         }
     }
 
-    fn request(&self) -> (&'static str, String, Vec<u8>) {
+    /// Method, path and body of the HTTP request.
+    fn to_http(&self) -> (&'static str, String, Vec<u8>) {
         match self {
             Self::Submit(spec) => {
                 ("POST", "/v2/runs".into(), serde_json::to_vec(spec).unwrap_or_default())
@@ -54,115 +57,132 @@
     }
 }
 
-/// Reads an answer; `None`: it is to be asked again, after the pause.
-pub fn judge(wish: &Wish, answer: &Answer) -> Option<Told> {
-    let text = || String::from_utf8_lossy(&answer.body).into_owned();
-    match answer.status {
-        200 | 201 => match serde_json::from_slice(&answer.body) {
+/// Interprets a response; `None` if it is not final and the request is to be retried after a delay.
+pub fn judge(request: &Wish, response: &HttpResponse) -> Option<Told> {
+    let text = || String::from_utf8_lossy(&response.body).into_owned();
+    match response.status {
+        200 | 201 => match serde_json::from_slice(&response.body) {
             Ok(view) => Some(Told::View(view)),
-            Err(e) => Some(Told::Refused(answer.status, format!("unreadable: {e}: {}", text()))),
+            Err(e) => {
+                Some(Told::Refused(response.status, format!("invalid response: {e}: {}", text())))
+            }
         },
-        400 | 422 | 413 if matches!(wish, Wish::Submit(_)) => {
-            Some(Told::Refused(answer.status, text()))
+        400 | 422 | 413 if matches!(request, Wish::Submit(_)) => {
+            Some(Told::Refused(response.status, text()))
         }
-        404 if !matches!(wish, Wish::Submit(_)) => Some(Told::Refused(404, text())),
+        404 if !matches!(request, Wish::Submit(_)) => Some(Told::Refused(404, text())),
         _ => None,
     }
 }
 
-/// How long to wait before asking again.
-pub fn pause(answer: Option<&Answer>) -> Millis {
-    let asked = answer.and_then(|a| a.retry_after_s).unwrap_or(0).min(RETRY_MOST_S);
-    Millis(RETRY_LEAST_MS.0.max(u64::from(asked) * 1_000))
+/// Delay before a request is retried.
+pub fn pause(response: Option<&HttpResponse>) -> Millis {
+    let retry_after_s =
+        response.and_then(|response| response.retry_after_s).unwrap_or(0).min(MAX_RETRY_AFTER_S);
+    Millis(RETRY_LEAST_MS.0.max(u64::from(retry_after_s) * 1_000))
 }
 
-/// The controllers as a user reaches them: one after the other.
+/// The controllers of a region; requests go to one after the other.
 #[derive(Clone, Debug)]
 pub struct Controllers {
-    submits: Vec<Caller>,
-    polls: Vec<Caller>,
+    submit_clients: Vec<Caller>,
+    poll_clients: Vec<Caller>,
     next: usize,
 }
 
 impl Controllers {
+    /// Creates HTTP clients for the controllers at these addresses.
     pub fn new(addresses: &[String]) -> Self {
-        let callers = |timeout: Millis| {
-            addresses.iter().map(|a| Caller::new(a, timeout, ANSWER_BYTES)).collect()
+        let http_clients = |timeout: Millis| {
+            addresses.iter().map(|address| Caller::new(address, timeout, ANSWER_BYTES)).collect()
         };
-        Self { submits: callers(SUBMIT_TIMEOUT_MS), polls: callers(POLL_TIMEOUT_MS), next: 0 }
+        Self {
+            submit_clients: http_clients(SUBMIT_TIMEOUT_MS),
+            poll_clients: http_clients(POLL_TIMEOUT_MS),
+            next: 0,
+        }
     }
 
+    /// Number of controllers.
     pub fn len(&self) -> usize {
-        self.polls.len()
+        self.poll_clients.len()
     }
 
     pub fn is_empty(&self) -> bool {
-        self.polls.is_empty()
+        self.poll_clients.is_empty()
     }
 
-    /// Asks one controller, once.
-    pub fn ask(&self, at: usize, wish: &Wish) -> Option<Answer> {
-        let (method, path, body) = wish.request();
-        self.call(at, method, &path, &body)
+    /// Sends a job request to one controller, without retries.
+    pub fn ask(&self, index: usize, request: &Wish) -> Option<HttpResponse> {
+        let (method, path, body) = request.to_http();
+        self.send(index, method, &path, &body)
     }
 
-    fn call(&self, at: usize, method: &str, path: &str, body: &[u8]) -> Option<Answer> {
-        let callers = if method == "GET" { &self.polls } else { &self.submits };
-        callers.get(at % callers.len().max(1))?.ask(method, path, body)
+    fn send(&self, index: usize, method: &str, path: &str, body: &[u8]) -> Option<HttpResponse> {
+        let http_clients = if method == "GET" { &self.poll_clients } else { &self.submit_clients };
+        http_clients.get(index % http_clients.len().max(1))?.ask(method, path, body)
     }
 
-    /// Asks the next controller, once.
-    pub fn ask_next(&mut self, method: &str, path: &str, body: &[u8]) -> Option<Answer> {
-        let answer = self.call(self.next, method, path, body);
+    /// Sends a request to the next controller, without retries.
+    pub fn request_next(&mut self, method: &str, path: &str, body: &[u8]) -> Option<HttpResponse> {
+        let response = self.send(self.next, method, path, body);
         self.next += 1;
-        answer
+        response
     }
 
-    /// Asks until there is an answer that counts, or the time is up.
-    pub fn insist(&mut self, wish: &Wish, patience: Millis) -> Told {
-        let (method, path, body) = wish.request();
-        let counts = |answer: &Answer| judge(wish, answer);
-        match self.retry((method, &path, &body), patience, UNREACHABLE_MS, counts) {
-            Ok(told) => told,
-            Err(Unanswered::Nothing(last)) => Told::Nothing(last),
-            Err(Unanswered::Unreachable) => Told::Unreachable,
+    /// Sends a job request until there is a final response or the timeout expires.
+    pub fn insist(&mut self, request: &Wish, timeout: Millis) -> Told {
+        let (method, path, body) = request.to_http();
+        let interpret = |response: &HttpResponse| judge(request, response);
+        match self.retry((method, &path, &body), timeout, UNREACHABLE_MS, interpret) {
+            Ok(outcome) => outcome,
+            Err(RetryError::NoFinalResponse(last)) => Told::Nothing(last),
+            Err(RetryError::Unreachable) => Told::Unreachable,
         }
     }
 
-    /// Asks one controller after the other until `judge` makes something of an answer. `unreachable`: how long they are
-    /// tried while none was ever reached.
+    /// Sends a request to one controller after the other until `interpret` returns a result for a response. If no controller
+    /// has been reached at all, it gives up after `unreachable_timeout` if that is shorter than `timeout`.
     ///
     /// # Errors
-    /// No answer counted in time.
+    /// There was no final response within the timeout.
     pub fn retry<T>(
         &mut self,
         (method, path, body): (&str, &str, &[u8]),
-        patience: Millis,
-        unreachable: Millis,
-        judge: impl Fn(&Answer) -> Option<T>,
-    ) -> Result<T, Unanswered> {
-        let began = Instant::now();
+        timeout: Millis,
+        unreachable_timeout: Millis,
+        interpret: impl Fn(&HttpResponse) -> Option<T>,
+    ) -> Result<T, RetryError> {
+        let started = Instant::now();
         let mut last = None;
         loop {
-            let answer = self.ask_next(method, path, body);
-            if let Some(told) = answer.as_ref().and_then(&judge) {
-                return Ok(told);
+            let response = self.request_next(method, path, body);
+            if let Some(outcome) = response.as_ref().and_then(&interpret) {
+                return Ok(outcome);
             }
-            if let Some(answer) = &answer {
-                last = Some(format!("{} {}", answer.status, String::from_utf8_lossy(&answer.body)));
+            if let Some(response) = &response {
+                last = Some(format!(
+                    "{} {}",
+                    response.status,
+                    String::from_utf8_lossy(&response.body)
+                ));
             }
-            // A controller that cannot be reached is passed over at once, though not in a circle.
-            let round = self.next.is_multiple_of(self.len());
-            let rest = if answer.is_none() && !round { Millis(0) } else { pause(answer.as_ref()) };
-            let waited = began.elapsed().as_millis() as u64 + rest.0;
-            match last.take_if(|_| waited >= patience.0) {
-                Some(last) => return Err(Unanswered::Nothing(last)),
-                None if last.is_none() && waited >= patience.0.min(unreachable.0) => {
-                    return Err(Unanswered::Unreachable);
+            // After an unreachable controller the next one is tried at once, with a delay only after each full round.
+            let is_round_complete = self.next.is_multiple_of(self.len());
+            let delay = if response.is_none() && !is_round_complete {
+                Millis(0)
+            } else {
+                pause(response.as_ref())
+            };
+            let total_wait_ms = started.elapsed().as_millis() as u64 + delay.0;
+            match last.take_if(|_| total_wait_ms >= timeout.0) {
+                Some(last) => return Err(RetryError::NoFinalResponse(last)),
+                None if last.is_none() && total_wait_ms >= timeout.0.min(unreachable_timeout.0) => {
+                    return Err(RetryError::Unreachable);
                 }
                 None => {}
             }
-            std::thread::sleep(Duration::from_millis(rest.0));
+            std::thread::sleep(Duration::from_millis(delay.0));
         }
     }
 }
@@ -171,26 +191,26 @@
 mod tests {
     use super::*;
 
-    /// What is final is told apart from what is to be asked again, as the protocol has it.
+    /// Final responses are told apart from those that are retried, depending on the request.
     #[test]
-    fn answers_are_judged_by_what_was_asked() {
-        let answer = |status, body: &str, retry_after_s| Answer {
+    fn responses_are_interpreted_by_request() {
+        let response = |status, body: &str, retry_after_s| HttpResponse {
             status,
             body: body.as_bytes().to_vec(),
             retry_after_s,
         };
-        let view = Wish::View(JobId::new("req-1"));
+        let request = Wish::View(JobId::new("req-1"));
         let text = r#"{"nameId":"req-1","status":"done","done":3,"running":0}"#;
-        let Some(Told::View(seen)) = judge(&view, &answer(200, text, None)) else {
-            panic!("unread")
+        let Some(Told::View(job_view)) = judge(&request, &response(200, text, None)) else {
+            panic!("the response is not interpreted")
         };
-        assert_eq!(seen.done, 3);
-        assert!(matches!(judge(&view, &answer(404, "", None)), Some(Told::Refused(404, _))));
+        assert_eq!(job_view.done, 3);
+        assert!(matches!(judge(&request, &response(404, "", None)), Some(Told::Refused(404, _))));
         for status in [429, 500, 503, 504, 421] {
-            assert_eq!(judge(&view, &answer(status, "", None)), None);
+            assert_eq!(judge(&request, &response(status, "", None)), None);
         }
-        assert_eq!(pause(Some(&answer(503, "", Some(7)))), Millis(7_000));
-        assert_eq!(pause(Some(&answer(503, "", Some(900)))), Millis(30_000));
+        assert_eq!(pause(Some(&response(503, "", Some(7)))), Millis(7_000));
+        assert_eq!(pause(Some(&response(503, "", Some(900)))), Millis(30_000));
         assert_eq!(pause(None), RETRY_LEAST_MS);
     }
 }
--- a/crates/graphd/src/controller_pool.rs
+++ b/crates/graphd/src/controller_pool.rs
@@ -3,7 +3,7 @@
 use crate::constants::{CONTROLLER_THREAD_COUNT, MAX_QUEUED_REQUEST_COUNT};
 use crossbeam::channel::{Receiver, Sender, bounded};
 use oatloom_client::Controllers;
-use oatloom_web::client::Answer;
+use oatloom_web::client::HttpResponse;
 use tokio::sync::oneshot;
 
 /// A request and the channel for its response.
@@ -11,7 +11,7 @@
     method: &'static str,
     path: String,
     body: Vec<u8>,
-    response: oneshot::Sender<Option<Answer>>,
+    response: oneshot::Sender<Option<HttpResponse>>,
 }
 
 /// The request queue is full.
@@ -50,7 +50,7 @@
         method: &'static str,
         path: String,
         body: Vec<u8>,
-    ) -> Result<Option<Answer>, QueueFull> {
+    ) -> Result<Option<HttpResponse>, QueueFull> {
         let (response, receiver) = oneshot::channel();
         let request = ControllerRequest { method, path, body, response };
         self.requests.try_send(request).map_err(|_| QueueFull)?;
@@ -67,8 +67,8 @@
         }
         let mut latest = None;
         for _ in 0..controllers.len() {
-            let next = controllers.ask_next(method, &path, &body);
-            let is_final = next.as_ref().is_some_and(|answer| answer.status != 503);
+            let next = controllers.request_next(method, &path, &body);
+            let is_final = next.as_ref().is_some_and(|response| response.status != 503);
             latest = next.or(latest);
             if is_final || response.is_closed() {
                 break;
--- a/crates/graphd/src/server.rs
+++ b/crates/graphd/src/server.rs
@@ -60,7 +60,7 @@
                 // Only a controller that responds with 200 counts as serving.
                 let response = controllers.send("GET", "/up".into(), Vec::new()).await;
                 match response {
-                    Ok(Some(answer)) if answer.status == 200 => {
+                    Ok(Some(response)) if response.status == 200 => {
                         reporter.set_serving::<GraphsServer<Service>>().await;
                     }
                     _ => reporter.set_not_serving::<GraphsServer<Service>>().await,
--- a/crates/graphd/src/service.rs
+++ b/crates/graphd/src/service.rs
@@ -8,7 +8,7 @@
 use oatloom_graph::answers::{GraphView, SessionView};
 use oatloom_graph::ids::GraphId;
 use oatloom_graph::requests::{Keyed, OpenSession};
-use oatloom_web::client::{Answer, escape};
+use oatloom_web::client::{HttpResponse, escape};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::sync::Arc;
@@ -27,10 +27,10 @@
 }
 
 /// Converts an error response to a gRPC status. The retry delay, in seconds, goes into the metadata `retry-after`.
-pub fn to_status(answer: &Answer) -> Status {
-    let error: serde_json::Value = serde_json::from_slice(&answer.body).unwrap_or_default();
+pub fn to_status(response: &HttpResponse) -> Status {
+    let error: serde_json::Value = serde_json::from_slice(&response.body).unwrap_or_default();
     let text = error["error"].as_str().unwrap_or("no reason given").to_owned();
-    let code = match answer.status {
+    let code = match response.status {
         400 | 422 => Code::InvalidArgument,
         403 => Code::PermissionDenied,
         404 => Code::NotFound,
@@ -42,7 +42,7 @@
         _ => Code::Unavailable,
     };
     let mut status = Status::new(code, text);
-    if let Some(retry_after_s) = answer.retry_after_s
+    if let Some(retry_after_s) = response.retry_after_s
         && let Ok(value) = MetadataValue::try_from(retry_after_s.to_string())
     {
         status.metadata_mut().insert("retry-after", value);
@@ -51,14 +51,14 @@
 }
 
 fn parse_response<T: DeserializeOwned>(
-    answer: Result<Option<Answer>, QueueFull>,
+    response: Result<Option<HttpResponse>, QueueFull>,
 ) -> Result<T, Status> {
-    let answer = answer.map_err(|e| Status::resource_exhausted(e.to_string()))?;
-    let answer = answer.ok_or_else(|| Status::unavailable("no controller responded"))?;
-    match answer.status {
-        200 | 201 => serde_json::from_slice(&answer.body)
+    let response = response.map_err(|e| Status::resource_exhausted(e.to_string()))?;
+    let response = response.ok_or_else(|| Status::unavailable("no controller responded"))?;
+    match response.status {
+        200 | 201 => serde_json::from_slice(&response.body)
             .map_err(|e| Status::internal(format!("invalid response from a controller: {e}"))),
-        _ => Err(to_status(&answer)),
+        _ => Err(to_status(&response)),
     }
 }
 
--- a/crates/graphd/tests/grpc.rs
+++ b/crates/graphd/tests/grpc.rs
@@ -8,7 +8,7 @@
 use oatloom_graphd::wire::{
     AddNodesRequest, GetGraphRequest, Kind, NewNode, OpenSessionRequest, WatchGraphRequest,
 };
-use oatloom_web::client::Answer;
+use oatloom_web::client::HttpResponse;
 use std::net::{SocketAddr, TcpListener};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -285,7 +285,7 @@
 /// Final rejections and retryable errors of controllers map to different status codes.
 #[test]
 fn error_responses_map_to_grpc_statuses() {
-    let answer = |status: u16, text: &str| Answer {
+    let response = |status: u16, text: &str| HttpResponse {
         status,
         body: format!(r#"{{"error":"{text}"}}"#).into_bytes(),
         retry_after_s: None,
@@ -302,6 +302,6 @@
         (503, "no leader can be reached", Code::Unavailable),
         (500, "", Code::Unavailable),
     ] {
-        assert_eq!(to_status(&answer(status, text)).code(), code, "{status} {text}");
+        assert_eq!(to_status(&response(status, text)).code(), code, "{status} {text}");
     }
 }
--- a/crates/logging/src/lib.rs
+++ b/crates/logging/src/lib.rs
@@ -1,10 +1,10 @@
-//! How oatloom's programs log: to standard error, as much as `LOG_LEVEL` says, as text or JSON. What libraries
-//! say through `log` comes out alike.
+//! Logging setup shared by oatloom's programs: to standard error, at the level set by `LOG_LEVEL`, as text or JSON.
+//! Records that libraries write through `log` are included.
 
 use tracing_subscriber::EnvFilter;
 use tracing_subscriber::filter::LevelFilter;
 
-/// What a line of the log looks like.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, clap::ValueEnum)]
 pub enum Format {
     #[default]
@@ -12,44 +12,45 @@
     Json,
 }
 
-/// The variable that sets how much is logged.
+/// Environment variable that sets the log level.
 pub const LEVEL_VARIABLE: &str = "LOG_LEVEL";
 
-/// Logging was set up before, or the level is none.
+/// Errors while setting up logging.
 #[derive(Debug, thiserror::Error)]
 pub enum LoggingError {
-    #[error("{0} is not a level: error, warn, info, debug or trace")]
+    #[error("{0} is not a log level: error, warn, info, debug or trace")]
     Level(String),
     #[error("logging cannot be set up: {0}")]
     Setup(String),
 }
 
-/// The filter for a level: oatloom's own packages at the level, all else from warnings on.
-fn filter(level: &str) -> Result<EnvFilter, LoggingError> {
-    let wanted: LevelFilter = level.parse().map_err(|_| LoggingError::Level(level.into()))?;
-    Ok(EnvFilter::new(format!("warn,oatloom={wanted}")))
+/// Builds the filter: oatloom's own crates log at `level`, all others at `warn`.
+fn build_filter(level: &str) -> Result<EnvFilter, LoggingError> {
+    let level_filter: LevelFilter = level.parse().map_err(|_| LoggingError::Level(level.into()))?;
+    Ok(EnvFilter::new(format!("warn,oatloom={level_filter}")))
 }
 
-/// Sets up logging for the whole process. `LOG_LEVEL` goes before `level`; one that is none is taken for
-/// `level`, as a scheduler must start all the same.
+/// Sets up logging for the whole process. `LOG_LEVEL` takes precedence over `level`; if it is invalid, it is ignored, because
+/// a scheduler must start nevertheless.
 ///
 /// # Errors
-/// `level` is none, or logging was set up before.
+/// `level` is invalid, or logging is set up already.
 pub fn init(level: &str, format: Format) -> Result<(), LoggingError> {
-    let asked = std::env::var(LEVEL_VARIABLE).ok();
-    let filter = match asked.map(|asked| filter(&asked)) {
+    let requested = std::env::var(LEVEL_VARIABLE).ok();
+    let filter = match requested.map(|requested| build_filter(&requested)) {
         Some(Ok(filter)) => filter,
-        _ => filter(level)?,
+        _ => build_filter(level)?,
     };
-    let lines = tracing_subscriber::fmt()
+    let subscriber = tracing_subscriber::fmt()
         .with_env_filter(filter)
         .with_writer(std::io::stderr)
         .with_ansi(false)
         .with_target(false);
-    let failed = |e: Box<dyn std::error::Error + Send + Sync>| LoggingError::Setup(e.to_string());
+    let setup_error =
+        |e: Box<dyn std::error::Error + Send + Sync>| LoggingError::Setup(e.to_string());
     match format {
-        Format::Text => lines.try_init().map_err(failed),
-        Format::Json => lines.json().try_init().map_err(failed),
+        Format::Text => subscriber.try_init().map_err(setup_error),
+        Format::Json => subscriber.json().try_init().map_err(setup_error),
     }
 }
 
@@ -58,10 +59,10 @@
     use super::*;
 
     #[test]
-    fn levels_are_read_and_others_named() {
+    fn levels_are_parsed_and_invalid_ones_reported() {
         for level in ["error", "warn", "info", "debug", "trace"] {
-            assert!(filter(level).is_ok());
+            assert!(build_filter(level).is_ok());
         }
-        assert!(matches!(filter("loud"), Err(LoggingError::Level(level)) if level == "loud"));
+        assert!(matches!(build_filter("loud"), Err(LoggingError::Level(level)) if level == "loud"));
     }
 }
--- a/crates/web/src/client.rs
+++ b/crates/web/src/client.rs
@@ -7,11 +7,11 @@
 use ureq::unversioned::transport::{DefaultConnector, NextTimeout};
 
 /// Status and body of a response, or `None` if there was no response.
-pub type Raw = Option<(u16, Vec<u8>)>;
+pub type RawResponse = Option<(u16, Vec<u8>)>;
 
 /// A response with the delay from its `Retry-After` header, if any.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Answer {
+pub struct HttpResponse {
     pub status: u16,
     pub body: Vec<u8>,
     pub retry_after_s: Option<u32>,
@@ -63,7 +63,10 @@
         Self { agent, base_url: format!("http://{address}"), max_bytes }
     }
 
-    fn read_response(&self, result: Result<ureq::http::Response<ureq::Body>, ureq::Error>) -> Raw {
+    fn read_response(
+        &self,
+        result: Result<ureq::http::Response<ureq::Body>, ureq::Error>,
+    ) -> RawResponse {
         let outcome = result.and_then(|mut response| {
             let body = response.body_mut().with_config().limit(self.max_bytes).read_to_vec()?;
             Ok((response.status().as_u16(), body))
@@ -72,19 +75,19 @@
     }
 
     /// Sends a `GET` request.
-    pub fn get(&self, path: &str) -> Raw {
+    pub fn get(&self, path: &str) -> RawResponse {
         self.read_response(self.agent.get(format!("{}{path}", self.base_url)).call())
     }
 
     /// Sends a `POST` request with a JSON body.
-    pub fn post(&self, path: &str, body: &impl serde::Serialize) -> Raw {
+    pub fn post(&self, path: &str, body: &impl serde::Serialize) -> RawResponse {
         let body = serde_json::to_vec(body).ok()?;
         let request = self.agent.post(format!("{}{path}", self.base_url));
         self.read_response(request.content_type("application/json").send(&body[..]))
     }
 
     /// Sends a request and also returns the `Retry-After` delay of the response.
-    pub fn ask(&self, method: &str, path: &str, body: &[u8]) -> Option<Answer> {
+    pub fn ask(&self, method: &str, path: &str, body: &[u8]) -> Option<HttpResponse> {
         let url = format!("{}{path}", self.base_url);
         let result = match method {
             "POST" => self.agent.post(url).content_type("application/json").send(body),
@@ -95,11 +98,11 @@
         };
         let retry_after_s = result.as_ref().ok().and_then(parse_retry_after);
         let (status, body) = self.read_response(result)?;
-        Some(Answer { status, body, retry_after_s })
+        Some(HttpResponse { status, body, retry_after_s })
     }
 
     /// Forwards a request unchanged.
-    pub fn pass(&self, method: &str, path: &str, body: &[u8]) -> Raw {
+    pub fn pass(&self, method: &str, path: &str, body: &[u8]) -> RawResponse {
         let url = format!("{}{path}", self.base_url);
         self.read_response(match method {
             "POST" => self.agent.post(url).content_type("application/json").send(body),
@@ -109,7 +112,7 @@
     }
 
     /// Sends a `DELETE` request.
-    pub fn delete(&self, path: &str) -> Raw {
+    pub fn delete(&self, path: &str) -> RawResponse {
         self.read_response(self.agent.delete(format!("{}{path}", self.base_url)).call())
     }
 }
