--- a/crates/ctl/tests/ended.rs
+++ b/crates/ctl/tests/ended.rs
@@ -7,8 +7,8 @@
 use oatloom_ctl::settings::Local;
 use oatloom_emulator::faults::{Fault, Planned};
 use oatloom_state::disk::Directory;
-use oatloom_state::journal::{SnapshotWriter, Step};
-use oatloom_state::records::{Close, Kept};
+use oatloom_state::records::{SnapshotFooter, SnapshotRow};
+use oatloom_state::wal::{SnapshotStep, SnapshotWriter};
 use oatloom_web::client::Caller;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -19,26 +19,31 @@
 fn fill(directory: &Path, ended: u64) {
     std::fs::create_dir_all(directory).expect("a directory");
     let mut writer = SnapshotWriter::new(Directory::new(directory));
-    writer.step(&Step::Begin).expect("begun");
+    writer.execute(&SnapshotStep::Begin).expect("begun");
     let row = |n: u64| {
         let value = format!(
             r#"{{"s":"{}","n":{}}}"#,
             if n.is_multiple_of(9) { "cancelled" } else { "done" },
             n % 9
         );
-        Kept {
+        SnapshotRow {
             key: format!("over/req-{n:09}").into(),
             value: value.as_str().into(),
-            stamp: n + 1,
+            revision: n + 1,
             lease: 0,
         }
     };
     for first in (0..ended).step_by(1_000) {
         let rows = (first..(first + 1_000).min(ended)).map(row).collect();
-        writer.step(&Step::Rows(rows)).expect("written");
+        writer.execute(&SnapshotStep::Rows(rows)).expect("written");
     }
-    let close = Close { rows: ended, from: 1, revision: ended, ..Close::default() };
-    writer.step(&Step::Close(close)).expect("closed");
+    let close = SnapshotFooter {
+        row_count: ended,
+        first_group: 1,
+        revision: ended,
+        ..SnapshotFooter::default()
+    };
+    writer.execute(&SnapshotStep::Close(close)).expect("closed");
 }
 
 /// Until every controller tells of an ended job.
--- a/crates/emulator/src/serve.rs
+++ b/crates/emulator/src/serve.rs
@@ -10,7 +10,7 @@
 use oatloom_protocol::ids::{Mono, Zone};
 use oatloom_protocol::reply::HttpReply;
 use oatloom_protocol::wire::{Command, HireRequest, Hosts, JobSpec, Order, Report, ReportAnswer};
-use oatloom_state::limits::Limits;
+use oatloom_state::rate_limiter::RateLimiter;
 use oatloom_web::client::Caller;
 use oatloom_web::server::{self, Answers, Caller as Conn, Incoming};
 use oatloom_web::{StartError, spawn};
@@ -159,13 +159,14 @@
         rps: f64,
     ) {
         // Bursts of two seconds' worth: two budgets of one second's, taken in turn.
-        let mut budgets = [(); 2].map(|()| Limits::new(rps / 2.0, 0.0, Mono(self.shared.now())));
+        let mut budgets =
+            [(); 2].map(|()| RateLimiter::new(rps / 2.0, 0.0, Mono(self.shared.now())));
         let mut turn = 0;
         while let Ok(Incoming { caller, request }) = requests.recv() {
             let now = self.shared.now();
             turn += 1;
-            let may =
-                budgets[turn % 2].take(0, Mono(now)) || budgets[(turn + 1) % 2].take(0, Mono(now));
+            let may = budgets[turn % 2].try_acquire(0, Mono(now))
+                || budgets[(turn + 1) % 2].try_acquire(0, Mono(now));
             let reply = if may {
                 self.cloud(now, &request)
             } else {
--- a/crates/state/benches/service.rs
+++ b/crates/state/benches/service.rs
@@ -6,9 +6,9 @@
 use oatloom_protocol::ids::{Millis, Mono};
 use oatloom_protocol::wire::StateStatus;
 use oatloom_state::disk::Directory;
-use oatloom_state::journal::{SnapshotWriter, Step};
-use oatloom_state::records::{Close, Kept};
+use oatloom_state::records::{SnapshotFooter, SnapshotRow};
 use oatloom_state::recovery::recover;
+use oatloom_state::wal::{SnapshotStep, SnapshotWriter};
 use oatloom_state::{service, settings::Settings};
 use oatloom_web::client::Caller;
 use serde_json::json;
@@ -87,20 +87,25 @@
 fn write_snapshot(directory: &Path) {
     let mut writer = SnapshotWriter::new(Directory::new(directory));
     let value = r#"{"d":"ffff00","a":[[3,41231,"i-000231",1,"a"]],"u":["red",8.0,1.0,64.0,16]}"#;
-    let make_row = |n: u64| Kept {
+    let make_row = |n: u64| SnapshotRow {
         key: format!("asg/req-{n:08}/0000").into(),
         value: value.into(),
-        stamp: n + 1,
+        revision: n + 1,
         lease: 0,
     };
-    writer.step(&Step::Begin).expect("begin the snapshot");
+    writer.execute(&SnapshotStep::Begin).expect("begin the snapshot");
     for first in (0..KEY_COUNT).step_by(1_000) {
         writer
-            .step(&Step::Rows((first..first + 1_000).map(make_row).collect()))
+            .execute(&SnapshotStep::Rows((first..first + 1_000).map(make_row).collect()))
             .expect("write rows");
     }
-    let footer = Close { rows: KEY_COUNT, from: 1, revision: KEY_COUNT, ..Close::default() };
-    writer.step(&Step::Close(footer)).expect("close the snapshot");
+    let footer = SnapshotFooter {
+        row_count: KEY_COUNT,
+        first_group: 1,
+        revision: KEY_COUNT,
+        ..SnapshotFooter::default()
+    };
+    writer.execute(&SnapshotStep::Close(footer)).expect("close the snapshot");
 }
 
 fn read_resident_bytes() -> u64 {
--- a/crates/state/src/engine.rs
+++ b/crates/state/src/engine.rs
@@ -3,13 +3,13 @@
 
 use crate::api::{Request, Txn};
 use crate::constants::*;
-use crate::journal::{Group, Step};
 use crate::keyspace::{Entry, Keyspace, RecentChange};
-use crate::limits::Limits;
+use crate::rate_limiter::RateLimiter;
 use crate::records::Record;
 use crate::recovery::Recovered;
 use crate::settings::Settings;
 use crate::snapshots::SnapshotScheduler;
+use crate::wal::{Group, SnapshotStep};
 use oatloom_protocol::ids::{LeaseId, Millis, Mono, Revision};
 use oatloom_protocol::reply::HttpReply;
 use oatloom_protocol::wire::{Changes, Grant, LoggedChange, Page, RevisionReply, Row, StateStatus};
@@ -65,7 +65,7 @@
     /// Writes a group to the log, to be answered by [`Event::GroupWritten`]. At most one group is in flight.
     Write(Group),
     /// Executes a step of a snapshot, to be answered by [`Event::SnapshotStepDone`]. At most one step is in flight.
-    Snapshot(Step),
+    Snapshot(SnapshotStep),
     /// Ends the process: only recovery can tell what was written.
     Fail(String),
 }
@@ -109,7 +109,7 @@
 /// State of the service: the keyspace, the position in the log, and the requests that wait.
 pub struct Engine {
     keyspace: Keyspace,
-    limits: Limits,
+    limits: RateLimiter,
     health: Health,
     /// Encoded records that were applied but not yet handed to the log thread.
     unwritten: Vec<u8>,
@@ -172,7 +172,7 @@
     /// Continues from the recovered state.
     pub fn new(settings: &Settings, recovered: Recovered, now: Mono) -> Self {
         Self {
-            limits: Limits::new(settings.rps, settings.write_rps, now),
+            limits: RateLimiter::new(settings.rps, settings.write_rps, now),
             snapshots: SnapshotScheduler::new(recovered.snapshots, recovered.log_bytes, settings),
             health: Health::Serving,
             unwritten: Vec::new(),
@@ -368,7 +368,7 @@
         if makes_changes && self.unwritten.len() > MAX_GROUP_BYTES / 2 {
             return self.reply_now(conn, build_retry_reply(503, "the disk is behind"));
         }
-        if !self.limits.take(request.change_count(), now) {
+        if !self.limits.try_acquire(request.change_count(), now) {
             return self.reply_now(
                 conn,
                 build_retry_reply(429, "too many requests or changes per second"),
--- a/crates/state/src/keyspace.rs
+++ b/crates/state/src/keyspace.rs
@@ -2,7 +2,7 @@
 //! recovery, so that both give the same state.
 
 use crate::constants::MAX_RECENT_CHANGE_COUNT;
-use crate::records::{Close, Kept, Record, Write};
+use crate::records::{Record, SnapshotFooter, SnapshotRow, Write};
 use oatloom_protocol::ids::{Millis, Mono};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::ops::Bound;
@@ -50,9 +50,9 @@
 
 impl Keyspace {
     /// Loads a snapshot, with rows in key order. The log has to be applied afterwards.
-    pub fn from_snapshot(rows: Vec<Kept>, footer: &Close, now: Mono) -> Self {
-        let to_entry = |row: Kept| {
-            (row.key, Entry { value: row.value, revision: row.stamp, lease: row.lease })
+    pub fn from_snapshot(rows: Vec<SnapshotRow>, footer: &SnapshotFooter, now: Mono) -> Self {
+        let to_entry = |row: SnapshotRow| {
+            (row.key, Entry { value: row.value, revision: row.revision, lease: row.lease })
         };
         let mut keyspace = Self {
             keys: rows.into_iter().map(to_entry).collect(),
@@ -241,11 +241,11 @@
     }
 
     /// Copies up to `max_rows` rows after the key `after`, for a snapshot.
-    pub fn copy_rows(&self, after: Option<&str>, max_rows: usize) -> Vec<Kept> {
-        let to_row = |(key, entry): (&Arc<str>, &Entry)| Kept {
+    pub fn copy_rows(&self, after: Option<&str>, max_rows: usize) -> Vec<SnapshotRow> {
+        let to_row = |(key, entry): (&Arc<str>, &Entry)| SnapshotRow {
             key: key.clone(),
             value: entry.value.clone(),
-            stamp: entry.revision,
+            revision: entry.revision,
             lease: entry.lease,
         };
         self.range("", after).take(max_rows).map(to_row).collect()
--- a/crates/state/src/limits.rs
+++ b/crates/state/src/rate_limiter.rs
@@ -35,19 +35,19 @@
 
 /// Limits the rate of requests and of changes.
 #[derive(Clone, Debug)]
-pub struct Limits {
+pub struct RateLimiter {
     requests: TokenBucket,
     changes: TokenBucket,
 }
 
-impl Limits {
+impl RateLimiter {
     /// Limits requests and changes per second; 0 sets no limit.
     pub fn new(rps: f64, write_rps: f64, now: Mono) -> Self {
         Self { requests: TokenBucket::new(rps, now), changes: TokenBucket::new(write_rps, now) }
     }
 
     /// Admits a request with this many changes, or returns false if a limit is exceeded. Only admitted requests count.
-    pub fn take(&mut self, changes: usize, now: Mono) -> bool {
+    pub fn try_acquire(&mut self, changes: usize, now: Mono) -> bool {
         self.requests.refill(now);
         self.changes.refill(now);
         let changes = changes as f64;
@@ -67,14 +67,14 @@
     /// Admits a burst of one second's budget, then the rate; idle time beyond a second adds nothing.
     #[test]
     fn bursts_are_limited_to_one_second() {
-        let mut limits = Limits::new(100.0, 25.0, Mono(0));
-        let count_admitted = |limits: &mut Limits, changes, now| {
-            (0..1_000).filter(|_| limits.take(changes, Mono(now))).count()
+        let mut limits = RateLimiter::new(100.0, 25.0, Mono(0));
+        let count_admitted = |limits: &mut RateLimiter, changes, now| {
+            (0..1_000).filter(|_| limits.try_acquire(changes, Mono(now))).count()
         };
         assert_eq!(count_admitted(&mut limits, 1, 0), 25);
         assert_eq!(count_admitted(&mut limits, 0, 0), 75);
         assert_eq!(count_admitted(&mut limits, 1, 200), 5);
         assert_eq!(count_admitted(&mut limits, 5, 60_000), 5);
-        assert_eq!(count_admitted(&mut Limits::new(0.0, 0.0, Mono(0)), 20, 0), 1_000);
+        assert_eq!(count_admitted(&mut RateLimiter::new(0.0, 0.0, Mono(0)), 20, 0), 1_000);
     }
 }
--- a/crates/state/src/records.rs
+++ b/crates/state/src/records.rs
@@ -33,23 +33,23 @@
 
 /// A key and its value in a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Kept {
+pub struct SnapshotRow {
     pub key: Arc<str>,
     /// The value as JSON text.
     pub value: Arc<str>,
     /// Revision of the last change.
-    pub stamp: u64,
+    pub revision: u64,
     /// The lease that the key is attached to; 0 if none.
     pub lease: u64,
 }
 
 /// The last part of a snapshot. A snapshot without it is incomplete.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Close {
+pub struct SnapshotFooter {
     /// Number of rows in the snapshot.
-    pub rows: u64,
+    pub row_count: u64,
     /// Recovery applies the frames of the log from this number on to the snapshot.
-    pub from: u64,
+    pub first_group: u64,
     /// Recovery needs the log up to this frame: rows were copied while the keyspace changed, so they may include
     /// changes up to it.
     pub last_group: u64,
@@ -62,8 +62,8 @@
 /// Payload of a frame in a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SnapshotPart {
-    Rows(Vec<Kept>),
-    Footer(Close),
+    Rows(Vec<SnapshotRow>),
+    Footer(SnapshotFooter),
 }
 
 const FRAME_MARKER: [u8; 4] = [0xFA, b'O', b'A', b'T'];
--- a/crates/state/src/recovery.rs
+++ b/crates/state/src/recovery.rs
@@ -3,12 +3,12 @@
 //! guessing.
 
 use crate::disk::{Disk, LOCK_FILE};
-use crate::journal::{SNAPSHOT_TEMP_FILE, log_file_name, parse_file_number, snapshot_file_name};
 use crate::keyspace::Keyspace;
 use crate::records::{
-    Close, FILE_HEADER_BYTES, FileKind, HeaderError, Kept, SnapshotPart, Tail, check_file_header,
-    classify_tail, decode_frame,
+    FILE_HEADER_BYTES, FileKind, HeaderError, SnapshotFooter, SnapshotPart, SnapshotRow, Tail,
+    check_file_header, classify_tail, decode_frame,
 };
+use crate::wal::{SNAPSHOT_TEMP_FILE, log_file_name, parse_file_number, snapshot_file_name};
 use oatloom_protocol::ids::Mono;
 use std::io::{self, Read};
 
@@ -92,12 +92,12 @@
         return Err(RecoveryError::UnknownFile { name: name.clone() });
     }
     let (logs, mut snapshots) = (list_numbers("log"), list_numbers("snap"));
-    let mut newest_valid: Option<(u64, Vec<Kept>, Close)> = None;
+    let mut newest_valid: Option<(u64, Vec<SnapshotRow>, SnapshotFooter)> = None;
     let mut damaged = Vec::new();
     for number in snapshots.iter().rev() {
         let name = snapshot_file_name(*number);
         match read_snapshot(disk, &name)? {
-            Some((rows, footer)) if footer.from == *number => {
+            Some((rows, footer)) if footer.first_group == *number => {
                 newest_valid = Some((*number, rows, footer));
                 break;
             }
@@ -118,7 +118,7 @@
     }
     let (first_group, last_group, rows, footer) = match newest_valid {
         Some((number, rows, footer)) => (number, footer.last_group, rows, footer),
-        None => (1, 0, Vec::new(), Close::default()),
+        None => (1, 0, Vec::new(), SnapshotFooter::default()),
     };
     let mut keyspace = Keyspace::from_snapshot(rows, &footer, now);
     let mut recovered = Recovered {
@@ -219,7 +219,7 @@
 fn read_snapshot<D: Disk>(
     disk: &mut D,
     name: &str,
-) -> Result<Option<(Vec<Kept>, Close)>, RecoveryError> {
+) -> Result<Option<(Vec<SnapshotRow>, SnapshotFooter)>, RecoveryError> {
     let bytes = disk.read(name).map_err(to_io_error(name))?;
     match check_file_header(FileKind::Snapshot, &bytes) {
         Ok(()) => {}
@@ -235,7 +235,7 @@
 }
 
 /// Decompresses and decodes the parts of a snapshot in blocks of 1 MiB.
-fn decode_parts(compressed: &[u8]) -> Option<(Vec<Kept>, Close)> {
+fn decode_parts(compressed: &[u8]) -> Option<(Vec<SnapshotRow>, SnapshotFooter)> {
     let mut decoder = zstd::stream::read::Decoder::with_buffer(compressed).ok()?;
     let (mut block, mut pending) = (vec![0; 1024 * 1024], Vec::new());
     let (mut rows, mut footer, mut number) = (Vec::new(), None, 0);
@@ -259,6 +259,6 @@
         }
         pending.drain(..offset);
     }
-    let footer: Close = footer.filter(|_| pending.is_empty())?;
-    (footer.rows == rows.len() as u64).then_some((rows, footer))
+    let footer: SnapshotFooter = footer.filter(|_| pending.is_empty())?;
+    (footer.row_count == rows.len() as u64).then_some((rows, footer))
 }
--- a/crates/state/src/service.rs
+++ b/crates/state/src/service.rs
@@ -5,9 +5,9 @@
 use crate::constants::*;
 use crate::disk::{Directory, lock};
 use crate::engine::{Action, ConnId, Engine, Event, WriteOutcome};
-use crate::journal::{AppendError, Group, SnapshotWriter, Step, WriteAheadLog};
 use crate::recovery::{RecoveryError, recover};
 use crate::settings::Settings;
+use crate::wal::{AppendError, Group, SnapshotStep, SnapshotWriter, WriteAheadLog};
 use crossbeam::channel::{Receiver, RecvTimeoutError, Sender, bounded};
 use oatloom_protocol::ids::Mono;
 use oatloom_web::server::{self, Caller, Incoming};
@@ -62,7 +62,7 @@
     callers: HashMap<ConnId, Caller>,
     next_conn: u64,
     log_groups: Sender<Group>,
-    snapshot_steps: Sender<Step>,
+    snapshot_steps: Sender<SnapshotStep>,
 }
 
 /// Serves a data directory at an address until the process is killed. Calls `on_ready` once requests are accepted.
@@ -190,16 +190,16 @@
 fn start_snapshot_thread(
     mut writer: SnapshotWriter<Directory>,
     inputs: Sender<Input>,
-) -> std::io::Result<Sender<Step>> {
-    let (sender, steps) = bounded::<Step>(1);
+) -> std::io::Result<Sender<SnapshotStep>> {
+    let (sender, steps) = bounded::<SnapshotStep>(1);
     spawn("snapshot", move || {
         while let Ok(step) = steps.recv() {
-            let result = writer.step(&step);
+            let result = writer.execute(&step);
             match (&result, &step) {
                 (Err(e), _) => tracing::warn!("cannot write a snapshot: {e}"),
-                (Ok(()), Step::Close(footer)) => {
+                (Ok(()), SnapshotStep::Close(footer)) => {
                     tracing::info!(
-                        keys = footer.rows,
+                        keys = footer.row_count,
                         epoch = footer.revision,
                         "completed a snapshot"
                     );
--- a/crates/state/src/snapshots.rs
+++ b/crates/state/src/snapshots.rs
@@ -3,10 +3,10 @@
 //! beginning on, which is idempotent. The snapshot is therefore completed only once the log up to its end is durable.
 
 use crate::constants::*;
-use crate::journal::Step;
 use crate::keyspace::Keyspace;
-use crate::records::Close;
+use crate::records::SnapshotFooter;
 use crate::settings::Settings;
+use crate::wal::SnapshotStep;
 use oatloom_protocol::ids::Mono;
 use std::sync::Arc;
 
@@ -19,7 +19,7 @@
         row_count: u64,
     },
     /// All rows were handed over; the log up to the snapshot's end is not durable yet.
-    AwaitingLog(Close),
+    AwaitingLog(SnapshotFooter),
     /// The footer is being written, and the file synced and renamed.
     Closing,
     /// Older snapshots and log files are being removed.
@@ -85,7 +85,7 @@
     }
 
     /// Begins a snapshot if one is due; the group `next_group` must then begin a new log file.
-    pub fn try_begin(&mut self, next_group: u64, now: Mono) -> Option<Step> {
+    pub fn try_begin(&mut self, next_group: u64, now: Mono) -> Option<SnapshotStep> {
         let is_due = self.stage == Stage::Idle
             && !self.is_step_running
             && self.log_bytes >= self.threshold_bytes
@@ -97,7 +97,7 @@
             self.log_bytes = 0;
             self.is_step_running = true;
             self.set_stage(Stage::CopyingRows { cursor: None, row_count: 0 });
-            Step::Begin
+            SnapshotStep::Begin
         })
     }
 
@@ -108,7 +108,7 @@
         keyspace: &Keyspace,
         last_applied: u64,
         last_durable: u64,
-    ) -> Option<Step> {
+    ) -> Option<SnapshotStep> {
         if self.is_step_running {
             return None;
         }
@@ -121,12 +121,12 @@
                         let (cursor, row_count) =
                             (Some(last.key.clone()), row_count + slice.len() as u64);
                         self.set_stage(Stage::CopyingRows { cursor, row_count });
-                        Step::Rows(slice)
+                        SnapshotStep::Rows(slice)
                     }
                     None => {
-                        let footer = Close {
-                            rows: *row_count,
-                            from: self.first_group,
+                        let footer = SnapshotFooter {
+                            row_count: *row_count,
+                            first_group: self.first_group,
                             last_group: last_applied,
                             revision: keyspace.revision(),
                             last_lease: keyspace.last_lease(),
@@ -139,7 +139,7 @@
             }
             Stage::AwaitingLog(footer) if last_durable < footer.last_group => return None,
             Stage::AwaitingLog(footer) => {
-                let step = Step::Close(footer.clone());
+                let step = SnapshotStep::Close(footer.clone());
                 self.set_stage(Stage::Closing);
                 step
             }
@@ -149,7 +149,7 @@
     }
 
     /// Handles the result of a step and returns the step that follows it directly, if any.
-    pub fn on_step_done(&mut self, succeeded: bool, now: Mono) -> Option<Step> {
+    pub fn on_step_done(&mut self, succeeded: bool, now: Mono) -> Option<SnapshotStep> {
         self.is_step_running = false;
         match self.stage {
             Stage::Aborting | Stage::Pruning => {
@@ -162,7 +162,7 @@
                 self.not_before = now.plus(SNAPSHOT_RETRY_INTERVAL_MS);
                 self.set_stage(Stage::Aborting);
                 self.is_step_running = true;
-                Some(Step::Abort)
+                Some(SnapshotStep::Abort)
             }
             Stage::Closing => {
                 self.completed.push(self.first_group);
@@ -175,7 +175,7 @@
                 let keeps_all_logs = self.completed.len() < MAX_SNAPSHOT_COUNT;
                 let oldest = self.completed.first().copied().unwrap_or(0);
                 let logs_below = if keeps_all_logs { 0 } else { oldest };
-                Some(Step::Prune { snapshots_below: oldest, logs_below })
+                Some(SnapshotStep::Prune { snapshots_below: oldest, logs_below })
             }
             Stage::Idle | Stage::CopyingRows { .. } | Stage::AwaitingLog(_) => None,
         }
--- a/crates/state/src/journal.rs
+++ b/crates/state/src/wal.rs
@@ -3,7 +3,9 @@
 
 use crate::constants::*;
 use crate::disk::Disk;
-use crate::records::{Close, FileKind, Kept, SnapshotPart, append_frame, encode_file_header};
+use crate::records::{
+    FileKind, SnapshotFooter, SnapshotPart, SnapshotRow, append_frame, encode_file_header,
+};
 use std::io::{self, Write};
 
 /// Name of the log file whose first frame has this number.
@@ -122,13 +124,13 @@
 
 /// A step in writing a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum SnapshotStep {
     /// Creates the temporary file.
     Begin,
     /// Appends rows, in key order.
-    Rows(Vec<Kept>),
+    Rows(Vec<SnapshotRow>),
     /// Writes the footer, syncs the file and gives it its final name.
-    Close(Close),
+    Close(SnapshotFooter),
     /// Gives up the snapshot and removes its temporary file.
     Abort,
     /// Removes older snapshots and log files.
@@ -153,9 +155,9 @@
     ///
     /// # Errors
     /// A disk operation failed; the caller has to abort the snapshot.
-    pub fn step(&mut self, step: &Step) -> io::Result<()> {
+    pub fn execute(&mut self, step: &SnapshotStep) -> io::Result<()> {
         match step {
-            Step::Begin => {
+            SnapshotStep::Begin => {
                 self.disk.create(SNAPSHOT_TEMP_FILE)?;
                 self.disk.append(SNAPSHOT_TEMP_FILE, &encode_file_header(FileKind::Snapshot))?;
                 self.frame_count = 0;
@@ -166,24 +168,24 @@
                 Ok(())
             }
             // Cloning rows only increments reference counts, so the engine does not wait for their encoding.
-            Step::Rows(rows) => self.write_part(&SnapshotPart::Rows(rows.clone())),
-            Step::Close(footer) => {
+            SnapshotStep::Rows(rows) => self.write_part(&SnapshotPart::Rows(rows.clone())),
+            SnapshotStep::Close(footer) => {
                 self.write_part(&SnapshotPart::Footer(footer.clone()))?;
                 let encoder = self.encoder.take().ok_or_else(make_no_snapshot_error)?;
                 let remainder = encoder.finish()?;
                 self.disk.append(SNAPSHOT_TEMP_FILE, &remainder)?;
                 self.disk.sync(SNAPSHOT_TEMP_FILE)?;
-                self.disk.rename(SNAPSHOT_TEMP_FILE, &snapshot_file_name(footer.from))?;
+                self.disk.rename(SNAPSHOT_TEMP_FILE, &snapshot_file_name(footer.first_group))?;
                 self.disk.sync_directory()
             }
-            Step::Abort => {
+            SnapshotStep::Abort => {
                 self.encoder = None;
                 match self.disk.remove(SNAPSHOT_TEMP_FILE) {
                     Err(e) if e.kind() != io::ErrorKind::NotFound => Err(e),
                     _ => Ok(()),
                 }
             }
-            Step::Prune { snapshots_below, logs_below } => {
+            SnapshotStep::Prune { snapshots_below, logs_below } => {
                 for name in self.disk.list()? {
                     let is_obsolete = parse_file_number(&name, "snap")
                         .is_some_and(|n| n < *snapshots_below)
--- a/crates/state/tests/crashes.rs
+++ b/crates/state/tests/crashes.rs
@@ -14,10 +14,10 @@
 use oatloom_state::api::{Request, Txn};
 use oatloom_state::disk::Disk;
 use oatloom_state::engine::{Action, ConnId, Engine, Event, WriteOutcome};
-use oatloom_state::journal::{AppendError, Group, SnapshotWriter, Step, WriteAheadLog};
 use oatloom_state::records::Write;
 use oatloom_state::recovery::{RecoveryError, recover};
 use oatloom_state::settings::Settings;
+use oatloom_state::wal::{AppendError, Group, SnapshotStep, SnapshotWriter, WriteAheadLog};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use reference::{Reference, State};
@@ -45,7 +45,7 @@
     log: WriteAheadLog<SimDisk>,
     snapshots: SnapshotWriter<SimDisk>,
     group: Option<Group>,
-    step: Option<Step>,
+    step: Option<SnapshotStep>,
     expected: HashMap<ConnId, Expected>,
 }
 
@@ -70,8 +70,8 @@
 
 fn read_state(engine: &Engine) -> State {
     let keyspace = engine.keyspace();
-    let to_key = |row: &oatloom_state::records::Kept| {
-        (row.key.to_string(), (row.value.to_string(), row.stamp, row.lease))
+    let to_key = |row: &oatloom_state::records::SnapshotRow| {
+        (row.key.to_string(), (row.value.to_string(), row.revision, row.lease))
     };
     State {
         keys: keyspace.copy_rows(None, usize::MAX).iter().map(to_key).collect(),
@@ -363,9 +363,9 @@
                 }
                 75..92 => {
                     if let Some(step) = run.step.take() {
-                        let succeeded = run.snapshots.step(&step).is_ok();
+                        let succeeded = run.snapshots.execute(&step).is_ok();
                         self.snapshot_count +=
-                            u32::from(succeeded && matches!(step, Step::Close(_)));
+                            u32::from(succeeded && matches!(step, SnapshotStep::Close(_)));
                         if !self.disk.has_crashed() {
                             is_alive =
                                 self.handle_event(&mut run, Event::SnapshotStepDone { succeeded });
@@ -409,7 +409,7 @@
                 }
                 self.handle_event(&mut run, Event::GroupWritten { number, outcome });
             } else if let Some(step) = run.step.take() {
-                let succeeded = run.snapshots.step(&step).is_ok();
+                let succeeded = run.snapshots.execute(&step).is_ok();
                 self.handle_event(&mut run, Event::SnapshotStepDone { succeeded });
             } else {
                 self.handle_event(&mut run, Event::Tick);
--- a/tests/world/state_limits.rs
+++ b/tests/world/state_limits.rs
@@ -4,7 +4,7 @@
 use oatloom_protocol::ids::Mono;
 use oatloom_protocol::settings::StateFacts;
 use oatloom_protocol::wire::{Change, Txn};
-use oatloom_state::limits::Limits as Rates;
+use oatloom_state::rate_limiter::RateLimiter as Rates;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 /// Maximum number of conditions of a transaction, as a multiple of its maximum number of changes (protocol).
@@ -41,7 +41,7 @@
     /// The refusal of an operation that exceeds a limit.
     pub fn refuse(&mut self, now: u64, op: &StoreOp) -> Option<StoreReply> {
         let changes = if let StoreOp::Txn(txn) = op { txn.changes.len() } else { 0 };
-        if !self.rates.take(changes, Mono(now)) {
+        if !self.rates.try_acquire(changes, Mono(now)) {
             return Some(StoreReply::Throttled);
         }
         let StoreOp::Txn(txn) = op else { return None };
