--- a/crates/client/examples/first_graph.rs
+++ b/crates/client/examples/first_graph.rs
@@ -1,6 +1,6 @@
 //! Runs a small graph against `oatloomctl up --operators deploy/graphs.sample.lisp`: three nodes, and one that needs them.
 
-use oatloom_client::graphs::Plan;
+use oatloom_client::graphs::GraphOptions;
 use oatloom_client::{Controllers, Session};
 use oatloom_graph::ids::GraphId;
 
@@ -10,15 +10,16 @@
     let session = Session::open(Controllers::new(&addresses), "first", "change-me", "red", 30.0)?;
     let id = GraphId::parse(&format!("graph-{}", unix_time_s % 10_000_000_000))
         .ok_or("invalid graph id")?;
-    let mut graph = session.graph(id, &Plan::new("quick"))?;
+    let mut graph = session.graph(id, &GraphOptions::new("quick"))?;
     let spec =
         r#"{"num_cpus": 1.0, "memory": 1e9, "expectS": 2.0, "bundle": "img-0", "pullGb": 1.0}"#;
-    graph.kind("part", serde_json::from_str(spec)?);
+    graph.define_kind("part", serde_json::from_str(spec)?);
     for part in ["a", "b", "c"] {
         graph.add_node(part, "part", &[])?;
     }
     graph.add_node("sum", "part", &["a", "b", "c"])?.send(true)?;
-    let view = graph.watch().to_end(|node| println!("{}: {:?}", node.name, node.status))?;
+    let view =
+        graph.watch().wait_until_final(|node| println!("{}: {:?}", node.name, node.status))?;
     println!("{id}: {:?}", view.status);
     session.close()?;
     Ok(())
--- a/crates/client/src/constants.rs
+++ b/crates/client/src/constants.rs
@@ -6,14 +6,14 @@
 pub const SUBMIT_TIMEOUT_MS: Millis = Millis(5_000);
 pub const POLL_TIMEOUT_MS: Millis = Millis(2_000);
 /// Minimum delay before a request is retried, and the longest `Retry-After` delay that is honoured (protocol).
-pub const RETRY_LEAST_MS: Millis = Millis(1_000);
+pub const MIN_RETRY_DELAY_MS: Millis = Millis(1_000);
 pub const MAX_RETRY_AFTER_S: u32 = 30;
 /// How long a request is retried before it fails (protocol).
-pub const GIVE_UP_MS: Millis = Millis(60_000);
+pub const REQUEST_RETRY_TIMEOUT_MS: Millis = Millis(60_000);
 /// How long a request is retried if no controller has been reached at all: a killed controller restarts within this time.
-pub const UNREACHABLE_MS: Millis = Millis(5_000);
+pub const UNREACHABLE_TIMEOUT_MS: Millis = Millis(5_000);
 /// Maximum size of a response.
-pub const ANSWER_BYTES: u64 = 1024 * 1024;
+pub const MAX_RESPONSE_BYTES: u64 = 1024 * 1024;
 /// Interval between polls of a graph.
 pub const WATCH_POLL_INTERVAL_MS: Millis = Millis(500);
 /// Heartbeats within the time to live of a session, so that several may be lost.
--- a/crates/client/src/users.rs
+++ b/crates/client/src/controllers.rs
@@ -3,18 +3,18 @@
 use crate::constants::*;
 use oatloom_protocol::ids::{JobId, Millis};
 use oatloom_protocol::wire::{JobSpec, JobView};
-use oatloom_web::client::{Caller, HttpResponse};
+use oatloom_web::client::{HttpClient, HttpResponse};
 use std::time::{Duration, Instant};
 
 /// Final outcome of a job request.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Told {
+pub enum JobResponse {
     /// The current state of the job.
     View(JobView),
     /// Rejected permanently, or the job is unknown: status and response body.
-    Refused(u16, String),
+    Rejected(u16, String),
     /// No final response within the timeout; holds the last response.
-    Nothing(String),
+    NoFinalResponse(String),
     /// No controller could be reached at all.
     Unreachable,
 }
@@ -30,13 +30,13 @@
 
 /// A request about a job.
 #[derive(Clone, Debug)]
-pub enum Wish {
+pub enum JobRequest {
     Submit(Box<JobSpec>),
     View(JobId),
     Abort(JobId),
 }
 
-impl Wish {
+impl JobRequest {
     /// The ID of the job.
     pub fn id(&self) -> &JobId {
         match self {
@@ -58,35 +58,38 @@
 }
 
 /// Interprets a response; `None` if it is not final and the request is to be retried after a delay.
-pub fn judge(request: &Wish, response: &HttpResponse) -> Option<Told> {
+pub fn interpret_response(request: &JobRequest, response: &HttpResponse) -> Option<JobResponse> {
     let text = || String::from_utf8_lossy(&response.body).into_owned();
     match response.status {
         200 | 201 => match serde_json::from_slice(&response.body) {
-            Ok(view) => Some(Told::View(view)),
-            Err(e) => {
-                Some(Told::Refused(response.status, format!("invalid response: {e}: {}", text())))
-            }
+            Ok(view) => Some(JobResponse::View(view)),
+            Err(e) => Some(JobResponse::Rejected(
+                response.status,
+                format!("invalid response: {e}: {}", text()),
+            )),
         },
-        400 | 422 | 413 if matches!(request, Wish::Submit(_)) => {
-            Some(Told::Refused(response.status, text()))
+        400 | 422 | 413 if matches!(request, JobRequest::Submit(_)) => {
+            Some(JobResponse::Rejected(response.status, text()))
+        }
+        404 if !matches!(request, JobRequest::Submit(_)) => {
+            Some(JobResponse::Rejected(404, text()))
         }
-        404 if !matches!(request, Wish::Submit(_)) => Some(Told::Refused(404, text())),
         _ => None,
     }
 }
 
 /// Delay before a request is retried.
-pub fn pause(response: Option<&HttpResponse>) -> Millis {
+pub fn retry_delay(response: Option<&HttpResponse>) -> Millis {
     let retry_after_s =
         response.and_then(|response| response.retry_after_s).unwrap_or(0).min(MAX_RETRY_AFTER_S);
-    Millis(RETRY_LEAST_MS.0.max(u64::from(retry_after_s) * 1_000))
+    Millis(MIN_RETRY_DELAY_MS.0.max(u64::from(retry_after_s) * 1_000))
 }
 
 /// The controllers of a region; requests go to one after the other.
 #[derive(Clone, Debug)]
 pub struct Controllers {
-    submit_clients: Vec<Caller>,
-    poll_clients: Vec<Caller>,
+    submit_clients: Vec<HttpClient>,
+    poll_clients: Vec<HttpClient>,
     next: usize,
 }
 
@@ -94,7 +97,10 @@
     /// Creates HTTP clients for the controllers at these addresses.
     pub fn new(addresses: &[String]) -> Self {
         let http_clients = |timeout: Millis| {
-            addresses.iter().map(|address| Caller::new(address, timeout, ANSWER_BYTES)).collect()
+            addresses
+                .iter()
+                .map(|address| HttpClient::new(address, timeout, MAX_RESPONSE_BYTES))
+                .collect()
         };
         Self {
             submit_clients: http_clients(SUBMIT_TIMEOUT_MS),
@@ -113,7 +119,7 @@
     }
 
     /// Sends a job request to one controller, without retries.
-    pub fn ask(&self, index: usize, request: &Wish) -> Option<HttpResponse> {
+    pub fn ask(&self, index: usize, request: &JobRequest) -> Option<HttpResponse> {
         let (method, path, body) = request.to_http();
         self.send(index, method, &path, &body)
     }
@@ -131,13 +137,13 @@
     }
 
     /// Sends a job request until there is a final response or the timeout expires.
-    pub fn insist(&mut self, request: &Wish, timeout: Millis) -> Told {
+    pub fn request_with_retry(&mut self, request: &JobRequest, timeout: Millis) -> JobResponse {
         let (method, path, body) = request.to_http();
-        let interpret = |response: &HttpResponse| judge(request, response);
-        match self.retry((method, &path, &body), timeout, UNREACHABLE_MS, interpret) {
+        let interpret = |response: &HttpResponse| interpret_response(request, response);
+        match self.retry((method, &path, &body), timeout, UNREACHABLE_TIMEOUT_MS, interpret) {
             Ok(outcome) => outcome,
-            Err(RetryError::NoFinalResponse(last)) => Told::Nothing(last),
-            Err(RetryError::Unreachable) => Told::Unreachable,
+            Err(RetryError::NoFinalResponse(last)) => JobResponse::NoFinalResponse(last),
+            Err(RetryError::Unreachable) => JobResponse::Unreachable,
         }
     }
 
@@ -172,7 +178,7 @@
             let delay = if response.is_none() && !is_round_complete {
                 Millis(0)
             } else {
-                pause(response.as_ref())
+                retry_delay(response.as_ref())
             };
             let total_wait_ms = started.elapsed().as_millis() as u64 + delay.0;
             match last.take_if(|_| total_wait_ms >= timeout.0) {
@@ -199,18 +205,23 @@
             body: body.as_bytes().to_vec(),
             retry_after_s,
         };
-        let request = Wish::View(JobId::new("req-1"));
+        let request = JobRequest::View(JobId::new("req-1"));
         let text = r#"{"nameId":"req-1","status":"done","done":3,"running":0}"#;
-        let Some(Told::View(job_view)) = judge(&request, &response(200, text, None)) else {
+        let Some(JobResponse::View(job_view)) =
+            interpret_response(&request, &response(200, text, None))
+        else {
             panic!("the response is not interpreted")
         };
         assert_eq!(job_view.done, 3);
-        assert!(matches!(judge(&request, &response(404, "", None)), Some(Told::Refused(404, _))));
+        assert!(matches!(
+            interpret_response(&request, &response(404, "", None)),
+            Some(JobResponse::Rejected(404, _))
+        ));
         for status in [429, 500, 503, 504, 421] {
-            assert_eq!(judge(&request, &response(status, "", None)), None);
+            assert_eq!(interpret_response(&request, &response(status, "", None)), None);
         }
-        assert_eq!(pause(Some(&response(503, "", Some(7)))), Millis(7_000));
-        assert_eq!(pause(Some(&response(503, "", Some(900)))), Millis(30_000));
-        assert_eq!(pause(None), RETRY_LEAST_MS);
+        assert_eq!(retry_delay(Some(&response(503, "", Some(7)))), Millis(7_000));
+        assert_eq!(retry_delay(Some(&response(503, "", Some(900)))), Millis(30_000));
+        assert_eq!(retry_delay(None), MIN_RETRY_DELAY_MS);
     }
 }
--- a/crates/client/src/graphs.rs
+++ b/crates/client/src/graphs.rs
@@ -1,7 +1,7 @@
 //! Task graphs: sessions that are kept alive by heartbeats, graphs to which nodes are added in batches, and their progress.
 
 use crate::constants::*;
-use crate::users::Controllers;
+use crate::controllers::Controllers;
 use oatloom_graph::answers::{GraphView, NodeView, SessionView};
 use oatloom_graph::ids::GraphId;
 use oatloom_graph::requests::{
@@ -26,7 +26,7 @@
     Rejected { status: u16, text: String },
     /// There was no final response within the timeout.
     #[error("no final response within {0} s")]
-    NoAnswer(u64),
+    NoFinalResponse(u64),
     #[error("invalid response: {0}")]
     InvalidResponse(String),
     #[error("cannot start a thread: {0}")]
@@ -59,7 +59,7 @@
         _ => None,
     };
     let outcome = controllers.retry((method, path, &body), timeout, timeout, interpret);
-    outcome.unwrap_or(Err(GraphError::NoAnswer(timeout.0 / 1000)))
+    outcome.unwrap_or(Err(GraphError::NoFinalResponse(timeout.0 / 1000)))
 }
 
 /// A session, kept alive by a heartbeat thread until it is closed or dropped, or its process ends. Its graphs and nodes that
@@ -96,7 +96,7 @@
             &mut controllers,
             ("POST", "/v2/sessions"),
             &open_request,
-            GIVE_UP_MS,
+            REQUEST_RETRY_TIMEOUT_MS,
         )?;
         let (is_stopped, is_lost) =
             (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
@@ -162,8 +162,12 @@
         self.stop_heartbeats();
         let path = format!("/v2/sessions/{}/close", self.name);
         let key_request = Keyed { key: self.key.clone() };
-        let result: Result<SessionView, _> =
-            request_with_retry(&mut self.controllers, ("POST", &path), &key_request, GIVE_UP_MS);
+        let result: Result<SessionView, _> = request_with_retry(
+            &mut self.controllers,
+            ("POST", &path),
+            &key_request,
+            REQUEST_RETRY_TIMEOUT_MS,
+        );
         result.map(|_| ())
     }
 
@@ -171,7 +175,7 @@
     ///
     /// # Errors
     /// The graph is rejected, or no controller responds.
-    pub fn graph(&self, id: GraphId, options: &Plan) -> Result<Graph, GraphError> {
+    pub fn graph(&self, id: GraphId, options: &GraphOptions) -> Result<Graph, GraphError> {
         let create_request = CreateGraph {
             graph: id,
             session: self.name.clone(),
@@ -187,7 +191,7 @@
             &mut controllers,
             ("POST", "/v2/graphs"),
             &create_request,
-            GIVE_UP_MS,
+            REQUEST_RETRY_TIMEOUT_MS,
         )?;
         Ok(Graph {
             controllers,
@@ -209,7 +213,7 @@
 
 /// Options of a graph as a whole.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct GraphOptions {
     /// Job class of the nodes.
     pub class: String,
     pub rank: Rank,
@@ -220,7 +224,7 @@
     pub detached: bool,
 }
 
-impl Plan {
+impl GraphOptions {
     /// Options for graphs of a job class, with defaults: standard rank, no due time, bound to the session, and cancelled when
     /// a node fails.
     pub fn new(class: &str) -> Self {
@@ -254,7 +258,7 @@
     }
 
     /// Defines a node kind: the resources that nodes of this kind need.
-    pub fn kind(&mut self, name: &str, spec: KindSpec) -> &mut Self {
+    pub fn define_kind(&mut self, name: &str, spec: KindSpec) -> &mut Self {
         self.kinds.insert(name.to_owned(), spec);
         self
     }
@@ -304,8 +308,12 @@
             seal,
         };
         let path = format!("/v2/graphs/{}/nodes", self.id);
-        let view =
-            request_with_retry(&mut self.controllers, ("POST", &path), &add_request, GIVE_UP_MS)?;
+        let view = request_with_retry(
+            &mut self.controllers,
+            ("POST", &path),
+            &add_request,
+            REQUEST_RETRY_TIMEOUT_MS,
+        )?;
         self.sent_additions += 1;
         self.pending_bytes = 0;
         self.pending_nodes.clear();
@@ -332,7 +340,7 @@
         controllers,
         ("POST", &format!("/v2/graphs/{id}/cancel")),
         &key_request,
-        GIVE_UP_MS,
+        REQUEST_RETRY_TIMEOUT_MS,
     )
 }
 
@@ -363,8 +371,12 @@
     /// The graph does not exist, or no controller responds.
     pub fn look(&mut self) -> Result<GraphView, GraphError> {
         let path = format!("/v2/graphs/{}?after={}", self.id, self.position);
-        let view: GraphView =
-            request_with_retry(&mut self.controllers, ("GET", &path), &(), GIVE_UP_MS)?;
+        let view: GraphView = request_with_retry(
+            &mut self.controllers,
+            ("GET", &path),
+            &(),
+            REQUEST_RETRY_TIMEOUT_MS,
+        )?;
         self.position.clone_from(&view.next);
         self.is_over = view.status.is_final() && !view.more;
         Ok(view)
@@ -374,7 +386,7 @@
     ///
     /// # Errors
     /// The graph does not exist, or no controller responds.
-    pub fn to_end(
+    pub fn wait_until_final(
         &mut self,
         mut on_change: impl FnMut(&NodeView),
     ) -> Result<GraphView, GraphError> {
@@ -449,9 +461,9 @@
         });
         let session = Session::open(controllers, "s", "secret-1", "red", 10.0).unwrap();
         let id = GraphId::parse("graph-1").unwrap();
-        let mut graph = session.graph(id, &Plan::new("quick")).unwrap();
+        let mut graph = session.graph(id, &GraphOptions::new("quick")).unwrap();
         let spec: KindSpec = serde_json::from_str(r#"{"num_cpus":1.0}"#).unwrap();
-        graph.kind("k", spec).add_node("a", "k", &[]).unwrap();
+        graph.define_kind("k", spec).add_node("a", "k", &[]).unwrap();
         graph.send(false).unwrap();
         graph.add_node("b", "k", &["a"]).unwrap();
         let Err(GraphError::Rejected { status: 422, text }) = graph.send(true) else { panic!() };
@@ -480,7 +492,7 @@
         watch.look().unwrap();
         let mut resumed = Watch::new(controllers, id, watch.position().to_owned());
         let mut changes = 0;
-        let final_view = resumed.to_end(|_| changes += 1).unwrap();
+        let final_view = resumed.wait_until_final(|_| changes += 1).unwrap();
         assert!(final_view.status.is_final() && changes == 1);
         assert_eq!(requests.lock().unwrap().len(), 2);
     }
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -2,8 +2,8 @@
 //! allows; a retry after a lost response creates nothing twice. The library keeps no state that must survive a restart.
 
 pub mod constants;
+pub mod controllers;
 pub mod graphs;
-pub mod users;
 
+pub use controllers::{Controllers, JobRequest, JobResponse};
 pub use graphs::{Graph, GraphError, Session, Watch};
-pub use users::{Controllers, Told, Wish};
--- a/crates/ctl/src/constants.rs
+++ b/crates/ctl/src/constants.rs
@@ -5,7 +5,8 @@
 // --- Users' requests -----------------------------------------------------------
 
 pub use oatloom_client::constants::{
-    ANSWER_BYTES, GIVE_UP_MS, POLL_TIMEOUT_MS, RETRY_LEAST_MS, SUBMIT_TIMEOUT_MS, UNREACHABLE_MS,
+    MAX_RESPONSE_BYTES, MIN_RETRY_DELAY_MS, POLL_TIMEOUT_MS, REQUEST_RETRY_TIMEOUT_MS,
+    SUBMIT_TIMEOUT_MS, UNREACHABLE_TIMEOUT_MS,
 };
 /// Period of polls of one who waits at a terminal.
 pub const WATCH_EVERY_MS: Millis = Millis(500);
--- a/crates/ctl/src/graphs.rs
+++ b/crates/ctl/src/graphs.rs
@@ -4,7 +4,7 @@
 use crate::jobs::{exit, read_json};
 use comfy_table::Table;
 use comfy_table::presets::NOTHING;
-use oatloom_client::graphs::{self, GraphError, Plan};
+use oatloom_client::graphs::{self, GraphError, GraphOptions};
 use oatloom_client::{Controllers, Session, Watch};
 use oatloom_graph::answers::{GraphStatus, GraphView, NodeView};
 use oatloom_graph::ids::{GraphId, NodeIx};
@@ -90,7 +90,7 @@
     pub fn status(&self) -> u8 {
         match self {
             Self::Wrong(_) => exit::WRONG,
-            Self::Graph(GraphError::NoAnswer(_)) => exit::NO_ANSWER,
+            Self::Graph(GraphError::NoFinalResponse(_)) => exit::NO_ANSWER,
             Self::Graph(_) => exit::BAD,
         }
     }
@@ -223,7 +223,7 @@
             println!("{}: {}{job}", node.name, status.as_str().unwrap_or_default());
         }
     };
-    let over = watch.to_end(each)?;
+    let over = watch.wait_until_final(each)?;
     Ok(say(&over, json))
 }
 
@@ -240,7 +240,7 @@
     let id = file.graph.map_or_else(|| graph_id(&number), Ok)?;
     let name = format!("ctl-{:016x}", rng.random::<u64>());
     let session = Session::open(controllers, &name, &key, &file.owner, SESSION_TTL_S)?;
-    let plan = Plan {
+    let plan = GraphOptions {
         class: file.jobclass.clone(),
         rank: file.rank,
         due_s: file.due_s,
@@ -249,7 +249,7 @@
     };
     let mut graph = session.graph(id, &plan)?;
     for (name, spec) in &file.kinds {
-        graph.kind(name, spec.clone());
+        graph.define_kind(name, spec.clone());
     }
     // In an order in which inputs come first, however the file has them.
     let model = model(file)?;
--- a/crates/ctl/src/jobs.rs
+++ b/crates/ctl/src/jobs.rs
@@ -2,7 +2,7 @@
 
 use crate::constants::*;
 use indicatif::{ProgressBar, ProgressStyle};
-use oatloom_client::users::{Controllers, Told, Wish};
+use oatloom_client::controllers::{Controllers, JobRequest, JobResponse};
 use oatloom_protocol::ids::JobId;
 use oatloom_protocol::wire::{JobSpec, JobStatus, JobView, Rank, Shape};
 use serde::de::DeserializeOwned;
@@ -144,9 +144,9 @@
 }
 
 /// Says what became of a request, and what scripts see of it.
-fn say(id: &JobId, told: &Told, json: bool) -> u8 {
+fn say(id: &JobId, told: &JobResponse, json: bool) -> u8 {
     let (text, value, status) = match told {
-        Told::View(view) => {
+        JobResponse::View(view) => {
             let tasks = format!("{} done, {} running", view.done, view.running);
             let word = serde_json::json!(view.status);
             let mut text = format!("{id}: {} ({tasks})", word.as_str().unwrap_or_default());
@@ -163,20 +163,20 @@
             }
             (text, serde_json::json!(view), exit::GOOD)
         }
-        Told::Refused(404, _) => {
+        JobResponse::Rejected(404, _) => {
             let value = serde_json::json!({"nameId": id, "error": "no such job"});
             (format!("{id}: no such job"), value, exit::BAD)
         }
-        Told::Refused(code, body) => {
+        JobResponse::Rejected(code, body) => {
             let value = serde_json::json!({"nameId": id, "refused": code, "error": body});
             (format!("{id}: refused: {body}"), value, exit::BAD)
         }
-        Told::Unreachable => {
+        JobResponse::Unreachable => {
             let text = "no controller can be reached; --controllers says where they are";
             let value = serde_json::json!({"nameId": id, "error": text});
             (format!("{id}: {text}"), value, exit::WRONG)
         }
-        Told::Nothing(text) => {
+        JobResponse::NoFinalResponse(text) => {
             let value = serde_json::json!({"nameId": id, "error": text});
             (format!("{id}: no answer that counts: {text}"), value, exit::NO_ANSWER)
         }
@@ -190,8 +190,8 @@
 }
 
 /// Asks once, insisting as long as a user does.
-pub fn ask(controllers: &mut Controllers, wish: &Wish, json: bool) -> u8 {
-    let told = controllers.insist(wish, GIVE_UP_MS);
+pub fn ask(controllers: &mut Controllers, wish: &JobRequest, json: bool) -> u8 {
+    let told = controllers.request_with_retry(wish, REQUEST_RETRY_TIMEOUT_MS);
     say(wish.id(), &told, json)
 }
 
@@ -207,8 +207,10 @@
     while !open.is_empty() {
         let mut still = Vec::new();
         for (id, before) in open {
-            match controllers.insist(&Wish::View(id.clone()), GIVE_UP_MS) {
-                Told::View(view) => {
+            match controllers
+                .request_with_retry(&JobRequest::View(id.clone()), REQUEST_RETRY_TIMEOUT_MS)
+            {
+                JobResponse::View(view) => {
                     let over = view.status.is_final();
                     if over && view.status != JobStatus::Done {
                         worst = worst.max(exit::BAD);
@@ -219,7 +221,7 @@
                             bar.set_message(format!("{id} {:?}", view.status));
                         }
                         None if before.as_ref() != Some(&view) => {
-                            say(&id, &Told::View(view.clone()), json);
+                            say(&id, &JobResponse::View(view.clone()), json);
                         }
                         None => {}
                     }
@@ -227,7 +229,7 @@
                         still.push((id, Some(view)));
                     } else if let Some(bar) = &bar {
                         bar.finish_and_clear();
-                        say(&id, &Told::View(view), json);
+                        say(&id, &JobResponse::View(view), json);
                     }
                 }
                 told => worst = worst.max(say(&id, &told, json)),
@@ -244,8 +246,9 @@
 /// Submits a job, and follows it if asked to.
 pub fn submit(controllers: &mut Controllers, spec: JobSpec, wait: bool, json: bool) -> u8 {
     let (id, tasks) = (spec.id.clone(), spec.tasks);
-    let told = controllers.insist(&Wish::Submit(Box::new(spec)), GIVE_UP_MS);
-    if !wait || !matches!(told, Told::View(_)) {
+    let told = controllers
+        .request_with_retry(&JobRequest::Submit(Box::new(spec)), REQUEST_RETRY_TIMEOUT_MS);
+    if !wait || !matches!(told, JobResponse::View(_)) {
         return say(&id, &told, json);
     }
     watch(controllers, &[id], Some(tasks), json)
--- a/crates/ctl/src/launch.rs
+++ b/crates/ctl/src/launch.rs
@@ -12,7 +12,7 @@
 use oatloom_protocol::ids::{Millis, Zone};
 use oatloom_protocol::settings::WorkerFacts;
 use oatloom_web::StartError;
-use oatloom_web::client::Caller;
+use oatloom_web::client::HttpClient;
 use std::collections::HashMap;
 use std::fs::File;
 use std::net::TcpListener;
@@ -410,7 +410,7 @@
 
 /// Waits until a program answers.
 fn wait_for(process: &mut Process, address: &str, path: &str) -> Result<(), LaunchError> {
-    let caller = Caller::new(address, POLL_TIMEOUT_MS, ANSWER_BYTES);
+    let caller = HttpClient::new(address, POLL_TIMEOUT_MS, MAX_RESPONSE_BYTES);
     let began = Instant::now();
     loop {
         if caller.get(path).is_some_and(|(status, _)| status == 200) {
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,8 +1,10 @@
 //! The command line.
 
 use clap::{Parser, Subcommand};
-use oatloom_client::users::{Controllers, Wish};
-use oatloom_ctl::constants::{ANSWER_BYTES, CONTROLLERS, OWN_PORT_BEYOND, PORT, SUBMIT_TIMEOUT_MS};
+use oatloom_client::controllers::{Controllers, JobRequest};
+use oatloom_ctl::constants::{
+    CONTROLLERS, MAX_RESPONSE_BYTES, OWN_PORT_BEYOND, PORT, SUBMIT_TIMEOUT_MS,
+};
 use oatloom_ctl::graphs;
 use oatloom_ctl::jobs::{self, Sketch, exit};
 use oatloom_ctl::schemas;
@@ -12,7 +14,7 @@
 use oatloom_ctl::usage::{self, Question};
 use oatloom_logging::Format;
 use oatloom_protocol::ids::JobId;
-use oatloom_web::client::Caller;
+use oatloom_web::client::HttpClient;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -213,11 +215,11 @@
             Ok(jobs::submit(&mut Controllers::new(&at.addresses()), spec, wait, at.json))
         }
         Command::Status { id, at } => {
-            let wish = Wish::View(job(&id)?);
+            let wish = JobRequest::View(job(&id)?);
             Ok(jobs::ask(&mut Controllers::new(&at.addresses()), &wish, at.json))
         }
         Command::Abort { id, at } => {
-            let wish = Wish::Abort(job(&id)?);
+            let wish = JobRequest::Abort(job(&id)?);
             Ok(jobs::ask(&mut Controllers::new(&at.addresses()), &wish, at.json))
         }
         Command::Watch { ids, at } => {
@@ -231,7 +233,7 @@
         Command::Schema { name, write } => print_schemas(name.as_deref(), write.as_deref()),
         Command::Fault { fault, region } => {
             let address = own_address(region);
-            let caller = Caller::new(&address, SUBMIT_TIMEOUT_MS, ANSWER_BYTES);
+            let caller = HttpClient::new(&address, SUBMIT_TIMEOUT_MS, MAX_RESPONSE_BYTES);
             match caller.ask("POST", "/faults", fault.as_bytes()) {
                 Some(answer) => {
                     let text = String::from_utf8_lossy(&answer.body).into_owned();
@@ -264,7 +266,7 @@
     if region.is_none() && !at.controllers.is_empty() {
         return;
     }
-    let caller = Caller::new(&own_address(region), SUBMIT_TIMEOUT_MS, ANSWER_BYTES);
+    let caller = HttpClient::new(&own_address(region), SUBMIT_TIMEOUT_MS, MAX_RESPONSE_BYTES);
     if caller.post("/jobs", spec).is_none() {
         tracing::debug!("no emulated region was told of the job");
     }
--- a/crates/ctl/src/suite.rs
+++ b/crates/ctl/src/suite.rs
@@ -6,7 +6,7 @@
 use crate::launch::{LaunchError, Running};
 use crate::settings::{Local, ZONES};
 use crate::usage::Question;
-use oatloom_client::users::{Controllers, Told, Wish, judge};
+use oatloom_client::controllers::{Controllers, JobRequest, JobResponse, interpret_response};
 use oatloom_emulator::faults::{Fault, Planned, Service, Trouble};
 use oatloom_emulator::timetable;
 use oatloom_emulator::worker::Broken;
@@ -360,21 +360,21 @@
         let id = self.plan.spec.id.clone();
         let aborts = self.plan.abort_at.is_some_and(|at| now >= at);
         let wish = if !self.accepted || self.rng.random_bool(0.05) && !self.over() {
-            Wish::Submit(Box::new(self.plan.spec.clone()))
+            JobRequest::Submit(Box::new(self.plan.spec.clone()))
         } else if aborts && !self.over() {
-            Wish::Abort(id.clone())
+            JobRequest::Abort(id.clone())
         } else {
-            Wish::View(id.clone())
+            JobRequest::View(id.clone())
         };
         match &wish {
-            Wish::Submit(spec) if !self.plan.senseless => {
+            JobRequest::Submit(spec) if !self.plan.senseless => {
                 let mut region = running.region();
                 region.upload(spec);
                 if let Some(broken) = self.plan.broken.clone() {
                     region.outside.broken.insert(id.to_string(), broken);
                 }
             }
-            Wish::Abort(id) => running.region().checker.cancel_asked(id.as_str()),
+            JobRequest::Abort(id) => running.region().checker.cancel_asked(id.as_str()),
             _ => {}
         }
         let at = self.rng.random_range(0..self.controllers.len());
@@ -384,22 +384,22 @@
         if let Some(answer) = &answer {
             if !self.plan.senseless {
                 let body = String::from_utf8_lossy(&answer.body);
-                let submission = matches!(wish, Wish::Submit(_));
+                let submission = matches!(wish, JobRequest::Submit(_));
                 let mut region = running.region();
                 region.checker.answered(now, asked, id.as_str(), answer.status, &body, submission);
             }
-            match judge(&wish, answer) {
-                Some(Told::View(view)) => {
+            match interpret_response(&wish, answer) {
+                Some(JobResponse::View(view)) => {
                     self.accepted = true;
                     self.heard(now, word(view.status).to_owned());
                 }
-                Some(Told::Refused(status, _))
-                    if !self.accepted && matches!(wish, Wish::Submit(_)) =>
+                Some(JobResponse::Rejected(status, _))
+                    if !self.accepted && matches!(wish, JobRequest::Submit(_)) =>
                 {
                     self.heard(now, format!("refused {status}"));
                 }
-                Some(Told::Refused(status, _)) => self.heard(now, format!("lost {status}")),
-                Some(Told::Nothing(_) | Told::Unreachable) | None => {}
+                Some(JobResponse::Rejected(status, _)) => self.heard(now, format!("lost {status}")),
+                Some(JobResponse::NoFinalResponse(_) | JobResponse::Unreachable) | None => {}
             }
         }
         now + self.rng.random_range(POLL_MS.0..POLL_MS.1) / hurry
@@ -637,22 +637,24 @@
 /// What each controller says in the end.
 fn finals(running: &mut Running, user: &mut User) -> Vec<String> {
     let wish = if user.plan.senseless {
-        Wish::Submit(Box::new(user.plan.spec.clone()))
+        JobRequest::Submit(Box::new(user.plan.spec.clone()))
     } else {
-        Wish::View(user.plan.spec.id.clone())
+        JobRequest::View(user.plan.spec.id.clone())
     };
     (0..user.controllers.len())
         .map(|at| {
             let mut alone = Controllers::new(&running.controllers[at..=at]);
             let began = Instant::now();
-            let told = alone.insist(&wish, Millis(5_000));
+            let told = alone.request_with_retry(&wish, Millis(5_000));
             running.tend();
             match told {
-                Told::View(view) => word(view.status).to_owned(),
-                Told::Refused(status, _) if user.plan.senseless => format!("refused {status}"),
-                Told::Refused(status, _) => format!("lost {status}"),
-                Told::Unreachable => "unreachable".to_owned(),
-                Told::Nothing(text) => {
+                JobResponse::View(view) => word(view.status).to_owned(),
+                JobResponse::Rejected(status, _) if user.plan.senseless => {
+                    format!("refused {status}")
+                }
+                JobResponse::Rejected(status, _) => format!("lost {status}"),
+                JobResponse::Unreachable => "unreachable".to_owned(),
+                JobResponse::NoFinalResponse(text) => {
                     format!("no answer in {} s: {text}", began.elapsed().as_secs())
                 }
             }
--- a/crates/ctl/src/up.rs
+++ b/crates/ctl/src/up.rs
@@ -8,7 +8,7 @@
 use oatloom_emulator::timetable;
 use oatloom_protocol::reply::HttpReply;
 use oatloom_protocol::wire::JobSpec;
-use oatloom_web::server::{self, Answers, Incoming};
+use oatloom_web::server::{self, Incoming, ReplySender};
 use std::io::Write;
 use std::path::Path;
 use std::sync::Arc;
@@ -89,7 +89,7 @@
 
 fn answer(
     running: &mut Running,
-    answers: &Answers,
+    answers: &ReplySender,
     incoming: Incoming<Request>,
     kept: &mut std::fs::File,
 ) {
--- a/crates/ctl/src/usage.rs
+++ b/crates/ctl/src/usage.rs
@@ -4,9 +4,9 @@
 use crate::jobs::exit;
 use comfy_table::presets::UTF8_HORIZONTAL_ONLY;
 use comfy_table::{CellAlignment, Table};
-use oatloom_client::users::pause;
+use oatloom_client::controllers::retry_delay;
 use oatloom_ledger::query::{UsagePage, UsageRow};
-use oatloom_web::client::Caller;
+use oatloom_web::client::HttpClient;
 use std::collections::BTreeMap;
 use std::io::Write;
 use std::path::PathBuf;
@@ -72,7 +72,7 @@
     }
 
     /// One page, from whichever controller answers.
-    fn page(&self, callers: &[Caller], after: Option<&str>) -> Result<UsagePage, UsageError> {
+    fn page(&self, callers: &[HttpClient], after: Option<&str>) -> Result<UsagePage, UsageError> {
         let (began, mut last) = (Instant::now(), None);
         for caller in callers.iter().cycle() {
             let answer = caller.ask("GET", &self.path(after), &[]);
@@ -90,11 +90,11 @@
             }
             let waited = began.elapsed().as_millis() as u64;
             match &last {
-                Some(last) if waited >= GIVE_UP_MS.0 => {
+                Some(last) if waited >= REQUEST_RETRY_TIMEOUT_MS.0 => {
                     return Err(UsageError::NoAnswer(last.clone()));
                 }
-                None if waited >= UNREACHABLE_MS.0 => return Err(UsageError::Unreachable),
-                _ => std::thread::sleep(Duration::from_millis(pause(answer.as_ref()).0)),
+                None if waited >= UNREACHABLE_TIMEOUT_MS.0 => return Err(UsageError::Unreachable),
+                _ => std::thread::sleep(Duration::from_millis(retry_delay(answer.as_ref()).0)),
             }
         }
         Err(UsageError::Unreachable)
@@ -121,7 +121,7 @@
     pub fn look(&self, controllers: &[String]) -> Option<UsagePage> {
         let page = |after: Option<&str>| {
             let ask = |a: &String| {
-                let caller = Caller::new(a, POLL_TIMEOUT_MS, ANSWER_BYTES);
+                let caller = HttpClient::new(a, POLL_TIMEOUT_MS, MAX_RESPONSE_BYTES);
                 caller.ask("GET", &self.path(after), &[]).filter(|a| a.status == 200)
             };
             let answer = controllers.iter().find_map(ask).ok_or(())?;
@@ -135,8 +135,8 @@
     /// # Errors
     /// The question is refused, or no controller answers it.
     pub fn ask(&self, controllers: &[String]) -> Result<UsagePage, UsageError> {
-        let caller = |a: &String| Caller::new(a, SUBMIT_TIMEOUT_MS, ANSWER_BYTES);
-        let callers: Vec<Caller> = controllers.iter().map(caller).collect();
+        let caller = |a: &String| HttpClient::new(a, SUBMIT_TIMEOUT_MS, MAX_RESPONSE_BYTES);
+        let callers: Vec<HttpClient> = controllers.iter().map(caller).collect();
         Self::pages(|after| self.page(&callers, after))
     }
 }
--- a/crates/ctl/tests/ended.rs
+++ b/crates/ctl/tests/ended.rs
@@ -2,14 +2,14 @@
 //! leave the controllers as small as they were. `OATLOOM_ENDED` says how many there are.
 
 use hdrhistogram::Histogram;
-use oatloom_ctl::constants::{ANSWER_BYTES, POLL_TIMEOUT_MS, SUBMIT_TIMEOUT_MS};
+use oatloom_ctl::constants::{MAX_RESPONSE_BYTES, POLL_TIMEOUT_MS, SUBMIT_TIMEOUT_MS};
 use oatloom_ctl::launch::Running;
 use oatloom_ctl::settings::Local;
 use oatloom_emulator::faults::{Fault, Planned};
 use oatloom_state::disk::Directory;
 use oatloom_state::records::{SnapshotFooter, SnapshotRow};
 use oatloom_state::wal::{SnapshotStep, SnapshotWriter};
-use oatloom_web::client::Caller;
+use oatloom_web::client::HttpClient;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::path::Path;
@@ -51,7 +51,7 @@
     let began = Instant::now();
     let path = format!("/v2/runs/req-{:09}", ended / 2);
     for address in running.controllers.clone() {
-        let caller = Caller::new(&address, POLL_TIMEOUT_MS, ANSWER_BYTES);
+        let caller = HttpClient::new(&address, POLL_TIMEOUT_MS, MAX_RESPONSE_BYTES);
         while caller.get(&path).is_none_or(|(status, _)| status != 200) {
             assert!(began.elapsed() < Duration::from_secs(60), "{address} does not answer");
             running.tend();
@@ -81,7 +81,7 @@
     for n in 0..3_000 {
         let job = rng.random_range(0..ended);
         let address = &running.controllers[n % running.controllers.len()];
-        let caller = Caller::new(address, POLL_TIMEOUT_MS, ANSWER_BYTES);
+        let caller = HttpClient::new(address, POLL_TIMEOUT_MS, MAX_RESPONSE_BYTES);
         let asked = Instant::now();
         let (status, body) = caller.get(&format!("/v2/runs/req-{job:09}")).expect("an answer");
         let _ = times.record(asked.elapsed().as_micros() as u64);
@@ -92,7 +92,7 @@
         }
     }
     // A repeated submission of one, and an abort of another, get its final state.
-    let caller = Caller::new(&running.controllers[0], SUBMIT_TIMEOUT_MS, ANSWER_BYTES);
+    let caller = HttpClient::new(&running.controllers[0], SUBMIT_TIMEOUT_MS, MAX_RESPONSE_BYTES);
     let spec = serde_json::json!({"nameId": "req-000000009", "jobclass": "quick", "owner": "red", "shape": "sweep",
         "rank": "low", "shards": 1, "cpus": 1.0, "gpus": 0.0, "memoryGb": 1.0, "bundle": "i", "pullGb": 1.0,
         "samePlace": false, "spread": false, "loaners": false, "expectS": 1.0, "snapshotS": 0.0, "flushS": 0.0});
--- a/crates/emulator/src/gate.rs
+++ b/crates/emulator/src/gate.rs
@@ -6,8 +6,8 @@
 use crossbeam::channel::{Receiver, bounded};
 use oatloom_protocol::ids::Millis;
 use oatloom_protocol::reply::HttpReply;
-use oatloom_web::client::Caller;
-use oatloom_web::server::{self, Answers, Incoming};
+use oatloom_web::client::HttpClient;
+use oatloom_web::server::{self, Incoming, ReplySender};
 use oatloom_web::{StartError, spawn};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -56,7 +56,7 @@
     let address = answers.address();
     for thread in 0..GATE_THREADS {
         let (queue, answers, shared) = (queue.clone(), answers.clone(), shared.clone());
-        let caller = Caller::new(target, GATE_TIMEOUT_MS, GATE_BYTES);
+        let caller = HttpClient::new(target, GATE_TIMEOUT_MS, GATE_BYTES);
         let rng = ChaCha8Rng::seed_from_u64(seed ^ ((controller * 64 + thread) as u64) << 8);
         spawn("gate", move || {
             pass_on(&queue, &answers, &caller, service, controller, &shared, rng)
@@ -67,8 +67,8 @@
 
 fn pass_on(
     queue: &Receiver<Incoming<Raw>>,
-    answers: &Arc<Answers>,
-    caller: &Caller,
+    answers: &Arc<ReplySender>,
+    caller: &HttpClient,
     service: Service,
     controller: usize,
     shared: &Shared,
@@ -79,7 +79,7 @@
             Ok(faults) => faults.judge(service, controller, shared.now(), rng),
             Err(_) => Verdict::Pass { delay_ms: 0 },
         };
-        let ask = || caller.pass(&request.method, &request.path, &request.body);
+        let ask = || caller.forward(&request.method, &request.path, &request.body);
         match judge(&mut rng) {
             Verdict::Refuse(status) => answers.send(from, HttpReply::error(status, "trouble")),
             Verdict::Lose => {
@@ -95,7 +95,7 @@
                 later(Millis(delay_ms), move || {
                     // It may wait for long: others that are late must not wait for it.
                     let done = spawn("late", move || {
-                        let _ = late.pass(&request.method, &request.path, &request.body);
+                        let _ = late.forward(&request.method, &request.path, &request.body);
                         address.close(from);
                     });
                     if let Err(e) = done {
--- a/crates/emulator/src/serve.rs
+++ b/crates/emulator/src/serve.rs
@@ -11,8 +11,8 @@
 use oatloom_protocol::reply::HttpReply;
 use oatloom_protocol::wire::{Command, HireRequest, Hosts, JobSpec, Order, Report, ReportAnswer};
 use oatloom_state::rate_limiter::RateLimiter;
-use oatloom_web::client::Caller;
-use oatloom_web::server::{self, Answers, Caller as Conn, Incoming};
+use oatloom_web::client::HttpClient;
+use oatloom_web::server::{self, Caller as Conn, Incoming, ReplySender};
 use oatloom_web::{StartError, spawn};
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -60,7 +60,7 @@
 
 /// A worker's address and the thread that sends its reports; both end when this is dropped.
 struct Edge {
-    answers: Arc<Answers>,
+    answers: Arc<ReplySender>,
     reports: Sender<(Passage, Report)>,
 }
 
@@ -155,7 +155,7 @@
     fn serve_cloud(
         &self,
         requests: &Receiver<Incoming<CloudRequest>>,
-        answers: &Answers,
+        answers: &ReplySender,
         rps: f64,
     ) {
         // Bursts of two seconds' worth: two budgets of one second's, taken in turn.
@@ -221,8 +221,8 @@
     }
 
     fn start_reports(&self, queue: Receiver<(Passage, Report)>) -> std::io::Result<()> {
-        let call = |node: &Node| Caller::new(&node.address, REPORT_TIMEOUT_MS, GATE_BYTES);
-        let callers: Vec<Caller> = self.nodes.iter().map(call).collect();
+        let call = |node: &Node| HttpClient::new(&node.address, REPORT_TIMEOUT_MS, GATE_BYTES);
+        let callers: Vec<HttpClient> = self.nodes.iter().map(call).collect();
         let returns = self.returns.clone();
         let mut known = BTreeSet::new();
         spawn("reports", move || {
@@ -349,7 +349,7 @@
 
 /// Workers are told to run jobs of graphs whose descriptions nobody has uploaded: they ask a controller.
 fn fetch(
-    callers: &[Caller],
+    callers: &[HttpClient],
     node: usize,
     said: Option<&(u16, Vec<u8>)>,
     known: &mut BTreeSet<String>,
@@ -366,7 +366,7 @@
             continue;
         }
         let path = format!("/v2/runs/{job}/nodes");
-        let ask = |caller: &Caller| caller.get(&path).filter(|(status, _)| *status == 200);
+        let ask = |caller: &HttpClient| caller.get(&path).filter(|(status, _)| *status == 200);
         let found = (0..callers.len()).find_map(|n| ask(&callers[(node + n) % callers.len()]));
         let described = found.and_then(|(_, body)| serde_json::from_slice::<Described>(&body).ok());
         if let Some(spec) = described.and_then(|described| described.job) {
--- a/crates/state/benches/service.rs
+++ b/crates/state/benches/service.rs
@@ -10,15 +10,15 @@
 use oatloom_state::recovery::recover;
 use oatloom_state::wal::{SnapshotStep, SnapshotWriter};
 use oatloom_state::{service, settings::Settings};
-use oatloom_web::client::Caller;
+use oatloom_web::client::HttpClient;
 use serde_json::json;
 use std::path::Path;
 use std::time::{Duration, Instant};
 
 const KEY_COUNT: u64 = 1_000_000;
 
-fn create_caller(address: &str) -> Caller {
-    Caller::new(address, Millis(30_000), 16 * 1024 * 1024)
+fn create_caller(address: &str) -> HttpClient {
+    HttpClient::new(address, Millis(30_000), 16 * 1024 * 1024)
 }
 
 /// Runs a service on a thread of this process until the process ends. Returns its address.
@@ -138,7 +138,7 @@
     write_snapshot(directory.path());
     let address =
         start_service(directory.path(), Settings { snapshot_mb: 4.0, ..Settings::default() });
-    let get_snapshot_count = |caller: &Caller| -> u64 {
+    let get_snapshot_count = |caller: &HttpClient| -> u64 {
         let (_, body) = caller.get("/status").expect("a reply");
         serde_json::from_slice::<StateStatus>(&body).expect("a status").snapshots
     };
--- a/crates/state/src/service.rs
+++ b/crates/state/src/service.rs
@@ -58,7 +58,7 @@
 struct Runtime {
     engine: Engine,
     clock: Clock,
-    answers: server::Answers,
+    answers: server::ReplySender,
     callers: HashMap<ConnId, Caller>,
     next_conn: u64,
     log_groups: Sender<Group>,
--- a/crates/state/tests/kill.rs
+++ b/crates/state/tests/kill.rs
@@ -3,7 +3,7 @@
 
 use oatloom_protocol::ids::Millis;
 use oatloom_protocol::wire::{Changes, Page, Row, StateStatus};
-use oatloom_web::client::Caller;
+use oatloom_web::client::HttpClient;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde_json::json;
@@ -28,16 +28,16 @@
     command
 }
 
-fn create_caller(address: &str) -> Caller {
-    Caller::new(address, Millis(2_000), 16 * 1024 * 1024)
+fn create_caller(address: &str) -> HttpClient {
+    HttpClient::new(address, Millis(2_000), 16 * 1024 * 1024)
 }
 
-fn get_json<T: serde::de::DeserializeOwned>(caller: &Caller, path: &str) -> Option<(u16, T)> {
+fn get_json<T: serde::de::DeserializeOwned>(caller: &HttpClient, path: &str) -> Option<(u16, T)> {
     let (status, body) = caller.get(path)?;
     Some((status, serde_json::from_slice(&body).ok()?))
 }
 
-fn wait_until_ready(caller: &Caller) -> StateStatus {
+fn wait_until_ready(caller: &HttpClient) -> StateStatus {
     let start = Instant::now();
     loop {
         if let Some((200, status)) = get_json(caller, "/status") {
--- a/crates/web/src/client.rs
+++ b/crates/web/src/client.rs
@@ -19,7 +19,7 @@
 
 /// HTTP client for one server address; connections are reused.
 #[derive(Clone, Debug)]
-pub struct Caller {
+pub struct HttpClient {
     agent: Agent,
     base_url: String,
     max_bytes: u64,
@@ -48,7 +48,7 @@
     }
 }
 
-impl Caller {
+impl HttpClient {
     /// `timeout` bounds the whole call and `max_bytes` the size of the response body. With an empty
     /// `address`, the path of each call contains the address.
     pub fn new(address: &str, timeout: Millis, max_bytes: u64) -> Self {
@@ -102,7 +102,7 @@
     }
 
     /// Forwards a request unchanged.
-    pub fn pass(&self, method: &str, path: &str, body: &[u8]) -> RawResponse {
+    pub fn forward(&self, method: &str, path: &str, body: &[u8]) -> RawResponse {
         let url = format!("{}{path}", self.base_url);
         self.read_response(match method {
             "POST" => self.agent.post(url).content_type("application/json").send(body),
--- a/crates/web/src/lib.rs
+++ b/crates/web/src/lib.rs
@@ -25,7 +25,7 @@
 ///
 /// # Errors
 /// The address cannot be bound, or is still in use after [`BIND_TIMEOUT_MS`].
-pub fn bind_patiently<L>(
+pub fn bind_with_retry<L>(
     address: &str,
     mut bind: impl FnMut() -> std::io::Result<L>,
 ) -> Result<L, StartError> {
@@ -78,11 +78,11 @@
             drop(occupant);
         });
         let started = Instant::now();
-        let bound = bind_patiently("test", || TcpListener::bind(address));
+        let bound = bind_with_retry("test", || TcpListener::bind(address));
         assert!(bound.is_ok() && started.elapsed() >= Duration::from_millis(250));
         release.join().unwrap();
         let started = Instant::now();
-        assert!(bind_patiently("test", || TcpListener::bind("192.0.2.1:80")).is_err());
+        assert!(bind_with_retry("test", || TcpListener::bind("192.0.2.1:80")).is_err());
         assert!(started.elapsed() < Duration::from_millis(BIND_TIMEOUT_MS.0));
     }
 }
--- a/crates/web/src/server.rs
+++ b/crates/web/src/server.rs
@@ -6,7 +6,7 @@
 use crate::connection_limit::{ConnectionLimit, ConnectionUsage};
 use crate::constants::*;
 use crate::http::{HttpCodec, Parsed};
-use crate::{StartError, bind_patiently, spawn};
+use crate::{StartError, bind_with_retry, spawn};
 use crossbeam::channel::{Receiver, Sender, TryRecvError, bounded};
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token, Waker};
@@ -42,7 +42,7 @@
 /// Sends replies to the server thread.
 ///
 /// The server stops when this is dropped.
-pub struct Answers {
+pub struct ReplySender {
     queue: Option<Sender<(Caller, Outcome)>>,
     waker: Waker,
     address: SocketAddr,
@@ -50,7 +50,7 @@
     is_woken: Arc<AtomicBool>,
 }
 
-impl Answers {
+impl ReplySender {
     /// Queues a reply; it is dropped if the connection has closed in the meantime.
     pub fn send(&self, caller: Caller, reply: HttpReply) {
         self.enqueue(caller, Outcome::Reply(reply));
@@ -81,7 +81,7 @@
     }
 }
 
-impl Drop for Answers {
+impl Drop for ReplySender {
     fn drop(&mut self) {
         self.queue = None;
         self.wake();
@@ -211,7 +211,7 @@
     max_connections: usize,
     decode: Decode,
     deliver: Deliver,
-) -> Result<Answers, StartError>
+) -> Result<ReplySender, StartError>
 where
     R: 'static,
     Decode: Fn(&str, &str, &[u8]) -> Result<R, HttpReply> + Send + 'static,
@@ -226,7 +226,7 @@
     let poll = Poll::new()?;
     let backlog = (max_connections / BACKLOG_DIVISOR).clamp(MIN_BACKLOG_COUNT, MAX_BACKLOG_COUNT);
     let max_accepted = max_connections - backlog.min(max_connections / BACKLOG_DIVISOR);
-    let mut listener = bind_patiently(address, || listen(socket, backlog))?;
+    let mut listener = bind_with_retry(address, || listen(socket, backlog))?;
     let address = listener.local_addr()?;
     poll.registry().register(&mut listener, LISTENER, Interest::READABLE)?;
     let waker = Waker::new(poll.registry(), WAKER)?;
@@ -247,7 +247,7 @@
     };
     let server_woken = is_woken.clone();
     spawn("http", move || server.serve(&outcomes, &server_woken))?;
-    Ok(Answers { queue: Some(queue), waker, address, is_woken })
+    Ok(ReplySender { queue: Some(queue), waker, address, is_woken })
 }
 
 impl<R, Decode, Deliver> Server<Decode, Deliver>
--- a/crates/web/tests/connection_limit.rs
+++ b/crates/web/tests/connection_limit.rs
@@ -2,7 +2,7 @@
 
 use crossbeam::channel::unbounded;
 use oatloom_protocol::reply::HttpReply;
-use oatloom_web::server::{self, Answers};
+use oatloom_web::server::{self, ReplySender};
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
@@ -14,7 +14,8 @@
     let (sender, received) = unbounded();
     let decode = |_: &str, path: &str, _: &[u8]| Ok(path.to_owned());
     let deliver = move |incoming| sender.send(incoming).is_ok();
-    let replies: Answers = server::start("127.0.0.1:0", MAX_CONNECTIONS, decode, deliver).unwrap();
+    let replies: ReplySender =
+        server::start("127.0.0.1:0", MAX_CONNECTIONS, decode, deliver).unwrap();
     let address = replies.address();
     std::thread::spawn(move || {
         for incoming in received {
--- a/src/runtime/clients.rs
+++ b/src/runtime/clients.rs
@@ -10,7 +10,7 @@
 use oatloom_protocol::ids::Millis;
 use oatloom_protocol::settings::Endpoints;
 use oatloom_protocol::wire::{Changes, Command, Grant, Hosts, Page, RevisionReply, Row};
-use oatloom_web::client::{Caller, escape};
+use oatloom_web::client::{HttpClient, escape};
 use serde::de::DeserializeOwned;
 use serde_json::json;
 
@@ -69,7 +69,7 @@
 }
 
 /// Sends a command to a worker. Only the report in its response is used.
-fn call_worker(caller: &Caller, addr: String, command: Command) -> Event {
+fn call_worker(caller: &HttpClient, addr: String, command: Command) -> Event {
     let response = match addr.parse::<std::net::SocketAddr>() {
         Ok(_) => caller.post(&format!("{addr}/do"), &command),
         Err(_) => None,
@@ -85,12 +85,12 @@
     address: &str,
     timeout: Millis,
     events: &Sender<Event>,
-    call: fn(&Caller, Id, Op) -> Event,
+    call: fn(&HttpClient, Id, Op) -> Event,
 ) -> Result<Sender<(Id, Op)>, StartupError> {
     let (sender, queue): (_, Receiver<(Id, Op)>) = bounded(MAX_QUEUED_CALLS);
     for _ in 0..threads {
         let (queue, events) = (queue.clone(), events.clone());
-        let caller = Caller::new(address, timeout, MAX_RESPONSE_BYTES);
+        let caller = HttpClient::new(address, timeout, MAX_RESPONSE_BYTES);
         spawn(name, move || {
             while let Ok((id, op)) = queue.recv() {
                 if events.send(call(&caller, id, op)).is_err() {
@@ -109,7 +109,7 @@
     }
 }
 
-fn call_store(caller: &Caller, id: OpId, op: StoreOp) -> Event {
+fn call_store(caller: &HttpClient, id: OpId, op: StoreOp) -> Event {
     let response = match &op {
         StoreOp::Get { key } => caller.get(&format!("/keys/{key}")),
         StoreOp::List { prefix, after } => {
@@ -160,7 +160,7 @@
     Event::Store { id, reply }
 }
 
-fn call_cloud(caller: &Caller, id: u64, op: CloudOp) -> Event {
+fn call_cloud(caller: &HttpClient, id: u64, op: CloudOp) -> Event {
     let response = match &op {
         CloudOp::Catalog => caller.get("/catalog"),
         CloudOp::List { after } => {
--- a/src/runtime/mesh_io.rs
+++ b/src/runtime/mesh_io.rs
@@ -8,7 +8,7 @@
 use oatloom_core::controller::Event;
 use oatloom_core::mesh::{PeerReplyFrame, PeerRequestFrame};
 use oatloom_protocol::reply::HttpReply;
-use oatloom_web::{bind_patiently, spawn};
+use oatloom_web::{bind_with_retry, spawn};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
@@ -40,7 +40,7 @@
 
 /// Accepts connections from peers and queues their requests.
 pub(crate) fn serve(address: &str, requests: Sender<QueuedRequest>) -> Result<(), StartupError> {
-    let listener = bind_patiently(address, || TcpListener::bind(address))?;
+    let listener = bind_with_retry(address, || TcpListener::bind(address))?;
     let connection_count = Arc::new(AtomicUsize::new(0));
     spawn("mesh", move || {
         for stream in listener.incoming() {
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -75,7 +75,7 @@
     clock: Clock,
     responders: HashMap<ConnId, Responder>,
     next_conn: u64,
-    http_replies: server::Answers,
+    http_replies: server::ReplySender,
     clients: clients::Clients,
     peers: HashMap<Member, Sender<oatloom_core::mesh::PeerRequestFrame>>,
 }
