--- a/crates/client/examples/first_graph.rs
+++ b/crates/client/examples/first_graph.rs
@@ -10,7 +10,7 @@
     let session = Session::open(Controllers::new(&addresses), "first", "change-me", "red", 30.0)?;
     let id = GraphId::parse(&format!("graph-{}", unix_time_s % 10_000_000_000))
         .ok_or("invalid graph id")?;
-    let mut graph = session.graph(id, &GraphOptions::new("quick"))?;
+    let mut graph = session.create_graph(id, &GraphOptions::new("quick"))?;
     let spec =
         r#"{"num_cpus": 1.0, "memory": 1e9, "expectS": 2.0, "bundle": "img-0", "pullGb": 1.0}"#;
     graph.define_kind("part", serde_json::from_str(spec)?);
--- a/crates/client/src/controllers.rs
+++ b/crates/client/src/controllers.rs
@@ -119,14 +119,14 @@
     }
 
     /// Sends a job request to one controller, without retries.
-    pub fn ask(&self, index: usize, request: &JobRequest) -> Option<HttpResponse> {
+    pub fn request(&self, index: usize, request: &JobRequest) -> Option<HttpResponse> {
         let (method, path, body) = request.to_http();
         self.send(index, method, &path, &body)
     }
 
     fn send(&self, index: usize, method: &str, path: &str, body: &[u8]) -> Option<HttpResponse> {
         let http_clients = if method == "GET" { &self.poll_clients } else { &self.submit_clients };
-        http_clients.get(index % http_clients.len().max(1))?.ask(method, path, body)
+        http_clients.get(index % http_clients.len().max(1))?.request(method, path, body)
     }
 
     /// Sends a request to the next controller, without retries.
--- a/crates/client/src/graphs.rs
+++ b/crates/client/src/graphs.rs
@@ -175,7 +175,7 @@
     ///
     /// # Errors
     /// The graph is rejected, or no controller responds.
-    pub fn graph(&self, id: GraphId, options: &GraphOptions) -> Result<Graph, GraphError> {
+    pub fn create_graph(&self, id: GraphId, options: &GraphOptions) -> Result<Graph, GraphError> {
         let create_request = CreateGraph {
             graph: id,
             session: self.name.clone(),
@@ -369,7 +369,7 @@
     ///
     /// # Errors
     /// The graph does not exist, or no controller responds.
-    pub fn look(&mut self) -> Result<GraphView, GraphError> {
+    pub fn poll(&mut self) -> Result<GraphView, GraphError> {
         let path = format!("/v2/graphs/{}?after={}", self.id, self.position);
         let view: GraphView = request_with_retry(
             &mut self.controllers,
@@ -391,7 +391,7 @@
         mut on_change: impl FnMut(&NodeView),
     ) -> Result<GraphView, GraphError> {
         loop {
-            let view = self.look()?;
+            let view = self.poll()?;
             view.changed.iter().for_each(&mut on_change);
             if self.is_over {
                 return Ok(view);
@@ -461,7 +461,7 @@
         });
         let session = Session::open(controllers, "s", "secret-1", "red", 10.0).unwrap();
         let id = GraphId::parse("graph-1").unwrap();
-        let mut graph = session.graph(id, &GraphOptions::new("quick")).unwrap();
+        let mut graph = session.create_graph(id, &GraphOptions::new("quick")).unwrap();
         let spec: KindSpec = serde_json::from_str(r#"{"num_cpus":1.0}"#).unwrap();
         graph.define_kind("k", spec).add_node("a", "k", &[]).unwrap();
         graph.send(false).unwrap();
@@ -489,7 +489,7 @@
         });
         let id = GraphId::parse("graph-1").unwrap();
         let mut watch = Watch::new(controllers.clone(), id, String::new());
-        watch.look().unwrap();
+        watch.poll().unwrap();
         let mut resumed = Watch::new(controllers, id, watch.position().to_owned());
         let mut changes = 0;
         let final_view = resumed.wait_until_final(|_| changes += 1).unwrap();
--- a/crates/ctl/src/graphs.rs
+++ b/crates/ctl/src/graphs.rs
@@ -247,7 +247,7 @@
         on_failure: file.on_failure,
         detached: !wait,
     };
-    let mut graph = session.graph(id, &plan)?;
+    let mut graph = session.create_graph(id, &plan)?;
     for (name, spec) in &file.kinds {
         graph.define_kind(name, spec.clone());
     }
@@ -285,7 +285,7 @@
         }
         Command::Status { id } => {
             let mut watch = Watch::new(controllers, graph_id(id)?, String::new());
-            Ok(say(&watch.look()?, json))
+            Ok(say(&watch.poll()?, json))
         }
         Command::Watch { id, after } => {
             follow(Watch::new(controllers, graph_id(id)?, after.clone()), json)
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -234,7 +234,7 @@
         Command::Fault { fault, region } => {
             let address = own_address(region);
             let caller = HttpClient::new(&address, SUBMIT_TIMEOUT_MS, MAX_RESPONSE_BYTES);
-            match caller.ask("POST", "/faults", fault.as_bytes()) {
+            match caller.request("POST", "/faults", fault.as_bytes()) {
                 Some(answer) => {
                     let text = String::from_utf8_lossy(&answer.body).into_owned();
                     if answer.status == 200 {
--- a/crates/ctl/src/suite.rs
+++ b/crates/ctl/src/suite.rs
@@ -379,7 +379,7 @@
         }
         let at = self.rng.random_range(0..self.controllers.len());
         let asked = running.shared.now();
-        let answer = self.controllers.ask(at, &wish);
+        let answer = self.controllers.request(at, &wish);
         let now = running.shared.now();
         if let Some(answer) = &answer {
             if !self.plan.senseless {
--- a/crates/ctl/src/usage.rs
+++ b/crates/ctl/src/usage.rs
@@ -75,7 +75,7 @@
     fn page(&self, callers: &[HttpClient], after: Option<&str>) -> Result<UsagePage, UsageError> {
         let (began, mut last) = (Instant::now(), None);
         for caller in callers.iter().cycle() {
-            let answer = caller.ask("GET", &self.path(after), &[]);
+            let answer = caller.request("GET", &self.path(after), &[]);
             let text = |body: &[u8]| String::from_utf8_lossy(body).into_owned();
             match &answer {
                 Some(a) if a.status == 200 => {
@@ -122,7 +122,7 @@
         let page = |after: Option<&str>| {
             let ask = |a: &String| {
                 let caller = HttpClient::new(a, POLL_TIMEOUT_MS, MAX_RESPONSE_BYTES);
-                caller.ask("GET", &self.path(after), &[]).filter(|a| a.status == 200)
+                caller.request("GET", &self.path(after), &[]).filter(|a| a.status == 200)
             };
             let answer = controllers.iter().find_map(ask).ok_or(())?;
             serde_json::from_slice(&answer.body).map_err(|_| ())
--- a/crates/state/src/service.rs
+++ b/crates/state/src/service.rs
@@ -10,7 +10,7 @@
 use crate::wal::{AppendError, Group, SnapshotStep, SnapshotWriter, WriteAheadLog};
 use crossbeam::channel::{Receiver, RecvTimeoutError, Sender, bounded};
 use oatloom_protocol::ids::Mono;
-use oatloom_web::server::{self, Caller, Incoming};
+use oatloom_web::server::{self, ConnectionId, Incoming};
 use oatloom_web::{StartError, spawn};
 use std::collections::HashMap;
 use std::path::Path;
@@ -59,7 +59,7 @@
     engine: Engine,
     clock: Clock,
     answers: server::ReplySender,
-    callers: HashMap<ConnId, Caller>,
+    callers: HashMap<ConnId, ConnectionId>,
     next_conn: u64,
     log_groups: Sender<Group>,
     snapshot_steps: Sender<SnapshotStep>,
--- a/crates/web/src/client.rs
+++ b/crates/web/src/client.rs
@@ -87,7 +87,7 @@
     }
 
     /// Sends a request and also returns the `Retry-After` delay of the response.
-    pub fn ask(&self, method: &str, path: &str, body: &[u8]) -> Option<HttpResponse> {
+    pub fn request(&self, method: &str, path: &str, body: &[u8]) -> Option<HttpResponse> {
         let url = format!("{}{path}", self.base_url);
         let result = match method {
             "POST" => self.agent.post(url).content_type("application/json").send(body),
--- a/crates/web/src/server.rs
+++ b/crates/web/src/server.rs
@@ -22,12 +22,12 @@
 
 /// Identifies a connection that waits for a reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Caller(usize);
+pub struct ConnectionId(usize);
 
 /// A request and the connection that waits for its reply.
 #[derive(Debug)]
 pub struct Incoming<R> {
-    pub caller: Caller,
+    pub caller: ConnectionId,
     pub request: R,
 }
 
@@ -43,7 +43,7 @@
 ///
 /// The server stops when this is dropped.
 pub struct ReplySender {
-    queue: Option<Sender<(Caller, Outcome)>>,
+    queue: Option<Sender<(ConnectionId, Outcome)>>,
     waker: Waker,
     address: SocketAddr,
     /// Whether the server thread has been woken and has not read the queue since.
@@ -52,12 +52,12 @@
 
 impl ReplySender {
     /// Queues a reply; it is dropped if the connection has closed in the meantime.
-    pub fn send(&self, caller: Caller, reply: HttpReply) {
+    pub fn send(&self, caller: ConnectionId, reply: HttpReply) {
         self.enqueue(caller, Outcome::Reply(reply));
     }
 
     /// Closes a connection without a reply.
-    pub fn close(&self, caller: Caller) {
+    pub fn close(&self, caller: ConnectionId) {
         self.enqueue(caller, Outcome::Close);
     }
 
@@ -66,7 +66,7 @@
         self.address
     }
 
-    fn enqueue(&self, caller: Caller, outcome: Outcome) {
+    fn enqueue(&self, caller: ConnectionId, outcome: Outcome) {
         let is_queued =
             self.queue.as_ref().is_some_and(|queue| queue.send((caller, outcome)).is_ok());
         if is_queued && !self.is_woken.swap(true, Ordering::AcqRel) {
@@ -255,7 +255,7 @@
     Decode: Fn(&str, &str, &[u8]) -> Result<R, HttpReply>,
     Deliver: Fn(Incoming<R>) -> bool,
 {
-    fn serve(&mut self, outcomes: &Receiver<(Caller, Outcome)>, is_woken: &AtomicBool) {
+    fn serve(&mut self, outcomes: &Receiver<(ConnectionId, Outcome)>, is_woken: &AtomicBool) {
         let mut events = Events::with_capacity(256);
         let sweep_interval = Duration::from_millis(SOCKET_SWEEP_INTERVAL_MS.0);
         let mut last_sweep = Instant::now();
@@ -276,8 +276,10 @@
             is_woken.store(false, Ordering::Release);
             loop {
                 match outcomes.try_recv() {
-                    Ok((Caller(key), Outcome::Reply(reply))) => self.handle_reply(key, &reply),
-                    Ok((Caller(key), Outcome::Close)) => drop(self.connections.remove(&key)),
+                    Ok((ConnectionId(key), Outcome::Reply(reply))) => {
+                        self.handle_reply(key, &reply)
+                    }
+                    Ok((ConnectionId(key), Outcome::Close)) => drop(self.connections.remove(&key)),
                     Err(TryRecvError::Empty) => break,
                     Err(TryRecvError::Disconnected) => return,
                 }
@@ -410,7 +412,7 @@
                     let rejection = match parsed {
                         Err(reply) => Some(reply),
                         Ok(request) => {
-                            let incoming = Incoming { caller: Caller(key), request };
+                            let incoming = Incoming { caller: ConnectionId(key), request };
                             let is_accepted = (self.deliver)(incoming);
                             (!is_accepted).then(|| HttpReply::unavailable("busy"))
                         }
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -48,7 +48,7 @@
 
 /// Where a reply goes.
 enum Responder {
-    Http(server::Caller),
+    Http(server::ConnectionId),
     Mesh(mesh_io::PeerResponder),
 }
 
