--- a/crates/graph/src/answers.rs
+++ b/crates/graph/src/answers.rs
@@ -1,6 +1,6 @@
 //! What clients are told.
 
-use crate::constants::RETRY_S;
+use crate::constants::RETRY_AFTER_S;
 use crate::ids::{GraphId, Seq};
 use crate::records::{FailedNode, Outcome, OverPage, OverRecord};
 use oatloom_protocol::ids::JobId;
@@ -216,5 +216,5 @@
 
 /// Refuses for now: the client learns at once when to come back.
 pub fn busy(text: &str) -> HttpReply {
-    HttpReply { retry_after_s: Some(RETRY_S), ..HttpReply::error(429, text) }
+    HttpReply { retry_after_s: Some(RETRY_AFTER_S), ..HttpReply::error(429, text) }
 }
--- a/crates/graph/src/desk.rs
+++ b/crates/graph/src/desk.rs
@@ -5,17 +5,17 @@
 use crate::constants::*;
 use crate::ids::{GraphId, Seq};
 use crate::launching::job_spec;
-pub use crate::launching::{Launch, Order};
-use crate::limits::{Bucket, Limits};
-use crate::live::{Live, Pending, Phase, Why};
-use crate::loading::{Damages, Stage};
+pub use crate::launching::{Launch, LaunchOrder};
+use crate::limits::{Limits, RateLimiter};
+use crate::live::{EndReason, OpenGraph, PendingAddition, Phase};
+use crate::loading::{DamagedGraphs, LoadStage};
 pub use crate::loading::{Ended, JOBS_PREFIX, OpenJob, Read};
-use crate::model::{Kind, NodeState, Refused, Room};
+use crate::model::{NodeKind, NodeState, RejectedAddition, Room};
 use crate::paths::graph_due;
 use crate::records::{Head, OverRecord, Page, Part, PartEnd, SessionRecord};
 use crate::requests::{AddNodes, Ask, CreateGraph, OpenSession, check};
 use crate::sessions::{self, Session, digest, hash_key};
-use crate::writing::Queue;
+use crate::writing::GraphWriteQueue;
 pub use crate::writing::{Item, Wrote};
 use oatloom_protocol::ids::{JobId, Millis, Mono, Now, Revision, Token};
 use oatloom_protocol::reply::HttpReply;
@@ -62,67 +62,67 @@
     pub(crate) limits: Limits,
     pub(crate) token: Token,
     pub(crate) room: Room,
-    pub(crate) stage: Stage,
+    pub(crate) stage: LoadStage,
     pub(crate) sessions: BTreeMap<String, Session>,
-    pub(crate) count_stamp: Revision,
-    pub(crate) graphs: BTreeMap<GraphId, Live>,
+    pub(crate) count_version: Revision,
+    pub(crate) graphs: BTreeMap<GraphId, OpenGraph>,
     /// Graphs with nodes that may start.
-    pub(crate) wanting: BTreeSet<GraphId>,
-    pub(crate) queue: Queue,
+    pub(crate) launchable: BTreeSet<GraphId>,
+    pub(crate) queue: GraphWriteQueue,
     pub(crate) effects: Vec<Effect>,
-    pub(crate) order: Order,
+    pub(crate) order: LaunchOrder,
     /// Items that one transaction may have at present.
     pub items_most: usize,
-    over: BTreeMap<GraphId, OverRecord>,
-    over_order: VecDeque<GraphId>,
-    bucket: Bucket,
-    team_buckets: BTreeMap<String, Bucket>,
+    final_records: BTreeMap<GraphId, OverRecord>,
+    final_record_order: VecDeque<GraphId>,
+    bucket: RateLimiter,
+    team_buckets: BTreeMap<String, RateLimiter>,
     /// How often classes may be repeated.
-    allowed: BTreeMap<String, Option<u32>>,
+    class_max_retries: BTreeMap<String, Option<u32>>,
     /// By how much owners misjudge the run times of classes.
-    biases: BTreeMap<String, f64>,
+    run_time_biases: BTreeMap<String, f64>,
     pub(crate) open_jobs: usize,
     /// Graphs whose records cannot be read, until that has been acted on.
-    pub(crate) damaged: Damages,
-    next_look: Mono,
+    pub(crate) damaged: DamagedGraphs,
+    next_session_check: Mono,
 }
 
 impl Desk {
     /// For a new leader, which has still to read what there is.
     pub fn new(limits: Limits, token: Token, room: Room, now: Mono) -> Self {
-        let bucket = Bucket::full(limits.additions_per_s, now);
+        let bucket = RateLimiter::full(limits.additions_per_s, now);
         Self {
             limits,
             token,
             room,
-            stage: Stage::Count,
+            stage: LoadStage::Count,
             sessions: BTreeMap::new(),
-            count_stamp: Revision(0),
+            count_version: Revision(0),
             graphs: BTreeMap::new(),
-            wanting: BTreeSet::new(),
-            queue: Queue::default(),
+            launchable: BTreeSet::new(),
+            queue: GraphWriteQueue::default(),
             effects: Vec::new(),
-            order: Order::default(),
+            order: LaunchOrder::default(),
             items_most: usize::MAX,
-            over: BTreeMap::new(),
-            over_order: VecDeque::new(),
+            final_records: BTreeMap::new(),
+            final_record_order: VecDeque::new(),
             bucket,
             team_buckets: BTreeMap::new(),
-            allowed: BTreeMap::new(),
-            biases: BTreeMap::new(),
+            class_max_retries: BTreeMap::new(),
+            run_time_biases: BTreeMap::new(),
             open_jobs: 0,
-            damaged: Damages::new(),
-            next_look: now,
+            damaged: DamagedGraphs::new(),
+            next_session_check: now,
         }
     }
 
     /// The same with the order of nodes that measurements hold the longest paths against.
-    pub fn with_order(self, order: Order) -> Self {
+    pub fn with_order(self, order: LaunchOrder) -> Self {
         Self { order, ..self }
     }
 
     pub fn ready(&self) -> bool {
-        self.stage == Stage::Ready
+        self.stage == LoadStage::Ready
     }
 
     /// What is to be done since the last call.
@@ -130,7 +130,7 @@
         std::mem::take(&mut self.effects)
     }
 
-    pub fn graph(&self, id: GraphId) -> Option<&Live> {
+    pub fn graph(&self, id: GraphId) -> Option<&OpenGraph> {
         self.graphs.get(&id)
     }
 
@@ -144,19 +144,22 @@
     }
 
     /// How often a class may be repeated, and by how much its run times are misjudged.
-    pub fn learn_class(&mut self, class: &str, allowed: Option<u32>, bias: f64) {
-        self.allowed.insert(class.to_owned(), allowed);
-        let before = self.biases.insert(class.to_owned(), bias).unwrap_or(1.0);
-        if (bias / before - 1.0).abs() > LEARNT_STEP {
-            let of_class = |live: &&mut Live| live.head.class == class;
-            self.graphs.values_mut().filter(of_class).for_each(|live| live.stale = true);
+    pub fn learn_class(&mut self, class: &str, class_max_retries: Option<u32>, bias: f64) {
+        self.class_max_retries.insert(class.to_owned(), class_max_retries);
+        let before = self.run_time_biases.insert(class.to_owned(), bias).unwrap_or(1.0);
+        if (bias / before - 1.0).abs() > MIN_RUN_TIME_CHANGE_FRACTION {
+            let of_class = |open_graph: &&mut OpenGraph| open_graph.head.class == class;
+            self.graphs
+                .values_mut()
+                .filter(of_class)
+                .for_each(|open_graph| open_graph.paths_stale = true);
         }
     }
 
     /// The classes of open graphs.
     pub fn classes(&self) -> BTreeSet<String> {
         let classes: BTreeSet<&str> =
-            self.graphs.values().map(|live| live.head.class.as_str()).collect();
+            self.graphs.values().map(|open_graph| open_graph.head.class.as_str()).collect();
         classes.into_iter().map(str::to_owned).collect()
     }
 
@@ -169,21 +172,21 @@
 
     /// What tasks of a kind were seen to take, in seconds.
     pub fn learn(&mut self, graph: GraphId, kind: u16, seconds: f64) {
-        let Some(live) = self.graphs.get_mut(&graph) else { return };
-        let Some(kind) = live.model.kinds.get_mut(usize::from(kind)) else { return };
-        let before = kind.learnt_s.unwrap_or(kind.spec.expect_s);
-        kind.learnt_s = Some(seconds);
-        live.stale |= (seconds - before).abs() > LEARNT_STEP * before;
+        let Some(open_graph) = self.graphs.get_mut(&graph) else { return };
+        let Some(kind) = open_graph.model.kinds.get_mut(usize::from(kind)) else { return };
+        let before = kind.measured_run_time_s.unwrap_or(kind.spec.expect_s);
+        kind.measured_run_time_s = Some(seconds);
+        open_graph.paths_stale |= (seconds - before).abs() > MIN_RUN_TIME_CHANGE_FRACTION * before;
     }
 
     fn bias(&self, class: &str) -> f64 {
-        self.biases.get(class).copied().unwrap_or(1.0)
+        self.run_time_biases.get(class).copied().unwrap_or(1.0)
     }
 
     // --- Requests ------------------------------------------------------------------
 
     /// Takes up a request; `ticket` is named again when its answer comes later.
-    pub fn ask(&mut self, now: Now, ticket: u64, ask: &Ask, around: &Around) -> Verdict {
+    pub fn ask(&mut self, now: Now, ticket: u64, ask: &Ask, context: &Around) -> Verdict {
         if !self.ready() {
             return Verdict::Reply(HttpReply::unavailable("graphs are being read"));
         }
@@ -198,12 +201,12 @@
             return Verdict::Reply(HttpReply::error(400, &text));
         }
         match ask {
-            Ask::Open(open) => self.open_session(now.mono, ticket, open, around),
-            Ask::Beat(session, keyed) => self.beat(now.mono, session, &keyed.key),
-            Ask::Close(session, keyed) => self.close(ticket, session, &keyed.key),
-            Ask::Create(create) => self.create(now, ticket, create),
-            Ask::Add(graph, add) => self.add(now.mono, ticket, *graph, add, around),
-            Ask::Cancel(graph, keyed) => self.cancel(ticket, *graph, &keyed.key),
+            Ask::Open(open) => self.open_session(now.mono, ticket, open, context),
+            Ask::Beat(session, keyed) => self.heartbeat(now.mono, session, &keyed.key),
+            Ask::Close(session, keyed) => self.close_session(ticket, session, &keyed.key),
+            Ask::Create(create) => self.create_graph(now, ticket, create),
+            Ask::Add(graph, add) => self.add_nodes(now.mono, ticket, *graph, add, context),
+            Ask::Cancel(graph, keyed) => self.cancel_graph(ticket, *graph, &keyed.key),
             Ask::Job(job, after) => {
                 let nodes = GraphId::of_job(job)
                     .and_then(|(graph, seq)| self.graphs.get(&graph)?.job_nodes(seq, *after));
@@ -213,24 +216,26 @@
                 }
             }
             Ask::Look(graph, look) => match self.graphs.get(graph) {
-                Some(Live { phase: Phase::Creating, .. }) => {
+                Some(OpenGraph { phase: Phase::Creating, .. }) => {
                     Verdict::Reply(HttpReply::unavailable("the graph is being written"))
                 }
-                Some(live) => Verdict::Reply(HttpReply::json(200, &live.view(self.token, look))),
+                Some(open_graph) => {
+                    Verdict::Reply(HttpReply::json(200, &open_graph.view(self.token, look)))
+                }
                 None => Verdict::NotOpen,
             },
         }
     }
 
     /// Whether the rates allow one more write of a team; takes it.
-    fn may_write(&mut self, team: &str, now: Mono) -> bool {
+    fn try_take_write_permit(&mut self, team: &str, now: Mono) -> bool {
         let (all, each) = (self.limits.additions_per_s, self.limits.team_additions_per_s);
         if self.team_buckets.len() > self.limits.sessions as usize {
-            self.team_buckets.retain(|_, bucket| !bucket.idle(each, now));
+            self.team_buckets.retain(|_, bucket| !bucket.is_idle(each, now));
         }
         let own = self.team_buckets.entry(team.to_owned());
-        let own = own.or_insert_with(|| Bucket::full(each, now));
-        let may = self.bucket.has(all, now) && own.has(each, now);
+        let own = own.or_insert_with(|| RateLimiter::full(each, now));
+        let may = self.bucket.has_permit(all, now) && own.has_permit(each, now);
         if may {
             self.bucket.take();
             own.take();
@@ -248,7 +253,7 @@
         Some(SessionView { session: name.to_owned(), status, ttl_s })
     }
 
-    pub(crate) fn tell_session(&self, name: &str, status: u16) -> HttpReply {
+    pub(crate) fn session_reply(&self, name: &str, status: u16) -> HttpReply {
         let closed =
             SessionView { session: name.into(), status: SessionStatus::Closed, ttl_s: 0.0 };
         HttpReply::json(status, &self.session_view(name).unwrap_or(closed))
@@ -259,35 +264,35 @@
         now: Mono,
         ticket: u64,
         open: &OpenSession,
-        around: &Around,
+        context: &Around,
     ) -> Verdict {
         let name = &open.session;
         if let Some(session) = self.sessions.get_mut(name) {
-            if !session.holds(&open.key) || session.record.owner != open.owner {
+            if !session.has_key(&open.key) || session.record.owner != open.owner {
                 return Verdict::Reply(HttpReply::error(403, "the session is another's"));
             }
             return match session.phase {
-                sessions::Phase::Opening if session.tickets.len() < TICKETS_MOST => {
+                sessions::Phase::Opening if session.tickets.len() < MAX_TICKET_COUNT => {
                     session.tickets.push(ticket);
                     Verdict::Later
                 }
                 sessions::Phase::Open => {
-                    session.heard = now;
-                    Verdict::Reply(self.tell_session(name, 200))
+                    session.last_heartbeat = now;
+                    Verdict::Reply(self.session_reply(name, 200))
                 }
                 _ => Verdict::Reply(busy("the session is closing")),
             };
         }
-        if !(around.team)(&open.owner) {
+        if !(context.team)(&open.owner) {
             return Verdict::Reply(HttpReply::error(422, "unknown team"));
         }
-        let of_team = self.sessions.values().filter(|s| s.record.owner == open.owner).count();
+        let team_count = self.sessions.values().filter(|s| s.record.owner == open.owner).count();
         if self.sessions.len() >= self.limits.sessions as usize
-            || of_team >= self.limits.team_sessions as usize
+            || team_count >= self.limits.team_sessions as usize
         {
             return Verdict::Reply(busy("too many sessions"));
         }
-        if !self.may_write(&open.owner, now) {
+        if !self.try_take_write_permit(&open.owner, now) {
             return Verdict::Reply(busy("too many additions a second"));
         }
         let ttl_ms = Millis::from_secs(open.ttl_s).0;
@@ -296,16 +301,16 @@
         let mut session = Session::new(record, Revision(0), now);
         session.tickets.push(ticket);
         self.sessions.insert(name.clone(), session);
-        self.queue.session(name);
+        self.queue.push_session(name);
         Verdict::Later
     }
 
     /// Finds a session that is open and whose key this is.
-    fn session(&mut self, name: &str, key: &str) -> Result<&mut Session, HttpReply> {
+    fn find_open_session(&mut self, name: &str, key: &str) -> Result<&mut Session, HttpReply> {
         let Some(session) = self.sessions.get_mut(name) else {
             return Err(HttpReply::error(404, "no such session"));
         };
-        if !session.holds(key) {
+        if !session.has_key(key) {
             return Err(HttpReply::error(403, "wrong key"));
         }
         match session.phase {
@@ -316,25 +321,25 @@
         }
     }
 
-    fn beat(&mut self, now: Mono, name: &str, key: &str) -> Verdict {
-        match self.session(name, key) {
+    fn heartbeat(&mut self, now: Mono, name: &str, key: &str) -> Verdict {
+        match self.find_open_session(name, key) {
             Ok(session) => {
-                session.heard = now;
-                Verdict::Reply(self.tell_session(name, 200))
+                session.last_heartbeat = now;
+                Verdict::Reply(self.session_reply(name, 200))
             }
             Err(reply) => Verdict::Reply(reply),
         }
     }
 
-    fn close(&mut self, ticket: u64, name: &str, key: &str) -> Verdict {
-        match self.session(name, key) {
+    fn close_session(&mut self, ticket: u64, name: &str, key: &str) -> Verdict {
+        match self.find_open_session(name, key) {
             Ok(session) => {
                 session.tickets.push(ticket);
                 self.end_session(name);
                 Verdict::Later
             }
             // It is as its client wishes; the answer may have been lost.
-            Err(HttpReply { status: 404, .. }) => Verdict::Reply(self.tell_session(name, 200)),
+            Err(HttpReply { status: 404, .. }) => Verdict::Reply(self.session_reply(name, 200)),
             Err(reply) => Verdict::Reply(reply),
         }
     }
@@ -342,20 +347,20 @@
     fn end_session(&mut self, name: &str) {
         if let Some(session) = self.sessions.get_mut(name) {
             session.enter(sessions::Phase::Closing);
-            self.queue.session(name);
+            self.queue.push_session(name);
         }
     }
 
-    fn create(&mut self, now: Now, ticket: u64, create: &CreateGraph) -> Verdict {
+    fn create_graph(&mut self, now: Now, ticket: u64, create: &CreateGraph) -> Verdict {
         let id = create.graph;
-        if let Some(live) = self.graphs.get_mut(&id) {
-            let same = live.head.key == hash_key(&create.key)
-                && live.head.session == create.session
-                && live.head.class == create.jobclass;
-            return match &live.phase {
+        if let Some(open_graph) = self.graphs.get_mut(&id) {
+            let same = open_graph.head.key == hash_key(&create.key)
+                && open_graph.head.session == create.session
+                && open_graph.head.class == create.jobclass;
+            return match &open_graph.phase {
                 _ if !same => Verdict::Reply(HttpReply::error(409, "the graph is another's")),
-                Phase::Creating if live.tickets.len() < TICKETS_MOST => {
-                    live.tickets.push(ticket);
+                Phase::Creating if open_graph.tickets.len() < MAX_TICKET_COUNT => {
+                    open_graph.tickets.push(ticket);
                     Verdict::Later
                 }
                 Phase::Creating => {
@@ -363,23 +368,24 @@
                 }
                 _ => Verdict::Reply(HttpReply::json(
                     200,
-                    &live.view(self.token, &Default::default()),
+                    &open_graph.view(self.token, &Default::default()),
                 )),
             };
         }
-        let owner = match self.session(&create.session, &create.key) {
+        let owner = match self.find_open_session(&create.session, &create.key) {
             Ok(session) => session.record.owner.clone(),
             // A repeated request may come when the graph and its session are over.
             Err(HttpReply { status: 404, .. }) => return Verdict::NotOpen,
             Err(reply) => return Verdict::Reply(reply),
         };
-        let of_team = self.graphs.values().filter(|live| live.head.owner == owner).count();
+        let team_count =
+            self.graphs.values().filter(|open_graph| open_graph.head.owner == owner).count();
         if self.graphs.len() >= self.limits.graphs as usize
-            || of_team >= self.limits.team_graphs as usize
+            || team_count >= self.limits.team_graphs as usize
         {
             return Verdict::Reply(busy("too many graphs"));
         }
-        if !self.may_write(&owner, now.mono) {
+        if !self.try_take_write_permit(&owner, now.mono) {
             return Verdict::Reply(busy("too many additions a second"));
         }
         let head = Head {
@@ -394,90 +400,90 @@
             wall_ms: now.wall_ms,
             cancelled: false,
         };
-        let mut live = Live::new(id, head, Revision(0), Phase::Creating, now.mono);
-        live.tickets.push(ticket);
-        self.insert(live);
-        self.queue.head(id);
+        let mut open_graph = OpenGraph::new(id, head, Revision(0), Phase::Creating, now.mono);
+        open_graph.tickets.push(ticket);
+        self.insert_graph(open_graph);
+        self.queue.push_head(id);
         Verdict::Later
     }
 
     /// Takes up a graph, and counts it for its session.
-    pub(crate) fn insert(&mut self, live: Live) {
-        if !live.head.detached
-            && let Some(session) = self.sessions.get_mut(&live.head.session)
+    pub(crate) fn insert_graph(&mut self, open_graph: OpenGraph) {
+        if !open_graph.head.detached
+            && let Some(session) = self.sessions.get_mut(&open_graph.head.session)
         {
-            session.graphs += 1;
+            session.open_graphs += 1;
         }
-        self.graphs.insert(live.id, live);
+        self.graphs.insert(open_graph.id, open_graph);
     }
 
     /// Lets a graph go that is over, or was never begun.
-    pub(crate) fn remove(&mut self, id: GraphId) -> Option<Live> {
-        let live = self.graphs.remove(&id)?;
-        self.wanting.remove(&id);
-        let name = &live.head.session;
-        if !live.head.detached
+    pub(crate) fn remove_graph(&mut self, id: GraphId) -> Option<OpenGraph> {
+        let open_graph = self.graphs.remove(&id)?;
+        self.launchable.remove(&id);
+        let name = &open_graph.head.session;
+        if !open_graph.head.detached
             && let Some(session) = self.sessions.get_mut(name)
         {
-            session.graphs = session.graphs.saturating_sub(1);
-            if session.phase == sessions::Phase::Ended && session.graphs == 0 {
-                self.queue.session(name);
+            session.open_graphs = session.open_graphs.saturating_sub(1);
+            if session.phase == sessions::Phase::Ended && session.open_graphs == 0 {
+                self.queue.push_session(name);
             }
         }
-        Some(live)
+        Some(open_graph)
     }
 
-    fn add(
+    fn add_nodes(
         &mut self,
         now: Mono,
         ticket: u64,
         id: GraphId,
         add: &AddNodes,
-        around: &Around,
+        context: &Around,
     ) -> Verdict {
         let refuse = |status, text: &str| Verdict::Reply(HttpReply::error(status, text));
-        let Some(live) = self.graphs.get(&id) else { return Verdict::NotOpen };
-        if live.head.key != hash_key(&add.key) {
+        let Some(open_graph) = self.graphs.get(&id) else { return Verdict::NotOpen };
+        if open_graph.head.key != hash_key(&add.key) {
             return refuse(403, "wrong key");
         }
         // What is the same however it is written.
         let digest = digest(&(&add.kinds, &add.nodes, add.seal));
-        match live.model.addition(&add.addition) {
+        match open_graph.model.addition(&add.addition) {
             Some(known) if known == digest => {
-                let view = live.view(self.token, &Default::default());
+                let view = open_graph.view(self.token, &Default::default());
                 return Verdict::Reply(HttpReply::json(200, &view));
             }
             Some(_) => return refuse(409, "an addition of this name added something else"),
             None => {}
         }
-        match live.phase {
-            Phase::Open if live.model.sealed => return refuse(409, "the graph is sealed"),
+        match open_graph.phase {
+            Phase::Open if open_graph.model.sealed => return refuse(409, "the graph is sealed"),
             Phase::Open => {}
             Phase::Creating | Phase::Loading => {
                 return Verdict::Reply(HttpReply::unavailable("the graph is being written"));
             }
             _ => return refuse(409, "the graph is ending"),
         }
-        if live.pending.is_some() {
+        if open_graph.pending_addition.is_some() {
             return Verdict::Reply(busy("another addition is being written"));
         }
-        let prepared = match live.model.prepare(add, digest, self.room) {
+        let prepared = match open_graph.model.prepare(add, digest, self.room) {
             Ok(prepared) => prepared,
-            Err(Refused(status, text)) => return refuse(status, &text),
+            Err(RejectedAddition(status, text)) => return refuse(status, &text),
         };
-        if let Some(reply) = unfit(live, &prepared.pages, around) {
+        if let Some(reply) = find_rejection(open_graph, &prepared.pages, context) {
             return Verdict::Reply(reply);
         }
-        let owner = live.head.owner.clone();
-        let own = u64::from(live.model.len());
+        let owner = open_graph.head.owner.clone();
+        let own = u64::from(open_graph.model.len());
         let (nodes, bytes) = (u64::from(prepared.nodes), prepared.bytes as u64);
         let over = |used: u64, more: u64, most: u64| used.saturating_add(more) > most;
         let limits = &self.limits;
         if over(own, nodes, limits.graph_nodes.into()) {
             return refuse(422, "more nodes than a graph may have");
         }
-        let (team_nodes, team_bytes) = self.used(|live| live.head.owner == owner);
-        let (all_nodes, all_bytes) = self.used(|_| true);
+        let (team_nodes, team_bytes) = self.sum_usage(|open_graph| open_graph.head.owner == owner);
+        let (all_nodes, all_bytes) = self.sum_usage(|_| true);
         if over(all_nodes, nodes, limits.nodes.into())
             || over(team_nodes, nodes, limits.team_nodes.into())
             || over(all_bytes, bytes, limits.bytes)
@@ -485,46 +491,47 @@
         {
             return Verdict::Reply(busy("too many nodes"));
         }
-        if !self.may_write(&owner, now) {
+        if !self.try_take_write_permit(&owner, now) {
             return Verdict::Reply(busy("too many additions a second"));
         }
-        if let Some(live) = self.graphs.get_mut(&id) {
-            live.pending = Some(Pending { prepared, ticket });
+        if let Some(open_graph) = self.graphs.get_mut(&id) {
+            open_graph.pending_addition = Some(PendingAddition { prepared, ticket });
         }
-        self.queue.addition(id);
+        self.queue.push_addition(id);
         Verdict::Later
     }
 
     /// Nodes of open graphs, and bytes of their descriptions.
-    fn used(&self, counts: impl Fn(&Live) -> bool) -> (u64, u64) {
-        let counted = self.graphs.values().filter(|live| counts(live));
-        counted.fold((0, 0), |(nodes, bytes), live| {
-            (nodes + u64::from(live.model.len()), bytes + live.model.bytes)
+    fn sum_usage(&self, counts: impl Fn(&OpenGraph) -> bool) -> (u64, u64) {
+        let counted = self.graphs.values().filter(|open_graph| counts(open_graph));
+        counted.fold((0, 0), |(nodes, bytes), open_graph| {
+            (nodes + u64::from(open_graph.model.len()), bytes + open_graph.model.bytes)
         })
     }
 
-    fn cancel(&mut self, ticket: u64, id: GraphId, key: &str) -> Verdict {
-        let Some(live) = self.graphs.get_mut(&id) else { return Verdict::NotOpen };
-        if live.head.key != hash_key(key) {
+    fn cancel_graph(&mut self, ticket: u64, id: GraphId, key: &str) -> Verdict {
+        let Some(open_graph) = self.graphs.get_mut(&id) else { return Verdict::NotOpen };
+        if open_graph.head.key != hash_key(key) {
             return Verdict::Reply(HttpReply::error(403, "wrong key"));
         }
-        match live.phase {
+        match open_graph.phase {
             Phase::Creating | Phase::Loading => {
                 Verdict::Reply(HttpReply::unavailable("the graph is being written"))
             }
-            Phase::Marking if live.tickets.len() >= TICKETS_MOST => {
+            Phase::Cancelling if open_graph.tickets.len() >= MAX_TICKET_COUNT => {
                 Verdict::Reply(HttpReply::unavailable("the graph is being cancelled"))
             }
-            Phase::Open | Phase::Marking => {
-                live.tickets.push(ticket);
-                live.enter(Phase::Marking);
-                self.wanting.remove(&id);
-                self.queue.head(id);
+            Phase::Open | Phase::Cancelling => {
+                open_graph.tickets.push(ticket);
+                open_graph.enter(Phase::Cancelling);
+                self.launchable.remove(&id);
+                self.queue.push_head(id);
                 Verdict::Later
             }
-            Phase::Stopping(_) | Phase::Ending(_) => {
-                Verdict::Reply(HttpReply::json(200, &live.view(self.token, &Default::default())))
-            }
+            Phase::Stopping(_) | Phase::Ending(_) => Verdict::Reply(HttpReply::json(
+                200,
+                &open_graph.view(self.token, &Default::default()),
+            )),
         }
     }
 
@@ -558,9 +565,9 @@
     /// Tasks of an open job are done for good.
     pub fn tasks_done(&mut self, id: &JobId, done: &[u32]) {
         let Some((graph, seq)) = GraphId::of_job(id) else { return };
-        let Some(live) = self.graphs.get_mut(&graph) else { return };
-        live.tasks_done(seq, done);
-        self.review(graph);
+        let Some(open_graph) = self.graphs.get_mut(&graph) else { return };
+        open_graph.tasks_done(seq, done);
+        self.update_graph(graph);
     }
 
     /// A job is over for good.
@@ -572,31 +579,31 @@
         failure: Option<&Arc<Failure>>,
     ) {
         let Some((graph, seq)) = GraphId::of_job(id) else { return };
-        if !matches!(self.stage, Stage::Jobs { .. } | Stage::Ready) {
+        if !matches!(self.stage, LoadStage::Jobs { .. } | LoadStage::Ready) {
             // It will be read. Guards against an end that came between a graph's head and its pages: it counted as
             // taken up though its nodes were not there yet, and they ran again.
             return;
         }
-        let Some(live) = self.graphs.get_mut(&graph) else { return };
-        let before = live.jobs.len();
-        live.job_over(seq, end, status, failure);
-        self.open_jobs = self.open_jobs.saturating_sub(before - live.jobs.len());
-        self.review(graph);
+        let Some(open_graph) = self.graphs.get_mut(&graph) else { return };
+        let before = open_graph.jobs.len();
+        open_graph.finish_job(seq, end, status, failure);
+        self.open_jobs = self.open_jobs.saturating_sub(before - open_graph.jobs.len());
+        self.update_graph(graph);
     }
 
     /// Takes up what follows from a change of a graph.
-    pub(crate) fn review(&mut self, id: GraphId) {
-        let Some(live) = self.graphs.get_mut(&id) else { return };
-        let cancelled = live.review();
+    pub(crate) fn update_graph(&mut self, id: GraphId) {
+        let Some(open_graph) = self.graphs.get_mut(&id) else { return };
+        let cancelled = open_graph.update_phase();
         self.cancel_jobs(id, cancelled);
-        let Some(live) = self.graphs.get_mut(&id) else { return };
-        if live.phase == Phase::Open && live.model.any_ready() {
-            self.wanting.insert(id);
+        let Some(open_graph) = self.graphs.get_mut(&id) else { return };
+        if open_graph.phase == Phase::Open && open_graph.model.has_ready_nodes() {
+            self.launchable.insert(id);
         } else {
-            self.wanting.remove(&id);
+            self.launchable.remove(&id);
         }
-        if matches!(live.phase, Phase::Ending(_)) {
-            self.queue.ending(id);
+        if matches!(open_graph.phase, Phase::Ending(_)) {
+            self.queue.push_final(id);
         }
     }
 
@@ -605,74 +612,90 @@
     }
 
     /// A graph's end is decided.
-    pub(crate) fn stop(&mut self, id: GraphId, why: Why) {
-        let Some(live) = self.graphs.get_mut(&id) else { return };
-        if let Some(pending) = live.pending.take() {
-            self.reply(pending.ticket, HttpReply::error(409, "the graph is ending"));
+    pub(crate) fn stop(&mut self, id: GraphId, why: EndReason) {
+        let Some(open_graph) = self.graphs.get_mut(&id) else { return };
+        if let Some(pending_addition) = open_graph.pending_addition.take() {
+            self.reply(pending_addition.ticket, HttpReply::error(409, "the graph is ending"));
         }
-        let Some(live) = self.graphs.get_mut(&id) else { return };
-        let cancelled = live.stop(why);
+        let Some(open_graph) = self.graphs.get_mut(&id) else { return };
+        let cancelled = open_graph.stop(why);
         self.cancel_jobs(id, cancelled);
-        self.review(id);
+        self.update_graph(id);
     }
 
     /// A session's end is durable: what is its own is stopped.
     pub(crate) fn session_ended(&mut self, name: &str) {
-        let own = |live: &&Live| !live.head.detached && live.head.session == name;
-        let ids: Vec<GraphId> = self.graphs.values().filter(own).map(|live| live.id).collect();
+        let own =
+            |open_graph: &&OpenGraph| !open_graph.head.detached && open_graph.head.session == name;
+        let ids: Vec<GraphId> =
+            self.graphs.values().filter(own).map(|open_graph| open_graph.id).collect();
         for id in ids {
-            self.stop(id, Why::SessionGone);
+            self.stop(id, EndReason::SessionEnded);
         }
-        if self.sessions.get(name).is_some_and(|session| session.graphs == 0) {
-            self.queue.session(name);
+        if self.sessions.get(name).is_some_and(|session| session.open_graphs == 0) {
+            self.queue.push_session(name);
         }
     }
 
     /// A leader could not be reached for a while: nobody could be heard.
     pub fn deaf_until(&mut self, now: Mono) {
-        self.sessions.values_mut().for_each(|session| session.heard = session.heard.max(now));
+        self.sessions
+            .values_mut()
+            .for_each(|session| session.last_heartbeat = session.last_heartbeat.max(now));
     }
 
     /// Lets time pass.
     pub fn tick(&mut self, now: Mono) {
-        if !self.ready() || now < self.next_look {
+        if !self.ready() || now < self.next_session_check {
             return;
         }
-        self.next_look = now.plus(LOOK_EVERY_MS);
-        let lapsed =
-            |(name, session): (&String, &Session)| session.lapsed(now).then(|| name.clone());
-        for name in self.sessions.iter().filter_map(lapsed).collect::<Vec<_>>() {
+        self.next_session_check = now.plus(SESSION_CHECK_INTERVAL_MS);
+        let has_expired =
+            |(name, session): (&String, &Session)| session.has_expired(now).then(|| name.clone());
+        for name in self.sessions.iter().filter_map(has_expired).collect::<Vec<_>>() {
             self.end_session(&name);
         }
-        let biases = &self.biases;
-        for live in self.graphs.values_mut().filter(|live| live.stale) {
-            let bias = biases.get(&live.head.class).copied().unwrap_or(1.0);
-            live.weigh(bias, now);
+        let run_time_biases = &self.run_time_biases;
+        for open_graph in self.graphs.values_mut().filter(|open_graph| open_graph.paths_stale) {
+            let bias = run_time_biases.get(&open_graph.head.class).copied().unwrap_or(1.0);
+            open_graph.update_paths(bias, now);
         }
     }
 
     /// The next job of all graphs: of the highest rank, then of the graph with least time left beyond its longest path.
-    pub(crate) fn launch(&mut self, now: Now) -> Option<Launch> {
-        if self.open_jobs >= OPEN_JOBS_MOST {
+    pub(crate) fn next_launch(&mut self, now: Now) -> Option<Launch> {
+        if self.open_jobs >= MAX_OPEN_JOB_COUNT {
             return None;
         }
         loop {
             let urgency = |id: &GraphId| {
-                let live = self.graphs.get(id)?;
-                let fits = live.jobs.len() < OPEN_JOBS_OF_ONE;
-                let due = graph_due(live.created, live.head.due_s, live.path_s, now.mono);
-                let slack = due.0 as i64 - (live.path_s * 1000.0) as i64;
-                fits.then_some((Reverse(live.head.rank), slack, *id))
+                let open_graph = self.graphs.get(id)?;
+                let fits = open_graph.jobs.len() < MAX_GRAPH_OPEN_JOB_COUNT;
+                let due = graph_due(
+                    open_graph.created,
+                    open_graph.head.due_s,
+                    open_graph.path_s,
+                    now.mono,
+                );
+                let slack = due.0 as i64 - (open_graph.path_s * 1000.0) as i64;
+                fits.then_some((Reverse(open_graph.head.rank), slack, *id))
             };
-            let (_, _, id) = self.wanting.iter().filter_map(urgency).min()?;
+            let (_, _, id) = self.launchable.iter().filter_map(urgency).min()?;
             let class = self.graphs.get(&id)?.head.class.clone();
-            let (allowed, bias) = (self.allowed.get(&class).copied().flatten(), self.bias(&class));
+            let (class_max_retries, bias) =
+                (self.class_max_retries.get(&class).copied().flatten(), self.bias(&class));
             let order = self.order;
-            let live = self.graphs.get_mut(&id)?;
-            live.weigh(bias, now.mono);
-            let launch = live.launch(allowed, bias, order, self.room, (now.mono, now.wall_ms));
-            if !live.model.any_ready() || launch.is_none() {
-                self.wanting.remove(&id);
+            let open_graph = self.graphs.get_mut(&id)?;
+            open_graph.update_paths(bias, now.mono);
+            let launch = open_graph.next_job(
+                class_max_retries,
+                bias,
+                order,
+                self.room,
+                (now.mono, now.wall_ms),
+            );
+            if !open_graph.model.has_ready_nodes() || launch.is_none() {
+                self.launchable.remove(&id);
             }
             if let Some(launch) = launch {
                 self.open_jobs += 1;
@@ -681,47 +704,51 @@
         }
     }
 
-    pub(crate) fn remember(&mut self, id: GraphId, record: OverRecord) {
-        if self.over.insert(id, record).is_none() {
-            self.over_order.push_back(id);
+    pub(crate) fn cache_final_record(&mut self, id: GraphId, record: OverRecord) {
+        if self.final_records.insert(id, record).is_none() {
+            self.final_record_order.push_back(id);
         }
-        if self.over_order.len() > OVER_KEPT
-            && let Some(old) = self.over_order.pop_front()
+        if self.final_record_order.len() > MAX_CACHED_FINAL_RECORD_COUNT
+            && let Some(old) = self.final_record_order.pop_front()
         {
-            self.over.remove(&old);
+            self.final_records.remove(&old);
         }
     }
 
     /// The final answer of a graph that ended lately.
     pub fn over(&self, id: GraphId) -> Option<&OverRecord> {
-        self.over.get(&id)
+        self.final_records.get(&id)
     }
 
     /// Nodes of a graph in a state, for measurements.
     pub fn count(&self, id: GraphId, state: NodeState) -> u32 {
-        self.graphs.get(&id).map_or(0, |live| live.model.count(state))
+        self.graphs.get(&id).map_or(0, |open_graph| open_graph.model.count(state))
     }
 }
 
 /// Why nodes of an addition can never run.
-fn unfit(live: &Live, pages: &[Page], around: &Around) -> Option<HttpReply> {
+fn find_rejection(open_graph: &OpenGraph, pages: &[Page], context: &Around) -> Option<HttpReply> {
     let mut shapes: BTreeMap<(u16, u32), String> = BTreeMap::new();
     for page in pages {
         for (name, kind, shards, _) in &page.nodes {
             shapes.entry((*kind, *shards)).or_insert_with(|| name.clone());
         }
     }
-    let new: Vec<Kind> = pages
+    let new: Vec<NodeKind> = pages
         .iter()
         .flat_map(|page| &page.kinds)
-        .map(|(name, spec)| Kind { name: name.clone(), spec: spec.clone(), learnt_s: None })
+        .map(|(name, spec)| NodeKind {
+            name: name.clone(),
+            spec: spec.clone(),
+            measured_run_time_s: None,
+        })
         .collect();
     for ((kind, shards), name) in shapes {
-        let known = live.model.kinds.get(usize::from(kind));
-        let kind =
-            known.or_else(|| new.get(usize::from(kind).checked_sub(live.model.kinds.len())?))?;
-        let spec = job_spec(&live.head, kind, live.id.job(Seq(0)), shards, None);
-        if let Some(mut reply) = (around.unfit)(&spec) {
+        let known = open_graph.model.kinds.get(usize::from(kind));
+        let kind = known
+            .or_else(|| new.get(usize::from(kind).checked_sub(open_graph.model.kinds.len())?))?;
+        let spec = job_spec(&open_graph.head, kind, open_graph.id.job(Seq(0)), shards, None);
+        if let Some(mut reply) = (context.unfit)(&spec) {
             reply.body =
                 reply.body.replacen("\"error\":\"", &format!("\"error\":\"node {name}: "), 1);
             return Some(reply);
--- a/crates/graph/src/ids.rs
+++ b/crates/graph/src/ids.rs
@@ -1,6 +1,6 @@
 //! Names of graphs, and the ids of the jobs that run their nodes.
 
-use crate::constants::{GRAPHS_END, JOBS_END};
+use crate::constants::{GRAPH_NUMBER_END, JOB_SEQ_END};
 use oatloom_protocol::ids::JobId;
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -16,7 +16,7 @@
         let digits = text.strip_prefix("graph-")?;
         let fits = (1..=10).contains(&digits.len()) && digits.bytes().all(|b| b.is_ascii_digit());
         let number = fits.then(|| digits.parse().ok()).flatten()?;
-        (number < GRAPHS_END).then_some(Self(number))
+        (number < GRAPH_NUMBER_END).then_some(Self(number))
     }
 
     /// From the ten digits in a key.
@@ -47,7 +47,7 @@
     }
 
     pub fn last_job(self) -> JobId {
-        self.job(Seq(JOBS_END - 1))
+        self.job(Seq(JOB_SEQ_END - 1))
     }
 
     /// Whether a job's id is of the form that only graphs may use.
@@ -83,7 +83,7 @@
 impl Seq {
     /// The number after this one, unless the digits of an id are used up.
     pub fn next(self) -> Option<Self> {
-        (self.0 + 1 < JOBS_END).then_some(Self(self.0 + 1))
+        (self.0 + 1 < JOB_SEQ_END).then_some(Self(self.0 + 1))
     }
 }
 
@@ -110,6 +110,6 @@
         for bad in ["graph-", "graph-12345678901", "graph-1a", "graph--1", "g-1", "graph-+1"] {
             assert_eq!(GraphId::parse(bad), None, "{bad}");
         }
-        assert_eq!(Seq(JOBS_END - 1).next(), None);
+        assert_eq!(Seq(JOB_SEQ_END - 1).next(), None);
     }
 }
--- a/crates/graph/src/launching.rs
+++ b/crates/graph/src/launching.rs
@@ -2,8 +2,8 @@
 
 use crate::constants::*;
 use crate::ids::{GraphId, NodeIx, Seq};
-use crate::live::{JobPhase, Live, Phase};
-use crate::model::{Group, Kind, Room};
+use crate::live::{JobPhase, OpenGraph, Phase};
+use crate::model::{LaunchGroup, NodeKind, Room};
 use crate::paths::{graph_due, node_due_s, seconds};
 use crate::records::{Head, Part};
 use crate::requests::{NodeShape, Strategy};
@@ -13,7 +13,7 @@
 
 /// In which order nodes go.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Order {
+pub enum LaunchOrder {
     /// The longest remaining path first.
     #[default]
     LongestPath,
@@ -41,7 +41,7 @@
 /// The job for a node of a kind, or for several as the tasks of one array.
 pub(crate) fn job_spec(
     head: &Head,
-    kind: &Kind,
+    kind: &NodeKind,
     id: JobId,
     tasks: u32,
     deadline_s: Option<f64>,
@@ -55,11 +55,11 @@
         NodeShape::Task => Shape::Array,
     };
     // On one machine for certain is one task that takes what all of them need.
-    let (tasks, each) = match spec.strategy {
+    let (tasks, task_factor) = match spec.strategy {
         Strategy::StrictPack => (1, f64::from(tasks)),
         _ => (tasks, 1.0),
     };
-    let ends = shape != Shape::Service;
+    let is_finite = shape != Shape::Service;
     JobSpec {
         id,
         class: head.class.clone(),
@@ -67,99 +67,106 @@
         shape,
         rank: head.rank,
         tasks,
-        cpus: spec.num_cpus * each,
-        gpus: spec.num_gpus * each,
-        memory_gb: spec.memory * each / 1e9,
+        cpus: spec.num_cpus * task_factor,
+        gpus: spec.num_gpus * task_factor,
+        memory_gb: spec.memory * task_factor / 1e9,
         image: spec.bundle.clone(),
         image_gb: spec.pull_gb,
         flavors: spec.flavors.clone(),
         zone: spec.yard.clone(),
         one_zone: false,
         spread: false,
-        spot: spec.loaners && ends,
-        estimate_s: if ends { spec.expect_s } else { 0.0 },
+        spot: spec.loaners && is_finite,
+        estimate_s: if is_finite { spec.expect_s } else { 0.0 },
         checkpoint_s: spec.snapshot_s,
         save_s: spec.flush_s,
-        deadline_s: deadline_s.filter(|_| ends),
+        deadline_s: deadline_s.filter(|_| is_finite),
         dependencies: Vec::new(),
     }
 }
 
-impl Live {
+impl OpenGraph {
     /// What a node's kind takes, in seconds.
-    fn own_s(&self, kind: u16, bias: f64) -> f64 {
+    fn node_run_time_s(&self, kind: u16, bias: f64) -> f64 {
         seconds(&self.model.kinds[usize::from(kind)], bias)
     }
 
     /// Weighs the paths anew if they have changed, though not too often. Returns whether it did.
-    pub fn weigh(&mut self, bias: f64, now: Mono) -> bool {
-        let pause = Millis((f64::from(self.model.len()) * PATHS_MS_A_NODE) as u64);
-        let due = self.weighed.is_none_or(|at| now.since(at) >= pause);
-        if !self.stale || !due {
+    pub fn update_paths(&mut self, bias: f64, now: Mono) -> bool {
+        let interval =
+            Millis((f64::from(self.model.len()) * PATH_UPDATE_INTERVAL_PER_NODE_MS) as u64);
+        let due = self.paths_updated_at.is_none_or(|updated_at| now.since(updated_at) >= interval);
+        if !self.paths_stale || !due {
             return false;
         }
-        self.stale = false;
-        self.weighed = Some(now);
+        self.paths_stale = false;
+        self.paths_updated_at = Some(now);
         self.path_s = self.model.weigh(|kind| seconds(kind, bias));
         true
     }
 
     /// The next job of ready nodes, if there are any. `allowed`: how often its class may be repeated.
-    pub fn launch(
+    pub fn next_job(
         &mut self,
-        allowed: Option<u32>,
+        class_max_retries: Option<u32>,
         bias: f64,
-        order: Order,
+        order: LaunchOrder,
         room: Room,
         (now, wall_ms): (Mono, u64),
     ) -> Option<Launch> {
         if self.phase != Phase::Open {
             return None;
         }
-        let (group, nodes): (Group, Vec<NodeIx>) = match order {
-            Order::LongestPath => {
+        let (group, nodes): (LaunchGroup, Vec<NodeIx>) = match order {
+            LaunchOrder::LongestPath => {
                 let (group, nodes) = self.model.next_group()?;
-                (group, nodes.take(room.batch()).collect())
+                (group, nodes.take(room.max_batch_nodes()).collect())
             }
-            Order::Added => {
-                let (group, nodes) = self.model.next_in_order()?;
-                (group, nodes.take(room.batch()).collect())
+            LaunchOrder::Added => {
+                let (group, nodes) = self.model.next_group_by_insertion()?;
+                (group, nodes.take(room.max_batch_nodes()).collect())
             }
         };
-        let seq = self.next?;
-        let (runs, taken) = Runs::of(&nodes, room.runs());
-        let nodes = &nodes[..taken];
-        let own_s = self.own_s(group.kind, bias);
+        let seq = self.next_seq?;
+        let (runs, taken_count) = Runs::of(&nodes, room.max_batch_ranges());
+        let nodes = &nodes[..taken_count];
+        let node_run_time_s = self.node_run_time_s(group.kind, bias);
         let due = graph_due(self.created, self.head.due_s, self.path_s, now);
-        let left = nodes.iter().filter_map(|at| self.model.node(*at));
-        let left_s = left.map(|node| node_due_s(due, node, own_s, now)).fold(f64::MAX, f64::min);
+        let job_nodes = nodes.iter().filter_map(|node_id| self.model.node(*node_id));
+        let deadline_s = job_nodes
+            .map(|node| node_due_s(due, node, node_run_time_s, now))
+            .fold(f64::MAX, f64::min);
         let kind = &self.model.kinds[usize::from(group.kind)];
-        let failed = u32::from(group.failures);
-        let most = match (kind.spec.max_retries, allowed) {
-            (Some(asked), Some(allowed)) => Some(asked.min(allowed)),
-            (asked, allowed) => asked.or(allowed),
+        let earlier_failures = u32::from(group.failures);
+        let max_retries = match (kind.spec.max_retries, class_max_retries) {
+            (Some(requested), Some(class_max_retries)) => Some(requested.min(class_max_retries)),
+            (requested, class_max_retries) => requested.or(class_max_retries),
         };
         let apart = match kind.spec.strategy {
             Strategy::Spread => Some(false),
             Strategy::StrictSpread => Some(true),
             Strategy::Pack | Strategy::StrictPack => None,
         };
-        let part =
-            Part { nodes: runs, repeats: most.map(|most| most.saturating_sub(failed)), apart };
-        let shards = nodes.first().and_then(|at| self.model.node(*at)).map_or(1, |n| n.shards);
+        let part = Part {
+            nodes: runs,
+            repeats: max_retries.map(|max_retries| max_retries.saturating_sub(earlier_failures)),
+            apart,
+        };
+        let shards =
+            nodes.first().and_then(|node_id| self.model.node(*node_id)).map_or(1, |n| n.shards);
         let tasks = if part.batch() { nodes.len() as u32 } else { shards };
-        let spec = job_spec(&self.head, kind, self.id.job(seq), tasks, Some(left_s));
-        self.model.launching(nodes.iter().copied());
-        self.passed(seq);
+        let spec = job_spec(&self.head, kind, self.id.job(seq), tasks, Some(deadline_s));
+        self.model.mark_launching(nodes.iter().copied());
+        self.mark_seq_used(seq);
         self.jobs.insert(seq, (part.clone(), JobPhase::Launching));
         Some(Launch { graph: self.id, seq, spec, part, wall_ms })
     }
 
     /// A job's id was taken by another: its nodes go under another one.
-    pub fn relaunch(&mut self, seq: Seq) {
+    pub fn requeue_job(&mut self, seq: Seq) {
         let Some((part, _)) = self.jobs.remove(&seq) else { return };
-        for at in part.nodes.iter(self.model.len() as usize) {
-            self.model.again(at, seq, 0);
+        for node_id in part.nodes.iter(self.model.len() as usize) {
+            self.model.requeue(node_id, seq, 0);
         }
     }
 }
--- a/crates/graph/src/limits.rs
+++ b/crates/graph/src/limits.rs
@@ -86,39 +86,40 @@
 
 /// A rate with bursts of two seconds' worth.
 #[derive(Clone, Copy, Debug)]
-pub struct Bucket {
-    level: f64,
-    at: Mono,
+pub struct RateLimiter {
+    tokens: f64,
+    refilled_at: Mono,
 }
 
-impl Bucket {
+impl RateLimiter {
     pub fn full(rate: f64, now: Mono) -> Self {
-        Self { level: Self::most(rate), at: now }
+        Self { tokens: Self::capacity(rate), refilled_at: now }
     }
 
-    fn most(rate: f64) -> f64 {
+    fn capacity(rate: f64) -> f64 {
         (rate * 2.0).max(1.0)
     }
 
     fn refill(&mut self, rate: f64, now: Mono) {
-        self.level = (self.level + now.since(self.at).as_secs() * rate).min(Self::most(rate));
-        self.at = now;
+        self.tokens =
+            (self.tokens + now.since(self.refilled_at).as_secs() * rate).min(Self::capacity(rate));
+        self.refilled_at = now;
     }
 
     /// Whether one more may be taken now.
-    pub fn has(&mut self, rate: f64, now: Mono) -> bool {
+    pub fn has_permit(&mut self, rate: f64, now: Mono) -> bool {
         self.refill(rate, now);
-        self.level >= 1.0
+        self.tokens >= 1.0
     }
 
     /// Takes one.
     pub fn take(&mut self) {
-        self.level -= 1.0;
+        self.tokens -= 1.0;
     }
 
     /// Whether nothing was taken for so long that it need not be kept.
-    pub fn idle(&self, rate: f64, now: Mono) -> bool {
-        now.since(self.at) > Millis::from_secs(Self::most(rate) / rate)
+    pub fn is_idle(&self, rate: f64, now: Mono) -> bool {
+        now.since(self.refilled_at) > Millis::from_secs(Self::capacity(rate) / rate)
     }
 }
 
@@ -128,9 +129,9 @@
 
     #[test]
     fn a_rate_is_kept_with_bursts() {
-        let mut bucket = Bucket::full(10.0, Mono(0));
+        let mut bucket = RateLimiter::full(10.0, Mono(0));
         let mut take = |now| {
-            let may = bucket.has(10.0, Mono(now));
+            let may = bucket.has_permit(10.0, Mono(now));
             if may {
                 bucket.take();
             }
--- a/crates/graph/src/live.rs
+++ b/crates/graph/src/live.rs
@@ -1,10 +1,10 @@
 //! One graph that is not over: which of its jobs are open, and how it comes to its end.
 
 use crate::answers::{GraphStatus, GraphView, JobNodes, NodeView, TaskNode};
-use crate::constants::END_HEAD_BYTES;
-use crate::constants::JOB_NODES_BYTES;
+use crate::constants::FINAL_PAGE_OVERHEAD_BYTES;
+use crate::constants::MAX_JOB_NODES_BYTES;
 use crate::ids::{GraphId, NodeIx, Seq};
-use crate::model::{Model, NodeState, Prepared};
+use crate::model::{Model, NodeState, PreparedAddition};
 use crate::records::{FailedNode, Head, Outcome, OverPage, OverRecord, Part, PartEnd};
 use crate::requests::{Look, OnFailure};
 use oatloom_protocol::ids::{Mono, Revision, TaskId, Token};
@@ -14,23 +14,23 @@
 
 /// Why a graph ends.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum EndReason {
     /// It is sealed, and all its work has ended.
     Finished,
     /// A node has failed, and the rest is to be cancelled.
     Failed,
     Cancelled,
-    SessionGone,
+    SessionEnded,
     /// What stands of it in the state service cannot be read.
     Damaged(String),
 }
 
-impl Why {
-    fn text(&self) -> String {
+impl EndReason {
+    fn message(&self) -> String {
         match self {
             Self::Finished | Self::Failed => String::new(),
             Self::Cancelled => "cancelled by its client".into(),
-            Self::SessionGone => "its session has ended".into(),
+            Self::SessionEnded => "its session has ended".into(),
             Self::Damaged(text) => format!("its record is damaged: {text}"),
         }
     }
@@ -45,11 +45,11 @@
     Loading,
     Open,
     /// That its client has cancelled it is being written; nothing of it starts.
-    Marking,
+    Cancelling,
     /// Its end is decided. What runs of it is being stopped.
-    Stopping(Why),
+    Stopping(EndReason),
     /// Nothing of it runs; how its nodes ended is being written, then its final answer.
-    Ending(Why),
+    Ending(EndReason),
 }
 
 /// Where one of its jobs stands.
@@ -64,82 +64,82 @@
 
 /// An addition on its way into the state service.
 #[derive(Clone, Debug)]
-pub struct Pending {
-    pub prepared: Prepared,
+pub struct PendingAddition {
+    pub prepared: PreparedAddition,
     pub ticket: u64,
 }
 
 #[derive(Debug)]
-pub struct Live {
+pub struct OpenGraph {
     pub id: GraphId,
     pub head: Head,
-    pub stamp: Revision,
+    pub version: Revision,
     pub phase: Phase,
     pub model: Model,
     pub created: Mono,
     /// The number of its next job.
-    pub next: Option<Seq>,
+    pub next_seq: Option<Seq>,
     pub jobs: BTreeMap<Seq, (Part, JobPhase)>,
     /// Jobs whose end was taken up while it was loaded.
-    seen: BTreeSet<Seq>,
-    pub pending: Option<Pending>,
+    processed_jobs: BTreeSet<Seq>,
+    pub pending_addition: Option<PendingAddition>,
     /// Who waits for its head.
     pub tickets: Vec<u64>,
     /// Why nodes failed.
     pub failures: BTreeMap<NodeIx, Arc<Failure>>,
     /// Whether its paths are to be weighed anew, and when they last were.
-    pub stale: bool,
-    pub weighed: Option<Mono>,
+    pub paths_stale: bool,
+    pub paths_updated_at: Option<Mono>,
     pub path_s: f64,
     /// Pages of its end that are durable.
-    pub ended_pages: u32,
+    pub durable_final_pages: u32,
 }
 
-impl Live {
-    pub fn new(id: GraphId, head: Head, stamp: Revision, phase: Phase, created: Mono) -> Self {
+impl OpenGraph {
+    pub fn new(id: GraphId, head: Head, version: Revision, phase: Phase, created: Mono) -> Self {
         Self {
             id,
             head,
-            stamp,
+            version,
             phase,
             model: Model::default(),
             created,
-            next: Some(Seq(0)),
+            next_seq: Some(Seq(0)),
             jobs: BTreeMap::new(),
-            seen: BTreeSet::new(),
-            pending: None,
+            processed_jobs: BTreeSet::new(),
+            pending_addition: None,
             tickets: Vec::new(),
             failures: BTreeMap::new(),
-            stale: false,
-            weighed: None,
+            paths_stale: false,
+            paths_updated_at: None,
             path_s: 0.0,
-            ended_pages: 0,
+            durable_final_pages: 0,
         }
     }
 
     /// The one place where the phase changes.
     pub fn enter(&mut self, phase: Phase) {
         self.phase = phase;
-        self.head.cancelled |= matches!(self.phase, Phase::Marking);
+        self.head.cancelled |= matches!(self.phase, Phase::Cancelling);
         if !matches!(self.phase, Phase::Loading) {
-            self.seen.clear();
+            self.processed_jobs.clear();
         }
     }
 
     /// A number is used up.
-    pub fn passed(&mut self, seq: Seq) {
-        if self.next.is_some_and(|next| next <= seq) {
-            self.next = seq.next();
+    pub fn mark_seq_used(&mut self, seq: Seq) {
+        if self.next_seq.is_some_and(|next| next <= seq) {
+            self.next_seq = seq.next();
         }
     }
 
-    fn nodes_of(&self, runs: &crate::runs::Runs) -> Vec<NodeIx> {
+    fn expand_nodes(&self, runs: &crate::runs::Runs) -> Vec<NodeIx> {
         runs.iter(self.model.len() as usize).collect()
     }
 
     /// Whether a job outlives its graph.
-    pub fn outlives(&self, part: &Part) -> bool {
-        let node = part.node(0).and_then(|at| self.model.node(at));
+    pub fn outlives_graph(&self, part: &Part) -> bool {
+        let node = part.node(0).and_then(|node_id| self.model.node(node_id));
         node.is_some_and(|node| {
             let kind = self.model.kind_of(node);
             kind.is_actor() && kind.spec.detached
@@ -148,12 +148,12 @@
 
     /// A job of it is known to be accepted. Returns whether it is to be cancelled at once.
     pub fn job_open(&mut self, seq: Seq, part: &Part, done: &[u32]) -> bool {
-        self.passed(seq);
-        for at in self.nodes_of(&part.nodes) {
-            self.model.started(at, seq);
+        self.mark_seq_used(seq);
+        for node_id in self.expand_nodes(&part.nodes) {
+            self.model.mark_started(node_id, seq);
         }
-        let outlives = self.outlives(part);
-        let stopping = matches!(self.phase, Phase::Stopping(_)) && !outlives;
+        let outlives_graph = self.outlives_graph(part);
+        let stopping = matches!(self.phase, Phase::Stopping(_)) && !outlives_graph;
         let phase = if stopping { JobPhase::Cancelled } else { JobPhase::Open };
         self.jobs.insert(seq, (part.clone(), phase));
         self.tasks_done(seq, done);
@@ -164,26 +164,27 @@
     pub fn tasks_done(&mut self, seq: Seq, done: &[u32]) {
         let Some((part, _)) = self.jobs.get(&seq).filter(|(part, _)| part.batch()) else { return };
         let nodes: Vec<NodeIx> = done.iter().filter_map(|task| part.node(*task)).collect();
-        nodes.into_iter().for_each(|at| self.model.ended(at, NodeState::Done));
+        nodes.into_iter().for_each(|node_id| self.model.mark_ended(node_id, NodeState::Done));
     }
 
     /// A job of it is over, for good.
-    pub fn job_over(
+    pub fn finish_job(
         &mut self,
         seq: Seq,
         end: &PartEnd,
         status: JobStatus,
         failure: Option<&Arc<Failure>>,
     ) {
-        self.passed(seq);
-        let known = self.jobs.remove(&seq).is_some();
-        let fresh = if self.phase == Phase::Loading { self.seen.insert(seq) } else { known };
-        if !fresh {
+        self.mark_seq_used(seq);
+        let was_open = self.jobs.remove(&seq).is_some();
+        let is_first =
+            if self.phase == Phase::Loading { self.processed_jobs.insert(seq) } else { was_open };
+        if !is_first {
             return;
         }
-        let nodes = self.nodes_of(&end.nodes);
-        for at in &nodes {
-            self.model.started(*at, seq);
+        let nodes = self.expand_nodes(&end.nodes);
+        for node_id in &nodes {
+            self.model.mark_started(*node_id, seq);
         }
         let state = match status {
             JobStatus::Done => NodeState::Done,
@@ -191,78 +192,86 @@
             _ => NodeState::Cancelled,
         };
         if state == NodeState::Done || nodes.len() == 1 {
-            let whose = |at: &NodeIx| (*at, failure.filter(|_| state == NodeState::Failed));
-            nodes.iter().map(whose).for_each(|(at, failure)| self.node_over(at, state, failure));
+            let with_failure =
+                |node_id: &NodeIx| (*node_id, failure.filter(|_| state == NodeState::Failed));
+            nodes
+                .iter()
+                .map(with_failure)
+                .for_each(|(node_id, failure)| self.finish_node(node_id, state, failure));
             return;
         }
-        let failed = failure.and_then(|f| TaskId::parse(&f.task)).map(|task| task.index);
+        let failed_task = failure.and_then(|f| TaskId::parse(&f.task)).map(|task| task.index);
         let done: BTreeSet<u32> = end.done.iter().copied().collect();
         let charged: BTreeMap<u32, u32> = end.charged.iter().copied().collect();
-        for (task, at) in (0..).zip(nodes) {
+        for (task, node_id) in (0..).zip(nodes) {
             if done.contains(&task) {
-                self.node_over(at, NodeState::Done, None);
-            } else if state == NodeState::Cancelled || failed == Some(task) {
-                self.node_over(at, state, failure);
+                self.finish_node(node_id, NodeState::Done, None);
+            } else if state == NodeState::Cancelled || failed_task == Some(task) {
+                self.finish_node(node_id, state, failure);
             } else {
                 // The array ended for another node's sake.
-                self.model.again(at, seq, charged.get(&task).copied().unwrap_or(0));
+                self.model.requeue(node_id, seq, charged.get(&task).copied().unwrap_or(0));
             }
         }
     }
 
-    fn node_over(&mut self, at: NodeIx, state: NodeState, failure: Option<&Arc<Failure>>) {
-        let before = self.model.node(at).map_or(0, |node| u32::from(node.failures));
+    fn finish_node(&mut self, node_id: NodeIx, state: NodeState, failure: Option<&Arc<Failure>>) {
+        let earlier_failures = self.model.node(node_id).map_or(0, |node| u32::from(node.failures));
         if let Some(failure) = failure {
             // What stood against it in earlier jobs counts as well.
-            let mut whole = (**failure).clone();
-            whole.failures = whole.failures.saturating_add(before);
-            whole.repeats = whole.repeats.saturating_add(before);
-            self.failures.insert(at, Arc::new(whole));
+            let mut total = (**failure).clone();
+            total.failures = total.failures.saturating_add(earlier_failures);
+            total.repeats = total.repeats.saturating_add(earlier_failures);
+            self.failures.insert(node_id, Arc::new(total));
         }
-        self.model.ended(at, state);
+        self.model.mark_ended(node_id, state);
     }
 
     /// The first node that failed, else the first that was cancelled. Actors end as cancelled when their graph is done,
     /// which is nothing bad.
-    fn first_bad(&self) -> Option<NodeIx> {
-        let first = |state: NodeState| {
-            let bad = |at: &NodeIx| {
-                self.model.node(*at).is_some_and(|node| {
-                    let meant =
+    fn first_unsuccessful(&self) -> Option<NodeIx> {
+        let first_in = |state: NodeState| {
+            let is_unsuccessful = |node_id: &NodeIx| {
+                self.model.node(*node_id).is_some_and(|node| {
+                    let expected =
                         state == NodeState::Cancelled && self.model.kind_of(node).is_actor();
-                    node.state == state && !meant
+                    node.state == state && !expected
                 })
             };
-            let any = self.model.count(state) > 0;
-            any.then(|| (0..self.model.len()).map(NodeIx).find(bad)).flatten()
+            let has_any = self.model.count(state) > 0;
+            has_any.then(|| (0..self.model.len()).map(NodeIx).find(is_unsuccessful)).flatten()
         };
-        first(NodeState::Failed).or_else(|| first(NodeState::Cancelled))
+        first_in(NodeState::Failed).or_else(|| first_in(NodeState::Cancelled))
     }
 
     /// What follows from where its nodes stand. Returns the jobs that are to be cancelled.
-    pub fn review(&mut self) -> Vec<Seq> {
+    pub fn update_phase(&mut self) -> Vec<Seq> {
         let mut cancelled = Vec::new();
         if self.phase == Phase::Open {
-            if self.head.on_failure == OnFailure::CancelRest && self.first_bad().is_some() {
-                cancelled = self.stop(Why::Failed);
-            } else if self.model.sealed && self.model.work_left == 0 {
-                cancelled = self.stop(Why::Finished);
+            if self.head.on_failure == OnFailure::CancelRest && self.first_unsuccessful().is_some()
+            {
+                cancelled = self.stop(EndReason::Failed);
+            } else if self.model.sealed && self.model.unfinished_work_count == 0 {
+                cancelled = self.stop(EndReason::Finished);
             }
         }
         if let Phase::Stopping(why) = &self.phase
-            && self.jobs.values().all(|(part, _)| self.outlives(part))
+            && self.jobs.values().all(|(part, _)| self.outlives_graph(part))
         {
             let why = why.clone();
-            let on: Vec<NodeIx> = self.jobs.values().filter_map(|(part, _)| part.node(0)).collect();
-            on.into_iter().for_each(|at| self.model.ended(at, NodeState::Done));
-            self.model.end_rest();
+            let remaining: Vec<NodeIx> =
+                self.jobs.values().filter_map(|(part, _)| part.node(0)).collect();
+            remaining
+                .into_iter()
+                .for_each(|node_id| self.model.mark_ended(node_id, NodeState::Done));
+            self.model.end_unfinished();
             self.enter(Phase::Ending(why));
         }
         cancelled
     }
 
     /// Its end is decided. Returns the jobs that are to be cancelled.
-    pub fn stop(&mut self, why: Why) -> Vec<Seq> {
+    pub fn stop(&mut self, why: EndReason) -> Vec<Seq> {
         if matches!(self.phase, Phase::Stopping(_) | Phase::Ending(_)) {
             return Vec::new();
         }
@@ -270,8 +279,9 @@
         let seqs: Vec<Seq> = self.jobs.keys().copied().collect();
         let mut cancelled = Vec::new();
         for seq in seqs {
-            let outlives = self.jobs.get(&seq).is_some_and(|(part, _)| self.outlives(part));
-            if let Some((_, phase)) = self.jobs.get_mut(&seq).filter(|_| !outlives)
+            let outlives_graph =
+                self.jobs.get(&seq).is_some_and(|(part, _)| self.outlives_graph(part));
+            if let Some((_, phase)) = self.jobs.get_mut(&seq).filter(|_| !outlives_graph)
                 && *phase == JobPhase::Open
             {
                 *phase = JobPhase::Cancelled;
@@ -281,23 +291,25 @@
         cancelled
     }
 
-    fn outcome(&self, why: &Why) -> Outcome {
+    fn outcome(&self, why: &EndReason) -> Outcome {
         match why {
-            Why::Finished if self.first_bad().is_none() => Outcome::Done,
-            Why::Finished | Why::Failed => Outcome::Failed,
-            Why::Cancelled | Why::SessionGone | Why::Damaged(_) => Outcome::Cancelled,
+            EndReason::Finished if self.first_unsuccessful().is_none() => Outcome::Done,
+            EndReason::Finished | EndReason::Failed => Outcome::Failed,
+            EndReason::Cancelled | EndReason::SessionEnded | EndReason::Damaged(_) => {
+                Outcome::Cancelled
+            }
         }
     }
 
-    fn failed_node(&self, at: NodeIx) -> Option<FailedNode> {
-        let node = self.model.node(at)?.name.to_string();
-        Some(FailedNode { node, failure: self.failures.get(&at).cloned() })
+    fn failed_node(&self, node_id: NodeIx) -> Option<FailedNode> {
+        let node = self.model.node(node_id)?.name.to_string();
+        Some(FailedNode { node, failure: self.failures.get(&node_id).cloned() })
     }
 
     /// Its final answer.
-    pub fn over_record(&self, why: &Why) -> OverRecord {
+    pub fn final_record(&self, why: &EndReason) -> OverRecord {
         let outcome = self.outcome(why);
-        let failed = self.first_bad().filter(|_| outcome == Outcome::Failed);
+        let failed = self.first_unsuccessful().filter(|_| outcome == Outcome::Failed);
         OverRecord {
             outcome,
             key: self.head.key.clone(),
@@ -305,36 +317,42 @@
             counts: [NodeState::Done, NodeState::Failed, NodeState::Cancelled, NodeState::Skipped]
                 .map(|state| self.model.count(state)),
             pages: self.model.page_count(),
-            failed: failed.and_then(|at| self.failed_node(at)),
-            why: why.text(),
+            failed: failed.and_then(|node_id| self.failed_node(node_id)),
+            why: why.message(),
         }
     }
 
     /// How the nodes of a page ended.
     /// How the nodes of a page ended. Why they failed is told as far as a value of so many bytes holds it.
-    pub fn over_page(&self, page: u32, value: usize) -> OverPage {
-        let nodes = || self.model.page_nodes(page).map(NodeIx);
-        let row = |at: NodeIx| {
-            let node = self.model.node(at)?;
+    pub fn final_page(&self, page: u32, value_bytes: usize) -> OverPage {
+        let page_nodes = || self.model.page_nodes(page).map(NodeIx);
+        let row = |node_id: NodeIx| {
+            let node = self.model.node(node_id)?;
             Some((node.name.to_string(), node.job_number(), node.state.status().letter()))
         };
-        let failed = |at: NodeIx| self.failures.contains_key(&at).then(|| self.failed_node(at))?;
-        let rows: Vec<_> = nodes().filter_map(row).collect();
-        let size =
+        let failed_node = |node_id: NodeIx| {
+            self.failures.contains_key(&node_id).then(|| self.failed_node(node_id))?
+        };
+        let rows: Vec<_> = page_nodes().filter_map(row).collect();
+        let json_bytes =
             |text: serde_json::Result<String>| text.map_or(usize::MAX, |text| text.len() + 1);
-        let mut left = value.saturating_sub(size(serde_json::to_string(&rows)) + END_HEAD_BYTES);
-        let fits = |failure: &FailedNode| {
-            let taken = size(serde_json::to_string(failure));
-            let fits = taken <= left;
-            left -= if fits { taken } else { 0 };
+        let mut bytes_left = value_bytes
+            .saturating_sub(json_bytes(serde_json::to_string(&rows)) + FINAL_PAGE_OVERHEAD_BYTES);
+        let take_if_fits = |failure: &FailedNode| {
+            let bytes = json_bytes(serde_json::to_string(failure));
+            let fits = bytes <= bytes_left;
+            bytes_left -= if fits { bytes } else { 0 };
             fits
         };
-        OverPage { nodes: rows, failures: nodes().filter_map(failed).filter(fits).collect() }
+        OverPage {
+            nodes: rows,
+            failures: page_nodes().filter_map(failed_node).filter(take_if_fits).collect(),
+        }
     }
 
     /// The task that made a node's result.
-    fn task_of(&self, at: NodeIx) -> Option<String> {
-        let seq = self.model.node(at)?.job()?;
+    fn producing_job(&self, node_id: NodeIx) -> Option<String> {
+        let seq = self.model.node(node_id)?.job()?;
         Some(self.id.job(seq).to_string())
     }
 
@@ -342,19 +360,23 @@
     pub fn job_nodes(&self, seq: Seq, after: u32) -> Option<JobNodes> {
         let (part, _) = self.jobs.get(&seq)?;
         let (mut nodes, mut bytes, mut next) = (Vec::new(), 0, None);
-        for (task, at) in (0u32..).zip(part.nodes.iter(self.model.len() as usize)) {
+        for (task, node_id) in (0u32..).zip(part.nodes.iter(self.model.len() as usize)) {
             if task < after {
                 continue;
             }
-            if bytes > JOB_NODES_BYTES {
+            if bytes > MAX_JOB_NODES_BYTES {
                 next = Some(task);
                 break;
             }
-            let input = |at: NodeIx| {
-                Some((self.model.node(at)?.name.to_string(), self.task_of(at).unwrap_or_default()))
+            let input = |node_id: NodeIx| {
+                Some((
+                    self.model.node(node_id)?.name.to_string(),
+                    self.producing_job(node_id).unwrap_or_default(),
+                ))
             };
-            let needs: Vec<(String, String)> = self.model.needs(at).filter_map(input).collect();
-            let node = self.model.node(at)?.name.to_string();
+            let needs: Vec<(String, String)> =
+                self.model.needs(node_id).filter_map(input).collect();
+            let node = self.model.node(node_id)?.name.to_string();
             bytes +=
                 40 + node.len() + needs.iter().map(|(a, b)| a.len() + b.len() + 6).sum::<usize>();
             nodes.push(TaskNode { task, node, needs });
@@ -362,32 +384,32 @@
         Some(JobNodes { graph: self.id, job: None, nodes, next })
     }
 
-    fn node_view(&self, at: NodeIx) -> Option<NodeView> {
-        let node = self.model.node(at)?;
+    fn node_view(&self, node_id: NodeIx) -> Option<NodeView> {
+        let node = self.model.node(node_id)?;
         Some(NodeView {
             name: node.name.to_string(),
             status: node.state.status(),
             job: node.job().map(|seq| self.id.job(seq)),
-            failure: self.failures.get(&at).cloned(),
+            failure: self.failures.get(&node_id).cloned(),
         })
     }
 
     /// How it is doing, as this leader has seen it. Positions of another leader's answers count from the beginning.
-    pub fn view(&self, token: Token, look: &Look) -> GraphView {
+    pub fn view(&self, token: Token, range: &Look) -> GraphView {
         let count = |state| self.model.count(state);
         let status = match self.phase {
             Phase::Creating | Phase::Loading | Phase::Open => GraphStatus::Open,
-            Phase::Marking | Phase::Stopping(_) | Phase::Ending(_) => GraphStatus::Ending,
+            Phase::Cancelling | Phase::Stopping(_) | Phase::Ending(_) => GraphStatus::Ending,
         };
-        let from = look.after.split_once('.').filter(|(of, _)| *of == token.to_string());
-        let from: usize = from.and_then(|(_, at)| at.parse().ok()).unwrap_or(0);
+        let from = range.after.split_once('.').filter(|(leader, _)| *leader == token.to_string());
+        let from: usize = from.and_then(|(_, position)| position.parse().ok()).unwrap_or(0);
         let changes = &self.model.changes;
         let from = from.min(changes.len());
         // The end of what was not told as final of a graph that is ending is told with its final answer.
-        let early = matches!(self.phase, Phase::Ending(_));
-        let most = if early { 0 } else { look.most };
-        let to = changes.len().min(from.saturating_add(most));
-        let rows: BTreeSet<NodeIx> = changes[from..to].iter().copied().collect();
+        let awaits_final_record = matches!(self.phase, Phase::Ending(_));
+        let max_nodes = if awaits_final_record { 0 } else { range.most };
+        let to = changes.len().min(from.saturating_add(max_nodes));
+        let changed_nodes: BTreeSet<NodeIx> = changes[from..to].iter().copied().collect();
         GraphView {
             graph: self.id,
             status,
@@ -402,14 +424,17 @@
             cancelled: count(NodeState::Cancelled),
             skipped: count(NodeState::Skipped),
             path_s: self.path_s,
-            failure: self.first_bad().and_then(|at| self.failed_node(at)),
+            failure: self.first_unsuccessful().and_then(|node_id| self.failed_node(node_id)),
             why: match &self.phase {
-                Phase::Stopping(why) | Phase::Ending(why) => why.text(),
+                Phase::Stopping(why) | Phase::Ending(why) => why.message(),
                 _ => String::new(),
             },
-            changed: rows.into_iter().filter_map(|at| self.node_view(at)).collect(),
+            changed: changed_nodes
+                .into_iter()
+                .filter_map(|node_id| self.node_view(node_id))
+                .collect(),
             next: format!("{token}.{to}"),
-            more: !early && to < changes.len(),
+            more: !awaits_final_record && to < changes.len(),
         }
     }
 }
--- a/crates/graph/src/loading.rs
+++ b/crates/graph/src/loading.rs
@@ -3,7 +3,7 @@
 
 use crate::desk::Desk;
 use crate::ids::{GraphId, Seq};
-use crate::live::{Live, Phase, Why};
+use crate::live::{EndReason, OpenGraph, Phase};
 use crate::records::{
     GRAPHS, GraphKey, Head, Part, PartEnd, SESSION_COUNT, SESSIONS, SessionRecord, parse_key,
 };
@@ -16,7 +16,7 @@
 
 /// Where reading stands.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Stage {
+pub enum LoadStage {
     Count,
     Sessions {
         after: String,
@@ -67,47 +67,47 @@
 
 impl Desk {
     /// The one place where the stage changes.
-    fn enter(&mut self, stage: Stage) {
+    fn enter(&mut self, stage: LoadStage) {
         self.stage = stage;
     }
 
     /// What is to be read next; `None`: all has been.
     pub fn next_read(&self) -> Option<Read> {
         match &self.stage {
-            Stage::Count => Some(Read::Key(SESSION_COUNT.to_owned())),
-            Stage::Sessions { after } => {
+            LoadStage::Count => Some(Read::Key(SESSION_COUNT.to_owned())),
+            LoadStage::Sessions { after } => {
                 Some(Read::List { prefix: SESSIONS.to_owned(), after: after.clone() })
             }
-            Stage::Graphs { after } => {
+            LoadStage::Graphs { after } => {
                 Some(Read::List { prefix: GRAPHS.to_owned(), after: after.clone() })
             }
-            Stage::Jobs { after } => Some(Read::Ended { after: after.clone() }),
-            Stage::Ready => None,
+            LoadStage::Jobs { after } => Some(Read::Ended { after: after.clone() }),
+            LoadStage::Ready => None,
         }
     }
 
     /// The number of sessions was read, at this version.
-    pub fn read_count(&mut self, stamp: Revision) {
-        self.count_stamp = stamp;
-        self.enter(Stage::Sessions { after: String::new() });
+    pub fn read_count(&mut self, version: Revision) {
+        self.count_version = version;
+        self.enter(LoadStage::Sessions { after: String::new() });
     }
 
     /// A page of sessions, or of graphs, was read.
     pub fn read_rows(&mut self, rows: Vec<Row>, more: bool, now: Now) {
         let last = rows.last().map(|row| row.key.clone()).filter(|_| more);
         match &self.stage {
-            Stage::Sessions { .. } => {
+            LoadStage::Sessions { .. } => {
                 rows.into_iter().for_each(|row| self.read_session(row, now.mono));
                 match last {
-                    Some(after) => self.enter(Stage::Sessions { after }),
-                    None => self.enter(Stage::Graphs { after: String::new() }),
+                    Some(after) => self.enter(LoadStage::Sessions { after }),
+                    None => self.enter(LoadStage::Graphs { after: String::new() }),
                 }
             }
-            Stage::Graphs { .. } => {
+            LoadStage::Graphs { .. } => {
                 rows.into_iter().for_each(|row| self.read_graph(row, now));
                 match last {
-                    Some(after) => self.enter(Stage::Graphs { after }),
-                    None => self.begin_jobs(now.mono),
+                    Some(after) => self.enter(LoadStage::Graphs { after }),
+                    None => self.start_loading_jobs(now.mono),
                 }
             }
             _ => {}
@@ -146,22 +146,26 @@
                 });
                 let age = now.wall_ms.saturating_sub(head.wall_ms);
                 let created = Mono(now.mono.0.saturating_sub(age));
-                self.insert(Live::new(id, head, row.version, Phase::Loading, created));
+                self.insert_graph(OpenGraph::new(id, head, row.version, Phase::Loading, created));
                 if let Some(text) = text {
                     self.damaged.insert(id, text);
                 }
             }
             Some(GraphKey::Page(id, page)) => {
-                let Some(live) = self.graphs.get_mut(&id) else {
+                let Some(open_graph) = self.graphs.get_mut(&id) else {
                     // Its graph is over.
-                    self.queue.sweep(id, page);
+                    self.queue.push_page_delete(id, page);
                     return;
                 };
                 let bytes = row.value.to_string().len();
-                let read = serde_json::from_value(row.value).map_err(|e| e.to_string());
+                let read = serde_json::from_value(row.value).map_err(|error| error.to_string());
                 let applied = match read {
-                    _ if page != live.model.page_count() => Err("a page is missing".to_owned()),
-                    Ok(page) => live.model.apply(&page, bytes).map_err(|e| e.to_string()),
+                    _ if page != open_graph.model.page_count() => {
+                        Err("a page is missing".to_owned())
+                    }
+                    Ok(page) => {
+                        open_graph.model.apply(&page, bytes).map_err(|error| error.to_string())
+                    }
                     Err(text) => Err(format!("page {page}: {text}")),
                 };
                 if let Err(text) = applied {
@@ -172,10 +176,10 @@
         }
     }
 
-    fn begin_jobs(&mut self, now: Mono) {
+    fn start_loading_jobs(&mut self, now: Mono) {
         match self.graphs.keys().next() {
-            Some(first) => self.enter(Stage::Jobs { after: before(*first) }),
-            None => self.all_read(now),
+            Some(first) => self.enter(LoadStage::Jobs { after: id_before_jobs(*first) }),
+            None => self.finish_loading(now),
         }
     }
 
@@ -188,39 +192,42 @@
         open: &dyn Fn(GraphId) -> Vec<OpenJob>,
         now: Mono,
     ) {
-        let Stage::Jobs { .. } = self.stage else { return };
+        let LoadStage::Jobs { .. } = self.stage else { return };
         for Ended { id, end, status, failure } in ended {
             if let Some((graph, seq)) = GraphId::of_job(&id)
-                && let Some(live) = self.graphs.get_mut(&graph)
+                && let Some(open_graph) = self.graphs.get_mut(&graph)
             {
-                live.job_over(seq, &end, status, failure.as_ref());
+                open_graph.finish_job(seq, &end, status, failure.as_ref());
             }
         }
         // Graphs that the reading has passed are known whole.
         let reached = last.as_ref().and_then(GraphId::of_job).map(|(graph, _)| graph);
-        let unread = |live: &&Live| live.phase == Phase::Loading;
-        let loading: Vec<GraphId> = self.graphs.values().filter(unread).map(|l| l.id).collect();
-        let (passed, ahead): (Vec<GraphId>, Vec<GraphId>) =
-            loading.into_iter().partition(|id| last.is_none() || reached.is_some_and(|r| *id < r));
-        for id in passed {
-            self.activate(id, open(id));
+        let unread = |open_graph: &&OpenGraph| open_graph.phase == Phase::Loading;
+        let loading: Vec<GraphId> =
+            self.graphs.values().filter(unread).map(|open_graph| open_graph.id).collect();
+        let (mark_seq_used, ahead): (Vec<GraphId>, Vec<GraphId>) =
+            loading.into_iter().partition(|id| {
+                last.is_none() || reached.is_some_and(|reached_graph| *id < reached_graph)
+            });
+        for id in mark_seq_used {
+            self.activate_graph(id, open(id));
         }
         match (last, ahead.first()) {
             // Others' jobs, of graphs that are over, are not read.
             (Some(last), Some(next)) => {
-                let after = before(*next);
-                self.enter(Stage::Jobs { after: after.max(last) });
+                let after = id_before_jobs(*next);
+                self.enter(LoadStage::Jobs { after: after.max(last) });
             }
-            _ => self.all_read(now),
+            _ => self.finish_loading(now),
         }
     }
 
-    fn all_read(&mut self, now: Mono) {
-        self.enter(Stage::Ready);
+    fn finish_loading(&mut self, now: Mono) {
+        self.enter(LoadStage::Ready);
         // Nobody could be heard until now.
         self.deaf_until(now);
-        let ended = |(name, s): (&String, &Session)| {
-            (s.phase == sessions::Phase::Ended).then(|| name.clone())
+        let ended = |(name, session): (&String, &Session)| {
+            (session.phase == sessions::Phase::Ended).then(|| name.clone())
         };
         for name in self.sessions.iter().filter_map(ended).collect::<Vec<_>>() {
             self.session_ended(&name);
@@ -228,33 +235,33 @@
     }
 
     /// All that is durable of a graph is known: it goes on.
-    fn activate(&mut self, id: GraphId, open: Vec<OpenJob>) {
-        let Some(live) = self.graphs.get_mut(&id) else { return };
+    fn activate_graph(&mut self, id: GraphId, open: Vec<OpenJob>) {
+        let Some(open_graph) = self.graphs.get_mut(&id) else { return };
         for OpenJob { seq, part, done } in open {
-            live.job_open(seq, &part, &done);
+            open_graph.job_open(seq, &part, &done);
             self.open_jobs += 1;
         }
-        live.stale = true;
-        live.enter(Phase::Open);
-        let session = self.sessions.get(&live.head.session);
-        let gone = !live.head.detached
+        open_graph.paths_stale = true;
+        open_graph.enter(Phase::Open);
+        let session = self.sessions.get(&open_graph.head.session);
+        let session_ended = !open_graph.head.detached
             && session.is_none_or(|session| session.phase == sessions::Phase::Ended);
         if let Some(text) = self.damaged.remove(&id) {
-            self.stop(id, Why::Damaged(text));
-        } else if live.head.cancelled {
-            self.stop(id, Why::Cancelled);
-        } else if gone {
-            self.stop(id, Why::SessionGone);
+            self.stop(id, EndReason::Damaged(text));
+        } else if open_graph.head.cancelled {
+            self.stop(id, EndReason::Cancelled);
+        } else if session_ended {
+            self.stop(id, EndReason::SessionEnded);
         } else {
-            self.review(id);
+            self.update_graph(id);
         }
     }
 }
 
 /// An id before all jobs of a graph and after those of the graphs before it.
-fn before(id: GraphId) -> JobId {
+fn id_before_jobs(id: GraphId) -> JobId {
     JobId::new(&format!("{JOBS_PREFIX}{}", id.digits()))
 }
 
 /// Graphs whose records cannot be read, and what is wrong with them.
-pub(crate) type Damages = BTreeMap<GraphId, String>;
+pub(crate) type DamagedGraphs = BTreeMap<GraphId, String>;
--- a/crates/graph/src/paths.rs
+++ b/crates/graph/src/paths.rs
@@ -2,13 +2,14 @@
 //! loop and placement see graph work as any other.
 
 use crate::constants::*;
-use crate::model::{Kind, Node};
+use crate::model::{Node, NodeKind};
 use oatloom_protocol::ids::{Millis, Mono};
 
 /// What a node of a kind takes, in seconds: what was seen of it, else its estimate as far as its class is misjudged.
-pub fn seconds(kind: &Kind, bias: f64) -> f64 {
-    let estimate = if kind.spec.expect_s > 0.0 { kind.spec.expect_s * bias } else { UNKNOWN_S };
-    match kind.learnt_s {
+pub fn seconds(kind: &NodeKind, bias: f64) -> f64 {
+    let estimate =
+        if kind.spec.expect_s > 0.0 { kind.spec.expect_s * bias } else { DEFAULT_RUN_TIME_S };
+    match kind.measured_run_time_s {
         // It ends with the others.
         _ if kind.is_actor() => 0.0,
         Some(learnt) => learnt,
@@ -20,15 +21,15 @@
 pub fn graph_due(created: Mono, due_s: Option<f64>, path_s: f64, now: Mono) -> Mono {
     match due_s {
         Some(due_s) => created.plus(Millis::from_secs(due_s)),
-        None => now.plus(Millis::from_secs(UNDATED_S.max(path_s * 1.5))),
+        None => now.plus(Millis::from_secs(DEFAULT_DUE_S.max(path_s * 1.5))),
     }
 }
 
 /// How long a node has from now until it is due, in seconds.
-pub fn node_due_s(due: Mono, node: &Node, own_s: f64, now: Mono) -> f64 {
-    let after_s = (f64::from(node.path_s) - own_s).max(0.0);
+pub fn node_due_s(due: Mono, node: &Node, node_run_time_s: f64, now: Mono) -> f64 {
+    let after_s = (f64::from(node.path_s) - node_run_time_s).max(0.0);
     let left_s = (due.0 as f64 - now.0 as f64) / 1000.0;
-    (left_s - after_s).max(DUE_LEAST_S)
+    (left_s - after_s).max(MIN_NODE_DUE_S)
 }
 
 #[cfg(test)]
@@ -53,7 +54,7 @@
         assert_eq!((left("a", 10.0), left("b", 30.0), left("c", 10.0)), (50.0, 80.0, 90.0));
         let late = graph_due(Mono(0), Some(5.0), 50.0, Mono(0));
         let a = model.node(model.find("a").unwrap()).unwrap();
-        assert_eq!(node_due_s(late, a, 10.0, Mono(10_000)), DUE_LEAST_S);
+        assert_eq!(node_due_s(late, a, 10.0, Mono(10_000)), MIN_NODE_DUE_S);
         assert_eq!(graph_due(Mono(0), None, 1_000.0, Mono(7)), Mono(1_500_007));
     }
 }
--- a/crates/graph/src/requests.rs
+++ b/crates/graph/src/requests.rs
@@ -113,10 +113,10 @@
     pub memory: f64,
     /// Never above what the class allows; left out: as the class allows.
     #[serde(default, skip_serializing_if = "is_default")]
-    #[garde(range(max = RETRIES_MOST))]
+    #[garde(range(max = MAX_RETRY_COUNT))]
     pub max_retries: Option<u32>,
     #[serde(default, skip_serializing_if = "is_default")]
-    #[garde(length(max = NAME_BYTES))]
+    #[garde(length(max = MAX_NAME_BYTES))]
     pub bundle: String,
     #[serde(rename = "pullGb", default, skip_serializing_if = "is_default")]
     #[garde(custom(is_amount("pullGb")))]
@@ -159,11 +159,11 @@
     pub kind: String,
     /// Nodes whose results it takes.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    #[garde(length(max = INPUTS_MOST))]
+    #[garde(length(max = MAX_INPUT_COUNT))]
     pub needs: Vec<String>,
     /// Tasks that it fans out into.
     #[serde(default = "one", skip_serializing_if = "is_one")]
-    #[garde(range(min = 1, max = SHARDS_MOST))]
+    #[garde(range(min = 1, max = MAX_SHARD_COUNT))]
     pub shards: u32,
 }
 
@@ -253,15 +253,16 @@
 fn is_name(field: &'static str) -> impl Fn(&str, &()) -> garde::Result {
     move |name, ()| {
         let plain = |b: u8| b.is_ascii_alphanumeric() || b"-_./:".contains(&b);
-        let good = (1..=NAME_BYTES).contains(&name.len()) && name.bytes().all(plain);
-        let text = || format!("{field} must be 1 to {NAME_BYTES} letters, digits or any of -_./:");
+        let good = (1..=MAX_NAME_BYTES).contains(&name.len()) && name.bytes().all(plain);
+        let text =
+            || format!("{field} must be 1 to {MAX_NAME_BYTES} letters, digits or any of -_./:");
         good.then_some(()).ok_or_else(|| garde::Error::new(text()))
     }
 }
 
 fn is_key(key: &str, _: &()) -> garde::Result {
-    let good = (KEY_LEAST_BYTES..=KEY_BYTES).contains(&key.len());
-    let text = || format!("key must be {KEY_LEAST_BYTES} to {KEY_BYTES} bytes");
+    let good = (MIN_KEY_BYTES..=MAX_KEY_BYTES).contains(&key.len());
+    let text = || format!("key must be {MIN_KEY_BYTES} to {MAX_KEY_BYTES} bytes");
     good.then_some(()).ok_or_else(|| garde::Error::new(text()))
 }
 
@@ -274,8 +275,8 @@
 }
 
 fn is_ttl(ttl: &f64, _: &()) -> garde::Result {
-    let text = || format!("ttlS must be from {TTL_LEAST_S} to {TTL_MOST_S}");
-    let good = (TTL_LEAST_S..=TTL_MOST_S).contains(ttl);
+    let text = || format!("ttlS must be from {MIN_TTL_S} to {MAX_TTL_S}");
+    let good = (MIN_TTL_S..=MAX_TTL_S).contains(ttl);
     good.then_some(()).ok_or_else(|| garde::Error::new(text()))
 }
 
--- a/crates/graph/src/runs.rs
+++ b/crates/graph/src/runs.rs
@@ -10,10 +10,10 @@
 
 impl Runs {
     /// Takes nodes in ascending order, as far as `most` runs hold them; how many that were.
-    pub fn of(nodes: &[NodeIx], most: usize) -> (Self, usize) {
+    pub fn of(nodes: &[NodeIx], max_count: usize) -> (Self, usize) {
         let mut runs: Vec<(u32, u32)> = Vec::new();
         for (taken, node) in nodes.iter().enumerate() {
-            let full = runs.len() == most;
+            let full = runs.len() == max_count;
             match runs.last_mut() {
                 Some((first, length)) if first.checked_add(*length) == Some(node.0) => *length += 1,
                 _ if full => return (Self(runs), taken),
@@ -45,12 +45,12 @@
     }
 
     /// All nodes, the first `most` of them.
-    pub fn iter(&self, most: usize) -> impl Iterator<Item = NodeIx> + '_ {
+    pub fn iter(&self, max_count: usize) -> impl Iterator<Item = NodeIx> + '_ {
         let each = |(first, length): &(u32, u32)| {
             let first = *first;
             (0..*length).filter_map(move |n| first.checked_add(n)).map(NodeIx)
         };
-        self.0.iter().flat_map(each).take(most)
+        self.0.iter().flat_map(each).take(max_count)
     }
 }
 
--- a/crates/graph/src/sessions.rs
+++ b/crates/graph/src/sessions.rs
@@ -19,24 +19,24 @@
 #[derive(Debug)]
 pub struct Session {
     pub record: SessionRecord,
-    pub stamp: Revision,
+    pub version: Revision,
     pub phase: Phase,
     /// When its client was last heard of, or when this leader began to listen.
-    pub heard: Mono,
+    pub last_heartbeat: Mono,
     /// Graphs that end with it and are not over.
-    pub graphs: u32,
+    pub open_graphs: u32,
     /// Who waits for its record.
     pub tickets: Vec<u64>,
 }
 
 impl Session {
-    pub fn new(record: SessionRecord, stamp: Revision, now: Mono) -> Self {
-        let phase = match (stamp, record.ended) {
+    pub fn new(record: SessionRecord, version: Revision, now: Mono) -> Self {
+        let phase = match (version, record.ended) {
             (Revision(0), _) => Phase::Opening,
             (_, true) => Phase::Ended,
             _ => Phase::Open,
         };
-        Self { record, stamp, phase, heard: now, graphs: 0, tickets: Vec::new() }
+        Self { record, version, phase, last_heartbeat: now, open_graphs: 0, tickets: Vec::new() }
     }
 
     /// The one place where the phase changes.
@@ -46,11 +46,11 @@
     }
 
     /// Whether its client has been silent for too long.
-    pub fn lapsed(&self, now: Mono) -> bool {
-        self.phase == Phase::Open && now.since(self.heard) > Millis(self.record.ttl_ms)
+    pub fn has_expired(&self, now: Mono) -> bool {
+        self.phase == Phase::Open && now.since(self.last_heartbeat) > Millis(self.record.ttl_ms)
     }
 
-    pub fn holds(&self, key: &str) -> bool {
+    pub fn has_key(&self, key: &str) -> bool {
         self.record.key == hash_key(key)
     }
 }
@@ -84,9 +84,9 @@
             ended: false,
         };
         let mut session = Session::new(record, Revision(4), Mono(1_000));
-        assert!(session.holds("secret-1") && !session.holds("secret-2"));
-        assert!(!session.lapsed(Mono(31_000)) && session.lapsed(Mono(31_001)));
+        assert!(session.has_key("secret-1") && !session.has_key("secret-2"));
+        assert!(!session.has_expired(Mono(31_000)) && session.has_expired(Mono(31_001)));
         session.enter(Phase::Closing);
-        assert!(session.record.ended && !session.lapsed(Mono(99_000)));
+        assert!(session.record.ended && !session.has_expired(Mono(99_000)));
     }
 }
--- a/crates/graph/src/writing.rs
+++ b/crates/graph/src/writing.rs
@@ -4,7 +4,7 @@
 use crate::constants::*;
 use crate::desk::{Desk, Effect, Launch};
 use crate::ids::{GraphId, Seq};
-use crate::live::{Phase, Why};
+use crate::live::{EndReason, Phase};
 use crate::records::{
     Head, Page, SESSION_COUNT, SessionRecord, head_key, over_key, over_page_key, page_key,
     session_key,
@@ -43,10 +43,10 @@
 }
 
 /// How the record of a job is written: its key, that of its final state, and the value. The rest of the leader knows.
-pub type LiveRecord<'a> = &'a dyn Fn(&Launch) -> (String, String, Value);
+pub type JobRecordEncoder<'a> = &'a dyn Fn(&Launch) -> (String, String, Value);
 
 #[derive(Debug, Default)]
-pub(crate) struct Queue {
+pub(crate) struct GraphWriteQueue {
     /// What somebody waits for.
     urgent: VecDeque<Item>,
     later: VecDeque<Item>,
@@ -57,7 +57,7 @@
     retry: VecDeque<(GraphId, Seq)>,
 }
 
-impl Queue {
+impl GraphWriteQueue {
     pub fn len(&self) -> usize {
         self.queued.len() + self.retry.len()
     }
@@ -69,24 +69,24 @@
         }
     }
 
-    pub fn session(&mut self, name: &str) {
+    pub fn push_session(&mut self, name: &str) {
         self.push(Item::Session(name.to_owned()), true);
     }
 
-    pub fn head(&mut self, id: GraphId) {
+    pub fn push_head(&mut self, id: GraphId) {
         self.push(Item::Head(id), true);
     }
 
-    pub fn addition(&mut self, id: GraphId) {
+    pub fn push_addition(&mut self, id: GraphId) {
         self.push(Item::Addition(id), true);
     }
 
     /// The next page of a graph's end, or the end itself.
-    pub fn ending(&mut self, id: GraphId) {
+    pub fn push_final(&mut self, id: GraphId) {
         self.push(Item::End(id), false);
     }
 
-    pub fn sweep(&mut self, id: GraphId, page: u32) {
+    pub fn push_page_delete(&mut self, id: GraphId, page: u32) {
         self.push(Item::Sweep(id, page), false);
     }
 
@@ -109,7 +109,7 @@
     }
 }
 
-fn when(key: String, version: Revision) -> Condition {
+fn unchanged(key: String, version: Revision) -> Condition {
     Condition { key, version }
 }
 
@@ -117,7 +117,8 @@
     /// Whether there is anything to write.
     pub fn has_writes(&self) -> bool {
         self.ready()
-            && (self.queue.len() > 0 || !self.wanting.is_empty() && self.open_jobs < OPEN_JOBS_MOST)
+            && (self.queue.len() > 0
+                || !self.launchable.is_empty() && self.open_jobs < MAX_OPEN_JOB_COUNT)
     }
 
     /// The next fenced transaction, within the limits of the service.
@@ -126,44 +127,45 @@
         fence: Condition,
         ops: usize,
         now: Now,
-        live: LiveRecord,
+        encode_job: JobRecordEncoder,
     ) -> Option<(Txn, Vec<Wrote>)> {
         if !self.ready() {
             return None;
         }
         let mut txn = Txn { conditions: vec![fence], changes: Vec::new() };
-        let mut wrote: Vec<Wrote> = Vec::new();
+        let mut written: Vec<Wrote> = Vec::new();
         let mut bytes = 0;
-        let most = self.items_most;
-        while wrote.len() < most
+        let max_items = self.items_most;
+        while written.len() < max_items
             && txn.changes.len() < ops
-            && bytes < TXN_BYTES
+            && bytes < MAX_TXN_BYTES
             && txn.conditions.len() + 4 < ops * 4
         {
             let Some(item) = self.next_item(now) else { break };
             let before = (txn.conditions.len(), txn.changes.len());
-            let written = self.write(&item, &mut txn, live);
-            let added = txn.changes[before.1..].iter().map(size).sum::<usize>();
-            let over = txn.changes.len() > ops || !wrote.is_empty() && bytes + added > TXN_BYTES;
+            let has_changes = self.write(&item, &mut txn, encode_job);
+            let added = txn.changes[before.1..].iter().map(change_bytes).sum::<usize>();
+            let exceeds_limits =
+                txn.changes.len() > ops || !written.is_empty() && bytes + added > MAX_TXN_BYTES;
             // One session at a time, since all of them write the same count.
-            let second = matches!(item, Item::Session(_))
-                && wrote.iter().any(|w| matches!(w.item, Item::Session(_)));
-            if written && (over || second) {
+            let second_session = matches!(item, Item::Session(_))
+                && written.iter().any(|w| matches!(w.item, Item::Session(_)));
+            if has_changes && (exceeds_limits || second_session) {
                 txn.conditions.truncate(before.0);
                 txn.changes.truncate(before.1);
                 self.queue.put_back(item);
                 break;
             }
-            if written {
+            if has_changes {
                 bytes += added;
                 let session = match &item {
                     Item::Session(name) => self.sessions.get(name).map(|session| session.phase),
                     _ => None,
                 };
-                wrote.push(Wrote { item, session });
+                written.push(Wrote { item, session });
             }
         }
-        (!wrote.is_empty()).then_some((txn, wrote))
+        (!written.is_empty()).then_some((txn, written))
     }
 
     fn next_item(&mut self, now: Now) -> Option<Item> {
@@ -173,7 +175,7 @@
         if let Some((graph, seq)) = self.queue.retry.pop_front() {
             return Some(Item::Launch(graph, seq));
         }
-        if let Some(launch) = self.launch(now) {
+        if let Some(launch) = self.next_launch(now) {
             let key = (launch.graph, launch.seq);
             self.queue.launches.insert(key, launch);
             return Some(Item::Launch(key.0, key.1));
@@ -181,39 +183,41 @@
         match self.queue.pop(false)? {
             // Its pages first, one after the other.
             Item::End(id) => {
-                let live = self.graphs.get(&id)?;
-                let page = live.ended_pages;
-                let all = page >= live.model.page_count();
-                Some(if all { Item::End(id) } else { Item::EndPage(id, page) })
+                let open_graph = self.graphs.get(&id)?;
+                let page = open_graph.durable_final_pages;
+                let all_written = page >= open_graph.model.page_count();
+                Some(if all_written { Item::End(id) } else { Item::EndPage(id, page) })
             }
             item => Some(item),
         }
     }
 
     /// Puts an item into a transaction; whether there was anything to write.
-    fn write(&mut self, item: &Item, txn: &mut Txn, live: LiveRecord) -> bool {
+    fn write(&mut self, item: &Item, txn: &mut Txn, encode_job: JobRecordEncoder) -> bool {
         let zero = Revision(0);
         let put = |key: String, value: Value| Change::put(key, value);
         match item {
             Item::Session(name) => {
                 let Some(session) = self.sessions.get(name) else { return false };
                 let key = session_key(name);
-                let count = |more: i64| {
-                    let count = self.sessions.len() as i64 + more;
+                let put_count = |change: i64| {
+                    let count = self.sessions.len() as i64 + change;
                     put(SESSION_COUNT.to_owned(), json!({"n": count.max(0)}))
                 };
-                txn.conditions.push(when(key.clone(), session.stamp));
+                txn.conditions.push(unchanged(key.clone(), session.version));
                 match session.phase {
                     sessions::Phase::Opening => {
-                        txn.conditions.push(when(SESSION_COUNT.to_owned(), self.count_stamp));
+                        txn.conditions
+                            .push(unchanged(SESSION_COUNT.to_owned(), self.count_version));
                         txn.changes.push(put(key, json!(session.record)));
-                        txn.changes.push(count(0));
+                        txn.changes.push(put_count(0));
                     }
                     sessions::Phase::Closing => txn.changes.push(put(key, json!(session.record))),
-                    sessions::Phase::Ended if session.graphs == 0 => {
-                        txn.conditions.push(when(SESSION_COUNT.to_owned(), self.count_stamp));
+                    sessions::Phase::Ended if session.open_graphs == 0 => {
+                        txn.conditions
+                            .push(unchanged(SESSION_COUNT.to_owned(), self.count_version));
                         txn.changes.push(Change::Delete { key });
-                        txn.changes.push(count(-1));
+                        txn.changes.push(put_count(-1));
                     }
                     sessions::Phase::Open | sessions::Phase::Ended => {
                         txn.conditions.pop();
@@ -222,48 +226,48 @@
                 }
             }
             Item::Head(id) => {
-                let Some(live) = self.graphs.get(id) else { return false };
-                if !matches!(live.phase, Phase::Creating | Phase::Marking) {
+                let Some(open_graph) = self.graphs.get(id) else { return false };
+                if !matches!(open_graph.phase, Phase::Creating | Phase::Cancelling) {
                     return false;
                 }
-                txn.conditions.push(when(head_key(*id), live.stamp));
-                if live.stamp == zero {
-                    txn.conditions.push(when(over_key(*id), zero));
+                txn.conditions.push(unchanged(head_key(*id), open_graph.version));
+                if open_graph.version == zero {
+                    txn.conditions.push(unchanged(over_key(*id), zero));
                 }
-                txn.changes.push(put(head_key(*id), json!(live.head)));
+                txn.changes.push(put(head_key(*id), json!(open_graph.head)));
             }
             Item::Addition(id) => {
-                let Some(live) = self.graphs.get(id) else { return false };
-                let Some(pending) = &live.pending else { return false };
-                txn.conditions.push(when(head_key(*id), live.stamp));
-                let pages = pending.prepared.pages.iter();
-                for (number, page) in (live.model.page_count()..).zip(pages) {
+                let Some(open_graph) = self.graphs.get(id) else { return false };
+                let Some(pending_addition) = &open_graph.pending_addition else { return false };
+                txn.conditions.push(unchanged(head_key(*id), open_graph.version));
+                let pages = pending_addition.prepared.pages.iter();
+                for (number, page) in (open_graph.model.page_count()..).zip(pages) {
                     let key = page_key(*id, number);
-                    txn.conditions.push(when(key.clone(), zero));
+                    txn.conditions.push(unchanged(key.clone(), zero));
                     txn.changes.push(put(key, json!(page)));
                 }
             }
             Item::Launch(id, seq) => {
                 let Some(launch) = self.queue.launches.get(&(*id, *seq)) else { return false };
-                let (key, over, value) = live(launch);
-                txn.conditions.push(when(key.clone(), zero));
-                txn.conditions.push(when(over, zero));
+                let (key, final_key, value) = encode_job(launch);
+                txn.conditions.push(unchanged(key.clone(), zero));
+                txn.conditions.push(unchanged(final_key, zero));
                 txn.changes.push(put(key, value));
             }
             Item::EndPage(id, page) => {
-                let Some(live) = self.graphs.get(id) else { return false };
-                txn.conditions.push(when(head_key(*id), live.stamp));
+                let Some(open_graph) = self.graphs.get(id) else { return false };
+                txn.conditions.push(unchanged(head_key(*id), open_graph.version));
                 txn.changes.push(put(
                     over_page_key(*id, *page),
-                    json!(live.over_page(*page, self.room.value)),
+                    json!(open_graph.final_page(*page, self.room.value)),
                 ));
             }
             Item::End(id) => {
-                let Some(live) = self.graphs.get(id) else { return false };
-                let Phase::Ending(why) = &live.phase else { return false };
-                txn.conditions.push(when(head_key(*id), live.stamp));
-                txn.conditions.push(when(over_key(*id), zero));
-                txn.changes.push(put(over_key(*id), json!(live.over_record(why))));
+                let Some(open_graph) = self.graphs.get(id) else { return false };
+                let Phase::Ending(why) = &open_graph.phase else { return false };
+                txn.conditions.push(unchanged(head_key(*id), open_graph.version));
+                txn.conditions.push(unchanged(over_key(*id), zero));
+                txn.changes.push(put(over_key(*id), json!(open_graph.final_record(why))));
                 txn.changes.push(Change::Delete { key: head_key(*id) });
             }
             Item::Sweep(id, page) => {
@@ -274,115 +278,121 @@
     }
 
     /// A transaction was applied at `revision`.
-    pub fn committed(&mut self, wrote: &[Wrote], revision: Revision) {
-        for Wrote { item, session } in wrote {
+    pub fn committed(&mut self, written: &[Wrote], revision: Revision) {
+        for Wrote { item, session } in written {
             match item {
-                Item::Session(name) => self.session_written(name, *session, revision),
-                Item::Head(id) => self.head_written(*id, revision),
-                Item::Addition(id) => self.added(*id),
-                Item::Launch(id, seq) => self.launched(*id, *seq, revision),
+                Item::Session(name) => self.session_committed(name, *session, revision),
+                Item::Head(id) => self.head_committed(*id, revision),
+                Item::Addition(id) => self.addition_committed(*id),
+                Item::Launch(id, seq) => self.launch_committed(*id, *seq, revision),
                 Item::EndPage(id, page) => {
-                    if let Some(live) = self.graphs.get_mut(id) {
-                        live.ended_pages = live.ended_pages.max(page + 1);
-                        self.queue.ending(*id);
+                    if let Some(open_graph) = self.graphs.get_mut(id) {
+                        open_graph.durable_final_pages =
+                            open_graph.durable_final_pages.max(page + 1);
+                        self.queue.push_final(*id);
                     }
                 }
-                Item::End(id) => self.graph_over(*id),
+                Item::End(id) => self.graph_finished(*id),
                 Item::Sweep(..) => {}
             }
         }
     }
 
-    fn session_written(&mut self, name: &str, phase: Option<sessions::Phase>, at: Revision) {
+    fn session_committed(
+        &mut self,
+        name: &str,
+        phase: Option<sessions::Phase>,
+        revision: Revision,
+    ) {
         let Some(session) = self.sessions.get_mut(name) else { return };
         let tickets = std::mem::take(&mut session.tickets);
         let mut status = 200;
         match phase {
             Some(sessions::Phase::Opening) => {
-                session.stamp = at;
-                self.count_stamp = at;
+                session.version = revision;
+                self.count_version = revision;
                 session.enter(sessions::Phase::Open);
                 status = 201;
             }
             Some(sessions::Phase::Closing) => {
-                session.stamp = at;
+                session.version = revision;
                 session.enter(sessions::Phase::Ended);
                 self.session_ended(name);
             }
             _ => {
-                self.count_stamp = at;
+                self.count_version = revision;
                 self.sessions.remove(name);
             }
         }
         for ticket in tickets {
-            let reply = self.tell_session(name, status);
+            let reply = self.session_reply(name, status);
             self.reply(ticket, reply);
         }
     }
 
-    fn head_written(&mut self, id: GraphId, at: Revision) {
-        let Some(live) = self.graphs.get_mut(&id) else { return };
-        live.stamp = at;
-        let tickets = std::mem::take(&mut live.tickets);
-        let status = if live.phase == Phase::Creating { 201 } else { 200 };
-        if live.phase == Phase::Creating {
-            live.enter(Phase::Open);
+    fn head_committed(&mut self, id: GraphId, revision: Revision) {
+        let Some(open_graph) = self.graphs.get_mut(&id) else { return };
+        open_graph.version = revision;
+        let tickets = std::mem::take(&mut open_graph.tickets);
+        let status = if open_graph.phase == Phase::Creating { 201 } else { 200 };
+        if open_graph.phase == Phase::Creating {
+            open_graph.enter(Phase::Open);
             // Its session may have ended meanwhile.
-            let session = self.sessions.get(&live.head.session).map(|session| session.phase);
-            let gone = session.is_none_or(|phase| phase == sessions::Phase::Ended);
-            if gone && !live.head.detached {
-                self.stop(id, Why::SessionGone);
+            let session = self.sessions.get(&open_graph.head.session).map(|session| session.phase);
+            let session_ended = session.is_none_or(|phase| phase == sessions::Phase::Ended);
+            if session_ended && !open_graph.head.detached {
+                self.stop(id, EndReason::SessionEnded);
             }
         } else {
-            self.stop(id, Why::Cancelled);
+            self.stop(id, EndReason::Cancelled);
         }
-        let Some(live) = self.graphs.get(&id) else { return };
-        let view = live.view(self.token, &Default::default());
+        let Some(open_graph) = self.graphs.get(&id) else { return };
+        let view = open_graph.view(self.token, &Default::default());
         let reply = HttpReply::json(status, &view);
         tickets.into_iter().for_each(|ticket| self.reply(ticket, reply.clone()));
     }
 
-    fn added(&mut self, id: GraphId) {
-        let Some(live) = self.graphs.get_mut(&id) else { return };
-        let Some(pending) = live.pending.take() else { return };
-        let mut bytes = pending.prepared.bytes;
-        for page in &pending.prepared.pages {
+    fn addition_committed(&mut self, id: GraphId) {
+        let Some(open_graph) = self.graphs.get_mut(&id) else { return };
+        let Some(pending_addition) = open_graph.pending_addition.take() else { return };
+        let mut bytes = pending_addition.prepared.bytes;
+        for page in &pending_addition.prepared.pages {
             // It was made for this graph as it is.
-            if live.model.apply(page, std::mem::take(&mut bytes)).is_err() {
-                return self.stop(id, Why::Damaged("an addition does not fit".into()));
+            if open_graph.model.apply(page, std::mem::take(&mut bytes)).is_err() {
+                return self.stop(id, EndReason::Damaged("an addition does not fit".into()));
             }
         }
-        live.stale = true;
-        self.review(id);
-        let Some(live) = self.graphs.get(&id) else { return };
-        let view = live.view(self.token, &Default::default());
-        self.reply(pending.ticket, HttpReply::json(200, &view));
+        open_graph.paths_stale = true;
+        self.update_graph(id);
+        let Some(open_graph) = self.graphs.get(&id) else { return };
+        let view = open_graph.view(self.token, &Default::default());
+        self.reply(pending_addition.ticket, HttpReply::json(200, &view));
     }
 
-    fn launched(&mut self, id: GraphId, seq: Seq, at: Revision) {
+    fn launch_committed(&mut self, id: GraphId, seq: Seq, revision: Revision) {
         let Some(launch) = self.queue.launches.remove(&(id, seq)) else { return };
-        let Some(live) = self.graphs.get_mut(&id) else { return };
+        let Some(open_graph) = self.graphs.get_mut(&id) else { return };
         // It may be over already, where its acceptance was learnt late.
-        let Some((part, _)) = live.jobs.get(&seq).cloned() else { return };
-        let cancelled = live.job_open(seq, &part, &[]);
-        self.effects.push(Effect::Admit(Box::new(launch), at));
+        let Some((part, _)) = open_graph.jobs.get(&seq).cloned() else { return };
+        let cancelled = open_graph.job_open(seq, &part, &[]);
+        self.effects.push(Effect::Admit(Box::new(launch), revision));
         if cancelled {
             self.effects.push(Effect::Cancel(id.job(seq)));
         }
-        self.review(id);
+        self.update_graph(id);
     }
 
-    fn graph_over(&mut self, id: GraphId) {
-        let Some(live) = self.remove(id) else { return };
-        if let Phase::Ending(why) = &live.phase {
-            self.remember(id, live.over_record(why));
+    fn graph_finished(&mut self, id: GraphId) {
+        let Some(open_graph) = self.remove_graph(id) else { return };
+        if let Phase::Ending(why) = &open_graph.phase {
+            self.cache_final_record(id, open_graph.final_record(why));
         }
-        (0..live.model.page_count()).for_each(|page| self.queue.sweep(id, page));
+        (0..open_graph.model.page_count()).for_each(|page| self.queue.push_page_delete(id, page));
     }
 
     /// A transaction was refused, and certainly not applied: its items are to be written again.
-    pub fn refused(&mut self, wrote: Vec<Wrote>) {
-        wrote.into_iter().rev().for_each(|wrote| self.queue.put_back(wrote.item));
+    pub fn refused(&mut self, written: Vec<Wrote>) {
+        written.into_iter().rev().for_each(|write| self.queue.put_back(write.item));
     }
 
     /// An item that was refused alone is to be tried again, before others.
@@ -394,19 +404,22 @@
     /// where a job stands.
     pub fn keys_of(
         &self,
-        wrote: &Wrote,
-        live: &dyn Fn(&JobId) -> String,
-        over: &dyn Fn(&JobId) -> String,
+        written: &Wrote,
+        live_key: &dyn Fn(&JobId) -> String,
+        final_key: &dyn Fn(&JobId) -> String,
     ) -> Vec<String> {
-        match &wrote.item {
+        match &written.item {
             Item::Session(name) => vec![session_key(name), SESSION_COUNT.to_owned()],
             Item::Head(id) => vec![head_key(*id), over_key(*id)],
             Item::Addition(id) => {
-                let live = self.graphs.get(id);
-                live.map(|live| page_key(*id, live.model.page_count())).into_iter().collect()
+                let open_graph = self.graphs.get(id);
+                open_graph
+                    .map(|open_graph| page_key(*id, open_graph.model.page_count()))
+                    .into_iter()
+                    .collect()
             }
             Item::EndPage(..) | Item::Sweep(..) => Vec::new(),
-            Item::Launch(id, seq) => vec![live(&id.job(*seq)), over(&id.job(*seq))],
+            Item::Launch(id, seq) => vec![live_key(&id.job(*seq)), final_key(&id.job(*seq))],
             Item::End(id) => vec![over_key(*id)],
         }
     }
@@ -415,100 +428,104 @@
     /// state, says it runs.
     pub fn resolved(
         &mut self,
-        wrote: Wrote,
+        written: Wrote,
         rows: &[Option<Row>],
         nodes: &dyn Fn(&Value) -> Option<Runs>,
     ) {
-        let row = |at: usize| rows.get(at).and_then(Option::as_ref);
-        let version = |at: usize| row(at).map_or(Revision(0), |row| row.version);
-        match &wrote.item {
+        let row = |position: usize| rows.get(position).and_then(Option::as_ref);
+        let version = |position: usize| row(position).map_or(Revision(0), |row| row.version);
+        match &written.item {
             Item::Session(name) => {
-                self.count_stamp = version(1);
+                self.count_version = version(1);
                 let found = row(0).and_then(|row| {
                     serde_json::from_value::<SessionRecord>(row.value.clone()).ok()
                 });
                 let Some(session) = self.sessions.get_mut(name) else { return };
-                let durable = match wrote.session {
+                let durable = match written.session {
                     Some(sessions::Phase::Ended) => row(0).is_none(),
                     _ => found.as_ref() == Some(&session.record),
                 };
                 if durable {
-                    self.session_written(name, wrote.session, version(0));
-                    self.count_stamp = version(1);
+                    self.session_committed(name, written.session, version(0));
+                    self.count_version = version(1);
                 } else {
-                    session.stamp = version(0);
-                    self.queue.put_back(wrote.item);
+                    session.version = version(0);
+                    self.queue.put_back(written.item);
                 }
             }
             Item::Head(id) => {
                 let found =
                     row(0).and_then(|row| serde_json::from_value::<Head>(row.value.clone()).ok());
-                let Some(live) = self.graphs.get_mut(id) else { return };
-                if found.as_ref() == Some(&live.head) {
-                    self.head_written(*id, version(0));
-                } else if let Some(over) = row(1) {
-                    self.found_over(*id, &over.value);
+                let Some(open_graph) = self.graphs.get_mut(id) else { return };
+                if found.as_ref() == Some(&open_graph.head) {
+                    self.head_committed(*id, version(0));
+                } else if let Some(final_row) = row(1) {
+                    self.graph_already_finished(*id, &final_row.value);
                 } else {
-                    live.stamp = version(0);
-                    self.queue.put_back(wrote.item);
+                    open_graph.version = version(0);
+                    self.queue.put_back(written.item);
                 }
             }
             Item::Addition(id) => {
                 let page = row(0).map(|row| serde_json::from_value::<Page>(row.value.clone()).ok());
-                let live = self.graphs.get(id);
-                let pending = live.and_then(|live| live.pending.as_ref());
-                let first = pending.and_then(|pending| pending.prepared.pages.first().cloned());
+                let open_graph = self.graphs.get(id);
+                let pending_addition =
+                    open_graph.and_then(|open_graph| open_graph.pending_addition.as_ref());
+                let first = pending_addition
+                    .and_then(|pending_addition| pending_addition.prepared.pages.first().cloned());
                 match page {
-                    Some(page) if page == first => self.added(*id),
-                    Some(_) => self.stop(*id, Why::Damaged("a page that nobody added".into())),
-                    None => self.queue.put_back(wrote.item),
+                    Some(page) if page == first => self.addition_committed(*id),
+                    Some(_) => {
+                        self.stop(*id, EndReason::Damaged("a page that nobody added".into()))
+                    }
+                    None => self.queue.put_back(written.item),
                 }
             }
             Item::Launch(id, seq) => match (row(0), row(1)) {
-                (Some(live), _) if self.is_launch(*id, *seq, nodes(&live.value)) => {
-                    self.launched(*id, *seq, live.version)
+                (Some(live_row), _) if self.is_same_launch(*id, *seq, nodes(&live_row.value)) => {
+                    self.launch_committed(*id, *seq, live_row.version)
                 }
                 // It was accepted and has ended: that was told, or will be.
-                (_, Some(over)) if self.is_launch(*id, *seq, nodes(&over.value)) => {
+                (_, Some(final_row)) if self.is_same_launch(*id, *seq, nodes(&final_row.value)) => {
                     self.queue.launches.remove(&(*id, *seq));
                 }
-                (None, None) => self.queue.put_back(wrote.item),
+                (None, None) => self.queue.put_back(written.item),
                 _ => {
                     // A user's job had this id before graphs were served here.
                     self.queue.launches.remove(&(*id, *seq));
-                    if let Some(live) = self.graphs.get_mut(id) {
-                        live.relaunch(*seq);
+                    if let Some(open_graph) = self.graphs.get_mut(id) {
+                        open_graph.requeue_job(*seq);
                         self.open_jobs = self.open_jobs.saturating_sub(1);
                     }
-                    self.review(*id);
+                    self.update_graph(*id);
                 }
             },
-            Item::End(id) if row(0).is_some() => self.graph_over(*id),
-            Item::EndPage(..) | Item::End(_) | Item::Sweep(..) => self.queue.put_back(wrote.item),
+            Item::End(id) if row(0).is_some() => self.graph_finished(*id),
+            Item::EndPage(..) | Item::End(_) | Item::Sweep(..) => self.queue.put_back(written.item),
         }
     }
 
     /// Whether what was found is the job that was to be written.
-    fn is_launch(&self, id: GraphId, seq: Seq, nodes: Option<Runs>) -> bool {
+    fn is_same_launch(&self, id: GraphId, seq: Seq, nodes: Option<Runs>) -> bool {
         let launch = self.queue.launches.get(&(id, seq));
         launch.is_some_and(|launch| nodes.as_ref() == Some(&launch.part.nodes))
     }
 
     /// A graph that was to be begun was over already.
-    fn found_over(&mut self, id: GraphId, value: &Value) {
+    fn graph_already_finished(&mut self, id: GraphId, value: &Value) {
         let record = serde_json::from_value::<crate::records::OverRecord>(value.clone()).ok();
-        let Some(live) = self.remove(id) else { return };
+        let Some(open_graph) = self.remove_graph(id) else { return };
         let reply = match record {
-            Some(record) if record.key == live.head.key => {
+            Some(record) if record.key == open_graph.head.key => {
                 HttpReply::json(200, &crate::answers::GraphView::of_over(id, &record))
             }
             _ => HttpReply::error(409, "the graph is another's"),
         };
-        live.tickets.into_iter().for_each(|ticket| self.reply(ticket, reply.clone()));
+        open_graph.tickets.into_iter().for_each(|ticket| self.reply(ticket, reply.clone()));
     }
 }
 
-fn size(change: &Change) -> usize {
+fn change_bytes(change: &Change) -> usize {
     match change {
         Change::Put { key, value, .. } => key.len() + value.to_string().len() + 40,
         Change::Delete { key } => key.len() + 20,
--- a/crates/graph/tests/damaged.rs
+++ b/crates/graph/tests/damaged.rs
@@ -5,7 +5,7 @@
 use oatloom_graph::desk::{Around, Desk, Ended, Read, Verdict};
 use oatloom_graph::ids::{GraphId, Seq};
 use oatloom_graph::limits::Limits;
-use oatloom_graph::live::{Phase, Why};
+use oatloom_graph::live::{EndReason, Phase};
 use oatloom_graph::model::{Model, Room};
 use oatloom_graph::records::{
     GRAPHS, Head, Page, Part, PartEnd, SESSIONS, head_key, over_key, page_key, session_key,
@@ -156,7 +156,10 @@
         records.insert(key.clone(), bad);
         let mut desk = load(&records, Vec::new());
         let stopped = desk.graph(graph(1)).is_some_and(|live| {
-            matches!(&live.phase, Phase::Stopping(Why::Damaged(_)) | Phase::Ending(Why::Damaged(_)))
+            matches!(
+                &live.phase,
+                Phase::Stopping(EndReason::Damaged(_)) | Phase::Ending(EndReason::Damaged(_))
+            )
         });
         let written = settle(&mut desk);
         let over = &written[&over_key(graph(2))];
@@ -185,11 +188,11 @@
             [JobStatus::Done, JobStatus::Failed, JobStatus::Cancelled][rng.random_range(0..3)];
         let ended = read.map(|end| Ended { id: graph(1).job(Seq(4)), end, status, failure: None });
         let mut desk = load(&stored(), ended.into_iter().collect());
-        let around = Around { unfit: &|_| None, team: &|_| true };
+        let context = Around { unfit: &|_| None, team: &|_| true };
         if let Ok(add) = serde_json::from_value::<AddNodes>(damage(&add, &mut rng)) {
             let sound = check(&add).is_ok();
             let now = Now { mono: Mono(50_500), wall_ms: 60_500 };
-            let verdict = desk.ask(now, 1, &Ask::Add(graph(2), add), &around);
+            let verdict = desk.ask(now, 1, &Ask::Add(graph(2), add), &context);
             // The graph is sealed: nothing may come to it.
             let Verdict::Reply(reply) = verdict else { panic!("taken") };
             assert!(
@@ -202,7 +205,7 @@
         }
         let now = Now { mono: Mono(50_600), wall_ms: 60_600 };
         let look = Look { after: "9.99999999999".into(), most: 3 };
-        if let Verdict::Reply(reply) = desk.ask(now, 1, &Ask::Look(graph(1), look), &around) {
+        if let Verdict::Reply(reply) = desk.ask(now, 1, &Ask::Look(graph(1), look), &context) {
             let view: GraphView = serde_json::from_str(&reply.body).expect("a view");
             assert!(view.changed.len() <= 3);
         }
--- a/crates/graph/tests/scale.rs
+++ b/crates/graph/tests/scale.rs
@@ -2,7 +2,7 @@
 //! order by longest remaining paths is worth against the order in which nodes were added. Small in CI;
 //! `OATLOOM_NODES=100000 cargo test --release -p oatloom-graph --test scale -- --nocapture --test-threads 1` measures.
 
-use oatloom_graph::desk::{Around, Desk, Effect, Launch, Order, Verdict};
+use oatloom_graph::desk::{Around, Desk, Effect, Launch, LaunchOrder, Verdict};
 use oatloom_graph::ids::GraphId;
 use oatloom_graph::limits::Limits;
 use oatloom_graph::model::{NodeState, Room};
@@ -46,7 +46,7 @@
     /// Jobs, and how many of their tasks have still to end.
     open: BTreeMap<JobId, (Part, u32)>,
     slots: u32,
-    order: Order,
+    order: LaunchOrder,
     came: u64,
     /// Changes written, and jobs among them.
     changes: usize,
@@ -60,7 +60,7 @@
 }
 
 impl Harness {
-    fn new(order: Order, slots: u32) -> Self {
+    fn new(order: LaunchOrder, slots: u32) -> Self {
         let limits = Limits {
             nodes: 1_000_000,
             team_nodes: 1_000_000,
@@ -109,8 +109,8 @@
 
     /// Asks, and writes until there is an answer.
     fn ask(&mut self, ask: Ask) -> u16 {
-        let around = Around { unfit: &fits, team: &|_| true };
-        match self.desk.ask(self.now(), 7, &ask, &around) {
+        let context = Around { unfit: &fits, team: &|_| true };
+        match self.desk.ask(self.now(), 7, &ask, &context) {
             Verdict::Reply(reply) => reply.status,
             Verdict::Later => {
                 self.write_one();
@@ -196,8 +196,8 @@
                 // As placement has it: by when a job must start to be in time.
                 let left = launch.spec.deadline_s.unwrap_or(600.0) - launch.spec.estimate_s;
                 let urgency = match self.order {
-                    Order::LongestPath => self.now as i64 + (left * 1000.0) as i64,
-                    Order::Added => 0,
+                    LaunchOrder::LongestPath => self.now as i64 + (left * 1000.0) as i64,
+                    LaunchOrder::Added => 0,
                 };
                 let open = (launch.part.clone(), launch.spec.tasks);
                 self.open.insert(launch.id().clone(), open);
@@ -278,7 +278,7 @@
             (name(n), *kinds.choose(&mut rng).unwrap_or(&"mid"), needs, 1)
         })
         .collect();
-    let mut harness = Harness::new(Order::LongestPath, 200);
+    let mut harness = Harness::new(LaunchOrder::LongestPath, 200);
     let graph = harness.begin(1, None);
     let before = resident();
     harness.add(graph, &nodes, true);
@@ -297,7 +297,7 @@
     let chain: Vec<_> = (0..1_000)
         .map(|n: usize| (name(n), "short", n.checked_sub(1).map(name).into_iter().collect(), 1))
         .collect();
-    let mut harness = Harness::new(Order::LongestPath, 10);
+    let mut harness = Harness::new(LaunchOrder::LongestPath, 10);
     let graph = harness.begin(1, None);
     harness.add(graph, &chain, true);
     let makespan = harness.run();
@@ -309,7 +309,7 @@
     let gather = |n: usize| -> Vec<String> { (1 + n * 250..=(n + 1) * 250).map(name).collect() };
     fan.extend((0..40).map(|n| (name(20_000 + n), "short", gather(n), 1)));
     fan.push((name(30_000), "short", (0..40).map(|n| name(20_000 + n)).collect(), 1));
-    let mut harness = Harness::new(Order::LongestPath, 1_000);
+    let mut harness = Harness::new(LaunchOrder::LongestPath, 1_000);
     let graph = harness.begin(1, None);
     for part in fan.chunks(10_001) {
         harness.desk.tick(Mono(harness.now));
@@ -340,7 +340,7 @@
 #[test]
 fn many_small_graphs() {
     let graphs = size(10_000) / 100;
-    let mut harness = Harness::new(Order::LongestPath, 500);
+    let mut harness = Harness::new(LaunchOrder::LongestPath, 500);
     let mut rng = ChaCha8Rng::seed_from_u64(3);
     for n in 0..graphs {
         harness.now += 10;
@@ -380,7 +380,7 @@
                 nodes.push((name(at), kind, needs, 1));
             }
         }
-        for (at, order) in [Order::LongestPath, Order::Added].into_iter().enumerate() {
+        for (at, order) in [LaunchOrder::LongestPath, LaunchOrder::Added].into_iter().enumerate() {
             let mut harness = Harness::new(order, 16);
             harness.run_s = |spec, task| {
                 let digits: u64 = spec.id.as_str()[4..].bytes().map(u64::from).sum();
