--- a/crates/graph/src/desk.rs
+++ b/crates/graph/src/desk.rs
@@ -1,5 +1,5 @@
-//! All graphs and sessions that a leader works on: `(request or event, now) -> answers, effects`, and what is to be
-//! written, which [`crate::writing`] puts into transactions.
+//! The table of all open graphs and sessions of a leader: a state machine `(request or event, now) -> replies, effects`.
+//! It also queues the writes that [`crate::writing`] turns into transactions.
 
 use crate::answers::{GraphView, JobNodes, SessionStatus, SessionView, busy};
 use crate::constants::*;
@@ -24,39 +24,40 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// What the rest of the leader is to do.
+/// An action that the table requests from the rest of the leader.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// A job is accepted, at this revision.
+    /// Admits a job whose record became durable at this revision.
     Admit(Box<Launch>, Revision),
     Cancel(JobId),
-    /// Somebody who waited is told.
+    /// Answers a request whose reply was deferred.
     Reply {
         ticket: u64,
         reply: HttpReply,
     },
 }
 
-/// What becomes of a request.
+/// The immediate outcome of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
     Reply(HttpReply),
-    /// Once it is durable; the ticket is named then.
+    /// The reply follows as [`Effect::Reply`] with the request's ticket once the change is durable.
     Later,
-    /// No such graph is open: whether it is over stands in the state service.
+    /// The graph is not open; the state service knows whether it has finished.
     NotOpen,
-    /// What a job runs; its description is the rest of the leader's to add.
+    /// The nodes that a job runs; the caller adds the job's description.
     Job(JobId, Box<JobNodes>),
 }
 
-/// What the rest of the leader knows that decisions here need.
+/// Knowledge of the rest of the leader that decisions on requests need.
 pub struct Around<'a> {
-    /// Why a job like this can never run.
+    /// The error reply for a job that can never run.
     pub unfit: &'a dyn Fn(&JobSpec) -> Option<HttpReply>,
-    /// Whether there is such a team.
+    /// Whether the team exists.
     pub team: &'a dyn Fn(&str) -> bool,
 }
 
+/// All open graphs and sessions of one leader term.
 #[derive(Debug)]
 pub struct Desk {
     pub(crate) limits: Limits,
@@ -66,29 +67,29 @@
     pub(crate) sessions: BTreeMap<String, Session>,
     pub(crate) count_version: Revision,
     pub(crate) graphs: BTreeMap<GraphId, OpenGraph>,
-    /// Graphs with nodes that may start.
+    /// Graphs with ready nodes.
     pub(crate) launchable: BTreeSet<GraphId>,
     pub(crate) queue: GraphWriteQueue,
     pub(crate) effects: Vec<Effect>,
     pub(crate) order: LaunchOrder,
-    /// Items that one transaction may have at present.
+    /// Maximum number of items in one transaction; lowered while the service refuses writes.
     pub items_most: usize,
     final_records: BTreeMap<GraphId, OverRecord>,
     final_record_order: VecDeque<GraphId>,
     bucket: RateLimiter,
     team_buckets: BTreeMap<String, RateLimiter>,
-    /// How often classes may be repeated.
+    /// Maximum retries of each class.
     class_max_retries: BTreeMap<String, Option<u32>>,
-    /// By how much owners misjudge the run times of classes.
+    /// Ratio of measured to estimated run time of each class.
     run_time_biases: BTreeMap<String, f64>,
     pub(crate) open_jobs: usize,
-    /// Graphs whose records cannot be read, until that has been acted on.
+    /// Graphs whose records cannot be decoded, until they are stopped.
     pub(crate) damaged: DamagedGraphs,
     next_session_check: Mono,
 }
 
 impl Desk {
-    /// For a new leader, which has still to read what there is.
+    /// The table of a new leader, which has not yet loaded anything.
     pub fn new(limits: Limits, token: Token, room: Room, now: Mono) -> Self {
         let bucket = RateLimiter::full(limits.additions_per_s, now);
         Self {
@@ -116,16 +117,17 @@
         }
     }
 
-    /// The same with the order of nodes that measurements hold the longest paths against.
+    /// Sets the launch order, which benchmarks compare with the default.
     pub fn with_order(self, order: LaunchOrder) -> Self {
         Self { order, ..self }
     }
 
+    /// Whether loading is complete.
     pub fn ready(&self) -> bool {
         self.stage == LoadStage::Ready
     }
 
-    /// What is to be done since the last call.
+    /// Takes the effects that have accumulated since the last call.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
@@ -134,7 +136,7 @@
         self.graphs.get(&id)
     }
 
-    /// Graphs and sessions that are open, and writes that wait.
+    /// Numbers of open graphs, open sessions and queued writes.
     pub fn sizes(&self) -> (usize, usize, usize) {
         (self.graphs.len(), self.sessions.len(), self.queue.len())
     }
@@ -143,7 +145,8 @@
         self.effects.push(Effect::Reply { ticket, reply });
     }
 
-    /// How often a class may be repeated, and by how much its run times are misjudged.
+    /// Sets the retry limit of a class and the ratio of its measured to its estimated run times. A small change of the
+    /// ratio leaves the remaining paths as they are.
     pub fn learn_class(&mut self, class: &str, class_max_retries: Option<u32>, bias: f64) {
         self.class_max_retries.insert(class.to_owned(), class_max_retries);
         let before = self.run_time_biases.insert(class.to_owned(), bias).unwrap_or(1.0);
@@ -156,21 +159,21 @@
         }
     }
 
-    /// The classes of open graphs.
+    /// The job classes of the open graphs.
     pub fn classes(&self) -> BTreeSet<String> {
         let classes: BTreeSet<&str> =
             self.graphs.values().map(|open_graph| open_graph.head.class.as_str()).collect();
         classes.into_iter().map(str::to_owned).collect()
     }
 
-    /// The graph of a job, and the kind of its nodes.
+    /// The graph of a job, and the kind number of its nodes.
     pub fn kind_of(&self, id: &JobId, part: &Part) -> Option<(GraphId, u16)> {
         let (graph, _) = GraphId::of_job(id)?;
         let node = self.graphs.get(&graph)?.model.node(part.node(0)?)?;
         Some((graph, node.kind))
     }
 
-    /// What tasks of a kind were seen to take, in seconds.
+    /// Sets the measured run time of a kind's tasks, in seconds.
     pub fn learn(&mut self, graph: GraphId, kind: u16, seconds: f64) {
         let Some(open_graph) = self.graphs.get_mut(&graph) else { return };
         let Some(kind) = open_graph.model.kinds.get_mut(usize::from(kind)) else { return };
@@ -185,7 +188,7 @@
 
     // --- Requests ------------------------------------------------------------------
 
-    /// Takes up a request; `ticket` is named again when its answer comes later.
+    /// Handles a request. If the reply is deferred, it carries `ticket`.
     pub fn ask(&mut self, now: Now, ticket: u64, ask: &Ask, context: &Around) -> Verdict {
         if !self.ready() {
             return Verdict::Reply(HttpReply::unavailable("graphs are being read"));
@@ -227,7 +230,7 @@
         }
     }
 
-    /// Whether the rates allow one more write of a team; takes it.
+    /// Takes a write permit for a team if both the global and the team's rate limit allow it.
     fn try_take_write_permit(&mut self, team: &str, now: Mono) -> bool {
         let (all, each) = (self.limits.additions_per_s, self.limits.team_additions_per_s);
         if self.team_buckets.len() > self.limits.sessions as usize {
@@ -305,7 +308,7 @@
         Verdict::Later
     }
 
-    /// Finds a session that is open and whose key this is.
+    /// Finds an open session and checks its key.
     fn find_open_session(&mut self, name: &str, key: &str) -> Result<&mut Session, HttpReply> {
         let Some(session) = self.sessions.get_mut(name) else {
             return Err(HttpReply::error(404, "no such session"));
@@ -338,7 +341,7 @@
                 self.end_session(name);
                 Verdict::Later
             }
-            // It is as its client wishes; the answer may have been lost.
+            // Closing is idempotent: the reply to an earlier request may have been lost.
             Err(HttpReply { status: 404, .. }) => Verdict::Reply(self.session_reply(name, 200)),
             Err(reply) => Verdict::Reply(reply),
         }
@@ -374,7 +377,7 @@
         }
         let owner = match self.find_open_session(&create.session, &create.key) {
             Ok(session) => session.record.owner.clone(),
-            // A repeated request may come when the graph and its session are over.
+            // A repeated request may arrive after the graph and its session have ended.
             Err(HttpReply { status: 404, .. }) => return Verdict::NotOpen,
             Err(reply) => return Verdict::Reply(reply),
         };
@@ -407,7 +410,7 @@
         Verdict::Later
     }
 
-    /// Takes up a graph, and counts it for its session.
+    /// Inserts a graph, and counts it for its session unless it is detached.
     pub(crate) fn insert_graph(&mut self, open_graph: OpenGraph) {
         if !open_graph.head.detached
             && let Some(session) = self.sessions.get_mut(&open_graph.head.session)
@@ -417,7 +420,7 @@
         self.graphs.insert(open_graph.id, open_graph);
     }
 
-    /// Lets a graph go that is over, or was never begun.
+    /// Removes a graph that has finished or was never created. The record of its session is deleted with its last graph.
     pub(crate) fn remove_graph(&mut self, id: GraphId) -> Option<OpenGraph> {
         let open_graph = self.graphs.remove(&id)?;
         self.launchable.remove(&id);
@@ -446,7 +449,7 @@
         if open_graph.head.key != hash_key(&add.key) {
             return refuse(403, "wrong key");
         }
-        // What is the same however it is written.
+        // The digest covers the decoded request, so it does not depend on the JSON formatting.
         let digest = digest(&(&add.kinds, &add.nodes, add.seal));
         match open_graph.model.addition(&add.addition) {
             Some(known) if known == digest => {
@@ -501,7 +504,7 @@
         Verdict::Later
     }
 
-    /// Nodes of open graphs, and bytes of their descriptions.
+    /// Total nodes of the selected open graphs, and total bytes of their records.
     fn sum_usage(&self, counts: impl Fn(&OpenGraph) -> bool) -> (u64, u64) {
         let counted = self.graphs.values().filter(|open_graph| counts(open_graph));
         counted.fold((0, 0), |(nodes, bytes), open_graph| {
@@ -535,7 +538,7 @@
         }
     }
 
-    /// What is told of a graph that is over, to a request that found it so.
+    /// The reply to a request for a finished graph.
     pub fn over_reply(id: GraphId, ask: &Ask, record: &OverRecord) -> HttpReply {
         let key = match ask {
             Ask::Create(create) => Some(&create.key),
@@ -552,7 +555,7 @@
         }
     }
 
-    /// What is told of a graph that nobody began.
+    /// The reply to a request for a graph that does not exist.
     pub fn missing_reply(ask: &Ask) -> HttpReply {
         match ask {
             Ask::Create(_) => HttpReply::error(404, "no such session"),
@@ -562,7 +565,7 @@
 
     // --- Events --------------------------------------------------------------------
 
-    /// Tasks of an open job are done for good.
+    /// Processes tasks of an open job that are durably done.
     pub fn tasks_done(&mut self, id: &JobId, done: &[u32]) {
         let Some((graph, seq)) = GraphId::of_job(id) else { return };
         let Some(open_graph) = self.graphs.get_mut(&graph) else { return };
@@ -570,7 +573,7 @@
         self.update_graph(graph);
     }
 
-    /// A job is over for good.
+    /// Processes the durable end of a job.
     pub fn job_over(
         &mut self,
         id: &JobId,
@@ -580,8 +583,8 @@
     ) {
         let Some((graph, seq)) = GraphId::of_job(id) else { return };
         if !matches!(self.stage, LoadStage::Jobs { .. } | LoadStage::Ready) {
-            // It will be read. Guards against an end that came between a graph's head and its pages: it counted as
-            // taken up though its nodes were not there yet, and they ran again.
+            // Ignored, since loading reads the final state later. An end that arrived after a graph's head but before
+            // its pages was recorded as processed although its nodes were not loaded yet, so that they ran again.
             return;
         }
         let Some(open_graph) = self.graphs.get_mut(&graph) else { return };
@@ -591,7 +594,7 @@
         self.update_graph(graph);
     }
 
-    /// Takes up what follows from a change of a graph.
+    /// Applies the consequences of a change of a graph: phase, launches and writes.
     pub(crate) fn update_graph(&mut self, id: GraphId) {
         let Some(open_graph) = self.graphs.get_mut(&id) else { return };
         let cancelled = open_graph.update_phase();
@@ -611,7 +614,7 @@
         self.effects.extend(seqs.into_iter().map(|seq| Effect::Cancel(id.job(seq))));
     }
 
-    /// A graph's end is decided.
+    /// Starts to end a graph: refuses its pending addition and cancels its jobs.
     pub(crate) fn stop(&mut self, id: GraphId, why: EndReason) {
         let Some(open_graph) = self.graphs.get_mut(&id) else { return };
         if let Some(pending_addition) = open_graph.pending_addition.take() {
@@ -623,7 +626,7 @@
         self.update_graph(id);
     }
 
-    /// A session's end is durable: what is its own is stopped.
+    /// Processes the durable end of a session: stops all its graphs that are not detached.
     pub(crate) fn session_ended(&mut self, name: &str) {
         let own =
             |open_graph: &&OpenGraph| !open_graph.head.detached && open_graph.head.session == name;
@@ -637,14 +640,14 @@
         }
     }
 
-    /// A leader could not be reached for a while: nobody could be heard.
+    /// Restarts the time to live of all sessions at `now`, because heartbeats could not reach the leader until then.
     pub fn deaf_until(&mut self, now: Mono) {
         self.sessions
             .values_mut()
             .for_each(|session| session.last_heartbeat = session.last_heartbeat.max(now));
     }
 
-    /// Lets time pass.
+    /// Closes expired sessions and updates outdated remaining paths, at a fixed interval.
     pub fn tick(&mut self, now: Mono) {
         if !self.ready() || now < self.next_session_check {
             return;
@@ -662,7 +665,7 @@
         }
     }
 
-    /// The next job of all graphs: of the highest rank, then of the graph with least time left beyond its longest path.
+    /// The next job of all graphs: highest rank first, then least slack between due time and longest remaining path.
     pub(crate) fn next_launch(&mut self, now: Now) -> Option<Launch> {
         if self.open_jobs >= MAX_OPEN_JOB_COUNT {
             return None;
@@ -704,6 +707,7 @@
         }
     }
 
+    /// Caches a final record, and evicts the oldest one if there are too many.
     pub(crate) fn cache_final_record(&mut self, id: GraphId, record: OverRecord) {
         if self.final_records.insert(id, record).is_none() {
             self.final_record_order.push_back(id);
@@ -715,18 +719,18 @@
         }
     }
 
-    /// The final answer of a graph that ended lately.
+    /// The cached final record of a graph that finished recently.
     pub fn over(&self, id: GraphId) -> Option<&OverRecord> {
         self.final_records.get(&id)
     }
 
-    /// Nodes of a graph in a state, for measurements.
+    /// Number of nodes of a graph in a state, for benchmarks.
     pub fn count(&self, id: GraphId, state: NodeState) -> u32 {
         self.graphs.get(&id).map_or(0, |open_graph| open_graph.model.count(state))
     }
 }
 
-/// Why nodes of an addition can never run.
+/// The error reply if a node of an addition can never run.
 fn find_rejection(open_graph: &OpenGraph, pages: &[Page], context: &Around) -> Option<HttpReply> {
     let mut shapes: BTreeMap<(u16, u32), String> = BTreeMap::new();
     for page in pages {
--- a/crates/graph/src/ids.rs
+++ b/crates/graph/src/ids.rs
@@ -1,17 +1,17 @@
-//! Names of graphs, and the ids of the jobs that run their nodes.
+//! Ids of graphs and nodes, and of the jobs that run the nodes.
 
 use crate::constants::{GRAPH_NUMBER_END, JOB_SEQ_END};
 use oatloom_protocol::ids::JobId;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A graph, by the number that its client chose.
+/// Id of a graph: a number chosen by its client.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct GraphId(u64);
 
 impl GraphId {
-    /// Reads `graph-` and up to ten digits; leading zeros do not matter.
+    /// Parses `graph-` and up to ten digits; leading zeros are ignored.
     pub fn parse(text: &str) -> Option<Self> {
         let digits = text.strip_prefix("graph-")?;
         let fits = (1..=10).contains(&digits.len()) && digits.bytes().all(|b| b.is_ascii_digit());
@@ -19,38 +19,39 @@
         (number < GRAPH_NUMBER_END).then_some(Self(number))
     }
 
-    /// From the ten digits in a key.
+    /// Parses the ten digits of a key.
     pub fn of_digits(digits: &str) -> Option<Self> {
         (digits.len() == 10).then(|| Self::parse(&format!("graph-{digits}"))).flatten()
     }
 
-    /// Ten digits, as keys have them: graphs are listed in the order of their numbers.
+    /// Formats the number with ten digits, so that keys sort by number.
     pub fn digits(self) -> String {
         format!("{:010}", self.0)
     }
 
-    /// The id of the graph's job with this number. No two jobs of any graph ever have the same.
+    /// The id of the graph's job with this sequence number; unique across all graphs.
     pub fn job(self, seq: Seq) -> JobId {
         JobId::new(&format!("req-9{:010}{:09}", self.0, seq.0))
     }
 
-    /// The graph and the number of a job that runs nodes.
+    /// The graph and sequence number of a job that runs nodes.
     pub fn of_job(id: &JobId) -> Option<(Self, Seq)> {
         let digits = id.as_str().strip_prefix("req-9").filter(|digits| digits.len() == 19)?;
         let (graph, seq) = digits.split_at_checked(10)?;
         Some((Self(graph.parse().ok()?), Seq(seq.parse().ok()?)))
     }
 
-    /// The least and the greatest id that a job of it may have.
+    /// The smallest id that a job of the graph may have.
     pub fn first_job(self) -> JobId {
         self.job(Seq(0))
     }
 
+    /// The largest id that a job of the graph may have.
     pub fn last_job(self) -> JobId {
         self.job(Seq(JOB_SEQ_END - 1))
     }
 
-    /// Whether a job's id is of the form that only graphs may use.
+    /// Whether a job's id has the form that is reserved for jobs of graphs.
     pub fn reserved(id: &JobId) -> bool {
         Self::of_job(id).is_some()
     }
@@ -76,18 +77,18 @@
     }
 }
 
-/// Number of a job within its graph, from 0 on.
+/// Sequence number of a job within its graph, starting from 0.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Default)]
 pub struct Seq(pub u64);
 
 impl Seq {
-    /// The number after this one, unless the digits of an id are used up.
+    /// The next number; `None` if it would not fit into the digits of an id.
     pub fn next(self) -> Option<Self> {
         (self.0 + 1 < JOB_SEQ_END).then_some(Self(self.0 + 1))
     }
 }
 
-/// A node, by its place in the order in which the graph grew; what it needs has a lower one.
+/// Id of a node within its graph: its position in the order of addition. Its inputs have lower ones.
 #[derive(
     Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Default, Serialize, Deserialize,
 )]
--- a/crates/graph/src/launching.rs
+++ b/crates/graph/src/launching.rs
@@ -1,4 +1,4 @@
-//! Nodes that may start become ordinary jobs: ready ones of one shape as one array, gangs whole.
+//! Turns ready nodes into ordinary jobs: similar nodes become one array, a gang becomes one job.
 
 use crate::constants::*;
 use crate::ids::{GraphId, NodeIx, Seq};
@@ -11,34 +11,35 @@
 use oatloom_protocol::ids::{JobId, Millis, Mono};
 use oatloom_protocol::wire::{JobSpec, Shape};
 
-/// In which order nodes go.
+/// The order in which ready nodes are launched.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LaunchOrder {
-    /// The longest remaining path first.
+    /// Longest remaining path first.
     #[default]
     LongestPath,
-    /// As they were added; what measurements hold the other against.
+    /// In the order of addition, as a baseline for benchmarks.
     Added,
 }
 
-/// A job that runs nodes, as it is to be written.
+/// A job that runs nodes, before it is written.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Launch {
     pub graph: GraphId,
     pub seq: Seq,
     pub spec: JobSpec,
     pub part: Part,
-    /// Time of day at which it was made, in milliseconds. Written again, it is the same.
+    /// Time of day of its creation, in milliseconds; unchanged when the job is written again.
     pub wall_ms: u64,
 }
 
 impl Launch {
+    /// The id of the job.
     pub fn id(&self) -> &JobId {
         &self.spec.id
     }
 }
 
-/// The job for a node of a kind, or for several as the tasks of one array.
+/// The description of the job for one node of a kind, or for several nodes as the tasks of one array.
 pub(crate) fn job_spec(
     head: &Head,
     kind: &NodeKind,
@@ -54,7 +55,7 @@
         NodeShape::Task if strict => Shape::Gang,
         NodeShape::Task => Shape::Array,
     };
-    // On one machine for certain is one task that takes what all of them need.
+    // Strict packing runs all shards as one task with their total resources, which guarantees a single machine.
     let (tasks, task_factor) = match spec.strategy {
         Strategy::StrictPack => (1, f64::from(tasks)),
         _ => (tasks, 1.0),
@@ -86,12 +87,12 @@
 }
 
 impl OpenGraph {
-    /// What a node's kind takes, in seconds.
+    /// Expected run time of a kind, in seconds.
     fn node_run_time_s(&self, kind: u16, bias: f64) -> f64 {
         seconds(&self.model.kinds[usize::from(kind)], bias)
     }
 
-    /// Weighs the paths anew if they have changed, though not too often. Returns whether it did.
+    /// Recomputes outdated remaining paths, at a limited rate. Returns whether it did.
     pub fn update_paths(&mut self, bias: f64, now: Mono) -> bool {
         let interval =
             Millis((f64::from(self.model.len()) * PATH_UPDATE_INTERVAL_PER_NODE_MS) as u64);
@@ -105,7 +106,7 @@
         true
     }
 
-    /// The next job of ready nodes, if there are any. `allowed`: how often its class may be repeated.
+    /// The next job of ready nodes, if there are any. `class_max_retries` limits the retries of its class.
     pub fn next_job(
         &mut self,
         class_max_retries: Option<u32>,
@@ -162,7 +163,7 @@
         Some(Launch { graph: self.id, seq, spec, part, wall_ms })
     }
 
-    /// A job's id was taken by another: its nodes go under another one.
+    /// Requeues the nodes of a job whose id another job has taken; they run under a new id.
     pub fn requeue_job(&mut self, seq: Seq) {
         let Some((part, _)) = self.jobs.remove(&seq) else { return };
         for node_id in part.nodes.iter(self.model.len() as usize) {
--- a/crates/graph/src/lib.rs
+++ b/crates/graph/src/lib.rs
@@ -1,6 +1,6 @@
-//! Ray-style task graphs as durable work of oatloom itself: which nodes may start, as which ordinary jobs, what of
-//! it is written, and how each node and each graph ends. Deterministic; knows no placement and no sockets. Why it is
-//! done so stands in `docs/design-graphs.md`.
+//! Task graphs in the style of Ray, kept durably by the scheduler itself: which nodes are ready, which ordinary jobs
+//! run them, which records are written, and how each node and each graph ends. The crate is deterministic and knows
+//! neither placement nor sockets. `docs/design-graphs.md` explains the design.
 
 pub mod answers;
 pub mod constants;
--- a/crates/graph/src/limits.rs
+++ b/crates/graph/src/limits.rs
@@ -1,28 +1,28 @@
-//! How much of graphs and sessions is taken on, and how fast.
+//! Limits on the number, size and rate of graphs and sessions.
 
 use oatloom_protocol::ids::{Millis, Mono};
 use oatloom_protocol::settings::InvalidField;
 use serde::Deserialize;
 
-/// The operators' bounds; every field has a default. What is beyond them is refused at once, with when to come back.
+/// The operators' limits; every field has a default. A request beyond them is rejected immediately with a retry time.
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Limits {
-    /// Sessions at a time, in all and of one team.
+    /// Maximum open sessions, in total and per team.
     pub sessions: u32,
     pub team_sessions: u32,
-    /// Graphs at a time, in all and of one team.
+    /// Maximum open graphs, in total and per team.
     pub graphs: u32,
     pub team_graphs: u32,
-    /// Nodes of graphs that are not over, in all, of one team and of one graph.
+    /// Maximum nodes of open graphs, in total, per team and per graph.
     pub nodes: u32,
     pub team_nodes: u32,
     pub graph_nodes: u32,
-    /// Bytes of their descriptions in the state service, in all and of one team.
+    /// Maximum bytes of their records in the state service, in total and per team.
     pub bytes: u64,
     pub team_bytes: u64,
-    /// Additions, new graphs and new sessions a second, in all and of one team; bursts of two seconds' worth.
+    /// Maximum additions, new graphs and new sessions per second, in total and per team, with bursts of two seconds' worth.
     pub additions_per_s: f64,
     pub team_additions_per_s: f64,
 }
@@ -34,13 +34,13 @@
             team_sessions: 100,
             graphs: 1_000,
             team_graphs: 1_000,
-            // Some 200 bytes each: a controller of 40 MB carries it.
+            // About 200 bytes each, which fits into a controller with 40 MB.
             nodes: 50_000,
             team_nodes: 50_000,
             graph_nodes: 50_000,
             bytes: 20_000_000,
             team_bytes: 20_000_000,
-            // Each is a change or more of the 25 a second that small state services take.
+            // Each takes at least one of the 25 changes per second that a small state service accepts.
             additions_per_s: 10.0,
             team_additions_per_s: 10.0,
         }
@@ -48,10 +48,10 @@
 }
 
 impl Limits {
-    /// Checks what the types alone do not say.
+    /// Checks the ranges of the fields.
     ///
     /// # Errors
-    /// The first field that is out of its range, and the range.
+    /// The first field out of range, with the range.
     pub fn check(&self) -> Result<(), InvalidField> {
         let bad = |field: &str, text: &str| {
             Err(InvalidField::new(&format!("graph-limits: {field}"), text))
@@ -84,7 +84,7 @@
     }
 }
 
-/// A rate with bursts of two seconds' worth.
+/// A token bucket with bursts of two seconds' worth.
 #[derive(Clone, Copy, Debug)]
 pub struct RateLimiter {
     tokens: f64,
@@ -92,6 +92,7 @@
 }
 
 impl RateLimiter {
+    /// A full bucket.
     pub fn full(rate: f64, now: Mono) -> Self {
         Self { tokens: Self::capacity(rate), refilled_at: now }
     }
@@ -106,18 +107,18 @@
         self.refilled_at = now;
     }
 
-    /// Whether one more may be taken now.
+    /// Whether a token is available.
     pub fn has_permit(&mut self, rate: f64, now: Mono) -> bool {
         self.refill(rate, now);
         self.tokens >= 1.0
     }
 
-    /// Takes one.
+    /// Takes a token.
     pub fn take(&mut self) {
         self.tokens -= 1.0;
     }
 
-    /// Whether nothing was taken for so long that it need not be kept.
+    /// Whether the bucket has been unused long enough to be full again, so that it can be dropped.
     pub fn is_idle(&self, rate: f64, now: Mono) -> bool {
         now.since(self.refilled_at) > Millis::from_secs(Self::capacity(rate) / rate)
     }
--- a/crates/graph/src/live.rs
+++ b/crates/graph/src/live.rs
@@ -1,4 +1,4 @@
-//! One graph that is not over: which of its jobs are open, and how it comes to its end.
+//! An open graph: its phase, its open jobs, and how it ends.
 
 use crate::answers::{GraphStatus, GraphView, JobNodes, NodeView, TaskNode};
 use crate::constants::FINAL_PAGE_OVERHEAD_BYTES;
@@ -12,16 +12,16 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Why a graph ends.
+/// The reason why a graph ends.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EndReason {
-    /// It is sealed, and all its work has ended.
+    /// The graph is sealed and all its work has ended.
     Finished,
-    /// A node has failed, and the rest is to be cancelled.
+    /// A node has failed, and the graph cancels the rest on a failure.
     Failed,
     Cancelled,
     SessionEnded,
-    /// What stands of it in the state service cannot be read.
+    /// A record in the state service cannot be decoded or is inconsistent.
     Damaged(String),
 }
 
@@ -36,39 +36,40 @@
     }
 }
 
-/// Where a graph stands.
+/// The lifecycle phase of an open graph.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Its head is being written for the first time.
+    /// The head record is being written for the first time.
     Creating,
-    /// A new leader does not know all of its jobs yet; nothing of it starts.
+    /// A new leader has not loaded all its jobs yet; no node starts.
     Loading,
     Open,
-    /// That its client has cancelled it is being written; nothing of it starts.
+    /// The client's cancellation is being written; no node starts.
     Cancelling,
-    /// Its end is decided. What runs of it is being stopped.
+    /// The graph is ending; its open jobs are being cancelled.
     Stopping(EndReason),
-    /// Nothing of it runs; how its nodes ended is being written, then its final answer.
+    /// No job is open; the final pages are being written, then the final record.
     Ending(EndReason),
 }
 
-/// Where one of its jobs stands.
+/// The phase of a graph's job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobPhase {
-    /// Being written for the first time.
+    /// The job's record is being written for the first time.
     Launching,
     Open,
-    /// To be cancelled as soon as it is known to be accepted, or cancelled already.
+    /// The job is cancelled, or will be as soon as its acceptance is known.
     Cancelled,
 }
 
-/// An addition on its way into the state service.
+/// An addition that is being written.
 #[derive(Clone, Debug)]
 pub struct PendingAddition {
     pub prepared: PreparedAddition,
     pub ticket: u64,
 }
 
+/// A graph that has not finished.
 #[derive(Debug)]
 pub struct OpenGraph {
     pub id: GraphId,
@@ -77,21 +78,23 @@
     pub phase: Phase,
     pub model: Model,
     pub created: Mono,
-    /// The number of its next job.
+    /// Sequence number of the next job; `None` if all numbers are used.
     pub next_seq: Option<Seq>,
     pub jobs: BTreeMap<Seq, (Part, JobPhase)>,
-    /// Jobs whose end was taken up while it was loaded.
+    /// Jobs whose end was processed during loading; the end may arrive both as a read and as an event.
     processed_jobs: BTreeSet<Seq>,
     pub pending_addition: Option<PendingAddition>,
-    /// Who waits for its head.
+    /// Requests that wait for the write of the head record.
     pub tickets: Vec<u64>,
-    /// Why nodes failed.
+    /// Failures of nodes.
     pub failures: BTreeMap<NodeIx, Arc<Failure>>,
-    /// Whether its paths are to be weighed anew, and when they last were.
+    /// Whether the remaining paths are outdated.
     pub paths_stale: bool,
+    /// Time of the last update of the remaining paths.
     pub paths_updated_at: Option<Mono>,
+    /// Longest remaining path, in seconds.
     pub path_s: f64,
-    /// Pages of its end that are durable.
+    /// Number of final pages that are durable.
     pub durable_final_pages: u32,
 }
 
@@ -117,7 +120,7 @@
         }
     }
 
-    /// The one place where the phase changes.
+    /// Changes the phase; all phase changes go through here.
     pub fn enter(&mut self, phase: Phase) {
         self.phase = phase;
         self.head.cancelled |= matches!(self.phase, Phase::Cancelling);
@@ -126,7 +129,7 @@
         }
     }
 
-    /// A number is used up.
+    /// Marks a job's sequence number as used.
     pub fn mark_seq_used(&mut self, seq: Seq) {
         if self.next_seq.is_some_and(|next| next <= seq) {
             self.next_seq = seq.next();
@@ -137,7 +140,7 @@
         runs.iter(self.model.len() as usize).collect()
     }
 
-    /// Whether a job outlives its graph.
+    /// Whether a job continues after its graph has ended, as a detached actor does.
     pub fn outlives_graph(&self, part: &Part) -> bool {
         let node = part.node(0).and_then(|node_id| self.model.node(node_id));
         node.is_some_and(|node| {
@@ -146,7 +149,7 @@
         })
     }
 
-    /// A job of it is known to be accepted. Returns whether it is to be cancelled at once.
+    /// Records that a job was accepted. Returns whether it must be cancelled immediately.
     pub fn job_open(&mut self, seq: Seq, part: &Part, done: &[u32]) -> bool {
         self.mark_seq_used(seq);
         for node_id in self.expand_nodes(&part.nodes) {
@@ -160,14 +163,14 @@
         stopping
     }
 
-    /// Tasks of an open job are known to be done for good.
+    /// Records tasks of an open job that are durably done.
     pub fn tasks_done(&mut self, seq: Seq, done: &[u32]) {
         let Some((part, _)) = self.jobs.get(&seq).filter(|(part, _)| part.batch()) else { return };
         let nodes: Vec<NodeIx> = done.iter().filter_map(|task| part.node(*task)).collect();
         nodes.into_iter().for_each(|node_id| self.model.mark_ended(node_id, NodeState::Done));
     }
 
-    /// A job of it is over, for good.
+    /// Records the durable end of a job.
     pub fn finish_job(
         &mut self,
         seq: Seq,
@@ -209,7 +212,7 @@
             } else if state == NodeState::Cancelled || failed_task == Some(task) {
                 self.finish_node(node_id, state, failure);
             } else {
-                // The array ended for another node's sake.
+                // The array ended because another node failed; this node runs again.
                 self.model.requeue(node_id, seq, charged.get(&task).copied().unwrap_or(0));
             }
         }
@@ -218,7 +221,7 @@
     fn finish_node(&mut self, node_id: NodeIx, state: NodeState, failure: Option<&Arc<Failure>>) {
         let earlier_failures = self.model.node(node_id).map_or(0, |node| u32::from(node.failures));
         if let Some(failure) = failure {
-            // What stood against it in earlier jobs counts as well.
+            // Failures in earlier jobs count as well.
             let mut total = (**failure).clone();
             total.failures = total.failures.saturating_add(earlier_failures);
             total.repeats = total.repeats.saturating_add(earlier_failures);
@@ -227,8 +230,8 @@
         self.model.mark_ended(node_id, state);
     }
 
-    /// The first node that failed, else the first that was cancelled. Actors end as cancelled when their graph is done,
-    /// which is nothing bad.
+    /// The first failed node, otherwise the first cancelled one. Actors are excepted: they are cancelled when their
+    /// graph is done.
     fn first_unsuccessful(&self) -> Option<NodeIx> {
         let first_in = |state: NodeState| {
             let is_unsuccessful = |node_id: &NodeIx| {
@@ -244,7 +247,7 @@
         first_in(NodeState::Failed).or_else(|| first_in(NodeState::Cancelled))
     }
 
-    /// What follows from where its nodes stand. Returns the jobs that are to be cancelled.
+    /// Updates the phase from the states of the nodes. Returns the jobs to cancel.
     pub fn update_phase(&mut self) -> Vec<Seq> {
         let mut cancelled = Vec::new();
         if self.phase == Phase::Open {
@@ -270,7 +273,7 @@
         cancelled
     }
 
-    /// Its end is decided. Returns the jobs that are to be cancelled.
+    /// Starts to end the graph. Returns the jobs to cancel.
     pub fn stop(&mut self, why: EndReason) -> Vec<Seq> {
         if matches!(self.phase, Phase::Stopping(_) | Phase::Ending(_)) {
             return Vec::new();
@@ -306,7 +309,7 @@
         Some(FailedNode { node, failure: self.failures.get(&node_id).cloned() })
     }
 
-    /// Its final answer.
+    /// The final record.
     pub fn final_record(&self, why: &EndReason) -> OverRecord {
         let outcome = self.outcome(why);
         let failed = self.first_unsuccessful().filter(|_| outcome == Outcome::Failed);
@@ -322,8 +325,7 @@
         }
     }
 
-    /// How the nodes of a page ended.
-    /// How the nodes of a page ended. Why they failed is told as far as a value of so many bytes holds it.
+    /// The final states of a page's nodes, with as many failures as fit into a value of `value_bytes`.
     pub fn final_page(&self, page: u32, value_bytes: usize) -> OverPage {
         let page_nodes = || self.model.page_nodes(page).map(NodeIx);
         let row = |node_id: NodeIx| {
@@ -350,13 +352,13 @@
         }
     }
 
-    /// The task that made a node's result.
+    /// The id of the job that produced a node's result.
     fn producing_job(&self, node_id: NodeIx) -> Option<String> {
         let seq = self.model.node(node_id)?.job()?;
         Some(self.id.job(seq).to_string())
     }
 
-    /// What a job runs, from a task on.
+    /// The nodes that a job runs, from task `after` on.
     pub fn job_nodes(&self, seq: Seq, after: u32) -> Option<JobNodes> {
         let (part, _) = self.jobs.get(&seq)?;
         let (mut nodes, mut bytes, mut next) = (Vec::new(), 0, None);
@@ -394,7 +396,8 @@
         })
     }
 
-    /// How it is doing, as this leader has seen it. Positions of another leader's answers count from the beginning.
+    /// The view for clients. A position from another leader's answer restarts at the beginning, since the list of
+    /// changes is kept in memory.
     pub fn view(&self, token: Token, range: &Look) -> GraphView {
         let count = |state| self.model.count(state);
         let status = match self.phase {
@@ -405,7 +408,7 @@
         let from: usize = from.and_then(|(_, position)| position.parse().ok()).unwrap_or(0);
         let changes = &self.model.changes;
         let from = from.min(changes.len());
-        // The end of what was not told as final of a graph that is ending is told with its final answer.
+        // The final record reports the remaining changes of an ending graph.
         let awaits_final_record = matches!(self.phase, Phase::Ending(_));
         let max_nodes = if awaits_final_record { 0 } else { range.most };
         let to = changes.len().min(from.saturating_add(max_nodes));
--- a/crates/graph/src/loading.rs
+++ b/crates/graph/src/loading.rs
@@ -1,5 +1,5 @@
-//! What a new leader reads before it goes on with graphs: sessions, heads and pages, then how the jobs of each graph
-//! ended. It does so while it leads already; ordinary jobs do not wait for it.
+//! Loading of graphs by a new leader: sessions, heads and pages, then the final states of each graph's jobs. The leader
+//! is active meanwhile; ordinary jobs do not wait for it.
 
 use crate::desk::Desk;
 use crate::ids::{GraphId, Seq};
@@ -14,9 +14,10 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Where reading stands.
+/// Progress of loading.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LoadStage {
+    /// The number of sessions is next.
     Count,
     Sessions {
         after: String,
@@ -24,14 +25,14 @@
     Graphs {
         after: String,
     },
-    /// How jobs ended, in the order of their ids, from this one on.
+    /// Final states of jobs, in the order of their ids, after this one.
     Jobs {
         after: JobId,
     },
     Ready,
 }
 
-/// What is to be read next.
+/// The next read from the state service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Read {
     Key(String),
@@ -39,13 +40,13 @@
         prefix: String,
         after: String,
     },
-    /// Final states of jobs that graphs may have, after this id.
+    /// Final states of jobs of graphs, after this id.
     Ended {
         after: JobId,
     },
 }
 
-/// A final state of a job, as far as graphs need it.
+/// The final state of a graph's job.
 #[derive(Clone, Debug)]
 pub struct Ended {
     pub id: JobId,
@@ -54,7 +55,7 @@
     pub failure: Option<Arc<Failure>>,
 }
 
-/// An open job of a graph, with the tasks of it that are done for good.
+/// An open job of a graph, with its tasks that are durably done.
 #[derive(Clone, Debug)]
 pub struct OpenJob {
     pub seq: Seq,
@@ -62,16 +63,16 @@
     pub done: Vec<u32>,
 }
 
-/// The ids of all jobs of graphs begin so.
+/// Prefix of the ids of all jobs of graphs.
 pub const JOBS_PREFIX: &str = "req-9";
 
 impl Desk {
-    /// The one place where the stage changes.
+    /// Changes the stage; all stage changes go through here.
     fn enter(&mut self, stage: LoadStage) {
         self.stage = stage;
     }
 
-    /// What is to be read next; `None`: all has been.
+    /// The next read; `None` once loading is complete.
     pub fn next_read(&self) -> Option<Read> {
         match &self.stage {
             LoadStage::Count => Some(Read::Key(SESSION_COUNT.to_owned())),
@@ -86,13 +87,13 @@
         }
     }
 
-    /// The number of sessions was read, at this version.
+    /// Processes the number of sessions, of which only the key's version is needed.
     pub fn read_count(&mut self, version: Revision) {
         self.count_version = version;
         self.enter(LoadStage::Sessions { after: String::new() });
     }
 
-    /// A page of sessions, or of graphs, was read.
+    /// Processes a page of rows of sessions or of graphs.
     pub fn read_rows(&mut self, rows: Vec<Row>, more: bool, now: Now) {
         let last = rows.last().map(|row| row.key.clone()).filter(|_| more);
         match &self.stage {
@@ -117,7 +118,7 @@
     fn read_session(&mut self, row: Row, now: Mono) {
         let Some(name) = row.key.strip_prefix(SESSIONS) else { return };
         let read = serde_json::from_value::<SessionRecord>(row.value);
-        // What cannot be read belongs to nobody: it has ended.
+        // A session whose record cannot be decoded counts as ended.
         let record = read.unwrap_or_else(|_| SessionRecord {
             key: String::new(),
             owner: String::new(),
@@ -153,7 +154,7 @@
             }
             Some(GraphKey::Page(id, page)) => {
                 let Some(open_graph) = self.graphs.get_mut(&id) else {
-                    // Its graph is over.
+                    // The page is left over from a finished graph.
                     self.queue.push_page_delete(id, page);
                     return;
                 };
@@ -183,8 +184,8 @@
         }
     }
 
-    /// A page of final states was read, in the order of their ids: `last` is that of the last one, if there are more.
-    /// `open` tells of the jobs of a graph that are open.
+    /// Processes a page of final states in the order of their ids. `last` is the last id if more pages follow. `open`
+    /// returns the open jobs of a graph.
     pub fn read_ended(
         &mut self,
         ended: Vec<Ended>,
@@ -200,7 +201,7 @@
                 open_graph.finish_job(seq, &end, status, failure.as_ref());
             }
         }
-        // Graphs that the reading has passed are known whole.
+        // All final states of the graphs before the last id are known.
         let reached = last.as_ref().and_then(GraphId::of_job).map(|(graph, _)| graph);
         let unread = |open_graph: &&OpenGraph| open_graph.phase == Phase::Loading;
         let loading: Vec<GraphId> =
@@ -213,7 +214,7 @@
             self.activate_graph(id, open(id));
         }
         match (last, ahead.first()) {
-            // Others' jobs, of graphs that are over, are not read.
+            // Skips the jobs of finished graphs.
             (Some(last), Some(next)) => {
                 let after = id_before_jobs(*next);
                 self.enter(LoadStage::Jobs { after: after.max(last) });
@@ -224,7 +225,7 @@
 
     fn finish_loading(&mut self, now: Mono) {
         self.enter(LoadStage::Ready);
-        // Nobody could be heard until now.
+        // Heartbeats were refused until now.
         self.deaf_until(now);
         let ended = |(name, session): (&String, &Session)| {
             (session.phase == sessions::Phase::Ended).then(|| name.clone())
@@ -234,7 +235,7 @@
         }
     }
 
-    /// All that is durable of a graph is known: it goes on.
+    /// Opens a graph once all its durable state is loaded.
     fn activate_graph(&mut self, id: GraphId, open: Vec<OpenJob>) {
         let Some(open_graph) = self.graphs.get_mut(&id) else { return };
         for OpenJob { seq, part, done } in open {
@@ -258,10 +259,10 @@
     }
 }
 
-/// An id before all jobs of a graph and after those of the graphs before it.
+/// An id that sorts before all jobs of a graph and after those of the preceding graphs.
 fn id_before_jobs(id: GraphId) -> JobId {
     JobId::new(&format!("{JOBS_PREFIX}{}", id.digits()))
 }
 
-/// Graphs whose records cannot be read, and what is wrong with them.
+/// Graphs whose records cannot be decoded, with the error.
 pub(crate) type DamagedGraphs = BTreeMap<GraphId, String>;
--- a/crates/graph/src/model.rs
+++ b/crates/graph/src/model.rs
@@ -1,4 +1,4 @@
-//! A graph's nodes: what they need, where each stands, and which may start.
+//! The nodes of a graph: their dependencies, their states, and which of them are ready.
 
 use crate::answers::NodeStatus;
 use crate::constants::*;
@@ -10,20 +10,21 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hasher};
 
-/// Where a node stands.
+/// The state of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum NodeState {
-    /// Some input is not done.
+    /// At least one input is not done.
     Waiting,
+    /// All inputs are done; no job runs the node yet.
     Ready,
-    /// The job that is to run it is being written.
+    /// The record of the node's job is being written.
     Launching,
-    /// That job is accepted.
+    /// The node's job is accepted.
     Started,
     Done,
     Failed,
     Cancelled,
-    /// An input did not end as done.
+    /// An input ended without being done.
     Skipped,
 }
 
@@ -34,7 +35,7 @@
         self >= Self::Done
     }
 
-    /// Whether what needs it can never start.
+    /// Whether dependents of the node can never start.
     pub fn is_bad(self) -> bool {
         self >= Self::Failed
     }
@@ -51,43 +52,46 @@
     }
 }
 
+/// A node of a graph.
 #[derive(Debug)]
 pub struct Node {
     pub name: Box<str>,
     pub kind: u16,
     pub state: NodeState,
     pub shards: u32,
-    /// Inputs that are not done.
+    /// Number of inputs that are not done.
     unfinished_inputs: u32,
-    /// Number of its last job, plus one; 0: it had none.
+    /// Sequence number of its latest job plus one; 0 if it had none.
     job: u32,
-    /// How often it has failed in jobs that are over.
+    /// Number of failures in its ended jobs.
     pub failures: u16,
-    /// From its start to the end of what depends on it, in seconds, by what is known.
+    /// Longest remaining path from the node's start to the end of the graph, in seconds.
     pub path_s: f32,
 }
 
 impl Node {
+    /// The latest job that ran the node.
     pub fn job(&self) -> Option<Seq> {
         self.job.checked_sub(1).map(|seq| Seq(u64::from(seq)))
     }
 
-    /// As records have it: 0 for none.
+    /// The job as stored in records: sequence number plus one, 0 for none.
     pub fn job_number(&self) -> u64 {
         u64::from(self.job)
     }
 }
 
+/// A kind of nodes: their shared requirements.
 #[derive(Debug)]
 pub struct NodeKind {
     pub name: String,
     pub spec: KindSpec,
-    /// What its nodes' tasks were seen to take, in seconds.
+    /// Measured run time of a task of this kind, in seconds.
     pub measured_run_time_s: Option<f64>,
 }
 
 impl NodeKind {
-    /// Whether several nodes of it may go as the tasks of one array.
+    /// Whether several nodes of this kind may run as the tasks of one array.
     fn can_batch(&self, shards: u32) -> bool {
         shards == 1
             && self.spec.shape == NodeShape::Task
@@ -99,18 +103,18 @@
     }
 }
 
-/// Nodes that may go together, those whose remaining paths are longest first.
+/// Key of ready nodes that may run in one job. Groups with the longest remaining paths sort first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LaunchGroup {
-    /// Steps of the remaining path, below 0: the longest is the least.
+    /// Negated logarithm of the remaining path, so that the longest path sorts first.
     pub path_step: i32,
     pub kind: u16,
     pub failures: u16,
-    /// A node that goes by itself.
+    /// The node, if it cannot share a job with others.
     pub single_node: Option<NodeIx>,
 }
 
-/// Why an addition is refused: the status and one line.
+/// The HTTP status and error text of a rejected addition.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RejectedAddition(pub u16, pub String);
 
@@ -118,7 +122,7 @@
     Err(RejectedAddition(status, text.into()))
 }
 
-/// Why what stands in the state service is no graph.
+/// The reason why a stored page is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("page {page}: {text}")]
 pub struct DamagedPage {
@@ -126,7 +130,7 @@
     pub text: &'static str,
 }
 
-/// An addition that makes sense, as it is to be written.
+/// A validated addition in the form in which it is written.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PreparedAddition {
     pub pages: Vec<Page>,
@@ -134,52 +138,55 @@
     pub nodes: u32,
 }
 
-/// What bounds the records of an addition.
+/// Limits of the state service on the records of one addition.
 #[derive(Clone, Copy, Debug)]
 pub struct Room {
-    /// Bytes of a value.
+    /// Maximum bytes of a value.
     pub value: usize,
-    /// Values in one transaction.
+    /// Maximum number of values in one transaction.
     pub values: usize,
 }
 
 impl Room {
-    /// What of `most` fits, where that many fit a value of [`VALUE_BYTES`].
+    /// Scales a count that fits into a value of [`REFERENCE_VALUE_BYTES`] down to the actual value size.
     fn scale_by_value(&self, max_count: usize) -> usize {
         (max_count * self.value / REFERENCE_VALUE_BYTES).clamp(1, max_count)
     }
 
-    /// Nodes that go as one array.
+    /// Maximum number of nodes in one array.
     pub fn max_batch_nodes(&self) -> usize {
         self.scale_by_value(MAX_BATCH_NODE_COUNT)
     }
 
-    /// Runs of consecutive nodes in one array.
+    /// Maximum number of ranges of consecutive nodes in one array.
     pub fn max_batch_ranges(&self) -> usize {
         self.scale_by_value(MAX_BATCH_RANGE_COUNT)
     }
 }
 
+/// The nodes and kinds of one graph. It changes by whole pages and by state changes of nodes.
 #[derive(Debug, Default)]
 pub struct Model {
     pub kinds: Vec<NodeKind>,
     kind_names: BTreeMap<String, u16>,
     nodes: DiGraph<Node, (), u32>,
-    /// Nodes by the hash of their names. Two names with one hash are taken for the same: the second is refused.
+    /// Nodes by the hash of their names. Of two names with the same hash, the second is rejected as a duplicate.
     nodes_by_name: BTreeMap<u64, NodeIx>,
-    /// Additions by the hash of their names, and what they asked.
+    /// Digests of the additions by the hash of their names.
     addition_digests: BTreeMap<u64, u64>,
+    /// Whether no more nodes may be added.
     pub sealed: bool,
-    /// Bytes of its pages.
+    /// Total bytes of the stored pages.
     pub bytes: u64,
     pages: u32,
-    /// First node of each page.
+    /// The first node of each page.
     page_starts: Vec<NodeIx>,
+    /// Number of nodes in each state.
     counts: [u32; NodeState::ALL],
-    /// Nodes that are no actors and have not ended.
+    /// Number of nodes that are not actors and have not ended.
     pub unfinished_work_count: u32,
     ready_groups: BTreeMap<LaunchGroup, BTreeSet<NodeIx>>,
-    /// Every change of what clients see of a node, in order.
+    /// Nodes in the order in which their status visible to clients changed; a node may occur several times.
     pub changes: Vec<NodeIx>,
 }
 
@@ -225,7 +232,7 @@
         self.counts[state as usize]
     }
 
-    /// What an addition of this name asked, if there was one.
+    /// The digest of the addition with this name, if there was one.
     pub fn addition(&self, name: &str) -> Option<u64> {
         self.addition_digests.get(&hash_name(name)).copied()
     }
@@ -239,20 +246,20 @@
         self.nodes.neighbors_directed(vertex, direction).map(|n| NodeIx(n.index() as u32))
     }
 
-    /// What needs a node.
+    /// The nodes that depend on a node.
     pub fn dependents(&self, node_id: NodeIx) -> impl Iterator<Item = NodeIx> + '_ {
         self.neighbours(node_id, Direction::Outgoing)
     }
 
-    /// What a node needs.
+    /// The inputs of a node.
     pub fn needs(&self, node_id: NodeIx) -> impl Iterator<Item = NodeIx> + '_ {
         self.neighbours(node_id, Direction::Incoming)
     }
 
-    /// Checks an addition against the graph as it is, and lays it out for the state service. Nothing changes.
+    /// Validates an addition against the graph, and splits it into pages for the state service. The graph stays unchanged.
     ///
     /// # Errors
-    /// What cannot be added and why; then nothing of it is.
+    /// The first node or kind that cannot be added, and why.
     pub fn prepare(
         &self,
         add: &AddNodes,
@@ -317,7 +324,7 @@
                 }
             }
         }
-        // Numbers rise along every edge, so that the order of the records is one in which nodes can start.
+        // Node numbers increase along every edge, so that each record comes after those of its inputs.
         let order = petgraph::algo::toposort(&addition, None).or_else(|cycle| {
             let name = &add.nodes[addition[cycle.node_id()]].name;
             rejected(422, format!("node {name} needs itself, by way of others"))
@@ -345,10 +352,10 @@
         split_into_pages(add, digest, room, NodeIx(first), kinds, rows)
     }
 
-    /// Takes up a page, new or from the state service.
+    /// Applies a page, either a new one or one read from the state service.
     ///
     /// # Errors
-    /// What in it cannot be; nothing of it is taken up then.
+    /// What is invalid in the page; it is not applied then.
     pub fn apply(&mut self, page: &Page, bytes: usize) -> Result<(), DamagedPage> {
         let number = self.pages;
         let reject = |text| Err(DamagedPage { page: number, text });
@@ -430,7 +437,7 @@
         LaunchGroup { path_step, kind: node.kind, failures: node.failures, single_node }
     }
 
-    /// The one place where a node's state changes. What depends on it follows.
+    /// Changes a node's state and propagates the change to its dependents. All state changes go through here.
     fn set_state(&mut self, node_id: NodeIx, state: NodeState) {
         let mut changes = vec![(node_id, state)];
         while let Some((node_id, state)) = changes.pop() {
@@ -472,14 +479,14 @@
         }
     }
 
-    /// The group that goes next, and its nodes in order.
+    /// The group with the longest remaining path, and its nodes in order.
     pub fn next_group(&self) -> Option<(LaunchGroup, impl Iterator<Item = NodeIx> + '_)> {
         let (group, nodes) = self.ready_groups.first_key_value()?;
         Some((*group, nodes.iter().copied()))
     }
 
-    /// The same with the order of groups left out: the node that was added first goes first. What the measurement
-    /// holds the longest paths against.
+    /// The group of the ready node that was added first, and its nodes in order. Benchmarks compare this order with the
+    /// order by longest path.
     pub fn next_group_by_insertion(
         &self,
     ) -> Option<(LaunchGroup, impl Iterator<Item = NodeIx> + '_)> {
@@ -492,12 +499,12 @@
         !self.ready_groups.is_empty()
     }
 
-    /// A job that is to run these nodes is being written.
+    /// Marks nodes whose job is being written.
     pub fn mark_launching(&mut self, nodes: impl IntoIterator<Item = NodeIx>) {
         nodes.into_iter().for_each(|node_id| self.set_state(node_id, NodeState::Launching));
     }
 
-    /// A job that runs a node is accepted.
+    /// Marks a node whose job is accepted.
     pub fn mark_started(&mut self, node_id: NodeIx, seq: Seq) {
         let Some(node) = self.nodes.node_weight_mut(NodeIndex::new(node_id.0 as usize)) else {
             return;
@@ -506,13 +513,13 @@
         self.set_state(node_id, NodeState::Started);
     }
 
-    /// A node has ended for good.
+    /// Sets the final state of a node.
     pub fn mark_ended(&mut self, node_id: NodeIx, state: NodeState) {
         self.set_state(node_id, state);
     }
 
-    /// A job is over that ran a node without ending it: it goes again, with what stands against it. An older job than
-    /// its last says only what stands against it.
+    /// Makes a node ready again after its job ended without a final state for it, and adds the job's failures. If the
+    /// job is older than the node's latest one, only the failures are added.
     pub fn requeue(&mut self, node_id: NodeIx, seq: Seq, failures: u32) {
         let Some(node) = self.nodes.node_weight_mut(NodeIndex::new(node_id.0 as usize)) else {
             return;
@@ -521,7 +528,7 @@
         let failures = u16::try_from(failures).unwrap_or(u16::MAX);
         let state = node.state;
         if state == NodeState::Ready {
-            // Its group is told by its failures.
+            // The failures are part of the group key, so the node leaves its group first.
             self.set_state(node_id, NodeState::Waiting);
         }
         let node = &mut self.nodes[NodeIndex::new(node_id.0 as usize)];
@@ -531,7 +538,7 @@
         }
     }
 
-    /// What has not ended when its graph does.
+    /// Ends all unfinished nodes when the graph ends: as skipped after an unsuccessful input, otherwise as cancelled.
     pub fn end_unfinished(&mut self) {
         for node_id in 0..self.len() {
             let node_id = NodeIx(node_id);
@@ -542,7 +549,7 @@
         }
     }
 
-    /// Works out all remaining paths anew; `seconds` says what a node takes.
+    /// Recomputes all remaining paths and returns the longest, in seconds. `seconds` gives the run time of a kind.
     pub fn weigh(&mut self, seconds: impl Fn(&NodeKind) -> f64) -> f64 {
         let kind_seconds: Vec<f64> = self.kinds.iter().map(seconds).collect();
         let mut longest = 0.0f64;
@@ -564,7 +571,7 @@
                 self.nodes[NodeIndex::new(node_id.0 as usize)].path_s = path_s as f32;
             }
         }
-        // Their places among those that may start are told by their paths.
+        // The path is part of the group key, so ready nodes leave their group first.
         for (node_id, path_s) in ready_paths {
             self.set_state(node_id, NodeState::Waiting);
             self.nodes[NodeIndex::new(node_id.0 as usize)].path_s = path_s as f32;
@@ -574,7 +581,7 @@
     }
 }
 
-/// Splits an addition into values that the state service takes.
+/// Splits an addition into pages that fit into values of the state service.
 fn split_into_pages(
     add: &AddNodes,
     digest: u64,
@@ -607,7 +614,7 @@
         pages.last_mut().into_iter().for_each(|page| page.kinds.push(kind.clone()));
     }
     for row in rows {
-        // How it ended is kept in a page like this one.
+        // The final page for these nodes must fit into one value as well.
         let final_bytes = row.0.len() + FINAL_ROW_BYTES;
         reserve_bytes(&mut pages, json_bytes(serde_json::to_string(&row)).max(final_bytes), next)?;
         next += 1;
@@ -675,12 +682,12 @@
         assert!(!model.has_ready_nodes());
         model.mark_ended(b, NodeState::Done);
         assert_eq!(model.next_group().unwrap().1.collect::<Vec<_>>(), [c]);
-        // A graph grows under a result that exists.
+        // A new node whose input is done already is ready at once.
         add(&mut model, &addition("2", &[("d", "k", &["a"])])).unwrap();
         assert_eq!(model.count(NodeState::Ready), 2);
     }
 
-    /// What is wrong with an addition is said, and nothing of it is added.
+    /// Guards against additions that are applied in part: the error names the node, and nothing is added.
     #[test]
     fn bad_additions_are_refused_whole() {
         let mut model = Model::default();
@@ -728,7 +735,7 @@
         assert_eq!(model.unfinished_work_count, 0);
     }
 
-    /// The longest remaining path goes first; paths that are alike go together.
+    /// The longest remaining path starts first; nodes with similar paths run in one job.
     #[test]
     fn the_longest_path_goes_first() {
         let mut model = Model::default();
@@ -748,7 +755,7 @@
         assert!(both.contains(&s) && both.contains(&w));
     }
 
-    /// A node that goes again carries its failures, also where an older job says so late.
+    /// A node that runs again keeps its failures, also when the end of an older job arrives late.
     #[test]
     fn failures_are_carried_from_job_to_job() {
         let mut model = Model::default();
--- a/crates/graph/src/paths.rs
+++ b/crates/graph/src/paths.rs
@@ -1,23 +1,24 @@
-//! When nodes are due: from the graph's due time and the longest path that remains after them, so that the control
-//! loop and placement see graph work as any other.
+//! Due times of nodes, from the graph's due time and the longest path that remains after each node. The control loop and
+//! placement then treat jobs of graphs like any others.
 
 use crate::constants::*;
 use crate::model::{Node, NodeKind};
 use oatloom_protocol::ids::{Millis, Mono};
 
-/// What a node of a kind takes, in seconds: what was seen of it, else its estimate as far as its class is misjudged.
+/// Expected run time of a node of a kind, in seconds: the measured one, otherwise the estimate corrected by the bias of
+/// its class.
 pub fn seconds(kind: &NodeKind, bias: f64) -> f64 {
     let estimate =
         if kind.spec.expect_s > 0.0 { kind.spec.expect_s * bias } else { DEFAULT_RUN_TIME_S };
     match kind.measured_run_time_s {
-        // It ends with the others.
+        // An actor ends with the rest of the graph.
         _ if kind.is_actor() => 0.0,
         Some(learnt) => learnt,
         None => estimate,
     }
 }
 
-/// When a graph is due: as its client said, else so long from now that its longest path fits half as often again.
+/// Due time of a graph: the client's, otherwise far enough ahead for one and a half times the longest path.
 pub fn graph_due(created: Mono, due_s: Option<f64>, path_s: f64, now: Mono) -> Mono {
     match due_s {
         Some(due_s) => created.plus(Millis::from_secs(due_s)),
@@ -25,7 +26,7 @@
     }
 }
 
-/// How long a node has from now until it is due, in seconds.
+/// Time from now until a node is due, in seconds.
 pub fn node_due_s(due: Mono, node: &Node, node_run_time_s: f64, now: Mono) -> f64 {
     let after_s = (f64::from(node.path_s) - node_run_time_s).max(0.0);
     let left_s = (due.0 as f64 - now.0 as f64) / 1000.0;
@@ -38,7 +39,7 @@
     use crate::model::Model;
     use crate::model::tests::{add, addition};
 
-    /// A chain's nodes are due one after the other, each as long before the graph as the rest of the chain takes.
+    /// Each node of a chain is due before the graph by the run time of the rest of the chain.
     #[test]
     fn a_chain_is_due_step_by_step() {
         let mut model = Model::default();
--- a/crates/graph/src/records.rs
+++ b/crates/graph/src/records.rs
@@ -1,5 +1,5 @@
-//! What stands in the state service, under which key, and in what form. What a node's job is, and how it ended, stands
-//! in the records of that job alone: nothing of a graph is written when a node starts or ends.
+//! Keys and values of graphs and sessions in the state service. Which job runs a node and how it ended is stored only in
+//! the records of that job, so that no graph record is written when a node starts or ends.
 
 use crate::ids::{GraphId, NodeIx};
 use crate::requests::{KindSpec, OnFailure};
@@ -8,43 +8,49 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Graphs that are not over: `graph/{id}` is the head, `graph/{id}/{page}` the nodes in the order they came.
+/// Prefix of open graphs: `graph/{id}` is the head, `graph/{id}/{page}` a page of nodes in the order of addition.
 pub const GRAPHS: &str = "graph/";
-/// Graphs that are over: `gover/{id}` is the answer, `gover/{id}/{page}` how the nodes of a page ended.
+/// Prefix of finished graphs: `gover/{id}` is the final record, `gover/{id}/{page}` the final states of a page's nodes.
 pub const OVER: &str = "gover/";
+/// Prefix of session records.
 pub const SESSIONS: &str = "session/";
-/// Number of sessions. Written with each session that comes or goes, so that a late copy of an older write, which
-/// asks for an older version of it, cannot bring a session back.
+/// Key of the number of sessions. Every transaction that creates or deletes a session writes it, so that a late copy of
+/// an older write fails on its version and cannot restore a deleted session.
 pub const SESSION_COUNT: &str = "sessions";
 
+/// Key of a graph's head record.
 pub fn head_key(id: GraphId) -> String {
     format!("{GRAPHS}{}", id.digits())
 }
 
+/// Key of a page of an open graph.
 pub fn page_key(id: GraphId, page: u32) -> String {
     format!("{GRAPHS}{}/{page:05}", id.digits())
 }
 
+/// Key of a finished graph's final record.
 pub fn over_key(id: GraphId) -> String {
     format!("{OVER}{}", id.digits())
 }
 
+/// Key of a final page of a finished graph.
 pub fn over_page_key(id: GraphId, page: u32) -> String {
     format!("{OVER}{}/{page:05}", id.digits())
 }
 
+/// Key of a session's record.
 pub fn session_key(session: &str) -> String {
     format!("{SESSIONS}{session}")
 }
 
-/// A key of a graph that is not over.
+/// A parsed key of an open graph.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GraphKey {
     Head(GraphId),
     Page(GraphId, u32),
 }
 
-/// Reads a key under `graph/`.
+/// Parses a key under `graph/`.
 pub fn parse_key(key: &str) -> Option<GraphKey> {
     let rest = key.strip_prefix(GRAPHS)?;
     match rest.split_once('/') {
@@ -53,25 +59,27 @@
     }
 }
 
+/// The record of a session.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SessionRecord {
-    /// Hash of its key.
+    /// Hash of the session's key.
     #[serde(rename = "k")]
     pub key: String,
     #[serde(rename = "o")]
     pub owner: String,
     #[serde(rename = "t")]
     pub ttl_ms: u64,
-    /// It has ended; the record goes when nothing of it is left.
+    /// The session has ended; the record is deleted once its last graph has finished.
     #[serde(rename = "x", default, skip_serializing_if = "std::ops::Not::not")]
     pub ended: bool,
 }
 
+/// The head record of an open graph.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Head {
     #[serde(rename = "s")]
     pub session: String,
-    /// Hash of the key that its session was opened with.
+    /// Hash of the key of its session.
     #[serde(rename = "k")]
     pub key: String,
     #[serde(rename = "o")]
@@ -86,47 +94,49 @@
     pub on_failure: OnFailure,
     #[serde(rename = "l", default, skip_serializing_if = "std::ops::Not::not")]
     pub detached: bool,
-    /// Time of day at its beginning, in milliseconds.
+    /// Time of day of its creation, in milliseconds.
     #[serde(rename = "w")]
     pub wall_ms: u64,
-    /// Its user has cancelled it.
+    /// The client has cancelled the graph.
     #[serde(rename = "x", default, skip_serializing_if = "std::ops::Not::not")]
     pub cancelled: bool,
 }
 
-/// Nodes as they stand in a page: name, kind, shards, and the nodes that it needs.
+/// A node in a page: name, kind number, shards and inputs.
 pub type NodeRow = (String, u16, u32, Vec<NodeIx>);
 
+/// A page of an open graph: part of one addition.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Page {
-    /// The addition, and the hash of what it asked.
+    /// Name of the addition.
     #[serde(rename = "q")]
     pub addition: String,
+    /// Digest of the addition's content.
     #[serde(rename = "h")]
     pub digest: u64,
-    /// Kinds that came with it, numbered on from those before.
+    /// New kinds, numbered after those of earlier pages.
     #[serde(rename = "k", default, skip_serializing_if = "Vec::is_empty")]
     pub kinds: Vec<(String, KindSpec)>,
-    /// Number of the first of its nodes.
+    /// The first node of the page.
     #[serde(rename = "b")]
     pub first: NodeIx,
     #[serde(rename = "n", default, skip_serializing_if = "Vec::is_empty")]
     pub nodes: Vec<NodeRow>,
-    /// Nothing comes after it.
+    /// The graph is sealed: no page follows.
     #[serde(rename = "z", default, skip_serializing_if = "std::ops::Not::not")]
     pub sealed: bool,
 }
 
-/// What of a graph a job runs; stands in the job's own record.
+/// The part of a graph that a job runs; stored in the job's own record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Part {
-    /// Its tasks are these nodes, one each; or the shards of a single node.
+    /// The nodes, one per task; a single node has its shards as tasks.
     #[serde(rename = "n")]
     pub nodes: Runs,
-    /// How often each of its tasks may be repeated, where that is limited.
+    /// Maximum retries of each task, if limited.
     #[serde(rename = "r", default, skip_serializing_if = "Option::is_none")]
     pub repeats: Option<u32>,
-    /// Its tasks are to be on unlike machines: `true` if they must be.
+    /// Whether tasks spread over different machines: `true` if they must, `false` if they should, `None` without preference.
     #[serde(rename = "a", default, skip_serializing_if = "Option::is_none")]
     pub apart: Option<bool>,
 }
@@ -137,26 +147,26 @@
         self.nodes.len() > 1
     }
 
-    /// The node that a task belongs to.
+    /// The node to which a task belongs.
     pub fn node(&self, task: u32) -> Option<NodeIx> {
         self.nodes.get(if self.batch() { task as usize } else { 0 })
     }
 }
 
-/// How a job that ran nodes ended, beyond what its state says.
+/// The end of a job that ran nodes, in addition to the job's final status.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartEnd {
     #[serde(rename = "n")]
     pub nodes: Runs,
-    /// Of an array of nodes that did not end as done: those of its tasks that did.
+    /// The done tasks of an array that as a whole is not done.
     #[serde(rename = "d", default, skip_serializing_if = "Vec::is_empty")]
     pub done: Vec<u32>,
-    /// Of the same: tasks that are not done, and how often each has failed.
+    /// The other tasks of such an array, each with its number of failures.
     #[serde(rename = "c", default, skip_serializing_if = "Vec::is_empty")]
     pub charged: Vec<(u32, u32)>,
 }
 
-/// How a graph ended.
+/// The final status of a graph.
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
@@ -166,7 +176,7 @@
     Cancelled,
 }
 
-/// The final answer of a graph.
+/// The final record of a graph.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OverRecord {
     #[serde(rename = "s")]
@@ -175,19 +185,21 @@
     pub key: String,
     #[serde(rename = "n")]
     pub nodes: u32,
-    /// Done, failed, cancelled and skipped.
+    /// Numbers of done, failed, cancelled and skipped nodes.
     #[serde(rename = "c")]
     pub counts: [u32; 4],
+    /// Number of final pages.
     #[serde(rename = "p")]
     pub pages: u32,
     /// The first node that failed.
     #[serde(rename = "f", default, skip_serializing_if = "Option::is_none")]
     pub failed: Option<FailedNode>,
+    /// The reason why it was cancelled; empty if it was not.
     #[serde(rename = "w", default, skip_serializing_if = "String::is_empty")]
     pub why: String,
 }
 
-/// A node that failed for good, and why.
+/// A failed node, with the cause if it is known.
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FailedNode {
@@ -196,12 +208,13 @@
     pub failure: Option<Arc<Failure>>,
 }
 
-/// How the nodes of a page ended: name, number of its job (0: it had none), state.
+/// The final states of a page's nodes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OverPage {
+    /// Name, sequence number of the latest job plus one (0 if it had none), and status letter.
     #[serde(rename = "n")]
     pub nodes: Vec<(String, u64, char)>,
-    /// Why those failed that did.
+    /// Causes of the failed nodes, as far as they fit into a value.
     #[serde(rename = "f", default, skip_serializing_if = "Vec::is_empty")]
     pub failures: Vec<FailedNode>,
 }
@@ -220,7 +233,7 @@
         assert!(head_key(id) < page_key(id, 0) && page_key(id, 99_999) < "graph/0000000008".into());
     }
 
-    /// Whatever stands in a record, reading it ends.
+    /// A task that the stored record does not contain has no node.
     #[test]
     fn parts_say_which_node_a_task_is() {
         let part: Part = serde_json::from_str(r#"{"n":[[4,3]]}"#).unwrap();
--- a/crates/graph/src/runs.rs
+++ b/crates/graph/src/runs.rs
@@ -1,15 +1,15 @@
-//! Lists of nodes in short form: runs of consecutive ones.
+//! Compact lists of nodes: ranges of consecutive ones.
 
 use crate::ids::NodeIx;
 use serde::{Deserialize, Serialize};
 
-/// Nodes in ascending order, as pairs of the first of a run and its length.
+/// Nodes in ascending order, as pairs of the first node of a range and the range's length.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Runs(Vec<(u32, u32)>);
 
 impl Runs {
-    /// Takes nodes in ascending order, as far as `most` runs hold them; how many that were.
+    /// Encodes nodes in ascending order into at most `max_count` ranges. Returns the number of nodes taken as well.
     pub fn of(nodes: &[NodeIx], max_count: usize) -> (Self, usize) {
         let mut runs: Vec<(u32, u32)> = Vec::new();
         for (taken, node) in nodes.iter().enumerate() {
@@ -23,7 +23,7 @@
         (Self(runs), nodes.len())
     }
 
-    /// How many nodes there are; a record from outside may say anything.
+    /// The number of nodes; saturates, since a damaged record may contain any numbers.
     pub fn len(&self) -> usize {
         self.0.iter().fold(0usize, |sum, (_, length)| sum.saturating_add(*length as usize))
     }
@@ -32,7 +32,7 @@
         self.len() == 0
     }
 
-    /// The node at a place in the list.
+    /// The node at a position of the list.
     pub fn get(&self, place: usize) -> Option<NodeIx> {
         let mut left = u32::try_from(place).ok()?;
         for (first, length) in &self.0 {
@@ -44,7 +44,7 @@
         None
     }
 
-    /// All nodes, the first `most` of them.
+    /// The nodes, at most `max_count` of them.
     pub fn iter(&self, max_count: usize) -> impl Iterator<Item = NodeIx> + '_ {
         let each = |(first, length): &(u32, u32)| {
             let first = *first;
--- a/crates/graph/src/sessions.rs
+++ b/crates/graph/src/sessions.rs
@@ -1,31 +1,32 @@
-//! Sessions of clients: what is not detached lives as long as its session is heard of.
+//! Client sessions. Graphs that are not detached end when their session closes or misses its heartbeats.
 
 use crate::records::SessionRecord;
 use oatloom_protocol::ids::{Millis, Mono, Revision};
 use sha2::{Digest, Sha256};
 
-/// Where a session stands.
+/// The lifecycle phase of a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Its record is being written for the first time.
+    /// The record is being written for the first time.
     Opening,
     Open,
-    /// That it has ended is being written.
+    /// The end is being written.
     Closing,
-    /// That is durable: what is its own is being stopped.
+    /// The end is durable; the session's graphs are being stopped.
     Ended,
 }
 
+/// A session of a client.
 #[derive(Debug)]
 pub struct Session {
     pub record: SessionRecord,
     pub version: Revision,
     pub phase: Phase,
-    /// When its client was last heard of, or when this leader began to listen.
+    /// Time of the last heartbeat, or when this leader began to accept heartbeats.
     pub last_heartbeat: Mono,
-    /// Graphs that end with it and are not over.
+    /// Number of its open graphs that are not detached.
     pub open_graphs: u32,
-    /// Who waits for its record.
+    /// Requests that wait for the write of the record.
     pub tickets: Vec<u64>,
 }
 
@@ -39,17 +40,18 @@
         Self { record, version, phase, last_heartbeat: now, open_graphs: 0, tickets: Vec::new() }
     }
 
-    /// The one place where the phase changes.
+    /// Changes the phase; all phase changes go through here.
     pub fn enter(&mut self, phase: Phase) {
         self.phase = phase;
         self.record.ended = matches!(phase, Phase::Closing | Phase::Ended);
     }
 
-    /// Whether its client has been silent for too long.
+    /// Whether the time to live has passed since the last heartbeat.
     pub fn has_expired(&self, now: Mono) -> bool {
         self.phase == Phase::Open && now.since(self.last_heartbeat) > Millis(self.record.ttl_ms)
     }
 
+    /// Whether the session was opened with this key.
     pub fn has_key(&self, key: &str) -> bool {
         self.record.key == hash_key(key)
     }
@@ -59,12 +61,12 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// What is kept of a key.
+/// The stored form of a key: its SHA-256 hash in hexadecimal.
 pub fn hash_key(key: &str) -> String {
     hex(&Sha256::digest(key.as_bytes()))
 }
 
-/// What tells one request from another of the same name, over restarts and versions.
+/// Digest of a request's content, stable across restarts and versions.
 pub fn digest(request: &impl serde::Serialize) -> u64 {
     let text = serde_json::to_vec(request).unwrap_or_default();
     let hash = Sha256::digest(&text);
--- a/crates/graph/src/writing.rs
+++ b/crates/graph/src/writing.rs
@@ -1,5 +1,5 @@
-//! What of graphs and sessions is written, in which order, and what a transaction has made durable. Everything is
-//! fenced by the leader's key, and asks for versions such that a late copy of an older write finds them changed.
+//! The write queue of graphs and sessions, their transactions, and the consequences of committed writes. Every
+//! transaction is fenced by the leader's key. Its conditions on versions make a late copy of an older write fail.
 
 use crate::constants::*;
 use crate::desk::{Desk, Effect, Launch};
@@ -17,43 +17,46 @@
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Something that is written as one.
+/// A unit of writing: all its changes go into the same transaction. Items are ordered by variant, then by key.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Item {
+    /// The record of a session.
     Session(String),
+    /// The head record of a graph.
     Head(GraphId),
     /// All pages of an addition.
     Addition(GraphId),
-    /// A job for nodes.
+    /// The live record of a job that runs nodes.
     Launch(GraphId, Seq),
-    /// How the nodes of a page ended.
+    /// The final states of a page's nodes.
     EndPage(GraphId, u32),
-    /// The final answer.
+    /// The final record, which replaces the head.
     End(GraphId),
-    /// A page of a graph that is over goes.
+    /// The deletion of a finished graph's page.
     Sweep(GraphId, u32),
 }
 
-/// What a transaction in flight will have made durable.
+/// An item of a transaction in flight, as needed to process the transaction's outcome.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Wrote {
     pub item: Item,
-    /// The phase of a session when it was written.
+    /// For a session: its phase when the transaction was built.
     session: Option<sessions::Phase>,
 }
 
-/// How the record of a job is written: its key, that of its final state, and the value. The rest of the leader knows.
+/// Encodes a job's record: live key, final key and value. The job table owns this format.
 pub type JobRecordEncoder<'a> = &'a dyn Fn(&Launch) -> (String, String, Value);
 
+/// The queue of items to write. Every item is queued at most once.
 #[derive(Debug, Default)]
 pub(crate) struct GraphWriteQueue {
-    /// What somebody waits for.
+    /// Items that a client's request waits for.
     urgent: VecDeque<Item>,
     later: VecDeque<Item>,
     queued: BTreeSet<Item>,
-    /// Jobs that are not known to be accepted yet.
+    /// Jobs whose acceptance is not confirmed yet.
     launches: BTreeMap<(GraphId, Seq), Launch>,
-    /// Those of them that are to be written again.
+    /// Jobs among them that must be written again.
     retry: VecDeque<(GraphId, Seq)>,
 }
 
@@ -81,7 +84,7 @@
         self.push(Item::Addition(id), true);
     }
 
-    /// The next page of a graph's end, or the end itself.
+    /// Queues a graph's next final page, or its final record after the last page.
     pub fn push_final(&mut self, id: GraphId) {
         self.push(Item::End(id), false);
     }
@@ -97,7 +100,7 @@
         Some(item)
     }
 
-    /// Puts an item back to where it came from, before the others.
+    /// Puts an item back at the front of its queue.
     fn put_back(&mut self, item: Item) {
         let urgent = matches!(item, Item::Session(_) | Item::Head(_) | Item::Addition(_));
         if let Item::Launch(graph, seq) = item {
@@ -109,19 +112,20 @@
     }
 }
 
+/// The condition that a key is still at this version.
 fn unchanged(key: String, version: Revision) -> Condition {
     Condition { key, version }
 }
 
 impl Desk {
-    /// Whether there is anything to write.
+    /// Whether a transaction can be built: an item is queued, or a job can be launched.
     pub fn has_writes(&self) -> bool {
         self.ready()
             && (self.queue.len() > 0
                 || !self.launchable.is_empty() && self.open_jobs < MAX_OPEN_JOB_COUNT)
     }
 
-    /// The next fenced transaction, within the limits of the service.
+    /// Builds the next fenced transaction of at most `ops` changes, within the limits of the service.
     pub fn next_txn(
         &mut self,
         fence: Condition,
@@ -147,7 +151,7 @@
             let added = txn.changes[before.1..].iter().map(change_bytes).sum::<usize>();
             let exceeds_limits =
                 txn.changes.len() > ops || !written.is_empty() && bytes + added > MAX_TXN_BYTES;
-            // One session at a time, since all of them write the same count.
+            // One session per transaction, since every session writes the same count.
             let second_session = matches!(item, Item::Session(_))
                 && written.iter().any(|w| matches!(w.item, Item::Session(_)));
             if has_changes && (exceeds_limits || second_session) {
@@ -181,7 +185,7 @@
             return Some(Item::Launch(key.0, key.1));
         }
         match self.queue.pop(false)? {
-            // Its pages first, one after the other.
+            // The final pages come first, one at a time.
             Item::End(id) => {
                 let open_graph = self.graphs.get(&id)?;
                 let page = open_graph.durable_final_pages;
@@ -192,7 +196,7 @@
         }
     }
 
-    /// Puts an item into a transaction; whether there was anything to write.
+    /// Adds an item's conditions and changes to a transaction. Returns false if the item needs no write any more.
     fn write(&mut self, item: &Item, txn: &mut Txn, encode_job: JobRecordEncoder) -> bool {
         let zero = Revision(0);
         let put = |key: String, value: Value| Change::put(key, value);
@@ -277,7 +281,7 @@
         true
     }
 
-    /// A transaction was applied at `revision`.
+    /// Processes a transaction that was committed at `revision`.
     pub fn committed(&mut self, written: &[Wrote], revision: Revision) {
         for Wrote { item, session } in written {
             match item {
@@ -337,7 +341,7 @@
         let status = if open_graph.phase == Phase::Creating { 201 } else { 200 };
         if open_graph.phase == Phase::Creating {
             open_graph.enter(Phase::Open);
-            // Its session may have ended meanwhile.
+            // The session may have ended during the write.
             let session = self.sessions.get(&open_graph.head.session).map(|session| session.phase);
             let session_ended = session.is_none_or(|phase| phase == sessions::Phase::Ended);
             if session_ended && !open_graph.head.detached {
@@ -357,7 +361,7 @@
         let Some(pending_addition) = open_graph.pending_addition.take() else { return };
         let mut bytes = pending_addition.prepared.bytes;
         for page in &pending_addition.prepared.pages {
-            // It was made for this graph as it is.
+            // Fails only if the model changed since the addition was prepared.
             if open_graph.model.apply(page, std::mem::take(&mut bytes)).is_err() {
                 return self.stop(id, EndReason::Damaged("an addition does not fit".into()));
             }
@@ -372,7 +376,7 @@
     fn launch_committed(&mut self, id: GraphId, seq: Seq, revision: Revision) {
         let Some(launch) = self.queue.launches.remove(&(id, seq)) else { return };
         let Some(open_graph) = self.graphs.get_mut(&id) else { return };
-        // It may be over already, where its acceptance was learnt late.
+        // The job may have ended already if the outcome of the write was unknown for a while.
         let Some((part, _)) = open_graph.jobs.get(&seq).cloned() else { return };
         let cancelled = open_graph.job_open(seq, &part, &[]);
         self.effects.push(Effect::Admit(Box::new(launch), revision));
@@ -390,18 +394,18 @@
         (0..open_graph.model.page_count()).for_each(|page| self.queue.push_page_delete(id, page));
     }
 
-    /// A transaction was refused, and certainly not applied: its items are to be written again.
+    /// Queues the items of a transaction again that was refused and certainly not applied.
     pub fn refused(&mut self, written: Vec<Wrote>) {
         written.into_iter().rev().for_each(|write| self.queue.put_back(write.item));
     }
 
-    /// An item that was refused alone is to be tried again, before others.
+    /// Queues an item again, at the front, after the service refused it on its own.
     pub fn retry(&mut self, item: Item) {
         self.queue.put_back(item);
     }
 
-    /// Keys whose reading settles an item whose fate is unknown; none: it is written again as it is. `live` and `over`:
-    /// where a job stands.
+    /// The keys to read to determine whether an item with an unknown outcome was written. If there are none, the item is
+    /// written again unchanged. `live_key` and `final_key` give the keys of a job's records.
     pub fn keys_of(
         &self,
         written: &Wrote,
@@ -424,8 +428,8 @@
         }
     }
 
-    /// What stands under the keys of an item whose fate was unknown. `nodes`: which nodes a job's record, or its final
-    /// state, says it runs.
+    /// Processes the rows read for an item with an unknown outcome. `nodes` extracts the nodes from a job's live or
+    /// final record.
     pub fn resolved(
         &mut self,
         written: Wrote,
@@ -485,13 +489,13 @@
                 (Some(live_row), _) if self.is_same_launch(*id, *seq, nodes(&live_row.value)) => {
                     self.launch_committed(*id, *seq, live_row.version)
                 }
-                // It was accepted and has ended: that was told, or will be.
+                // The job was accepted and has ended; its end is reported separately.
                 (_, Some(final_row)) if self.is_same_launch(*id, *seq, nodes(&final_row.value)) => {
                     self.queue.launches.remove(&(*id, *seq));
                 }
                 (None, None) => self.queue.put_back(written.item),
                 _ => {
-                    // A user's job had this id before graphs were served here.
+                    // A user's job took this id before graphs were enabled in this region.
                     self.queue.launches.remove(&(*id, *seq));
                     if let Some(open_graph) = self.graphs.get_mut(id) {
                         open_graph.requeue_job(*seq);
@@ -505,13 +509,13 @@
         }
     }
 
-    /// Whether what was found is the job that was to be written.
+    /// Whether a found record belongs to the launched job.
     fn is_same_launch(&self, id: GraphId, seq: Seq, nodes: Option<Runs>) -> bool {
         let launch = self.queue.launches.get(&(id, seq));
         launch.is_some_and(|launch| nodes.as_ref() == Some(&launch.part.nodes))
     }
 
-    /// A graph that was to be begun was over already.
+    /// Answers the creation of a graph that has finished already.
     fn graph_already_finished(&mut self, id: GraphId, value: &Value) {
         let record = serde_json::from_value::<crate::records::OverRecord>(value.clone()).ok();
         let Some(open_graph) = self.remove_graph(id) else { return };
@@ -525,6 +529,7 @@
     }
 }
 
+/// Approximate size of a change in a transaction, in bytes.
 fn change_bytes(change: &Change) -> usize {
     match change {
         Change::Put { key, value, .. } => key.len() + value.to_string().len() + 40,
