--- a/crates/graph/src/answers.rs
+++ b/crates/graph/src/answers.rs
@@ -1,4 +1,4 @@
-//! What clients are told.
+//! Answers to clients.
 
 use crate::constants::RETRY_AFTER_S;
 use crate::ids::{GraphId, Seq};
@@ -9,33 +9,35 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
+/// The status of a session.
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum SessionStatus {
     Open,
-    /// It has ended, and what was its own is being stopped.
+    /// The session has ended, and its graphs are being stopped.
     Closing,
     Closed,
 }
 
+/// The state of a session.
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SessionView {
     pub session: String,
     pub status: SessionStatus,
-    /// How long it lives on without a heartbeat, in seconds.
+    /// Time to live without a heartbeat, in seconds.
     #[serde(rename = "ttlS")]
     pub ttl_s: f64,
 }
 
-/// Where a graph stands, as clients see it.
+/// The status of a graph.
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum GraphStatus {
     Open,
-    /// Its end is decided; what runs of it is being stopped.
+    /// The graph is ending; its open jobs are being cancelled.
     Ending,
     Done,
     Failed,
@@ -59,24 +61,24 @@
     }
 }
 
-/// Where a node stands.
+/// The status of a node.
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum NodeStatus {
-    /// For its inputs, or for its turn.
+    /// Waits for its inputs, or for its job to start.
     Waiting,
-    /// Its job is accepted; what the job is doing is asked of the job.
+    /// The node's job is accepted; the job's own status tells its progress.
     Started,
     Done,
     Failed,
     Cancelled,
-    /// Something that it needs did not end as done.
+    /// An input ended without being done.
     Skipped,
 }
 
 impl NodeStatus {
-    /// As it stands in records.
+    /// The status as a letter in records.
     pub fn letter(self) -> char {
         match self {
             Self::Waiting => 'w',
@@ -89,8 +91,8 @@
     }
 
     fn of_letter(letter: char) -> Self {
-        let all = [Self::Waiting, Self::Started, Self::Done, Self::Failed, Self::Skipped];
-        all.into_iter().find(|status| status.letter() == letter).unwrap_or(Self::Cancelled)
+        let statuses = [Self::Waiting, Self::Started, Self::Done, Self::Failed, Self::Skipped];
+        statuses.into_iter().find(|status| status.letter() == letter).unwrap_or(Self::Cancelled)
     }
 
     /// Whether it never changes again.
@@ -99,18 +101,20 @@
     }
 }
 
+/// The state of a node.
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct NodeView {
     pub name: String,
     pub status: NodeStatus,
-    /// The job that runs it, and the task if it is one of several nodes.
+    /// The job that runs the node.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub job: Option<JobId>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub failure: Option<Arc<Failure>>,
 }
 
+/// The state of a graph: counts of its nodes by status, and the nodes that have changed.
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct GraphView {
@@ -126,27 +130,28 @@
     pub failed: u32,
     pub cancelled: u32,
     pub skipped: u32,
-    /// The longest remaining path by what is known of run times, in seconds.
+    /// The longest remaining path according to the known run times, in seconds.
     #[serde(rename = "pathS", default)]
     pub path_s: f64,
-    /// The first node that failed, and why.
+    /// The first failed node, and the cause.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub failure: Option<FailedNode>,
-    #[serde(default, skip_serializing_if = "String::is_empty")]
+    /// The reason why the graph was cancelled; empty if it was not.
+    #[serde(rename = "why", default, skip_serializing_if = "String::is_empty")]
     pub why: String,
-    /// Nodes that have changed since the position asked after; a node may come again.
+    /// Nodes that have changed since the requested position; a node may occur in several answers.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub changed: Vec<NodeView>,
-    /// The position of this answer.
+    /// The position at which this answer ends.
     #[serde(default)]
     pub next: String,
-    /// Whether there is more at once.
+    /// Whether more changes are available already.
     #[serde(default)]
     pub more: bool,
 }
 
 impl GraphView {
-    /// Of a graph that is over.
+    /// The view of a finished graph.
     pub fn of_over(graph: GraphId, record: &OverRecord) -> Self {
         let [done, failed, cancelled, skipped] = record.counts;
         Self {
@@ -170,17 +175,17 @@
     }
 }
 
-/// A node as whoever runs it needs it: results are kept by the job and task that made them.
+/// A node as its worker needs it.
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TaskNode {
     pub task: u32,
     pub node: String,
-    /// Nodes whose results it takes, each with the job and task that made it.
+    /// Input nodes, each with the id of the job that produced its result.
     pub needs: Vec<(String, String)>,
 }
 
-/// What a job runs.
+/// The nodes that a job runs.
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobNodes {
@@ -190,31 +195,31 @@
     #[serde(default)]
     pub job: Option<JobSpec>,
     pub nodes: Vec<TaskNode>,
-    /// The task to go on from, if there are more.
+    /// The task from which to continue, if there are more.
     #[serde(default)]
     pub next: Option<u32>,
 }
 
 impl JobNodes {
-    /// The same with the job's description.
+    /// Adds the job's description.
     pub fn with(self, spec: &JobSpec) -> Self {
         Self { job: Some(spec.clone()), ..self }
     }
 }
 
-/// The nodes of a page of a graph that is over.
+/// The nodes of a final page of a finished graph.
 pub fn over_nodes(graph: GraphId, page: OverPage) -> Vec<NodeView> {
     let OverPage { nodes, mut failures } = page;
     let view = |(name, job, letter): (String, u64, char)| {
-        let at = failures.iter().position(|failed| failed.node == name);
-        let failure = at.and_then(|at| failures.swap_remove(at).failure);
+        let position = failures.iter().position(|failed| failed.node == name);
+        let failure = position.and_then(|position| failures.swap_remove(position).failure);
         let job = job.checked_sub(1).map(|seq| graph.job(Seq(seq)));
         NodeView { name, status: NodeStatus::of_letter(letter), job, failure }
     };
     nodes.into_iter().map(view).collect()
 }
 
-/// Refuses for now: the client learns at once when to come back.
+/// A temporary rejection (429), which tells the client when to retry.
 pub fn busy(text: &str) -> HttpReply {
     HttpReply { retry_after_s: Some(RETRY_AFTER_S), ..HttpReply::error(429, text) }
 }
--- a/crates/graph/src/constants.rs
+++ b/crates/graph/src/constants.rs
@@ -1,69 +1,72 @@
-//! Every constant of graphs and sessions, with its unit and the reason for its value.
+//! Constants of graphs and sessions, with their units and reasons.
 
 use oatloom_protocol::ids::Millis;
 
-/// Graph numbers lie below this: with it a node's job id keeps the 20 digits that ids may have.
+/// Exclusive upper bound of graph numbers: ten digits, so that a job's id stays within the 20 digits allowed for ids.
 pub const GRAPH_NUMBER_END: u64 = 10_000_000_000;
-/// Jobs of one graph: nine digits of a job's id.
+/// Exclusive upper bound of the job sequence numbers of a graph: nine digits of a job's id.
 pub const JOB_SEQ_END: u64 = 1_000_000_000;
-/// Longest name of a node, a kind, an addition or a session, in bytes: they stand in records of 8 KiB.
+/// Maximum length of the name of a node, kind, addition or session, in bytes: names are stored in records of 8 KiB.
 pub const MAX_NAME_BYTES: usize = 80;
-/// Longest key of a session, in bytes.
+/// Maximum length of a session's key, in bytes.
 pub const MAX_KEY_BYTES: usize = 128;
-/// Shortest key of a session, in bytes: what can be guessed is no key.
+/// Minimum length of a session's key, in bytes, so that keys cannot be guessed.
 pub const MIN_KEY_BYTES: usize = 8;
-/// Inputs that one node may name: a node that gathers more takes them through nodes between, or as one node of
-/// many shards.
+/// Maximum inputs of a node. To gather more results, use intermediate nodes, or one input node of many shards.
 pub const MAX_INPUT_COUNT: usize = 400;
-/// Kinds of node in one graph: a number of two bytes, and far more than anyone tells apart.
+/// Maximum kinds of nodes in one graph; kind numbers have two bytes.
 pub const MAX_KIND_COUNT: usize = 1_000;
-/// Retries that a node may ask for; its class bounds it further.
+/// Maximum retries that a node may request; its class limits them further.
 pub const MAX_RETRY_COUNT: u32 = 1_000;
-/// The value limit that the two bounds below are for; with less they are lowered in proportion.
+/// Value size to which [`MAX_BATCH_NODE_COUNT`] and [`MAX_BATCH_RANGE_COUNT`] apply; they are scaled down for smaller
+/// values.
 pub const REFERENCE_VALUE_BYTES: usize = 8 * 1024;
-/// How a node ended, as it stands in a page, in bytes beside its name: the number of its job has nine digits at most.
+/// Size of a node's row in a final page without its name, in bytes: the sequence number of its job has at most nine digits.
 pub const FINAL_ROW_BYTES: usize = 18;
-/// What such a page takes beside its rows, in bytes.
+/// Size of a final page without its rows, in bytes.
 pub const FINAL_PAGE_OVERHEAD_BYTES: usize = 20;
-/// Nodes that go as one array: what is to be kept of each when the array ends fits into a record of 8 KiB.
+/// Maximum nodes in one array: the final states of all of them fit into a record of 8 KiB.
 pub const MAX_BATCH_NODE_COUNT: usize = 400;
-/// Runs of consecutive nodes in one array, for the same reason.
+/// Maximum ranges of consecutive nodes in one array, for the same reason.
 pub const MAX_BATCH_RANGE_COUNT: usize = 200;
-/// Tasks of one gang or array that a node may be; the protocol's bound for a job.
+/// Maximum shards of a node; the protocol's limit on the tasks of a job.
 pub const MAX_SHARD_COUNT: u32 = oatloom_protocol::constants::MAX_TASKS;
-/// Share of a value that a page of nodes takes: the rest is for its JSON around them.
+/// Fraction of a value that the rows of a page may fill; the rest is for the surrounding JSON.
 pub const PAGE_FILL_FRACTION: f64 = 0.8;
-/// Bytes of values in one transaction; the state service allows 64 KiB in total.
+/// Maximum bytes of values in one transaction; the state service allows 64 KiB in total.
 pub const MAX_TXN_BYTES: usize = 40 * 1024;
-/// Jobs of graphs that are open at once, in all and of one graph: a placement pass looks at each.
+/// Maximum open jobs of all graphs, since a placement pass considers each of them.
 pub const MAX_OPEN_JOB_COUNT: usize = 1_000;
+/// Maximum open jobs of one graph.
 pub const MAX_GRAPH_OPEN_JOB_COUNT: usize = 250;
-/// Pause between two weighings of a graph's longest remaining paths, in milliseconds a node: a weighing takes some 0.1 us
-/// a node, so that it stays below a hundredth of a core.
+/// Minimum interval between two updates of a graph's remaining paths, in milliseconds per node. An update takes about
+/// 0.1 us per node, so that updates use less than a hundredth of a core.
 pub const PATH_UPDATE_INTERVAL_PER_NODE_MS: f64 = 0.02;
-/// Learned run times that moved by less than this share leave the paths as they are.
+/// Smallest relative change of a learned run time that makes the remaining paths outdated.
 pub const MIN_RUN_TIME_CHANGE_FRACTION: f64 = 0.2;
-/// Base of the steps by which remaining paths are told apart: nodes of one shape whose paths are alike within a
-/// quarter go as one array.
+/// Ratio between steps of the remaining path: similar nodes whose paths differ by less than about a quarter share an
+/// array.
 pub const PATH_STEP_RATIO: f64 = 1.25;
-/// Time that a graph without a due time is taken to have, in seconds: what DESIGN gives jobs without one.
+/// Assumed time until a graph without a due time is due, in seconds; the design specification's value for jobs without
+/// one.
 pub const DEFAULT_DUE_S: f64 = 600.0;
-/// Run time of a node whose kind tells none, in seconds: one task of the paper's first measurement, about.
+/// Assumed run time of a node whose kind states none, in seconds; about one task of the first measurement in the paper.
 pub const DEFAULT_RUN_TIME_S: f64 = 10.0;
-/// Shortest time that a node is given until it is due, in seconds: one tick of the loop.
+/// Minimum time until a node is due, in seconds: one tick of the control loop.
 pub const MIN_NODE_DUE_S: f64 = 1.0;
-/// Changed nodes in one answer, at most and unless asked otherwise: some 60 KiB.
+/// Maximum and default number of changed nodes in one answer; about 60 KiB.
 pub const ANSWER_NODES: usize = 400;
-/// Bytes of nodes in an answer about a job, about: a line holds 64 KiB at most.
+/// Approximate maximum bytes of nodes in an answer about a job; a message line holds at most 64 KiB.
 pub const MAX_JOB_NODES_BYTES: usize = 24 * 1024;
-/// Shortest and longest time to live of a session: below, a takeover would end it; above, nobody would miss it.
+/// Minimum time to live of a session, in seconds: a shorter one would expire during a change of leader.
 pub const MIN_TTL_S: f64 = 10.0;
+/// Maximum time to live of a session, in seconds: a longer one would keep abandoned sessions open.
 pub const MAX_TTL_S: f64 = 86_400.0;
-/// When a client is told to come back with what cannot be taken now, in seconds.
+/// Delay after which a client is told to retry a rejected request, in seconds.
 pub const RETRY_AFTER_S: u32 = 1;
-/// Requests that wait for the same write: repeated ones of one client, mostly.
+/// Maximum requests that wait for the same write; most of them are repeated requests of one client.
 pub const MAX_TICKET_COUNT: usize = 8;
-/// How often it is looked for sessions that have lapsed: far below the shortest time to live.
+/// Interval between checks for expired sessions: far below [`MIN_TTL_S`].
 pub const SESSION_CHECK_INTERVAL_MS: Millis = Millis(500);
-/// Final answers of graphs that are kept in memory; the state service has them all.
+/// Maximum final records of graphs that are kept in memory; the state service has all of them.
 pub const MAX_CACHED_FINAL_RECORD_COUNT: usize = 1_000;
--- a/crates/graph/src/desk.rs
+++ b/crates/graph/src/desk.rs
@@ -76,8 +76,8 @@
     pub items_most: usize,
     final_records: BTreeMap<GraphId, OverRecord>,
     final_record_order: VecDeque<GraphId>,
-    bucket: RateLimiter,
-    team_buckets: BTreeMap<String, RateLimiter>,
+    rate_limiter: RateLimiter,
+    team_rate_limiters: BTreeMap<String, RateLimiter>,
     /// Maximum retries of each class.
     class_max_retries: BTreeMap<String, Option<u32>>,
     /// Ratio of measured to estimated run time of each class.
@@ -91,7 +91,7 @@
 impl Desk {
     /// The table of a new leader, which has not yet loaded anything.
     pub fn new(limits: Limits, token: Token, room: Room, now: Mono) -> Self {
-        let bucket = RateLimiter::full(limits.additions_per_s, now);
+        let rate_limiter = RateLimiter::full(limits.additions_per_s, now);
         Self {
             limits,
             token,
@@ -107,8 +107,8 @@
             items_most: usize::MAX,
             final_records: BTreeMap::new(),
             final_record_order: VecDeque::new(),
-            bucket,
-            team_buckets: BTreeMap::new(),
+            rate_limiter,
+            team_rate_limiters: BTreeMap::new(),
             class_max_retries: BTreeMap::new(),
             run_time_biases: BTreeMap::new(),
             open_jobs: 0,
@@ -149,12 +149,12 @@
     /// ratio leaves the remaining paths as they are.
     pub fn learn_class(&mut self, class: &str, class_max_retries: Option<u32>, bias: f64) {
         self.class_max_retries.insert(class.to_owned(), class_max_retries);
-        let before = self.run_time_biases.insert(class.to_owned(), bias).unwrap_or(1.0);
-        if (bias / before - 1.0).abs() > MIN_RUN_TIME_CHANGE_FRACTION {
-            let of_class = |open_graph: &&mut OpenGraph| open_graph.head.class == class;
+        let previous = self.run_time_biases.insert(class.to_owned(), bias).unwrap_or(1.0);
+        if (bias / previous - 1.0).abs() > MIN_RUN_TIME_CHANGE_FRACTION {
+            let has_class = |open_graph: &&mut OpenGraph| open_graph.head.class == class;
             self.graphs
                 .values_mut()
-                .filter(of_class)
+                .filter(has_class)
                 .for_each(|open_graph| open_graph.paths_stale = true);
         }
     }
@@ -177,9 +177,10 @@
     pub fn learn(&mut self, graph: GraphId, kind: u16, seconds: f64) {
         let Some(open_graph) = self.graphs.get_mut(&graph) else { return };
         let Some(kind) = open_graph.model.kinds.get_mut(usize::from(kind)) else { return };
-        let before = kind.measured_run_time_s.unwrap_or(kind.spec.expect_s);
+        let previous = kind.measured_run_time_s.unwrap_or(kind.spec.expect_s);
         kind.measured_run_time_s = Some(seconds);
-        open_graph.paths_stale |= (seconds - before).abs() > MIN_RUN_TIME_CHANGE_FRACTION * before;
+        open_graph.paths_stale |=
+            (seconds - previous).abs() > MIN_RUN_TIME_CHANGE_FRACTION * previous;
     }
 
     fn bias(&self, class: &str) -> f64 {
@@ -189,21 +190,21 @@
     // --- Requests ------------------------------------------------------------------
 
     /// Handles a request. If the reply is deferred, it carries `ticket`.
-    pub fn ask(&mut self, now: Now, ticket: u64, ask: &Ask, context: &Around) -> Verdict {
+    pub fn ask(&mut self, now: Now, ticket: u64, request: &Ask, context: &Around) -> Verdict {
         if !self.ready() {
             return Verdict::Reply(HttpReply::unavailable("graphs are being read"));
         }
-        let checked = match ask {
+        let validation = match request {
             Ask::Open(open) => check(open),
             Ask::Beat(_, keyed) | Ask::Close(_, keyed) | Ask::Cancel(_, keyed) => check(keyed),
             Ask::Create(create) => check(create),
             Ask::Add(_, add) => check(add),
             Ask::Look(..) | Ask::Job(..) => Ok(()),
         };
-        if let Err(text) = checked {
+        if let Err(text) = validation {
             return Verdict::Reply(HttpReply::error(400, &text));
         }
-        match ask {
+        match request {
             Ask::Open(open) => self.open_session(now.mono, ticket, open, context),
             Ask::Beat(session, keyed) => self.heartbeat(now.mono, session, &keyed.key),
             Ask::Close(session, keyed) => self.close_session(ticket, session, &keyed.key),
@@ -218,12 +219,12 @@
                     None => Verdict::Reply(HttpReply::error(404, "no such job of a graph is open")),
                 }
             }
-            Ask::Look(graph, look) => match self.graphs.get(graph) {
+            Ask::Look(graph, range) => match self.graphs.get(graph) {
                 Some(OpenGraph { phase: Phase::Creating, .. }) => {
                     Verdict::Reply(HttpReply::unavailable("the graph is being written"))
                 }
                 Some(open_graph) => {
-                    Verdict::Reply(HttpReply::json(200, &open_graph.view(self.token, look)))
+                    Verdict::Reply(HttpReply::json(200, &open_graph.view(self.token, range)))
                 }
                 None => Verdict::NotOpen,
             },
@@ -232,18 +233,20 @@
 
     /// Takes a write permit for a team if both the global and the team's rate limit allow it.
     fn try_take_write_permit(&mut self, team: &str, now: Mono) -> bool {
-        let (all, each) = (self.limits.additions_per_s, self.limits.team_additions_per_s);
-        if self.team_buckets.len() > self.limits.sessions as usize {
-            self.team_buckets.retain(|_, bucket| !bucket.is_idle(each, now));
+        let (total_rate, team_rate) =
+            (self.limits.additions_per_s, self.limits.team_additions_per_s);
+        if self.team_rate_limiters.len() > self.limits.sessions as usize {
+            self.team_rate_limiters.retain(|_, rate_limiter| !rate_limiter.is_idle(team_rate, now));
         }
-        let own = self.team_buckets.entry(team.to_owned());
-        let own = own.or_insert_with(|| RateLimiter::full(each, now));
-        let may = self.bucket.has_permit(all, now) && own.has_permit(each, now);
-        if may {
-            self.bucket.take();
-            own.take();
+        let team_limiter = self.team_rate_limiters.entry(team.to_owned());
+        let team_limiter = team_limiter.or_insert_with(|| RateLimiter::full(team_rate, now));
+        let is_allowed = self.rate_limiter.has_permit(total_rate, now)
+            && team_limiter.has_permit(team_rate, now);
+        if is_allowed {
+            self.rate_limiter.take();
+            team_limiter.take();
         }
-        may
+        is_allowed
     }
 
     fn session_view(&self, name: &str) -> Option<SessionView> {
@@ -289,14 +292,15 @@
         if !(context.team)(&open.owner) {
             return Verdict::Reply(HttpReply::error(422, "unknown team"));
         }
-        let team_count = self.sessions.values().filter(|s| s.record.owner == open.owner).count();
+        let team_count =
+            self.sessions.values().filter(|session| session.record.owner == open.owner).count();
         if self.sessions.len() >= self.limits.sessions as usize
             || team_count >= self.limits.team_sessions as usize
         {
             return Verdict::Reply(busy("too many sessions"));
         }
         if !self.try_take_write_permit(&open.owner, now) {
-            return Verdict::Reply(busy("too many additions a second"));
+            return Verdict::Reply(busy("too many additions per second"));
         }
         let ttl_ms = Millis::from_secs(open.ttl_s).0;
         let (key, owner) = (hash_key(&open.key), open.owner.clone());
@@ -357,11 +361,11 @@
     fn create_graph(&mut self, now: Now, ticket: u64, create: &CreateGraph) -> Verdict {
         let id = create.graph;
         if let Some(open_graph) = self.graphs.get_mut(&id) {
-            let same = open_graph.head.key == hash_key(&create.key)
+            let is_same = open_graph.head.key == hash_key(&create.key)
                 && open_graph.head.session == create.session
                 && open_graph.head.class == create.jobclass;
             return match &open_graph.phase {
-                _ if !same => Verdict::Reply(HttpReply::error(409, "the graph is another's")),
+                _ if !is_same => Verdict::Reply(HttpReply::error(409, "the graph is another's")),
                 Phase::Creating if open_graph.tickets.len() < MAX_TICKET_COUNT => {
                     open_graph.tickets.push(ticket);
                     Verdict::Later
@@ -389,7 +393,7 @@
             return Verdict::Reply(busy("too many graphs"));
         }
         if !self.try_take_write_permit(&owner, now.mono) {
-            return Verdict::Reply(busy("too many additions a second"));
+            return Verdict::Reply(busy("too many additions per second"));
         }
         let head = Head {
             session: create.session.clone(),
@@ -456,7 +460,9 @@
                 let view = open_graph.view(self.token, &Default::default());
                 return Verdict::Reply(HttpReply::json(200, &view));
             }
-            Some(_) => return refuse(409, "an addition of this name added something else"),
+            Some(_) => {
+                return refuse(409, "an addition with this name exists with different content");
+            }
             None => {}
         }
         match open_graph.phase {
@@ -478,24 +484,24 @@
             return Verdict::Reply(reply);
         }
         let owner = open_graph.head.owner.clone();
-        let own = u64::from(open_graph.model.len());
+        let graph_nodes = u64::from(open_graph.model.len());
         let (nodes, bytes) = (u64::from(prepared.nodes), prepared.bytes as u64);
-        let over = |used: u64, more: u64, most: u64| used.saturating_add(more) > most;
+        let exceeds = |used: u64, added: u64, max: u64| used.saturating_add(added) > max;
         let limits = &self.limits;
-        if over(own, nodes, limits.graph_nodes.into()) {
-            return refuse(422, "more nodes than a graph may have");
+        if exceeds(graph_nodes, nodes, limits.graph_nodes.into()) {
+            return refuse(422, "the graph would exceed its maximum number of nodes");
         }
         let (team_nodes, team_bytes) = self.sum_usage(|open_graph| open_graph.head.owner == owner);
         let (all_nodes, all_bytes) = self.sum_usage(|_| true);
-        if over(all_nodes, nodes, limits.nodes.into())
-            || over(team_nodes, nodes, limits.team_nodes.into())
-            || over(all_bytes, bytes, limits.bytes)
-            || over(team_bytes, bytes, limits.team_bytes)
+        if exceeds(all_nodes, nodes, limits.nodes.into())
+            || exceeds(team_nodes, nodes, limits.team_nodes.into())
+            || exceeds(all_bytes, bytes, limits.bytes)
+            || exceeds(team_bytes, bytes, limits.team_bytes)
         {
             return Verdict::Reply(busy("too many nodes"));
         }
         if !self.try_take_write_permit(&owner, now) {
-            return Verdict::Reply(busy("too many additions a second"));
+            return Verdict::Reply(busy("too many additions per second"));
         }
         if let Some(open_graph) = self.graphs.get_mut(&id) {
             open_graph.pending_addition = Some(PendingAddition { prepared, ticket });
@@ -505,8 +511,8 @@
     }
 
     /// Total nodes of the selected open graphs, and total bytes of their records.
-    fn sum_usage(&self, counts: impl Fn(&OpenGraph) -> bool) -> (u64, u64) {
-        let counted = self.graphs.values().filter(|open_graph| counts(open_graph));
+    fn sum_usage(&self, is_counted: impl Fn(&OpenGraph) -> bool) -> (u64, u64) {
+        let counted = self.graphs.values().filter(|open_graph| is_counted(open_graph));
         counted.fold((0, 0), |(nodes, bytes), open_graph| {
             (nodes + u64::from(open_graph.model.len()), bytes + open_graph.model.bytes)
         })
@@ -539,25 +545,25 @@
     }
 
     /// The reply to a request for a finished graph.
-    pub fn over_reply(id: GraphId, ask: &Ask, record: &OverRecord) -> HttpReply {
-        let key = match ask {
+    pub fn over_reply(id: GraphId, request: &Ask, record: &OverRecord) -> HttpReply {
+        let key = match request {
             Ask::Create(create) => Some(&create.key),
             Ask::Add(_, add) => Some(&add.key),
             Ask::Cancel(_, keyed) => Some(&keyed.key),
             _ => None,
         };
-        let wrong = key.is_some_and(|key| hash_key(key) != record.key);
-        match ask {
-            Ask::Create(_) if wrong => HttpReply::error(409, "the graph is another's"),
-            _ if wrong => HttpReply::error(403, "wrong key"),
+        let is_wrong_key = key.is_some_and(|key| hash_key(key) != record.key);
+        match request {
+            Ask::Create(_) if is_wrong_key => HttpReply::error(409, "the graph is another's"),
+            _ if is_wrong_key => HttpReply::error(403, "wrong key"),
             Ask::Add(..) => HttpReply::error(409, "the graph is over"),
             _ => HttpReply::json(200, &GraphView::of_over(id, record)),
         }
     }
 
     /// The reply to a request for a graph that does not exist.
-    pub fn missing_reply(ask: &Ask) -> HttpReply {
-        match ask {
+    pub fn missing_reply(request: &Ask) -> HttpReply {
+        match request {
             Ask::Create(_) => HttpReply::error(404, "no such session"),
             _ => HttpReply::error(404, "no such graph"),
         }
@@ -588,9 +594,9 @@
             return;
         }
         let Some(open_graph) = self.graphs.get_mut(&graph) else { return };
-        let before = open_graph.jobs.len();
+        let open_before = open_graph.jobs.len();
         open_graph.finish_job(seq, end, status, failure);
-        self.open_jobs = self.open_jobs.saturating_sub(before - open_graph.jobs.len());
+        self.open_jobs = self.open_jobs.saturating_sub(open_before - open_graph.jobs.len());
         self.update_graph(graph);
     }
 
@@ -615,23 +621,23 @@
     }
 
     /// Starts to end a graph: refuses its pending addition and cancels its jobs.
-    pub(crate) fn stop(&mut self, id: GraphId, why: EndReason) {
+    pub(crate) fn stop(&mut self, id: GraphId, reason: EndReason) {
         let Some(open_graph) = self.graphs.get_mut(&id) else { return };
         if let Some(pending_addition) = open_graph.pending_addition.take() {
             self.reply(pending_addition.ticket, HttpReply::error(409, "the graph is ending"));
         }
         let Some(open_graph) = self.graphs.get_mut(&id) else { return };
-        let cancelled = open_graph.stop(why);
+        let cancelled = open_graph.stop(reason);
         self.cancel_jobs(id, cancelled);
         self.update_graph(id);
     }
 
     /// Processes the durable end of a session: stops all its graphs that are not detached.
     pub(crate) fn session_ended(&mut self, name: &str) {
-        let own =
+        let is_owned =
             |open_graph: &&OpenGraph| !open_graph.head.detached && open_graph.head.session == name;
         let ids: Vec<GraphId> =
-            self.graphs.values().filter(own).map(|open_graph| open_graph.id).collect();
+            self.graphs.values().filter(is_owned).map(|open_graph| open_graph.id).collect();
         for id in ids {
             self.stop(id, EndReason::SessionEnded);
         }
@@ -653,9 +659,9 @@
             return;
         }
         self.next_session_check = now.plus(SESSION_CHECK_INTERVAL_MS);
-        let has_expired =
+        let expired_name =
             |(name, session): (&String, &Session)| session.has_expired(now).then(|| name.clone());
-        for name in self.sessions.iter().filter_map(has_expired).collect::<Vec<_>>() {
+        for name in self.sessions.iter().filter_map(expired_name).collect::<Vec<_>>() {
             self.end_session(&name);
         }
         let run_time_biases = &self.run_time_biases;
@@ -673,7 +679,7 @@
         loop {
             let urgency = |id: &GraphId| {
                 let open_graph = self.graphs.get(id)?;
-                let fits = open_graph.jobs.len() < MAX_GRAPH_OPEN_JOB_COUNT;
+                let has_capacity = open_graph.jobs.len() < MAX_GRAPH_OPEN_JOB_COUNT;
                 let due = graph_due(
                     open_graph.created,
                     open_graph.head.due_s,
@@ -681,7 +687,7 @@
                     now.mono,
                 );
                 let slack = due.0 as i64 - (open_graph.path_s * 1000.0) as i64;
-                fits.then_some((Reverse(open_graph.head.rank), slack, *id))
+                has_capacity.then_some((Reverse(open_graph.head.rank), slack, *id))
             };
             let (_, _, id) = self.launchable.iter().filter_map(urgency).min()?;
             let class = self.graphs.get(&id)?.head.class.clone();
@@ -732,13 +738,13 @@
 
 /// The error reply if a node of an addition can never run.
 fn find_rejection(open_graph: &OpenGraph, pages: &[Page], context: &Around) -> Option<HttpReply> {
-    let mut shapes: BTreeMap<(u16, u32), String> = BTreeMap::new();
+    let mut node_shapes: BTreeMap<(u16, u32), String> = BTreeMap::new();
     for page in pages {
         for (name, kind, shards, _) in &page.nodes {
-            shapes.entry((*kind, *shards)).or_insert_with(|| name.clone());
+            node_shapes.entry((*kind, *shards)).or_insert_with(|| name.clone());
         }
     }
-    let new: Vec<NodeKind> = pages
+    let new_kinds: Vec<NodeKind> = pages
         .iter()
         .flat_map(|page| &page.kinds)
         .map(|(name, spec)| NodeKind {
@@ -747,10 +753,11 @@
             measured_run_time_s: None,
         })
         .collect();
-    for ((kind, shards), name) in shapes {
+    for ((kind, shards), name) in node_shapes {
         let known = open_graph.model.kinds.get(usize::from(kind));
-        let kind = known
-            .or_else(|| new.get(usize::from(kind).checked_sub(open_graph.model.kinds.len())?))?;
+        let kind = known.or_else(|| {
+            new_kinds.get(usize::from(kind).checked_sub(open_graph.model.kinds.len())?)
+        })?;
         let spec = job_spec(&open_graph.head, kind, open_graph.id.job(Seq(0)), shards, None);
         if let Some(mut reply) = (context.unfit)(&spec) {
             reply.body =
--- a/crates/graph/src/ids.rs
+++ b/crates/graph/src/ids.rs
@@ -67,7 +67,8 @@
     type Error = String;
 
     fn try_from(text: String) -> Result<Self, String> {
-        Self::parse(&text).ok_or_else(|| "a graph's id is `graph-` and up to ten digits".to_owned())
+        Self::parse(&text)
+            .ok_or_else(|| "a graph id consists of `graph-` and up to ten digits".to_owned())
     }
 }
 
@@ -100,7 +101,7 @@
     use super::*;
 
     #[test]
-    fn jobs_of_graphs_are_told_from_others() {
+    fn job_ids_of_graphs_are_distinguished_from_others() {
         let graph = GraphId::parse("graph-0042").unwrap();
         assert_eq!(graph.to_string(), "graph-42");
         let job = graph.job(Seq(7));
@@ -108,8 +109,8 @@
         assert_eq!(GraphId::of_job(&job), Some((graph, Seq(7))));
         assert!(JobId::parse(job.as_str()).is_some(), "the protocol takes it");
         assert!(!GraphId::reserved(&JobId::new("req-900000000420000007")));
-        for bad in ["graph-", "graph-12345678901", "graph-1a", "graph--1", "g-1", "graph-+1"] {
-            assert_eq!(GraphId::parse(bad), None, "{bad}");
+        for invalid in ["graph-", "graph-12345678901", "graph-1a", "graph--1", "g-1", "graph-+1"] {
+            assert_eq!(GraphId::parse(invalid), None, "{invalid}");
         }
         assert_eq!(Seq(JOB_SEQ_END - 1).next(), None);
     }
--- a/crates/graph/src/limits.rs
+++ b/crates/graph/src/limits.rs
@@ -53,7 +53,7 @@
     /// # Errors
     /// The first field out of range, with the range.
     pub fn check(&self) -> Result<(), InvalidField> {
-        let bad = |field: &str, text: &str| {
+        let invalid = |field: &str, text: &str| {
             Err(InvalidField::new(&format!("graph-limits: {field}"), text))
         };
         for (field, rate) in [
@@ -61,7 +61,7 @@
             ("team-additions-per-s", self.team_additions_per_s),
         ] {
             if !(0.1..=10_000.0).contains(&rate) {
-                return bad(field, "must be from 0.1 to 10000");
+                return invalid(field, "must be from 0.1 to 10000");
             }
         }
         for (field, number) in [
@@ -74,11 +74,11 @@
             ("graph-nodes", self.graph_nodes),
         ] {
             if !(1..=10_000_000).contains(&number) {
-                return bad(field, "must be from 1 to 10000000");
+                return invalid(field, "must be from 1 to 10000000");
             }
         }
         if self.bytes == 0 || self.team_bytes == 0 {
-            return bad("bytes", "must be above 0");
+            return invalid("bytes", "must be above 0");
         }
         Ok(())
     }
@@ -129,14 +129,14 @@
     use super::*;
 
     #[test]
-    fn a_rate_is_kept_with_bursts() {
-        let mut bucket = RateLimiter::full(10.0, Mono(0));
+    fn the_rate_limiter_allows_bursts() {
+        let mut limiter = RateLimiter::full(10.0, Mono(0));
         let mut take = |now| {
-            let may = bucket.has_permit(10.0, Mono(now));
-            if may {
-                bucket.take();
+            let is_allowed = limiter.has_permit(10.0, Mono(now));
+            if is_allowed {
+                limiter.take();
             }
-            may
+            is_allowed
         };
         assert_eq!((0..100).filter(|_| take(0)).count(), 20);
         assert!(!take(50) && take(101));
@@ -144,11 +144,11 @@
     }
 
     #[test]
-    fn limits_out_of_range_are_named() {
+    fn limits_out_of_range_are_rejected_by_name() {
         assert_eq!(Limits::default().check(), Ok(()));
-        let bad = Limits { nodes: 0, ..Limits::default() };
-        assert!(bad.check().unwrap_err().to_string().contains("graph-limits: nodes"));
-        let bad = Limits { additions_per_s: f64::NAN, ..Limits::default() };
-        assert!(bad.check().unwrap_err().to_string().contains("additions-per-s"));
+        let invalid = Limits { nodes: 0, ..Limits::default() };
+        assert!(invalid.check().unwrap_err().to_string().contains("graph-limits: nodes"));
+        let invalid = Limits { additions_per_s: f64::NAN, ..Limits::default() };
+        assert!(invalid.check().unwrap_err().to_string().contains("additions-per-s"));
     }
 }
--- a/crates/graph/src/live.rs
+++ b/crates/graph/src/live.rs
@@ -258,27 +258,27 @@
                 cancelled = self.stop(EndReason::Finished);
             }
         }
-        if let Phase::Stopping(why) = &self.phase
+        if let Phase::Stopping(reason) = &self.phase
             && self.jobs.values().all(|(part, _)| self.outlives_graph(part))
         {
-            let why = why.clone();
+            let reason = reason.clone();
             let remaining: Vec<NodeIx> =
                 self.jobs.values().filter_map(|(part, _)| part.node(0)).collect();
             remaining
                 .into_iter()
                 .for_each(|node_id| self.model.mark_ended(node_id, NodeState::Done));
             self.model.end_unfinished();
-            self.enter(Phase::Ending(why));
+            self.enter(Phase::Ending(reason));
         }
         cancelled
     }
 
     /// Starts to end the graph. Returns the jobs to cancel.
-    pub fn stop(&mut self, why: EndReason) -> Vec<Seq> {
+    pub fn stop(&mut self, reason: EndReason) -> Vec<Seq> {
         if matches!(self.phase, Phase::Stopping(_) | Phase::Ending(_)) {
             return Vec::new();
         }
-        self.enter(Phase::Stopping(why));
+        self.enter(Phase::Stopping(reason));
         let seqs: Vec<Seq> = self.jobs.keys().copied().collect();
         let mut cancelled = Vec::new();
         for seq in seqs {
@@ -294,8 +294,8 @@
         cancelled
     }
 
-    fn outcome(&self, why: &EndReason) -> Outcome {
-        match why {
+    fn outcome(&self, reason: &EndReason) -> Outcome {
+        match reason {
             EndReason::Finished if self.first_unsuccessful().is_none() => Outcome::Done,
             EndReason::Finished | EndReason::Failed => Outcome::Failed,
             EndReason::Cancelled | EndReason::SessionEnded | EndReason::Damaged(_) => {
@@ -310,8 +310,8 @@
     }
 
     /// The final record.
-    pub fn final_record(&self, why: &EndReason) -> OverRecord {
-        let outcome = self.outcome(why);
+    pub fn final_record(&self, reason: &EndReason) -> OverRecord {
+        let outcome = self.outcome(reason);
         let failed = self.first_unsuccessful().filter(|_| outcome == Outcome::Failed);
         OverRecord {
             outcome,
@@ -321,7 +321,7 @@
                 .map(|state| self.model.count(state)),
             pages: self.model.page_count(),
             failed: failed.and_then(|node_id| self.failed_node(node_id)),
-            why: why.message(),
+            why: reason.message(),
         }
     }
 
@@ -429,7 +429,7 @@
             path_s: self.path_s,
             failure: self.first_unsuccessful().and_then(|node_id| self.failed_node(node_id)),
             why: match &self.phase {
-                Phase::Stopping(why) | Phase::Ending(why) => why.message(),
+                Phase::Stopping(reason) | Phase::Ending(reason) => reason.message(),
                 _ => String::new(),
             },
             changed: changed_nodes
--- a/crates/graph/src/model.rs
+++ b/crates/graph/src/model.rs
@@ -267,26 +267,32 @@
         room: Room,
     ) -> Result<PreparedAddition, RejectedAddition> {
         let mut kinds: Vec<(String, KindSpec)> = Vec::new();
-        let mut numbers: BTreeMap<&str, u16> = BTreeMap::new();
+        let mut kind_numbers: BTreeMap<&str, u16> = BTreeMap::new();
         for (name, spec) in &add.kinds {
             match self.kind_names.get(name) {
                 Some(known) if self.kinds[usize::from(*known)].spec == *spec => {}
-                Some(_) => return rejected(409, format!("kind {name} is known with other needs")),
+                Some(_) => {
+                    return rejected(
+                        409,
+                        format!("kind {name} already exists with a different specification"),
+                    );
+                }
                 None => {
-                    let number = self.kinds.len() + kinds.len();
-                    if number >= MAX_KIND_COUNT {
+                    let kind_number = self.kinds.len() + kinds.len();
+                    if kind_number >= MAX_KIND_COUNT {
                         return rejected(422, format!("more than {MAX_KIND_COUNT} kinds"));
                     }
-                    numbers.insert(name, number as u16);
+                    kind_numbers.insert(name, kind_number as u16);
                     kinds.push((name.clone(), spec.clone()));
                 }
             }
         }
-        let number =
-            |name: &str| numbers.get(name).copied().or_else(|| self.kind_names.get(name).copied());
-        let spec_of = |number: u16| {
-            let new = usize::from(number).checked_sub(self.kinds.len());
-            new.map_or_else(|| &self.kinds[usize::from(number)].spec, |new| &kinds[new].1)
+        let kind_number = |name: &str| {
+            kind_numbers.get(name).copied().or_else(|| self.kind_names.get(name).copied())
+        };
+        let spec_of = |kind_number: u16| {
+            let new = usize::from(kind_number).checked_sub(self.kinds.len());
+            new.map_or_else(|| &self.kinds[usize::from(kind_number)].spec, |new| &kinds[new].1)
         };
         let mut new_nodes: BTreeMap<&str, usize> = BTreeMap::new();
         let mut addition: DiGraph<usize, (), u32> = DiGraph::new();
@@ -294,12 +300,12 @@
             if self.find(&node.name).is_some() || new_nodes.insert(&node.name, position).is_some() {
                 return rejected(409, format!("node {} is there already", node.name));
             }
-            let Some(kind) = number(&node.kind) else {
+            let Some(kind) = kind_number(&node.kind) else {
                 return rejected(422, format!("node {}: unknown kind {}", node.name, node.kind));
             };
             let detached = spec_of(kind).detached;
             if detached && spec_of(kind).shape != NodeShape::Actor {
-                return rejected(422, format!("kind {}: only actors are detached", node.kind));
+                return rejected(422, format!("kind {}: only actors can be detached", node.kind));
             }
             addition.add_node(position);
         }
@@ -308,7 +314,7 @@
                 let kind = match (new_nodes.get(input.as_str()), self.find(input)) {
                     (Some(from), _) => {
                         addition.add_edge(NodeIndex::new(*from), NodeIndex::new(position), ());
-                        number(&add.nodes[*from].kind).unwrap_or_default()
+                        kind_number(&add.nodes[*from].kind).unwrap_or_default()
                     }
                     (None, Some(known)) => self.node(known).map_or(0, |known| known.kind),
                     (None, None) => {
@@ -345,7 +351,7 @@
                     None => self.find(input),
                 })
                 .collect();
-            let kind = number(&node.kind).unwrap_or_default();
+            let kind = kind_number(&node.kind).unwrap_or_default();
             (node.name.clone(), kind, node.shards, needs.into_iter().collect())
         };
         let rows = order.iter().map(|vertex| row(addition[*vertex])).collect();
@@ -357,8 +363,8 @@
     /// # Errors
     /// What is invalid in the page; it is not applied then.
     pub fn apply(&mut self, page: &Page, bytes: usize) -> Result<(), DamagedPage> {
-        let number = self.pages;
-        let reject = |text| Err(DamagedPage { page: number, text });
+        let page_number = self.pages;
+        let reject = |text| Err(DamagedPage { page: page_number, text });
         let kinds = self.kinds.len() + page.kinds.len();
         let mut names: BTreeSet<u64> = BTreeSet::new();
         if page.first.0 != self.len() {
@@ -599,7 +605,7 @@
     let (mut page_bytes, mut bytes, mut next) = (0, 0, first.0);
     let mut reserve_bytes = |pages: &mut Vec<Page>, row_bytes: usize, next: u32| {
         if row_bytes > max_page_bytes {
-            return rejected(422, "a kind or node is too long to keep");
+            return rejected(422, "a kind or node exceeds the size of a record");
         }
         if page_bytes + row_bytes > max_page_bytes {
             page_bytes = 0;
@@ -689,7 +695,7 @@
 
     /// Guards against additions that are applied in part: the error names the node, and nothing is added.
     #[test]
-    fn bad_additions_are_refused_whole() {
+    fn invalid_additions_are_rejected_as_a_whole() {
         let mut model = Model::default();
         add(&mut model, &addition("1", &[("a", "k", &[]), ("x", "a", &[])])).unwrap();
         type Nodes = &'static [(&'static str, &'static str, &'static [&'static str])];
@@ -702,9 +708,10 @@
             (&[("b", "m", &[])], 422, "unknown kind m"),
             (&[("b", "k", &["x"])], 422, "is an actor"),
         ];
-        for (nodes, status, words) in cases {
-            let RejectedAddition(said, text) = add(&mut model, &addition("2", nodes)).unwrap_err();
-            assert!(said == status && text.contains(words), "{said} {text}");
+        for (nodes, status, expected) in cases {
+            let RejectedAddition(status_code, text) =
+                add(&mut model, &addition("2", nodes)).unwrap_err();
+            assert!(status_code == status && text.contains(expected), "{status_code} {text}");
         }
         assert_eq!(model.len(), 2);
         let mut other = addition("3", &[]);
@@ -716,7 +723,7 @@
     }
 
     #[test]
-    fn what_needs_a_failed_node_is_skipped_now_and_later() {
+    fn dependents_of_a_failed_node_are_skipped_now_and_later() {
         let mut model = Model::default();
         let nodes: &[(&str, &str, &[&str])] =
             &[("a", "k", &[]), ("b", "k", &["a"]), ("c", "k", &["b"]), ("d", "k", &[])];
@@ -737,7 +744,7 @@
 
     /// The longest remaining path starts first; nodes with similar paths run in one job.
     #[test]
-    fn the_longest_path_goes_first() {
+    fn the_longest_path_starts_first() {
         let mut model = Model::default();
         let nodes: &[(&str, &str, &[&str])] = &[
             ("s", "k", &[]),
@@ -757,7 +764,7 @@
 
     /// A node that runs again keeps its failures, also when the end of an older job arrives late.
     #[test]
-    fn failures_are_carried_from_job_to_job() {
+    fn failures_accumulate_over_jobs() {
         let mut model = Model::default();
         add(&mut model, &addition("1", &[("a", "k", &[]), ("b", "k", &[])])).unwrap();
         let a = model.find("a").unwrap();
--- a/crates/graph/src/paths.rs
+++ b/crates/graph/src/paths.rs
@@ -13,7 +13,7 @@
     match kind.measured_run_time_s {
         // An actor ends with the rest of the graph.
         _ if kind.is_actor() => 0.0,
-        Some(learnt) => learnt,
+        Some(measured_s) => measured_s,
         None => estimate,
     }
 }
@@ -41,7 +41,7 @@
 
     /// Each node of a chain is due before the graph by the run time of the rest of the chain.
     #[test]
-    fn a_chain_is_due_step_by_step() {
+    fn nodes_of_a_chain_are_due_one_after_the_other() {
         let mut model = Model::default();
         let chain: &[(&str, &str, &[&str])] =
             &[("a", "k", &[]), ("b", "l", &["a"]), ("c", "k", &["b"])];
@@ -53,9 +53,9 @@
             node_due_s(due, node, own, Mono(10_000))
         };
         assert_eq!((left("a", 10.0), left("b", 30.0), left("c", 10.0)), (50.0, 80.0, 90.0));
-        let late = graph_due(Mono(0), Some(5.0), 50.0, Mono(0));
+        let overdue = graph_due(Mono(0), Some(5.0), 50.0, Mono(0));
         let a = model.node(model.find("a").unwrap()).unwrap();
-        assert_eq!(node_due_s(late, a, 10.0, Mono(10_000)), MIN_NODE_DUE_S);
+        assert_eq!(node_due_s(overdue, a, 10.0, Mono(10_000)), MIN_NODE_DUE_S);
         assert_eq!(graph_due(Mono(0), None, 1_000.0, Mono(7)), Mono(1_500_007));
     }
 }
--- a/crates/graph/src/records.rs
+++ b/crates/graph/src/records.rs
@@ -224,7 +224,7 @@
     use super::*;
 
     #[test]
-    fn keys_are_read_as_they_are_made() {
+    fn keys_round_trip() {
         let id = GraphId::parse("graph-7").unwrap();
         assert_eq!(parse_key(&head_key(id)), Some(GraphKey::Head(id)));
         assert_eq!(parse_key(&page_key(id, 12)), Some(GraphKey::Page(id, 12)));
@@ -235,7 +235,7 @@
 
     /// A task that the stored record does not contain has no node.
     #[test]
-    fn parts_say_which_node_a_task_is() {
+    fn parts_map_tasks_to_nodes() {
         let part: Part = serde_json::from_str(r#"{"n":[[4,3]]}"#).unwrap();
         assert_eq!((part.node(1), part.node(3)), (Some(NodeIx(5)), None));
         let one: Part = serde_json::from_str(r#"{"n":[[4,1]],"r":2}"#).unwrap();
--- a/crates/graph/src/runs.rs
+++ b/crates/graph/src/runs.rs
@@ -33,24 +33,24 @@
     }
 
     /// The node at a position of the list.
-    pub fn get(&self, place: usize) -> Option<NodeIx> {
-        let mut left = u32::try_from(place).ok()?;
+    pub fn get(&self, position: usize) -> Option<NodeIx> {
+        let mut remaining = u32::try_from(position).ok()?;
         for (first, length) in &self.0 {
-            if left < *length {
-                return first.checked_add(left).map(NodeIx);
+            if remaining < *length {
+                return first.checked_add(remaining).map(NodeIx);
             }
-            left -= length;
+            remaining -= length;
         }
         None
     }
 
     /// The nodes, at most `max_count` of them.
     pub fn iter(&self, max_count: usize) -> impl Iterator<Item = NodeIx> + '_ {
-        let each = |(first, length): &(u32, u32)| {
+        let range_nodes = |(first, length): &(u32, u32)| {
             let first = *first;
             (0..*length).filter_map(move |n| first.checked_add(n)).map(NodeIx)
         };
-        self.0.iter().flat_map(each).take(max_count)
+        self.0.iter().flat_map(range_nodes).take(max_count)
     }
 }
 
@@ -59,7 +59,7 @@
     use super::*;
 
     #[test]
-    fn runs_hold_what_was_put_in() {
+    fn ranges_round_trip() {
         let nodes: Vec<NodeIx> = [3, 4, 5, 9, 11, 12].map(NodeIx).to_vec();
         let (runs, taken) = Runs::of(&nodes, 10);
         assert_eq!((taken, runs.len()), (6, 6));
--- a/crates/graph/src/sessions.rs
+++ b/crates/graph/src/sessions.rs
@@ -78,7 +78,7 @@
     use super::*;
 
     #[test]
-    fn a_session_lapses_when_nobody_is_heard() {
+    fn a_session_expires_without_heartbeats() {
         let record = SessionRecord {
             key: hash_key("secret-1"),
             owner: "red".into(),
--- a/crates/graph/src/writing.rs
+++ b/crates/graph/src/writing.rs
@@ -268,10 +268,10 @@
             }
             Item::End(id) => {
                 let Some(open_graph) = self.graphs.get(id) else { return false };
-                let Phase::Ending(why) = &open_graph.phase else { return false };
+                let Phase::Ending(reason) = &open_graph.phase else { return false };
                 txn.conditions.push(unchanged(head_key(*id), open_graph.version));
                 txn.conditions.push(unchanged(over_key(*id), zero));
-                txn.changes.push(put(over_key(*id), json!(open_graph.final_record(why))));
+                txn.changes.push(put(over_key(*id), json!(open_graph.final_record(reason))));
                 txn.changes.push(Change::Delete { key: head_key(*id) });
             }
             Item::Sweep(id, page) => {
@@ -388,8 +388,8 @@
 
     fn graph_finished(&mut self, id: GraphId) {
         let Some(open_graph) = self.remove_graph(id) else { return };
-        if let Phase::Ending(why) = &open_graph.phase {
-            self.cache_final_record(id, open_graph.final_record(why));
+        if let Phase::Ending(reason) = &open_graph.phase {
+            self.cache_final_record(id, open_graph.final_record(reason));
         }
         (0..open_graph.model.page_count()).for_each(|page| self.queue.push_page_delete(id, page));
     }
--- a/crates/graph/tests/damaged.rs
+++ b/crates/graph/tests/damaged.rs
@@ -1,5 +1,5 @@
-//! Requests and stored records with bytes changed at random: nothing panics, and what is damaged of one graph ends that
-//! graph alone.
+//! Requests and stored records with randomly changed bytes. Nothing may panic, and damaged records of one graph may end
+//! only that graph.
 
 use oatloom_graph::answers::GraphView;
 use oatloom_graph::desk::{Around, Desk, Ended, Read, Verdict};
@@ -21,10 +21,10 @@
 
 const ROOM: Room = Room { value: 8_192, values: 14 };
 
-fn addition(names: &str) -> AddNodes {
+fn addition(prefix: &str) -> AddNodes {
     let node = |n: u32, needs: &[u32]| {
-        let needs: Vec<String> = needs.iter().map(|n| format!("{names}{n}")).collect();
-        json!({"name": format!("{names}{n}"), "kind": if n == 2 { "crew" } else { "k" }, "needs": needs, "shards": 1 + n / 2})
+        let needs: Vec<String> = needs.iter().map(|n| format!("{prefix}{n}")).collect();
+        json!({"name": format!("{prefix}{n}"), "kind": if n == 2 { "crew" } else { "k" }, "needs": needs, "shards": 1 + n / 2})
     };
     serde_json::from_value(json!({"key": "secret-1", "addition": "a", "seal": true,
         "kinds": {"k": {"num_cpus": 1.0, "expectS": 3.0}, "crew": {"shape": "gang", "num_cpus": 1.0, "max_retries": 2}},
@@ -36,8 +36,8 @@
     GraphId::parse(&format!("graph-{number}")).expect("an id")
 }
 
-/// Two graphs as they stand in the state service.
-fn stored() -> BTreeMap<String, Value> {
+/// The records of two graphs in the state service.
+fn stored_records() -> BTreeMap<String, Value> {
     let mut rows = BTreeMap::new();
     let key = hash_key("secret-1");
     rows.insert(session_key("s"), json!({"k": key, "o": "red", "t": 20_000}));
@@ -63,16 +63,16 @@
     rows
 }
 
-/// Changes some bytes of a value's text; what is no JSON any more stands as the text it became.
+/// Changes some bytes of a value's JSON text. If the result is not valid JSON, the text becomes a JSON string.
 fn damage(value: &Value, rng: &mut ChaCha8Rng) -> Value {
     let mut text = value.to_string().into_bytes();
     for _ in 0..rng.random_range(1..4) {
-        let at = rng.random_range(0..text.len());
+        let index = rng.random_range(0..text.len());
         match rng.random_range(0..4) {
-            0 => text[at] = rng.random_range(b' '..b'~'),
-            1 => _ = text.remove(at),
-            2 => text.insert(at, b'9'),
-            _ => text.swap(at, 0),
+            0 => text[index] = rng.random_range(b' '..b'~'),
+            1 => _ = text.remove(index),
+            2 => text.insert(index, b'9'),
+            _ => text.swap(index, 0),
         }
         if text.is_empty() {
             break;
@@ -82,61 +82,61 @@
     serde_json::from_str(&text).unwrap_or(Value::String(text))
 }
 
-fn rows(stored: &BTreeMap<String, Value>, prefix: &str) -> Vec<Row> {
-    let of = stored.iter().filter(|(key, _)| key.starts_with(prefix));
+fn rows(stored_records: &BTreeMap<String, Value>, prefix: &str) -> Vec<Row> {
+    let matching = stored_records.iter().filter(|(key, _)| key.starts_with(prefix));
     let row = |(key, value): (&String, &Value)| Row {
         key: key.clone(),
         value: value.clone(),
         version: Revision(3),
         lease: None,
     };
-    of.map(row).collect()
+    matching.map(row).collect()
 }
 
-/// A new leader reads what is stored; `ended`: how jobs ended.
-fn load(stored: &BTreeMap<String, Value>, ended: Vec<Ended>) -> Desk {
+/// Loads the stored records as a new leader does; `ended` are the final states of jobs.
+fn load(stored_records: &BTreeMap<String, Value>, ended: Vec<Ended>) -> Desk {
     let now = Now { mono: Mono(50_000), wall_ms: 60_000 };
-    let mut desk = Desk::new(Limits::default(), Token(9), ROOM, now.mono);
+    let mut table = Desk::new(Limits::default(), Token(9), ROOM, now.mono);
     let mut ended = Some(ended);
-    while let Some(read) = desk.next_read() {
+    while let Some(read) = table.next_read() {
         match read {
-            Read::Key(_) => desk.read_count(Revision(2)),
+            Read::Key(_) => table.read_count(Revision(2)),
             Read::List { prefix, .. } => {
                 assert!(prefix == SESSIONS || prefix == GRAPHS);
-                desk.read_rows(rows(stored, &prefix), false, now);
+                table.read_rows(rows(stored_records, &prefix), false, now);
             }
             Read::Ended { .. } => {
-                desk.read_ended(ended.take().unwrap_or_default(), None, &|_| Vec::new(), now.mono);
+                table.read_ended(ended.take().unwrap_or_default(), None, &|_| Vec::new(), now.mono);
             }
         }
     }
-    desk
+    table
 }
 
-/// Writes until there is nothing more, as a state service that takes everything; jobs are over at once.
-fn settle(desk: &mut Desk) -> BTreeMap<String, Value> {
+/// Writes until the queue is empty, with a state service that accepts everything; jobs end at once.
+fn write_all(table: &mut Desk) -> BTreeMap<String, Value> {
     let mut written = BTreeMap::new();
-    for turn in 0..200u64 {
+    for round in 0..200u64 {
         let fence = Condition { key: "lead".into(), version: Revision(9) };
-        let now = Now { mono: Mono(51_000 + turn), wall_ms: 61_000 + turn };
-        let live = |launch: &oatloom_graph::desk::Launch| {
+        let now = Now { mono: Mono(51_000 + round), wall_ms: 61_000 + round };
+        let encode_job = |launch: &oatloom_graph::desk::Launch| {
             (format!("live/{}", launch.id()), format!("over/{}", launch.id()), json!(launch.part))
         };
-        let Some((txn, wrote)) = desk.next_txn(fence, 16, now, &live) else { break };
+        let Some((txn, written_items)) = table.next_txn(fence, 16, now, &encode_job) else { break };
         for change in &txn.changes {
             if let Change::Put { key, value, .. } = change {
                 written.insert(key.clone(), value.clone());
             }
         }
-        desk.committed(&wrote, Revision(100 + turn));
-        for effect in desk.take_effects() {
+        table.committed(&written_items, Revision(100 + round));
+        for effect in table.take_effects() {
             if let oatloom_graph::desk::Effect::Admit(launch, _) = effect {
                 let end = PartEnd {
                     nodes: launch.part.nodes.clone(),
                     done: Vec::new(),
                     charged: Vec::new(),
                 };
-                desk.job_over(launch.id(), &end, JobStatus::Done, None);
+                table.job_over(launch.id(), &end, JobStatus::Done, None);
             }
         }
     }
@@ -144,41 +144,48 @@
 }
 
 #[test]
-fn damaged_records_end_their_graph_alone() {
+fn damaged_records_end_only_their_graph() {
     let mut rng = ChaCha8Rng::seed_from_u64(11);
-    let (mut ended_alone, mut harmless) = (0, 0);
+    let (mut ended_alone, mut unaffected) = (0, 0);
     for _ in 0..1_500 {
-        let mut records = stored();
+        let mut records = stored_records();
         let keys: Vec<String> =
             records.keys().filter(|key| key.contains(&graph(1).digits())).cloned().collect();
         let key = &keys[rng.random_range(0..keys.len())];
-        let bad = damage(&records[key], &mut rng);
-        records.insert(key.clone(), bad);
-        let mut desk = load(&records, Vec::new());
-        let stopped = desk.graph(graph(1)).is_some_and(|live| {
+        let damaged = damage(&records[key], &mut rng);
+        records.insert(key.clone(), damaged);
+        let mut table = load(&records, Vec::new());
+        let is_stopped = table.graph(graph(1)).is_some_and(|open_graph| {
             matches!(
-                &live.phase,
+                &open_graph.phase,
                 Phase::Stopping(EndReason::Damaged(_)) | Phase::Ending(EndReason::Damaged(_))
             )
         });
-        let written = settle(&mut desk);
-        let over = &written[&over_key(graph(2))];
-        assert_eq!((&over["s"], &over["n"]), (&json!("done"), &json!(5)), "{key}: the other graph");
-        if stopped {
+        let written = write_all(&mut table);
+        let final_record = &written[&over_key(graph(2))];
+        assert_eq!(
+            (&final_record["s"], &final_record["n"]),
+            (&json!("done"), &json!(5)),
+            "{key}: the undamaged graph must finish"
+        );
+        if is_stopped {
             ended_alone += 1;
-            let over = &written[&over_key(graph(1))];
-            assert_eq!(over["s"], json!("cancelled"));
-            assert!(over["w"].as_str().is_some_and(|why| why.contains("damaged")), "{over}");
+            let final_record = &written[&over_key(graph(1))];
+            assert_eq!(final_record["s"], json!("cancelled"));
+            assert!(
+                final_record["w"].as_str().is_some_and(|reason| reason.contains("damaged")),
+                "{final_record}"
+            );
         } else {
-            harmless += 1;
+            unaffected += 1;
         }
     }
-    println!("{ended_alone} graphs ended by damage, {harmless} went on");
-    assert!(ended_alone > 500 && harmless > 100);
+    println!("{ended_alone} graphs ended by damage, {unaffected} continued");
+    assert!(ended_alone > 500 && unaffected > 100);
 }
 
 #[test]
-fn damaged_ends_of_jobs_and_requests_do_no_harm() {
+fn damaged_job_ends_and_requests_are_harmless() {
     let mut rng = ChaCha8Rng::seed_from_u64(12);
     let end = json!({"n": [[0, 2], [3, 1]], "d": [0, 2], "c": [[1, 3]]});
     let add = json!(addition("m"));
@@ -187,16 +194,16 @@
         let status =
             [JobStatus::Done, JobStatus::Failed, JobStatus::Cancelled][rng.random_range(0..3)];
         let ended = read.map(|end| Ended { id: graph(1).job(Seq(4)), end, status, failure: None });
-        let mut desk = load(&stored(), ended.into_iter().collect());
+        let mut table = load(&stored_records(), ended.into_iter().collect());
         let context = Around { unfit: &|_| None, team: &|_| true };
         if let Ok(add) = serde_json::from_value::<AddNodes>(damage(&add, &mut rng)) {
-            let sound = check(&add).is_ok();
+            let is_valid = check(&add).is_ok();
             let now = Now { mono: Mono(50_500), wall_ms: 60_500 };
-            let verdict = desk.ask(now, 1, &Ask::Add(graph(2), add), &context);
-            // The graph is sealed: nothing may come to it.
-            let Verdict::Reply(reply) = verdict else { panic!("taken") };
+            let outcome = table.ask(now, 1, &Ask::Add(graph(2), add), &context);
+            // The graph is sealed, so every addition must be rejected.
+            let Verdict::Reply(reply) = outcome else { panic!("the reply was deferred") };
             assert!(
-                (400..500).contains(&reply.status) && sound == (reply.status != 400),
+                (400..500).contains(&reply.status) && is_valid == (reply.status != 400),
                 "{reply:?}"
             );
         }
@@ -204,12 +211,12 @@
             let _ = (part.batch(), part.node(0), part.node(u32::MAX));
         }
         let now = Now { mono: Mono(50_600), wall_ms: 60_600 };
-        let look = Look { after: "9.99999999999".into(), most: 3 };
-        if let Verdict::Reply(reply) = desk.ask(now, 1, &Ask::Look(graph(1), look), &context) {
+        let range = Look { after: "9.99999999999".into(), most: 3 };
+        if let Verdict::Reply(reply) = table.ask(now, 1, &Ask::Look(graph(1), range), &context) {
             let view: GraphView = serde_json::from_str(&reply.body).expect("a view");
             assert!(view.changed.len() <= 3);
         }
-        settle(&mut desk);
+        write_all(&mut table);
     }
     let page: Result<Page, _> = serde_json::from_value(
         json!({"q": "a", "h": 1, "b": 4_294_967_295u32, "n": [["x", 0, 1, []]]}),
