--- a/crates/graph/src/launching.rs
+++ b/crates/graph/src/launching.rs
@@ -2,8 +2,8 @@
 
 use crate::constants::*;
 use crate::ids::{GraphId, NodeIx, Seq};
-use crate::live::{JobPhase, OpenGraph, Phase};
 use crate::model::{LaunchGroup, NodeKind, Room};
+use crate::open_graph::{JobPhase, OpenGraph, Phase};
 use crate::paths::{graph_due, node_due_s, seconds};
 use crate::records::{Head, Part};
 use crate::requests::{NodeShape, Strategy};
--- a/crates/graph/src/loading.rs
+++ b/crates/graph/src/loading.rs
@@ -3,7 +3,7 @@
 
 use crate::desk::Desk;
 use crate::ids::{GraphId, Seq};
-use crate::live::{EndReason, OpenGraph, Phase};
+use crate::open_graph::{EndReason, OpenGraph, Phase};
 use crate::records::{
     GRAPHS, GraphKey, Head, Part, PartEnd, SESSION_COUNT, SESSIONS, SessionRecord, parse_key,
 };
--- a/crates/graph/src/writing.rs
+++ b/crates/graph/src/writing.rs
@@ -4,7 +4,7 @@
 use crate::constants::*;
 use crate::desk::{Desk, Effect, Launch};
 use crate::ids::{GraphId, Seq};
-use crate::live::{EndReason, Phase};
+use crate::open_graph::{EndReason, Phase};
 use crate::records::{
     Head, Page, SESSION_COUNT, SessionRecord, head_key, over_key, over_page_key, page_key,
     session_key,
--- a/crates/graph/tests/damaged.rs
+++ b/crates/graph/tests/damaged.rs
@@ -5,8 +5,8 @@
 use oatloom_graph::desk::{Around, Desk, Ended, Read, Verdict};
 use oatloom_graph::ids::{GraphId, Seq};
 use oatloom_graph::limits::Limits;
-use oatloom_graph::live::{EndReason, Phase};
 use oatloom_graph::model::{Model, Room};
+use oatloom_graph::open_graph::{EndReason, Phase};
 use oatloom_graph::records::{
     GRAPHS, Head, Page, Part, PartEnd, SESSIONS, head_key, over_key, page_key, session_key,
 };
