--- a/crates/graph/src/desk.rs
+++ b/crates/graph/src/desk.rs
@@ -1,4 +1,5 @@
-//! The table of all open graphs and sessions of a leader: a state machine `(request or event, now) -> replies, effects`.
+//! The table of all open graphs and sessions of a leader, as a state machine:
+//! `(request or event, now) -> replies, effects`.
 //! It also queues the writes that [`crate::writing`] turns into transactions.
 
 use crate::answers::{GraphView, JobNodes, SessionStatus, SessionView, busy};
@@ -62,7 +63,7 @@
 pub struct Desk {
     pub(crate) limits: Limits,
     pub(crate) token: Token,
-    pub(crate) room: Room,
+    pub(crate) record_space: Room,
     pub(crate) stage: LoadStage,
     pub(crate) sessions: BTreeMap<String, Session>,
     pub(crate) count_version: Revision,
@@ -90,12 +91,12 @@
 
 impl Desk {
     /// The table of a new leader, which has not yet loaded anything.
-    pub fn new(limits: Limits, token: Token, room: Room, now: Mono) -> Self {
+    pub fn new(limits: Limits, token: Token, record_space: Room, now: Mono) -> Self {
         let rate_limiter = RateLimiter::full(limits.additions_per_s, now);
         Self {
             limits,
             token,
-            room,
+            record_space,
             stage: LoadStage::Count,
             sessions: BTreeMap::new(),
             count_version: Revision(0),
@@ -476,7 +477,7 @@
         if open_graph.pending_addition.is_some() {
             return Verdict::Reply(busy("another addition is being written"));
         }
-        let prepared = match open_graph.model.prepare(add, digest, self.room) {
+        let prepared = match open_graph.model.prepare(add, digest, self.record_space) {
             Ok(prepared) => prepared,
             Err(RejectedAddition(status, text)) => return refuse(status, &text),
         };
@@ -700,7 +701,7 @@
                 class_max_retries,
                 bias,
                 order,
-                self.room,
+                self.record_space,
                 (now.mono, now.wall_ms),
             );
             if !open_graph.model.has_ready_nodes() || launch.is_none() {
--- a/crates/graph/src/launching.rs
+++ b/crates/graph/src/launching.rs
@@ -112,7 +112,7 @@
         class_max_retries: Option<u32>,
         bias: f64,
         order: LaunchOrder,
-        room: Room,
+        record_space: Room,
         (now, wall_ms): (Mono, u64),
     ) -> Option<Launch> {
         if self.phase != Phase::Open {
@@ -121,15 +121,15 @@
         let (group, nodes): (LaunchGroup, Vec<NodeIx>) = match order {
             LaunchOrder::LongestPath => {
                 let (group, nodes) = self.model.next_group()?;
-                (group, nodes.take(room.max_batch_nodes()).collect())
+                (group, nodes.take(record_space.max_batch_nodes()).collect())
             }
             LaunchOrder::Added => {
                 let (group, nodes) = self.model.next_group_by_insertion()?;
-                (group, nodes.take(room.max_batch_nodes()).collect())
+                (group, nodes.take(record_space.max_batch_nodes()).collect())
             }
         };
         let seq = self.next_seq?;
-        let (runs, taken_count) = Runs::of(&nodes, room.max_batch_ranges());
+        let (runs, taken_count) = Runs::from_nodes(&nodes, record_space.max_batch_ranges());
         let nodes = &nodes[..taken_count];
         let node_run_time_s = self.node_run_time_s(group.kind, bias);
         let due = graph_due(self.created, self.head.due_s, self.path_s, now);
--- a/crates/graph/src/model.rs
+++ b/crates/graph/src/model.rs
@@ -264,7 +264,7 @@
         &self,
         add: &AddNodes,
         digest: u64,
-        room: Room,
+        record_space: Room,
     ) -> Result<PreparedAddition, RejectedAddition> {
         let mut kinds: Vec<(String, KindSpec)> = Vec::new();
         let mut kind_numbers: BTreeMap<&str, u16> = BTreeMap::new();
@@ -355,7 +355,7 @@
             (node.name.clone(), kind, node.shards, needs.into_iter().collect())
         };
         let rows = order.iter().map(|vertex| row(addition[*vertex])).collect();
-        split_into_pages(add, digest, room, NodeIx(first), kinds, rows)
+        split_into_pages(add, digest, record_space, NodeIx(first), kinds, rows)
     }
 
     /// Applies a page, either a new one or one read from the state service.
@@ -591,14 +591,14 @@
 fn split_into_pages(
     add: &AddNodes,
     digest: u64,
-    room: Room,
+    record_space: Room,
     first: NodeIx,
     kinds: Vec<(String, KindSpec)>,
     rows: Vec<NodeRow>,
 ) -> Result<PreparedAddition, RejectedAddition> {
     let new_page =
         |first| Page { addition: add.addition.clone(), digest, first, ..Page::default() };
-    let max_page_bytes = (room.value as f64 * PAGE_FILL_FRACTION) as usize;
+    let max_page_bytes = (record_space.value as f64 * PAGE_FILL_FRACTION) as usize;
     let json_bytes =
         |text: serde_json::Result<String>| text.map_or(usize::MAX, |text| text.len() + 1);
     let mut pages = vec![new_page(first)];
@@ -626,7 +626,7 @@
         next += 1;
         pages.last_mut().into_iter().for_each(|page| page.nodes.push(row.clone()));
     }
-    if pages.len() > room.values || bytes > MAX_TXN_BYTES.max(room.value) {
+    if pages.len() > record_space.values || bytes > MAX_TXN_BYTES.max(record_space.value) {
         return rejected(413, "too many nodes for one addition; add them in several");
     }
     if let Some(last) = pages.last_mut() {
@@ -641,7 +641,7 @@
     use super::*;
     use serde_json::json;
 
-    pub const ROOM: Room = Room { value: 8_192, values: 14 };
+    pub const RECORD_SPACE: Room = Room { value: 8_192, values: 14 };
 
     pub fn addition(name: &str, nodes: &[(&str, &str, &[&str])]) -> AddNodes {
         let nodes: Vec<_> = nodes
@@ -656,7 +656,7 @@
     }
 
     pub fn add(model: &mut Model, add: &AddNodes) -> Result<(), RejectedAddition> {
-        let prepared = model.prepare(add, 1, ROOM)?;
+        let prepared = model.prepare(add, 1, RECORD_SPACE)?;
         for page in &prepared.pages {
             model.apply(page, 10).unwrap();
         }
--- a/crates/graph/src/records.rs
+++ b/crates/graph/src/records.rs
@@ -34,7 +34,7 @@
 }
 
 /// Key of a final page of a finished graph.
-pub fn over_page_key(id: GraphId, page: u32) -> String {
+pub fn final_page_key(id: GraphId, page: u32) -> String {
     format!("{OVER}{}/{page:05}", id.digits())
 }
 
--- a/crates/graph/src/runs.rs
+++ b/crates/graph/src/runs.rs
@@ -10,7 +10,7 @@
 
 impl Runs {
     /// Encodes nodes in ascending order into at most `max_count` ranges. Returns the number of nodes taken as well.
-    pub fn of(nodes: &[NodeIx], max_count: usize) -> (Self, usize) {
+    pub fn from_nodes(nodes: &[NodeIx], max_count: usize) -> (Self, usize) {
         let mut runs: Vec<(u32, u32)> = Vec::new();
         for (taken, node) in nodes.iter().enumerate() {
             let full = runs.len() == max_count;
@@ -61,11 +61,11 @@
     #[test]
     fn ranges_round_trip() {
         let nodes: Vec<NodeIx> = [3, 4, 5, 9, 11, 12].map(NodeIx).to_vec();
-        let (runs, taken) = Runs::of(&nodes, 10);
+        let (runs, taken) = Runs::from_nodes(&nodes, 10);
         assert_eq!((taken, runs.len()), (6, 6));
         assert_eq!(runs.iter(99).collect::<Vec<_>>(), nodes);
         assert_eq!((runs.get(3), runs.get(6)), (Some(NodeIx(9)), None));
-        let (short, taken) = Runs::of(&nodes, 2);
+        let (short, taken) = Runs::from_nodes(&nodes, 2);
         assert_eq!((taken, short.get(3)), (4, Some(NodeIx(9))));
         let broken: Runs = serde_json::from_str("[[4294967295,9],[0,4294967295]]").unwrap();
         assert!(broken.iter(20).count() <= 20 && broken.get(5).is_none());
--- a/crates/graph/src/writing.rs
+++ b/crates/graph/src/writing.rs
@@ -6,7 +6,7 @@
 use crate::ids::{GraphId, Seq};
 use crate::open_graph::{EndReason, Phase};
 use crate::records::{
-    Head, Page, SESSION_COUNT, SessionRecord, head_key, over_key, over_page_key, page_key,
+    Head, Page, SESSION_COUNT, SessionRecord, final_page_key, head_key, over_key, page_key,
     session_key,
 };
 use crate::runs::Runs;
@@ -29,11 +29,11 @@
     /// The live record of a job that runs nodes.
     Launch(GraphId, Seq),
     /// The final states of a page's nodes.
-    EndPage(GraphId, u32),
+    FinalPage(GraphId, u32),
     /// The final record, which replaces the head.
-    End(GraphId),
+    FinalRecord(GraphId),
     /// The deletion of a finished graph's page.
-    Sweep(GraphId, u32),
+    DeletePage(GraphId, u32),
 }
 
 /// An item of a transaction in flight, as needed to process the transaction's outcome.
@@ -86,11 +86,11 @@
 
     /// Queues a graph's next final page, or its final record after the last page.
     pub fn push_final(&mut self, id: GraphId) {
-        self.push(Item::End(id), false);
+        self.push(Item::FinalRecord(id), false);
     }
 
     pub fn push_page_delete(&mut self, id: GraphId, page: u32) {
-        self.push(Item::Sweep(id, page), false);
+        self.push(Item::DeletePage(id, page), false);
     }
 
     fn pop(&mut self, urgent: bool) -> Option<Item> {
@@ -125,11 +125,11 @@
                 || !self.launchable.is_empty() && self.open_jobs < MAX_OPEN_JOB_COUNT)
     }
 
-    /// Builds the next fenced transaction of at most `ops` changes, within the limits of the service.
+    /// Builds the next fenced transaction of at most `max_change_count` changes, within the limits of the service.
     pub fn next_txn(
         &mut self,
         fence: Condition,
-        ops: usize,
+        max_change_count: usize,
         now: Now,
         encode_job: JobRecordEncoder,
     ) -> Option<(Txn, Vec<Wrote>)> {
@@ -141,16 +141,16 @@
         let mut bytes = 0;
         let max_items = self.items_most;
         while written.len() < max_items
-            && txn.changes.len() < ops
+            && txn.changes.len() < max_change_count
             && bytes < MAX_TXN_BYTES
-            && txn.conditions.len() + 4 < ops * 4
+            && txn.conditions.len() + 4 < max_change_count * 4
         {
             let Some(item) = self.next_item(now) else { break };
             let before = (txn.conditions.len(), txn.changes.len());
             let has_changes = self.write(&item, &mut txn, encode_job);
             let added = txn.changes[before.1..].iter().map(change_bytes).sum::<usize>();
-            let exceeds_limits =
-                txn.changes.len() > ops || !written.is_empty() && bytes + added > MAX_TXN_BYTES;
+            let exceeds_limits = txn.changes.len() > max_change_count
+                || !written.is_empty() && bytes + added > MAX_TXN_BYTES;
             // One session per transaction, since every session writes the same count.
             let second_session = matches!(item, Item::Session(_))
                 && written.iter().any(|w| matches!(w.item, Item::Session(_)));
@@ -186,11 +186,11 @@
         }
         match self.queue.pop(false)? {
             // The final pages come first, one at a time.
-            Item::End(id) => {
+            Item::FinalRecord(id) => {
                 let open_graph = self.graphs.get(&id)?;
                 let page = open_graph.durable_final_pages;
                 let all_written = page >= open_graph.model.page_count();
-                Some(if all_written { Item::End(id) } else { Item::EndPage(id, page) })
+                Some(if all_written { Item::FinalRecord(id) } else { Item::FinalPage(id, page) })
             }
             item => Some(item),
         }
@@ -258,15 +258,15 @@
                 txn.conditions.push(unchanged(final_key, zero));
                 txn.changes.push(put(key, value));
             }
-            Item::EndPage(id, page) => {
+            Item::FinalPage(id, page) => {
                 let Some(open_graph) = self.graphs.get(id) else { return false };
                 txn.conditions.push(unchanged(head_key(*id), open_graph.version));
                 txn.changes.push(put(
-                    over_page_key(*id, *page),
-                    json!(open_graph.final_page(*page, self.room.value)),
+                    final_page_key(*id, *page),
+                    json!(open_graph.final_page(*page, self.record_space.value)),
                 ));
             }
-            Item::End(id) => {
+            Item::FinalRecord(id) => {
                 let Some(open_graph) = self.graphs.get(id) else { return false };
                 let Phase::Ending(reason) = &open_graph.phase else { return false };
                 txn.conditions.push(unchanged(head_key(*id), open_graph.version));
@@ -274,7 +274,7 @@
                 txn.changes.push(put(over_key(*id), json!(open_graph.final_record(reason))));
                 txn.changes.push(Change::Delete { key: head_key(*id) });
             }
-            Item::Sweep(id, page) => {
+            Item::DeletePage(id, page) => {
                 txn.changes.push(Change::Delete { key: page_key(*id, *page) });
             }
         }
@@ -289,15 +289,15 @@
                 Item::Head(id) => self.head_committed(*id, revision),
                 Item::Addition(id) => self.addition_committed(*id),
                 Item::Launch(id, seq) => self.launch_committed(*id, *seq, revision),
-                Item::EndPage(id, page) => {
+                Item::FinalPage(id, page) => {
                     if let Some(open_graph) = self.graphs.get_mut(id) {
                         open_graph.durable_final_pages =
                             open_graph.durable_final_pages.max(page + 1);
                         self.queue.push_final(*id);
                     }
                 }
-                Item::End(id) => self.graph_finished(*id),
-                Item::Sweep(..) => {}
+                Item::FinalRecord(id) => self.graph_finished(*id),
+                Item::DeletePage(..) => {}
             }
         }
     }
@@ -422,9 +422,9 @@
                     .into_iter()
                     .collect()
             }
-            Item::EndPage(..) | Item::Sweep(..) => Vec::new(),
+            Item::FinalPage(..) | Item::DeletePage(..) => Vec::new(),
             Item::Launch(id, seq) => vec![live_key(&id.job(*seq)), final_key(&id.job(*seq))],
-            Item::End(id) => vec![over_key(*id)],
+            Item::FinalRecord(id) => vec![over_key(*id)],
         }
     }
 
@@ -504,8 +504,10 @@
                     self.update_graph(*id);
                 }
             },
-            Item::End(id) if row(0).is_some() => self.graph_finished(*id),
-            Item::EndPage(..) | Item::End(_) | Item::Sweep(..) => self.queue.put_back(written.item),
+            Item::FinalRecord(id) if row(0).is_some() => self.graph_finished(*id),
+            Item::FinalPage(..) | Item::FinalRecord(_) | Item::DeletePage(..) => {
+                self.queue.put_back(written.item)
+            }
         }
     }
 
--- a/crates/graph/tests/damaged.rs
+++ b/crates/graph/tests/damaged.rs
@@ -19,7 +19,7 @@
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
-const ROOM: Room = Room { value: 8_192, values: 14 };
+const RECORD_SPACE: Room = Room { value: 8_192, values: 14 };
 
 fn addition(prefix: &str) -> AddNodes {
     let node = |n: u32, needs: &[u32]| {
@@ -55,7 +55,8 @@
             cancelled: false,
         };
         rows.insert(head_key(graph(number)), json!(head));
-        let pages = Model::default().prepare(&addition("n"), 7, ROOM).expect("a graph").pages;
+        let pages =
+            Model::default().prepare(&addition("n"), 7, RECORD_SPACE).expect("a graph").pages;
         for (page, value) in pages.iter().enumerate() {
             rows.insert(page_key(graph(number), page as u32), json!(value));
         }
@@ -96,7 +97,7 @@
 /// Loads the stored records as a new leader does; `ended` are the final states of jobs.
 fn load(stored_records: &BTreeMap<String, Value>, ended: Vec<Ended>) -> Desk {
     let now = Now { mono: Mono(50_000), wall_ms: 60_000 };
-    let mut table = Desk::new(Limits::default(), Token(9), ROOM, now.mono);
+    let mut table = Desk::new(Limits::default(), Token(9), RECORD_SPACE, now.mono);
     let mut ended = Some(ended);
     while let Some(read) = table.next_read() {
         match read {
--- a/crates/graph/tests/scale.rs
+++ b/crates/graph/tests/scale.rs
@@ -72,8 +72,8 @@
             team_additions_per_s: 10_000.0,
             ..Limits::default()
         };
-        let room = Room { value: MAX_VALUE_BYTES, values: MAX_TXN_CHANGE_COUNT - 2 };
-        let mut table = Desk::new(limits, Token(1), room, Mono(0)).with_order(order);
+        let record_space = Room { value: MAX_VALUE_BYTES, values: MAX_TXN_CHANGE_COUNT - 2 };
+        let mut table = Desk::new(limits, Token(1), record_space, Mono(0)).with_order(order);
         let now = Now { mono: Mono(0), wall_ms: 0 };
         table.read_count(Revision(0));
         table.read_rows(Vec::new(), false, now);
