--- a/crates/graph/src/desk.rs
+++ b/crates/graph/src/desk.rs
@@ -1,21 +1,22 @@
-//! All graphs and sessions that a leader works on: `(request or event, now) -> answers, effects`, and what is to be
-//! written, which [`crate::writing`] puts into transactions.
+//! The table of all open graphs and sessions of a leader, as a state machine:
+//! `(request or event, now) -> replies, effects`.
+//! It also queues the writes that [`crate::writing`] turns into transactions.
 
 use crate::answers::{GraphView, JobNodes, SessionStatus, SessionView, busy};
 use crate::constants::*;
 use crate::ids::{GraphId, Seq};
 use crate::launching::job_spec;
-pub use crate::launching::{Launch, Order};
-use crate::limits::{Bucket, Limits};
-use crate::live::{Live, Pending, Phase, Why};
-use crate::loading::{Damages, Stage};
+pub use crate::launching::{Launch, LaunchOrder};
+use crate::limits::{Limits, RateLimiter};
+use crate::loading::{DamagedGraphs, LoadStage};
 pub use crate::loading::{Ended, JOBS_PREFIX, OpenJob, Read};
-use crate::model::{Kind, NodeState, Refused, Room};
+use crate::model::{NodeKind, NodeState, RejectedAddition, Room};
+use crate::open_graph::{EndReason, OpenGraph, PendingAddition, Phase};
 use crate::paths::graph_due;
 use crate::records::{Head, OverRecord, Page, Part, PartEnd, SessionRecord};
 use crate::requests::{AddNodes, Ask, CreateGraph, OpenSession, check};
 use crate::sessions::{self, Session, digest, hash_key};
-use crate::writing::Queue;
+use crate::writing::GraphWriteQueue;
 pub use crate::writing::{Item, Wrote};
 use oatloom_protocol::ids::{JobId, Millis, Mono, Now, Revision, Token};
 use oatloom_protocol::reply::HttpReply;
@@ -24,117 +25,119 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// What the rest of the leader is to do.
+/// An action that the table requests from the rest of the leader.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// A job is accepted, at this revision.
+    /// Admits a job whose record became durable at this revision.
     Admit(Box<Launch>, Revision),
     Cancel(JobId),
-    /// Somebody who waited is told.
+    /// Answers a request whose reply was deferred.
     Reply {
         ticket: u64,
         reply: HttpReply,
     },
 }
 
-/// What becomes of a request.
+/// The immediate outcome of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
     Reply(HttpReply),
-    /// Once it is durable; the ticket is named then.
+    /// The reply follows as [`Effect::Reply`] with the request's ticket once the change is durable.
     Later,
-    /// No such graph is open: whether it is over stands in the state service.
+    /// The graph is not open; the state service knows whether it has finished.
     NotOpen,
-    /// What a job runs; its description is the rest of the leader's to add.
+    /// The nodes that a job runs; the caller adds the job's description.
     Job(JobId, Box<JobNodes>),
 }
 
-/// What the rest of the leader knows that decisions here need.
+/// Knowledge of the rest of the leader that decisions on requests need.
 pub struct Around<'a> {
-    /// Why a job like this can never run.
+    /// The error reply for a job that can never run.
     pub unfit: &'a dyn Fn(&JobSpec) -> Option<HttpReply>,
-    /// Whether there is such a team.
+    /// Whether the team exists.
     pub team: &'a dyn Fn(&str) -> bool,
 }
 
+/// All open graphs and sessions of one leader term.
 #[derive(Debug)]
 pub struct Desk {
     pub(crate) limits: Limits,
     pub(crate) token: Token,
-    pub(crate) room: Room,
-    pub(crate) stage: Stage,
+    pub(crate) record_space: Room,
+    pub(crate) stage: LoadStage,
     pub(crate) sessions: BTreeMap<String, Session>,
-    pub(crate) count_stamp: Revision,
-    pub(crate) graphs: BTreeMap<GraphId, Live>,
-    /// Graphs with nodes that may start.
-    pub(crate) wanting: BTreeSet<GraphId>,
-    pub(crate) queue: Queue,
+    pub(crate) count_version: Revision,
+    pub(crate) graphs: BTreeMap<GraphId, OpenGraph>,
+    /// Graphs with ready nodes.
+    pub(crate) launchable: BTreeSet<GraphId>,
+    pub(crate) queue: GraphWriteQueue,
     pub(crate) effects: Vec<Effect>,
-    pub(crate) order: Order,
-    /// Items that one transaction may have at present.
+    pub(crate) order: LaunchOrder,
+    /// Maximum number of items in one transaction; lowered while the service refuses writes.
     pub items_most: usize,
-    over: BTreeMap<GraphId, OverRecord>,
-    over_order: VecDeque<GraphId>,
-    bucket: Bucket,
-    team_buckets: BTreeMap<String, Bucket>,
-    /// How often classes may be repeated.
-    allowed: BTreeMap<String, Option<u32>>,
-    /// By how much owners misjudge the run times of classes.
-    biases: BTreeMap<String, f64>,
+    final_records: BTreeMap<GraphId, OverRecord>,
+    final_record_order: VecDeque<GraphId>,
+    rate_limiter: RateLimiter,
+    team_rate_limiters: BTreeMap<String, RateLimiter>,
+    /// Maximum retries of each class.
+    class_max_retries: BTreeMap<String, Option<u32>>,
+    /// Ratio of measured to estimated run time of each class.
+    run_time_biases: BTreeMap<String, f64>,
     pub(crate) open_jobs: usize,
-    /// Graphs whose records cannot be read, until that has been acted on.
-    pub(crate) damaged: Damages,
-    next_look: Mono,
+    /// Graphs whose records cannot be decoded, until they are stopped.
+    pub(crate) damaged: DamagedGraphs,
+    next_session_check: Mono,
 }
 
 impl Desk {
-    /// For a new leader, which has still to read what there is.
-    pub fn new(limits: Limits, token: Token, room: Room, now: Mono) -> Self {
-        let bucket = Bucket::full(limits.additions_per_s, now);
+    /// The table of a new leader, which has not yet loaded anything.
+    pub fn new(limits: Limits, token: Token, record_space: Room, now: Mono) -> Self {
+        let rate_limiter = RateLimiter::full(limits.additions_per_s, now);
         Self {
             limits,
             token,
-            room,
-            stage: Stage::Count,
+            record_space,
+            stage: LoadStage::Count,
             sessions: BTreeMap::new(),
-            count_stamp: Revision(0),
+            count_version: Revision(0),
             graphs: BTreeMap::new(),
-            wanting: BTreeSet::new(),
-            queue: Queue::default(),
+            launchable: BTreeSet::new(),
+            queue: GraphWriteQueue::default(),
             effects: Vec::new(),
-            order: Order::default(),
+            order: LaunchOrder::default(),
             items_most: usize::MAX,
-            over: BTreeMap::new(),
-            over_order: VecDeque::new(),
-            bucket,
-            team_buckets: BTreeMap::new(),
-            allowed: BTreeMap::new(),
-            biases: BTreeMap::new(),
+            final_records: BTreeMap::new(),
+            final_record_order: VecDeque::new(),
+            rate_limiter,
+            team_rate_limiters: BTreeMap::new(),
+            class_max_retries: BTreeMap::new(),
+            run_time_biases: BTreeMap::new(),
             open_jobs: 0,
-            damaged: Damages::new(),
-            next_look: now,
+            damaged: DamagedGraphs::new(),
+            next_session_check: now,
         }
     }
 
-    /// The same with the order of nodes that measurements hold the longest paths against.
-    pub fn with_order(self, order: Order) -> Self {
+    /// Sets the launch order, which benchmarks compare with the default.
+    pub fn with_order(self, order: LaunchOrder) -> Self {
         Self { order, ..self }
     }
 
+    /// Whether loading is complete.
     pub fn ready(&self) -> bool {
-        self.stage == Stage::Ready
+        self.stage == LoadStage::Ready
     }
 
-    /// What is to be done since the last call.
+    /// Takes the effects that have accumulated since the last call.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
-    pub fn graph(&self, id: GraphId) -> Option<&Live> {
+    pub fn graph(&self, id: GraphId) -> Option<&OpenGraph> {
         self.graphs.get(&id)
     }
 
-    /// Graphs and sessions that are open, and writes that wait.
+    /// Numbers of open graphs, open sessions and queued writes.
     pub fn sizes(&self) -> (usize, usize, usize) {
         (self.graphs.len(), self.sessions.len(), self.queue.len())
     }
@@ -143,67 +146,72 @@
         self.effects.push(Effect::Reply { ticket, reply });
     }
 
-    /// How often a class may be repeated, and by how much its run times are misjudged.
-    pub fn learn_class(&mut self, class: &str, allowed: Option<u32>, bias: f64) {
-        self.allowed.insert(class.to_owned(), allowed);
-        let before = self.biases.insert(class.to_owned(), bias).unwrap_or(1.0);
-        if (bias / before - 1.0).abs() > LEARNT_STEP {
-            let of_class = |live: &&mut Live| live.head.class == class;
-            self.graphs.values_mut().filter(of_class).for_each(|live| live.stale = true);
+    /// Sets the retry limit of a class and the ratio of its measured to its estimated run times. A small change of the
+    /// ratio leaves the remaining paths as they are.
+    pub fn learn_class(&mut self, class: &str, class_max_retries: Option<u32>, bias: f64) {
+        self.class_max_retries.insert(class.to_owned(), class_max_retries);
+        let previous = self.run_time_biases.insert(class.to_owned(), bias).unwrap_or(1.0);
+        if (bias / previous - 1.0).abs() > MIN_RUN_TIME_CHANGE_FRACTION {
+            let has_class = |open_graph: &&mut OpenGraph| open_graph.head.class == class;
+            self.graphs
+                .values_mut()
+                .filter(has_class)
+                .for_each(|open_graph| open_graph.paths_stale = true);
         }
     }
 
-    /// The classes of open graphs.
+    /// The job classes of the open graphs.
     pub fn classes(&self) -> BTreeSet<String> {
         let classes: BTreeSet<&str> =
-            self.graphs.values().map(|live| live.head.class.as_str()).collect();
+            self.graphs.values().map(|open_graph| open_graph.head.class.as_str()).collect();
         classes.into_iter().map(str::to_owned).collect()
     }
 
-    /// The graph of a job, and the kind of its nodes.
+    /// The graph of a job, and the kind number of its nodes.
     pub fn kind_of(&self, id: &JobId, part: &Part) -> Option<(GraphId, u16)> {
         let (graph, _) = GraphId::of_job(id)?;
         let node = self.graphs.get(&graph)?.model.node(part.node(0)?)?;
         Some((graph, node.kind))
     }
 
-    /// What tasks of a kind were seen to take, in seconds.
+    /// Sets the measured run time of a kind's tasks, in seconds.
     pub fn learn(&mut self, graph: GraphId, kind: u16, seconds: f64) {
-        let Some(live) = self.graphs.get_mut(&graph) else { return };
-        let Some(kind) = live.model.kinds.get_mut(usize::from(kind)) else { return };
-        let before = kind.learnt_s.unwrap_or(kind.spec.expect_s);
-        kind.learnt_s = Some(seconds);
-        live.stale |= (seconds - before).abs() > LEARNT_STEP * before;
+        let Some(open_graph) = self.graphs.get_mut(&graph) else { return };
+        let Some(kind) = open_graph.model.kinds.get_mut(usize::from(kind)) else { return };
+        let previous = kind.measured_run_time_s.unwrap_or(kind.spec.expect_s);
+        kind.measured_run_time_s = Some(seconds);
+        open_graph.paths_stale |=
+            (seconds - previous).abs() > MIN_RUN_TIME_CHANGE_FRACTION * previous;
     }
 
     fn bias(&self, class: &str) -> f64 {
-        self.biases.get(class).copied().unwrap_or(1.0)
+        self.run_time_biases.get(class).copied().unwrap_or(1.0)
     }
 
     // --- Requests ------------------------------------------------------------------
 
-    /// Takes up a request; `ticket` is named again when its answer comes later.
-    pub fn ask(&mut self, now: Now, ticket: u64, ask: &Ask, around: &Around) -> Verdict {
+    /// Handles a request. If the reply is deferred, it carries `ticket`.
+    pub fn ask(&mut self, now: Now, ticket: u64, request: &Ask, context: &Around) -> Verdict {
         if !self.ready() {
             return Verdict::Reply(HttpReply::unavailable("graphs are being read"));
         }
-        let checked = match ask {
+        let validation = match request {
             Ask::Open(open) => check(open),
             Ask::Beat(_, keyed) | Ask::Close(_, keyed) | Ask::Cancel(_, keyed) => check(keyed),
             Ask::Create(create) => check(create),
             Ask::Add(_, add) => check(add),
             Ask::Look(..) | Ask::Job(..) => Ok(()),
         };
-        if let Err(text) = checked {
+        if let Err(text) = validation {
             return Verdict::Reply(HttpReply::error(400, &text));
         }
-        match ask {
-            Ask::Open(open) => self.open_session(now.mono, ticket, open, around),
-            Ask::Beat(session, keyed) => self.beat(now.mono, session, &keyed.key),
-            Ask::Close(session, keyed) => self.close(ticket, session, &keyed.key),
-            Ask::Create(create) => self.create(now, ticket, create),
-            Ask::Add(graph, add) => self.add(now.mono, ticket, *graph, add, around),
-            Ask::Cancel(graph, keyed) => self.cancel(ticket, *graph, &keyed.key),
+        match request {
+            Ask::Open(open) => self.open_session(now.mono, ticket, open, context),
+            Ask::Beat(session, keyed) => self.heartbeat(now.mono, session, &keyed.key),
+            Ask::Close(session, keyed) => self.close_session(ticket, session, &keyed.key),
+            Ask::Create(create) => self.create_graph(now, ticket, create),
+            Ask::Add(graph, add) => self.add_nodes(now.mono, ticket, *graph, add, context),
+            Ask::Cancel(graph, keyed) => self.cancel_graph(ticket, *graph, &keyed.key),
             Ask::Job(job, after) => {
                 let nodes = GraphId::of_job(job)
                     .and_then(|(graph, seq)| self.graphs.get(&graph)?.job_nodes(seq, *after));
@@ -212,30 +220,34 @@
                     None => Verdict::Reply(HttpReply::error(404, "no such job of a graph is open")),
                 }
             }
-            Ask::Look(graph, look) => match self.graphs.get(graph) {
-                Some(Live { phase: Phase::Creating, .. }) => {
+            Ask::Look(graph, range) => match self.graphs.get(graph) {
+                Some(OpenGraph { phase: Phase::Creating, .. }) => {
                     Verdict::Reply(HttpReply::unavailable("the graph is being written"))
                 }
-                Some(live) => Verdict::Reply(HttpReply::json(200, &live.view(self.token, look))),
+                Some(open_graph) => {
+                    Verdict::Reply(HttpReply::json(200, &open_graph.view(self.token, range)))
+                }
                 None => Verdict::NotOpen,
             },
         }
     }
 
-    /// Whether the rates allow one more write of a team; takes it.
-    fn may_write(&mut self, team: &str, now: Mono) -> bool {
-        let (all, each) = (self.limits.additions_per_s, self.limits.team_additions_per_s);
-        if self.team_buckets.len() > self.limits.sessions as usize {
-            self.team_buckets.retain(|_, bucket| !bucket.idle(each, now));
+    /// Takes a write permit for a team if both the global and the team's rate limit allow it.
+    fn try_take_write_permit(&mut self, team: &str, now: Mono) -> bool {
+        let (total_rate, team_rate) =
+            (self.limits.additions_per_s, self.limits.team_additions_per_s);
+        if self.team_rate_limiters.len() > self.limits.sessions as usize {
+            self.team_rate_limiters.retain(|_, rate_limiter| !rate_limiter.is_idle(team_rate, now));
         }
-        let own = self.team_buckets.entry(team.to_owned());
-        let own = own.or_insert_with(|| Bucket::full(each, now));
-        let may = self.bucket.has(all, now) && own.has(each, now);
-        if may {
-            self.bucket.take();
-            own.take();
+        let team_limiter = self.team_rate_limiters.entry(team.to_owned());
+        let team_limiter = team_limiter.or_insert_with(|| RateLimiter::full(team_rate, now));
+        let is_allowed = self.rate_limiter.has_permit(total_rate, now)
+            && team_limiter.has_permit(team_rate, now);
+        if is_allowed {
+            self.rate_limiter.take();
+            team_limiter.take();
         }
-        may
+        is_allowed
     }
 
     fn session_view(&self, name: &str) -> Option<SessionView> {
@@ -248,7 +260,7 @@
         Some(SessionView { session: name.to_owned(), status, ttl_s })
     }
 
-    pub(crate) fn tell_session(&self, name: &str, status: u16) -> HttpReply {
+    pub(crate) fn session_reply(&self, name: &str, status: u16) -> HttpReply {
         let closed =
             SessionView { session: name.into(), status: SessionStatus::Closed, ttl_s: 0.0 };
         HttpReply::json(status, &self.session_view(name).unwrap_or(closed))
@@ -259,36 +271,37 @@
         now: Mono,
         ticket: u64,
         open: &OpenSession,
-        around: &Around,
+        context: &Around,
     ) -> Verdict {
         let name = &open.session;
         if let Some(session) = self.sessions.get_mut(name) {
-            if !session.holds(&open.key) || session.record.owner != open.owner {
+            if !session.has_key(&open.key) || session.record.owner != open.owner {
                 return Verdict::Reply(HttpReply::error(403, "the session is another's"));
             }
             return match session.phase {
-                sessions::Phase::Opening if session.tickets.len() < TICKETS_MOST => {
+                sessions::Phase::Opening if session.tickets.len() < MAX_TICKET_COUNT => {
                     session.tickets.push(ticket);
                     Verdict::Later
                 }
                 sessions::Phase::Open => {
-                    session.heard = now;
-                    Verdict::Reply(self.tell_session(name, 200))
+                    session.last_heartbeat = now;
+                    Verdict::Reply(self.session_reply(name, 200))
                 }
                 _ => Verdict::Reply(busy("the session is closing")),
             };
         }
-        if !(around.team)(&open.owner) {
+        if !(context.team)(&open.owner) {
             return Verdict::Reply(HttpReply::error(422, "unknown team"));
         }
-        let of_team = self.sessions.values().filter(|s| s.record.owner == open.owner).count();
+        let team_count =
+            self.sessions.values().filter(|session| session.record.owner == open.owner).count();
         if self.sessions.len() >= self.limits.sessions as usize
-            || of_team >= self.limits.team_sessions as usize
+            || team_count >= self.limits.team_sessions as usize
         {
             return Verdict::Reply(busy("too many sessions"));
         }
-        if !self.may_write(&open.owner, now) {
-            return Verdict::Reply(busy("too many additions a second"));
+        if !self.try_take_write_permit(&open.owner, now) {
+            return Verdict::Reply(busy("too many additions per second"));
         }
         let ttl_ms = Millis::from_secs(open.ttl_s).0;
         let (key, owner) = (hash_key(&open.key), open.owner.clone());
@@ -296,16 +309,16 @@
         let mut session = Session::new(record, Revision(0), now);
         session.tickets.push(ticket);
         self.sessions.insert(name.clone(), session);
-        self.queue.session(name);
+        self.queue.push_session(name);
         Verdict::Later
     }
 
-    /// Finds a session that is open and whose key this is.
-    fn session(&mut self, name: &str, key: &str) -> Result<&mut Session, HttpReply> {
+    /// Finds an open session and checks its key.
+    fn find_open_session(&mut self, name: &str, key: &str) -> Result<&mut Session, HttpReply> {
         let Some(session) = self.sessions.get_mut(name) else {
             return Err(HttpReply::error(404, "no such session"));
         };
-        if !session.holds(key) {
+        if !session.has_key(key) {
             return Err(HttpReply::error(403, "wrong key"));
         }
         match session.phase {
@@ -316,25 +329,25 @@
         }
     }
 
-    fn beat(&mut self, now: Mono, name: &str, key: &str) -> Verdict {
-        match self.session(name, key) {
+    fn heartbeat(&mut self, now: Mono, name: &str, key: &str) -> Verdict {
+        match self.find_open_session(name, key) {
             Ok(session) => {
-                session.heard = now;
-                Verdict::Reply(self.tell_session(name, 200))
+                session.last_heartbeat = now;
+                Verdict::Reply(self.session_reply(name, 200))
             }
             Err(reply) => Verdict::Reply(reply),
         }
     }
 
-    fn close(&mut self, ticket: u64, name: &str, key: &str) -> Verdict {
-        match self.session(name, key) {
+    fn close_session(&mut self, ticket: u64, name: &str, key: &str) -> Verdict {
+        match self.find_open_session(name, key) {
             Ok(session) => {
                 session.tickets.push(ticket);
                 self.end_session(name);
                 Verdict::Later
             }
-            // It is as its client wishes; the answer may have been lost.
-            Err(HttpReply { status: 404, .. }) => Verdict::Reply(self.tell_session(name, 200)),
+            // Closing is idempotent: the reply to an earlier request may have been lost.
+            Err(HttpReply { status: 404, .. }) => Verdict::Reply(self.session_reply(name, 200)),
             Err(reply) => Verdict::Reply(reply),
         }
     }
@@ -342,20 +355,20 @@
     fn end_session(&mut self, name: &str) {
         if let Some(session) = self.sessions.get_mut(name) {
             session.enter(sessions::Phase::Closing);
-            self.queue.session(name);
+            self.queue.push_session(name);
         }
     }
 
-    fn create(&mut self, now: Now, ticket: u64, create: &CreateGraph) -> Verdict {
+    fn create_graph(&mut self, now: Now, ticket: u64, create: &CreateGraph) -> Verdict {
         let id = create.graph;
-        if let Some(live) = self.graphs.get_mut(&id) {
-            let same = live.head.key == hash_key(&create.key)
-                && live.head.session == create.session
-                && live.head.class == create.jobclass;
-            return match &live.phase {
-                _ if !same => Verdict::Reply(HttpReply::error(409, "the graph is another's")),
-                Phase::Creating if live.tickets.len() < TICKETS_MOST => {
-                    live.tickets.push(ticket);
+        if let Some(open_graph) = self.graphs.get_mut(&id) {
+            let is_same = open_graph.head.key == hash_key(&create.key)
+                && open_graph.head.session == create.session
+                && open_graph.head.class == create.jobclass;
+            return match &open_graph.phase {
+                _ if !is_same => Verdict::Reply(HttpReply::error(409, "the graph is another's")),
+                Phase::Creating if open_graph.tickets.len() < MAX_TICKET_COUNT => {
+                    open_graph.tickets.push(ticket);
                     Verdict::Later
                 }
                 Phase::Creating => {
@@ -363,24 +376,25 @@
                 }
                 _ => Verdict::Reply(HttpReply::json(
                     200,
-                    &live.view(self.token, &Default::default()),
+                    &open_graph.view(self.token, &Default::default()),
                 )),
             };
         }
-        let owner = match self.session(&create.session, &create.key) {
+        let owner = match self.find_open_session(&create.session, &create.key) {
             Ok(session) => session.record.owner.clone(),
-            // A repeated request may come when the graph and its session are over.
+            // A repeated request may arrive after the graph and its session have ended.
             Err(HttpReply { status: 404, .. }) => return Verdict::NotOpen,
             Err(reply) => return Verdict::Reply(reply),
         };
-        let of_team = self.graphs.values().filter(|live| live.head.owner == owner).count();
+        let team_count =
+            self.graphs.values().filter(|open_graph| open_graph.head.owner == owner).count();
         if self.graphs.len() >= self.limits.graphs as usize
-            || of_team >= self.limits.team_graphs as usize
+            || team_count >= self.limits.team_graphs as usize
         {
             return Verdict::Reply(busy("too many graphs"));
         }
-        if !self.may_write(&owner, now.mono) {
-            return Verdict::Reply(busy("too many additions a second"));
+        if !self.try_take_write_permit(&owner, now.mono) {
+            return Verdict::Reply(busy("too many additions per second"));
         }
         let head = Head {
             session: create.session.clone(),
@@ -394,160 +408,163 @@
             wall_ms: now.wall_ms,
             cancelled: false,
         };
-        let mut live = Live::new(id, head, Revision(0), Phase::Creating, now.mono);
-        live.tickets.push(ticket);
-        self.insert(live);
-        self.queue.head(id);
+        let mut open_graph = OpenGraph::new(id, head, Revision(0), Phase::Creating, now.mono);
+        open_graph.tickets.push(ticket);
+        self.insert_graph(open_graph);
+        self.queue.push_head(id);
         Verdict::Later
     }
 
-    /// Takes up a graph, and counts it for its session.
-    pub(crate) fn insert(&mut self, live: Live) {
-        if !live.head.detached
-            && let Some(session) = self.sessions.get_mut(&live.head.session)
+    /// Inserts a graph, and counts it for its session unless it is detached.
+    pub(crate) fn insert_graph(&mut self, open_graph: OpenGraph) {
+        if !open_graph.head.detached
+            && let Some(session) = self.sessions.get_mut(&open_graph.head.session)
         {
-            session.graphs += 1;
+            session.open_graphs += 1;
         }
-        self.graphs.insert(live.id, live);
+        self.graphs.insert(open_graph.id, open_graph);
     }
 
-    /// Lets a graph go that is over, or was never begun.
-    pub(crate) fn remove(&mut self, id: GraphId) -> Option<Live> {
-        let live = self.graphs.remove(&id)?;
-        self.wanting.remove(&id);
-        let name = &live.head.session;
-        if !live.head.detached
+    /// Removes a graph that has finished or was never created. The record of its session is deleted with its last graph.
+    pub(crate) fn remove_graph(&mut self, id: GraphId) -> Option<OpenGraph> {
+        let open_graph = self.graphs.remove(&id)?;
+        self.launchable.remove(&id);
+        let name = &open_graph.head.session;
+        if !open_graph.head.detached
             && let Some(session) = self.sessions.get_mut(name)
         {
-            session.graphs = session.graphs.saturating_sub(1);
-            if session.phase == sessions::Phase::Ended && session.graphs == 0 {
-                self.queue.session(name);
+            session.open_graphs = session.open_graphs.saturating_sub(1);
+            if session.phase == sessions::Phase::Ended && session.open_graphs == 0 {
+                self.queue.push_session(name);
             }
         }
-        Some(live)
+        Some(open_graph)
     }
 
-    fn add(
+    fn add_nodes(
         &mut self,
         now: Mono,
         ticket: u64,
         id: GraphId,
         add: &AddNodes,
-        around: &Around,
+        context: &Around,
     ) -> Verdict {
         let refuse = |status, text: &str| Verdict::Reply(HttpReply::error(status, text));
-        let Some(live) = self.graphs.get(&id) else { return Verdict::NotOpen };
-        if live.head.key != hash_key(&add.key) {
+        let Some(open_graph) = self.graphs.get(&id) else { return Verdict::NotOpen };
+        if open_graph.head.key != hash_key(&add.key) {
             return refuse(403, "wrong key");
         }
-        // What is the same however it is written.
+        // The digest covers the decoded request, so it does not depend on the JSON formatting.
         let digest = digest(&(&add.kinds, &add.nodes, add.seal));
-        match live.model.addition(&add.addition) {
+        match open_graph.model.addition(&add.addition) {
             Some(known) if known == digest => {
-                let view = live.view(self.token, &Default::default());
+                let view = open_graph.view(self.token, &Default::default());
                 return Verdict::Reply(HttpReply::json(200, &view));
             }
-            Some(_) => return refuse(409, "an addition of this name added something else"),
+            Some(_) => {
+                return refuse(409, "an addition with this name exists with different content");
+            }
             None => {}
         }
-        match live.phase {
-            Phase::Open if live.model.sealed => return refuse(409, "the graph is sealed"),
+        match open_graph.phase {
+            Phase::Open if open_graph.model.sealed => return refuse(409, "the graph is sealed"),
             Phase::Open => {}
             Phase::Creating | Phase::Loading => {
                 return Verdict::Reply(HttpReply::unavailable("the graph is being written"));
             }
             _ => return refuse(409, "the graph is ending"),
         }
-        if live.pending.is_some() {
+        if open_graph.pending_addition.is_some() {
             return Verdict::Reply(busy("another addition is being written"));
         }
-        let prepared = match live.model.prepare(add, digest, self.room) {
+        let prepared = match open_graph.model.prepare(add, digest, self.record_space) {
             Ok(prepared) => prepared,
-            Err(Refused(status, text)) => return refuse(status, &text),
+            Err(RejectedAddition(status, text)) => return refuse(status, &text),
         };
-        if let Some(reply) = unfit(live, &prepared.pages, around) {
+        if let Some(reply) = find_rejection(open_graph, &prepared.pages, context) {
             return Verdict::Reply(reply);
         }
-        let owner = live.head.owner.clone();
-        let own = u64::from(live.model.len());
+        let owner = open_graph.head.owner.clone();
+        let graph_nodes = u64::from(open_graph.model.len());
         let (nodes, bytes) = (u64::from(prepared.nodes), prepared.bytes as u64);
-        let over = |used: u64, more: u64, most: u64| used.saturating_add(more) > most;
+        let exceeds = |used: u64, added: u64, max: u64| used.saturating_add(added) > max;
         let limits = &self.limits;
-        if over(own, nodes, limits.graph_nodes.into()) {
-            return refuse(422, "more nodes than a graph may have");
-        }
-        let (team_nodes, team_bytes) = self.used(|live| live.head.owner == owner);
-        let (all_nodes, all_bytes) = self.used(|_| true);
-        if over(all_nodes, nodes, limits.nodes.into())
-            || over(team_nodes, nodes, limits.team_nodes.into())
-            || over(all_bytes, bytes, limits.bytes)
-            || over(team_bytes, bytes, limits.team_bytes)
+        if exceeds(graph_nodes, nodes, limits.graph_nodes.into()) {
+            return refuse(422, "the graph would exceed its maximum number of nodes");
+        }
+        let (team_nodes, team_bytes) = self.sum_usage(|open_graph| open_graph.head.owner == owner);
+        let (all_nodes, all_bytes) = self.sum_usage(|_| true);
+        if exceeds(all_nodes, nodes, limits.nodes.into())
+            || exceeds(team_nodes, nodes, limits.team_nodes.into())
+            || exceeds(all_bytes, bytes, limits.bytes)
+            || exceeds(team_bytes, bytes, limits.team_bytes)
         {
             return Verdict::Reply(busy("too many nodes"));
         }
-        if !self.may_write(&owner, now) {
-            return Verdict::Reply(busy("too many additions a second"));
+        if !self.try_take_write_permit(&owner, now) {
+            return Verdict::Reply(busy("too many additions per second"));
         }
-        if let Some(live) = self.graphs.get_mut(&id) {
-            live.pending = Some(Pending { prepared, ticket });
+        if let Some(open_graph) = self.graphs.get_mut(&id) {
+            open_graph.pending_addition = Some(PendingAddition { prepared, ticket });
         }
-        self.queue.addition(id);
+        self.queue.push_addition(id);
         Verdict::Later
     }
 
-    /// Nodes of open graphs, and bytes of their descriptions.
-    fn used(&self, counts: impl Fn(&Live) -> bool) -> (u64, u64) {
-        let counted = self.graphs.values().filter(|live| counts(live));
-        counted.fold((0, 0), |(nodes, bytes), live| {
-            (nodes + u64::from(live.model.len()), bytes + live.model.bytes)
+    /// Total nodes of the selected open graphs, and total bytes of their records.
+    fn sum_usage(&self, is_counted: impl Fn(&OpenGraph) -> bool) -> (u64, u64) {
+        let counted = self.graphs.values().filter(|open_graph| is_counted(open_graph));
+        counted.fold((0, 0), |(nodes, bytes), open_graph| {
+            (nodes + u64::from(open_graph.model.len()), bytes + open_graph.model.bytes)
         })
     }
 
-    fn cancel(&mut self, ticket: u64, id: GraphId, key: &str) -> Verdict {
-        let Some(live) = self.graphs.get_mut(&id) else { return Verdict::NotOpen };
-        if live.head.key != hash_key(key) {
+    fn cancel_graph(&mut self, ticket: u64, id: GraphId, key: &str) -> Verdict {
+        let Some(open_graph) = self.graphs.get_mut(&id) else { return Verdict::NotOpen };
+        if open_graph.head.key != hash_key(key) {
             return Verdict::Reply(HttpReply::error(403, "wrong key"));
         }
-        match live.phase {
+        match open_graph.phase {
             Phase::Creating | Phase::Loading => {
                 Verdict::Reply(HttpReply::unavailable("the graph is being written"))
             }
-            Phase::Marking if live.tickets.len() >= TICKETS_MOST => {
+            Phase::Cancelling if open_graph.tickets.len() >= MAX_TICKET_COUNT => {
                 Verdict::Reply(HttpReply::unavailable("the graph is being cancelled"))
             }
-            Phase::Open | Phase::Marking => {
-                live.tickets.push(ticket);
-                live.enter(Phase::Marking);
-                self.wanting.remove(&id);
-                self.queue.head(id);
+            Phase::Open | Phase::Cancelling => {
+                open_graph.tickets.push(ticket);
+                open_graph.enter(Phase::Cancelling);
+                self.launchable.remove(&id);
+                self.queue.push_head(id);
                 Verdict::Later
             }
-            Phase::Stopping(_) | Phase::Ending(_) => {
-                Verdict::Reply(HttpReply::json(200, &live.view(self.token, &Default::default())))
-            }
+            Phase::Stopping(_) | Phase::Ending(_) => Verdict::Reply(HttpReply::json(
+                200,
+                &open_graph.view(self.token, &Default::default()),
+            )),
         }
     }
 
-    /// What is told of a graph that is over, to a request that found it so.
-    pub fn over_reply(id: GraphId, ask: &Ask, record: &OverRecord) -> HttpReply {
-        let key = match ask {
+    /// The reply to a request for a finished graph.
+    pub fn over_reply(id: GraphId, request: &Ask, record: &OverRecord) -> HttpReply {
+        let key = match request {
             Ask::Create(create) => Some(&create.key),
             Ask::Add(_, add) => Some(&add.key),
             Ask::Cancel(_, keyed) => Some(&keyed.key),
             _ => None,
         };
-        let wrong = key.is_some_and(|key| hash_key(key) != record.key);
-        match ask {
-            Ask::Create(_) if wrong => HttpReply::error(409, "the graph is another's"),
-            _ if wrong => HttpReply::error(403, "wrong key"),
+        let is_wrong_key = key.is_some_and(|key| hash_key(key) != record.key);
+        match request {
+            Ask::Create(_) if is_wrong_key => HttpReply::error(409, "the graph is another's"),
+            _ if is_wrong_key => HttpReply::error(403, "wrong key"),
             Ask::Add(..) => HttpReply::error(409, "the graph is over"),
             _ => HttpReply::json(200, &GraphView::of_over(id, record)),
         }
     }
 
-    /// What is told of a graph that nobody began.
-    pub fn missing_reply(ask: &Ask) -> HttpReply {
-        match ask {
+    /// The reply to a request for a graph that does not exist.
+    pub fn missing_reply(request: &Ask) -> HttpReply {
+        match request {
             Ask::Create(_) => HttpReply::error(404, "no such session"),
             _ => HttpReply::error(404, "no such graph"),
         }
@@ -555,15 +572,15 @@
 
     // --- Events --------------------------------------------------------------------
 
-    /// Tasks of an open job are done for good.
+    /// Processes tasks of an open job that are durably done.
     pub fn tasks_done(&mut self, id: &JobId, done: &[u32]) {
         let Some((graph, seq)) = GraphId::of_job(id) else { return };
-        let Some(live) = self.graphs.get_mut(&graph) else { return };
-        live.tasks_done(seq, done);
-        self.review(graph);
+        let Some(open_graph) = self.graphs.get_mut(&graph) else { return };
+        open_graph.tasks_done(seq, done);
+        self.update_graph(graph);
     }
 
-    /// A job is over for good.
+    /// Processes the durable end of a job.
     pub fn job_over(
         &mut self,
         id: &JobId,
@@ -572,31 +589,31 @@
         failure: Option<&Arc<Failure>>,
     ) {
         let Some((graph, seq)) = GraphId::of_job(id) else { return };
-        if !matches!(self.stage, Stage::Jobs { .. } | Stage::Ready) {
-            // It will be read. Guards against an end that came between a graph's head and its pages: it counted as
-            // taken up though its nodes were not there yet, and they ran again.
+        if !matches!(self.stage, LoadStage::Jobs { .. } | LoadStage::Ready) {
+            // Ignored, since loading reads the final state later. An end that arrived after a graph's head but before
+            // its pages was recorded as processed although its nodes were not loaded yet, so that they ran again.
             return;
         }
-        let Some(live) = self.graphs.get_mut(&graph) else { return };
-        let before = live.jobs.len();
-        live.job_over(seq, end, status, failure);
-        self.open_jobs = self.open_jobs.saturating_sub(before - live.jobs.len());
-        self.review(graph);
+        let Some(open_graph) = self.graphs.get_mut(&graph) else { return };
+        let open_before = open_graph.jobs.len();
+        open_graph.finish_job(seq, end, status, failure);
+        self.open_jobs = self.open_jobs.saturating_sub(open_before - open_graph.jobs.len());
+        self.update_graph(graph);
     }
 
-    /// Takes up what follows from a change of a graph.
-    pub(crate) fn review(&mut self, id: GraphId) {
-        let Some(live) = self.graphs.get_mut(&id) else { return };
-        let cancelled = live.review();
+    /// Applies the consequences of a change of a graph: phase, launches and writes.
+    pub(crate) fn update_graph(&mut self, id: GraphId) {
+        let Some(open_graph) = self.graphs.get_mut(&id) else { return };
+        let cancelled = open_graph.update_phase();
         self.cancel_jobs(id, cancelled);
-        let Some(live) = self.graphs.get_mut(&id) else { return };
-        if live.phase == Phase::Open && live.model.any_ready() {
-            self.wanting.insert(id);
+        let Some(open_graph) = self.graphs.get_mut(&id) else { return };
+        if open_graph.phase == Phase::Open && open_graph.model.has_ready_nodes() {
+            self.launchable.insert(id);
         } else {
-            self.wanting.remove(&id);
+            self.launchable.remove(&id);
         }
-        if matches!(live.phase, Phase::Ending(_)) {
-            self.queue.ending(id);
+        if matches!(open_graph.phase, Phase::Ending(_)) {
+            self.queue.push_final(id);
         }
     }
 
@@ -604,75 +621,91 @@
         self.effects.extend(seqs.into_iter().map(|seq| Effect::Cancel(id.job(seq))));
     }
 
-    /// A graph's end is decided.
-    pub(crate) fn stop(&mut self, id: GraphId, why: Why) {
-        let Some(live) = self.graphs.get_mut(&id) else { return };
-        if let Some(pending) = live.pending.take() {
-            self.reply(pending.ticket, HttpReply::error(409, "the graph is ending"));
+    /// Starts to end a graph: refuses its pending addition and cancels its jobs.
+    pub(crate) fn stop(&mut self, id: GraphId, reason: EndReason) {
+        let Some(open_graph) = self.graphs.get_mut(&id) else { return };
+        if let Some(pending_addition) = open_graph.pending_addition.take() {
+            self.reply(pending_addition.ticket, HttpReply::error(409, "the graph is ending"));
         }
-        let Some(live) = self.graphs.get_mut(&id) else { return };
-        let cancelled = live.stop(why);
+        let Some(open_graph) = self.graphs.get_mut(&id) else { return };
+        let cancelled = open_graph.stop(reason);
         self.cancel_jobs(id, cancelled);
-        self.review(id);
+        self.update_graph(id);
     }
 
-    /// A session's end is durable: what is its own is stopped.
+    /// Processes the durable end of a session: stops all its graphs that are not detached.
     pub(crate) fn session_ended(&mut self, name: &str) {
-        let own = |live: &&Live| !live.head.detached && live.head.session == name;
-        let ids: Vec<GraphId> = self.graphs.values().filter(own).map(|live| live.id).collect();
+        let is_owned =
+            |open_graph: &&OpenGraph| !open_graph.head.detached && open_graph.head.session == name;
+        let ids: Vec<GraphId> =
+            self.graphs.values().filter(is_owned).map(|open_graph| open_graph.id).collect();
         for id in ids {
-            self.stop(id, Why::SessionGone);
+            self.stop(id, EndReason::SessionEnded);
         }
-        if self.sessions.get(name).is_some_and(|session| session.graphs == 0) {
-            self.queue.session(name);
+        if self.sessions.get(name).is_some_and(|session| session.open_graphs == 0) {
+            self.queue.push_session(name);
         }
     }
 
-    /// A leader could not be reached for a while: nobody could be heard.
+    /// Restarts the time to live of all sessions at `now`, because heartbeats could not reach the leader until then.
     pub fn deaf_until(&mut self, now: Mono) {
-        self.sessions.values_mut().for_each(|session| session.heard = session.heard.max(now));
+        self.sessions
+            .values_mut()
+            .for_each(|session| session.last_heartbeat = session.last_heartbeat.max(now));
     }
 
-    /// Lets time pass.
+    /// Closes expired sessions and updates outdated remaining paths, at a fixed interval.
     pub fn tick(&mut self, now: Mono) {
-        if !self.ready() || now < self.next_look {
+        if !self.ready() || now < self.next_session_check {
             return;
         }
-        self.next_look = now.plus(LOOK_EVERY_MS);
-        let lapsed =
-            |(name, session): (&String, &Session)| session.lapsed(now).then(|| name.clone());
-        for name in self.sessions.iter().filter_map(lapsed).collect::<Vec<_>>() {
+        self.next_session_check = now.plus(SESSION_CHECK_INTERVAL_MS);
+        let expired_name =
+            |(name, session): (&String, &Session)| session.has_expired(now).then(|| name.clone());
+        for name in self.sessions.iter().filter_map(expired_name).collect::<Vec<_>>() {
             self.end_session(&name);
         }
-        let biases = &self.biases;
-        for live in self.graphs.values_mut().filter(|live| live.stale) {
-            let bias = biases.get(&live.head.class).copied().unwrap_or(1.0);
-            live.weigh(bias, now);
+        let run_time_biases = &self.run_time_biases;
+        for open_graph in self.graphs.values_mut().filter(|open_graph| open_graph.paths_stale) {
+            let bias = run_time_biases.get(&open_graph.head.class).copied().unwrap_or(1.0);
+            open_graph.update_paths(bias, now);
         }
     }
 
-    /// The next job of all graphs: of the highest rank, then of the graph with least time left beyond its longest path.
-    pub(crate) fn launch(&mut self, now: Now) -> Option<Launch> {
-        if self.open_jobs >= OPEN_JOBS_MOST {
+    /// The next job of all graphs: highest rank first, then least slack between due time and longest remaining path.
+    pub(crate) fn next_launch(&mut self, now: Now) -> Option<Launch> {
+        if self.open_jobs >= MAX_OPEN_JOB_COUNT {
             return None;
         }
         loop {
             let urgency = |id: &GraphId| {
-                let live = self.graphs.get(id)?;
-                let fits = live.jobs.len() < OPEN_JOBS_OF_ONE;
-                let due = graph_due(live.created, live.head.due_s, live.path_s, now.mono);
-                let slack = due.0 as i64 - (live.path_s * 1000.0) as i64;
-                fits.then_some((Reverse(live.head.rank), slack, *id))
+                let open_graph = self.graphs.get(id)?;
+                let has_capacity = open_graph.jobs.len() < MAX_GRAPH_OPEN_JOB_COUNT;
+                let due = graph_due(
+                    open_graph.created,
+                    open_graph.head.due_s,
+                    open_graph.path_s,
+                    now.mono,
+                );
+                let slack = due.0 as i64 - (open_graph.path_s * 1000.0) as i64;
+                has_capacity.then_some((Reverse(open_graph.head.rank), slack, *id))
             };
-            let (_, _, id) = self.wanting.iter().filter_map(urgency).min()?;
+            let (_, _, id) = self.launchable.iter().filter_map(urgency).min()?;
             let class = self.graphs.get(&id)?.head.class.clone();
-            let (allowed, bias) = (self.allowed.get(&class).copied().flatten(), self.bias(&class));
+            let (class_max_retries, bias) =
+                (self.class_max_retries.get(&class).copied().flatten(), self.bias(&class));
             let order = self.order;
-            let live = self.graphs.get_mut(&id)?;
-            live.weigh(bias, now.mono);
-            let launch = live.launch(allowed, bias, order, self.room, (now.mono, now.wall_ms));
-            if !live.model.any_ready() || launch.is_none() {
-                self.wanting.remove(&id);
+            let open_graph = self.graphs.get_mut(&id)?;
+            open_graph.update_paths(bias, now.mono);
+            let launch = open_graph.next_job(
+                class_max_retries,
+                bias,
+                order,
+                self.record_space,
+                (now.mono, now.wall_ms),
+            );
+            if !open_graph.model.has_ready_nodes() || launch.is_none() {
+                self.launchable.remove(&id);
             }
             if let Some(launch) = launch {
                 self.open_jobs += 1;
@@ -681,47 +714,53 @@
         }
     }
 
-    pub(crate) fn remember(&mut self, id: GraphId, record: OverRecord) {
-        if self.over.insert(id, record).is_none() {
-            self.over_order.push_back(id);
+    /// Caches a final record, and evicts the oldest one if there are too many.
+    pub(crate) fn cache_final_record(&mut self, id: GraphId, record: OverRecord) {
+        if self.final_records.insert(id, record).is_none() {
+            self.final_record_order.push_back(id);
         }
-        if self.over_order.len() > OVER_KEPT
-            && let Some(old) = self.over_order.pop_front()
+        if self.final_record_order.len() > MAX_CACHED_FINAL_RECORD_COUNT
+            && let Some(old) = self.final_record_order.pop_front()
         {
-            self.over.remove(&old);
+            self.final_records.remove(&old);
         }
     }
 
-    /// The final answer of a graph that ended lately.
+    /// The cached final record of a graph that finished recently.
     pub fn over(&self, id: GraphId) -> Option<&OverRecord> {
-        self.over.get(&id)
+        self.final_records.get(&id)
     }
 
-    /// Nodes of a graph in a state, for measurements.
+    /// Number of nodes of a graph in a state, for benchmarks.
     pub fn count(&self, id: GraphId, state: NodeState) -> u32 {
-        self.graphs.get(&id).map_or(0, |live| live.model.count(state))
+        self.graphs.get(&id).map_or(0, |open_graph| open_graph.model.count(state))
     }
 }
 
-/// Why nodes of an addition can never run.
-fn unfit(live: &Live, pages: &[Page], around: &Around) -> Option<HttpReply> {
-    let mut shapes: BTreeMap<(u16, u32), String> = BTreeMap::new();
+/// The error reply if a node of an addition can never run.
+fn find_rejection(open_graph: &OpenGraph, pages: &[Page], context: &Around) -> Option<HttpReply> {
+    let mut node_shapes: BTreeMap<(u16, u32), String> = BTreeMap::new();
     for page in pages {
         for (name, kind, shards, _) in &page.nodes {
-            shapes.entry((*kind, *shards)).or_insert_with(|| name.clone());
+            node_shapes.entry((*kind, *shards)).or_insert_with(|| name.clone());
         }
     }
-    let new: Vec<Kind> = pages
+    let new_kinds: Vec<NodeKind> = pages
         .iter()
         .flat_map(|page| &page.kinds)
-        .map(|(name, spec)| Kind { name: name.clone(), spec: spec.clone(), learnt_s: None })
+        .map(|(name, spec)| NodeKind {
+            name: name.clone(),
+            spec: spec.clone(),
+            measured_run_time_s: None,
+        })
         .collect();
-    for ((kind, shards), name) in shapes {
-        let known = live.model.kinds.get(usize::from(kind));
-        let kind =
-            known.or_else(|| new.get(usize::from(kind).checked_sub(live.model.kinds.len())?))?;
-        let spec = job_spec(&live.head, kind, live.id.job(Seq(0)), shards, None);
-        if let Some(mut reply) = (around.unfit)(&spec) {
+    for ((kind, shards), name) in node_shapes {
+        let known = open_graph.model.kinds.get(usize::from(kind));
+        let kind = known.or_else(|| {
+            new_kinds.get(usize::from(kind).checked_sub(open_graph.model.kinds.len())?)
+        })?;
+        let spec = job_spec(&open_graph.head, kind, open_graph.id.job(Seq(0)), shards, None);
+        if let Some(mut reply) = (context.unfit)(&spec) {
             reply.body =
                 reply.body.replacen("\"error\":\"", &format!("\"error\":\"node {name}: "), 1);
             return Some(reply);
--- a/crates/graph/src/limits.rs
+++ b/crates/graph/src/limits.rs
@@ -1,28 +1,28 @@
-//! How much of graphs and sessions is taken on, and how fast.
+//! Limits on the number, size and rate of graphs and sessions.
 
 use oatloom_protocol::ids::{Millis, Mono};
 use oatloom_protocol::settings::InvalidField;
 use serde::Deserialize;
 
-/// The operators' bounds; every field has a default. What is beyond them is refused at once, with when to come back.
+/// The operators' limits; every field has a default. A request beyond them is rejected immediately with a retry time.
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Limits {
-    /// Sessions at a time, in all and of one team.
+    /// Maximum open sessions, in total and per team.
     pub sessions: u32,
     pub team_sessions: u32,
-    /// Graphs at a time, in all and of one team.
+    /// Maximum open graphs, in total and per team.
     pub graphs: u32,
     pub team_graphs: u32,
-    /// Nodes of graphs that are not over, in all, of one team and of one graph.
+    /// Maximum nodes of open graphs, in total, per team and per graph.
     pub nodes: u32,
     pub team_nodes: u32,
     pub graph_nodes: u32,
-    /// Bytes of their descriptions in the state service, in all and of one team.
+    /// Maximum bytes of their records in the state service, in total and per team.
     pub bytes: u64,
     pub team_bytes: u64,
-    /// Additions, new graphs and new sessions a second, in all and of one team; bursts of two seconds' worth.
+    /// Maximum additions, new graphs and new sessions per second, in total and per team, with bursts of two seconds' worth.
     pub additions_per_s: f64,
     pub team_additions_per_s: f64,
 }
@@ -34,13 +34,13 @@
             team_sessions: 100,
             graphs: 1_000,
             team_graphs: 1_000,
-            // Some 200 bytes each: a controller of 40 MB carries it.
+            // About 200 bytes each, which fits into a controller with 40 MB.
             nodes: 50_000,
             team_nodes: 50_000,
             graph_nodes: 50_000,
             bytes: 20_000_000,
             team_bytes: 20_000_000,
-            // Each is a change or more of the 25 a second that small state services take.
+            // Each takes at least one of the 25 changes per second that a small state service accepts.
             additions_per_s: 10.0,
             team_additions_per_s: 10.0,
         }
@@ -48,12 +48,12 @@
 }
 
 impl Limits {
-    /// Checks what the types alone do not say.
+    /// Checks the ranges of the fields.
     ///
     /// # Errors
-    /// The first field that is out of its range, and the range.
+    /// The first field out of range, with the range.
     pub fn check(&self) -> Result<(), InvalidField> {
-        let bad = |field: &str, text: &str| {
+        let invalid = |field: &str, text: &str| {
             Err(InvalidField::new(&format!("graph-limits: {field}"), text))
         };
         for (field, rate) in [
@@ -61,7 +61,7 @@
             ("team-additions-per-s", self.team_additions_per_s),
         ] {
             if !(0.1..=10_000.0).contains(&rate) {
-                return bad(field, "must be from 0.1 to 10000");
+                return invalid(field, "must be from 0.1 to 10000");
             }
         }
         for (field, number) in [
@@ -74,51 +74,53 @@
             ("graph-nodes", self.graph_nodes),
         ] {
             if !(1..=10_000_000).contains(&number) {
-                return bad(field, "must be from 1 to 10000000");
+                return invalid(field, "must be from 1 to 10000000");
             }
         }
         if self.bytes == 0 || self.team_bytes == 0 {
-            return bad("bytes", "must be above 0");
+            return invalid("bytes", "must be above 0");
         }
         Ok(())
     }
 }
 
-/// A rate with bursts of two seconds' worth.
+/// A token bucket with bursts of two seconds' worth.
 #[derive(Clone, Copy, Debug)]
-pub struct Bucket {
-    level: f64,
-    at: Mono,
+pub struct RateLimiter {
+    tokens: f64,
+    refilled_at: Mono,
 }
 
-impl Bucket {
+impl RateLimiter {
+    /// A full bucket.
     pub fn full(rate: f64, now: Mono) -> Self {
-        Self { level: Self::most(rate), at: now }
+        Self { tokens: Self::capacity(rate), refilled_at: now }
     }
 
-    fn most(rate: f64) -> f64 {
+    fn capacity(rate: f64) -> f64 {
         (rate * 2.0).max(1.0)
     }
 
     fn refill(&mut self, rate: f64, now: Mono) {
-        self.level = (self.level + now.since(self.at).as_secs() * rate).min(Self::most(rate));
-        self.at = now;
+        self.tokens =
+            (self.tokens + now.since(self.refilled_at).as_secs() * rate).min(Self::capacity(rate));
+        self.refilled_at = now;
     }
 
-    /// Whether one more may be taken now.
-    pub fn has(&mut self, rate: f64, now: Mono) -> bool {
+    /// Whether a token is available.
+    pub fn has_permit(&mut self, rate: f64, now: Mono) -> bool {
         self.refill(rate, now);
-        self.level >= 1.0
+        self.tokens >= 1.0
     }
 
-    /// Takes one.
+    /// Takes a token.
     pub fn take(&mut self) {
-        self.level -= 1.0;
+        self.tokens -= 1.0;
     }
 
-    /// Whether nothing was taken for so long that it need not be kept.
-    pub fn idle(&self, rate: f64, now: Mono) -> bool {
-        now.since(self.at) > Millis::from_secs(Self::most(rate) / rate)
+    /// Whether the bucket has been unused long enough to be full again, so that it can be dropped.
+    pub fn is_idle(&self, rate: f64, now: Mono) -> bool {
+        now.since(self.refilled_at) > Millis::from_secs(Self::capacity(rate) / rate)
     }
 }
 
@@ -127,14 +129,14 @@
     use super::*;
 
     #[test]
-    fn a_rate_is_kept_with_bursts() {
-        let mut bucket = Bucket::full(10.0, Mono(0));
+    fn the_rate_limiter_allows_bursts() {
+        let mut limiter = RateLimiter::full(10.0, Mono(0));
         let mut take = |now| {
-            let may = bucket.has(10.0, Mono(now));
-            if may {
-                bucket.take();
+            let is_allowed = limiter.has_permit(10.0, Mono(now));
+            if is_allowed {
+                limiter.take();
             }
-            may
+            is_allowed
         };
         assert_eq!((0..100).filter(|_| take(0)).count(), 20);
         assert!(!take(50) && take(101));
@@ -142,11 +144,11 @@
     }
 
     #[test]
-    fn limits_out_of_range_are_named() {
+    fn limits_out_of_range_are_rejected_by_name() {
         assert_eq!(Limits::default().check(), Ok(()));
-        let bad = Limits { nodes: 0, ..Limits::default() };
-        assert!(bad.check().unwrap_err().to_string().contains("graph-limits: nodes"));
-        let bad = Limits { additions_per_s: f64::NAN, ..Limits::default() };
-        assert!(bad.check().unwrap_err().to_string().contains("additions-per-s"));
+        let invalid = Limits { nodes: 0, ..Limits::default() };
+        assert!(invalid.check().unwrap_err().to_string().contains("graph-limits: nodes"));
+        let invalid = Limits { additions_per_s: f64::NAN, ..Limits::default() };
+        assert!(invalid.check().unwrap_err().to_string().contains("additions-per-s"));
     }
 }
