--- a/crates/client/src/graphs.rs
+++ b/crates/client/src/graphs.rs
@@ -5,7 +5,7 @@
 use oatloom_graph::answers::{GraphView, NodeView, SessionView};
 use oatloom_graph::ids::GraphId;
 use oatloom_graph::requests::{
-    AddNodes, CreateGraph, Keyed, KindSpec, NewNode, OnFailure, OpenSession,
+    AddNodes, CreateGraph, KeyedRequest, KindSpec, NewNode, OnFailure, OpenSession,
 };
 use oatloom_protocol::ids::Millis;
 use oatloom_protocol::wire::Rank;
@@ -104,7 +104,7 @@
             let (is_stopped, is_lost, mut controllers) =
                 (is_stopped.clone(), is_lost.clone(), controllers.clone());
             let path = format!("/v2/sessions/{name}/beat");
-            let key_request = Keyed { key: key.to_owned() };
+            let key_request = KeyedRequest { key: key.to_owned() };
             let interval = Millis::from_secs(ttl_s / HEARTBEATS_PER_TTL_COUNT as f64);
             std::thread::Builder::new().name("session".into()).spawn(move || {
                 let mut next_heartbeat = Instant::now();
@@ -161,7 +161,7 @@
     pub fn close(mut self) -> Result<(), GraphError> {
         self.stop_heartbeats();
         let path = format!("/v2/sessions/{}/close", self.name);
-        let key_request = Keyed { key: self.key.clone() };
+        let key_request = KeyedRequest { key: self.key.clone() };
         let result: Result<SessionView, _> = request_with_retry(
             &mut self.controllers,
             ("POST", &path),
@@ -335,7 +335,7 @@
     id: GraphId,
     key: &str,
 ) -> Result<GraphView, GraphError> {
-    let key_request = Keyed { key: key.to_owned() };
+    let key_request = KeyedRequest { key: key.to_owned() };
     request_with_retry(
         controllers,
         ("POST", &format!("/v2/graphs/{id}/cancel")),
--- a/crates/core/src/api.rs
+++ b/crates/core/src/api.rs
@@ -1,9 +1,9 @@
 //! The HTTP API: parses requests before the core processes them.
 
 use crate::leader_hints::LeaderHints;
-use oatloom_graph::constants::ANSWER_NODES;
+use oatloom_graph::constants::MAX_ANSWER_NODE_COUNT;
 use oatloom_graph::ids::GraphId;
-use oatloom_graph::requests::{Ask, Look};
+use oatloom_graph::requests::{GetGraph, GraphRequest};
 use oatloom_ledger::query::UsageQuery;
 use oatloom_membership::Gossip;
 use oatloom_protocol::constants::MAX_BODY_BYTES;
@@ -40,7 +40,7 @@
     /// A worker's report.
     Report(Box<Report>),
     /// A request from a client of graphs.
-    Graph(Box<Ask>),
+    Graph(Box<GraphRequest>),
     /// From the leader, over the mesh only.
     LeaderHints(Box<LeaderHints>),
     /// From a peer, over the mesh only.
@@ -72,7 +72,7 @@
     path: &str,
     query: &str,
     body: &[u8],
-) -> Option<Result<Ask, HttpReply>> {
+) -> Option<Result<GraphRequest, HttpReply>> {
     fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, HttpReply> {
         serde_json::from_slice(body).map_err(|e| HttpReply::error(400, &e.to_string()))
     }
@@ -84,29 +84,33 @@
         pairs.find(|(known, _)| *known == name).map(|(_, value)| value)
     };
     let request = match (method, parts.as_slice()) {
-        ("POST", ["sessions"]) => decode(body).map(Ask::Open),
+        ("POST", ["sessions"]) => decode(body).map(GraphRequest::Open),
         ("POST", ["sessions", name, "beat"]) => {
-            decode(body).map(|keyed| Ask::Beat((*name).to_owned(), keyed))
+            decode(body).map(|keyed| GraphRequest::Heartbeat((*name).to_owned(), keyed))
         }
         ("POST", ["sessions", name, "close"]) => {
-            decode(body).map(|keyed| Ask::Close((*name).to_owned(), keyed))
+            decode(body).map(|keyed| GraphRequest::Close((*name).to_owned(), keyed))
         }
-        ("POST", ["graphs"]) => decode(body).map(Ask::Create),
+        ("POST", ["graphs"]) => decode(body).map(GraphRequest::Create),
         ("POST", ["graphs", id, "nodes"]) => {
-            graph(id).and_then(|id| decode(body).map(|add| Ask::Add(id, add)))
+            graph(id).and_then(|id| decode(body).map(|add| GraphRequest::Add(id, add)))
         }
         ("POST", ["graphs", id, "cancel"]) => {
-            graph(id).and_then(|id| decode(body).map(|keyed| Ask::Cancel(id, keyed)))
+            graph(id).and_then(|id| decode(body).map(|keyed| GraphRequest::Cancel(id, keyed)))
         }
         ("GET", ["graphs", id]) => graph(id).map(|id| {
             let after = parameter("after").unwrap_or_default().to_owned();
-            let limit = parameter("most").and_then(|n| n.parse().ok()).unwrap_or(ANSWER_NODES);
-            Ask::Look(id, Look { after, most: limit.min(ANSWER_NODES) })
+            let limit =
+                parameter("most").and_then(|n| n.parse().ok()).unwrap_or(MAX_ANSWER_NODE_COUNT);
+            GraphRequest::GetGraph(
+                id,
+                GetGraph { after, max_nodes: limit.min(MAX_ANSWER_NODE_COUNT) },
+            )
         }),
         ("GET", ["runs", id, "nodes"]) => match JobId::parse(id) {
             Some(id) => {
                 let after = parameter("after").and_then(|n| n.parse().ok()).unwrap_or(0);
-                Ok(Ask::Job(id, after))
+                Ok(GraphRequest::Job(id, after))
             }
             None => Err(HttpReply::error(404, "no such job")),
         },
--- a/crates/core/src/controller/graphs.rs
+++ b/crates/core/src/controller/graphs.rs
@@ -2,12 +2,14 @@
 //! alternate with those of the job table.
 
 use super::*;
-use oatloom_graph::desk::{Around, Desk, Effect, Ended, Launch, Read, Verdict};
+use oatloom_graph::graph_table::{
+    Effect, FinishedJob, GraphTable, JobLaunch, LoadRead, RequestContext, RequestOutcome,
+};
 use oatloom_graph::ids::GraphId;
-use oatloom_graph::records::{self, OverPage};
-use oatloom_graph::requests::{Ask, Look};
-use oatloom_graph::runs::Runs;
-use oatloom_graph::{answers, desk};
+use oatloom_graph::node_ranges::NodeRanges;
+use oatloom_graph::records::{self, FinalPage};
+use oatloom_graph::requests::{GetGraph, GraphRequest};
+use oatloom_graph::{answers, graph_table};
 use serde_json::Value;
 
 /// A read of a finished graph from the state service.
@@ -15,37 +17,37 @@
 pub(super) enum FinalReadStep {
     Answer,
     /// The final states of its nodes, page by page.
-    Nodes(Box<records::OverRecord>),
+    Nodes(Box<records::FinalRecord>),
 }
 
 /// Graph writes whose outcome is unknown, and the rows read back so far for the last of them.
 #[derive(Debug, Default, PartialEq)]
 pub(super) struct UnresolvedWrites {
-    items: Vec<desk::Wrote>,
+    items: Vec<graph_table::WriteOutcome>,
     keys: Vec<String>,
     rows: Vec<Option<Row>>,
 }
 
-fn live_record_of(launch: Launch) -> LiveRecord {
-    let Launch { spec, wall_ms, part, .. } = launch;
+fn live_record_of(launch: JobLaunch) -> LiveRecord {
+    let JobLaunch { spec, wall_ms, part, .. } = launch;
     LiveRecord { spec, wall_ms, part: Some(part.into()) }
 }
 
 /// Live key, final key and live record of a job that a graph starts.
-fn launch_record(launch: &Launch) -> (String, String, Value) {
+fn launch_record(launch: &JobLaunch) -> (String, String, Value) {
     let value = serde_json::to_value(live_record_of(launch.clone())).unwrap_or(Value::Null);
     (jobs::live_key(launch.id()), jobs::final_key(launch.id()), value)
 }
 
 /// The nodes that a job runs, according to its live or final record.
-fn nodes_of(value: &Value) -> Option<Runs> {
+fn nodes_of(value: &Value) -> Option<NodeRanges> {
     serde_json::from_value(value.get("g")?.get("n")?.clone()).ok()
 }
 
 impl Controller {
     /// The graphs of the current leader term; `None` if graphs are not served, or while they are
     /// moved out for a call.
-    fn open_graphs(&mut self) -> Option<&mut Desk> {
+    fn open_graphs(&mut self) -> Option<&mut GraphTable> {
         self.leader_term.as_mut()?.graphs.as_mut()
     }
 
@@ -55,7 +57,7 @@
         &mut self,
         now: Now,
         conn: ConnId,
-        request: Ask,
+        request: GraphRequest,
         forwarded: bool,
     ) {
         if self.leader_config.graphs.is_none() {
@@ -79,15 +81,15 @@
         };
         let unfit = |spec: &JobSpec| self.rejection(spec);
         let team = |name: &str| self.settings.team(name).is_some();
-        let around = Around { unfit: &unfit, team: &team };
-        let verdict = graphs.ask(now, conn.0, &request, &around);
+        let around = RequestContext { rejection: &unfit, team_exists: &team };
+        let verdict = graphs.handle_request(now, conn.0, &request, &around);
         if let Some(leader_term) = self.leader_term.as_mut() {
             leader_term.graphs = Some(graphs);
         }
         match verdict {
-            Verdict::Reply(reply) => self.reply(conn, reply),
-            Verdict::Later => {}
-            Verdict::Job(id, nodes) => {
+            RequestOutcome::Reply(reply) => self.reply(conn, reply),
+            RequestOutcome::Deferred => {}
+            RequestOutcome::Job(id, nodes) => {
                 let job = self
                     .leader_term
                     .as_ref()
@@ -98,17 +100,17 @@
                 };
                 self.reply(conn, reply);
             }
-            Verdict::NotOpen => self.read_graph(now.mono, conn, request),
+            RequestOutcome::NotOpen => self.read_graph(now.mono, conn, request),
         }
         self.apply_graph_effects(now);
     }
 
     /// Reads the final answer of a graph that is not open on this controller.
-    pub(super) fn read_graph(&mut self, now: Mono, conn: ConnId, request: Ask) {
+    pub(super) fn read_graph(&mut self, now: Mono, conn: ConnId, request: GraphRequest) {
         let Some(id) = request.graph() else {
             return self.reply(conn, HttpReply::unavailable("no leader can be reached"));
         };
-        let op = StoreOp::Get { key: records::over_key(id) };
+        let op = StoreOp::Get { key: records::final_graph_key(id) };
         let purpose = Purpose::FinishedGraph {
             conn,
             request: Box::new(request),
@@ -123,7 +125,7 @@
         &mut self,
         now: Mono,
         conn: ConnId,
-        request: Box<Ask>,
+        request: Box<GraphRequest>,
         step: FinalReadStep,
         reply: StoreReply,
     ) {
@@ -137,29 +139,32 @@
                     self.leader_term.as_ref().and_then(|leader_term| leader_term.graphs.as_ref());
                 let id = request.graph();
                 let not_open = graphs.is_some_and(|graphs| {
-                    graphs.ready() && id.is_none_or(|id| graphs.graph(id).is_none())
+                    graphs.is_ready() && id.is_none_or(|id| graphs.graph(id).is_none())
                 });
                 // The end may have become durable while its key was being read.
-                let finished = id.and_then(|id| Some((id, graphs?.over(id)?)));
+                let finished = id.and_then(|id| Some((id, graphs?.final_record(id)?)));
                 let reply = if let Some((id, record)) = finished.filter(|_| leads) {
-                    Desk::over_reply(id, &request, record)
+                    GraphTable::final_reply(id, &request, record)
                 } else if leads && not_open {
-                    Desk::missing_reply(&request)
+                    GraphTable::missing_reply(&request)
                 } else {
                     HttpReply::unavailable("no leader can be reached")
                 };
                 self.reply(conn, reply);
             }
             (FinalReadStep::Answer, StoreReply::Found(row)) => {
-                let Ok(record) = serde_json::from_value::<records::OverRecord>(row.value) else {
+                let Ok(record) = serde_json::from_value::<records::FinalRecord>(row.value) else {
                     return self.reply(conn, unreadable());
                 };
-                let id = row.key.strip_prefix(records::OVER).and_then(GraphId::of_digits);
+                let id = row
+                    .key
+                    .strip_prefix(records::FINAL_GRAPHS_PREFIX)
+                    .and_then(GraphId::from_digits);
                 let Some(id) = id else { return self.reply(conn, unreadable()) };
                 match &*request {
-                    Ask::Look(_, range) if range.most > 0 && record.pages > 0 => {
+                    GraphRequest::GetGraph(_, range) if range.max_nodes > 0 && record.pages > 0 => {
                         let after = final_pages_after(id, range);
-                        let prefix = format!("{}/", records::over_key(id));
+                        let prefix = format!("{}/", records::final_graph_key(id));
                         let op = StoreOp::List { prefix, after };
                         let step = FinalReadStep::Nodes(Box::new(record));
                         let purpose = Purpose::FinishedGraph { conn, request, step };
@@ -167,24 +172,26 @@
                             self.reply(conn, HttpReply::unavailable("the state service is busy"));
                         }
                     }
-                    request => self.reply(conn, Desk::over_reply(id, request, &record)),
+                    request => self.reply(conn, GraphTable::final_reply(id, request, &record)),
                 }
             }
             (FinalReadStep::Nodes(record), StoreReply::Page(page)) => {
-                let Ask::Look(id, range) = &*request else { return self.reply(conn, unreadable()) };
-                let mut view = answers::GraphView::of_over(*id, &record);
+                let GraphRequest::GetGraph(id, range) = &*request else {
+                    return self.reply(conn, unreadable());
+                };
+                let mut view = answers::GraphView::from_final_record(*id, &record);
                 let mut last = range.after.clone();
                 let mut more = page.more;
                 for row in page.rows {
-                    if view.changed.len() >= range.most {
+                    if view.changed.len() >= range.max_nodes {
                         more = true;
                         break;
                     }
                     let number = row.key.rsplit_once('/').map(|(_, n)| n.to_owned());
-                    let Ok(page) = serde_json::from_value::<OverPage>(row.value) else {
+                    let Ok(page) = serde_json::from_value::<FinalPage>(row.value) else {
                         return self.reply(conn, unreadable());
                     };
-                    view.changed.extend(answers::over_nodes(*id, page));
+                    view.changed.extend(answers::final_node_views(*id, page));
                     last = format!("over.{}", number.unwrap_or_default());
                 }
                 (view.next, view.more) = (last, more);
@@ -199,7 +206,7 @@
     /// Applies the decisions of the graphs.
     pub(super) fn apply_graph_effects(&mut self, now: Now) {
         loop {
-            let effects = self.open_graphs().map(Desk::take_effects).unwrap_or_default();
+            let effects = self.open_graphs().map(GraphTable::take_effects).unwrap_or_default();
             if effects.is_empty() {
                 return;
             }
@@ -229,7 +236,7 @@
     pub(super) fn graph_job_finished(&mut self, id: &JobId, record: &FinalRecord) {
         let Some(part) = &record.part else { return };
         if let Some(graphs) = self.open_graphs() {
-            graphs.job_over(id, part, record.status, record.failure.as_ref());
+            graphs.on_job_finished(id, part, record.status, record.failure.as_ref());
         }
     }
 
@@ -245,7 +252,7 @@
         let durable_node_tasks = std::mem::take(&mut leader_term.job_table.durable_node_tasks);
         let Some(graphs) = leader_term.graphs.as_mut() else { return };
         for (id, done) in durable_node_tasks {
-            graphs.tasks_done(&id, &done);
+            graphs.on_tasks_done(&id, &done);
         }
         if valid {
             graphs.tick(now.mono);
@@ -263,12 +270,12 @@
         let Some(token) = self.leadership.token() else { return };
         let Some(read) = self.open_graphs().and_then(|graphs| graphs.next_read()) else { return };
         let op = match &read {
-            Read::Key(key) => StoreOp::Get { key: key.clone() },
-            Read::List { prefix, after } => {
+            LoadRead::Key(key) => StoreOp::Get { key: key.clone() },
+            LoadRead::List { prefix, after } => {
                 StoreOp::List { prefix: prefix.clone(), after: after.clone() }
             }
-            Read::Ended { after } => StoreOp::List {
-                prefix: format!("{}{}", jobs::FINAL_PREFIX, desk::JOBS_PREFIX),
+            LoadRead::Ended { after } => StoreOp::List {
+                prefix: format!("{}{}", jobs::FINAL_PREFIX, graph_table::GRAPH_JOBS_PREFIX),
                 after: jobs::final_key(after),
             },
         };
@@ -279,7 +286,13 @@
         }
     }
 
-    pub(super) fn on_graph_rows(&mut self, now: Now, token: Token, read: Read, reply: StoreReply) {
+    pub(super) fn on_graph_rows(
+        &mut self,
+        now: Now,
+        token: Token,
+        read: LoadRead,
+        reply: StoreReply,
+    ) {
         self.graph_read_in_flight = false;
         let Some(leader_term) = self.leader_term.as_mut().filter(|term| term.token == token) else {
             return;
@@ -290,12 +303,12 @@
         let expected = graphs.next_read().as_ref() == Some(&read);
         match (read, reply) {
             _ if !expected => {}
-            (Read::Key(_), StoreReply::Missing(_)) => graphs.read_count(Revision(0)),
-            (Read::Key(_), StoreReply::Found(row)) => graphs.read_count(row.version),
-            (Read::List { .. }, StoreReply::Page(page)) => {
+            (LoadRead::Key(_), StoreReply::Missing(_)) => graphs.read_count(Revision(0)),
+            (LoadRead::Key(_), StoreReply::Found(row)) => graphs.read_count(row.version),
+            (LoadRead::List { .. }, StoreReply::Page(page)) => {
                 graphs.read_rows(page.rows, page.more, now)
             }
-            (Read::Ended { .. }, StoreReply::Page(page)) => {
+            (LoadRead::Ended { .. }, StoreReply::Page(page)) => {
                 let id = |row: &Row| JobId::parse(row.key.strip_prefix(jobs::FINAL_PREFIX)?);
                 let last = page.rows.last().and_then(id).filter(|_| page.more);
                 let ended = page.rows.iter().filter_map(|row| {
@@ -307,7 +320,7 @@
                         .ok()?;
                     let end = (*record.part?).clone();
                     let (status, failure) = (record.status, record.failure);
-                    Some(Ended { id: id(row)?, end, status, failure })
+                    Some(FinishedJob { id: id(row)?, end, status, failure })
                 });
                 let ended = ended.collect();
                 graphs.read_ended(ended, last, &|graph| leader_term.open_jobs(graph), now.mono);
@@ -332,7 +345,7 @@
         let retried = self.graph_refusals.take_due(now.mono);
         let max_items = if retried.is_some() { 1 } else { self.graph_refusals.max_items() };
         let Some(graphs) = self.open_graphs() else { return false };
-        graphs.items_most = max_items;
+        graphs.max_items = max_items;
         retried.into_iter().for_each(|item| graphs.retry(item));
         let Some((txn, written)) = graphs.next_txn(fence, ops, now, &launch_record) else {
             return false;
@@ -350,7 +363,7 @@
         &mut self,
         now: Now,
         token: Token,
-        written: Vec<desk::Wrote>,
+        written: Vec<graph_table::WriteOutcome>,
         reply: StoreReply,
     ) {
         if self.leader_term.as_ref().is_none_or(|term| term.token != token) {
@@ -388,7 +401,12 @@
 
     /// Handles a transaction that the service refused as invalid: it is not written again
     /// unchanged.
-    fn on_graphs_write_refused(&mut self, now: Mono, mut written: Vec<desk::Wrote>, text: &str) {
+    fn on_graphs_write_refused(
+        &mut self,
+        now: Mono,
+        mut written: Vec<graph_table::WriteOutcome>,
+        text: &str,
+    ) {
         if !self.on_write_refused(text) {
             let items: Vec<_> = written.iter().map(|wrote| wrote.item.clone()).collect();
             if let Some(RejectionResponse::Deferred(item, pause)) =
@@ -416,7 +434,7 @@
             };
             let Some(graphs) = self.open_graphs() else { return };
             if unresolved.rows.is_empty() {
-                unresolved.keys = graphs.keys_of(&item, &live_key, &final_key);
+                unresolved.keys = graphs.keys_to_resolve(&item, &live_key, &final_key);
             }
             if let Some(key) = unresolved.keys.get(unresolved.rows.len()).cloned() {
                 self.writer = Writer::ResolvingGraphs(unresolved);
@@ -451,8 +469,8 @@
 }
 
 /// The key after which the listing of a finished graph's pages continues.
-fn final_pages_after(id: GraphId, range: &Look) -> String {
+fn final_pages_after(id: GraphId, range: &GetGraph) -> String {
     let page =
         range.after.strip_prefix("over.").filter(|page| page.bytes().all(|b| b.is_ascii_digit()));
-    page.map(|page| format!("{}/{page}", records::over_key(id))).unwrap_or_default()
+    page.map(|page| format!("{}/{page}", records::final_graph_key(id))).unwrap_or_default()
 }
--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -32,8 +32,8 @@
 use crate::store::{OpClass, OpId, StoreClient, StoreOp, StoreReply};
 use crate::workers::Fleet;
 use crate::write_backoff::{RejectionResponse, WriteBackoff};
-use oatloom_graph::desk::{Read, Wrote};
-use oatloom_graph::requests::Ask as GraphAsk;
+use oatloom_graph::graph_table::{LoadRead, WriteOutcome};
+use oatloom_graph::requests::GraphRequest as GraphAsk;
 use oatloom_ledger::entry::UsageEntry;
 use oatloom_ledger::query::UsageQuery;
 use oatloom_ledger::rollup::Cursor;
@@ -163,11 +163,11 @@
     /// Reads what a new leader needs of the graphs.
     Graphs {
         token: Token,
-        read: Read,
+        read: LoadRead,
     },
     WriteGraphs {
         token: Token,
-        written: Vec<Wrote>,
+        written: Vec<WriteOutcome>,
     },
     ResolveGraphs {
         token: Token,
@@ -313,7 +313,7 @@
     versions: versions::Versions,
     limits: limits::Limits,
     /// Writes of graphs that the state service refused.
-    graph_refusals: WriteBackoff<oatloom_graph::desk::Item>,
+    graph_refusals: WriteBackoff<oatloom_graph::graph_table::GraphWrite>,
     actions: Vec<Action>,
 }
 
@@ -476,7 +476,7 @@
                 // return.
                 leader_term.silence_counted_from = mono;
                 if let Some(graphs) = leader_term.graphs.as_mut() {
-                    graphs.deaf_until(mono);
+                    graphs.restart_session_ttls(mono);
                 }
                 leader_term.request_placement();
             }
--- a/crates/core/src/controller/users.rs
+++ b/crates/core/src/controller/users.rs
@@ -147,7 +147,7 @@
 
     /// Whether the id is reserved for jobs of graphs.
     fn is_reserved(&self, id: &JobId) -> bool {
-        self.leader_config.graphs.is_some() && GraphId::reserved(id)
+        self.leader_config.graphs.is_some() && GraphId::is_reserved(id)
     }
 
     /// Returns the reply that rejects a submission, if it cannot be accepted.
--- a/crates/core/src/jobs/job.rs
+++ b/crates/core/src/jobs/job.rs
@@ -4,7 +4,7 @@
 use super::records::{ChunkRecord, FinalRecord, to_hex};
 use crate::constants::*;
 use crate::estimate::{Kalman, Measurement};
-use oatloom_graph::records::{Part, PartEnd};
+use oatloom_graph::records::{GraphPart, GraphPartEnd};
 use oatloom_ledger::rollup::{JobUsage, UsageByDay};
 use oatloom_policy::charges::Charges;
 use oatloom_policy::classes::{OnExhausted, RetryPolicy};
@@ -164,7 +164,7 @@
     /// Why it is failing or has failed.
     pub failure: Option<Arc<Failure>>,
     /// The part of a graph that it runs, if any.
-    pub part: Option<Arc<Part>>,
+    pub part: Option<Arc<GraphPart>>,
     /// Index at which the search for pending tasks starts.
     pub(super) search_start: u32,
 }
@@ -376,28 +376,30 @@
     }
 
     /// How the graph nodes that it ran ended, with the failures charged to those that did not complete.
-    fn part_end(&self, part: &Part, status: JobStatus) -> PartEnd {
+    fn part_end(&self, part: &GraphPart, status: JobStatus) -> GraphPartEnd {
         let nodes = part.nodes.clone();
-        if status == JobStatus::Done || !part.batch() {
-            return PartEnd { nodes, done: Vec::new(), charged: Vec::new() };
+        if status == JobStatus::Done || !part.is_batch() {
+            return GraphPartEnd { nodes, done: Vec::new(), failure_counts: Vec::new() };
         }
         let is_done = |task: &u32| self.tasks.get(*task as usize) == Some(&TaskState::Done);
         let charged = self.charges.tasks().filter(|task| !is_done(task));
-        PartEnd {
+        GraphPartEnd {
             nodes,
             done: (0..self.spec.tasks).filter(is_done).collect(),
-            charged: charged.map(|task| (task, self.charges.failure_count(Some(task)))).collect(),
+            failure_counts: charged
+                .map(|task| (task, self.charges.failure_count(Some(task))))
+                .collect(),
         }
     }
 
     /// Whether each of its tasks is a graph node, so that other nodes may wait for each of them.
     pub(super) fn is_batch(&self) -> bool {
-        self.part.as_ref().is_some_and(|part| part.batch())
+        self.part.as_ref().is_some_and(|part| part.is_batch())
     }
 
     /// Whether its tasks are to run on different machines: `true` if they must, `false` if they should.
     pub fn anti_affinity(&self) -> Option<bool> {
-        self.part.as_ref().and_then(|part| part.apart)
+        self.part.as_ref().and_then(|part| part.strict_spread)
     }
 
     /// Index range of a chunk's tasks.
--- a/crates/core/src/jobs/mod.rs
+++ b/crates/core/src/jobs/mod.rs
@@ -113,14 +113,14 @@
         if let Some(part) = record.part {
             // A node's own retry limit never exceeds that of its class. An array of nodes continues with the other
             // nodes when one has failed.
-            let node_allowance = part.repeats.map(|repeats| {
+            let node_allowance = part.max_retries.map(|repeats| {
                 let max_retries =
                     job.allowance.map_or(repeats, |class| class.max_retries.min(repeats));
                 let on_exhausted = job.allowance.map_or(OnExhausted::FailJob, |a| a.on_exhausted);
                 RetryPolicy { max_retries, on_exhausted }
             });
             job.allowance = node_allowance.or(job.allowance);
-            if let Some(allowance) = job.allowance.as_mut().filter(|_| part.batch()) {
+            if let Some(allowance) = job.allowance.as_mut().filter(|_| part.is_batch()) {
                 allowance.on_exhausted = OnExhausted::FinishRest;
             }
             job.part = Some(part);
--- a/crates/core/src/jobs/records.rs
+++ b/crates/core/src/jobs/records.rs
@@ -3,7 +3,7 @@
 use super::dependency_list::{self, DependencyListError};
 use super::packed::{self, PackedError};
 use crate::constants::MAX_TEXT_DEPENDENCIES;
-use oatloom_graph::records::{Part, PartEnd};
+use oatloom_graph::records::{GraphPart, GraphPartEnd};
 use oatloom_ledger::rollup::{JobUsage, UsageByDay};
 use oatloom_policy::charges::ChargeRecord;
 use oatloom_protocol::ids::*;
@@ -39,7 +39,7 @@
     /// Time of day at acceptance, in milliseconds.
     pub wall_ms: u64,
     /// The part of a graph that the job runs, if any.
-    pub part: Option<Arc<Part>>,
+    pub part: Option<Arc<GraphPart>>,
 }
 
 /// Stored form of a [`LiveRecord`].
@@ -50,7 +50,7 @@
     #[serde(rename = "t")]
     wall_ms: u64,
     #[serde(rename = "g", default, skip_serializing_if = "Option::is_none")]
-    part: Option<Arc<Part>>,
+    part: Option<Arc<GraphPart>>,
     /// Packed list of the dependencies if there are more than [`MAX_TEXT_DEPENDENCIES`]; the list in `spec` is then
     /// empty.
     #[serde(rename = "w", default, skip_serializing_if = "Option::is_none")]
@@ -100,7 +100,7 @@
     pub spent: Option<Arc<JobUsage>>,
     /// How the graph nodes that it ran ended, if any.
     #[serde(rename = "g", default, skip_serializing_if = "Option::is_none")]
-    pub part: Option<Arc<PartEnd>>,
+    pub part: Option<Arc<GraphPartEnd>>,
 }
 
 impl FinalRecord {
--- a/crates/core/src/leader_term/graphs.rs
+++ b/crates/core/src/leader_term/graphs.rs
@@ -1,7 +1,7 @@
 //! Connects task graphs with the job table: measured costs of nodes, and the open jobs that belong to a graph.
 
 use super::*;
-use oatloom_graph::desk::OpenJob;
+use oatloom_graph::graph_table::OpenJob;
 use oatloom_graph::ids::GraphId;
 
 /// Run time of each kind of node in each graph: the Kalman filter of the design specification, and the measurements of
@@ -9,16 +9,19 @@
 pub(super) type NodeCosts = BTreeMap<(GraphId, u16), (Kalman, Measurement)>;
 
 /// The task graphs of a new leader term; `None` if graphs are not served.
-pub(super) fn desk(config: &LeaderConfig, token: Token, now: Mono) -> Option<Desk> {
+pub(super) fn desk(config: &LeaderConfig, token: Token, now: Mono) -> Option<GraphTable> {
     let (limits, record_space) = config.graphs.clone()?;
-    Some(Desk::new(limits, token, record_space, now))
+    Some(GraphTable::new(limits, token, record_space, now))
 }
 
 /// Space for the records of one addition under the state service's limits, announced ones included.
 pub(super) fn record_space(settings: &Settings) -> RecordRoom {
     let state = settings.facts.state.strictest();
     let value = (state.value_kb * 1024.0) as usize;
-    RecordRoom { value, values: state.txn_ops.saturating_sub(GRAPH_RESERVED_TXN_OPS).max(1) }
+    RecordRoom {
+        value_bytes: value,
+        value_count: state.txn_ops.saturating_sub(GRAPH_RESERVED_TXN_OPS).max(1),
+    }
 }
 
 impl LeaderTerm {
@@ -38,14 +41,14 @@
         for ((graph, kind), (filter, measured)) in &mut self.node_costs {
             if let Some(seconds) = measured.take() {
                 filter.update(seconds);
-                desk.learn(*graph, *kind, filter.cost().unwrap_or(seconds));
+                desk.set_kind_run_time(*graph, *kind, filter.cost().unwrap_or(seconds));
             }
         }
         for class in desk.classes() {
             let allowed =
                 self.job_table.classes.policy_for(&class).map(|allowance| allowance.max_retries);
             let bias = self.class_biases.get(&class).copied().unwrap_or_default().mean;
-            desk.learn_class(&class, allowed, bias);
+            desk.set_class_estimates(&class, allowed, bias);
         }
     }
 
@@ -54,7 +57,7 @@
         let jobs = self.job_table.jobs.range(graph.first_job()..=graph.last_job());
         let open = jobs.filter(|(_, job)| job.state != JobState::Finished);
         open.filter_map(|(id, job)| {
-            let (_, seq) = GraphId::of_job(id)?;
+            let (_, seq) = GraphId::from_job_id(id)?;
             let part = (**job.part.as_ref()?).clone();
             let is_done =
                 |task: &u32| job.tasks[*task as usize] == TaskState::Done && job.all_durable(*task);
--- a/crates/core/src/leader_term/mod.rs
+++ b/crates/core/src/leader_term/mod.rs
@@ -19,9 +19,9 @@
 use crate::placement::{self, PlacementInputs, PlacementPlan};
 use crate::scaling::{self, ArrayDemand, CoreBounds, Demand};
 use crate::workers::{Fleet, Freshness, Image, Machine, MachineState, Resources};
-use oatloom_graph::desk::Desk;
+use oatloom_graph::graph_table::GraphTable;
 use oatloom_graph::limits::Limits;
-use oatloom_graph::model::Room as RecordRoom;
+use oatloom_graph::model::RecordSpace as RecordRoom;
 use oatloom_policy::classes::Classes;
 use oatloom_policy::fault_attribution::Evidence;
 use oatloom_protocol::ids::*;
@@ -160,7 +160,7 @@
     /// Machines that do not report and still hold tasks of finished jobs, the least recently contacted one last.
     overdue_machines: Vec<HostId>,
     /// Task graphs, if they are served.
-    pub graphs: Option<Desk>,
+    pub graphs: Option<GraphTable>,
     node_costs: graphs::NodeCosts,
     placement_needed: bool,
     /// Earliest time of the next placement pass, derived from the cost of the last one.
--- a/crates/core/src/mesh.rs
+++ b/crates/core/src/mesh.rs
@@ -3,7 +3,7 @@
 
 use crate::api::{Request, Submission};
 use crate::leader_hints::LeaderHints;
-use oatloom_graph::requests::Ask;
+use oatloom_graph::requests::GraphRequest;
 use oatloom_membership::Gossip;
 use oatloom_protocol::ids::JobId;
 use oatloom_protocol::reply::HttpReply;
@@ -25,7 +25,7 @@
     #[serde(rename = "Notes")]
     LeaderHints(Box<LeaderHints>),
     /// A request from a client of graphs.
-    Graph(Box<Ask>),
+    Graph(Box<GraphRequest>),
     /// One-way: gossip about which controllers are alive, for peers that have received nothing for
     /// a while. Sent only to peers that send it themselves, since earlier versions cannot decode
     /// it.
--- a/crates/ctl/src/graphs.rs
+++ b/crates/ctl/src/graphs.rs
@@ -7,9 +7,9 @@
 use oatloom_client::graphs::{self, GraphError, GraphOptions};
 use oatloom_client::{Controllers, Session, Watch};
 use oatloom_graph::answers::{GraphStatus, GraphView, NodeView};
-use oatloom_graph::ids::{GraphId, NodeIx};
-use oatloom_graph::model::{Model, Room};
-use oatloom_graph::paths::seconds;
+use oatloom_graph::ids::{GraphId, NodeId};
+use oatloom_graph::model::{Model, RecordSpace};
+use oatloom_graph::paths::run_time_s;
 use oatloom_graph::requests::{AddNodes, KindSpec, NewNode, OnFailure, check};
 use oatloom_protocol::wire::Rank;
 use rand::{Rng, SeedableRng};
@@ -124,7 +124,7 @@
 /// A file's nodes in an order in which they can start.
 fn model(file: &GraphFile) -> Result<Model, Failure> {
     // It is looked at and not written: nothing bounds it.
-    let room = Room { value: usize::MAX / 4, values: usize::MAX };
+    let room = RecordSpace { value_bytes: usize::MAX / 4, value_count: usize::MAX };
     let mut model = Model::default();
     let refused = |text: String| Failure::Wrong(text);
     let prepared = model.prepare(&addition(file), 0, room).map_err(|e| refused(e.1))?;
@@ -140,14 +140,14 @@
 /// The file's nodes are no graph.
 pub fn plan(file: &GraphFile, all: bool) -> Result<String, Failure> {
     let mut model = model(file)?;
-    let longest = model.weigh(|kind| seconds(kind, 1.0));
+    let longest = model.compute_paths(|kind| run_time_s(kind, 1.0));
     let mut starts: Vec<f64> = Vec::new();
     let mut rows = Vec::new();
-    for at in (0..model.len()).map(NodeIx) {
+    for at in (0..model.len()).map(NodeId) {
         let Some(node) = model.node(at) else { continue };
-        let ends = |input: NodeIx| {
+        let ends = |input: NodeId| {
             let node = model.node(input)?;
-            Some(starts[input.0 as usize] + seconds(model.kind_of(node), 1.0))
+            Some(starts[input.0 as usize] + run_time_s(model.kind_of(node), 1.0))
         };
         let start = model.needs(at).filter_map(ends).fold(0.0, f64::max);
         let path = f64::from(node.path_s);
@@ -168,8 +168,10 @@
             format!("{path:.0}"),
         ]);
     }
-    let work: f64 =
-        rows.iter().map(|(_, _, n, _)| seconds(model.kind_of(n), 1.0) * f64::from(n.shards)).sum();
+    let work: f64 = rows
+        .iter()
+        .map(|(_, _, n, _)| run_time_s(model.kind_of(n), 1.0) * f64::from(n.shards))
+        .sum();
     Ok(format!(
         "{table}\n{} nodes, {work:.0} s of tasks; the critical path (*) takes {longest:.0} s, without boots and fetches",
         model.len()
@@ -196,8 +198,8 @@
             text += &format!(" failed {times} times, {repeats} repeats are allowed");
         }
     }
-    if !view.why.is_empty() {
-        text += &format!(": {}", view.why);
+    if !view.reason.is_empty() {
+        text += &format!(": {}", view.reason);
     }
     text
 }
@@ -255,7 +257,7 @@
     let model = model(file)?;
     let by_name: BTreeMap<&str, &NewNode> =
         file.nodes.iter().map(|node| (node.name.as_str(), node)).collect();
-    for at in (0..model.len()).map(NodeIx) {
+    for at in (0..model.len()).map(NodeId) {
         let node = model.node(at).and_then(|node| by_name.get(&*node.name));
         if let Some(node) = node {
             graph.add((*node).clone())?;
--- a/crates/graph/src/answers.rs
+++ b/crates/graph/src/answers.rs
@@ -1,8 +1,8 @@
 //! Answers to clients.
 
 use crate::constants::RETRY_AFTER_S;
-use crate::ids::{GraphId, Seq};
-use crate::records::{FailedNode, Outcome, OverPage, OverRecord};
+use crate::ids::{GraphId, JobSeq};
+use crate::records::{FailedNode, FinalPage, FinalRecord, Outcome};
 use oatloom_protocol::ids::JobId;
 use oatloom_protocol::reply::HttpReply;
 use oatloom_protocol::wire::{Failure, JobSpec};
@@ -138,7 +138,7 @@
     pub failure: Option<FailedNode>,
     /// The reason why the graph was cancelled; empty if it was not.
     #[serde(rename = "why", default, skip_serializing_if = "String::is_empty")]
-    pub why: String,
+    pub reason: String,
     /// Nodes that have changed since the requested position; a node may occur in several answers.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub changed: Vec<NodeView>,
@@ -152,7 +152,7 @@
 
 impl GraphView {
     /// The view of a finished graph.
-    pub fn of_over(graph: GraphId, record: &OverRecord) -> Self {
+    pub fn from_final_record(graph: GraphId, record: &FinalRecord) -> Self {
         let [done, failed, cancelled, skipped] = record.counts;
         Self {
             graph,
@@ -167,7 +167,7 @@
             skipped,
             path_s: 0.0,
             failure: record.failed.clone(),
-            why: record.why.clone(),
+            reason: record.reason.clone(),
             changed: Vec::new(),
             next: String::new(),
             more: false,
@@ -208,12 +208,12 @@
 }
 
 /// The nodes of a final page of a finished graph.
-pub fn over_nodes(graph: GraphId, page: OverPage) -> Vec<NodeView> {
-    let OverPage { nodes, mut failures } = page;
+pub fn final_node_views(graph: GraphId, page: FinalPage) -> Vec<NodeView> {
+    let FinalPage { nodes, mut failures } = page;
     let view = |(name, job, letter): (String, u64, char)| {
         let position = failures.iter().position(|failed| failed.node == name);
         let failure = position.and_then(|position| failures.swap_remove(position).failure);
-        let job = job.checked_sub(1).map(|seq| graph.job(Seq(seq)));
+        let job = job.checked_sub(1).map(|seq| graph.job(JobSeq(seq)));
         NodeView { name, status: NodeStatus::of_letter(letter), job, failure }
     };
     nodes.into_iter().map(view).collect()
--- a/crates/graph/src/constants.rs
+++ b/crates/graph/src/constants.rs
@@ -55,7 +55,7 @@
 /// Minimum time until a node is due, in seconds: one tick of the control loop.
 pub const MIN_NODE_DUE_S: f64 = 1.0;
 /// Maximum and default number of changed nodes in one answer; about 60 KiB.
-pub const ANSWER_NODES: usize = 400;
+pub const MAX_ANSWER_NODE_COUNT: usize = 400;
 /// Approximate maximum bytes of nodes in an answer about a job; a message line holds at most 64 KiB.
 pub const MAX_JOB_NODES_BYTES: usize = 24 * 1024;
 /// Minimum time to live of a session, in seconds: a shorter one would expire during a change of leader.
--- a/crates/graph/src/desk.rs
+++ b/crates/graph/src/graph_table.rs
@@ -4,20 +4,20 @@
 
 use crate::answers::{GraphView, JobNodes, SessionStatus, SessionView, busy};
 use crate::constants::*;
-use crate::ids::{GraphId, Seq};
+use crate::ids::{GraphId, JobSeq};
 use crate::launching::job_spec;
-pub use crate::launching::{Launch, LaunchOrder};
+pub use crate::launching::{JobLaunch, LaunchOrder};
 use crate::limits::{Limits, RateLimiter};
 use crate::loading::{DamagedGraphs, LoadStage};
-pub use crate::loading::{Ended, JOBS_PREFIX, OpenJob, Read};
-use crate::model::{NodeKind, NodeState, RejectedAddition, Room};
+pub use crate::loading::{FinishedJob, GRAPH_JOBS_PREFIX, LoadRead, OpenJob};
+use crate::model::{NodeKind, NodeState, RecordSpace, RejectedAddition};
 use crate::open_graph::{EndReason, OpenGraph, PendingAddition, Phase};
 use crate::paths::graph_due;
-use crate::records::{Head, OverRecord, Page, Part, PartEnd, SessionRecord};
-use crate::requests::{AddNodes, Ask, CreateGraph, OpenSession, check};
+use crate::records::{FinalRecord, GraphHead, GraphPart, GraphPartEnd, Page, SessionRecord};
+use crate::requests::{AddNodes, CreateGraph, GraphRequest, OpenSession, check};
 use crate::sessions::{self, Session, digest, hash_key};
 use crate::writing::GraphWriteQueue;
-pub use crate::writing::{Item, Wrote};
+pub use crate::writing::{GraphWrite, WriteOutcome};
 use oatloom_protocol::ids::{JobId, Millis, Mono, Now, Revision, Token};
 use oatloom_protocol::reply::HttpReply;
 use oatloom_protocol::wire::{Failure, JobSpec, JobStatus};
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Admits a job whose record became durable at this revision.
-    Admit(Box<Launch>, Revision),
+    Admit(Box<JobLaunch>, Revision),
     Cancel(JobId),
     /// Answers a request whose reply was deferred.
     Reply {
@@ -40,10 +40,10 @@
 
 /// The immediate outcome of a request.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Verdict {
+pub enum RequestOutcome {
     Reply(HttpReply),
     /// The reply follows as [`Effect::Reply`] with the request's ticket once the change is durable.
-    Later,
+    Deferred,
     /// The graph is not open; the state service knows whether it has finished.
     NotOpen,
     /// The nodes that a job runs; the caller adds the job's description.
@@ -51,19 +51,19 @@
 }
 
 /// Knowledge of the rest of the leader that decisions on requests need.
-pub struct Around<'a> {
+pub struct RequestContext<'a> {
     /// The error reply for a job that can never run.
-    pub unfit: &'a dyn Fn(&JobSpec) -> Option<HttpReply>,
+    pub rejection: &'a dyn Fn(&JobSpec) -> Option<HttpReply>,
     /// Whether the team exists.
-    pub team: &'a dyn Fn(&str) -> bool,
+    pub team_exists: &'a dyn Fn(&str) -> bool,
 }
 
 /// All open graphs and sessions of one leader term.
 #[derive(Debug)]
-pub struct Desk {
+pub struct GraphTable {
     pub(crate) limits: Limits,
     pub(crate) token: Token,
-    pub(crate) record_space: Room,
+    pub(crate) record_space: RecordSpace,
     pub(crate) stage: LoadStage,
     pub(crate) sessions: BTreeMap<String, Session>,
     pub(crate) count_version: Revision,
@@ -74,8 +74,8 @@
     pub(crate) effects: Vec<Effect>,
     pub(crate) order: LaunchOrder,
     /// Maximum number of items in one transaction; lowered while the service refuses writes.
-    pub items_most: usize,
-    final_records: BTreeMap<GraphId, OverRecord>,
+    pub max_items: usize,
+    final_records: BTreeMap<GraphId, FinalRecord>,
     final_record_order: VecDeque<GraphId>,
     rate_limiter: RateLimiter,
     team_rate_limiters: BTreeMap<String, RateLimiter>,
@@ -89,9 +89,9 @@
     next_session_check: Mono,
 }
 
-impl Desk {
+impl GraphTable {
     /// The table of a new leader, which has not yet loaded anything.
-    pub fn new(limits: Limits, token: Token, record_space: Room, now: Mono) -> Self {
+    pub fn new(limits: Limits, token: Token, record_space: RecordSpace, now: Mono) -> Self {
         let rate_limiter = RateLimiter::full(limits.additions_per_s, now);
         Self {
             limits,
@@ -105,7 +105,7 @@
             queue: GraphWriteQueue::default(),
             effects: Vec::new(),
             order: LaunchOrder::default(),
-            items_most: usize::MAX,
+            max_items: usize::MAX,
             final_records: BTreeMap::new(),
             final_record_order: VecDeque::new(),
             rate_limiter,
@@ -124,7 +124,7 @@
     }
 
     /// Whether loading is complete.
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         self.stage == LoadStage::Ready
     }
 
@@ -148,7 +148,7 @@
 
     /// Sets the retry limit of a class and the ratio of its measured to its estimated run times. A small change of the
     /// ratio leaves the remaining paths as they are.
-    pub fn learn_class(&mut self, class: &str, class_max_retries: Option<u32>, bias: f64) {
+    pub fn set_class_estimates(&mut self, class: &str, class_max_retries: Option<u32>, bias: f64) {
         self.class_max_retries.insert(class.to_owned(), class_max_retries);
         let previous = self.run_time_biases.insert(class.to_owned(), bias).unwrap_or(1.0);
         if (bias / previous - 1.0).abs() > MIN_RUN_TIME_CHANGE_FRACTION {
@@ -168,14 +168,14 @@
     }
 
     /// The graph of a job, and the kind number of its nodes.
-    pub fn kind_of(&self, id: &JobId, part: &Part) -> Option<(GraphId, u16)> {
-        let (graph, _) = GraphId::of_job(id)?;
+    pub fn kind_of(&self, id: &JobId, part: &GraphPart) -> Option<(GraphId, u16)> {
+        let (graph, _) = GraphId::from_job_id(id)?;
         let node = self.graphs.get(&graph)?.model.node(part.node(0)?)?;
         Some((graph, node.kind))
     }
 
     /// Sets the measured run time of a kind's tasks, in seconds.
-    pub fn learn(&mut self, graph: GraphId, kind: u16, seconds: f64) {
+    pub fn set_kind_run_time(&mut self, graph: GraphId, kind: u16, seconds: f64) {
         let Some(open_graph) = self.graphs.get_mut(&graph) else { return };
         let Some(kind) = open_graph.model.kinds.get_mut(usize::from(kind)) else { return };
         let previous = kind.measured_run_time_s.unwrap_or(kind.spec.expect_s);
@@ -191,43 +191,56 @@
     // --- Requests ------------------------------------------------------------------
 
     /// Handles a request. If the reply is deferred, it carries `ticket`.
-    pub fn ask(&mut self, now: Now, ticket: u64, request: &Ask, context: &Around) -> Verdict {
-        if !self.ready() {
-            return Verdict::Reply(HttpReply::unavailable("graphs are being read"));
+    pub fn handle_request(
+        &mut self,
+        now: Now,
+        ticket: u64,
+        request: &GraphRequest,
+        context: &RequestContext,
+    ) -> RequestOutcome {
+        if !self.is_ready() {
+            return RequestOutcome::Reply(HttpReply::unavailable("graphs are being read"));
         }
         let validation = match request {
-            Ask::Open(open) => check(open),
-            Ask::Beat(_, keyed) | Ask::Close(_, keyed) | Ask::Cancel(_, keyed) => check(keyed),
-            Ask::Create(create) => check(create),
-            Ask::Add(_, add) => check(add),
-            Ask::Look(..) | Ask::Job(..) => Ok(()),
+            GraphRequest::Open(open) => check(open),
+            GraphRequest::Heartbeat(_, keyed)
+            | GraphRequest::Close(_, keyed)
+            | GraphRequest::Cancel(_, keyed) => check(keyed),
+            GraphRequest::Create(create) => check(create),
+            GraphRequest::Add(_, add) => check(add),
+            GraphRequest::GetGraph(..) | GraphRequest::Job(..) => Ok(()),
         };
         if let Err(text) = validation {
-            return Verdict::Reply(HttpReply::error(400, &text));
+            return RequestOutcome::Reply(HttpReply::error(400, &text));
         }
         match request {
-            Ask::Open(open) => self.open_session(now.mono, ticket, open, context),
-            Ask::Beat(session, keyed) => self.heartbeat(now.mono, session, &keyed.key),
-            Ask::Close(session, keyed) => self.close_session(ticket, session, &keyed.key),
-            Ask::Create(create) => self.create_graph(now, ticket, create),
-            Ask::Add(graph, add) => self.add_nodes(now.mono, ticket, *graph, add, context),
-            Ask::Cancel(graph, keyed) => self.cancel_graph(ticket, *graph, &keyed.key),
-            Ask::Job(job, after) => {
-                let nodes = GraphId::of_job(job)
+            GraphRequest::Open(open) => self.open_session(now.mono, ticket, open, context),
+            GraphRequest::Heartbeat(session, keyed) => {
+                self.heartbeat(now.mono, session, &keyed.key)
+            }
+            GraphRequest::Close(session, keyed) => self.close_session(ticket, session, &keyed.key),
+            GraphRequest::Create(create) => self.create_graph(now, ticket, create),
+            GraphRequest::Add(graph, add) => self.add_nodes(now.mono, ticket, *graph, add, context),
+            GraphRequest::Cancel(graph, keyed) => self.cancel_graph(ticket, *graph, &keyed.key),
+            GraphRequest::Job(job, after) => {
+                let nodes = GraphId::from_job_id(job)
                     .and_then(|(graph, seq)| self.graphs.get(&graph)?.job_nodes(seq, *after));
                 match nodes {
-                    Some(nodes) => Verdict::Job(job.clone(), Box::new(nodes)),
-                    None => Verdict::Reply(HttpReply::error(404, "no such job of a graph is open")),
+                    Some(nodes) => RequestOutcome::Job(job.clone(), Box::new(nodes)),
+                    None => RequestOutcome::Reply(HttpReply::error(
+                        404,
+                        "no such job of a graph is open",
+                    )),
                 }
             }
-            Ask::Look(graph, range) => match self.graphs.get(graph) {
+            GraphRequest::GetGraph(graph, range) => match self.graphs.get(graph) {
                 Some(OpenGraph { phase: Phase::Creating, .. }) => {
-                    Verdict::Reply(HttpReply::unavailable("the graph is being written"))
+                    RequestOutcome::Reply(HttpReply::unavailable("the graph is being written"))
                 }
                 Some(open_graph) => {
-                    Verdict::Reply(HttpReply::json(200, &open_graph.view(self.token, range)))
+                    RequestOutcome::Reply(HttpReply::json(200, &open_graph.view(self.token, range)))
                 }
-                None => Verdict::NotOpen,
+                None => RequestOutcome::NotOpen,
             },
         }
     }
@@ -271,37 +284,37 @@
         now: Mono,
         ticket: u64,
         open: &OpenSession,
-        context: &Around,
-    ) -> Verdict {
+        context: &RequestContext,
+    ) -> RequestOutcome {
         let name = &open.session;
         if let Some(session) = self.sessions.get_mut(name) {
             if !session.has_key(&open.key) || session.record.owner != open.owner {
-                return Verdict::Reply(HttpReply::error(403, "the session is another's"));
+                return RequestOutcome::Reply(HttpReply::error(403, "the session is another's"));
             }
             return match session.phase {
                 sessions::Phase::Opening if session.tickets.len() < MAX_TICKET_COUNT => {
                     session.tickets.push(ticket);
-                    Verdict::Later
+                    RequestOutcome::Deferred
                 }
                 sessions::Phase::Open => {
                     session.last_heartbeat = now;
-                    Verdict::Reply(self.session_reply(name, 200))
+                    RequestOutcome::Reply(self.session_reply(name, 200))
                 }
-                _ => Verdict::Reply(busy("the session is closing")),
+                _ => RequestOutcome::Reply(busy("the session is closing")),
             };
         }
-        if !(context.team)(&open.owner) {
-            return Verdict::Reply(HttpReply::error(422, "unknown team"));
+        if !(context.team_exists)(&open.owner) {
+            return RequestOutcome::Reply(HttpReply::error(422, "unknown team"));
         }
         let team_count =
             self.sessions.values().filter(|session| session.record.owner == open.owner).count();
         if self.sessions.len() >= self.limits.sessions as usize
             || team_count >= self.limits.team_sessions as usize
         {
-            return Verdict::Reply(busy("too many sessions"));
+            return RequestOutcome::Reply(busy("too many sessions"));
         }
         if !self.try_take_write_permit(&open.owner, now) {
-            return Verdict::Reply(busy("too many additions per second"));
+            return RequestOutcome::Reply(busy("too many additions per second"));
         }
         let ttl_ms = Millis::from_secs(open.ttl_s).0;
         let (key, owner) = (hash_key(&open.key), open.owner.clone());
@@ -310,7 +323,7 @@
         session.tickets.push(ticket);
         self.sessions.insert(name.clone(), session);
         self.queue.push_session(name);
-        Verdict::Later
+        RequestOutcome::Deferred
     }
 
     /// Finds an open session and checks its key.
@@ -329,26 +342,28 @@
         }
     }
 
-    fn heartbeat(&mut self, now: Mono, name: &str, key: &str) -> Verdict {
+    fn heartbeat(&mut self, now: Mono, name: &str, key: &str) -> RequestOutcome {
         match self.find_open_session(name, key) {
             Ok(session) => {
                 session.last_heartbeat = now;
-                Verdict::Reply(self.session_reply(name, 200))
+                RequestOutcome::Reply(self.session_reply(name, 200))
             }
-            Err(reply) => Verdict::Reply(reply),
+            Err(reply) => RequestOutcome::Reply(reply),
         }
     }
 
-    fn close_session(&mut self, ticket: u64, name: &str, key: &str) -> Verdict {
+    fn close_session(&mut self, ticket: u64, name: &str, key: &str) -> RequestOutcome {
         match self.find_open_session(name, key) {
             Ok(session) => {
                 session.tickets.push(ticket);
                 self.end_session(name);
-                Verdict::Later
+                RequestOutcome::Deferred
             }
             // Closing is idempotent: the reply to an earlier request may have been lost.
-            Err(HttpReply { status: 404, .. }) => Verdict::Reply(self.session_reply(name, 200)),
-            Err(reply) => Verdict::Reply(reply),
+            Err(HttpReply { status: 404, .. }) => {
+                RequestOutcome::Reply(self.session_reply(name, 200))
+            }
+            Err(reply) => RequestOutcome::Reply(reply),
         }
     }
 
@@ -359,22 +374,24 @@
         }
     }
 
-    fn create_graph(&mut self, now: Now, ticket: u64, create: &CreateGraph) -> Verdict {
+    fn create_graph(&mut self, now: Now, ticket: u64, create: &CreateGraph) -> RequestOutcome {
         let id = create.graph;
         if let Some(open_graph) = self.graphs.get_mut(&id) {
             let is_same = open_graph.head.key == hash_key(&create.key)
                 && open_graph.head.session == create.session
                 && open_graph.head.class == create.jobclass;
             return match &open_graph.phase {
-                _ if !is_same => Verdict::Reply(HttpReply::error(409, "the graph is another's")),
+                _ if !is_same => {
+                    RequestOutcome::Reply(HttpReply::error(409, "the graph is another's"))
+                }
                 Phase::Creating if open_graph.tickets.len() < MAX_TICKET_COUNT => {
                     open_graph.tickets.push(ticket);
-                    Verdict::Later
+                    RequestOutcome::Deferred
                 }
                 Phase::Creating => {
-                    Verdict::Reply(HttpReply::unavailable("the graph is being written"))
+                    RequestOutcome::Reply(HttpReply::unavailable("the graph is being written"))
                 }
-                _ => Verdict::Reply(HttpReply::json(
+                _ => RequestOutcome::Reply(HttpReply::json(
                     200,
                     &open_graph.view(self.token, &Default::default()),
                 )),
@@ -383,20 +400,20 @@
         let owner = match self.find_open_session(&create.session, &create.key) {
             Ok(session) => session.record.owner.clone(),
             // A repeated request may arrive after the graph and its session have ended.
-            Err(HttpReply { status: 404, .. }) => return Verdict::NotOpen,
-            Err(reply) => return Verdict::Reply(reply),
+            Err(HttpReply { status: 404, .. }) => return RequestOutcome::NotOpen,
+            Err(reply) => return RequestOutcome::Reply(reply),
         };
         let team_count =
             self.graphs.values().filter(|open_graph| open_graph.head.owner == owner).count();
         if self.graphs.len() >= self.limits.graphs as usize
             || team_count >= self.limits.team_graphs as usize
         {
-            return Verdict::Reply(busy("too many graphs"));
+            return RequestOutcome::Reply(busy("too many graphs"));
         }
         if !self.try_take_write_permit(&owner, now.mono) {
-            return Verdict::Reply(busy("too many additions per second"));
+            return RequestOutcome::Reply(busy("too many additions per second"));
         }
-        let head = Head {
+        let head = GraphHead {
             session: create.session.clone(),
             key: hash_key(&create.key),
             owner,
@@ -412,7 +429,7 @@
         open_graph.tickets.push(ticket);
         self.insert_graph(open_graph);
         self.queue.push_head(id);
-        Verdict::Later
+        RequestOutcome::Deferred
     }
 
     /// Inserts a graph, and counts it for its session unless it is detached.
@@ -447,10 +464,10 @@
         ticket: u64,
         id: GraphId,
         add: &AddNodes,
-        context: &Around,
-    ) -> Verdict {
-        let refuse = |status, text: &str| Verdict::Reply(HttpReply::error(status, text));
-        let Some(open_graph) = self.graphs.get(&id) else { return Verdict::NotOpen };
+        context: &RequestContext,
+    ) -> RequestOutcome {
+        let refuse = |status, text: &str| RequestOutcome::Reply(HttpReply::error(status, text));
+        let Some(open_graph) = self.graphs.get(&id) else { return RequestOutcome::NotOpen };
         if open_graph.head.key != hash_key(&add.key) {
             return refuse(403, "wrong key");
         }
@@ -459,7 +476,7 @@
         match open_graph.model.addition(&add.addition) {
             Some(known) if known == digest => {
                 let view = open_graph.view(self.token, &Default::default());
-                return Verdict::Reply(HttpReply::json(200, &view));
+                return RequestOutcome::Reply(HttpReply::json(200, &view));
             }
             Some(_) => {
                 return refuse(409, "an addition with this name exists with different content");
@@ -470,19 +487,19 @@
             Phase::Open if open_graph.model.sealed => return refuse(409, "the graph is sealed"),
             Phase::Open => {}
             Phase::Creating | Phase::Loading => {
-                return Verdict::Reply(HttpReply::unavailable("the graph is being written"));
+                return RequestOutcome::Reply(HttpReply::unavailable("the graph is being written"));
             }
             _ => return refuse(409, "the graph is ending"),
         }
         if open_graph.pending_addition.is_some() {
-            return Verdict::Reply(busy("another addition is being written"));
+            return RequestOutcome::Reply(busy("another addition is being written"));
         }
         let prepared = match open_graph.model.prepare(add, digest, self.record_space) {
             Ok(prepared) => prepared,
             Err(RejectedAddition(status, text)) => return refuse(status, &text),
         };
         if let Some(reply) = find_rejection(open_graph, &prepared.pages, context) {
-            return Verdict::Reply(reply);
+            return RequestOutcome::Reply(reply);
         }
         let owner = open_graph.head.owner.clone();
         let graph_nodes = u64::from(open_graph.model.len());
@@ -499,16 +516,16 @@
             || exceeds(all_bytes, bytes, limits.bytes)
             || exceeds(team_bytes, bytes, limits.team_bytes)
         {
-            return Verdict::Reply(busy("too many nodes"));
+            return RequestOutcome::Reply(busy("too many nodes"));
         }
         if !self.try_take_write_permit(&owner, now) {
-            return Verdict::Reply(busy("too many additions per second"));
+            return RequestOutcome::Reply(busy("too many additions per second"));
         }
         if let Some(open_graph) = self.graphs.get_mut(&id) {
             open_graph.pending_addition = Some(PendingAddition { prepared, ticket });
         }
         self.queue.push_addition(id);
-        Verdict::Later
+        RequestOutcome::Deferred
     }
 
     /// Total nodes of the selected open graphs, and total bytes of their records.
@@ -519,26 +536,26 @@
         })
     }
 
-    fn cancel_graph(&mut self, ticket: u64, id: GraphId, key: &str) -> Verdict {
-        let Some(open_graph) = self.graphs.get_mut(&id) else { return Verdict::NotOpen };
+    fn cancel_graph(&mut self, ticket: u64, id: GraphId, key: &str) -> RequestOutcome {
+        let Some(open_graph) = self.graphs.get_mut(&id) else { return RequestOutcome::NotOpen };
         if open_graph.head.key != hash_key(key) {
-            return Verdict::Reply(HttpReply::error(403, "wrong key"));
+            return RequestOutcome::Reply(HttpReply::error(403, "wrong key"));
         }
         match open_graph.phase {
             Phase::Creating | Phase::Loading => {
-                Verdict::Reply(HttpReply::unavailable("the graph is being written"))
+                RequestOutcome::Reply(HttpReply::unavailable("the graph is being written"))
             }
             Phase::Cancelling if open_graph.tickets.len() >= MAX_TICKET_COUNT => {
-                Verdict::Reply(HttpReply::unavailable("the graph is being cancelled"))
+                RequestOutcome::Reply(HttpReply::unavailable("the graph is being cancelled"))
             }
             Phase::Open | Phase::Cancelling => {
                 open_graph.tickets.push(ticket);
                 open_graph.enter(Phase::Cancelling);
                 self.launchable.remove(&id);
                 self.queue.push_head(id);
-                Verdict::Later
+                RequestOutcome::Deferred
             }
-            Phase::Stopping(_) | Phase::Ending(_) => Verdict::Reply(HttpReply::json(
+            Phase::Stopping(_) | Phase::Ending(_) => RequestOutcome::Reply(HttpReply::json(
                 200,
                 &open_graph.view(self.token, &Default::default()),
             )),
@@ -546,26 +563,28 @@
     }
 
     /// The reply to a request for a finished graph.
-    pub fn over_reply(id: GraphId, request: &Ask, record: &OverRecord) -> HttpReply {
+    pub fn final_reply(id: GraphId, request: &GraphRequest, record: &FinalRecord) -> HttpReply {
         let key = match request {
-            Ask::Create(create) => Some(&create.key),
-            Ask::Add(_, add) => Some(&add.key),
-            Ask::Cancel(_, keyed) => Some(&keyed.key),
+            GraphRequest::Create(create) => Some(&create.key),
+            GraphRequest::Add(_, add) => Some(&add.key),
+            GraphRequest::Cancel(_, keyed) => Some(&keyed.key),
             _ => None,
         };
         let is_wrong_key = key.is_some_and(|key| hash_key(key) != record.key);
         match request {
-            Ask::Create(_) if is_wrong_key => HttpReply::error(409, "the graph is another's"),
+            GraphRequest::Create(_) if is_wrong_key => {
+                HttpReply::error(409, "the graph is another's")
+            }
             _ if is_wrong_key => HttpReply::error(403, "wrong key"),
-            Ask::Add(..) => HttpReply::error(409, "the graph is over"),
-            _ => HttpReply::json(200, &GraphView::of_over(id, record)),
+            GraphRequest::Add(..) => HttpReply::error(409, "the graph is over"),
+            _ => HttpReply::json(200, &GraphView::from_final_record(id, record)),
         }
     }
 
     /// The reply to a request for a graph that does not exist.
-    pub fn missing_reply(request: &Ask) -> HttpReply {
+    pub fn missing_reply(request: &GraphRequest) -> HttpReply {
         match request {
-            Ask::Create(_) => HttpReply::error(404, "no such session"),
+            GraphRequest::Create(_) => HttpReply::error(404, "no such session"),
             _ => HttpReply::error(404, "no such graph"),
         }
     }
@@ -573,22 +592,22 @@
     // --- Events --------------------------------------------------------------------
 
     /// Processes tasks of an open job that are durably done.
-    pub fn tasks_done(&mut self, id: &JobId, done: &[u32]) {
-        let Some((graph, seq)) = GraphId::of_job(id) else { return };
+    pub fn on_tasks_done(&mut self, id: &JobId, done: &[u32]) {
+        let Some((graph, seq)) = GraphId::from_job_id(id) else { return };
         let Some(open_graph) = self.graphs.get_mut(&graph) else { return };
         open_graph.tasks_done(seq, done);
         self.update_graph(graph);
     }
 
     /// Processes the durable end of a job.
-    pub fn job_over(
+    pub fn on_job_finished(
         &mut self,
         id: &JobId,
-        end: &PartEnd,
+        end: &GraphPartEnd,
         status: JobStatus,
         failure: Option<&Arc<Failure>>,
     ) {
-        let Some((graph, seq)) = GraphId::of_job(id) else { return };
+        let Some((graph, seq)) = GraphId::from_job_id(id) else { return };
         if !matches!(self.stage, LoadStage::Jobs { .. } | LoadStage::Ready) {
             // Ignored, since loading reads the final state later. An end that arrived after a graph's head but before
             // its pages was recorded as processed although its nodes were not loaded yet, so that they ran again.
@@ -617,7 +636,7 @@
         }
     }
 
-    fn cancel_jobs(&mut self, id: GraphId, seqs: Vec<Seq>) {
+    fn cancel_jobs(&mut self, id: GraphId, seqs: Vec<JobSeq>) {
         self.effects.extend(seqs.into_iter().map(|seq| Effect::Cancel(id.job(seq))));
     }
 
@@ -648,7 +667,7 @@
     }
 
     /// Restarts the time to live of all sessions at `now`, because heartbeats could not reach the leader until then.
-    pub fn deaf_until(&mut self, now: Mono) {
+    pub fn restart_session_ttls(&mut self, now: Mono) {
         self.sessions
             .values_mut()
             .for_each(|session| session.last_heartbeat = session.last_heartbeat.max(now));
@@ -656,7 +675,7 @@
 
     /// Closes expired sessions and updates outdated remaining paths, at a fixed interval.
     pub fn tick(&mut self, now: Mono) {
-        if !self.ready() || now < self.next_session_check {
+        if !self.is_ready() || now < self.next_session_check {
             return;
         }
         self.next_session_check = now.plus(SESSION_CHECK_INTERVAL_MS);
@@ -673,7 +692,7 @@
     }
 
     /// The next job of all graphs: highest rank first, then least slack between due time and longest remaining path.
-    pub(crate) fn next_launch(&mut self, now: Now) -> Option<Launch> {
+    pub(crate) fn next_launch(&mut self, now: Now) -> Option<JobLaunch> {
         if self.open_jobs >= MAX_OPEN_JOB_COUNT {
             return None;
         }
@@ -715,7 +734,7 @@
     }
 
     /// Caches a final record, and evicts the oldest one if there are too many.
-    pub(crate) fn cache_final_record(&mut self, id: GraphId, record: OverRecord) {
+    pub(crate) fn cache_final_record(&mut self, id: GraphId, record: FinalRecord) {
         if self.final_records.insert(id, record).is_none() {
             self.final_record_order.push_back(id);
         }
@@ -727,7 +746,7 @@
     }
 
     /// The cached final record of a graph that finished recently.
-    pub fn over(&self, id: GraphId) -> Option<&OverRecord> {
+    pub fn final_record(&self, id: GraphId) -> Option<&FinalRecord> {
         self.final_records.get(&id)
     }
 
@@ -738,7 +757,11 @@
 }
 
 /// The error reply if a node of an addition can never run.
-fn find_rejection(open_graph: &OpenGraph, pages: &[Page], context: &Around) -> Option<HttpReply> {
+fn find_rejection(
+    open_graph: &OpenGraph,
+    pages: &[Page],
+    context: &RequestContext,
+) -> Option<HttpReply> {
     let mut node_shapes: BTreeMap<(u16, u32), String> = BTreeMap::new();
     for page in pages {
         for (name, kind, shards, _) in &page.nodes {
@@ -759,8 +782,8 @@
         let kind = known.or_else(|| {
             new_kinds.get(usize::from(kind).checked_sub(open_graph.model.kinds.len())?)
         })?;
-        let spec = job_spec(&open_graph.head, kind, open_graph.id.job(Seq(0)), shards, None);
-        if let Some(mut reply) = (context.unfit)(&spec) {
+        let spec = job_spec(&open_graph.head, kind, open_graph.id.job(JobSeq(0)), shards, None);
+        if let Some(mut reply) = (context.rejection)(&spec) {
             reply.body =
                 reply.body.replacen("\"error\":\"", &format!("\"error\":\"node {name}: "), 1);
             return Some(reply);
--- a/crates/graph/src/ids.rs
+++ b/crates/graph/src/ids.rs
@@ -20,7 +20,7 @@
     }
 
     /// Parses the ten digits of a key.
-    pub fn of_digits(digits: &str) -> Option<Self> {
+    pub fn from_digits(digits: &str) -> Option<Self> {
         (digits.len() == 10).then(|| Self::parse(&format!("graph-{digits}"))).flatten()
     }
 
@@ -30,30 +30,30 @@
     }
 
     /// The id of the graph's job with this sequence number; unique across all graphs.
-    pub fn job(self, seq: Seq) -> JobId {
+    pub fn job(self, seq: JobSeq) -> JobId {
         JobId::new(&format!("req-9{:010}{:09}", self.0, seq.0))
     }
 
     /// The graph and sequence number of a job that runs nodes.
-    pub fn of_job(id: &JobId) -> Option<(Self, Seq)> {
+    pub fn from_job_id(id: &JobId) -> Option<(Self, JobSeq)> {
         let digits = id.as_str().strip_prefix("req-9").filter(|digits| digits.len() == 19)?;
         let (graph, seq) = digits.split_at_checked(10)?;
-        Some((Self(graph.parse().ok()?), Seq(seq.parse().ok()?)))
+        Some((Self(graph.parse().ok()?), JobSeq(seq.parse().ok()?)))
     }
 
     /// The smallest id that a job of the graph may have.
     pub fn first_job(self) -> JobId {
-        self.job(Seq(0))
+        self.job(JobSeq(0))
     }
 
     /// The largest id that a job of the graph may have.
     pub fn last_job(self) -> JobId {
-        self.job(Seq(JOB_SEQ_END - 1))
+        self.job(JobSeq(JOB_SEQ_END - 1))
     }
 
     /// Whether a job's id has the form that is reserved for jobs of graphs.
-    pub fn reserved(id: &JobId) -> bool {
-        Self::of_job(id).is_some()
+    pub fn is_reserved(id: &JobId) -> bool {
+        Self::from_job_id(id).is_some()
     }
 }
 
@@ -80,9 +80,9 @@
 
 /// Sequence number of a job within its graph, starting from 0.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Default)]
-pub struct Seq(pub u64);
+pub struct JobSeq(pub u64);
 
-impl Seq {
+impl JobSeq {
     /// The next number; `None` if it would not fit into the digits of an id.
     pub fn next(self) -> Option<Self> {
         (self.0 + 1 < JOB_SEQ_END).then_some(Self(self.0 + 1))
@@ -94,7 +94,7 @@
     Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Default, Serialize, Deserialize,
 )]
 #[serde(transparent)]
-pub struct NodeIx(pub u32);
+pub struct NodeId(pub u32);
 
 #[cfg(test)]
 mod tests {
@@ -104,14 +104,14 @@
     fn job_ids_of_graphs_are_distinguished_from_others() {
         let graph = GraphId::parse("graph-0042").unwrap();
         assert_eq!(graph.to_string(), "graph-42");
-        let job = graph.job(Seq(7));
+        let job = graph.job(JobSeq(7));
         assert_eq!(job.as_str(), "req-90000000042000000007");
-        assert_eq!(GraphId::of_job(&job), Some((graph, Seq(7))));
+        assert_eq!(GraphId::from_job_id(&job), Some((graph, JobSeq(7))));
         assert!(JobId::parse(job.as_str()).is_some(), "the protocol takes it");
-        assert!(!GraphId::reserved(&JobId::new("req-900000000420000007")));
+        assert!(!GraphId::is_reserved(&JobId::new("req-900000000420000007")));
         for invalid in ["graph-", "graph-12345678901", "graph-1a", "graph--1", "g-1", "graph-+1"] {
             assert_eq!(GraphId::parse(invalid), None, "{invalid}");
         }
-        assert_eq!(Seq(JOB_SEQ_END - 1).next(), None);
+        assert_eq!(JobSeq(JOB_SEQ_END - 1).next(), None);
     }
 }
--- a/crates/graph/src/launching.rs
+++ b/crates/graph/src/launching.rs
@@ -1,13 +1,13 @@
 //! Turns ready nodes into ordinary jobs: similar nodes become one array, a gang becomes one job.
 
 use crate::constants::*;
-use crate::ids::{GraphId, NodeIx, Seq};
-use crate::model::{LaunchGroup, NodeKind, Room};
+use crate::ids::{GraphId, JobSeq, NodeId};
+use crate::model::{LaunchGroup, NodeKind, RecordSpace};
+use crate::node_ranges::NodeRanges;
 use crate::open_graph::{JobPhase, OpenGraph, Phase};
-use crate::paths::{graph_due, node_due_s, seconds};
-use crate::records::{Head, Part};
+use crate::paths::{graph_due, node_due_s, run_time_s};
+use crate::records::{GraphHead, GraphPart};
 use crate::requests::{NodeShape, Strategy};
-use crate::runs::Runs;
 use oatloom_protocol::ids::{JobId, Millis, Mono};
 use oatloom_protocol::wire::{JobSpec, Shape};
 
@@ -23,16 +23,16 @@
 
 /// A job that runs nodes, before it is written.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Launch {
+pub struct JobLaunch {
     pub graph: GraphId,
-    pub seq: Seq,
+    pub seq: JobSeq,
     pub spec: JobSpec,
-    pub part: Part,
+    pub part: GraphPart,
     /// Time of day of its creation, in milliseconds; unchanged when the job is written again.
     pub wall_ms: u64,
 }
 
-impl Launch {
+impl JobLaunch {
     /// The id of the job.
     pub fn id(&self) -> &JobId {
         &self.spec.id
@@ -41,7 +41,7 @@
 
 /// The description of the job for one node of a kind, or for several nodes as the tasks of one array.
 pub(crate) fn job_spec(
-    head: &Head,
+    head: &GraphHead,
     kind: &NodeKind,
     id: JobId,
     tasks: u32,
@@ -89,7 +89,7 @@
 impl OpenGraph {
     /// Expected run time of a kind, in seconds.
     fn node_run_time_s(&self, kind: u16, bias: f64) -> f64 {
-        seconds(&self.model.kinds[usize::from(kind)], bias)
+        run_time_s(&self.model.kinds[usize::from(kind)], bias)
     }
 
     /// Recomputes outdated remaining paths, at a limited rate. Returns whether it did.
@@ -102,7 +102,7 @@
         }
         self.paths_stale = false;
         self.paths_updated_at = Some(now);
-        self.path_s = self.model.weigh(|kind| seconds(kind, bias));
+        self.path_s = self.model.compute_paths(|kind| run_time_s(kind, bias));
         true
     }
 
@@ -112,13 +112,13 @@
         class_max_retries: Option<u32>,
         bias: f64,
         order: LaunchOrder,
-        record_space: Room,
+        record_space: RecordSpace,
         (now, wall_ms): (Mono, u64),
-    ) -> Option<Launch> {
+    ) -> Option<JobLaunch> {
         if self.phase != Phase::Open {
             return None;
         }
-        let (group, nodes): (LaunchGroup, Vec<NodeIx>) = match order {
+        let (group, nodes): (LaunchGroup, Vec<NodeId>) = match order {
             LaunchOrder::LongestPath => {
                 let (group, nodes) = self.model.next_group()?;
                 (group, nodes.take(record_space.max_batch_nodes()).collect())
@@ -129,7 +129,7 @@
             }
         };
         let seq = self.next_seq?;
-        let (runs, taken_count) = Runs::from_nodes(&nodes, record_space.max_batch_ranges());
+        let (runs, taken_count) = NodeRanges::from_nodes(&nodes, record_space.max_batch_ranges());
         let nodes = &nodes[..taken_count];
         let node_run_time_s = self.node_run_time_s(group.kind, bias);
         let due = graph_due(self.created, self.head.due_s, self.path_s, now);
@@ -148,23 +148,24 @@
             Strategy::StrictSpread => Some(true),
             Strategy::Pack | Strategy::StrictPack => None,
         };
-        let part = Part {
+        let part = GraphPart {
             nodes: runs,
-            repeats: max_retries.map(|max_retries| max_retries.saturating_sub(earlier_failures)),
-            apart,
+            max_retries: max_retries
+                .map(|max_retries| max_retries.saturating_sub(earlier_failures)),
+            strict_spread: apart,
         };
         let shards =
             nodes.first().and_then(|node_id| self.model.node(*node_id)).map_or(1, |n| n.shards);
-        let tasks = if part.batch() { nodes.len() as u32 } else { shards };
+        let tasks = if part.is_batch() { nodes.len() as u32 } else { shards };
         let spec = job_spec(&self.head, kind, self.id.job(seq), tasks, Some(deadline_s));
         self.model.mark_launching(nodes.iter().copied());
         self.mark_seq_used(seq);
         self.jobs.insert(seq, (part.clone(), JobPhase::Launching));
-        Some(Launch { graph: self.id, seq, spec, part, wall_ms })
+        Some(JobLaunch { graph: self.id, seq, spec, part, wall_ms })
     }
 
     /// Requeues the nodes of a job whose id another job has taken; they run under a new id.
-    pub fn requeue_job(&mut self, seq: Seq) {
+    pub fn requeue_job(&mut self, seq: JobSeq) {
         let Some((part, _)) = self.jobs.remove(&seq) else { return };
         for node_id in part.nodes.iter(self.model.len() as usize) {
             self.model.requeue(node_id, seq, 0);
--- a/crates/graph/src/lib.rs
+++ b/crates/graph/src/lib.rs
@@ -4,15 +4,15 @@
 
 pub mod answers;
 pub mod constants;
-pub mod desk;
+pub mod graph_table;
 pub mod ids;
 pub mod limits;
 pub mod model;
+pub mod node_ranges;
 pub mod open_graph;
 pub mod paths;
 pub mod records;
 pub mod requests;
-pub mod runs;
 pub mod sessions;
 
 mod launching;
--- a/crates/graph/src/loading.rs
+++ b/crates/graph/src/loading.rs
@@ -1,11 +1,12 @@
 //! Loading of graphs by a new leader: sessions, heads and pages, then the final states of each graph's jobs. The leader
 //! is active meanwhile; ordinary jobs do not wait for it.
 
-use crate::desk::Desk;
-use crate::ids::{GraphId, Seq};
+use crate::graph_table::GraphTable;
+use crate::ids::{GraphId, JobSeq};
 use crate::open_graph::{EndReason, OpenGraph, Phase};
 use crate::records::{
-    GRAPHS, GraphKey, Head, Part, PartEnd, SESSION_COUNT, SESSIONS, SessionRecord, parse_key,
+    GraphHead, GraphKey, GraphPart, GraphPartEnd, OPEN_GRAPHS_PREFIX, SESSION_COUNT_KEY,
+    SESSIONS_PREFIX, SessionRecord, parse_key,
 };
 use crate::requests::OnFailure;
 use crate::sessions::{self, Session};
@@ -34,7 +35,7 @@
 
 /// The next read from the state service.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Read {
+pub enum LoadRead {
     Key(String),
     List {
         prefix: String,
@@ -48,9 +49,9 @@
 
 /// The final state of a graph's job.
 #[derive(Clone, Debug)]
-pub struct Ended {
+pub struct FinishedJob {
     pub id: JobId,
-    pub end: PartEnd,
+    pub end: GraphPartEnd,
     pub status: JobStatus,
     pub failure: Option<Arc<Failure>>,
 }
@@ -58,31 +59,31 @@
 /// An open job of a graph, with its tasks that are durably done.
 #[derive(Clone, Debug)]
 pub struct OpenJob {
-    pub seq: Seq,
-    pub part: Part,
+    pub seq: JobSeq,
+    pub part: GraphPart,
     pub done: Vec<u32>,
 }
 
 /// Prefix of the ids of all jobs of graphs.
-pub const JOBS_PREFIX: &str = "req-9";
+pub const GRAPH_JOBS_PREFIX: &str = "req-9";
 
-impl Desk {
+impl GraphTable {
     /// Changes the stage; all stage changes go through here.
     fn enter(&mut self, stage: LoadStage) {
         self.stage = stage;
     }
 
     /// The next read; `None` once loading is complete.
-    pub fn next_read(&self) -> Option<Read> {
+    pub fn next_read(&self) -> Option<LoadRead> {
         match &self.stage {
-            LoadStage::Count => Some(Read::Key(SESSION_COUNT.to_owned())),
+            LoadStage::Count => Some(LoadRead::Key(SESSION_COUNT_KEY.to_owned())),
             LoadStage::Sessions { after } => {
-                Some(Read::List { prefix: SESSIONS.to_owned(), after: after.clone() })
+                Some(LoadRead::List { prefix: SESSIONS_PREFIX.to_owned(), after: after.clone() })
             }
             LoadStage::Graphs { after } => {
-                Some(Read::List { prefix: GRAPHS.to_owned(), after: after.clone() })
+                Some(LoadRead::List { prefix: OPEN_GRAPHS_PREFIX.to_owned(), after: after.clone() })
             }
-            LoadStage::Jobs { after } => Some(Read::Ended { after: after.clone() }),
+            LoadStage::Jobs { after } => Some(LoadRead::Ended { after: after.clone() }),
             LoadStage::Ready => None,
         }
     }
@@ -116,7 +117,7 @@
     }
 
     fn read_session(&mut self, row: Row, now: Mono) {
-        let Some(name) = row.key.strip_prefix(SESSIONS) else { return };
+        let Some(name) = row.key.strip_prefix(SESSIONS_PREFIX) else { return };
         let read = serde_json::from_value::<SessionRecord>(row.value);
         // A session whose record cannot be decoded counts as ended.
         let record = read.unwrap_or_else(|_| SessionRecord {
@@ -131,9 +132,9 @@
     fn read_graph(&mut self, row: Row, now: Now) {
         match parse_key(&row.key) {
             Some(GraphKey::Head(id)) => {
-                let read = serde_json::from_value::<Head>(row.value);
+                let read = serde_json::from_value::<GraphHead>(row.value);
                 let text = read.as_ref().err().map(ToString::to_string);
-                let head = read.unwrap_or_else(|_| Head {
+                let head = read.unwrap_or_else(|_| GraphHead {
                     session: String::new(),
                     key: String::new(),
                     owner: String::new(),
@@ -188,21 +189,21 @@
     /// returns the open jobs of a graph.
     pub fn read_ended(
         &mut self,
-        ended: Vec<Ended>,
+        ended: Vec<FinishedJob>,
         last: Option<JobId>,
         open: &dyn Fn(GraphId) -> Vec<OpenJob>,
         now: Mono,
     ) {
         let LoadStage::Jobs { .. } = self.stage else { return };
-        for Ended { id, end, status, failure } in ended {
-            if let Some((graph, seq)) = GraphId::of_job(&id)
+        for FinishedJob { id, end, status, failure } in ended {
+            if let Some((graph, seq)) = GraphId::from_job_id(&id)
                 && let Some(open_graph) = self.graphs.get_mut(&graph)
             {
                 open_graph.finish_job(seq, &end, status, failure.as_ref());
             }
         }
         // All final states of the graphs before the last id are known.
-        let reached = last.as_ref().and_then(GraphId::of_job).map(|(graph, _)| graph);
+        let reached = last.as_ref().and_then(GraphId::from_job_id).map(|(graph, _)| graph);
         let unread = |open_graph: &&OpenGraph| open_graph.phase == Phase::Loading;
         let loading: Vec<GraphId> =
             self.graphs.values().filter(unread).map(|open_graph| open_graph.id).collect();
@@ -226,7 +227,7 @@
     fn finish_loading(&mut self, now: Mono) {
         self.enter(LoadStage::Ready);
         // Heartbeats were refused until now.
-        self.deaf_until(now);
+        self.restart_session_ttls(now);
         let ended = |(name, session): (&String, &Session)| {
             (session.phase == sessions::Phase::Ended).then(|| name.clone())
         };
@@ -261,7 +262,7 @@
 
 /// An id that sorts before all jobs of a graph and after those of the preceding graphs.
 fn id_before_jobs(id: GraphId) -> JobId {
-    JobId::new(&format!("{JOBS_PREFIX}{}", id.digits()))
+    JobId::new(&format!("{GRAPH_JOBS_PREFIX}{}", id.digits()))
 }
 
 /// Graphs whose records cannot be decoded, with the error.
--- a/crates/graph/src/model.rs
+++ b/crates/graph/src/model.rs
@@ -2,7 +2,7 @@
 
 use crate::answers::NodeStatus;
 use crate::constants::*;
-use crate::ids::{NodeIx, Seq};
+use crate::ids::{JobSeq, NodeId};
 use crate::records::{NodeRow, Page};
 use crate::requests::{AddNodes, KindSpec, NodeShape, Strategy};
 use petgraph::Direction;
@@ -71,8 +71,8 @@
 
 impl Node {
     /// The latest job that ran the node.
-    pub fn job(&self) -> Option<Seq> {
-        self.job.checked_sub(1).map(|seq| Seq(u64::from(seq)))
+    pub fn job(&self) -> Option<JobSeq> {
+        self.job.checked_sub(1).map(|seq| JobSeq(u64::from(seq)))
     }
 
     /// The job as stored in records: sequence number plus one, 0 for none.
@@ -111,7 +111,7 @@
     pub kind: u16,
     pub failures: u16,
     /// The node, if it cannot share a job with others.
-    pub single_node: Option<NodeIx>,
+    pub single_node: Option<NodeId>,
 }
 
 /// The HTTP status and error text of a rejected addition.
@@ -140,17 +140,17 @@
 
 /// Limits of the state service on the records of one addition.
 #[derive(Clone, Copy, Debug)]
-pub struct Room {
+pub struct RecordSpace {
     /// Maximum bytes of a value.
-    pub value: usize,
+    pub value_bytes: usize,
     /// Maximum number of values in one transaction.
-    pub values: usize,
+    pub value_count: usize,
 }
 
-impl Room {
+impl RecordSpace {
     /// Scales a count that fits into a value of [`REFERENCE_VALUE_BYTES`] down to the actual value size.
     fn scale_by_value(&self, max_count: usize) -> usize {
-        (max_count * self.value / REFERENCE_VALUE_BYTES).clamp(1, max_count)
+        (max_count * self.value_bytes / REFERENCE_VALUE_BYTES).clamp(1, max_count)
     }
 
     /// Maximum number of nodes in one array.
@@ -171,7 +171,7 @@
     kind_names: BTreeMap<String, u16>,
     nodes: DiGraph<Node, (), u32>,
     /// Nodes by the hash of their names. Of two names with the same hash, the second is rejected as a duplicate.
-    nodes_by_name: BTreeMap<u64, NodeIx>,
+    nodes_by_name: BTreeMap<u64, NodeId>,
     /// Digests of the additions by the hash of their names.
     addition_digests: BTreeMap<u64, u64>,
     /// Whether no more nodes may be added.
@@ -180,14 +180,14 @@
     pub bytes: u64,
     pages: u32,
     /// The first node of each page.
-    page_starts: Vec<NodeIx>,
+    page_starts: Vec<NodeId>,
     /// Number of nodes in each state.
     counts: [u32; NodeState::ALL],
     /// Number of nodes that are not actors and have not ended.
     pub unfinished_work_count: u32,
-    ready_groups: BTreeMap<LaunchGroup, BTreeSet<NodeIx>>,
+    ready_groups: BTreeMap<LaunchGroup, BTreeSet<NodeId>>,
     /// Nodes in the order in which their status visible to clients changed; a node may occur several times.
-    pub changes: Vec<NodeIx>,
+    pub changes: Vec<NodeId>,
 }
 
 fn hash_name(text: &str) -> u64 {
@@ -216,7 +216,7 @@
         first_node(page)..first_node(page + 1)
     }
 
-    pub fn node(&self, node_id: NodeIx) -> Option<&Node> {
+    pub fn node(&self, node_id: NodeId) -> Option<&Node> {
         self.nodes.node_weight(NodeIndex::new(node_id.0 as usize))
     }
 
@@ -224,7 +224,7 @@
         &self.kinds[usize::from(node.kind)]
     }
 
-    pub fn find(&self, name: &str) -> Option<NodeIx> {
+    pub fn find(&self, name: &str) -> Option<NodeId> {
         self.nodes_by_name.get(&hash_name(name)).copied()
     }
 
@@ -239,20 +239,20 @@
 
     fn neighbours(
         &self,
-        node_id: NodeIx,
+        node_id: NodeId,
         direction: Direction,
-    ) -> impl Iterator<Item = NodeIx> + '_ {
+    ) -> impl Iterator<Item = NodeId> + '_ {
         let vertex = NodeIndex::new(node_id.0 as usize);
-        self.nodes.neighbors_directed(vertex, direction).map(|n| NodeIx(n.index() as u32))
+        self.nodes.neighbors_directed(vertex, direction).map(|n| NodeId(n.index() as u32))
     }
 
     /// The nodes that depend on a node.
-    pub fn dependents(&self, node_id: NodeIx) -> impl Iterator<Item = NodeIx> + '_ {
+    pub fn dependents(&self, node_id: NodeId) -> impl Iterator<Item = NodeId> + '_ {
         self.neighbours(node_id, Direction::Outgoing)
     }
 
     /// The inputs of a node.
-    pub fn needs(&self, node_id: NodeIx) -> impl Iterator<Item = NodeIx> + '_ {
+    pub fn needs(&self, node_id: NodeId) -> impl Iterator<Item = NodeId> + '_ {
         self.neighbours(node_id, Direction::Incoming)
     }
 
@@ -264,7 +264,7 @@
         &self,
         add: &AddNodes,
         digest: u64,
-        record_space: Room,
+        record_space: RecordSpace,
     ) -> Result<PreparedAddition, RejectedAddition> {
         let mut kinds: Vec<(String, KindSpec)> = Vec::new();
         let mut kind_numbers: BTreeMap<&str, u16> = BTreeMap::new();
@@ -343,11 +343,11 @@
             .collect();
         let row = |position: usize| -> NodeRow {
             let node = &add.nodes[position];
-            let needs: BTreeSet<NodeIx> = node
+            let needs: BTreeSet<NodeId> = node
                 .needs
                 .iter()
                 .filter_map(|input| match new_nodes.get(input.as_str()) {
-                    Some(from) => node_ids.get(from).copied().map(NodeIx),
+                    Some(from) => node_ids.get(from).copied().map(NodeId),
                     None => self.find(input),
                 })
                 .collect();
@@ -355,7 +355,7 @@
             (node.name.clone(), kind, node.shards, needs.into_iter().collect())
         };
         let rows = order.iter().map(|vertex| row(addition[*vertex])).collect();
-        split_into_pages(add, digest, record_space, NodeIx(first), kinds, rows)
+        split_into_pages(add, digest, record_space, NodeId(first), kinds, rows)
     }
 
     /// Applies a page, either a new one or one read from the state service.
@@ -405,9 +405,9 @@
         Ok(())
     }
 
-    fn push_node(&mut self, name: &str, kind: u16, shards: u32, needs: &[NodeIx]) {
+    fn push_node(&mut self, name: &str, kind: u16, shards: u32, needs: &[NodeId]) {
         let state_of =
-            |node_id: &NodeIx| self.node(*node_id).map_or(NodeState::Waiting, |node| node.state);
+            |node_id: &NodeId| self.node(*node_id).map_or(NodeState::Waiting, |node| node.state);
         let unfinished_inputs =
             needs.iter().filter(|node_id| state_of(node_id) != NodeState::Done).count() as u32;
         let skipped = needs.iter().any(|node_id| state_of(node_id).is_bad());
@@ -422,7 +422,7 @@
             path_s: 0.0,
         };
         let vertex = self.nodes.add_node(node);
-        let node_id = NodeIx(vertex.index() as u32);
+        let node_id = NodeId(vertex.index() as u32);
         for input in needs {
             self.nodes.add_edge(NodeIndex::new(input.0 as usize), vertex, ());
         }
@@ -436,7 +436,7 @@
         }
     }
 
-    fn launch_group(&self, node_id: NodeIx, node: &Node) -> LaunchGroup {
+    fn launch_group(&self, node_id: NodeId, node: &Node) -> LaunchGroup {
         let path_step = -(f64::from(node.path_s.max(1.0)).ln() / PATH_STEP_RATIO.ln()) as i32;
         let can_batch = self.kind_of(node).can_batch(node.shards);
         let single_node = (!can_batch).then_some(node_id);
@@ -444,7 +444,7 @@
     }
 
     /// Changes a node's state and propagates the change to its dependents. All state changes go through here.
-    fn set_state(&mut self, node_id: NodeIx, state: NodeState) {
+    fn set_state(&mut self, node_id: NodeId, state: NodeState) {
         let mut changes = vec![(node_id, state)];
         while let Some((node_id, state)) = changes.pop() {
             let Some(node) = self.node(node_id) else { continue };
@@ -486,7 +486,7 @@
     }
 
     /// The group with the longest remaining path, and its nodes in order.
-    pub fn next_group(&self) -> Option<(LaunchGroup, impl Iterator<Item = NodeIx> + '_)> {
+    pub fn next_group(&self) -> Option<(LaunchGroup, impl Iterator<Item = NodeId> + '_)> {
         let (group, nodes) = self.ready_groups.first_key_value()?;
         Some((*group, nodes.iter().copied()))
     }
@@ -495,7 +495,7 @@
     /// order by longest path.
     pub fn next_group_by_insertion(
         &self,
-    ) -> Option<(LaunchGroup, impl Iterator<Item = NodeIx> + '_)> {
+    ) -> Option<(LaunchGroup, impl Iterator<Item = NodeId> + '_)> {
         let (group, nodes) =
             self.ready_groups.iter().min_by_key(|(_, nodes)| nodes.first().copied())?;
         Some((*group, nodes.iter().copied()))
@@ -506,12 +506,12 @@
     }
 
     /// Marks nodes whose job is being written.
-    pub fn mark_launching(&mut self, nodes: impl IntoIterator<Item = NodeIx>) {
+    pub fn mark_launching(&mut self, nodes: impl IntoIterator<Item = NodeId>) {
         nodes.into_iter().for_each(|node_id| self.set_state(node_id, NodeState::Launching));
     }
 
     /// Marks a node whose job is accepted.
-    pub fn mark_started(&mut self, node_id: NodeIx, seq: Seq) {
+    pub fn mark_started(&mut self, node_id: NodeId, seq: JobSeq) {
         let Some(node) = self.nodes.node_weight_mut(NodeIndex::new(node_id.0 as usize)) else {
             return;
         };
@@ -520,13 +520,13 @@
     }
 
     /// Sets the final state of a node.
-    pub fn mark_ended(&mut self, node_id: NodeIx, state: NodeState) {
+    pub fn mark_ended(&mut self, node_id: NodeId, state: NodeState) {
         self.set_state(node_id, state);
     }
 
     /// Makes a node ready again after its job ended without a final state for it, and adds the job's failures. If the
     /// job is older than the node's latest one, only the failures are added.
-    pub fn requeue(&mut self, node_id: NodeIx, seq: Seq, failures: u32) {
+    pub fn requeue(&mut self, node_id: NodeId, seq: JobSeq, failures: u32) {
         let Some(node) = self.nodes.node_weight_mut(NodeIndex::new(node_id.0 as usize)) else {
             return;
         };
@@ -547,8 +547,8 @@
     /// Ends all unfinished nodes when the graph ends: as skipped after an unsuccessful input, otherwise as cancelled.
     pub fn end_unfinished(&mut self) {
         for node_id in 0..self.len() {
-            let node_id = NodeIx(node_id);
-            let is_bad = |input: NodeIx| self.node(input).is_some_and(|node| node.state.is_bad());
+            let node_id = NodeId(node_id);
+            let is_bad = |input: NodeId| self.node(input).is_some_and(|node| node.state.is_bad());
             let skipped = self.needs(node_id).any(is_bad);
             let state = if skipped { NodeState::Skipped } else { NodeState::Cancelled };
             self.set_state(node_id, state);
@@ -556,11 +556,11 @@
     }
 
     /// Recomputes all remaining paths and returns the longest, in seconds. `seconds` gives the run time of a kind.
-    pub fn weigh(&mut self, seconds: impl Fn(&NodeKind) -> f64) -> f64 {
+    pub fn compute_paths(&mut self, seconds: impl Fn(&NodeKind) -> f64) -> f64 {
         let kind_seconds: Vec<f64> = self.kinds.iter().map(seconds).collect();
         let mut longest = 0.0f64;
         let mut ready_paths = Vec::new();
-        for node_id in (0..self.len()).rev().map(NodeIx) {
+        for node_id in (0..self.len()).rev().map(NodeId) {
             let paths_after =
                 self.dependents(node_id).filter_map(|next| self.node(next)).map(|n| n.path_s);
             let after_s = f64::from(paths_after.fold(0.0, f32::max));
@@ -591,14 +591,14 @@
 fn split_into_pages(
     add: &AddNodes,
     digest: u64,
-    record_space: Room,
-    first: NodeIx,
+    record_space: RecordSpace,
+    first: NodeId,
     kinds: Vec<(String, KindSpec)>,
     rows: Vec<NodeRow>,
 ) -> Result<PreparedAddition, RejectedAddition> {
     let new_page =
         |first| Page { addition: add.addition.clone(), digest, first, ..Page::default() };
-    let max_page_bytes = (record_space.value as f64 * PAGE_FILL_FRACTION) as usize;
+    let max_page_bytes = (record_space.value_bytes as f64 * PAGE_FILL_FRACTION) as usize;
     let json_bytes =
         |text: serde_json::Result<String>| text.map_or(usize::MAX, |text| text.len() + 1);
     let mut pages = vec![new_page(first)];
@@ -609,7 +609,7 @@
         }
         if page_bytes + row_bytes > max_page_bytes {
             page_bytes = 0;
-            pages.push(new_page(NodeIx(next)));
+            pages.push(new_page(NodeId(next)));
         }
         page_bytes += row_bytes;
         bytes += row_bytes;
@@ -626,7 +626,8 @@
         next += 1;
         pages.last_mut().into_iter().for_each(|page| page.nodes.push(row.clone()));
     }
-    if pages.len() > record_space.values || bytes > MAX_TXN_BYTES.max(record_space.value) {
+    if pages.len() > record_space.value_count || bytes > MAX_TXN_BYTES.max(record_space.value_bytes)
+    {
         return rejected(413, "too many nodes for one addition; add them in several");
     }
     if let Some(last) = pages.last_mut() {
@@ -641,7 +642,7 @@
     use super::*;
     use serde_json::json;
 
-    pub const RECORD_SPACE: Room = Room { value: 8_192, values: 14 };
+    pub const RECORD_SPACE: RecordSpace = RecordSpace { value_bytes: 8_192, value_count: 14 };
 
     pub fn addition(name: &str, nodes: &[(&str, &str, &[&str])]) -> AddNodes {
         let nodes: Vec<_> = nodes
@@ -665,7 +666,7 @@
 
     fn states(model: &Model) -> String {
         (0..model.len())
-            .map(|node_id| model.node(NodeIx(node_id)).unwrap().state.status().letter())
+            .map(|node_id| model.node(NodeId(node_id)).unwrap().state.status().letter())
             .collect()
     }
 
@@ -682,8 +683,8 @@
         assert!(c > a && c > b);
         assert_eq!(model.next_group().unwrap().1.collect::<Vec<_>>(), [a.min(b), a.max(b)]);
         model.mark_launching([a, b]);
-        model.mark_started(a, Seq(0));
-        model.mark_started(b, Seq(0));
+        model.mark_started(a, JobSeq(0));
+        model.mark_started(b, JobSeq(0));
         model.mark_ended(a, NodeState::Done);
         assert!(!model.has_ready_nodes());
         model.mark_ended(b, NodeState::Done);
@@ -754,11 +755,11 @@
             ("w", "k", &[]),
         ];
         add(&mut model, &addition("1", nodes)).unwrap();
-        assert_eq!(model.weigh(|kind| kind.spec.expect_s), 70.0);
+        assert_eq!(model.compute_paths(|kind| kind.spec.expect_s), 70.0);
         let (t, s, w) = ["t", "s", "w"].map(|n| model.find(n).unwrap()).into();
         assert_eq!(model.next_group().unwrap().1.collect::<Vec<_>>(), [t]);
         model.mark_launching([t]);
-        let both: Vec<NodeIx> = model.next_group().unwrap().1.collect();
+        let both: Vec<NodeId> = model.next_group().unwrap().1.collect();
         assert!(both.contains(&s) && both.contains(&w));
     }
 
@@ -768,14 +769,17 @@
         let mut model = Model::default();
         add(&mut model, &addition("1", &[("a", "k", &[]), ("b", "k", &[])])).unwrap();
         let a = model.find("a").unwrap();
-        model.mark_started(a, Seq(3));
-        model.requeue(a, Seq(3), 2);
+        model.mark_started(a, JobSeq(3));
+        model.requeue(a, JobSeq(3), 2);
         assert_eq!(model.next_group().unwrap().0.failures, 0);
         assert_eq!(model.count(NodeState::Ready), 2);
         model.mark_launching([a]);
-        model.mark_started(a, Seq(7));
-        model.requeue(a, Seq(5), 1);
+        model.mark_started(a, JobSeq(7));
+        model.requeue(a, JobSeq(5), 1);
         let node = model.node(a).unwrap();
-        assert_eq!((node.failures, node.state, node.job()), (3, NodeState::Started, Some(Seq(7))));
+        assert_eq!(
+            (node.failures, node.state, node.job()),
+            (3, NodeState::Started, Some(JobSeq(7)))
+        );
     }
 }
--- a/crates/graph/src/runs.rs
+++ b/crates/graph/src/node_ranges.rs
@@ -1,16 +1,16 @@
 //! Compact lists of nodes: ranges of consecutive ones.
 
-use crate::ids::NodeIx;
+use crate::ids::NodeId;
 use serde::{Deserialize, Serialize};
 
 /// Nodes in ascending order, as pairs of the first node of a range and the range's length.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Runs(Vec<(u32, u32)>);
+pub struct NodeRanges(Vec<(u32, u32)>);
 
-impl Runs {
+impl NodeRanges {
     /// Encodes nodes in ascending order into at most `max_count` ranges. Returns the number of nodes taken as well.
-    pub fn from_nodes(nodes: &[NodeIx], max_count: usize) -> (Self, usize) {
+    pub fn from_nodes(nodes: &[NodeId], max_count: usize) -> (Self, usize) {
         let mut runs: Vec<(u32, u32)> = Vec::new();
         for (taken, node) in nodes.iter().enumerate() {
             let full = runs.len() == max_count;
@@ -33,11 +33,11 @@
     }
 
     /// The node at a position of the list.
-    pub fn get(&self, position: usize) -> Option<NodeIx> {
+    pub fn get(&self, position: usize) -> Option<NodeId> {
         let mut remaining = u32::try_from(position).ok()?;
         for (first, length) in &self.0 {
             if remaining < *length {
-                return first.checked_add(remaining).map(NodeIx);
+                return first.checked_add(remaining).map(NodeId);
             }
             remaining -= length;
         }
@@ -45,10 +45,10 @@
     }
 
     /// The nodes, at most `max_count` of them.
-    pub fn iter(&self, max_count: usize) -> impl Iterator<Item = NodeIx> + '_ {
+    pub fn iter(&self, max_count: usize) -> impl Iterator<Item = NodeId> + '_ {
         let range_nodes = |(first, length): &(u32, u32)| {
             let first = *first;
-            (0..*length).filter_map(move |n| first.checked_add(n)).map(NodeIx)
+            (0..*length).filter_map(move |n| first.checked_add(n)).map(NodeId)
         };
         self.0.iter().flat_map(range_nodes).take(max_count)
     }
@@ -60,14 +60,14 @@
 
     #[test]
     fn ranges_round_trip() {
-        let nodes: Vec<NodeIx> = [3, 4, 5, 9, 11, 12].map(NodeIx).to_vec();
-        let (runs, taken) = Runs::from_nodes(&nodes, 10);
+        let nodes: Vec<NodeId> = [3, 4, 5, 9, 11, 12].map(NodeId).to_vec();
+        let (runs, taken) = NodeRanges::from_nodes(&nodes, 10);
         assert_eq!((taken, runs.len()), (6, 6));
         assert_eq!(runs.iter(99).collect::<Vec<_>>(), nodes);
-        assert_eq!((runs.get(3), runs.get(6)), (Some(NodeIx(9)), None));
-        let (short, taken) = Runs::from_nodes(&nodes, 2);
-        assert_eq!((taken, short.get(3)), (4, Some(NodeIx(9))));
-        let broken: Runs = serde_json::from_str("[[4294967295,9],[0,4294967295]]").unwrap();
+        assert_eq!((runs.get(3), runs.get(6)), (Some(NodeId(9)), None));
+        let (short, taken) = NodeRanges::from_nodes(&nodes, 2);
+        assert_eq!((taken, short.get(3)), (4, Some(NodeId(9))));
+        let broken: NodeRanges = serde_json::from_str("[[4294967295,9],[0,4294967295]]").unwrap();
         assert!(broken.iter(20).count() <= 20 && broken.get(5).is_none());
     }
 }
--- a/crates/graph/src/open_graph.rs
+++ b/crates/graph/src/open_graph.rs
@@ -3,10 +3,12 @@
 use crate::answers::{GraphStatus, GraphView, JobNodes, NodeView, TaskNode};
 use crate::constants::FINAL_PAGE_OVERHEAD_BYTES;
 use crate::constants::MAX_JOB_NODES_BYTES;
-use crate::ids::{GraphId, NodeIx, Seq};
+use crate::ids::{GraphId, JobSeq, NodeId};
 use crate::model::{Model, NodeState, PreparedAddition};
-use crate::records::{FailedNode, Head, Outcome, OverPage, OverRecord, Part, PartEnd};
-use crate::requests::{Look, OnFailure};
+use crate::records::{
+    FailedNode, FinalPage, FinalRecord, GraphHead, GraphPart, GraphPartEnd, Outcome,
+};
+use crate::requests::{GetGraph, OnFailure};
 use oatloom_protocol::ids::{Mono, Revision, TaskId, Token};
 use oatloom_protocol::wire::{Failure, JobStatus};
 use std::collections::{BTreeMap, BTreeSet};
@@ -73,21 +75,21 @@
 #[derive(Debug)]
 pub struct OpenGraph {
     pub id: GraphId,
-    pub head: Head,
+    pub head: GraphHead,
     pub version: Revision,
     pub phase: Phase,
     pub model: Model,
     pub created: Mono,
     /// Sequence number of the next job; `None` if all numbers are used.
-    pub next_seq: Option<Seq>,
-    pub jobs: BTreeMap<Seq, (Part, JobPhase)>,
+    pub next_seq: Option<JobSeq>,
+    pub jobs: BTreeMap<JobSeq, (GraphPart, JobPhase)>,
     /// Jobs whose end was processed during loading; the end may arrive both as a read and as an event.
-    processed_jobs: BTreeSet<Seq>,
+    processed_jobs: BTreeSet<JobSeq>,
     pub pending_addition: Option<PendingAddition>,
     /// Requests that wait for the write of the head record.
     pub tickets: Vec<u64>,
     /// Failures of nodes.
-    pub failures: BTreeMap<NodeIx, Arc<Failure>>,
+    pub failures: BTreeMap<NodeId, Arc<Failure>>,
     /// Whether the remaining paths are outdated.
     pub paths_stale: bool,
     /// Time of the last update of the remaining paths.
@@ -99,7 +101,13 @@
 }
 
 impl OpenGraph {
-    pub fn new(id: GraphId, head: Head, version: Revision, phase: Phase, created: Mono) -> Self {
+    pub fn new(
+        id: GraphId,
+        head: GraphHead,
+        version: Revision,
+        phase: Phase,
+        created: Mono,
+    ) -> Self {
         Self {
             id,
             head,
@@ -107,7 +115,7 @@
             phase,
             model: Model::default(),
             created,
-            next_seq: Some(Seq(0)),
+            next_seq: Some(JobSeq(0)),
             jobs: BTreeMap::new(),
             processed_jobs: BTreeSet::new(),
             pending_addition: None,
@@ -130,18 +138,18 @@
     }
 
     /// Marks a job's sequence number as used.
-    pub fn mark_seq_used(&mut self, seq: Seq) {
+    pub fn mark_seq_used(&mut self, seq: JobSeq) {
         if self.next_seq.is_some_and(|next| next <= seq) {
             self.next_seq = seq.next();
         }
     }
 
-    fn expand_nodes(&self, runs: &crate::runs::Runs) -> Vec<NodeIx> {
+    fn expand_nodes(&self, runs: &crate::node_ranges::NodeRanges) -> Vec<NodeId> {
         runs.iter(self.model.len() as usize).collect()
     }
 
     /// Whether a job continues after its graph has ended, as a detached actor does.
-    pub fn outlives_graph(&self, part: &Part) -> bool {
+    pub fn outlives_graph(&self, part: &GraphPart) -> bool {
         let node = part.node(0).and_then(|node_id| self.model.node(node_id));
         node.is_some_and(|node| {
             let kind = self.model.kind_of(node);
@@ -150,7 +158,7 @@
     }
 
     /// Records that a job was accepted. Returns whether it must be cancelled immediately.
-    pub fn job_open(&mut self, seq: Seq, part: &Part, done: &[u32]) -> bool {
+    pub fn job_open(&mut self, seq: JobSeq, part: &GraphPart, done: &[u32]) -> bool {
         self.mark_seq_used(seq);
         for node_id in self.expand_nodes(&part.nodes) {
             self.model.mark_started(node_id, seq);
@@ -164,17 +172,19 @@
     }
 
     /// Records tasks of an open job that are durably done.
-    pub fn tasks_done(&mut self, seq: Seq, done: &[u32]) {
-        let Some((part, _)) = self.jobs.get(&seq).filter(|(part, _)| part.batch()) else { return };
-        let nodes: Vec<NodeIx> = done.iter().filter_map(|task| part.node(*task)).collect();
+    pub fn tasks_done(&mut self, seq: JobSeq, done: &[u32]) {
+        let Some((part, _)) = self.jobs.get(&seq).filter(|(part, _)| part.is_batch()) else {
+            return;
+        };
+        let nodes: Vec<NodeId> = done.iter().filter_map(|task| part.node(*task)).collect();
         nodes.into_iter().for_each(|node_id| self.model.mark_ended(node_id, NodeState::Done));
     }
 
     /// Records the durable end of a job.
     pub fn finish_job(
         &mut self,
-        seq: Seq,
-        end: &PartEnd,
+        seq: JobSeq,
+        end: &GraphPartEnd,
         status: JobStatus,
         failure: Option<&Arc<Failure>>,
     ) {
@@ -196,7 +206,7 @@
         };
         if state == NodeState::Done || nodes.len() == 1 {
             let with_failure =
-                |node_id: &NodeIx| (*node_id, failure.filter(|_| state == NodeState::Failed));
+                |node_id: &NodeId| (*node_id, failure.filter(|_| state == NodeState::Failed));
             nodes
                 .iter()
                 .map(with_failure)
@@ -205,7 +215,7 @@
         }
         let failed_task = failure.and_then(|f| TaskId::parse(&f.task)).map(|task| task.index);
         let done: BTreeSet<u32> = end.done.iter().copied().collect();
-        let charged: BTreeMap<u32, u32> = end.charged.iter().copied().collect();
+        let charged: BTreeMap<u32, u32> = end.failure_counts.iter().copied().collect();
         for (task, node_id) in (0..).zip(nodes) {
             if done.contains(&task) {
                 self.finish_node(node_id, NodeState::Done, None);
@@ -218,7 +228,7 @@
         }
     }
 
-    fn finish_node(&mut self, node_id: NodeIx, state: NodeState, failure: Option<&Arc<Failure>>) {
+    fn finish_node(&mut self, node_id: NodeId, state: NodeState, failure: Option<&Arc<Failure>>) {
         let earlier_failures = self.model.node(node_id).map_or(0, |node| u32::from(node.failures));
         if let Some(failure) = failure {
             // Failures in earlier jobs count as well.
@@ -232,9 +242,9 @@
 
     /// The first failed node, otherwise the first cancelled one. Actors are excepted: they are cancelled when their
     /// graph is done.
-    fn first_unsuccessful(&self) -> Option<NodeIx> {
+    fn first_unsuccessful(&self) -> Option<NodeId> {
         let first_in = |state: NodeState| {
-            let is_unsuccessful = |node_id: &NodeIx| {
+            let is_unsuccessful = |node_id: &NodeId| {
                 self.model.node(*node_id).is_some_and(|node| {
                     let expected =
                         state == NodeState::Cancelled && self.model.kind_of(node).is_actor();
@@ -242,13 +252,13 @@
                 })
             };
             let has_any = self.model.count(state) > 0;
-            has_any.then(|| (0..self.model.len()).map(NodeIx).find(is_unsuccessful)).flatten()
+            has_any.then(|| (0..self.model.len()).map(NodeId).find(is_unsuccessful)).flatten()
         };
         first_in(NodeState::Failed).or_else(|| first_in(NodeState::Cancelled))
     }
 
     /// Updates the phase from the states of the nodes. Returns the jobs to cancel.
-    pub fn update_phase(&mut self) -> Vec<Seq> {
+    pub fn update_phase(&mut self) -> Vec<JobSeq> {
         let mut cancelled = Vec::new();
         if self.phase == Phase::Open {
             if self.head.on_failure == OnFailure::CancelRest && self.first_unsuccessful().is_some()
@@ -262,7 +272,7 @@
             && self.jobs.values().all(|(part, _)| self.outlives_graph(part))
         {
             let reason = reason.clone();
-            let remaining: Vec<NodeIx> =
+            let remaining: Vec<NodeId> =
                 self.jobs.values().filter_map(|(part, _)| part.node(0)).collect();
             remaining
                 .into_iter()
@@ -274,12 +284,12 @@
     }
 
     /// Starts to end the graph. Returns the jobs to cancel.
-    pub fn stop(&mut self, reason: EndReason) -> Vec<Seq> {
+    pub fn stop(&mut self, reason: EndReason) -> Vec<JobSeq> {
         if matches!(self.phase, Phase::Stopping(_) | Phase::Ending(_)) {
             return Vec::new();
         }
         self.enter(Phase::Stopping(reason));
-        let seqs: Vec<Seq> = self.jobs.keys().copied().collect();
+        let seqs: Vec<JobSeq> = self.jobs.keys().copied().collect();
         let mut cancelled = Vec::new();
         for seq in seqs {
             let outlives_graph =
@@ -304,16 +314,16 @@
         }
     }
 
-    fn failed_node(&self, node_id: NodeIx) -> Option<FailedNode> {
+    fn failed_node(&self, node_id: NodeId) -> Option<FailedNode> {
         let node = self.model.node(node_id)?.name.to_string();
         Some(FailedNode { node, failure: self.failures.get(&node_id).cloned() })
     }
 
     /// The final record.
-    pub fn final_record(&self, reason: &EndReason) -> OverRecord {
+    pub fn final_record(&self, reason: &EndReason) -> FinalRecord {
         let outcome = self.outcome(reason);
         let failed = self.first_unsuccessful().filter(|_| outcome == Outcome::Failed);
-        OverRecord {
+        FinalRecord {
             outcome,
             key: self.head.key.clone(),
             nodes: self.model.len(),
@@ -321,18 +331,18 @@
                 .map(|state| self.model.count(state)),
             pages: self.model.page_count(),
             failed: failed.and_then(|node_id| self.failed_node(node_id)),
-            why: reason.message(),
+            reason: reason.message(),
         }
     }
 
     /// The final states of a page's nodes, with as many failures as fit into a value of `value_bytes`.
-    pub fn final_page(&self, page: u32, value_bytes: usize) -> OverPage {
-        let page_nodes = || self.model.page_nodes(page).map(NodeIx);
-        let row = |node_id: NodeIx| {
+    pub fn final_page(&self, page: u32, value_bytes: usize) -> FinalPage {
+        let page_nodes = || self.model.page_nodes(page).map(NodeId);
+        let row = |node_id: NodeId| {
             let node = self.model.node(node_id)?;
             Some((node.name.to_string(), node.job_number(), node.state.status().letter()))
         };
-        let failed_node = |node_id: NodeIx| {
+        let failed_node = |node_id: NodeId| {
             self.failures.contains_key(&node_id).then(|| self.failed_node(node_id))?
         };
         let rows: Vec<_> = page_nodes().filter_map(row).collect();
@@ -346,20 +356,20 @@
             bytes_left -= if fits { bytes } else { 0 };
             fits
         };
-        OverPage {
+        FinalPage {
             nodes: rows,
             failures: page_nodes().filter_map(failed_node).filter(take_if_fits).collect(),
         }
     }
 
     /// The id of the job that produced a node's result.
-    fn producing_job(&self, node_id: NodeIx) -> Option<String> {
+    fn producing_job(&self, node_id: NodeId) -> Option<String> {
         let seq = self.model.node(node_id)?.job()?;
         Some(self.id.job(seq).to_string())
     }
 
     /// The nodes that a job runs, from task `after` on.
-    pub fn job_nodes(&self, seq: Seq, after: u32) -> Option<JobNodes> {
+    pub fn job_nodes(&self, seq: JobSeq, after: u32) -> Option<JobNodes> {
         let (part, _) = self.jobs.get(&seq)?;
         let (mut nodes, mut bytes, mut next) = (Vec::new(), 0, None);
         for (task, node_id) in (0u32..).zip(part.nodes.iter(self.model.len() as usize)) {
@@ -370,7 +380,7 @@
                 next = Some(task);
                 break;
             }
-            let input = |node_id: NodeIx| {
+            let input = |node_id: NodeId| {
                 Some((
                     self.model.node(node_id)?.name.to_string(),
                     self.producing_job(node_id).unwrap_or_default(),
@@ -386,7 +396,7 @@
         Some(JobNodes { graph: self.id, job: None, nodes, next })
     }
 
-    fn node_view(&self, node_id: NodeIx) -> Option<NodeView> {
+    fn node_view(&self, node_id: NodeId) -> Option<NodeView> {
         let node = self.model.node(node_id)?;
         Some(NodeView {
             name: node.name.to_string(),
@@ -398,7 +408,7 @@
 
     /// The view for clients. A position from another leader's answer restarts at the beginning, since the list of
     /// changes is kept in memory.
-    pub fn view(&self, token: Token, range: &Look) -> GraphView {
+    pub fn view(&self, token: Token, range: &GetGraph) -> GraphView {
         let count = |state| self.model.count(state);
         let status = match self.phase {
             Phase::Creating | Phase::Loading | Phase::Open => GraphStatus::Open,
@@ -410,9 +420,9 @@
         let from = from.min(changes.len());
         // The final record reports the remaining changes of an ending graph.
         let awaits_final_record = matches!(self.phase, Phase::Ending(_));
-        let max_nodes = if awaits_final_record { 0 } else { range.most };
+        let max_nodes = if awaits_final_record { 0 } else { range.max_nodes };
         let to = changes.len().min(from.saturating_add(max_nodes));
-        let changed_nodes: BTreeSet<NodeIx> = changes[from..to].iter().copied().collect();
+        let changed_nodes: BTreeSet<NodeId> = changes[from..to].iter().copied().collect();
         GraphView {
             graph: self.id,
             status,
@@ -428,7 +438,7 @@
             skipped: count(NodeState::Skipped),
             path_s: self.path_s,
             failure: self.first_unsuccessful().and_then(|node_id| self.failed_node(node_id)),
-            why: match &self.phase {
+            reason: match &self.phase {
                 Phase::Stopping(reason) | Phase::Ending(reason) => reason.message(),
                 _ => String::new(),
             },
--- a/crates/graph/src/paths.rs
+++ b/crates/graph/src/paths.rs
@@ -7,7 +7,7 @@
 
 /// Expected run time of a node of a kind, in seconds: the measured one, otherwise the estimate corrected by the bias of
 /// its class.
-pub fn seconds(kind: &NodeKind, bias: f64) -> f64 {
+pub fn run_time_s(kind: &NodeKind, bias: f64) -> f64 {
     let estimate =
         if kind.spec.expect_s > 0.0 { kind.spec.expect_s * bias } else { DEFAULT_RUN_TIME_S };
     match kind.measured_run_time_s {
@@ -46,7 +46,7 @@
         let chain: &[(&str, &str, &[&str])] =
             &[("a", "k", &[]), ("b", "l", &["a"]), ("c", "k", &["b"])];
         add(&mut model, &addition("1", chain)).unwrap();
-        model.weigh(|kind| seconds(kind, 1.0));
+        model.compute_paths(|kind| run_time_s(kind, 1.0));
         let due = graph_due(Mono(0), Some(100.0), 50.0, Mono(0));
         let left = |name: &str, own: f64| {
             let node = model.node(model.find(name).unwrap()).unwrap();
--- a/crates/graph/src/records.rs
+++ b/crates/graph/src/records.rs
@@ -1,46 +1,46 @@
 //! Keys and values of graphs and sessions in the state service. Which job runs a node and how it ended is stored only in
 //! the records of that job, so that no graph record is written when a node starts or ends.
 
-use crate::ids::{GraphId, NodeIx};
+use crate::ids::{GraphId, NodeId};
+use crate::node_ranges::NodeRanges;
 use crate::requests::{KindSpec, OnFailure};
-use crate::runs::Runs;
 use oatloom_protocol::wire::{Failure, Rank};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
 /// Prefix of open graphs: `graph/{id}` is the head, `graph/{id}/{page}` a page of nodes in the order of addition.
-pub const GRAPHS: &str = "graph/";
+pub const OPEN_GRAPHS_PREFIX: &str = "graph/";
 /// Prefix of finished graphs: `gover/{id}` is the final record, `gover/{id}/{page}` the final states of a page's nodes.
-pub const OVER: &str = "gover/";
+pub const FINAL_GRAPHS_PREFIX: &str = "gover/";
 /// Prefix of session records.
-pub const SESSIONS: &str = "session/";
+pub const SESSIONS_PREFIX: &str = "session/";
 /// Key of the number of sessions. Every transaction that creates or deletes a session writes it, so that a late copy of
 /// an older write fails on its version and cannot restore a deleted session.
-pub const SESSION_COUNT: &str = "sessions";
+pub const SESSION_COUNT_KEY: &str = "sessions";
 
 /// Key of a graph's head record.
 pub fn head_key(id: GraphId) -> String {
-    format!("{GRAPHS}{}", id.digits())
+    format!("{OPEN_GRAPHS_PREFIX}{}", id.digits())
 }
 
 /// Key of a page of an open graph.
 pub fn page_key(id: GraphId, page: u32) -> String {
-    format!("{GRAPHS}{}/{page:05}", id.digits())
+    format!("{OPEN_GRAPHS_PREFIX}{}/{page:05}", id.digits())
 }
 
 /// Key of a finished graph's final record.
-pub fn over_key(id: GraphId) -> String {
-    format!("{OVER}{}", id.digits())
+pub fn final_graph_key(id: GraphId) -> String {
+    format!("{FINAL_GRAPHS_PREFIX}{}", id.digits())
 }
 
 /// Key of a final page of a finished graph.
 pub fn final_page_key(id: GraphId, page: u32) -> String {
-    format!("{OVER}{}/{page:05}", id.digits())
+    format!("{FINAL_GRAPHS_PREFIX}{}/{page:05}", id.digits())
 }
 
 /// Key of a session's record.
 pub fn session_key(session: &str) -> String {
-    format!("{SESSIONS}{session}")
+    format!("{SESSIONS_PREFIX}{session}")
 }
 
 /// A parsed key of an open graph.
@@ -52,10 +52,10 @@
 
 /// Parses a key under `graph/`.
 pub fn parse_key(key: &str) -> Option<GraphKey> {
-    let rest = key.strip_prefix(GRAPHS)?;
+    let rest = key.strip_prefix(OPEN_GRAPHS_PREFIX)?;
     match rest.split_once('/') {
-        None => Some(GraphKey::Head(GraphId::of_digits(rest)?)),
-        Some((id, page)) => Some(GraphKey::Page(GraphId::of_digits(id)?, page.parse().ok()?)),
+        None => Some(GraphKey::Head(GraphId::from_digits(rest)?)),
+        Some((id, page)) => Some(GraphKey::Page(GraphId::from_digits(id)?, page.parse().ok()?)),
     }
 }
 
@@ -76,7 +76,7 @@
 
 /// The head record of an open graph.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Head {
+pub struct GraphHead {
     #[serde(rename = "s")]
     pub session: String,
     /// Hash of the key of its session.
@@ -103,7 +103,7 @@
 }
 
 /// A node in a page: name, kind number, shards and inputs.
-pub type NodeRow = (String, u16, u32, Vec<NodeIx>);
+pub type NodeRow = (String, u16, u32, Vec<NodeId>);
 
 /// A page of an open graph: part of one addition.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -119,7 +119,7 @@
     pub kinds: Vec<(String, KindSpec)>,
     /// The first node of the page.
     #[serde(rename = "b")]
-    pub first: NodeIx,
+    pub first: NodeId,
     #[serde(rename = "n", default, skip_serializing_if = "Vec::is_empty")]
     pub nodes: Vec<NodeRow>,
     /// The graph is sealed: no page follows.
@@ -129,41 +129,41 @@
 
 /// The part of a graph that a job runs; stored in the job's own record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Part {
+pub struct GraphPart {
     /// The nodes, one per task; a single node has its shards as tasks.
     #[serde(rename = "n")]
-    pub nodes: Runs,
+    pub nodes: NodeRanges,
     /// Maximum retries of each task, if limited.
     #[serde(rename = "r", default, skip_serializing_if = "Option::is_none")]
-    pub repeats: Option<u32>,
+    pub max_retries: Option<u32>,
     /// Whether tasks spread over different machines: `true` if they must, `false` if they should, `None` without preference.
     #[serde(rename = "a", default, skip_serializing_if = "Option::is_none")]
-    pub apart: Option<bool>,
+    pub strict_spread: Option<bool>,
 }
 
-impl Part {
+impl GraphPart {
     /// Whether each task is a node of its own.
-    pub fn batch(&self) -> bool {
+    pub fn is_batch(&self) -> bool {
         self.nodes.len() > 1
     }
 
     /// The node to which a task belongs.
-    pub fn node(&self, task: u32) -> Option<NodeIx> {
-        self.nodes.get(if self.batch() { task as usize } else { 0 })
+    pub fn node(&self, task: u32) -> Option<NodeId> {
+        self.nodes.get(if self.is_batch() { task as usize } else { 0 })
     }
 }
 
 /// The end of a job that ran nodes, in addition to the job's final status.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PartEnd {
+pub struct GraphPartEnd {
     #[serde(rename = "n")]
-    pub nodes: Runs,
+    pub nodes: NodeRanges,
     /// The done tasks of an array that as a whole is not done.
     #[serde(rename = "d", default, skip_serializing_if = "Vec::is_empty")]
     pub done: Vec<u32>,
     /// The other tasks of such an array, each with its number of failures.
     #[serde(rename = "c", default, skip_serializing_if = "Vec::is_empty")]
-    pub charged: Vec<(u32, u32)>,
+    pub failure_counts: Vec<(u32, u32)>,
 }
 
 /// The final status of a graph.
@@ -178,7 +178,7 @@
 
 /// The final record of a graph.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OverRecord {
+pub struct FinalRecord {
     #[serde(rename = "s")]
     pub outcome: Outcome,
     #[serde(rename = "k")]
@@ -196,7 +196,7 @@
     pub failed: Option<FailedNode>,
     /// The reason why it was cancelled; empty if it was not.
     #[serde(rename = "w", default, skip_serializing_if = "String::is_empty")]
-    pub why: String,
+    pub reason: String,
 }
 
 /// A failed node, with the cause if it is known.
@@ -210,7 +210,7 @@
 
 /// The final states of a page's nodes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OverPage {
+pub struct FinalPage {
     /// Name, sequence number of the latest job plus one (0 if it had none), and status letter.
     #[serde(rename = "n")]
     pub nodes: Vec<(String, u64, char)>,
@@ -236,11 +236,11 @@
     /// A task that the stored record does not contain has no node.
     #[test]
     fn parts_map_tasks_to_nodes() {
-        let part: Part = serde_json::from_str(r#"{"n":[[4,3]]}"#).unwrap();
-        assert_eq!((part.node(1), part.node(3)), (Some(NodeIx(5)), None));
-        let one: Part = serde_json::from_str(r#"{"n":[[4,1]],"r":2}"#).unwrap();
-        assert_eq!(one.node(77), Some(NodeIx(4)));
-        let none: Part = serde_json::from_str(r#"{"n":[]}"#).unwrap();
+        let part: GraphPart = serde_json::from_str(r#"{"n":[[4,3]]}"#).unwrap();
+        assert_eq!((part.node(1), part.node(3)), (Some(NodeId(5)), None));
+        let one: GraphPart = serde_json::from_str(r#"{"n":[[4,1]],"r":2}"#).unwrap();
+        assert_eq!(one.node(77), Some(NodeId(4)));
+        let none: GraphPart = serde_json::from_str(r#"{"n":[]}"#).unwrap();
         assert_eq!(none.node(0), None);
     }
 }
--- a/crates/graph/src/requests.rs
+++ b/crates/graph/src/requests.rs
@@ -200,46 +200,46 @@
 /// A request that needs nothing but the session's key.
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Validate)]
-pub struct Keyed {
+pub struct KeyedRequest {
     #[garde(custom(validate_key))]
     pub key: String,
 }
 
 /// The part of a graph's state that a client asks for.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Look {
+pub struct GetGraph {
     /// Position at which the previous answer ended; empty for the beginning.
     pub after: String,
     /// Maximum number of nodes in the answer; 0 for none.
     #[serde(rename = "most")]
-    pub most: usize,
+    pub max_nodes: usize,
 }
 
 /// A request about sessions or graphs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Ask {
+pub enum GraphRequest {
     Open(OpenSession),
     /// A heartbeat of a session.
     #[serde(rename = "Beat")]
-    Beat(String, Keyed),
-    Close(String, Keyed),
+    Heartbeat(String, KeyedRequest),
+    Close(String, KeyedRequest),
     Create(CreateGraph),
     Add(GraphId, AddNodes),
-    Cancel(GraphId, Keyed),
+    Cancel(GraphId, KeyedRequest),
     /// The state of a graph.
     #[serde(rename = "Look")]
-    Look(GraphId, Look),
+    GetGraph(GraphId, GetGraph),
     /// The nodes that a job runs, from this task on; sent by the worker.
     Job(JobId, u32),
 }
 
-impl Ask {
+impl GraphRequest {
     /// The graph that the request concerns.
     pub fn graph(&self) -> Option<GraphId> {
         match self {
             Self::Create(create) => Some(create.graph),
-            Self::Add(id, _) | Self::Cancel(id, _) | Self::Look(id, _) => Some(*id),
-            Self::Open(_) | Self::Beat(..) | Self::Close(..) | Self::Job(..) => None,
+            Self::Add(id, _) | Self::Cancel(id, _) | Self::GetGraph(id, _) => Some(*id),
+            Self::Open(_) | Self::Heartbeat(..) | Self::Close(..) | Self::Job(..) => None,
         }
     }
 }
--- a/crates/graph/src/writing.rs
+++ b/crates/graph/src/writing.rs
@@ -2,14 +2,14 @@
 //! transaction is fenced by the leader's key. Its conditions on versions make a late copy of an older write fail.
 
 use crate::constants::*;
-use crate::desk::{Desk, Effect, Launch};
-use crate::ids::{GraphId, Seq};
+use crate::graph_table::{Effect, GraphTable, JobLaunch};
+use crate::ids::{GraphId, JobSeq};
+use crate::node_ranges::NodeRanges;
 use crate::open_graph::{EndReason, Phase};
 use crate::records::{
-    Head, Page, SESSION_COUNT, SessionRecord, final_page_key, head_key, over_key, page_key,
-    session_key,
+    GraphHead, Page, SESSION_COUNT_KEY, SessionRecord, final_graph_key, final_page_key, head_key,
+    page_key, session_key,
 };
-use crate::runs::Runs;
 use crate::sessions;
 use oatloom_protocol::ids::{JobId, Now, Revision};
 use oatloom_protocol::reply::HttpReply;
@@ -19,7 +19,7 @@
 
 /// A unit of writing: all its changes go into the same transaction. Items are ordered by variant, then by key.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Item {
+pub enum GraphWrite {
     /// The record of a session.
     Session(String),
     /// The head record of a graph.
@@ -27,7 +27,7 @@
     /// All pages of an addition.
     Addition(GraphId),
     /// The live record of a job that runs nodes.
-    Launch(GraphId, Seq),
+    Launch(GraphId, JobSeq),
     /// The final states of a page's nodes.
     FinalPage(GraphId, u32),
     /// The final record, which replaces the head.
@@ -38,26 +38,26 @@
 
 /// An item of a transaction in flight, as needed to process the transaction's outcome.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Wrote {
-    pub item: Item,
+pub struct WriteOutcome {
+    pub item: GraphWrite,
     /// For a session: its phase when the transaction was built.
     session: Option<sessions::Phase>,
 }
 
 /// Encodes a job's record: live key, final key and value. The job table owns this format.
-pub type JobRecordEncoder<'a> = &'a dyn Fn(&Launch) -> (String, String, Value);
+pub type JobRecordEncoder<'a> = &'a dyn Fn(&JobLaunch) -> (String, String, Value);
 
 /// The queue of items to write. Every item is queued at most once.
 #[derive(Debug, Default)]
 pub(crate) struct GraphWriteQueue {
     /// Items that a client's request waits for.
-    urgent: VecDeque<Item>,
-    later: VecDeque<Item>,
-    queued: BTreeSet<Item>,
+    urgent: VecDeque<GraphWrite>,
+    later: VecDeque<GraphWrite>,
+    queued: BTreeSet<GraphWrite>,
     /// Jobs whose acceptance is not confirmed yet.
-    launches: BTreeMap<(GraphId, Seq), Launch>,
+    launches: BTreeMap<(GraphId, JobSeq), JobLaunch>,
     /// Jobs among them that must be written again.
-    retry: VecDeque<(GraphId, Seq)>,
+    retry: VecDeque<(GraphId, JobSeq)>,
 }
 
 impl GraphWriteQueue {
@@ -65,7 +65,7 @@
         self.queued.len() + self.retry.len()
     }
 
-    fn push(&mut self, item: Item, urgent: bool) {
+    fn push(&mut self, item: GraphWrite, urgent: bool) {
         if self.queued.insert(item.clone()) {
             let queue = if urgent { &mut self.urgent } else { &mut self.later };
             queue.push_back(item);
@@ -73,27 +73,27 @@
     }
 
     pub fn push_session(&mut self, name: &str) {
-        self.push(Item::Session(name.to_owned()), true);
+        self.push(GraphWrite::Session(name.to_owned()), true);
     }
 
     pub fn push_head(&mut self, id: GraphId) {
-        self.push(Item::Head(id), true);
+        self.push(GraphWrite::Head(id), true);
     }
 
     pub fn push_addition(&mut self, id: GraphId) {
-        self.push(Item::Addition(id), true);
+        self.push(GraphWrite::Addition(id), true);
     }
 
     /// Queues a graph's next final page, or its final record after the last page.
     pub fn push_final(&mut self, id: GraphId) {
-        self.push(Item::FinalRecord(id), false);
+        self.push(GraphWrite::FinalRecord(id), false);
     }
 
     pub fn push_page_delete(&mut self, id: GraphId, page: u32) {
-        self.push(Item::DeletePage(id, page), false);
+        self.push(GraphWrite::DeletePage(id, page), false);
     }
 
-    fn pop(&mut self, urgent: bool) -> Option<Item> {
+    fn pop(&mut self, urgent: bool) -> Option<GraphWrite> {
         let queue = if urgent { &mut self.urgent } else { &mut self.later };
         let item = queue.pop_front()?;
         self.queued.remove(&item);
@@ -101,9 +101,10 @@
     }
 
     /// Puts an item back at the front of its queue.
-    fn put_back(&mut self, item: Item) {
-        let urgent = matches!(item, Item::Session(_) | Item::Head(_) | Item::Addition(_));
-        if let Item::Launch(graph, seq) = item {
+    fn put_back(&mut self, item: GraphWrite) {
+        let urgent =
+            matches!(item, GraphWrite::Session(_) | GraphWrite::Head(_) | GraphWrite::Addition(_));
+        if let GraphWrite::Launch(graph, seq) = item {
             self.retry.push_front((graph, seq));
         } else if self.queued.insert(item.clone()) {
             let queue = if urgent { &mut self.urgent } else { &mut self.later };
@@ -117,10 +118,10 @@
     Condition { key, version }
 }
 
-impl Desk {
+impl GraphTable {
     /// Whether a transaction can be built: an item is queued, or a job can be launched.
     pub fn has_writes(&self) -> bool {
-        self.ready()
+        self.is_ready()
             && (self.queue.len() > 0
                 || !self.launchable.is_empty() && self.open_jobs < MAX_OPEN_JOB_COUNT)
     }
@@ -132,14 +133,14 @@
         max_change_count: usize,
         now: Now,
         encode_job: JobRecordEncoder,
-    ) -> Option<(Txn, Vec<Wrote>)> {
-        if !self.ready() {
+    ) -> Option<(Txn, Vec<WriteOutcome>)> {
+        if !self.is_ready() {
             return None;
         }
         let mut txn = Txn { conditions: vec![fence], changes: Vec::new() };
-        let mut written: Vec<Wrote> = Vec::new();
+        let mut written: Vec<WriteOutcome> = Vec::new();
         let mut bytes = 0;
-        let max_items = self.items_most;
+        let max_items = self.max_items;
         while written.len() < max_items
             && txn.changes.len() < max_change_count
             && bytes < MAX_TXN_BYTES
@@ -152,8 +153,8 @@
             let exceeds_limits = txn.changes.len() > max_change_count
                 || !written.is_empty() && bytes + added > MAX_TXN_BYTES;
             // One session per transaction, since every session writes the same count.
-            let second_session = matches!(item, Item::Session(_))
-                && written.iter().any(|w| matches!(w.item, Item::Session(_)));
+            let second_session = matches!(item, GraphWrite::Session(_))
+                && written.iter().any(|w| matches!(w.item, GraphWrite::Session(_)));
             if has_changes && (exceeds_limits || second_session) {
                 txn.conditions.truncate(before.0);
                 txn.changes.truncate(before.1);
@@ -163,63 +164,69 @@
             if has_changes {
                 bytes += added;
                 let session = match &item {
-                    Item::Session(name) => self.sessions.get(name).map(|session| session.phase),
+                    GraphWrite::Session(name) => {
+                        self.sessions.get(name).map(|session| session.phase)
+                    }
                     _ => None,
                 };
-                written.push(Wrote { item, session });
+                written.push(WriteOutcome { item, session });
             }
         }
         (!written.is_empty()).then_some((txn, written))
     }
 
-    fn next_item(&mut self, now: Now) -> Option<Item> {
+    fn next_item(&mut self, now: Now) -> Option<GraphWrite> {
         if let Some(item) = self.queue.pop(true) {
             return Some(item);
         }
         if let Some((graph, seq)) = self.queue.retry.pop_front() {
-            return Some(Item::Launch(graph, seq));
+            return Some(GraphWrite::Launch(graph, seq));
         }
         if let Some(launch) = self.next_launch(now) {
             let key = (launch.graph, launch.seq);
             self.queue.launches.insert(key, launch);
-            return Some(Item::Launch(key.0, key.1));
+            return Some(GraphWrite::Launch(key.0, key.1));
         }
         match self.queue.pop(false)? {
             // The final pages come first, one at a time.
-            Item::FinalRecord(id) => {
+            GraphWrite::FinalRecord(id) => {
                 let open_graph = self.graphs.get(&id)?;
                 let page = open_graph.durable_final_pages;
                 let all_written = page >= open_graph.model.page_count();
-                Some(if all_written { Item::FinalRecord(id) } else { Item::FinalPage(id, page) })
+                Some(if all_written {
+                    GraphWrite::FinalRecord(id)
+                } else {
+                    GraphWrite::FinalPage(id, page)
+                })
             }
             item => Some(item),
         }
     }
 
     /// Adds an item's conditions and changes to a transaction. Returns false if the item needs no write any more.
-    fn write(&mut self, item: &Item, txn: &mut Txn, encode_job: JobRecordEncoder) -> bool {
+    fn write(&mut self, item: &GraphWrite, txn: &mut Txn, encode_job: JobRecordEncoder) -> bool {
         let zero = Revision(0);
         let put = |key: String, value: Value| Change::put(key, value);
         match item {
-            Item::Session(name) => {
+            GraphWrite::Session(name) => {
                 let Some(session) = self.sessions.get(name) else { return false };
                 let key = session_key(name);
                 let put_count = |change: i64| {
                     let count = self.sessions.len() as i64 + change;
-                    put(SESSION_COUNT.to_owned(), json!({"n": count.max(0)}))
+                    put(SESSION_COUNT_KEY.to_owned(), json!({"n": count.max(0)}))
                 };
                 txn.conditions.push(unchanged(key.clone(), session.version));
                 match session.phase {
                     sessions::Phase::Opening => {
                         txn.conditions
-                            .push(unchanged(SESSION_COUNT.to_owned(), self.count_version));
+                            .push(unchanged(SESSION_COUNT_KEY.to_owned(), self.count_version));
                         txn.changes.push(put(key, json!(session.record)));
                         txn.changes.push(put_count(0));
                     }
                     sessions::Phase::Closing => txn.changes.push(put(key, json!(session.record))),
                     sessions::Phase::Ended if session.open_graphs == 0 => {
                         txn.conditions
-                            .push(unchanged(SESSION_COUNT.to_owned(), self.count_version));
+                            .push(unchanged(SESSION_COUNT_KEY.to_owned(), self.count_version));
                         txn.changes.push(Change::Delete { key });
                         txn.changes.push(put_count(-1));
                     }
@@ -229,18 +236,18 @@
                     }
                 }
             }
-            Item::Head(id) => {
+            GraphWrite::Head(id) => {
                 let Some(open_graph) = self.graphs.get(id) else { return false };
                 if !matches!(open_graph.phase, Phase::Creating | Phase::Cancelling) {
                     return false;
                 }
                 txn.conditions.push(unchanged(head_key(*id), open_graph.version));
                 if open_graph.version == zero {
-                    txn.conditions.push(unchanged(over_key(*id), zero));
+                    txn.conditions.push(unchanged(final_graph_key(*id), zero));
                 }
                 txn.changes.push(put(head_key(*id), json!(open_graph.head)));
             }
-            Item::Addition(id) => {
+            GraphWrite::Addition(id) => {
                 let Some(open_graph) = self.graphs.get(id) else { return false };
                 let Some(pending_addition) = &open_graph.pending_addition else { return false };
                 txn.conditions.push(unchanged(head_key(*id), open_graph.version));
@@ -251,30 +258,30 @@
                     txn.changes.push(put(key, json!(page)));
                 }
             }
-            Item::Launch(id, seq) => {
+            GraphWrite::Launch(id, seq) => {
                 let Some(launch) = self.queue.launches.get(&(*id, *seq)) else { return false };
                 let (key, final_key, value) = encode_job(launch);
                 txn.conditions.push(unchanged(key.clone(), zero));
                 txn.conditions.push(unchanged(final_key, zero));
                 txn.changes.push(put(key, value));
             }
-            Item::FinalPage(id, page) => {
+            GraphWrite::FinalPage(id, page) => {
                 let Some(open_graph) = self.graphs.get(id) else { return false };
                 txn.conditions.push(unchanged(head_key(*id), open_graph.version));
                 txn.changes.push(put(
                     final_page_key(*id, *page),
-                    json!(open_graph.final_page(*page, self.record_space.value)),
+                    json!(open_graph.final_page(*page, self.record_space.value_bytes)),
                 ));
             }
-            Item::FinalRecord(id) => {
+            GraphWrite::FinalRecord(id) => {
                 let Some(open_graph) = self.graphs.get(id) else { return false };
                 let Phase::Ending(reason) = &open_graph.phase else { return false };
                 txn.conditions.push(unchanged(head_key(*id), open_graph.version));
-                txn.conditions.push(unchanged(over_key(*id), zero));
-                txn.changes.push(put(over_key(*id), json!(open_graph.final_record(reason))));
+                txn.conditions.push(unchanged(final_graph_key(*id), zero));
+                txn.changes.push(put(final_graph_key(*id), json!(open_graph.final_record(reason))));
                 txn.changes.push(Change::Delete { key: head_key(*id) });
             }
-            Item::DeletePage(id, page) => {
+            GraphWrite::DeletePage(id, page) => {
                 txn.changes.push(Change::Delete { key: page_key(*id, *page) });
             }
         }
@@ -282,22 +289,22 @@
     }
 
     /// Processes a transaction that was committed at `revision`.
-    pub fn committed(&mut self, written: &[Wrote], revision: Revision) {
-        for Wrote { item, session } in written {
+    pub fn committed(&mut self, written: &[WriteOutcome], revision: Revision) {
+        for WriteOutcome { item, session } in written {
             match item {
-                Item::Session(name) => self.session_committed(name, *session, revision),
-                Item::Head(id) => self.head_committed(*id, revision),
-                Item::Addition(id) => self.addition_committed(*id),
-                Item::Launch(id, seq) => self.launch_committed(*id, *seq, revision),
-                Item::FinalPage(id, page) => {
+                GraphWrite::Session(name) => self.session_committed(name, *session, revision),
+                GraphWrite::Head(id) => self.head_committed(*id, revision),
+                GraphWrite::Addition(id) => self.addition_committed(*id),
+                GraphWrite::Launch(id, seq) => self.launch_committed(*id, *seq, revision),
+                GraphWrite::FinalPage(id, page) => {
                     if let Some(open_graph) = self.graphs.get_mut(id) {
                         open_graph.durable_final_pages =
                             open_graph.durable_final_pages.max(page + 1);
                         self.queue.push_final(*id);
                     }
                 }
-                Item::FinalRecord(id) => self.graph_finished(*id),
-                Item::DeletePage(..) => {}
+                GraphWrite::FinalRecord(id) => self.graph_finished(*id),
+                GraphWrite::DeletePage(..) => {}
             }
         }
     }
@@ -373,7 +380,7 @@
         self.reply(pending_addition.ticket, HttpReply::json(200, &view));
     }
 
-    fn launch_committed(&mut self, id: GraphId, seq: Seq, revision: Revision) {
+    fn launch_committed(&mut self, id: GraphId, seq: JobSeq, revision: Revision) {
         let Some(launch) = self.queue.launches.remove(&(id, seq)) else { return };
         let Some(open_graph) = self.graphs.get_mut(&id) else { return };
         // The job may have ended already if the outcome of the write was unknown for a while.
@@ -395,36 +402,36 @@
     }
 
     /// Queues the items of a transaction again that was refused and certainly not applied.
-    pub fn refused(&mut self, written: Vec<Wrote>) {
+    pub fn refused(&mut self, written: Vec<WriteOutcome>) {
         written.into_iter().rev().for_each(|write| self.queue.put_back(write.item));
     }
 
     /// Queues an item again, at the front, after the service refused it on its own.
-    pub fn retry(&mut self, item: Item) {
+    pub fn retry(&mut self, item: GraphWrite) {
         self.queue.put_back(item);
     }
 
     /// The keys to read to determine whether an item with an unknown outcome was written. If there are none, the item is
     /// written again unchanged. `live_key` and `final_key` give the keys of a job's records.
-    pub fn keys_of(
+    pub fn keys_to_resolve(
         &self,
-        written: &Wrote,
+        written: &WriteOutcome,
         live_key: &dyn Fn(&JobId) -> String,
         final_key: &dyn Fn(&JobId) -> String,
     ) -> Vec<String> {
         match &written.item {
-            Item::Session(name) => vec![session_key(name), SESSION_COUNT.to_owned()],
-            Item::Head(id) => vec![head_key(*id), over_key(*id)],
-            Item::Addition(id) => {
+            GraphWrite::Session(name) => vec![session_key(name), SESSION_COUNT_KEY.to_owned()],
+            GraphWrite::Head(id) => vec![head_key(*id), final_graph_key(*id)],
+            GraphWrite::Addition(id) => {
                 let open_graph = self.graphs.get(id);
                 open_graph
                     .map(|open_graph| page_key(*id, open_graph.model.page_count()))
                     .into_iter()
                     .collect()
             }
-            Item::FinalPage(..) | Item::DeletePage(..) => Vec::new(),
-            Item::Launch(id, seq) => vec![live_key(&id.job(*seq)), final_key(&id.job(*seq))],
-            Item::FinalRecord(id) => vec![over_key(*id)],
+            GraphWrite::FinalPage(..) | GraphWrite::DeletePage(..) => Vec::new(),
+            GraphWrite::Launch(id, seq) => vec![live_key(&id.job(*seq)), final_key(&id.job(*seq))],
+            GraphWrite::FinalRecord(id) => vec![final_graph_key(*id)],
         }
     }
 
@@ -432,14 +439,14 @@
     /// final record.
     pub fn resolved(
         &mut self,
-        written: Wrote,
+        written: WriteOutcome,
         rows: &[Option<Row>],
-        nodes: &dyn Fn(&Value) -> Option<Runs>,
+        nodes: &dyn Fn(&Value) -> Option<NodeRanges>,
     ) {
         let row = |position: usize| rows.get(position).and_then(Option::as_ref);
         let version = |position: usize| row(position).map_or(Revision(0), |row| row.version);
         match &written.item {
-            Item::Session(name) => {
+            GraphWrite::Session(name) => {
                 self.count_version = version(1);
                 let found = row(0).and_then(|row| {
                     serde_json::from_value::<SessionRecord>(row.value.clone()).ok()
@@ -457,9 +464,9 @@
                     self.queue.put_back(written.item);
                 }
             }
-            Item::Head(id) => {
-                let found =
-                    row(0).and_then(|row| serde_json::from_value::<Head>(row.value.clone()).ok());
+            GraphWrite::Head(id) => {
+                let found = row(0)
+                    .and_then(|row| serde_json::from_value::<GraphHead>(row.value.clone()).ok());
                 let Some(open_graph) = self.graphs.get_mut(id) else { return };
                 if found.as_ref() == Some(&open_graph.head) {
                     self.head_committed(*id, version(0));
@@ -470,7 +477,7 @@
                     self.queue.put_back(written.item);
                 }
             }
-            Item::Addition(id) => {
+            GraphWrite::Addition(id) => {
                 let page = row(0).map(|row| serde_json::from_value::<Page>(row.value.clone()).ok());
                 let open_graph = self.graphs.get(id);
                 let pending_addition =
@@ -485,7 +492,7 @@
                     None => self.queue.put_back(written.item),
                 }
             }
-            Item::Launch(id, seq) => match (row(0), row(1)) {
+            GraphWrite::Launch(id, seq) => match (row(0), row(1)) {
                 (Some(live_row), _) if self.is_same_launch(*id, *seq, nodes(&live_row.value)) => {
                     self.launch_committed(*id, *seq, live_row.version)
                 }
@@ -504,26 +511,26 @@
                     self.update_graph(*id);
                 }
             },
-            Item::FinalRecord(id) if row(0).is_some() => self.graph_finished(*id),
-            Item::FinalPage(..) | Item::FinalRecord(_) | Item::DeletePage(..) => {
+            GraphWrite::FinalRecord(id) if row(0).is_some() => self.graph_finished(*id),
+            GraphWrite::FinalPage(..) | GraphWrite::FinalRecord(_) | GraphWrite::DeletePage(..) => {
                 self.queue.put_back(written.item)
             }
         }
     }
 
     /// Whether a found record belongs to the launched job.
-    fn is_same_launch(&self, id: GraphId, seq: Seq, nodes: Option<Runs>) -> bool {
+    fn is_same_launch(&self, id: GraphId, seq: JobSeq, nodes: Option<NodeRanges>) -> bool {
         let launch = self.queue.launches.get(&(id, seq));
         launch.is_some_and(|launch| nodes.as_ref() == Some(&launch.part.nodes))
     }
 
     /// Answers the creation of a graph that has finished already.
     fn graph_already_finished(&mut self, id: GraphId, value: &Value) {
-        let record = serde_json::from_value::<crate::records::OverRecord>(value.clone()).ok();
+        let record = serde_json::from_value::<crate::records::FinalRecord>(value.clone()).ok();
         let Some(open_graph) = self.remove_graph(id) else { return };
         let reply = match record {
             Some(record) if record.key == open_graph.head.key => {
-                HttpReply::json(200, &crate::answers::GraphView::of_over(id, &record))
+                HttpReply::json(200, &crate::answers::GraphView::from_final_record(id, &record))
             }
             _ => HttpReply::error(409, "the graph is another's"),
         };
--- a/crates/graph/tests/damaged.rs
+++ b/crates/graph/tests/damaged.rs
@@ -2,15 +2,18 @@
 //! only that graph.
 
 use oatloom_graph::answers::GraphView;
-use oatloom_graph::desk::{Around, Desk, Ended, Read, Verdict};
-use oatloom_graph::ids::{GraphId, Seq};
+use oatloom_graph::graph_table::{
+    FinishedJob, GraphTable, LoadRead, RequestContext, RequestOutcome,
+};
+use oatloom_graph::ids::{GraphId, JobSeq};
 use oatloom_graph::limits::Limits;
-use oatloom_graph::model::{Model, Room};
+use oatloom_graph::model::{Model, RecordSpace};
 use oatloom_graph::open_graph::{EndReason, Phase};
 use oatloom_graph::records::{
-    GRAPHS, Head, Page, Part, PartEnd, SESSIONS, head_key, over_key, page_key, session_key,
+    GraphHead, GraphPart, GraphPartEnd, OPEN_GRAPHS_PREFIX, Page, SESSIONS_PREFIX, final_graph_key,
+    head_key, page_key, session_key,
 };
-use oatloom_graph::requests::{AddNodes, Ask, Look, OnFailure, check};
+use oatloom_graph::requests::{AddNodes, GetGraph, GraphRequest, OnFailure, check};
 use oatloom_graph::sessions::hash_key;
 use oatloom_protocol::ids::{Mono, Now, Revision, Token};
 use oatloom_protocol::wire::{Change, Condition, JobStatus, Rank, Row};
@@ -19,7 +22,7 @@
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
-const RECORD_SPACE: Room = Room { value: 8_192, values: 14 };
+const RECORD_SPACE: RecordSpace = RecordSpace { value_bytes: 8_192, value_count: 14 };
 
 fn addition(prefix: &str) -> AddNodes {
     let node = |n: u32, needs: &[u32]| {
@@ -42,7 +45,7 @@
     let key = hash_key("secret-1");
     rows.insert(session_key("s"), json!({"k": key, "o": "red", "t": 20_000}));
     for number in 1..3 {
-        let head = Head {
+        let head = GraphHead {
             session: "s".into(),
             key: key.clone(),
             owner: "red".into(),
@@ -95,18 +98,18 @@
 }
 
 /// Loads the stored records as a new leader does; `ended` are the final states of jobs.
-fn load(stored_records: &BTreeMap<String, Value>, ended: Vec<Ended>) -> Desk {
+fn load(stored_records: &BTreeMap<String, Value>, ended: Vec<FinishedJob>) -> GraphTable {
     let now = Now { mono: Mono(50_000), wall_ms: 60_000 };
-    let mut table = Desk::new(Limits::default(), Token(9), RECORD_SPACE, now.mono);
+    let mut table = GraphTable::new(Limits::default(), Token(9), RECORD_SPACE, now.mono);
     let mut ended = Some(ended);
     while let Some(read) = table.next_read() {
         match read {
-            Read::Key(_) => table.read_count(Revision(2)),
-            Read::List { prefix, .. } => {
-                assert!(prefix == SESSIONS || prefix == GRAPHS);
+            LoadRead::Key(_) => table.read_count(Revision(2)),
+            LoadRead::List { prefix, .. } => {
+                assert!(prefix == SESSIONS_PREFIX || prefix == OPEN_GRAPHS_PREFIX);
                 table.read_rows(rows(stored_records, &prefix), false, now);
             }
-            Read::Ended { .. } => {
+            LoadRead::Ended { .. } => {
                 table.read_ended(ended.take().unwrap_or_default(), None, &|_| Vec::new(), now.mono);
             }
         }
@@ -115,12 +118,12 @@
 }
 
 /// Writes until the queue is empty, with a state service that accepts everything; jobs end at once.
-fn write_all(table: &mut Desk) -> BTreeMap<String, Value> {
+fn write_all(table: &mut GraphTable) -> BTreeMap<String, Value> {
     let mut written = BTreeMap::new();
     for round in 0..200u64 {
         let fence = Condition { key: "lead".into(), version: Revision(9) };
         let now = Now { mono: Mono(51_000 + round), wall_ms: 61_000 + round };
-        let encode_job = |launch: &oatloom_graph::desk::Launch| {
+        let encode_job = |launch: &oatloom_graph::graph_table::JobLaunch| {
             (format!("live/{}", launch.id()), format!("over/{}", launch.id()), json!(launch.part))
         };
         let Some((txn, written_items)) = table.next_txn(fence, 16, now, &encode_job) else { break };
@@ -131,13 +134,13 @@
         }
         table.committed(&written_items, Revision(100 + round));
         for effect in table.take_effects() {
-            if let oatloom_graph::desk::Effect::Admit(launch, _) = effect {
-                let end = PartEnd {
+            if let oatloom_graph::graph_table::Effect::Admit(launch, _) = effect {
+                let end = GraphPartEnd {
                     nodes: launch.part.nodes.clone(),
                     done: Vec::new(),
-                    charged: Vec::new(),
+                    failure_counts: Vec::new(),
                 };
-                table.job_over(launch.id(), &end, JobStatus::Done, None);
+                table.on_job_finished(launch.id(), &end, JobStatus::Done, None);
             }
         }
     }
@@ -163,7 +166,7 @@
             )
         });
         let written = write_all(&mut table);
-        let final_record = &written[&over_key(graph(2))];
+        let final_record = &written[&final_graph_key(graph(2))];
         assert_eq!(
             (&final_record["s"], &final_record["n"]),
             (&json!("done"), &json!(5)),
@@ -171,7 +174,7 @@
         );
         if is_stopped {
             ended_alone += 1;
-            let final_record = &written[&over_key(graph(1))];
+            let final_record = &written[&final_graph_key(graph(1))];
             assert_eq!(final_record["s"], json!("cancelled"));
             assert!(
                 final_record["w"].as_str().is_some_and(|reason| reason.contains("damaged")),
@@ -191,29 +194,32 @@
     let end = json!({"n": [[0, 2], [3, 1]], "d": [0, 2], "c": [[1, 3]]});
     let add = json!(addition("m"));
     for _ in 0..3_000 {
-        let read = serde_json::from_value::<PartEnd>(damage(&end, &mut rng));
+        let read = serde_json::from_value::<GraphPartEnd>(damage(&end, &mut rng));
         let status =
             [JobStatus::Done, JobStatus::Failed, JobStatus::Cancelled][rng.random_range(0..3)];
-        let ended = read.map(|end| Ended { id: graph(1).job(Seq(4)), end, status, failure: None });
+        let ended =
+            read.map(|end| FinishedJob { id: graph(1).job(JobSeq(4)), end, status, failure: None });
         let mut table = load(&stored_records(), ended.into_iter().collect());
-        let context = Around { unfit: &|_| None, team: &|_| true };
+        let context = RequestContext { rejection: &|_| None, team_exists: &|_| true };
         if let Ok(add) = serde_json::from_value::<AddNodes>(damage(&add, &mut rng)) {
             let is_valid = check(&add).is_ok();
             let now = Now { mono: Mono(50_500), wall_ms: 60_500 };
-            let outcome = table.ask(now, 1, &Ask::Add(graph(2), add), &context);
+            let outcome = table.handle_request(now, 1, &GraphRequest::Add(graph(2), add), &context);
             // The graph is sealed, so every addition must be rejected.
-            let Verdict::Reply(reply) = outcome else { panic!("the reply was deferred") };
+            let RequestOutcome::Reply(reply) = outcome else { panic!("the reply was deferred") };
             assert!(
                 (400..500).contains(&reply.status) && is_valid == (reply.status != 400),
                 "{reply:?}"
             );
         }
-        if let Ok(part) = serde_json::from_value::<Part>(damage(&end, &mut rng)) {
-            let _ = (part.batch(), part.node(0), part.node(u32::MAX));
+        if let Ok(part) = serde_json::from_value::<GraphPart>(damage(&end, &mut rng)) {
+            let _ = (part.is_batch(), part.node(0), part.node(u32::MAX));
         }
         let now = Now { mono: Mono(50_600), wall_ms: 60_600 };
-        let range = Look { after: "9.99999999999".into(), most: 3 };
-        if let Verdict::Reply(reply) = table.ask(now, 1, &Ask::Look(graph(1), range), &context) {
+        let range = GetGraph { after: "9.99999999999".into(), max_nodes: 3 };
+        if let RequestOutcome::Reply(reply) =
+            table.handle_request(now, 1, &GraphRequest::GetGraph(graph(1), range), &context)
+        {
             let view: GraphView = serde_json::from_str(&reply.body).expect("a view");
             assert!(view.changed.len() <= 3);
         }
--- a/crates/graph/tests/scale.rs
+++ b/crates/graph/tests/scale.rs
@@ -2,12 +2,14 @@
 //! launching by longest remaining path with launching in the order of addition. Small in CI; to measure, run
 //! `OATLOOM_NODES=100000 cargo test --release -p oatloom-graph --test scale -- --nocapture --test-threads 1`.
 
-use oatloom_graph::desk::{Around, Desk, Effect, Launch, LaunchOrder, Verdict};
+use oatloom_graph::graph_table::{
+    Effect, GraphTable, JobLaunch, LaunchOrder, RequestContext, RequestOutcome,
+};
 use oatloom_graph::ids::GraphId;
 use oatloom_graph::limits::Limits;
-use oatloom_graph::model::{NodeState, Room};
-use oatloom_graph::records::{Part, PartEnd};
-use oatloom_graph::requests::{AddNodes, Ask, CreateGraph, OnFailure, OpenSession};
+use oatloom_graph::model::{NodeState, RecordSpace};
+use oatloom_graph::records::{GraphPart, GraphPartEnd};
+use oatloom_graph::requests::{AddNodes, CreateGraph, GraphRequest, OnFailure, OpenSession};
 use oatloom_protocol::ids::{JobId, Mono, Now, Revision, Token};
 use oatloom_protocol::reply::HttpReply;
 use oatloom_protocol::wire::{Condition, JobSpec, JobStatus, Rank};
@@ -37,15 +39,15 @@
 
 /// A leader with its state service and a number of slots, each of which runs one task at a time.
 struct Harness {
-    table: Desk,
+    table: GraphTable,
     now: u64,
     revision: u64,
     /// Jobs that wait for slots, by urgency and arrival, each with the next task to start.
-    waiting: BTreeMap<(i64, u64), (Box<Launch>, u32)>,
+    waiting: BTreeMap<(i64, u64), (Box<JobLaunch>, u32)>,
     /// Running tasks by their end time in milliseconds.
     running: BTreeSet<(u64, JobId, u32)>,
     /// Open jobs, each with the number of tasks that have not ended.
-    open_jobs: BTreeMap<JobId, (Part, u32)>,
+    open_jobs: BTreeMap<JobId, (GraphPart, u32)>,
     slots: u32,
     order: LaunchOrder,
     arrival_count: u64,
@@ -72,13 +74,14 @@
             team_additions_per_s: 10_000.0,
             ..Limits::default()
         };
-        let record_space = Room { value: MAX_VALUE_BYTES, values: MAX_TXN_CHANGE_COUNT - 2 };
-        let mut table = Desk::new(limits, Token(1), record_space, Mono(0)).with_order(order);
+        let record_space =
+            RecordSpace { value_bytes: MAX_VALUE_BYTES, value_count: MAX_TXN_CHANGE_COUNT - 2 };
+        let mut table = GraphTable::new(limits, Token(1), record_space, Mono(0)).with_order(order);
         let now = Now { mono: Mono(0), wall_ms: 0 };
         table.read_count(Revision(0));
         table.read_rows(Vec::new(), false, now);
         table.read_rows(Vec::new(), false, now);
-        assert!(table.ready());
+        assert!(table.is_ready());
         let mut harness = Self {
             table,
             now: 0,
@@ -100,7 +103,7 @@
             owner: "red".into(),
             ttl_s: 86_400.0,
         };
-        assert_eq!(harness.ask(Ask::Open(open_session)), 201);
+        assert_eq!(harness.ask(GraphRequest::Open(open_session)), 201);
         harness
     }
 
@@ -109,11 +112,11 @@
     }
 
     /// Sends a request, and commits a transaction if the reply is deferred. Returns the HTTP status.
-    fn ask(&mut self, request: Ask) -> u16 {
-        let context = Around { unfit: &accept_all, team: &|_| true };
-        match self.table.ask(self.now(), 7, &request, &context) {
-            Verdict::Reply(reply) => reply.status,
-            Verdict::Later => {
+    fn ask(&mut self, request: GraphRequest) -> u16 {
+        let context = RequestContext { rejection: &accept_all, team_exists: &|_| true };
+        match self.table.handle_request(self.now(), 7, &request, &context) {
+            RequestOutcome::Reply(reply) => reply.status,
+            RequestOutcome::Deferred => {
                 self.write_one();
                 let effects = self.table.take_effects();
                 let status = effects.iter().find_map(|effect| match effect {
@@ -139,7 +142,7 @@
             on_failure: OnFailure::CancelRest,
             detached: false,
         };
-        assert_eq!(self.ask(Ask::Create(create)), 201);
+        assert_eq!(self.ask(GraphRequest::Create(create)), 201);
         graph
     }
 
@@ -161,14 +164,14 @@
                     "mid": {"num_cpus": 1.0, "expectS": 7.0},
                     "long": {"num_cpus": 1.0, "expectS": 30.0}}}))
                 .expect("an addition");
-            assert_eq!(self.ask(Ask::Add(graph, add)), 200);
+            assert_eq!(self.ask(GraphRequest::Add(graph, add)), 200);
         }
     }
 
     /// Commits the next transaction. Returns false if there is none.
     fn write_one(&mut self) -> bool {
         let fence = Condition { key: "lead".into(), version: Revision(1) };
-        let encode_job = |launch: &Launch| {
+        let encode_job = |launch: &JobLaunch| {
             let id = launch.id();
             (
                 format!("live/{id}"),
@@ -243,10 +246,14 @@
             let started_at = Instant::now();
             if is_last {
                 self.open_jobs.remove(&id);
-                let end = PartEnd { nodes: part.nodes, done: Vec::new(), charged: Vec::new() };
-                self.table.job_over(&id, &end, JobStatus::Done, None);
+                let end = GraphPartEnd {
+                    nodes: part.nodes,
+                    done: Vec::new(),
+                    failure_counts: Vec::new(),
+                };
+                self.table.on_job_finished(&id, &end, JobStatus::Done, None);
             } else {
-                self.table.tasks_done(&id, &[task]);
+                self.table.on_tasks_done(&id, &[task]);
             }
             self.table.tick(Mono(self.now));
             self.decision_time += started_at.elapsed();
@@ -295,7 +302,7 @@
     let makespan = harness.run();
     report("layers", count, &harness, makespan);
     assert_eq!(
-        harness.table.over(graph).map(|final_record| final_record.counts[0] as usize),
+        harness.table.final_record(graph).map(|final_record| final_record.counts[0] as usize),
         Some(count)
     );
 }
@@ -334,7 +341,7 @@
                     json!({"key": KEY, "addition": format!("g-{n}"), "nodes": rows, "seal": seal}),
                 )
                 .expect("an addition");
-                assert_eq!(harness.ask(Ask::Add(graph, add)), 200);
+                assert_eq!(harness.ask(GraphRequest::Add(graph, add)), 200);
             }
         } else {
             harness.add(graph, part, false);
--- a/crates/graphd/src/convert.rs
+++ b/crates/graphd/src/convert.rs
@@ -156,7 +156,7 @@
         skipped: view.skipped,
         path_s: view.path_s,
         first_failed: view.failure.map(first_failed),
-        why: view.why,
+        why: view.reason,
         changed: view.changed.into_iter().map(node).collect(),
         next: view.next,
     }
--- a/crates/graphd/src/service.rs
+++ b/crates/graphd/src/service.rs
@@ -7,7 +7,7 @@
 use crate::wire::{self, Graph, Session};
 use oatloom_graph::answers::{GraphView, SessionView};
 use oatloom_graph::ids::GraphId;
-use oatloom_graph::requests::{Keyed, OpenSession};
+use oatloom_graph::requests::{KeyedRequest, OpenSession};
 use oatloom_web::client::{HttpResponse, escape};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -77,7 +77,7 @@
     }
 
     async fn post_key<T: DeserializeOwned>(&self, path: String, key: String) -> Result<T, Status> {
-        self.post(path, &Keyed { key }).await
+        self.post(path, &KeyedRequest { key }).await
     }
 
     /// Requests the nodes of a graph that changed after a position.
--- a/tests/samples/mod.rs
+++ b/tests/samples/mod.rs
@@ -122,7 +122,7 @@
             "session",
             json!({"k": "hash", "o": "vision", "t": 60_000, "x": true}),
         ),
-        record::<graph::Head>(
+        record::<graph::GraphHead>(
             "graph",
             json!({"s": "s-1", "k": "hash", "o": "vision", "c": "train", "r": "high", "d": 900.0, "l": true, "w": 1000}),
         ),
@@ -130,11 +130,11 @@
             "graph page",
             json!({"q": "a1", "h": 7, "k": [["k", {"num_cpus": 1.0}]], "b": 0, "n": [["n", 0, 1, []], ["m", 0, 2, [0]]], "z": true}),
         ),
-        record::<graph::OverRecord>(
+        record::<graph::FinalRecord>(
             "graph over",
             json!({"s": "failed", "k": "hash", "n": 2, "c": [1, 1, 0, 0], "p": 1, "f": {"node": "m", "failure": failure()}, "w": "a node failed"}),
         ),
-        record::<graph::OverPage>(
+        record::<graph::FinalPage>(
             "graph over page",
             json!({"n": [["n", 1, "d"], ["m", 2, "f"]], "f": [{"node": "m"}]}),
         ),
--- a/tests/world/graphs.rs
+++ b/tests/world/graphs.rs
@@ -6,9 +6,13 @@
 use oatloom_emulator::region::Region;
 use oatloom_emulator::worker::Broken;
 use oatloom_graph::answers::{GraphStatus, GraphView, NodeStatus};
-use oatloom_graph::ids::{GraphId, NodeIx};
-use oatloom_graph::records::{GraphKey, Page, Part, SESSIONS, SessionRecord, parse_key};
-use oatloom_graph::requests::{AddNodes, Ask, CreateGraph, Keyed, Look, OnFailure, OpenSession};
+use oatloom_graph::ids::{GraphId, NodeId};
+use oatloom_graph::records::{
+    GraphKey, GraphPart, Page, SESSIONS_PREFIX, SessionRecord, parse_key,
+};
+use oatloom_graph::requests::{
+    AddNodes, CreateGraph, GetGraph, GraphRequest, KeyedRequest, OnFailure, OpenSession,
+};
 use oatloom_protocol::reply::HttpReply;
 use oatloom_protocol::wire::{Change, JobStatus, Rank};
 use rand::seq::IndexedRandom;
@@ -42,7 +46,7 @@
     graph: GraphId,
     detached: bool,
     /// Requests still to be sent, in order; the first is in progress.
-    pending_requests: Vec<Ask>,
+    pending_requests: Vec<GraphRequest>,
     /// Requests in progress by number: when each was sent, and whether it is a heartbeat.
     in_flight: BTreeMap<u64, (u64, bool)>,
     next_request_at: u64,
@@ -61,8 +65,8 @@
     clients: Vec<Client>,
     last_request_id: u64,
     /// Nodes as stored in the state service, by graph.
-    nodes: BTreeMap<GraphId, BTreeMap<NodeIx, (String, Vec<NodeIx>)>>,
-    parts: BTreeMap<String, Part>,
+    nodes: BTreeMap<GraphId, BTreeMap<NodeId, (String, Vec<NodeId>)>>,
+    parts: BTreeMap<String, GraphPart>,
     /// Tasks that are durably done.
     durably_done: BTreeSet<(String, u32)>,
     /// Ended sessions, and when their end became durable.
@@ -124,7 +128,7 @@
                 },
                 detached,
             };
-            let mut pending_requests = vec![Ask::Open(open), Ask::Create(create)];
+            let mut pending_requests = vec![GraphRequest::Open(open), GraphRequest::Create(create)];
             pending_requests.extend(additions(graph, &key, failing, &mut rng));
             self.owning_sessions.extend((!detached).then(|| (graph, session.clone())));
             self.clients.push(Client {
@@ -174,7 +178,11 @@
             key,
             graph,
             detached: false,
-            pending_requests: vec![Ask::Open(open), Ask::Create(create), Ask::Add(graph, add)],
+            pending_requests: vec![
+                GraphRequest::Open(open),
+                GraphRequest::Create(create),
+                GraphRequest::Add(graph, add),
+            ],
             in_flight: BTreeMap::new(),
             next_request_at: 1_000,
             next_heartbeat_at: 1_000,
@@ -189,17 +197,17 @@
 
     /// Each job of a graph with the jobs that produce its inputs.
     pub fn input_jobs(&self) -> BTreeMap<String, BTreeSet<String>> {
-        let maker = |graph: GraphId, at: NodeIx| {
+        let maker = |graph: GraphId, at: NodeId| {
             let mut jobs = self.parts.keys();
             jobs.find(|job| (0..400).any(|task| self.node_of(job, task) == Some((graph, at))))
                 .cloned()
         };
         let inputs = |job: &String| {
-            let graph =
-                GraphId::of_job(&oatloom_protocol::ids::JobId::new(job)).map(|(graph, _)| graph);
+            let graph = GraphId::from_job_id(&oatloom_protocol::ids::JobId::new(job))
+                .map(|(graph, _)| graph);
             let nodes = self.parts[job].nodes.iter(400);
             let needs = nodes.filter_map(|at| Some(self.nodes.get(&graph?)?.get(&at)?.1.clone()));
-            let needs: Vec<NodeIx> = needs.flatten().collect();
+            let needs: Vec<NodeId> = needs.flatten().collect();
             needs.into_iter().filter_map(|at| maker(graph?, at)).collect()
         };
         self.parts.keys().map(|job| (job.clone(), inputs(job))).collect()
@@ -211,7 +219,7 @@
     }
 
     /// Requests to be sent now: client, number, node and content.
-    pub fn step(&mut self, now: u64) -> Vec<(usize, u64, usize, Ask)> {
+    pub fn step(&mut self, now: u64) -> Vec<(usize, u64, usize, GraphRequest)> {
         if self.clients.is_empty() {
             return Vec::new();
         }
@@ -223,7 +231,7 @@
                 continue;
             }
             client.in_flight.retain(|_, (sent, _)| now < *sent + RESPONSE_TIMEOUT_MS);
-            let mut ask = |client: &mut Client, heartbeat: bool, ask: Ask| {
+            let mut ask = |client: &mut Client, heartbeat: bool, ask: GraphRequest| {
                 self.last_request_id += 1;
                 client.in_flight.insert(self.last_request_id, (now, heartbeat));
                 // Rotates over the controllers, since two of three may be frozen for longer than a session's lease.
@@ -235,14 +243,14 @@
                     ask,
                 ));
             };
-            let keyed = Keyed { key: client.key.clone() };
+            let keyed = KeyedRequest { key: client.key.clone() };
             let has_in_flight = |client: &Client, heartbeat: bool| {
                 client.in_flight.values().any(|(_, b)| *b == heartbeat)
             };
             if client.open && now >= client.next_heartbeat_at && !has_in_flight(client, true) {
                 client.next_heartbeat_at = now + REQUEST_INTERVAL_MS;
                 let session = client.session.clone();
-                ask(client, true, Ask::Beat(session, keyed.clone()));
+                ask(client, true, GraphRequest::Heartbeat(session, keyed.clone()));
             }
             if now < client.next_request_at || has_in_flight(client, false) {
                 continue;
@@ -254,21 +262,21 @@
                 && client.open
             {
                 client.behavior = Behavior::Completes;
-                client.pending_requests.retain(|ask| matches!(ask, Ask::Create(_)));
+                client.pending_requests.retain(|ask| matches!(ask, GraphRequest::Create(_)));
                 let graph = client.graph;
-                client.pending_requests.push(Ask::Cancel(graph, keyed.clone()));
+                client.pending_requests.push(GraphRequest::Cancel(graph, keyed.clone()));
             }
             client.next_request_at = now + REQUEST_INTERVAL_MS;
             let request = match client.pending_requests.first() {
                 Some(request) => request.clone(),
                 None if client.final_status.is_none() => {
-                    let view = Look { after: client.cursor.clone(), most: 5 };
-                    Ask::Look(client.graph, view)
+                    let view = GetGraph { after: client.cursor.clone(), max_nodes: 5 };
+                    GraphRequest::GetGraph(client.graph, view)
                 }
-                None if client.open => Ask::Close(client.session.clone(), keyed),
-                None => Ask::Look(client.graph, Look::default()),
+                None if client.open => GraphRequest::Close(client.session.clone(), keyed),
+                None => GraphRequest::GetGraph(client.graph, GetGraph::default()),
             };
-            if matches!(request, Ask::Look(..)) && client.final_status.is_some() {
+            if matches!(request, GraphRequest::GetGraph(..)) && client.final_status.is_some() {
                 client.next_request_at = now + 9 * REQUEST_INTERVAL_MS;
             }
             ask(client, false, request);
@@ -306,7 +314,7 @@
                 if !ending {
                     fail(format!("{}: rejected with {status} {}", client.graph, reply.body));
                 }
-                client.pending_requests.retain(|ask| !matches!(ask, Ask::Add(..)));
+                client.pending_requests.retain(|ask| !matches!(ask, GraphRequest::Add(..)));
                 return;
             }
         }
@@ -350,7 +358,7 @@
             }
         }
         match client.pending_requests.first() {
-            Some(Ask::Open(_)) => client.open = true,
+            Some(GraphRequest::Open(_)) => client.open = true,
             None if client.final_status.is_some()
                 && client.open
                 && !reply.body.contains("\"graph\"") =>
@@ -379,7 +387,7 @@
                 Change::Put { key, value, .. } => (key, Some(value)),
                 Change::Delete { key } => (key, None),
             };
-            if let (Some(name), Some(value)) = (key.strip_prefix(SESSIONS), value) {
+            if let (Some(name), Some(value)) = (key.strip_prefix(SESSIONS_PREFIX), value) {
                 let record: SessionRecord =
                     serde_json::from_value(value.clone()).expect("a record");
                 if record.ended {
@@ -389,7 +397,7 @@
                 let page: Page = serde_json::from_value(value.clone()).expect("a page");
                 let nodes = self.nodes.entry(graph).or_default();
                 for (at, (name, _, _, needs)) in (page.first.0..).zip(page.nodes) {
-                    nodes.insert(NodeIx(at), (name, needs));
+                    nodes.insert(NodeId(at), (name, needs));
                 }
             } else if let (Some(job), Some(value)) = (key.strip_prefix("live/"), value) {
                 let record: LiveRecord = serde_json::from_value(value.clone()).expect("a record");
@@ -418,34 +426,35 @@
         }
     }
 
-    fn record_part(&mut self, job: &str, part: Part, region: &mut Region) {
-        let Some((graph, _)) = GraphId::of_job(&oatloom_protocol::ids::JobId::new(job)) else {
+    fn record_part(&mut self, job: &str, part: GraphPart, region: &mut Region) {
+        let Some((graph, _)) = GraphId::from_job_id(&oatloom_protocol::ids::JobId::new(job)) else {
             return;
         };
         let nodes = self.nodes.get(&graph);
         let bad =
-            |at: NodeIx| nodes.and_then(|n| n.get(&at)).is_some_and(|n| n.0.starts_with("bad"));
+            |at: NodeId| nodes.and_then(|n| n.get(&at)).is_some_and(|n| n.0.starts_with("bad"));
         let broken = (0u32..).zip(part.nodes.iter(10_000)).find(|(_, at)| bad(*at));
         if let Some((task, _)) = broken {
-            let broken = if part.batch() { Broken::Task(task) } else { Broken::Always };
+            let broken = if part.is_batch() { Broken::Task(task) } else { Broken::Always };
             region.outside.broken.insert(job.to_owned(), broken);
         }
         self.parts.insert(job.to_owned(), part);
     }
 
-    fn node_of(&self, job: &str, task: u32) -> Option<(GraphId, NodeIx)> {
-        let (graph, _) = GraphId::of_job(&oatloom_protocol::ids::JobId::new(job))?;
+    fn node_of(&self, job: &str, task: u32) -> Option<(GraphId, NodeId)> {
+        let (graph, _) = GraphId::from_job_id(&oatloom_protocol::ids::JobId::new(job))?;
         Some((graph, self.parts.get(job)?.node(task)?))
     }
 
     /// Whether a node is durably done.
-    fn is_done(&self, graph: GraphId, at: NodeIx) -> bool {
+    fn is_done(&self, graph: GraphId, at: NodeId) -> bool {
         self.parts.iter().any(|(job, part)| {
-            let (of, _) = GraphId::of_job(&oatloom_protocol::ids::JobId::new(job)).expect("a job");
+            let (of, _) =
+                GraphId::from_job_id(&oatloom_protocol::ids::JobId::new(job)).expect("a job");
             let task = (0u32..).zip(part.nodes.iter(10_000)).find(|(_, node)| *node == at);
             let Some((task, _)) = task.filter(|_| of == graph) else { return false };
             let whole = self.durably_done.contains(&(job.clone(), u32::MAX));
-            whole || part.batch() && self.durably_done.contains(&(job.clone(), task))
+            whole || part.is_batch() && self.durably_done.contains(&(job.clone(), task))
         })
     }
 
@@ -472,7 +481,7 @@
                 self.violations
                     .push(format!("{now} ms {graph} {name} runs twice: {task:?}, {other:?}"));
             }
-            if self.is_done(graph, at) && self.parts[&task.job].batch() {
+            if self.is_done(graph, at) && self.parts[&task.job].is_batch() {
                 self.violations.push(format!(
                     "{now} ms {graph} {name} starts again though it is done: {task:?}"
                 ));
@@ -524,14 +533,14 @@
                 }
             }
         }
-        for key in stored(SESSIONS) {
+        for key in stored(SESSIONS_PREFIX) {
             fail(format!("{key} is still stored"));
         }
     }
 }
 
 /// A graph in several additions: layers of nodes, each of which needs some of the earlier ones.
-fn additions(graph: GraphId, key: &str, failing: bool, rng: &mut ChaCha8Rng) -> Vec<Ask> {
+fn additions(graph: GraphId, key: &str, failing: bool, rng: &mut ChaCha8Rng) -> Vec<GraphRequest> {
     let mut names: Vec<String> = Vec::new();
     let count = rng.random_range(1..5);
     let mut requests = Vec::new();
@@ -565,7 +574,7 @@
             serde_json::from_value(json!({"key": key, "addition": format!("add-{n}"),
             "kinds": kinds(), "nodes": nodes, "seal": n + 1 == count}))
             .expect("an addition");
-        requests.push(Ask::Add(graph, add));
+        requests.push(GraphRequest::Add(graph, add));
     }
     requests
 }
