--- a/crates/emulator/src/checker.rs
+++ b/crates/emulator/src/checker.rs
@@ -1,11 +1,11 @@
-//! The rules of the protocol, checked after every step of a simulated day.
+//! Checks the rules of the protocol against what machines and users observe during a simulated day.
 
 mod dependencies;
 
 use oatloom_protocol::wire::{ExitCause, JobSpec, JobStatus, Order, Shape};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// A task on a machine: from the moment it has its image until it has exited or is killed.
+/// A task on a machine, from the moment its image is fetched until it exits or is killed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct OnMachine {
     pub job: String,
@@ -13,6 +13,7 @@
     pub host: String,
 }
 
+/// Type, zone and price kind of a machine.
 #[derive(Clone, Debug)]
 pub struct Place {
     pub flavor: String,
@@ -23,55 +24,63 @@
 /// Job, task and attempt.
 pub type Start = (String, u32, u64);
 
-/// What one job's user has been told.
+/// What the user of one job has observed.
 #[derive(Default)]
-struct Told {
+struct ClientView {
     accepted: bool,
     accepted_at: u64,
-    over: Option<JobStatus>,
-    over_at: u64,
-    cancel_asked: bool,
+    final_status: Option<JobStatus>,
+    final_status_at: u64,
+    cancel_requested: bool,
     cancelled_at: Option<u64>,
 }
 
-/// How often a task, or a gang, has failed.
+/// Failures of one task, or of one gang.
 #[derive(Clone, Debug, Default)]
-struct Errors {
-    /// Attempts that failed by its own doing, and whether they did so on a faulty machine, which may excuse them.
-    own: BTreeMap<u64, bool>,
-    /// Those that a controller has certainly heard of: it had them forgotten.
-    heard: BTreeSet<u64>,
-    /// When it failed once more than its class allows.
-    spent_at: Option<u64>,
+struct TaskFailures {
+    /// Attempts that failed through a fault of the job, and whether the machine was faulty too, in which case
+    /// the failure need not count.
+    failed_attempts: BTreeMap<u64, bool>,
+    /// Attempts whose failure a controller is known to have recorded, because it ordered the worker to forget
+    /// them.
+    recorded: BTreeSet<u64>,
+    /// When it failed once more than its class allows retries.
+    exhausted_at: Option<u64>,
 }
 
+/// Records the events of a simulated region and the violations of the rules.
 pub struct Checker {
+    /// One text for each violation: the time in seconds, the name of the rule, and the details.
     pub broken: Vec<String>,
-    /// Tasks that had the time to save when they were stopped.
+    /// Number of stopped tasks that saved their progress before exiting.
     pub saved: u64,
+    /// Number of task starts.
     pub starts: usize,
-    /// How often tasks of a class may be repeated; a class that is not named may fail for ever.
+    /// Allowed retries of a task, by class; classes that are missing here have no limit.
     pub repeats: HashMap<String, u32>,
-    /// From the last failure that was allowed to the first time that a user was told `failed`, in milliseconds.
+    /// For each failed job, the time from the failure that exceeded the limit until its user first saw
+    /// `failed`, in milliseconds.
     pub refused_ms: Vec<u64>,
-    /// The longest that a job was called open after its user was told that a job before it is cancelled, in milliseconds.
+    /// Longest time for which a job was still reported as open after its user had seen one of its
+    /// dependencies cancelled, in milliseconds.
     pub orphaned_ms: u64,
-    /// How attempts ended, by machine, job, task and attempt: the cause, and for how long they ran, in milliseconds.
+    /// Exit cause and run time in milliseconds of each ended attempt, by machine, job, task and attempt.
     pub exits: BTreeMap<(String, Start), (ExitCause, u64)>,
-    /// Tasks that came onto machines since this was last taken, where somebody takes it.
+    /// Tasks that started on machines since this list was last emptied; `None` if the caller does not collect
+    /// them.
     pub begun: Option<Vec<OnMachine>>,
-    errors: BTreeMap<(String, u32), Errors>,
+    failures: BTreeMap<(String, u32), TaskFailures>,
     limits: HashMap<String, Limit>,
-    cancel_ms: u64,
+    cancel_timeout_ms: u64,
     specs: HashMap<String, JobSpec>,
-    told: HashMap<String, Told>,
+    client_views: HashMap<String, ClientView>,
     done: HashMap<String, BTreeSet<u32>>,
-    on: BTreeMap<OnMachine, Place>,
-    /// Cores and GPUs that each team's tasks on machines take, in thousandths, so that sums are exact.
-    used: HashMap<String, [i64; 2]>,
+    tasks_on_machines: BTreeMap<OnMachine, Place>,
+    /// Cores and GPUs used by each team's tasks on machines, in thousandths, so that sums are exact.
+    team_usage: HashMap<String, [i64; 2]>,
 }
 
-/// The most that a team's tasks may take at once; 0: no limit.
+/// Limit on the cores and GPUs that a team's tasks may use at once; 0 means no limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Limit {
     pub cpus: f64,
@@ -79,23 +88,23 @@
 }
 
 impl Limit {
-    /// Of GPUs alone.
+    /// A limit on GPUs only.
     pub fn gpus(gpus: f64) -> Self {
         Self { cpus: 0.0, gpus }
     }
 }
 
-fn thousandths(amount: f64) -> i64 {
+fn to_thousandths(amount: f64) -> i64 {
     (amount * 1e3).round() as i64
 }
 
-/// Cores and GPUs of a task.
-fn amounts(spec: &JobSpec) -> [i64; 2] {
-    [thousandths(spec.cpus), thousandths(spec.gpus)]
+/// Cores and GPUs that a task of the job needs, in thousandths.
+fn resource_needs(spec: &JobSpec) -> [i64; 2] {
+    [to_thousandths(spec.cpus), to_thousandths(spec.gpus)]
 }
 
 impl Checker {
-    pub fn new(limits: HashMap<String, Limit>, cancel_ms: u64) -> Self {
+    pub fn new(limits: HashMap<String, Limit>, cancel_timeout_ms: u64) -> Self {
         Self {
             broken: Vec::new(),
             saved: 0,
@@ -105,118 +114,150 @@
             orphaned_ms: 0,
             exits: BTreeMap::new(),
             begun: None,
-            errors: BTreeMap::new(),
+            failures: BTreeMap::new(),
             limits,
-            cancel_ms,
+            cancel_timeout_ms,
             specs: HashMap::new(),
-            told: HashMap::new(),
+            client_views: HashMap::new(),
             done: HashMap::new(),
-            on: BTreeMap::new(),
-            used: HashMap::new(),
+            tasks_on_machines: BTreeMap::new(),
+            team_usage: HashMap::new(),
         }
     }
 
-    /// A rule is broken.
+    /// Records the violation of a rule.
     pub fn fail(&mut self, now: u64, rule: &str, text: String) {
         self.broken.push(format!("{:.3} s {rule}: {text}", now as f64 / 1000.0));
     }
 
+    /// A user has submitted a job.
     pub fn submitted(&mut self, spec: &JobSpec) {
         self.specs.insert(spec.id.to_string(), spec.clone());
     }
 
+    /// A user has requested the cancellation of a job.
     pub fn cancel_asked(&mut self, job: &str) {
-        self.told.entry(job.into()).or_default().cancel_asked = true;
+        self.client_views.entry(job.into()).or_default().cancel_requested = true;
     }
 
+    /// A worker has completed a task.
     pub fn task_done(&mut self, job: &str, index: u32) {
         self.done.entry(job.into()).or_default().insert(index);
     }
 
-    /// A task ends by an error: by its own doing, its machine's, or both. A gang's attempt counts once.
-    pub fn errored(&mut self, now: u64, task: &OnMachine, attempt: u64, own: bool, machine: bool) {
-        let allowed = self.allowed(&task.job);
-        let unit = self.unit(&task.job, task.index);
-        let errors = self.errors.entry((task.job.clone(), unit)).or_default();
-        if !own {
+    /// A task has ended with an error, caused by the job, by the machine, or by both. An attempt of a gang
+    /// counts once.
+    pub fn record_error(
+        &mut self,
+        now: u64,
+        task: &OnMachine,
+        attempt: u64,
+        is_job_fault: bool,
+        is_machine_fault: bool,
+    ) {
+        let max_retries = self.allowed_retries(&task.job);
+        let failure_index = self.failure_index(&task.job, task.index);
+        let failures = self.failures.entry((task.job.clone(), failure_index)).or_default();
+        if !is_job_fault {
             return;
         }
-        *errors.own.entry(attempt).or_default() |= machine;
-        let alone = errors.own.values().filter(|machine| !**machine).count();
-        if allowed.is_some_and(|allowed| alone > allowed as usize) {
-            errors.spent_at.get_or_insert(now);
+        *failures.failed_attempts.entry(attempt).or_default() |= is_machine_fault;
+        let counted = failures
+            .failed_attempts
+            .values()
+            .filter(|is_machine_fault| !**is_machine_fault)
+            .count();
+        if max_retries.is_some_and(|max_retries| counted > max_retries as usize) {
+            failures.exhausted_at.get_or_insert(now);
         }
     }
 
-    /// A controller has an ended task forgotten: it has heard of its end, and kept it. Guards against counting
-    /// failures that nobody can know of, since their machine was lost before it said so.
+    /// A controller has ordered a worker to forget an ended task, so it has recorded the end. Only recorded
+    /// failures are checked here against the allowed retries: a machine that is lost before it reports leaves
+    /// failures that no controller can know about.
     pub fn forgotten(&mut self, now: u64, job: &str, index: u32, attempt: u64) {
-        let Some(allowed) = self.allowed(job) else { return };
-        let Some(errors) = self.errors.get_mut(&(job.to_owned(), self.unit(job, index))) else {
+        let Some(max_retries) = self.allowed_retries(job) else { return };
+        let Some(failures) =
+            self.failures.get_mut(&(job.to_owned(), self.failure_index(job, index)))
+        else {
             return;
         };
-        if errors.own.get(&attempt) == Some(&false)
-            && errors.heard.insert(attempt)
-            && errors.heard.len() > allowed as usize + 1
+        if failures.failed_attempts.get(&attempt) == Some(&false)
+            && failures.recorded.insert(attempt)
+            && failures.recorded.len() > max_retries as usize + 1
         {
-            let text =
-                format!("{job}/{index} failed {} times, {allowed} repeats", errors.heard.len());
+            let text = format!(
+                "{job}/{index} failed {} times, {max_retries} retries allowed",
+                failures.recorded.len()
+            );
             self.fail(now, "repeats", text);
         }
     }
 
-    /// Failures of tasks by their own doing of which controllers have certainly heard, by job and task.
+    /// Number of failures caused by the job that controllers are known to have recorded, by job and task.
     pub fn heard_failures(&self) -> impl Iterator<Item = (&str, u32, usize)> {
-        self.errors.iter().map(|((job, index), errors)| (job.as_str(), *index, errors.heard.len()))
+        self.failures
+            .iter()
+            .map(|((job, index), failures)| (job.as_str(), *index, failures.recorded.len()))
     }
 
-    /// Under which of a job's tasks its failures are counted: those of a gang under its first.
-    fn unit(&self, job: &str, index: u32) -> u32 {
+    /// Index under which failures of a task are counted: its own, or 0 for the tasks of a gang.
+    fn failure_index(&self, job: &str, index: u32) -> u32 {
         let gang = self.specs.get(job).is_some_and(|spec| spec.shape == Shape::Gang);
         if gang { 0 } else { index }
     }
 
-    /// An attempt has ended on its machine, after so many milliseconds in which it ran.
-    pub fn exited(&mut self, host: &str, key: &Start, cause: ExitCause, ran: u64) {
-        self.exits.insert((host.to_owned(), key.clone()), (cause, ran));
+    /// An attempt has ended on its machine after running for `ran_ms` milliseconds.
+    pub fn record_exit(&mut self, host: &str, key: &Start, cause: ExitCause, ran_ms: u64) {
+        self.exits.insert((host.to_owned(), key.clone()), (cause, ran_ms));
     }
 
-    /// How often tasks of a job may be repeated, if that is limited.
-    fn allowed(&self, job: &str) -> Option<u32> {
+    /// Allowed retries of the tasks of a job; `None` means no limit.
+    fn allowed_retries(&self, job: &str) -> Option<u32> {
         self.repeats.get(&self.specs.get(job)?.class).copied()
     }
 
-    /// Whether a task of a job, or the gang, failed once more often than its class allows, on whichever machines.
-    fn has_spent_repeats(&self, job: &str) -> bool {
-        let Some(allowed) = self.allowed(job) else { return false };
-        let units = (job.to_owned(), 0)..=(job.to_owned(), u32::MAX);
-        self.errors.range(units).any(|(_, errors)| errors.own.len() > allowed as usize)
+    /// Whether a task of the job, or the gang, has failed more often than its class allows retries, counting
+    /// failures on all machines.
+    fn has_exhausted_retries(&self, job: &str) -> bool {
+        let Some(max_retries) = self.allowed_retries(job) else { return false };
+        let indexes = (job.to_owned(), 0)..=(job.to_owned(), u32::MAX);
+        self.failures
+            .range(indexes)
+            .any(|(_, failures)| failures.failed_attempts.len() > max_retries as usize)
     }
 
-    /// A user was told for the first time that a job has failed.
-    fn told_failed(&mut self, now: u64, job: &str) {
-        let units = (job.to_owned(), 0)..=(job.to_owned(), u32::MAX);
-        let errors: Vec<Errors> =
-            self.errors.range(units).map(|(_, errors)| errors.clone()).collect();
-        let allowed = self.allowed(job);
-        if !self.has_spent_repeats(job) {
-            let text = format!("{job} was refused for others' faults: {errors:?} of {allowed:?}");
+    /// A user has seen for the first time that a job has failed.
+    fn check_failure(&mut self, now: u64, job: &str) {
+        let indexes = (job.to_owned(), 0)..=(job.to_owned(), u32::MAX);
+        let failures: Vec<TaskFailures> =
+            self.failures.range(indexes).map(|(_, failures)| failures.clone()).collect();
+        let max_retries = self.allowed_retries(job);
+        if !self.has_exhausted_retries(job) {
+            let text = format!(
+                "{job} failed with retries left: {failures:?}, {max_retries:?} retries allowed"
+            );
             self.fail(now, "repeats", text);
         }
-        self.refused_ms.extend(errors.iter().filter_map(|e| e.spent_at).min().map(|at| now - at));
-        if let Some(task) = self.on.keys().find(|task| task.job == job) {
+        self.refused_ms
+            .extend(failures.iter().filter_map(|unit| unit.exhausted_at).min().map(|at| now - at));
+        if let Some(task) = self.tasks_on_machines.keys().find(|task| task.job == job) {
             let text = format!("{task:?} is on a machine");
             self.fail(now, "failed_early", text);
         }
     }
 
+    /// Final status that the user of a job has seen.
     pub fn over(&self, job: &str) -> Option<JobStatus> {
-        self.told.get(job).and_then(|t| t.over)
+        self.client_views.get(job).and_then(|view| view.final_status)
     }
 
-    /// When a user was first told of a job's end.
+    /// When the user first saw a final status of a job.
     pub fn over_at(&self, job: &str) -> Option<u64> {
-        self.told.get(job).filter(|told| told.over.is_some()).map(|told| told.over_at)
+        self.client_views
+            .get(job)
+            .filter(|view| view.final_status.is_some())
+            .map(|view| view.final_status_at)
     }
 
     /// Whether a task has completed.
@@ -229,124 +270,138 @@
         self.done.get(job).map_or(0, |done| done.len() as u32)
     }
 
-    /// Tasks that are on machines.
+    /// Tasks that are on machines now.
     pub fn on_machines(&self) -> impl Iterator<Item = &OnMachine> {
-        self.on.keys()
+        self.tasks_on_machines.keys()
     }
 
+    /// Whether all tasks of a job have completed.
     pub fn all_done(&self, job: &str) -> bool {
-        let tasks = self.specs.get(job).map_or(0, |s| s.tasks as usize);
-        self.done.get(job).map_or(0, |d| d.len()) >= tasks
+        let tasks = self.specs.get(job).map_or(0, |spec| spec.tasks as usize);
+        self.done.get(job).map_or(0, |done| done.len()) >= tasks
     }
 
+    /// A task starts on a machine: checks placement, dependencies, final status and quota.
     pub fn started(&mut self, now: u64, task: OnMachine, place: Place) {
         self.starts += 1;
         let Some(spec) = self.specs.get(&task.job).cloned() else { return };
         let first = OnMachine { job: task.job.clone(), index: 0, host: String::new() };
         let siblings: Vec<(OnMachine, Place)> = self
-            .on
+            .tasks_on_machines
             .range(first..)
-            .take_while(|(o, _)| o.job == task.job)
-            .map(|(o, p)| (o.clone(), p.clone()))
+            .take_while(|(other, _)| other.job == task.job)
+            .map(|(other, other_place)| (other.clone(), other_place.clone()))
             .collect();
-        let twice = |o: &&OnMachine| o.index == task.index && o.host != task.host;
-        if let Some(other) = siblings.iter().map(|(o, _)| o).find(twice) {
+        let is_duplicate =
+            |other: &&OnMachine| other.index == task.index && other.host != task.host;
+        if let Some(other) = siblings.iter().map(|(other, _)| other).find(is_duplicate) {
             let text = format!("{}/{} on {} and {}", task.job, task.index, other.host, task.host);
             self.fail(now, "ran_twice", text);
         }
-        let here = siblings.iter().filter(|(_, p)| p.zone == place.zone).count() as u32 + 1;
-        let elsewhere = siblings.iter().any(|(_, p)| p.zone != place.zone);
-        let wrong = spec.flavors.as_ref().is_some_and(|f| !f.contains(&place.flavor))
-            || spec.zone.as_ref().is_some_and(|z| z.as_str() != place.zone)
-            || (place.spot && !spec.spot)
-            || (spec.one_zone && elsewhere)
-            || (spec.spread && here > spec.tasks.div_ceil(2));
-        if wrong {
+        let in_zone_count =
+            siblings.iter().filter(|(_, other)| other.zone == place.zone).count() as u32 + 1;
+        let is_elsewhere = siblings.iter().any(|(_, other)| other.zone != place.zone);
+        let is_misplaced =
+            spec.flavors.as_ref().is_some_and(|flavors| !flavors.contains(&place.flavor))
+                || spec.zone.as_ref().is_some_and(|zone| zone.as_str() != place.zone)
+                || (place.spot && !spec.spot)
+                || (spec.one_zone && is_elsewhere)
+                || (spec.spread && in_zone_count > spec.tasks.div_ceil(2));
+        if is_misplaced {
             let text = format!("{task:?} at {place:?}, {siblings:?}, {spec:?}");
             self.fail(now, "wrong_place", text);
         }
-        self.check_not_early(now, &spec, &task);
+        self.check_dependencies_done(now, &spec, &task);
         if self.over(&task.job) == Some(JobStatus::Failed) {
             self.fail(now, "failed_early", format!("{task:?} starts"));
         }
-        let late = self
-            .told
+        let is_late = self
+            .client_views
             .get(&task.job)
-            .and_then(|t| t.cancelled_at)
-            .is_some_and(|at| now > at + self.cancel_ms);
-        if late {
+            .and_then(|view| view.cancelled_at)
+            .is_some_and(|at| now > at + self.cancel_timeout_ms);
+        if is_late {
             self.fail(now, "ran_cancelled", format!("{task:?} starts"));
         }
         if let Some(begun) = &mut self.begun {
             begun.push(task.clone());
         }
-        let used = self.used.entry(spec.team.clone()).or_default();
-        if self.on.insert(task, place).is_none() {
-            used.iter_mut().zip(amounts(&spec)).for_each(|(used, more)| *used += more);
+        let used = self.team_usage.entry(spec.team.clone()).or_default();
+        if self.tasks_on_machines.insert(task, place).is_none() {
+            used.iter_mut().zip(resource_needs(&spec)).for_each(|(used, need)| *used += need);
         }
         let [cpus, gpus] = *used;
         let limit = self.limits.get(&spec.team).copied().unwrap_or_default();
-        for (what, used, most) in [("cores", cpus, limit.cpus), ("GPUs", gpus, limit.gpus)] {
-            if most > 0.0 && used > thousandths(most) {
-                let text = format!("{} uses {} {what} of {most}", spec.team, used as f64 / 1e3);
+        for (resource, used, max) in [("cores", cpus, limit.cpus), ("GPUs", gpus, limit.gpus)] {
+            if max > 0.0 && used > to_thousandths(max) {
+                let text = format!("{} uses {} {resource} of {max}", spec.team, used as f64 / 1e3);
                 self.fail(now, "quota", text);
             }
         }
     }
 
+    /// A task is no longer on its machine.
     pub fn ended(&mut self, task: &OnMachine) {
-        if self.on.remove(task).is_some()
+        if self.tasks_on_machines.remove(task).is_some()
             && let Some(spec) = self.specs.get(&task.job)
-            && let Some(used) = self.used.get_mut(&spec.team)
+            && let Some(used) = self.team_usage.get_mut(&spec.team)
         {
-            used.iter_mut().zip(amounts(spec)).for_each(|(used, less)| *used -= less);
+            used.iter_mut().zip(resource_needs(spec)).for_each(|(used, need)| *used -= need);
         }
     }
 
-    /// To be called now and then: what must be gone by now.
+    /// Reports tasks of cancelled jobs that are still on machines after the cancel timeout. To be called
+    /// periodically.
     pub fn look(&mut self, now: u64) {
-        let late: Vec<OnMachine> = self
-            .on
+        let overdue: Vec<OnMachine> = self
+            .tasks_on_machines
             .keys()
-            .filter(|o| {
-                self.told
-                    .get(&o.job)
-                    .and_then(|t| t.cancelled_at)
-                    .is_some_and(|at| now > at + self.cancel_ms)
+            .filter(|task| {
+                self.client_views
+                    .get(&task.job)
+                    .and_then(|view| view.cancelled_at)
+                    .is_some_and(|at| now > at + self.cancel_timeout_ms)
             })
             .cloned()
             .collect();
-        for task in late {
-            self.fail(now, "ran_cancelled", format!("{task:?} is still there"));
+        for task in overdue {
+            self.fail(now, "ran_cancelled", format!("{task:?} is still on its machine"));
             self.ended(&task);
         }
     }
 
-    /// Orders leave a controller: none starts a task of a job whose user has been told that it is cancelled or done,
-    /// whichever way they still have to go.
+    /// A controller sends orders: none may start a task of a job whose user has already seen a final status,
+    /// however long the orders are on their way.
     pub fn ordered(&mut self, now: u64, orders: &[Order]) {
         for order in orders {
             let Order::Run { task, .. } = order else { continue };
             let job = task.rsplit_once('/').map_or(task.as_str(), |(job, _)| job);
-            if let Some(over) = self.over(job) {
-                self.fail(now, "ordered", format!("{task} is to run, its user was told {over:?}"));
+            if let Some(final_status) = self.over(job) {
+                self.fail(
+                    now,
+                    "ordered",
+                    format!("{task} is to run, its user has seen {final_status:?}"),
+                );
             }
         }
     }
 
-    /// A user was answered what was asked at `asked`. Answers to questions put before the user was told that the job is
-    /// accepted, or of its end, may cross that on their way, whichever node they come from.
+    /// A user has received the answer to a request sent at `asked_at`. An answer to a request sent before the
+    /// user saw the job accepted, or its final status, may be out of order, whichever node it comes from.
     pub fn answered(
         &mut self,
         now: u64,
-        asked: u64,
+        asked_at: u64,
         job: &str,
         status: u16,
         body: &str,
         submission: bool,
     ) {
         let known = self.specs.contains_key(job);
-        let accepted = self.told.get(job).is_some_and(|t| t.accepted && asked >= t.accepted_at);
+        let accepted = self
+            .client_views
+            .get(job)
+            .is_some_and(|view| view.accepted && asked_at >= view.accepted_at);
         if accepted && (status == 404 || submission && matches!(status, 400 | 422)) {
             self.fail(now, "forgotten", format!("{job} got {status}"));
         }
@@ -358,43 +413,44 @@
             return;
         }
         let value: serde_json::Value = serde_json::from_str(body).unwrap_or_default();
-        let Ok(said) = serde_json::from_value::<JobStatus>(value["status"].clone()) else {
+        let Ok(status_seen) = serde_json::from_value::<JobStatus>(value["status"].clone()) else {
             self.fail(now, "answer", format!("{job}: {body}"));
             return;
         };
-        if said == JobStatus::Done && !self.all_done(job) {
+        if status_seen == JobStatus::Done && !self.all_done(job) {
             self.fail(now, "not_done", job.into());
         }
         let may_be_cancelled = self.may_be_cancelled(job);
-        let told = self.told.entry(job.into()).or_default();
-        if !told.accepted {
-            (told.accepted, told.accepted_at) = (true, now);
+        let view = self.client_views.entry(job.into()).or_default();
+        if !view.accepted {
+            (view.accepted, view.accepted_at) = (true, now);
         }
-        // Two different ends cannot have crossed: one of them was never true.
-        let back = told.over.is_some_and(|over| over != said)
-            && (asked >= told.over_at || said.is_final());
-        let unasked = said == JobStatus::Cancelled && !may_be_cancelled;
-        let before = told.over;
-        let ends = said.is_final() && told.over.is_none();
-        let failed = ends && said == JobStatus::Failed;
-        if said.is_final() && told.over.is_none() {
-            told.over = Some(said);
-            told.over_at = now;
-            if said == JobStatus::Cancelled {
-                told.cancelled_at = Some(now);
+        // Two different final statuses cannot come from reordered answers: one of them was never true.
+        let is_contradiction =
+            view.final_status.is_some_and(|final_status| final_status != status_seen)
+                && (asked_at >= view.final_status_at || status_seen.is_final());
+        let is_uncancelled = status_seen == JobStatus::Cancelled && !may_be_cancelled;
+        let previous = view.final_status;
+        let is_first_final = status_seen.is_final() && view.final_status.is_none();
+        let is_first_failure = is_first_final && status_seen == JobStatus::Failed;
+        if status_seen.is_final() && view.final_status.is_none() {
+            view.final_status = Some(status_seen);
+            view.final_status_at = now;
+            if status_seen == JobStatus::Cancelled {
+                view.cancelled_at = Some(now);
             }
         }
-        if failed {
-            self.told_failed(now, job);
+        if is_first_failure {
+            self.check_failure(now, job);
         }
-        if ends {
-            self.check_agrees(now, job, said);
+        if is_first_final {
+            self.check_final_statuses(now, job, status_seen);
         }
-        if matches!(said, JobStatus::Queued | JobStatus::Running) {
-            self.check_not_orphaned(now, asked, job);
+        if matches!(status_seen, JobStatus::Queued | JobStatus::Running) {
+            self.check_not_orphaned(now, asked_at, job);
         }
-        if back || unasked {
-            self.fail(now, "went_back", format!("{job} was {before:?}, is {said:?}"));
+        if is_contradiction || is_uncancelled {
+            self.fail(now, "went_back", format!("{job} was {previous:?}, is {status_seen:?}"));
         }
     }
 }
--- a/crates/emulator/src/checker/dependencies.rs
+++ b/crates/emulator/src/checker/dependencies.rs
@@ -1,98 +1,119 @@
-//! Rules about jobs that need other jobs: none starts too early, none is orphaned, and all of a pipeline end alike.
+//! Rules about jobs that depend on other jobs: none starts before its dependencies are done, none stays open
+//! after a dependency is cancelled, and the final statuses of a pipeline are consistent.
 
-use super::{Checker, OnMachine, Told};
+use super::{Checker, ClientView, OnMachine};
 use oatloom_protocol::wire::{JobSpec, JobStatus};
 use std::collections::BTreeSet;
 
 impl Checker {
-    /// A task starts: every job that its job needs is done by then, as workers completed their tasks.
-    pub(super) fn check_not_early(&mut self, now: u64, spec: &JobSpec, task: &OnMachine) {
-        let open = spec.dependencies.iter().find(|id| !self.all_done(id.as_str()));
-        if let Some(open) = open {
-            self.fail(now, "too_early", format!("{task:?} starts, it needs {open}"));
+    /// A task starts: workers must have completed all tasks of the jobs that its job depends on.
+    pub(super) fn check_dependencies_done(&mut self, now: u64, spec: &JobSpec, task: &OnMachine) {
+        let incomplete = spec.dependencies.iter().find(|id| !self.all_done(id.as_str()));
+        if let Some(incomplete) = incomplete {
+            self.fail(now, "too_early", format!("{task:?} starts, it depends on {incomplete}"));
         }
     }
 
-    /// Whether a job's end as cancelled can be true: its user cancelled it, or a job that it needs, directly or through
-    /// others, may have ended as cancelled or failed.
+    /// Whether a job may be shown as cancelled: its user requested it , or a direct or indirect dependency
+    /// may have
+    /// been cancelled or have failed.
     pub(super) fn may_be_cancelled(&self, job: &str) -> bool {
-        let asked = |job: &str| self.told.get(job).is_some_and(|told| told.cancel_asked);
-        asked(job)
+        let is_cancel_requested =
+            |job: &str| self.client_views.get(job).is_some_and(|view| view.cancel_requested);
+        is_cancel_requested(job)
             || self.ancestors(job).any(|id| {
                 let done = self.over(id) == Some(JobStatus::Done);
-                !done && (asked(id) || self.has_spent_repeats(id))
+                !done && (is_cancel_requested(id) || self.has_exhausted_retries(id))
             })
     }
 
-    /// When the user was first told that a job which this one needs, directly or through others, is cancelled.
-    pub fn cancelled_before(&self, job: &str) -> Option<u64> {
-        self.ancestors(job).filter_map(|id| self.told.get(id)?.cancelled_at).min()
+    /// When the user first saw a direct or indirect dependency of this job as cancelled.
+    pub fn ancestor_cancelled_at(&self, job: &str) -> Option<u64> {
+        self.ancestors(job).filter_map(|id| self.client_views.get(id)?.cancelled_at).min()
     }
 
-    /// Jobs that a job needs, directly or through others.
+    /// Direct and indirect dependencies of a job.
     fn ancestors<'a>(&'a self, job: &'a str) -> impl Iterator<Item = &'a str> {
         let mut seen: BTreeSet<&str> = BTreeSet::new();
-        let mut open = vec![job];
+        let mut pending = vec![job];
         std::iter::from_fn(move || {
-            let id = open.pop()?;
-            let needs = self.specs.get(id).map_or(&[][..], |spec| &spec.dependencies);
-            open.extend(needs.iter().map(|need| need.as_str()).filter(|need| seen.insert(need)));
+            let id = pending.pop()?;
+            let dependencies = self.specs.get(id).map_or(&[][..], |spec| &spec.dependencies);
+            pending.extend(
+                dependencies
+                    .iter()
+                    .map(|dependency| dependency.as_str())
+                    .filter(|dependency| seen.insert(dependency)),
+            );
             Some(id)
         })
         .skip(1)
     }
 
-    /// A user was told that a job is open, as asked at `asked`: not for too long after a job before it was cancelled. Of
-    /// a job accepted later than that the time counts from its acceptance.
-    pub(super) fn check_not_orphaned(&mut self, now: u64, asked: u64, job: &str) {
-        let Some(cancelled_at) = self.cancelled_before(job) else { return };
-        let accepted_at = self.told.get(job).map_or(0, |told| told.accepted_at);
+    /// A request sent at `asked_at` showed a job as open: this is allowed only for a limited time after a
+    /// dependency was cancelled. For a job that was accepted after that, the time counts from its acceptance.
+    pub(super) fn check_not_orphaned(&mut self, now: u64, asked_at: u64, job: &str) {
+        let Some(cancelled_at) = self.ancestor_cancelled_at(job) else { return };
+        let accepted_at = self.client_views.get(job).map_or(0, |view| view.accepted_at);
         let since = cancelled_at.max(accepted_at);
-        self.orphaned_ms = self.orphaned_ms.max(asked.saturating_sub(since));
-        if asked > since + self.cancel_ms {
-            let text = format!("{job} is open, a job before it was cancelled at {cancelled_at} ms");
+        self.orphaned_ms = self.orphaned_ms.max(asked_at.saturating_sub(since));
+        if asked_at > since + self.cancel_timeout_ms {
+            let text = format!("{job} is open, a dependency was cancelled at {cancelled_at} ms");
             self.fail(now, "orphaned", text);
         }
     }
 
-    /// A user was told of a job's end for the first time: it agrees with the ends told of jobs before and after it.
-    pub(super) fn check_agrees(&mut self, now: u64, job: &str, end: JobStatus) {
-        let needs = self.specs.get(job).map_or(&[][..], |spec| &spec.dependencies);
-        let unmet = |id: &&str| self.over(id).is_some_and(|over| over != JobStatus::Done);
-        let before = needs.iter().map(|id| id.as_str()).find(unmet).map(str::to_owned);
-        let after = self.dependents_told(job, end);
-        match (end, before, after) {
-            (JobStatus::Done, Some(need), _) => {
-                self.fail(now, "crossed", format!("{job} is done, {need} before it is not"));
+    /// A user has seen a final status of a job for the first time: it must be consistent with the final
+    /// statuses seen of its dependencies and dependents.
+    pub(super) fn check_final_statuses(&mut self, now: u64, job: &str, end: JobStatus) {
+        let dependencies = self.specs.get(job).map_or(&[][..], |spec| &spec.dependencies);
+        let has_ended_otherwise =
+            |id: &&str| self.over(id).is_some_and(|status| status != JobStatus::Done);
+        let dependency =
+            dependencies.iter().map(|id| id.as_str()).find(has_ended_otherwise).map(str::to_owned);
+        let dependent = self.contradicting_dependent(job, end);
+        match (end, dependency, dependent) {
+            (JobStatus::Done, Some(dependency), _) => {
+                self.fail(
+                    now,
+                    "crossed",
+                    format!("{job} is done, {dependency} which it depends on is not"),
+                );
             }
             (JobStatus::Done, _, Some(dependent)) => {
-                let text = format!("{job} is done, {dependent} after it was cancelled by nobody");
+                let text = format!(
+                    "{job} is done, {dependent} which depends on it was cancelled without a request"
+                );
                 self.fail(now, "crossed", text);
             }
             (JobStatus::Cancelled | JobStatus::Failed, _, Some(dependent)) => {
                 self.fail(
                     now,
                     "crossed",
-                    format!("{job} is {end:?}, {dependent} after it is done"),
+                    format!("{job} is {end:?}, {dependent} which depends on it is done"),
                 );
             }
             _ => {}
         }
     }
 
-    /// A job that needs this one directly and of which an end was told that this one's end does not allow.
-    fn dependents_told(&self, job: &str, end: JobStatus) -> Option<String> {
-        let told_wrong = |id: &str| match (end, self.over(id)) {
+    /// A direct dependent of this job whose final status, as seen by the user, contradicts the final status
+    /// `end` of this job.
+    fn contradicting_dependent(&self, job: &str, end: JobStatus) -> Option<String> {
+        let is_contradictory = |id: &str| match (end, self.over(id)) {
             (JobStatus::Done, Some(JobStatus::Cancelled)) => !self.may_be_cancelled(id),
             (JobStatus::Cancelled | JobStatus::Failed, Some(JobStatus::Done)) => true,
             _ => false,
         };
-        let over = |told: &Told| told.over.is_some();
-        let needs_it = |id: &str| {
+        let has_ended = |view: &ClientView| view.final_status.is_some();
+        let is_dependent = |id: &str| {
             let spec = self.specs.get(id);
-            spec.is_some_and(|spec| spec.dependencies.iter().any(|need| need.as_str() == job))
+            spec.is_some_and(|spec| {
+                spec.dependencies.iter().any(|dependency| dependency.as_str() == job)
+            })
         };
-        let mut ended = self.told.iter().filter(|(_, told)| over(told)).map(|(id, _)| id.as_str());
-        ended.find(|id| needs_it(id) && told_wrong(id)).map(str::to_owned)
+        let mut ended =
+            self.client_views.iter().filter(|(_, view)| has_ended(view)).map(|(id, _)| id.as_str());
+        ended.find(|id| is_dependent(id) && is_contradictory(id)).map(str::to_owned)
     }
 }
--- a/crates/emulator/src/faults.rs
+++ b/crates/emulator/src/faults.rs
@@ -1,60 +1,61 @@
-//! Which troubles hold at a time, and what becomes of a request that meets them. Deterministic.
+//! Which faults are active at a time, and what happens to a request while they are. Deterministic.
 
 use oatloom_protocol::ids::Millis;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
-/// Who is asked.
+/// The service that a request is sent to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Service {
     State,
     Cloud,
 }
 
-/// What befalls requests to a service.
+/// A fault of the requests to a service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Trouble {
-    /// Answers come this much later, in milliseconds.
+    /// Answers are delayed by this many milliseconds.
     Slow(u64),
-    /// 503: not executed.
+    /// Requests are answered with 503 and not executed.
     Refuse,
-    /// 429: not executed.
+    /// Requests are answered with 429 and not executed.
     Throttle,
-    /// Executed; this share of the replies is lost.
+    /// Requests are executed, and this share of the replies is lost.
     Lose(f64),
-    /// This share is executed so much later, in milliseconds, and never answered.
+    /// This share of the requests is executed after a delay in milliseconds and never answered.
     Late(f64, u64),
-    /// Nothing gets through, in either direction.
+    /// Neither requests nor answers are delivered.
     Silent,
 }
 
-/// A trouble, or an event.
+/// A fault that lasts for some time, or happens once.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// At a service, for all controllers or for one.
-    At {
-        service: Service,
-        trouble: Trouble,
-        controller: Option<usize>,
-    },
-    /// A controller reaches neither services nor workers nor other controllers.
+    /// A fault of a service, for all controllers or for one.
+    At { service: Service, trouble: Trouble, controller: Option<usize> },
+    /// A controller reaches neither the services nor workers nor other controllers.
     CutController(usize),
     /// A zone's workers reach no controller outside it.
     CutZone(String),
-    /// A controller is killed, and is back after so long; `None`: as whoever looks after it has it.
+    /// A controller is killed and restarted after this time; `None`: when its supervisor restarts it.
     CrashController(usize, Option<Millis>),
-    /// The same for all of them at once.
+    /// All controllers are killed at once and restarted after this time; `None` as above.
     CrashAll(Option<Millis>),
+    /// The state service is killed and restarted.
     RestartState,
+    /// The cloud takes back this many spot machines.
     TakeSpot(usize),
+    /// This many machines are lost without notice.
     MachinesDie(usize),
+    /// This many machines hang for the duration of the fault.
     MachinesHang(usize),
+    /// Every task fails on one machine from now on.
     MachineFaulty,
-    /// This share of a job's attempts fails on every machine.
+    /// This share of a job's attempts fails, on whichever machine.
     JobBreaks(String, f64),
 }
 
-/// A fault that holds from one moment to another, in milliseconds.
+/// A fault with its start and end, in milliseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Planned {
     pub at: u64,
@@ -62,92 +63,100 @@
     pub fault: Fault,
 }
 
-/// What becomes of a request.
+/// What happens to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    Pass {
-        delay_ms: u64,
-    },
+pub enum RequestAction {
+    /// Forwarded after a delay.
+    Pass { delay_ms: u64 },
+    /// Answered with this status, not executed.
     Refuse(u16),
-    /// Executed, and the connection closed.
+    /// Executed, but the connection is closed without an answer.
     Lose,
-    /// Executed later, without an answer.
-    Late {
-        delay_ms: u64,
-    },
+    /// Executed after a delay, without an answer.
+    Late { delay_ms: u64 },
+    /// Neither executed nor answered.
     Silent,
 }
 
-/// All troubles that hold or will hold.
+/// All faults that are active now or later.
 #[derive(Debug, Default)]
 pub struct Faults {
     active: Vec<Planned>,
 }
 
 impl Faults {
-    /// A trouble begins.
-    pub fn begin(&mut self, planned: Planned) {
-        self.active.push(planned);
+    /// Adds a fault.
+    pub fn add(&mut self, scheduled: Planned) {
+        self.active.push(scheduled);
     }
 
-    /// Everything goes well again.
+    /// Removes all faults.
     pub fn clear(&mut self) {
         self.active.clear();
     }
 
-    /// Forgets what is over.
-    pub fn sweep(&mut self, now: u64) {
-        self.active.retain(|planned| now < planned.until);
+    /// Removes faults that have ended.
+    pub fn remove_expired(&mut self, now: u64) {
+        self.active.retain(|scheduled| now < scheduled.until);
     }
 
-    fn holding(&self, now: u64) -> impl Iterator<Item = &Fault> {
-        let holds = move |p: &&Planned| (p.at..p.until).contains(&now);
-        self.active.iter().filter(holds).map(|p| &p.fault)
+    fn active_faults(&self, now: u64) -> impl Iterator<Item = &Fault> {
+        let is_active = move |scheduled: &&Planned| (scheduled.at..scheduled.until).contains(&now);
+        self.active.iter().filter(is_active).map(|scheduled| &scheduled.fault)
     }
 
-    /// What becomes of a request of a controller to a service. Of several troubles the harshest counts,
-    /// and delays add up.
-    pub fn judge(
+    /// Decides what happens to a request of a controller to a service. If several faults are active, the most
+    /// severe one applies; delays add up.
+    pub fn decide(
         &self,
         service: Service,
         controller: usize,
         now: u64,
         rng: &mut ChaCha8Rng,
-    ) -> Verdict {
-        let mut delay = 0;
-        let mut verdict = None;
-        for fault in self.holding(now) {
+    ) -> RequestAction {
+        let mut total_delay_ms = 0;
+        let mut action = None;
+        for fault in self.active_faults(now) {
             let trouble = match fault {
-                Fault::CutController(cut) if *cut == controller => Trouble::Silent,
-                Fault::At { service: s, trouble, controller: c }
-                    if *s == service && c.is_none_or(|c| c == controller) =>
+                Fault::CutController(partitioned) if *partitioned == controller => Trouble::Silent,
+                Fault::At { service: faulty_service, trouble, controller: target }
+                    if *faulty_service == service
+                        && target.is_none_or(|target| target == controller) =>
                 {
                     *trouble
                 }
                 _ => continue,
             };
             match trouble {
-                Trouble::Silent => return Verdict::Silent,
-                Trouble::Slow(ms) => delay += ms,
-                Trouble::Refuse => verdict = Some(Verdict::Refuse(503)),
-                Trouble::Throttle => verdict = verdict.or(Some(Verdict::Refuse(429))),
+                Trouble::Silent => return RequestAction::Silent,
+                Trouble::Slow(ms) => total_delay_ms += ms,
+                Trouble::Refuse => action = Some(RequestAction::Refuse(503)),
+                Trouble::Throttle => action = action.or(Some(RequestAction::Refuse(429))),
                 Trouble::Lose(share) if rng.random_bool(share) => {
-                    verdict = verdict.or(Some(Verdict::Lose));
+                    action = action.or(Some(RequestAction::Lose));
                 }
                 Trouble::Late(share, delay_ms) if rng.random_bool(share) => {
-                    verdict = verdict.or(Some(Verdict::Late { delay_ms }));
+                    action = action.or(Some(RequestAction::Late { delay_ms }));
                 }
                 Trouble::Lose(_) | Trouble::Late(..) => {}
             }
         }
-        verdict.unwrap_or(Verdict::Pass { delay_ms: delay })
+        action.unwrap_or(RequestAction::Pass { delay_ms: total_delay_ms })
     }
 
-    /// Whether a worker's zone and a controller cannot reach each other.
-    pub fn apart(&self, zone: &str, controller: usize, its_zone: &str, now: u64) -> bool {
-        self.holding(now).any(|fault| match fault {
-            Fault::CutController(cut) => *cut == controller,
-            Fault::CutZone(cut) => (cut == zone) != (cut == its_zone),
+    /// Whether a worker's zone and a controller in `controller_zone` cannot reach each other.
+    pub fn is_partitioned(
+        &self,
+        zone: &str,
+        controller: usize,
+        controller_zone: &str,
+        now: u64,
+    ) -> bool {
+        self.active_faults(now).any(|fault| match fault {
+            Fault::CutController(partitioned) => *partitioned == controller,
+            Fault::CutZone(partitioned) => {
+                (partitioned == zone) != (partitioned == controller_zone)
+            }
             _ => false,
         })
     }
@@ -159,32 +168,49 @@
     use rand::SeedableRng;
 
     #[test]
-    fn the_harshest_trouble_counts_while_it_holds() {
+    fn the_most_severe_active_fault_applies() {
         let mut rng = ChaCha8Rng::seed_from_u64(1);
         let mut faults = Faults::default();
-        let at = |trouble, controller| Fault::At { service: Service::State, trouble, controller };
-        faults.begin(Planned { at: 0, until: 100, fault: at(Trouble::Slow(30), None) });
-        faults.begin(Planned { at: 0, until: 90, fault: at(Trouble::Slow(20), Some(1)) });
-        faults.begin(Planned { at: 50, until: 80, fault: at(Trouble::Refuse, Some(1)) });
-        faults.begin(Planned { at: 60, until: 70, fault: Fault::CutController(1) });
-        let mut judge = |node, now| faults.judge(Service::State, node, now, &mut rng);
-        assert_eq!(judge(1, 10), Verdict::Pass { delay_ms: 50 });
-        assert_eq!(judge(0, 10), Verdict::Pass { delay_ms: 30 });
-        assert_eq!((judge(1, 55), judge(1, 65)), (Verdict::Refuse(503), Verdict::Silent));
-        assert_eq!(judge(0, 65), Verdict::Pass { delay_ms: 30 });
-        assert_eq!(judge(1, 100), Verdict::Pass { delay_ms: 0 });
-        let cloud = faults.judge(Service::Cloud, 1, 55, &mut rng);
-        assert_eq!(cloud, Verdict::Pass { delay_ms: 0 });
+        let build_service_fault =
+            |trouble, controller| Fault::At { service: Service::State, trouble, controller };
+        faults.add(Planned {
+            at: 0,
+            until: 100,
+            fault: build_service_fault(Trouble::Slow(30), None),
+        });
+        faults.add(Planned {
+            at: 0,
+            until: 90,
+            fault: build_service_fault(Trouble::Slow(20), Some(1)),
+        });
+        faults.add(Planned {
+            at: 50,
+            until: 80,
+            fault: build_service_fault(Trouble::Refuse, Some(1)),
+        });
+        faults.add(Planned { at: 60, until: 70, fault: Fault::CutController(1) });
+        let mut decide = |node, now| faults.decide(Service::State, node, now, &mut rng);
+        assert_eq!(decide(1, 10), RequestAction::Pass { delay_ms: 50 });
+        assert_eq!(decide(0, 10), RequestAction::Pass { delay_ms: 30 });
+        assert_eq!(
+            (decide(1, 55), decide(1, 65)),
+            (RequestAction::Refuse(503), RequestAction::Silent)
+        );
+        assert_eq!(decide(0, 65), RequestAction::Pass { delay_ms: 30 });
+        assert_eq!(decide(1, 100), RequestAction::Pass { delay_ms: 0 });
+        let cloud = faults.decide(Service::Cloud, 1, 55, &mut rng);
+        assert_eq!(cloud, RequestAction::Pass { delay_ms: 0 });
     }
 
-    /// A cut zone goes on working inside.
+    /// A partitioned zone is still connected within itself.
     #[test]
-    fn a_cut_zone_reaches_only_itself() {
+    fn a_partitioned_zone_reaches_only_itself() {
         let mut faults = Faults::default();
         let fault = Fault::CutZone("b".into());
-        faults.begin(Planned { at: 0, until: 100, fault });
-        let apart = |zone, its| faults.apart(zone, 0, its, 50);
-        assert!(apart("b", "a") && apart("a", "b"));
-        assert!(!apart("b", "b") && !apart("a", "c"));
+        faults.add(Planned { at: 0, until: 100, fault });
+        let is_partitioned =
+            |zone, controller_zone| faults.is_partitioned(zone, 0, controller_zone, 50);
+        assert!(is_partitioned("b", "a") && is_partitioned("a", "b"));
+        assert!(!is_partitioned("b", "b") && !is_partitioned("a", "c"));
     }
 }
--- a/crates/emulator/src/gate.rs
+++ b/crates/emulator/src/gate.rs
@@ -1,8 +1,8 @@
-//! A gate before a service, for one controller: requests pass, or meet what the faults have for them. Sockets
-//! and threads only; [`crate::faults`] judges.
+//! An HTTP proxy between one controller and a service: forwards requests or applies the active faults to
+//! them. Only sockets and threads are here; [`crate::faults`] decides what happens to a request.
 
 use crate::constants::*;
-use crate::faults::{Faults, Service, Verdict};
+use crate::faults::{Faults, RequestAction, Service};
 use crossbeam::channel::{Receiver, bounded};
 use oatloom_protocol::ids::Millis;
 use oatloom_protocol::reply::HttpReply;
@@ -15,14 +15,14 @@
 use std::sync::{Arc, Mutex, OnceLock};
 use std::time::{Duration, Instant};
 
-/// A request as it came.
-struct Raw {
+/// A request as it was received.
+struct RawRequest {
     method: String,
     path: String,
     body: Vec<u8>,
 }
 
-/// What all gates share.
+/// The active faults and the clock, shared by all proxies and the emulator.
 #[derive(Clone)]
 pub struct Shared {
     pub faults: Arc<Mutex<Faults>>,
@@ -30,16 +30,16 @@
 }
 
 impl Shared {
-    /// Milliseconds since the start.
+    /// Time since the start, in milliseconds.
     pub fn now(&self) -> u64 {
         self.start.elapsed().as_millis() as u64
     }
 }
 
-/// Starts a gate and returns where it listens. It serves until the process ends.
+/// Starts a proxy and returns its address. It runs until the process ends.
 ///
 /// # Errors
-/// No address or thread can be had.
+/// If no socket can be bound or no thread can be started.
 pub fn start(
     target: &str,
     service: Service,
@@ -47,26 +47,27 @@
     seed: u64,
     shared: &Shared,
 ) -> Result<SocketAddr, StartError> {
-    let (sender, queue) = bounded::<Incoming<Raw>>(GATE_QUEUE);
-    let read = |method: &str, path: &str, body: &[u8]| -> Result<Raw, HttpReply> {
-        Ok(Raw { method: method.to_owned(), path: path.to_owned(), body: body.to_owned() })
+    let (sender, queue) = bounded::<Incoming<RawRequest>>(MAX_QUEUED_REQUESTS);
+    let read = |method: &str, path: &str, body: &[u8]| -> Result<RawRequest, HttpReply> {
+        Ok(RawRequest { method: method.to_owned(), path: path.to_owned(), body: body.to_owned() })
     };
     let deliver = move |incoming| sender.try_send(incoming).is_ok();
-    let answers = Arc::new(server::start("127.0.0.1:0", CONNECTIONS, read, deliver)?);
+    let answers = Arc::new(server::start("127.0.0.1:0", MAX_CONNECTIONS, read, deliver)?);
     let address = answers.address();
-    for thread in 0..GATE_THREADS {
+    for thread in 0..PROXY_THREAD_COUNT {
         let (queue, answers, shared) = (queue.clone(), answers.clone(), shared.clone());
-        let caller = Caller::new(target, GATE_TIMEOUT_MS, GATE_BYTES);
+        let caller = Caller::new(target, PROXY_TIMEOUT_MS, MAX_RESPONSE_BYTES);
         let rng = ChaCha8Rng::seed_from_u64(seed ^ ((controller * 64 + thread) as u64) << 8);
         spawn("gate", move || {
-            pass_on(&queue, &answers, &caller, service, controller, &shared, rng)
+            forward_requests(&queue, &answers, &caller, service, controller, &shared, rng)
         })?;
     }
     Ok(address)
 }
 
-fn pass_on(
-    queue: &Receiver<Incoming<Raw>>,
+/// Handles the requests of one proxy thread.
+fn forward_requests(
+    queue: &Receiver<Incoming<RawRequest>>,
     answers: &Arc<Answers>,
     caller: &Caller,
     service: Service,
@@ -74,77 +75,84 @@
     shared: &Shared,
     mut rng: ChaCha8Rng,
 ) {
-    while let Ok(Incoming { caller: from, request }) = queue.recv() {
-        let judge = |rng: &mut ChaCha8Rng| match shared.faults.lock() {
-            Ok(faults) => faults.judge(service, controller, shared.now(), rng),
-            Err(_) => Verdict::Pass { delay_ms: 0 },
+    while let Ok(Incoming { caller: connection, request }) = queue.recv() {
+        let decide = |rng: &mut ChaCha8Rng| match shared.faults.lock() {
+            Ok(faults) => faults.decide(service, controller, shared.now(), rng),
+            Err(_) => RequestAction::Pass { delay_ms: 0 },
         };
-        let ask = || caller.pass(&request.method, &request.path, &request.body);
-        match judge(&mut rng) {
-            Verdict::Refuse(status) => answers.send(from, HttpReply::error(status, "trouble")),
-            Verdict::Lose => {
-                let _ = ask();
-                answers.close(from);
+        let forward = || caller.pass(&request.method, &request.path, &request.body);
+        match decide(&mut rng) {
+            RequestAction::Refuse(status) => {
+                answers.send(connection, HttpReply::error(status, "trouble"))
             }
-            Verdict::Silent => {
-                let late = answers.clone();
-                later(SILENCE_MS, move || late.close(from));
+            RequestAction::Lose => {
+                let _ = forward();
+                answers.close(connection);
             }
-            Verdict::Late { delay_ms } => {
-                let (address, late) = (answers.clone(), caller.clone());
-                later(Millis(delay_ms), move || {
-                    // It may wait for long: others that are late must not wait for it.
-                    let done = spawn("late", move || {
-                        let _ = late.pass(&request.method, &request.path, &request.body);
-                        address.close(from);
+            RequestAction::Silent => {
+                let late_answers = answers.clone();
+                run_later(SILENT_CLOSE_DELAY_MS, move || late_answers.close(connection));
+            }
+            RequestAction::Late { delay_ms } => {
+                let (late_answers, late_caller) = (answers.clone(), caller.clone());
+                run_later(Millis(delay_ms), move || {
+                    // The request may block for long, so it gets a thread of its own: other delayed requests
+                    // must not wait for it.
+                    let started = spawn("late", move || {
+                        let _ = late_caller.pass(&request.method, &request.path, &request.body);
+                        late_answers.close(connection);
                     });
-                    if let Err(e) = done {
-                        tracing::warn!("a late request is dropped: {e}");
+                    if let Err(e) = started {
+                        tracing::warn!("late request dropped, cannot start its thread: {e}");
                     }
                 });
             }
-            Verdict::Pass { delay_ms } => {
+            RequestAction::Pass { delay_ms } => {
                 std::thread::sleep(Duration::from_millis(delay_ms));
-                let reply = ask();
-                // A cut that began meanwhile holds back the answer too.
-                match (judge(&mut rng), reply) {
-                    (Verdict::Silent, _) => {
-                        let late = answers.clone();
-                        later(SILENCE_MS, move || late.close(from));
+                let reply = forward();
+                // A partition that began meanwhile also holds back the answer.
+                match (decide(&mut rng), reply) {
+                    (RequestAction::Silent, _) => {
+                        let late_answers = answers.clone();
+                        run_later(SILENT_CLOSE_DELAY_MS, move || late_answers.close(connection));
                     }
                     (_, Some((status, body))) => {
                         let body = String::from_utf8_lossy(&body).into_owned();
-                        answers.send(from, HttpReply { status, body, retry_after_s: None });
+                        answers.send(connection, HttpReply { status, body, retry_after_s: None });
                     }
-                    (_, None) => answers.close(from),
+                    (_, None) => answers.close(connection),
                 }
             }
         }
     }
 }
 
-type Job = (Instant, Box<dyn FnOnce() + Send>);
+type DelayedAction = (Instant, Box<dyn FnOnce() + Send>);
 
-/// Does something later, on one thread for all: a gate's threads must not wait for what nobody answers.
-fn later(delay: Millis, act: impl FnOnce() + Send + 'static) {
-    static JOBS: OnceLock<Mutex<Vec<Job>>> = OnceLock::new();
-    let jobs = JOBS.get_or_init(|| {
+/// Runs `action` after a delay, on one thread for all proxies, so that proxy threads do not block on requests
+/// that get no answer.
+fn run_later(delay: Millis, action: impl FnOnce() + Send + 'static) {
+    static DELAYED_ACTIONS: OnceLock<Mutex<Vec<DelayedAction>>> = OnceLock::new();
+    let delayed_actions = DELAYED_ACTIONS.get_or_init(|| {
         let started = spawn("later", || {
             loop {
-                std::thread::sleep(Duration::from_millis(STEP_MS.0));
-                let Some(Ok(mut jobs)) = JOBS.get().map(Mutex::lock) else { continue };
+                std::thread::sleep(Duration::from_millis(STEP_INTERVAL_MS.0));
+                let Some(Ok(mut delayed_actions)) = DELAYED_ACTIONS.get().map(Mutex::lock) else {
+                    continue;
+                };
                 let now = Instant::now();
-                let due: Vec<Job> = jobs.extract_if(.., |(at, _)| *at <= now).collect();
-                drop(jobs);
-                due.into_iter().for_each(|(_, act)| act());
+                let due: Vec<DelayedAction> =
+                    delayed_actions.extract_if(.., |(at, _)| *at <= now).collect();
+                drop(delayed_actions);
+                due.into_iter().for_each(|(_, action)| action());
             }
         });
         if let Err(e) = started {
-            tracing::error!("what is held back will never be delivered: {e}");
+            tracing::error!("cannot start the thread for delayed requests: {e}");
         }
         Mutex::new(Vec::new())
     });
-    if let Ok(mut jobs) = jobs.lock() {
-        jobs.push((Instant::now() + Duration::from_millis(delay.0), Box::new(act)));
+    if let Ok(mut delayed_actions) = delayed_actions.lock() {
+        delayed_actions.push((Instant::now() + Duration::from_millis(delay.0), Box::new(action)));
     }
 }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,8 +1,9 @@
-//! A cloud with its machines and workers, and troubles before it and the state service, for rehearsals on one
-//! machine; and a checker that judges the rules by what the machines saw, not by what controllers say.
+//! An emulated cloud with its machines and workers, and fault injection for the requests to the cloud and the
+//! state service, to run a region on one machine; and a checker of the protocol's rules, which relies on what
+//! happened on the machines, not on what controllers say.
 //!
-//! [`region`], [`worker`], [`checker`], [`faults`] and [`timetable`] are deterministic; sockets and threads are
-//! in [`serve`], [`gate`] and [`line`].
+//! [`region`], [`worker`], [`checker`], [`faults`] and [`timetable`] are deterministic; sockets and threads
+//! are in [`serve`], [`gate`] and [`line`].
 
 pub mod checker;
 pub mod constants;
--- a/crates/emulator/src/line.rs
+++ b/crates/emulator/src/line.rs
@@ -1,5 +1,5 @@
-//! A line between two controllers, which a cut holds up: what was on its way is delivered after the cut, in
-//! order, or the connection was given up meanwhile. Sockets and threads only.
+//! A TCP proxy between two controllers that stalls during a partition: bytes in transit are delivered in
+//! order after it, unless the connection is closed meanwhile. Sockets and threads only.
 
 use crate::constants::*;
 use crate::gate::Shared;
@@ -12,36 +12,38 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// The two ends of a line, by the controllers' numbers.
+/// The two ends of a link, by the controllers' indexes.
 #[derive(Clone)]
-struct Ends {
+struct LinkEnds {
     nodes: Vec<Node>,
     from: usize,
     to: usize,
     shared: Shared,
 }
 
-impl Ends {
-    fn cut(&self) -> bool {
+impl LinkEnds {
+    /// Whether the two controllers cannot reach each other now.
+    fn is_partitioned(&self) -> bool {
         let faults = self.shared.faults.lock().unwrap_or_else(PoisonError::into_inner);
-        let zone = |at: usize| self.nodes[at].zone.as_str();
+        let get_zone = |controller: usize| self.nodes[controller].zone.as_str();
         let now = self.shared.now();
-        faults.apart(zone(self.from), self.to, zone(self.to), now)
-            || faults.apart(zone(self.to), self.from, zone(self.from), now)
+        faults.is_partitioned(get_zone(self.from), self.to, get_zone(self.to), now)
+            || faults.is_partitioned(get_zone(self.to), self.from, get_zone(self.from), now)
     }
 
-    fn wait(&self) {
-        while self.cut() {
-            std::thread::sleep(Duration::from_millis(STEP_MS.0));
+    /// Blocks until the partition ends.
+    fn wait_until_connected(&self) {
+        while self.is_partitioned() {
+            std::thread::sleep(Duration::from_millis(STEP_INTERVAL_MS.0));
         }
     }
 }
 
-/// Starts a line from one controller to another's address, and returns where the first one reaches it. It serves
-/// until the process ends.
+/// Starts a proxy from one controller to another's address and returns the address for the first one to
+/// connect to. It runs until the process ends.
 ///
 /// # Errors
-/// No address or thread can be had.
+/// If no socket can be bound or no thread can be started.
 pub fn start(
     target: &str,
     (from, to): (usize, usize),
@@ -50,50 +52,51 @@
 ) -> Result<SocketAddr, StartError> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
-    let (target, open) = (target.to_owned(), Arc::new(AtomicUsize::new(0)));
-    let ends = Ends { nodes: nodes.to_vec(), from, to, shared: shared.clone() };
+    let (target, open_count) = (target.to_owned(), Arc::new(AtomicUsize::new(0)));
+    let ends = LinkEnds { nodes: nodes.to_vec(), from, to, shared: shared.clone() };
     spawn("line", move || {
         for near in listener.incoming().flatten() {
-            if open.load(Ordering::Relaxed) >= LINES {
+            if open_count.load(Ordering::Relaxed) >= MAX_LINK_CONNECTIONS {
                 continue;
             }
-            let (ends, target, open) = (ends.clone(), target.clone(), open.clone());
-            open.fetch_add(1, Ordering::Relaxed);
-            let count = open.clone();
+            let (ends, target, open_count) = (ends.clone(), target.clone(), open_count.clone());
+            open_count.fetch_add(1, Ordering::Relaxed);
+            let spawn_count = open_count.clone();
             let started = spawn("line-pair", move || {
-                ends.wait();
+                ends.wait_until_connected();
                 if let Ok(far) = TcpStream::connect(&target) {
-                    carry(near, far, &ends);
+                    forward(near, far, &ends);
                 }
-                open.fetch_sub(1, Ordering::Relaxed);
+                open_count.fetch_sub(1, Ordering::Relaxed);
             });
             if started.is_err() {
-                count.fetch_sub(1, Ordering::Relaxed);
+                spawn_count.fetch_sub(1, Ordering::Relaxed);
             }
         }
     })?;
     Ok(address)
 }
 
-/// Carries both directions until either end closes.
-fn carry(near: TcpStream, far: TcpStream, ends: &Ends) {
+/// Forwards both directions until either end closes.
+fn forward(near: TcpStream, far: TcpStream, ends: &LinkEnds) {
     let _ = (near.set_nodelay(true), far.set_nodelay(true));
     let (Ok(back_from), Ok(back_to)) = (far.try_clone(), near.try_clone()) else { return };
     let ends_back = ends.clone();
-    let back = spawn("line-back", move || pump(back_from, back_to, &ends_back));
-    pump(near, far, ends);
+    let back = spawn("line-back", move || forward_one_way(back_from, back_to, &ends_back));
+    forward_one_way(near, far, ends);
     if let Ok(back) = back {
         let _ = back.join();
     }
 }
 
-fn pump(mut from: TcpStream, mut to: TcpStream, ends: &Ends) {
-    let mut bytes = vec![0; LINE_BYTES];
+/// Forwards one direction.
+fn forward_one_way(mut from: TcpStream, mut to: TcpStream, ends: &LinkEnds) {
+    let mut bytes = vec![0; LINK_BUFFER_BYTES];
     while let Ok(count) = from.read(&mut bytes) {
         if count == 0 {
             break;
         }
-        ends.wait();
+        ends.wait_until_connected();
         if to.write_all(&bytes[..count]).is_err() {
             break;
         }
--- a/crates/emulator/src/region.rs
+++ b/crates/emulator/src/region.rs
@@ -1,10 +1,10 @@
-//! The cloud with its machines and workers: what is rented, what runs, what is reported. Deterministic: the
-//! time and all answers come in, requests and reports go out. The simulated world of the controllers' tests
-//! and the emulator on sockets both play it.
+//! An emulated cloud region: rented machines, their workers and tasks, and the reports that workers send.
+//! Deterministic: the caller passes in the time, requests and answers, and sends the reports that are
+//! returned. Used by the simulated world of the controllers' tests and by the emulator on sockets.
 
 use crate::checker::{Checker, Place};
-use crate::constants::{DROP_MS, LATE_BOOTS, TURNED_AWAY_MS};
-use crate::worker::{Fetch, Muster, Outside, Times, Worker};
+use crate::constants::{LATE_BOOT_FACTOR, REDIRECT_RETRY_DELAY_MS, WORKER_ANSWER_TIMEOUT_MS};
+use crate::worker::{ExternalState, Fetch, GangState, Times, Worker};
 use oatloom_protocol::ids::{HostId, Member, Zone};
 use oatloom_protocol::wire::{
     Catalog, Command, ExitCause, Flavor, HireRequest, JobSpec, ListedMachine, MachineList,
@@ -15,31 +15,33 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, HashMap};
 
-/// What kind of cloud it is.
+/// Properties of the cloud.
 #[derive(Clone, Debug)]
 pub struct Terms {
     pub flavors: Vec<Flavor>,
-    /// Machines of one kind (spot or ordinary) that a zone has.
+    /// Maximum number of machines of each price kind (spot or ordinary) in a zone.
     pub capacity: u32,
-    /// Times that a machine takes to boot, in milliseconds.
+    /// Range of boot times, in milliseconds.
     pub boot_ms: (u64, u64),
-    /// Share of machines that never boot, and of those that take four times as long.
+    /// Share of machines that never boot, and share of machines whose boot takes [`LATE_BOOT_FACTOR`] times
+    /// as long.
     pub never_boots: f64,
     pub late_boots: f64,
-    /// How old lists are, in milliseconds.
+    /// Range of the age of a returned machine list, in milliseconds.
     pub list_age_ms: (u64, u64),
-    /// Machines in a page, at most.
+    /// Maximum number of machines in a page of the list.
     pub page: usize,
-    /// Times of image fetches, in milliseconds; `None`: by the flavour's rate.
+    /// Range of image fetch times, in milliseconds; `None`: computed from the fetch rate of the machine type.
     pub fetch_ms: Option<(u64, u64)>,
-    /// Whether spot prices move by up to a third.
+    /// Whether spot prices vary randomly by up to a third.
     pub prices_move: bool,
-    /// Names of machines go on from this number.
+    /// Number from which machine names continue.
     pub first_machine: u64,
+    /// Controller nodes.
     pub nodes: Vec<Member>,
 }
 
-/// A report that is to be sent.
+/// A report to send to a controller node.
 #[derive(Debug)]
 pub struct Sending {
     pub host: String,
@@ -48,7 +50,7 @@
     pub report: Report,
 }
 
-/// How a hire came out.
+/// Result of a hire request.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Hired {
     Hosts(Vec<HostId>),
@@ -56,23 +58,25 @@
     Malformed(String),
 }
 
+/// The state of the emulated region.
 pub struct Region {
     terms: Terms,
     times: Times,
     rng: ChaCha8Rng,
     pub workers: BTreeMap<String, Worker>,
-    pub outside: Outside,
+    pub outside: ExternalState,
     pub checker: Checker,
-    hires: HashMap<String, Vec<HostId>>,
-    lists: Vec<(u64, Vec<ListedMachine>)>,
+    hosts_by_request: HashMap<String, Vec<HostId>>,
+    list_snapshots: Vec<(u64, Vec<ListedMachine>)>,
     machines: u64,
-    reports: u64,
-    /// Machines that were rented and never yet reported, by when they were rented.
+    report_count: u64,
+    /// Rented machines that have not had a report answered yet, with the time of the hire.
     pub unseen: BTreeMap<String, u64>,
-    /// Boot times of machines hired now, in usual ones, and the share of those that never boot beyond the usual.
+    /// Factor on the boot times of machines hired from now on, and an addition to the share of machines that
+    /// never boot.
     pub boots: (f64, f64),
-    /// What each request was for: a name that comes back with another wish was used again.
-    wishes: HashMap<String, HireRequest>,
+    /// First request with each request ID, to detect an ID that is reused for a different request.
+    first_requests: HashMap<String, HireRequest>,
     rented_at: HashMap<String, u64>,
 }
 
@@ -84,19 +88,19 @@
             times,
             rng: ChaCha8Rng::seed_from_u64(seed),
             workers: BTreeMap::new(),
-            outside: Outside::default(),
+            outside: ExternalState::default(),
             checker,
-            hires: HashMap::new(),
-            lists: Vec::new(),
-            reports: 0,
+            hosts_by_request: HashMap::new(),
+            list_snapshots: Vec::new(),
+            report_count: 0,
             unseen: BTreeMap::new(),
             boots: (1.0, 0.0),
-            wishes: HashMap::new(),
+            first_requests: HashMap::new(),
             rented_at: HashMap::new(),
         }
     }
 
-    /// A user uploads a job's description, as before submitting it.
+    /// A user uploads a job's description, which happens before its submission.
     pub fn upload(&mut self, spec: &JobSpec) {
         self.outside.specs.insert(spec.id.to_string(), spec.clone());
         self.checker.submitted(spec);
@@ -104,6 +108,7 @@
 
     // --- The cloud's interface -------------------------------------------------
 
+    /// Machine types with their current prices.
     pub fn catalog(&mut self) -> Catalog {
         let mut flavors = self.terms.flavors.clone();
         if self.terms.prices_move {
@@ -114,89 +119,102 @@
         Catalog { flavors }
     }
 
-    /// What a machine of this type has.
+    /// The machine type with this label.
     pub fn flavor(&self, label: &str) -> Option<&Flavor> {
-        self.terms.flavors.iter().find(|f| f.label == label)
+        self.terms.flavors.iter().find(|flavor| flavor.label == label)
     }
 
-    /// A page of the machine list, as it was a while ago.
-    pub fn list(&mut self, now: u64, after: &str, most: usize) -> MachineList {
-        let (least, longest) = self.terms.list_age_ms;
-        let age = self.rng.random_range(least..longest);
-        let seen = self.lists.iter().rev().find(|(at, _)| at + age <= now);
-        let rows = seen.map(|(_, rows)| rows.clone()).unwrap_or_default();
+    /// A page of the machine list, which is as old as `list_age_ms` of the terms allows.
+    pub fn list(&mut self, now: u64, after: &str, max: usize) -> MachineList {
+        let (min_age, max_age) = self.terms.list_age_ms;
+        let age = self.rng.random_range(min_age..max_age);
+        let snapshot = self.list_snapshots.iter().rev().find(|(at, _)| at + age <= now);
+        let rows = snapshot.map(|(_, rows)| rows.clone()).unwrap_or_default();
         let mut rows = rows.into_iter().filter(|r| r.host.as_str() > after);
-        let hosts: Vec<ListedMachine> = rows.by_ref().take(most.min(self.terms.page)).collect();
+        let hosts: Vec<ListedMachine> = rows.by_ref().take(max.min(self.terms.page)).collect();
         let more = rows.next().is_some();
         MachineList { hosts, more }
     }
 
-    /// Rents machines. A request that was answered gets the same answer again and rents nothing.
+    /// Rents machines. A repeated request gets the same hosts and rents nothing.
     pub fn hire(&mut self, now: u64, hire: &HireRequest) -> Hired {
-        let wish = self.wishes.entry(hire.request_id.clone()).or_insert_with(|| hire.clone());
-        if wish != hire {
-            let text = format!("{}: {wish:?}, then {hire:?}", hire.request_id);
+        let first_request =
+            self.first_requests.entry(hire.request_id.clone()).or_insert_with(|| hire.clone());
+        if first_request != hire {
+            let text = format!("{}: {first_request:?}, then {hire:?}", hire.request_id);
             self.checker.fail(now, "name_used_again", text);
         }
-        if let Some(hosts) = self.hires.get(&hire.request_id) {
+        if let Some(hosts) = self.hosts_by_request.get(&hire.request_id) {
             return Hired::Hosts(hosts.clone());
         }
-        let Some(flavor) = self.terms.flavors.iter().find(|f| f.label == hire.flavor).cloned()
+        let Some(flavor) =
+            self.terms.flavors.iter().find(|flavor| flavor.label == hire.flavor).cloned()
         else {
             return Hired::Malformed(format!("unknown flavor {}", hire.flavor));
         };
         if !flavor.zones.contains(&hire.zone) || hire.number == 0 {
-            return Hired::Malformed("unknown zone, or no machine wanted".into());
+            return Hired::Malformed("unknown zone, or number of machines is 0".into());
         }
-        let same = |w: &&Worker| w.place.zone == hire.zone.as_str() && w.place.spot == hire.spot;
-        let there = self.workers.values().filter(same).count() as u32;
-        let got = hire.number.min(50).min(self.terms.capacity.saturating_sub(there));
-        if got == 0 {
+        let is_same_kind =
+            |w: &&Worker| w.place.zone == hire.zone.as_str() && w.place.spot == hire.spot;
+        let rented = self.workers.values().filter(is_same_kind).count() as u32;
+        let number = hire.number.min(50).min(self.terms.capacity.saturating_sub(rented));
+        if number == 0 {
             return Hired::NoCapacity;
         }
         let mut hosts = Vec::new();
-        for _ in 0..got {
+        for _ in 0..number {
             self.machines += 1;
             let host = format!("i-{:06}", self.machines);
             let place =
                 Place { flavor: hire.flavor.clone(), zone: hire.zone.to_string(), spot: hire.spot };
-            let (pace, never) = self.boots;
-            let boot = if self.rng.random_bool((self.terms.never_boots + never).min(1.0)) {
+            let (boot_factor, extra_never_boots) = self.boots;
+            let boot_delay_ms = if self
+                .rng
+                .random_bool((self.terms.never_boots + extra_never_boots).min(1.0))
+            {
                 u64::MAX / 4
             } else {
-                let usual = self.rng.random_range(self.terms.boot_ms.0..self.terms.boot_ms.1);
-                let late = if self.rng.random_bool(self.terms.late_boots) { LATE_BOOTS } else { 1 };
-                (usual as f64 * pace) as u64 * late
+                let boot_ms = self.rng.random_range(self.terms.boot_ms.0..self.terms.boot_ms.1);
+                let late_factor =
+                    if self.rng.random_bool(self.terms.late_boots) { LATE_BOOT_FACTOR } else { 1 };
+                (boot_ms as f64 * boot_factor) as u64 * late_factor
             };
             let fetch = match self.terms.fetch_ms {
-                Some((least, most)) => Fetch::Between(least, most),
+                Some((min, max)) => Fetch::Between(min, max),
                 None => Fetch::Rate(flavor.fetch_gb_per_s, BTreeMap::new()),
             };
-            let mut worker =
-                Worker::new(host.clone(), place, flavor.gpus, now + boot, self.times, fetch);
+            let mut worker = Worker::new(
+                host.clone(),
+                place,
+                flavor.gpus,
+                now + boot_delay_ms,
+                self.times,
+                fetch,
+            );
             worker.node = self.rng.random_range(0..self.terms.nodes.len());
             self.workers.insert(host.clone(), worker);
             self.unseen.insert(host.clone(), now);
             self.rented_at.insert(host.clone(), now);
             hosts.push(HostId::new(&host));
         }
-        self.hires.insert(hire.request_id.clone(), hosts.clone());
+        self.hosts_by_request.insert(hire.request_id.clone(), hosts.clone());
         Hired::Hosts(hosts)
     }
 
-    /// From now on there are so many machines of each zone and kind; those that are rented beyond stay.
+    /// Sets the capacity of each zone and price kind. Machines that are already rented stay, even beyond it.
     pub fn offer(&mut self, capacity: u32) {
         self.terms.capacity = capacity;
     }
 
-    /// Machines are gone, with everything on them.
+    /// Ends the rent of machines, killing all tasks on them.
     pub fn release(&mut self, hosts: &[HostId]) {
         for host in hosts {
             self.take(host.as_str());
         }
     }
 
-    /// A machine is gone without a word.
+    /// Removes a machine without notice.
     pub fn take(&mut self, host: &str) {
         self.unseen.remove(host);
         self.rented_at.remove(host);
@@ -205,9 +223,9 @@
         }
     }
 
-    /// Notes what the list will show later on.
+    /// Takes a snapshot of the machine list, to be returned by later list requests.
     pub fn note_list(&mut self, now: u64) {
-        let row = |w: &Worker| ListedMachine {
+        let build_row = |w: &Worker| ListedMachine {
             host: HostId::new(&w.host),
             addr: w.addr.clone(),
             flavor: w.place.flavor.clone(),
@@ -217,70 +235,76 @@
             age_s: now.saturating_sub(self.rented_at.get(&w.host).copied().unwrap_or(now)) as f64
                 / 1000.0,
         };
-        let rows = self.workers.values().map(row).collect();
-        self.lists.push((now, rows));
-        // No list is older than twice the longest lag.
-        let old = now.saturating_sub(2 * self.terms.list_age_ms.1);
-        let keep = self.lists.partition_point(|(at, _)| *at < old).saturating_sub(1);
-        self.lists.drain(..keep);
+        let rows = self.workers.values().map(build_row).collect();
+        self.list_snapshots.push((now, rows));
+        // No list request needs a snapshot older than twice the maximum age.
+        let oldest_needed = now.saturating_sub(2 * self.terms.list_age_ms.1);
+        let expired_count =
+            self.list_snapshots.partition_point(|(at, _)| *at < oldest_needed).saturating_sub(1);
+        self.list_snapshots.drain(..expired_count);
     }
 
     // --- Machines and their workers ---------------------------------------------
 
-    /// Lets time pass on all machines; returns the reports that are due.
+    /// Advances all machines to `now`; returns the reports that are due.
     pub fn step(&mut self, now: u64) -> Vec<Sending> {
-        let mut musters: HashMap<(String, u64), Muster> = HashMap::new();
+        let mut gang_states: HashMap<(String, u64), GangState> = HashMap::new();
         for worker in self.workers.values().filter(|w| now >= w.hung_until) {
             for ((job, _, attempt), task) in &worker.tasks {
-                let seen = musters.entry((job.clone(), *attempt)).or_default();
-                let saves = task.phase == TaskPhase::Saving;
-                let here = saves || matches!(task.phase, TaskPhase::Waiting | TaskPhase::Running);
-                seen.there += u32::from(here);
-                seen.done += u32::from(task.cause == Some(ExitCause::Done));
-                seen.saving += u32::from(saves || task.stored);
-                seen.size = self.outside.specs.get(job).map_or(u32::MAX, |spec| spec.tasks);
+                let gang_state = gang_states.entry((job.clone(), *attempt)).or_default();
+                let is_saving = task.phase == TaskPhase::Saving;
+                let is_active =
+                    is_saving || matches!(task.phase, TaskPhase::Waiting | TaskPhase::Running);
+                gang_state.active += u32::from(is_active);
+                gang_state.done += u32::from(task.cause == Some(ExitCause::Done));
+                gang_state.saving += u32::from(is_saving || task.stored);
+                gang_state.task_count =
+                    self.outside.specs.get(job).map_or(u32::MAX, |spec| spec.tasks);
             }
         }
-        let muster = |job: &str, attempt: u64| {
-            musters.get(&(job.to_owned(), attempt)).copied().unwrap_or_default()
+        let get_gang_state = |job: &str, attempt: u64| {
+            gang_states.get(&(job.to_owned(), attempt)).copied().unwrap_or_default()
         };
-        let (mut sendings, mut taken) = (Vec::new(), Vec::new());
+        let (mut reports_due, mut taken) = (Vec::new(), Vec::new());
         for (host, worker) in &mut self.workers {
-            if worker.notice_until.is_some_and(|t| now >= t) {
+            if worker.notice_until.is_some_and(|until| now >= until) {
                 taken.push(host.clone());
             }
             if now < worker.up_at {
                 continue;
             }
             if now < worker.hung_until {
-                // It may go on at any time within its lease, not later.
+                // A hanging machine may resume within its lease, but not later.
                 worker.end_lease(now, &mut self.checker);
                 continue;
             }
-            if worker.lease_from == worker.up_at && worker.tally == 0 {
+            if worker.lease_from == worker.up_at && worker.report_seq == 0 {
                 worker.lease_from = worker.lease_from.max(now);
             }
-            worker.step(now, &mut self.outside, &muster, &mut self.checker);
-            if worker.waiting.is_some_and(|(_, sent)| now > sent + DROP_MS) {
+            worker.step(now, &mut self.outside, &get_gang_state, &mut self.checker);
+            if worker.waiting.is_some_and(|(_, sent_at)| now > sent_at + WORKER_ANSWER_TIMEOUT_MS) {
                 let next = (worker.node + 1) % self.terms.nodes.len();
-                worker.turn_away(now, next);
+                worker.switch_node(now, next);
             }
-            if worker.due(now) {
-                self.reports += 1;
-                let (id, node) = (self.reports, worker.node);
+            if worker.is_report_due(now) {
+                self.report_count += 1;
+                let (id, node) = (self.report_count, worker.node);
                 let report = worker.report(now, id, &mut self.rng);
-                sendings.push(Sending { host: host.clone(), id, node, report });
+                reports_due.push(Sending { host: host.clone(), id, node, report });
             }
         }
         taken.iter().for_each(|host| self.take(host));
-        sendings
+        reports_due
     }
 
-    /// A node's answer to a report reaches its worker.
+    /// Delivers a node's answer to a report to its worker.
     pub fn answered(&mut self, now: u64, host: &str, report: (u64, u64), status: u16, body: &str) {
         let Some(worker) = self.workers.get_mut(host) else { return };
-        let (_, sent) = report;
-        if worker.waiting != Some(report) || now < worker.hung_until || now > sent + DROP_MS {
+        let (_, sent_at) = report;
+        if worker.waiting != Some(report)
+            || now < worker.hung_until
+            || now > sent_at + WORKER_ANSWER_TIMEOUT_MS
+        {
             return;
         }
         let next = (worker.node + 1) % self.terms.nodes.len();
@@ -291,44 +315,56 @@
                     return;
                 };
                 self.unseen.remove(host);
-                worker.obey(now, sent, &answer, &self.outside, &mut self.rng, &mut self.checker);
+                worker.handle_answer(
+                    now,
+                    sent_at,
+                    &answer,
+                    &self.outside,
+                    &mut self.rng,
+                    &mut self.checker,
+                );
             }
             421 => {
-                let leader = serde_json::from_str::<Redirect>(body).ok().and_then(|to| to.leader);
-                let at = leader.and_then(|l| self.terms.nodes.iter().position(|n| *n == l));
-                match at.filter(|at| *at != worker.node) {
+                let leader = serde_json::from_str::<Redirect>(body)
+                    .ok()
+                    .and_then(|redirect| redirect.leader);
+                let node =
+                    leader.and_then(|leader| self.terms.nodes.iter().position(|n| *n == leader));
+                match node.filter(|node| *node != worker.node) {
                     Some(leader) => {
-                        worker.turn_away(now, leader);
-                        worker.next_report = now + TURNED_AWAY_MS;
+                        worker.switch_node(now, leader);
+                        worker.next_report = now + REDIRECT_RETRY_DELAY_MS;
                     }
-                    None => worker.turn_away(now, next),
+                    None => worker.switch_node(now, next),
                 }
             }
-            _ => worker.turn_away(now, next),
+            _ => worker.switch_node(now, next),
         }
     }
 
-    /// A direct command reaches a machine that is up; its worker's report in answer.
+    /// Delivers a direct command to a machine that has booted. Returns whether the worker accepted the
+    /// command, and its report.
     pub fn commanded(&mut self, now: u64, host: &str, command: &Command) -> Option<(bool, Report)> {
         let worker = self.workers.get_mut(host).filter(|w| now >= w.up_at)?;
-        let obeys = command.token.0 >= worker.token && command.session.0 == worker.shift;
+        let is_accepted = command.token.0 >= worker.token && command.session.0 == worker.shift;
         let report = worker.command(now, command, &self.outside, &mut self.rng, &mut self.checker);
-        Some((obeys, report))
+        Some((is_accepted, report))
     }
 
-    // --- Troubles ------------------------------------------------------------------
+    // --- Faults --------------------------------------------------------------------
 
-    /// A machine that is up, drawn at random.
+    /// A random machine that has booted.
     pub fn some_machine(&mut self, now: u64) -> Option<String> {
-        let up: Vec<String> =
+        let booted: Vec<String> =
             self.workers.iter().filter(|(_, w)| now >= w.up_at).map(|(h, _)| h.clone()).collect();
-        up.choose(&mut self.rng).cloned()
+        booted.choose(&mut self.rng).cloned()
     }
 
-    /// Spot machines are taken back: two of three with notice, the third without a word.
-    pub fn take_spot(&mut self, now: u64, most: usize, notice_ms: u64) -> usize {
-        let spot = |(host, w): (&String, &Worker)| w.place.spot.then(|| host.clone());
-        let taken: Vec<String> = self.workers.iter().filter_map(spot).take(most).collect();
+    /// Takes back up to `max` spot machines: two of three with notice, the third without. Returns how many.
+    pub fn take_spot(&mut self, now: u64, max: usize, notice_ms: u64) -> usize {
+        let select_spot_host = |(host, w): (&String, &Worker)| w.place.spot.then(|| host.clone());
+        let taken: Vec<String> =
+            self.workers.iter().filter_map(select_spot_host).take(max).collect();
         for (n, host) in taken.iter().enumerate() {
             if n % 3 == 2 {
                 self.take(host);
@@ -339,13 +375,15 @@
         taken.len()
     }
 
+    /// The worker on a machine.
     pub fn machine(&mut self, host: &str) -> Option<&mut Worker> {
         self.workers.get_mut(host)
     }
 
-    /// Tasks on machines, of all jobs.
+    /// Number of tasks on machines, of all jobs.
     pub fn tasks(&self) -> usize {
-        let here = |w: &Worker| w.tasks.values().filter(|t| t.phase != TaskPhase::Exited).count();
-        self.workers.values().map(here).sum()
+        let count_active =
+            |w: &Worker| w.tasks.values().filter(|t| t.phase != TaskPhase::Exited).count();
+        self.workers.values().map(count_active).sum()
     }
 }
--- a/crates/emulator/src/serve.rs
+++ b/crates/emulator/src/serve.rs
@@ -1,5 +1,5 @@
-//! The region on sockets: the cloud's interface, an address for each worker, and the reports that workers send.
-//! Threads and sockets only; [`crate::region`] knows what happens.
+//! Serves the region on sockets: the cloud's interface, an address for each worker, and the reports that
+//! workers send. Only threads and sockets are here; [`crate::region`] has the logic.
 
 use crate::constants::*;
 use crate::faults::{Fault, Planned};
@@ -12,127 +12,131 @@
 use oatloom_protocol::wire::{Command, HireRequest, Hosts, JobSpec, Order, Report, ReportAnswer};
 use oatloom_state::limits::Limits;
 use oatloom_web::client::Caller;
-use oatloom_web::server::{self, Answers, Caller as Conn, Incoming};
+use oatloom_web::server::{self, Answers, Caller as Connection, Incoming};
 use oatloom_web::{StartError, spawn};
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// A controller as workers know it.
+/// Address and zone of a controller.
 #[derive(Clone, Debug)]
 pub struct Node {
     pub address: String,
     pub zone: Zone,
 }
 
-/// What the cloud is asked.
+/// A request to the cloud.
 enum CloudRequest {
     Catalog,
-    List { after: String, most: usize },
+    List { after: String, max: usize },
     Hire(HireRequest),
     Release(Hosts),
 }
 
-/// What a worker is asked directly.
+/// A direct request to a worker.
 enum WorkerRequest {
     Do(Command),
     Show,
 }
 
-/// A report on its way, or on its way back with what a node said.
-struct Passage {
+/// A report in transit, or its answer.
+struct ReportTransit {
     host: String,
     id: u64,
     sent: u64,
     node: usize,
 }
 
-/// Status and body of a node's answer; `None`: there was none.
-type Said = Option<(u16, Vec<u8>)>;
+/// Status and body of a node's answer; `None` if there was no answer.
+type NodeAnswer = Option<(u16, Vec<u8>)>;
 
-/// What a worker brings back from a report: what it was told, and the jobs of graphs that it has asked about.
-struct Returned {
-    passage: Passage,
-    said: Said,
+/// The result of sending a report: the answer, and the descriptions of graph jobs that the worker fetched.
+struct ReportResult {
+    transit: ReportTransit,
+    answer: NodeAnswer,
     jobs: Vec<JobSpec>,
 }
 
-/// A worker's address and the thread that sends its reports; both end when this is dropped.
-struct Edge {
+/// A worker's server and the queue of the thread that sends its reports; both end when this is dropped.
+struct WorkerEndpoint {
     answers: Arc<Answers>,
-    reports: Sender<(Passage, Report)>,
+    reports: Sender<(ReportTransit, Report)>,
 }
 
-/// The emulated region while it is served.
+/// The emulated region and its servers.
 pub struct Emulator {
     region: Mutex<Region>,
-    edges: Mutex<HashMap<String, Edge>>,
-    asked: Sender<(String, Incoming<WorkerRequest>)>,
-    returns: Sender<Returned>,
+    endpoints: Mutex<HashMap<String, WorkerEndpoint>>,
+    command_sender: Sender<(String, Incoming<WorkerRequest>)>,
+    result_sender: Sender<ReportResult>,
     nodes: Vec<Node>,
     pub shared: Shared,
 }
 
-fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    // A thread that panicked has left nothing half done that the others could not go on with.
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    // A thread that panicked leaves no state that the other threads cannot continue with.
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl Emulator {
-    /// Serves a region whose controllers are at these addresses. Returns where the cloud listens.
+    /// Starts serving a region whose controllers are at these addresses. Also returns the address of the
+    /// cloud.
     ///
     /// # Errors
-    /// No address or thread can be had.
+    /// If no socket can be bound or no thread can be started.
     pub fn start(
         region: Region,
         nodes: Vec<Node>,
         cloud_rps: f64,
         shared: Shared,
     ) -> Result<(Arc<Self>, SocketAddr), StartError> {
-        let (asked, commands) = unbounded();
-        let (returns, returned) = unbounded();
-        let (region, edges) = (Mutex::new(region), Mutex::new(HashMap::new()));
-        let emulator = Arc::new(Self { region, edges, asked, returns, nodes, shared });
-        let (sender, requests) = bounded(GATE_QUEUE);
+        let (command_sender, commands) = unbounded();
+        let (result_sender, results) = unbounded();
+        let (region, endpoints) = (Mutex::new(region), Mutex::new(HashMap::new()));
+        let emulator =
+            Arc::new(Self { region, endpoints, command_sender, result_sender, nodes, shared });
+        let (sender, requests) = bounded(MAX_QUEUED_REQUESTS);
         let deliver = move |incoming: Incoming<CloudRequest>| sender.try_send(incoming).is_ok();
-        let answers = server::start("127.0.0.1:0", CONNECTIONS, read_cloud, deliver)?;
+        let answers = server::start("127.0.0.1:0", MAX_CONNECTIONS, parse_cloud_request, deliver)?;
         let address = answers.address();
-        let at = emulator.clone();
-        spawn("cloud", move || at.serve_cloud(&requests, &answers, cloud_rps))?;
-        let at = emulator.clone();
-        spawn("commands", move || at.serve_workers(&commands))?;
-        let at = emulator.clone();
-        spawn("machines", move || at.run_machines(&returned))?;
+        let this = emulator.clone();
+        spawn("cloud", move || this.serve_cloud(&requests, &answers, cloud_rps))?;
+        let this = emulator.clone();
+        spawn("commands", move || this.serve_workers(&commands))?;
+        let this = emulator.clone();
+        spawn("machines", move || this.run_machines(&results))?;
         Ok((emulator, address))
     }
 
-    /// The region, to look at or to strike.
+    /// Locks the region.
     pub fn region(&self) -> MutexGuard<'_, Region> {
-        locked(&self.region)
+        lock(&self.region)
     }
 
-    /// A trouble begins, if it is one of machines or of the network; processes are not its business.
+    /// Starts a fault of machines or of the network. Faults of processes are left to the caller.
     pub fn strike(&self, planned: &Planned) {
         let now = self.shared.now();
-        let span = planned.until.saturating_sub(planned.at);
+        let duration_ms = planned.until.saturating_sub(planned.at);
         let mut region = self.region();
-        let mut each = |count: usize, act: &mut dyn FnMut(&mut Region, &str)| {
+        let mut for_random_machines = |count: usize, action: &mut dyn FnMut(&mut Region, &str)| {
             for _ in 0..count {
                 if let Some(host) = region.some_machine(now) {
-                    act(&mut region, &host);
+                    action(&mut region, &host);
                 }
             }
         };
         match &planned.fault {
-            Fault::TakeSpot(count) => _ = region.take_spot(now, *count, NOTICE_MS),
-            Fault::MachinesDie(count) => each(*count, &mut |region, host| region.take(host)),
-            Fault::MachinesHang(count) => each(*count, &mut |region, host| {
+            Fault::TakeSpot(count) => _ = region.take_spot(now, *count, SPOT_NOTICE_MS),
+            Fault::MachinesDie(count) => {
+                for_random_machines(*count, &mut |region, host| region.take(host))
+            }
+            Fault::MachinesHang(count) => for_random_machines(*count, &mut |region, host| {
                 if let Some(worker) = region.machine(host) {
-                    worker.hung_until = now + span;
+                    worker.hung_until = now + duration_ms;
                 }
             }),
-            Fault::MachineFaulty => each(1, &mut |region, host| {
+            Fault::MachineFaulty => for_random_machines(1, &mut |region, host| {
                 if let Some(worker) = region.machine(host) {
                     worker.faulty = true;
                 }
@@ -142,9 +146,9 @@
             }
             Fault::At { .. } | Fault::CutController(_) | Fault::CutZone(_) => {
                 drop(region);
-                locked(&self.shared.faults).begin(Planned {
+                lock(&self.shared.faults).add(Planned {
                     at: now,
-                    until: now + span,
+                    until: now + duration_ms,
                     ..planned.clone()
                 });
             }
@@ -152,22 +156,25 @@
         }
     }
 
+    /// Answers the requests to the cloud within its request rate.
     fn serve_cloud(
         &self,
         requests: &Receiver<Incoming<CloudRequest>>,
         answers: &Answers,
-        rps: f64,
+        requests_per_s: f64,
     ) {
-        // Bursts of two seconds' worth: two budgets of one second's, taken in turn.
-        let mut budgets = [(); 2].map(|()| Limits::new(rps / 2.0, 0.0, Mono(self.shared.now())));
+        // Allows bursts of two seconds' worth of requests: two budgets of one second's worth each, used in
+        // turn.
+        let mut budgets =
+            [(); 2].map(|()| Limits::new(requests_per_s / 2.0, 0.0, Mono(self.shared.now())));
         let mut turn = 0;
         while let Ok(Incoming { caller, request }) = requests.recv() {
             let now = self.shared.now();
             turn += 1;
-            let may =
+            let is_allowed =
                 budgets[turn % 2].take(0, Mono(now)) || budgets[(turn + 1) % 2].take(0, Mono(now));
-            let reply = if may {
-                self.cloud(now, &request)
+            let reply = if is_allowed {
+                self.answer_cloud_request(now, &request)
             } else {
                 HttpReply::error(429, "too many requests a second")
             };
@@ -175,18 +182,18 @@
         }
     }
 
-    fn cloud(&self, now: u64, request: &CloudRequest) -> HttpReply {
+    fn answer_cloud_request(&self, now: u64, request: &CloudRequest) -> HttpReply {
         let mut region = self.region();
         match request {
             CloudRequest::Catalog => HttpReply::json(200, &region.catalog()),
-            CloudRequest::List { after, most } => {
-                HttpReply::json(200, &region.list(now, after, *most))
+            CloudRequest::List { after, max } => {
+                HttpReply::json(200, &region.list(now, after, *max))
             }
             CloudRequest::Hire(hire) => match region.hire(now, hire) {
                 Hired::Hosts(hosts) => {
                     for host in &hosts {
-                        if let Err(e) = self.open(&mut region, host.as_str()) {
-                            tracing::warn!("{host} has no address: {e}");
+                        if let Err(e) = self.start_worker_server(&mut region, host.as_str()) {
+                            tracing::warn!("cannot start the server of machine {host}: {e}");
                         }
                     }
                     HttpReply::json(200, &Hosts { hosts })
@@ -201,34 +208,37 @@
         }
     }
 
-    /// Gives a rented machine its address, and a thread for its reports.
-    fn open(&self, region: &mut Region, host: &str) -> Result<(), StartError> {
-        let mut edges = locked(&self.edges);
-        if edges.contains_key(host) {
+    /// Starts the server of a rented machine, and the thread that sends its reports.
+    fn start_worker_server(&self, region: &mut Region, host: &str) -> Result<(), StartError> {
+        let mut endpoints = lock(&self.endpoints);
+        if endpoints.contains_key(host) {
             return Ok(());
         }
-        let (name, asked) = (host.to_owned(), self.asked.clone());
-        let deliver = move |incoming| asked.send((name.clone(), incoming)).is_ok();
-        let answers = Arc::new(server::start("127.0.0.1:0", CONNECTIONS, read_worker, deliver)?);
+        let (name, command_sender) = (host.to_owned(), self.command_sender.clone());
+        let deliver = move |incoming| command_sender.send((name.clone(), incoming)).is_ok();
+        let answers =
+            Arc::new(server::start("127.0.0.1:0", MAX_CONNECTIONS, parse_worker_request, deliver)?);
         if let Some(worker) = region.machine(host) {
             worker.addr = answers.address().to_string();
         }
-        // One report is under way at a time; one that was given up may still hold the thread.
+        // Only one report is in flight at a time, but one that timed out may still occupy the thread.
         let (reports, queue) = bounded(2);
-        edges.insert(host.to_owned(), Edge { answers, reports });
+        endpoints.insert(host.to_owned(), WorkerEndpoint { answers, reports });
         Ok(self.start_reports(queue)?)
     }
 
-    fn start_reports(&self, queue: Receiver<(Passage, Report)>) -> std::io::Result<()> {
-        let call = |node: &Node| Caller::new(&node.address, REPORT_TIMEOUT_MS, GATE_BYTES);
-        let callers: Vec<Caller> = self.nodes.iter().map(call).collect();
-        let returns = self.returns.clone();
-        let mut known = BTreeSet::new();
+    fn start_reports(&self, queue: Receiver<(ReportTransit, Report)>) -> std::io::Result<()> {
+        let new_caller =
+            |node: &Node| Caller::new(&node.address, REPORT_TIMEOUT_MS, MAX_RESPONSE_BYTES);
+        let callers: Vec<Caller> = self.nodes.iter().map(new_caller).collect();
+        let result_sender = self.result_sender.clone();
+        let mut known_jobs = BTreeSet::new();
         spawn("reports", move || {
-            while let Ok((passage, report)) = queue.recv() {
-                let said = callers[passage.node].post("/v1/report", &report);
-                let jobs = fetch(&callers, passage.node, said.as_ref(), &mut known);
-                if returns.send(Returned { passage, said, jobs }).is_err() {
+            while let Ok((transit, report)) = queue.recv() {
+                let answer = callers[transit.node].post("/v1/report", &report);
+                let jobs =
+                    fetch_graph_jobs(&callers, transit.node, answer.as_ref(), &mut known_jobs);
+                if result_sender.send(ReportResult { transit, answer, jobs }).is_err() {
                     return;
                 }
             }
@@ -237,20 +247,22 @@
     }
 
     fn serve_workers(&self, commands: &Receiver<(String, Incoming<WorkerRequest>)>) {
-        // Commands that reached a machine which hangs: executed when it goes on, however late.
-        let mut held: Vec<(String, Command)> = Vec::new();
+        // Commands to hanging machines: executed when the machine resumes, however late.
+        let mut delayed: Vec<(String, Command)> = Vec::new();
         loop {
-            if let Ok((host, incoming)) = commands.recv_timeout(Duration::from_millis(STEP_MS.0)) {
-                self.commanded(&host, incoming, &mut held);
+            if let Ok((host, incoming)) =
+                commands.recv_timeout(Duration::from_millis(STEP_INTERVAL_MS.0))
+            {
+                self.commanded(&host, incoming, &mut delayed);
             }
             let now = self.shared.now();
-            held.retain(|(host, command)| {
+            delayed.retain(|(host, command)| {
                 let mut region = self.region();
-                let hangs = region.machine(host).is_some_and(|w| now < w.hung_until);
-                if !hangs {
+                let is_hanging = region.machine(host).is_some_and(|w| now < w.hung_until);
+                if !is_hanging {
                     let _ = region.commanded(now, host, command);
                 }
-                hangs
+                is_hanging
             });
         }
     }
@@ -259,160 +271,170 @@
         &self,
         host: &str,
         incoming: Incoming<WorkerRequest>,
-        held: &mut Vec<(String, Command)>,
+        delayed: &mut Vec<(String, Command)>,
     ) {
-        let Some(answers) = locked(&self.edges).get(host).map(|e| e.answers.clone()) else {
+        let Some(answers) = lock(&self.endpoints).get(host).map(|e| e.answers.clone()) else {
             return;
         };
-        let conn: Conn = incoming.caller;
+        let connection: Connection = incoming.caller;
         let now = self.shared.now();
         let mut region = self.region();
         let Some(worker) = region.machine(host).filter(|w| now >= w.up_at) else {
-            return answers.close(conn);
+            return answers.close(connection);
         };
-        // Who asks cannot be told from the socket: in a cut zone no command gets through.
+        // The socket does not show which controller sent the command, so no command reaches a partitioned
+        // zone.
         let zone = worker.place.zone.clone();
-        let cut = locked(&self.shared.faults).apart(&zone, usize::MAX, "", now);
-        if now < worker.hung_until || cut {
+        let is_zone_partitioned =
+            lock(&self.shared.faults).is_partitioned(&zone, usize::MAX, "", now);
+        if now < worker.hung_until || is_zone_partitioned {
             if let WorkerRequest::Do(command) = incoming.request {
-                held.push((host.to_owned(), command));
+                delayed.push((host.to_owned(), command));
             }
-            return answers.close(conn);
+            return answers.close(connection);
         }
         let reply = match incoming.request {
             WorkerRequest::Show => HttpReply::json(200, &worker.state(now)),
             WorkerRequest::Do(command) => match region.commanded(now, host, &command) {
                 Some((true, report)) => HttpReply::json(200, &report),
                 Some((false, report)) => HttpReply::json(409, &report),
-                None => return answers.close(conn),
+                None => return answers.close(connection),
             },
         };
-        answers.send(conn, reply);
+        answers.send(connection, reply);
     }
 
-    fn run_machines(&self, returned: &Receiver<Returned>) {
-        let mut noted = 0;
+    /// Periodically advances the region, and passes reports and answers between workers and controllers.
+    fn run_machines(&self, results: &Receiver<ReportResult>) {
+        let mut last_snapshot_at = 0;
         loop {
-            std::thread::sleep(Duration::from_millis(STEP_MS.0));
+            std::thread::sleep(Duration::from_millis(STEP_INTERVAL_MS.0));
             let now = self.shared.now();
-            while let Ok(Returned { passage, said, jobs }) = returned.try_recv() {
+            while let Ok(ReportResult { transit, answer, jobs }) = results.try_recv() {
                 jobs.iter().for_each(|job| self.region().upload(job));
-                self.returned(now, &passage, said);
+                self.deliver_answer(now, &transit, answer);
             }
-            let sendings = {
+            let reports_due = {
                 let mut region = self.region();
-                if now >= noted + NOTE_MS.0 {
-                    noted = now;
+                if now >= last_snapshot_at + LIST_SNAPSHOT_INTERVAL_MS.0 {
+                    last_snapshot_at = now;
                     region.note_list(now);
                     region.checker.look(now);
-                    locked(&self.shared.faults).sweep(now);
+                    lock(&self.shared.faults).remove_expired(now);
                 }
                 region.step(now)
             };
-            for sending in sendings {
+            for sending in reports_due {
                 self.send(now, sending);
             }
             let region = self.region();
-            locked(&self.edges).retain(|host, _| region.workers.contains_key(host));
+            lock(&self.endpoints).retain(|host, _| region.workers.contains_key(host));
         }
     }
 
-    fn apart(&self, region: &Region, host: &str, node: usize, now: u64) -> bool {
+    fn is_partitioned(&self, region: &Region, host: &str, node: usize, now: u64) -> bool {
         let Some(worker) = region.workers.get(host) else { return true };
-        let its = self.nodes[node].zone.as_str();
-        locked(&self.shared.faults).apart(&worker.place.zone, node, its, now)
+        let controller_zone = self.nodes[node].zone.as_str();
+        lock(&self.shared.faults).is_partitioned(&worker.place.zone, node, controller_zone, now)
     }
 
     fn send(&self, now: u64, sending: Sending) {
         let Sending { host, id, node, report } = sending;
-        if self.apart(&self.region(), &host, node, now) {
+        if self.is_partitioned(&self.region(), &host, node, now) {
             return;
         }
-        if let Some(edge) = locked(&self.edges).get(&host) {
-            // A full queue is a worker that still waits: this report is lost, as on a bad line.
-            let _ = edge.reports.try_send((Passage { host, id, sent: now, node }, report));
+        if let Some(endpoint) = lock(&self.endpoints).get(&host) {
+            // A full queue means that the thread still waits for earlier reports: this report is dropped, as
+            // on a bad connection.
+            let _ =
+                endpoint.reports.try_send((ReportTransit { host, id, sent: now, node }, report));
         }
     }
 
-    /// An answer to a report reaches its worker, if nothing cuts them apart meanwhile.
-    fn returned(&self, now: u64, passage: &Passage, said: Said) {
-        let Passage { host, id, sent, node } = passage;
+    /// Delivers the answer to a report to its worker, unless the two are partitioned now.
+    fn deliver_answer(&self, now: u64, transit: &ReportTransit, answer: NodeAnswer) {
+        let ReportTransit { host, id, sent, node } = transit;
         let mut region = self.region();
-        if !self.apart(&region, host, *node, now) {
-            let (status, body) = said.unwrap_or((0, Vec::new()));
+        if !self.is_partitioned(&region, host, *node, now) {
+            let (status, body) = answer.unwrap_or((0, Vec::new()));
             let body = String::from_utf8_lossy(&body);
             region.answered(now, host, (*id, *sent), status, &body);
         }
     }
 }
 
-/// Workers are told to run jobs of graphs whose descriptions nobody has uploaded: they ask a controller.
-fn fetch(
+/// Jobs of graphs have no uploaded description: fetches the descriptions of those that the answer orders to
+/// run from a controller.
+fn fetch_graph_jobs(
     callers: &[Caller],
     node: usize,
-    said: Option<&(u16, Vec<u8>)>,
-    known: &mut BTreeSet<String>,
+    answer: Option<&(u16, Vec<u8>)>,
+    known_jobs: &mut BTreeSet<String>,
 ) -> Vec<JobSpec> {
-    let answer = said.filter(|(status, _)| *status == 200);
+    let answer = answer.filter(|(status, _)| *status == 200);
     let answer = answer.and_then(|(_, body)| serde_json::from_slice::<ReportAnswer>(body).ok());
     let mut jobs = Vec::new();
     for order in answer.into_iter().flat_map(|answer| answer.orders) {
         let Order::Run { task, .. } = order else { continue };
         let Some((job, _)) = task.rsplit_once('/') else { continue };
-        // Ids of 20 digits that begin with a 9 are graphs'.
-        let of_graph = job.len() == 24 && job.starts_with("req-9");
-        if !of_graph || known.contains(job) {
+        // IDs of 20 digits that begin with 9 belong to graphs.
+        let is_graph_job = job.len() == 24 && job.starts_with("req-9");
+        if !is_graph_job || known_jobs.contains(job) {
             continue;
         }
         let path = format!("/v2/runs/{job}/nodes");
-        let ask = |caller: &Caller| caller.get(&path).filter(|(status, _)| *status == 200);
-        let found = (0..callers.len()).find_map(|n| ask(&callers[(node + n) % callers.len()]));
-        let described = found.and_then(|(_, body)| serde_json::from_slice::<Described>(&body).ok());
-        if let Some(spec) = described.and_then(|described| described.job) {
-            known.insert(job.to_owned());
+        let request_job = |caller: &Caller| caller.get(&path).filter(|(status, _)| *status == 200);
+        let job_body = (0..callers.len())
+            .find_map(|offset| request_job(&callers[(node + offset) % callers.len()]));
+        let job_answer =
+            job_body.and_then(|(_, body)| serde_json::from_slice::<JobAnswer>(&body).ok());
+        if let Some(spec) = job_answer.and_then(|job_answer| job_answer.job) {
+            known_jobs.insert(job.to_owned());
             jobs.push(spec);
         }
     }
     jobs
 }
 
-/// What a controller says of a graph's job, as far as a worker here needs it.
+/// The part of a controller's answer about a graph's job that the emulator needs.
 #[derive(serde::Deserialize)]
-struct Described {
+struct JobAnswer {
     job: Option<JobSpec>,
 }
 
-fn bad(text: impl std::fmt::Display) -> HttpReply {
+fn bad_request(text: impl std::fmt::Display) -> HttpReply {
     HttpReply::error(400, &text.to_string())
 }
 
-fn read_cloud(method: &str, target: &str, body: &[u8]) -> Result<CloudRequest, HttpReply> {
+fn parse_cloud_request(method: &str, target: &str, body: &[u8]) -> Result<CloudRequest, HttpReply> {
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
     match (method, path) {
         ("GET", "/catalog") => Ok(CloudRequest::Catalog),
         ("GET", "/machines") => {
-            let (mut after, mut most) = (String::new(), 500);
+            let (mut after, mut max) = (String::new(), 500);
             for (name, value) in query.split('&').filter_map(|pair| pair.split_once('=')) {
                 match name {
                     "after" => after = value.to_owned(),
-                    "most" => most = value.parse().map_err(bad)?,
+                    "most" => max = value.parse().map_err(bad_request)?,
                     _ => {}
                 }
             }
-            Ok(CloudRequest::List { after, most })
+            Ok(CloudRequest::List { after, max })
+        }
+        ("POST", "/machines") => {
+            serde_json::from_slice(body).map(CloudRequest::Hire).map_err(bad_request)
         }
-        ("POST", "/machines") => serde_json::from_slice(body).map(CloudRequest::Hire).map_err(bad),
         ("POST", "/machines/release") => {
-            serde_json::from_slice(body).map(CloudRequest::Release).map_err(bad)
+            serde_json::from_slice(body).map(CloudRequest::Release).map_err(bad_request)
         }
         _ => Err(HttpReply::error(404, "no such path")),
     }
 }
 
-fn read_worker(method: &str, path: &str, body: &[u8]) -> Result<WorkerRequest, HttpReply> {
+fn parse_worker_request(method: &str, path: &str, body: &[u8]) -> Result<WorkerRequest, HttpReply> {
     match (method, path) {
         ("GET", "/show") => Ok(WorkerRequest::Show),
-        ("POST", "/do") => serde_json::from_slice(body).map(WorkerRequest::Do).map_err(bad),
+        ("POST", "/do") => serde_json::from_slice(body).map(WorkerRequest::Do).map_err(bad_request),
         _ => Err(HttpReply::error(404, "no such path")),
     }
 }
--- a/crates/emulator/src/worker.rs
+++ b/crates/emulator/src/worker.rs
@@ -1,4 +1,4 @@
-//! A machine and its worker, as the protocol describes them. Deterministic: the time comes in.
+//! A machine and its worker, as the protocol describes them. Deterministic: the caller passes in the time.
 
 use crate::checker::{Checker, OnMachine, Place};
 use oatloom_protocol::ids::{Attempt, HostId, ReportSeq, Token, WorkerSession, Zone};
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// Times of workers, in milliseconds.
+/// Intervals and timeouts of workers, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Times {
     pub report: u64,
@@ -22,44 +22,44 @@
 
 impl From<&WorkerFacts> for Times {
     fn from(facts: &WorkerFacts) -> Self {
-        let ms = |s: f64| (s * 1000.0) as u64;
+        let to_ms = |s: f64| (s * 1000.0) as u64;
         Self {
-            report: ms(facts.report_s),
-            lease: ms(facts.lease_s),
-            gang_wait: ms(facts.gang_wait_s),
-            gang_peer: ms(facts.gang_peer_s),
+            report: to_ms(facts.report_s),
+            lease: to_ms(facts.lease_s),
+            gang_wait: to_ms(facts.gang_wait_s),
+            gang_peer: to_ms(facts.gang_peer_s),
         }
     }
 }
 
-/// What is kept outside all machines: descriptions that users have uploaded, and saved progress.
+/// State stored outside the machines: uploaded job descriptions and saved progress.
 #[derive(Debug, Default)]
-pub struct Outside {
+pub struct ExternalState {
     pub specs: HashMap<String, JobSpec>,
-    /// Progress in milliseconds: of each task of an array, and of a gang as a whole, under its task 0.
+    /// Saved progress in milliseconds, by job and task; a gang has one entry, under its task 0.
     pub saved: HashMap<(String, u32), u64>,
-    /// Attempts of gangs that were stopped in order: all tasks were told in time and have saved.
-    pub safe: BTreeSet<(String, u64)>,
-    /// Whether a task that has completed and is started again ends at once, as the protocol has it.
+    /// Attempts of gangs whose checkpoint is complete: all tasks were stopped in time and have saved.
+    pub complete_checkpoints: BTreeSet<(String, u64)>,
+    /// Whether a completed task that is started again ends at once, as the protocol specifies.
     pub keeps_results: bool,
-    /// Jobs whose tasks fail by their own doing.
+    /// Jobs whose tasks fail through a fault of the job itself.
     pub broken: HashMap<String, Broken>,
 }
 
-/// Which of a job's attempts fail on every machine.
+/// Which attempts of a job fail on every machine.
 #[derive(Clone, Debug)]
 pub enum Broken {
-    /// All: it was submitted with a mistake.
+    /// All attempts: the job itself is faulty.
     Always,
-    /// Those of one task; of a gang, all.
+    /// The attempts of the task with this index.
     Task(u32),
-    /// This share, drawn for each attempt.
+    /// This share of the attempts, decided by a hash of job, task and attempt.
     Often(f64),
 }
 
-impl Outside {
-    /// Whether an attempt fails by its own doing.
-    fn errs(&self, (job, index, attempt): &(String, u32, u64)) -> bool {
+impl ExternalState {
+    /// Whether an attempt fails through a fault of the job.
+    fn is_failing_attempt(&self, (job, index, attempt): &(String, u32, u64)) -> bool {
         match self.broken.get(job) {
             None => false,
             Some(Broken::Always) => true,
@@ -72,52 +72,54 @@
         }
     }
 
-    /// Whose progress a task's is.
-    fn slot(spec: &JobSpec, index: u32) -> (String, u32) {
+    /// The key of a task's progress in `saved`.
+    fn progress_key(spec: &JobSpec, index: u32) -> (String, u32) {
         (spec.id.to_string(), if spec.shape == Shape::Gang { 0 } else { index })
     }
 
     fn progress(&self, spec: &JobSpec, index: u32) -> u64 {
-        self.saved.get(&Self::slot(spec, index)).copied().unwrap_or(0)
+        self.saved.get(&Self::progress_key(spec, index)).copied().unwrap_or(0)
     }
 
-    /// Progress is kept; it never goes back.
+    /// Saves progress; it never decreases.
     fn save(&mut self, spec: &JobSpec, index: u32, progress: u64) {
-        let kept = self.saved.entry(Self::slot(spec, index)).or_default();
-        *kept = progress.max(*kept);
+        let saved = self.saved.entry(Self::progress_key(spec, index)).or_default();
+        *saved = progress.max(*saved);
     }
 }
 
-/// What an attempt of a gang looks like over all machines.
+/// Number of tasks of an attempt in each state, over all machines.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Muster {
-    /// Tasks that wait, run or save.
-    pub there: u32,
+pub struct GangState {
+    /// Tasks that are waiting, running or saving.
+    pub active: u32,
+    /// Tasks that have completed.
     pub done: u32,
-    /// Tasks that save or have saved.
+    /// Tasks that are saving or have saved.
     pub saving: u32,
-    /// Tasks that the job has.
-    pub size: u32,
+    /// Number of tasks of the job.
+    pub task_count: u32,
 }
 
+/// An attempt of a task on a machine.
 #[derive(Clone, Debug)]
 pub struct Instance {
     pub phase: TaskPhase,
     pub cause: Option<ExitCause>,
-    /// End of the fetch, then of the run.
+    /// End of the current phase: of the image fetch, of the run, or of saving.
     pub until: u64,
     pub waiting_since: u64,
-    /// Since when it runs, and the progress that it began with.
+    /// Start of the run, and the saved progress with which it started.
     pub running_since: u64,
     pub base: u64,
-    /// Its progress was saved when it was stopped.
+    /// Whether its progress was saved when it was stopped.
     pub stored: bool,
-    /// When it stopped running: its end, or the command to save.
+    /// When it stopped running: when it exited, or was ordered to stop and began to save.
     pub ended: Option<u64>,
 }
 
 impl Instance {
-    /// For how long it has run, in milliseconds.
+    /// Run time so far, in milliseconds.
     pub fn ran(&self, now: u64) -> u64 {
         match self.running_since {
             0 => 0,
@@ -126,43 +128,56 @@
     }
 }
 
-/// How a machine gets its images.
+/// How long a machine takes to fetch images.
 #[derive(Clone, Debug)]
 pub enum Fetch {
-    /// In a time drawn between these, in milliseconds, every time.
+    /// A random time in this range, in milliseconds, for each task.
     Between(u64, u64),
-    /// At this many GB a second; what it has fetched it keeps.
+    /// This rate in GB/s; a fetched image stays on the machine. The map has the time at which each image is
+    /// fetched.
     Rate(f64, BTreeMap<String, u64>),
 }
 
+/// A rented machine with its worker.
 pub struct Worker {
     pub host: String,
-    /// Where direct commands reach it.
+    /// Address for direct commands.
     pub addr: String,
     times: Times,
     pub fetch: Fetch,
-    /// Run time over what its owner said.
+    /// Factor on the run time that the job's owner estimated.
     pub slowness: f64,
     pub place: Place,
     pub gpus: f64,
+    /// When the machine has booted.
     pub up_at: u64,
+    /// Number of the worker session.
     pub shift: u64,
-    pub tally: u64,
+    /// Sequence number of the last report in this session.
+    pub report_seq: u64,
+    /// Highest fencing token received.
     pub token: u64,
+    /// Attempts, by job, task and attempt.
     pub tasks: BTreeMap<(String, u32, u64), Instance>,
+    /// Start of the current lease: when the last answered report was sent.
     pub lease_from: u64,
+    /// Index of the controller node that it reports to.
     pub node: usize,
     pub next_report: u64,
-    /// Report under way: its id and when it was sent.
+    /// Report without an answer yet: its id and when it was sent.
     pub waiting: Option<(u64, u64)>,
+    /// The machine does nothing until then.
     pub hung_until: u64,
+    /// The machine reaches no controller until then.
     pub cut_until: u64,
+    /// When the cloud takes back the machine, after a preemption notice.
     pub notice_until: Option<u64>,
-    /// Every task fails on a faulty machine.
+    /// Whether the machine is faulty: every task fails on it.
     pub faulty: bool,
+    /// Whether the state has changed since the last report.
     changed: bool,
     last_report: u64,
-    /// The last moment that came in.
+    /// Time of the last step or execution of orders.
     clock: u64,
 }
 
@@ -185,7 +200,7 @@
             gpus,
             up_at,
             shift: 1,
-            tally: 0,
+            report_seq: 0,
             token: 0,
             tasks: BTreeMap::new(),
             lease_from: up_at,
@@ -202,66 +217,67 @@
         }
     }
 
-    fn on(&self, key: &(String, u32, u64)) -> OnMachine {
+    fn task_on_machine(&self, key: &(String, u32, u64)) -> OnMachine {
         OnMachine { job: key.0.clone(), index: key.1, host: self.host.clone() }
     }
 
-    /// Kills everything, as the cloud or an ended lease does.
+    /// Kills all tasks, as when the cloud takes back the machine or the lease expires.
     pub fn kill(&mut self, checker: &mut Checker) {
         for key in std::mem::take(&mut self.tasks).into_keys() {
-            checker.ended(&self.on(&key));
+            checker.ended(&self.task_on_machine(&key));
         }
     }
 
     fn exit(&mut self, key: &(String, u32, u64), cause: ExitCause, checker: &mut Checker) {
-        let on = self.on(key);
+        let task_on_machine = self.task_on_machine(key);
         if let Some(task) = self.tasks.get_mut(key) {
             task.phase = TaskPhase::Exited;
             task.cause = Some(cause);
             task.ended = task.ended.or(Some(self.clock));
-            checker.exited(&self.host, key, cause, task.ran(self.clock));
+            checker.record_exit(&self.host, key, cause, task.ran(self.clock));
             self.changed = true;
-            checker.ended(&on);
+            checker.ended(&task_on_machine);
         }
     }
 
-    /// Without an answer in time, everything is killed and the next session begins.
+    /// If the lease has expired without an answer, kills all tasks and starts the next session.
     pub fn end_lease(&mut self, now: u64, checker: &mut Checker) {
         if now > self.lease_from + self.times.lease {
             self.kill(checker);
             self.shift += 1;
-            self.tally = 0;
+            self.report_seq = 0;
             self.lease_from = now;
             self.waiting = None;
             self.changed = true;
         }
     }
 
-    /// Lets time pass; `muster` tells of an attempt of a gang on all machines.
+    /// Advances the machine to `now`; `gang_state` returns the state of an attempt of a gang over all
+    /// machines.
     pub fn step(
         &mut self,
         now: u64,
-        outside: &mut Outside,
-        muster: &dyn Fn(&str, u64) -> Muster,
+        outside: &mut ExternalState,
+        gang_state: &dyn Fn(&str, u64) -> GangState,
         checker: &mut Checker,
     ) {
         self.clock = now;
         self.end_lease(now, checker);
         for key in self.tasks.keys().cloned().collect::<Vec<_>>() {
-            // A job that nobody described was refused and has only ended tasks here.
+            // A job without a description was rejected and has only exited tasks here.
             let Some(spec) = outside.specs.get(&key.0).cloned() else { continue };
             let task = self.tasks[&key].clone();
-            let gang = spec.shape == Shape::Gang;
-            let lost = || {
-                let gang = muster(&key.0, key.2);
-                gang.there < gang.size && gang.done == 0
+            let is_gang = spec.shape == Shape::Gang;
+            let has_lost_peer = || {
+                let gang = gang_state(&key.0, key.2);
+                gang.active < gang.task_count && gang.done == 0
             };
             match task.phase {
                 TaskPhase::Fetching if now >= task.until => {
-                    checker.started(now, self.on(&key), self.place.clone());
+                    checker.started(now, self.task_on_machine(&key), self.place.clone());
                     if outside.keeps_results && checker.is_done(&key.0, key.1) {
                         self.exit(&key, ExitCause::Done, checker);
-                    } else if gang {
+                    } else if is_gang {
                         let phase = TaskPhase::Waiting;
                         self.tasks.insert(key, Instance { phase, waiting_since: now, ..task });
                     } else {
@@ -269,7 +285,7 @@
                     }
                     self.changed = true;
                 }
-                TaskPhase::Waiting if muster(&key.0, key.2).there == spec.tasks => {
+                TaskPhase::Waiting if gang_state(&key.0, key.2).active == spec.tasks => {
                     self.begin(now, key, task, &spec, outside);
                     self.changed = true;
                 }
@@ -277,66 +293,76 @@
                     self.exit(&key, ExitCause::Incomplete, checker);
                 }
                 TaskPhase::Saving if now >= task.until => {
-                    self.saved(now, &key, &task, &spec, outside, muster, checker);
+                    self.finish_saving(now, &key, &task, &spec, outside, gang_state, checker);
                 }
-                TaskPhase::Running if self.faulty || outside.errs(&key) => {
-                    let own = outside.errs(&key);
-                    checker.errored(now, &self.on(&key), key.2, own, self.faulty);
+                TaskPhase::Running if self.faulty || outside.is_failing_attempt(&key) => {
+                    let is_job_fault = outside.is_failing_attempt(&key);
+                    checker.record_error(
+                        now,
+                        &self.task_on_machine(&key),
+                        key.2,
+                        is_job_fault,
+                        self.faulty,
+                    );
                     self.exit(&key, ExitCause::Error, checker);
                 }
-                TaskPhase::Running if gang && lost() => self.exit(&key, ExitCause::Peers, checker),
+                TaskPhase::Running if is_gang && has_lost_peer() => {
+                    self.exit(&key, ExitCause::Peers, checker)
+                }
                 TaskPhase::Running if spec.shape != Shape::Service && now >= task.until => {
                     // The tasks of a gang complete together.
-                    let all = 0..spec.tasks;
-                    all.filter(|i| gang || *i == key.1).for_each(|i| checker.task_done(&key.0, i));
+                    let completed = 0..spec.tasks;
+                    completed
+                        .filter(|i| is_gang || *i == key.1)
+                        .for_each(|i| checker.task_done(&key.0, i));
                     self.exit(&key, ExitCause::Done, checker);
                 }
                 TaskPhase::Running if spec.checkpoint_s > 0.0 => {
-                    let every = (spec.checkpoint_s * 1000.0).max(1.0) as u64;
+                    let interval_ms = (spec.checkpoint_s * 1000.0).max(1.0) as u64;
                     let progress = task.base + (now - task.running_since);
-                    outside.save(&spec, key.1, progress / every * every);
+                    outside.save(&spec, key.1, progress / interval_ms * interval_ms);
                 }
                 _ => {}
             }
         }
     }
 
-    /// A task begins to run, from the progress that was saved of it.
+    /// Starts running a task from its saved progress.
     fn begin(
         &mut self,
         now: u64,
         key: (String, u32, u64),
         task: Instance,
         spec: &JobSpec,
-        outside: &Outside,
+        outside: &ExternalState,
     ) {
         let base = outside.progress(spec, key.1);
-        let whole = (spec.estimate_s * self.slowness * 1000.0) as u64;
-        let (phase, until) = (TaskPhase::Running, now + whole.saturating_sub(base));
+        let run_time_ms = (spec.estimate_s * self.slowness * 1000.0) as u64;
+        let (phase, until) = (TaskPhase::Running, now + run_time_ms.saturating_sub(base));
         self.tasks.insert(key, Instance { phase, until, running_since: now, base, ..task });
     }
 
-    /// A task that was stopped has had the time to save. A gang's progress is safe only if all were told in time:
-    /// until then it waits for the others.
+    /// Completes the saving of a stopped task. A gang's progress counts only if all its tasks were stopped in
+    /// time; until then the task waits for the others.
     #[allow(clippy::too_many_arguments)]
-    fn saved(
+    fn finish_saving(
         &mut self,
         now: u64,
         key: &(String, u32, u64),
         task: &Instance,
         spec: &JobSpec,
-        outside: &mut Outside,
-        muster: &dyn Fn(&str, u64) -> Muster,
+        outside: &mut ExternalState,
+        gang_state: &dyn Fn(&str, u64) -> GangState,
         checker: &mut Checker,
     ) {
         let stopped_at = task.until.saturating_sub((spec.save_s * 1000.0) as u64);
         let progress = task.base + stopped_at.saturating_sub(task.running_since);
         if spec.shape == Shape::Gang {
             let attempt = (key.0.clone(), key.2);
-            if muster(&key.0, key.2).saving >= spec.tasks {
-                outside.safe.insert(attempt.clone());
+            if gang_state(&key.0, key.2).saving >= spec.tasks {
+                outside.complete_checkpoints.insert(attempt.clone());
             }
-            if !outside.safe.contains(&attempt) {
+            if !outside.complete_checkpoints.contains(&attempt) {
                 if now > stopped_at + self.times.gang_peer {
                     self.exit(key, ExitCause::Peers, checker);
                 }
@@ -349,12 +375,13 @@
         self.exit(key, ExitCause::Stopped, checker);
     }
 
-    /// Whether a report is to be sent now.
-    pub fn due(&self, now: u64) -> bool {
-        let soon = self.changed && now >= self.last_report + 500;
-        self.waiting.is_none() && (now >= self.next_report || soon)
+    /// Whether a report has to be sent now.
+    pub fn is_report_due(&self, now: u64) -> bool {
+        let is_change_due = self.changed && now >= self.last_report + 500;
+        self.waiting.is_none() && (now >= self.next_report || is_change_due)
     }
 
+    /// Returns the report to send now and schedules the next one.
     pub fn report(&mut self, now: u64, id: u64, rng: &mut ChaCha8Rng) -> Report {
         self.changed = false;
         self.last_report = now;
@@ -364,9 +391,9 @@
         self.state(now)
     }
 
-    /// What the worker says of itself, in a report or in answer to a command.
+    /// State of the worker, for a report or the answer to a command. Increments the report sequence number.
     pub fn state(&mut self, now: u64) -> Report {
-        self.tally += 1;
+        self.report_seq += 1;
         Report {
             host: HostId::new(&self.host),
             addr: self.addr.clone(),
@@ -374,7 +401,7 @@
             zone: Zone::new(&self.place.zone),
             spot: self.place.spot,
             session: WorkerSession(self.shift),
-            report_seq: ReportSeq(self.tally),
+            report_seq: ReportSeq(self.report_seq),
             token: Token(self.token),
             notice_s: self.notice_until.map(|t| t.saturating_sub(now) as f64 / 1000.0),
             tasks: self
@@ -392,20 +419,20 @@
         }
     }
 
-    /// The next node is tried a second later.
-    pub fn turn_away(&mut self, now: u64, to: usize) {
+    /// Switches to node `node` and schedules the next report a second later.
+    pub fn switch_node(&mut self, now: u64, node: usize) {
         self.waiting = None;
-        self.node = to;
+        self.node = node;
         self.next_report = now + 1_000;
     }
 
-    /// Takes a 200 for the report sent at `sent`.
-    pub fn obey(
+    /// Handles a 200 answer to the report sent at `sent_at`.
+    pub fn handle_answer(
         &mut self,
         now: u64,
-        sent: u64,
+        sent_at: u64,
         answer: &ReportAnswer,
-        outside: &Outside,
+        outside: &ExternalState,
         rng: &mut ChaCha8Rng,
         checker: &mut Checker,
     ) {
@@ -415,28 +442,29 @@
         }
         self.changed |= answer.token.0 > self.token;
         self.token = answer.token.0;
-        self.lease_from = self.lease_from.max(sent);
+        self.lease_from = self.lease_from.max(sent_at);
         self.execute(now, &answer.orders, outside, rng, checker);
     }
 
-    /// Takes a direct command, executed if token and session match.
+    /// Handles a direct command: executes it if the token is not older than the known one and the session
+    /// matches.
     pub fn command(
         &mut self,
         now: u64,
         command: &Command,
-        outside: &Outside,
+        outside: &ExternalState,
         rng: &mut ChaCha8Rng,
         checker: &mut Checker,
     ) -> Report {
         if command.token.0 >= self.token && command.session.0 == self.shift {
             self.changed |= command.token.0 > self.token;
             self.token = command.token.0;
-            let start = command.orders.iter().any(|order| matches!(order, Order::Run { .. }));
-            if start {
+            let starts_task = command.orders.iter().any(|order| matches!(order, Order::Run { .. }));
+            if starts_task {
                 checker.fail(
                     now,
                     "direct",
-                    format!("{}: a start command was sent directly", self.host),
+                    format!("{}: an order to start a task was sent directly", self.host),
                 );
             }
             self.execute(now, &command.orders, outside, rng, checker);
@@ -448,7 +476,7 @@
         &mut self,
         now: u64,
         orders: &[Order],
-        outside: &Outside,
+        outside: &ExternalState,
         rng: &mut ChaCha8Rng,
         checker: &mut Checker,
     ) {
@@ -465,15 +493,15 @@
                 Order::Run { .. } => self.run(now, key, outside, rng),
                 Order::Stop { grace_s, .. } => {
                     let Some(spec) = outside.specs.get(&key.0) else { continue };
-                    let saves = spec.checkpoint_s > 0.0 && *grace_s >= spec.save_s;
+                    let can_save = spec.checkpoint_s > 0.0 && *grace_s >= spec.save_s;
                     match self.tasks.get_mut(&key) {
-                        Some(task) if task.phase == TaskPhase::Running && saves => {
+                        Some(task) if task.phase == TaskPhase::Running && can_save => {
                             task.phase = TaskPhase::Saving;
                             task.until = now + (spec.save_s * 1000.0) as u64;
                             task.ended = Some(now);
                             self.changed = true;
                         }
-                        Some(task) if task.phase == TaskPhase::Saving && saves => {}
+                        Some(task) if task.phase == TaskPhase::Saving && can_save => {}
                         Some(task) if task.phase != TaskPhase::Exited => {
                             self.exit(&key, ExitCause::Stopped, checker);
                         }
@@ -481,7 +509,7 @@
                     }
                 }
                 Order::Forget { .. } => {
-                    if self.tasks.get(&key).is_some_and(|t| t.phase == TaskPhase::Exited) {
+                    if self.tasks.get(&key).is_some_and(|task| task.phase == TaskPhase::Exited) {
                         self.tasks.remove(&key);
                         checker.forgotten(now, &key.0, key.1, key.2);
                     }
@@ -490,20 +518,26 @@
         }
     }
 
-    fn run(&mut self, now: u64, key: (String, u32, u64), outside: &Outside, rng: &mut ChaCha8Rng) {
+    fn run(
+        &mut self,
+        now: u64,
+        key: (String, u32, u64),
+        outside: &ExternalState,
+        rng: &mut ChaCha8Rng,
+    ) {
         if self.tasks.contains_key(&key) {
             return;
         }
-        let active = || self.tasks.iter().filter(|(_, t)| t.phase != TaskPhase::Exited);
-        let used: f64 =
-            active().filter_map(|((job, ..), _)| Some(outside.specs.get(job)?.gpus)).sum();
+        let list_active = || self.tasks.iter().filter(|(_, t)| t.phase != TaskPhase::Exited);
+        let gpus_used: f64 =
+            list_active().filter_map(|((job, ..), _)| Some(outside.specs.get(job)?.gpus)).sum();
         let spec = outside.specs.get(&key.0);
         let cause = match spec {
             None => Some(ExitCause::Unknown),
-            Some(_) if active().any(|((j, i, _), _)| *j == key.0 && *i == key.1) => {
+            Some(_) if list_active().any(|((j, i, _), _)| *j == key.0 && *i == key.1) => {
                 Some(ExitCause::Busy)
             }
-            Some(spec) if used + spec.gpus > self.gpus + 1e-9 => Some(ExitCause::NoRoom),
+            Some(spec) if gpus_used + spec.gpus > self.gpus + 1e-9 => Some(ExitCause::NoRoom),
             Some(_) => None,
         };
         let phase = if cause.is_some() { TaskPhase::Exited } else { TaskPhase::Fetching };
@@ -523,13 +557,13 @@
         self.changed = true;
     }
 
-    /// When the machine has the job's image.
+    /// When the machine will have fetched the job's image.
     fn fetched_at(&mut self, now: u64, spec: &JobSpec, rng: &mut ChaCha8Rng) -> u64 {
         match &mut self.fetch {
-            Fetch::Between(least, most) => now + rng.random_range(*least..*most),
-            Fetch::Rate(rate, images) => {
-                let span = (spec.image_gb / rate.max(0.001) * 1000.0) as u64;
-                (*images.entry(spec.image.clone()).or_insert(now + span)).max(now)
+            Fetch::Between(min, max) => now + rng.random_range(*min..*max),
+            Fetch::Rate(rate, fetched_at) => {
+                let duration_ms = (spec.image_gb / rate.max(0.001) * 1000.0) as u64;
+                (*fetched_at.entry(spec.image.clone()).or_insert(now + duration_ms)).max(now)
             }
         }
     }
@@ -542,57 +576,60 @@
 
     const TIMES: Times = Times { report: 1_000, lease: 60_000, gang_wait: 9_000, gang_peer: 2_000 };
 
-    fn gang(outside: &mut Outside) -> String {
-        let text = r#"{"nameId":"req-1","jobclass":"c","owner":"red","shape":"group","rank":"low","shards":2,
+    fn submit_gang(outside: &mut ExternalState) -> String {
+        let json = r#"{"nameId":"req-1","jobclass":"c","owner":"red","shape":"group","rank":"low","shards":2,
             "cpus":1,"gpus":1,"memoryGb":1,"bundle":"i","pullGb":1,"samePlace":false,"spread":false,
             "loaners":false,"expectS":30,"snapshotS":4,"flushS":1}"#;
-        let spec: JobSpec = serde_json::from_str(text).unwrap();
+        let spec: JobSpec = serde_json::from_str(json).unwrap();
         let id = spec.id.to_string();
         outside.specs.insert(id.clone(), spec);
         id
     }
 
-    /// Two tasks of a gang on one machine; those named are told to stop after ten seconds. Returns what the
-    /// tasks ended with, and the progress that is kept.
-    fn stop(told: &[u32]) -> (Vec<(Option<ExitCause>, bool)>, u64) {
-        let (mut outside, mut rng) = (Outside::default(), ChaCha8Rng::seed_from_u64(1));
-        let id = gang(&mut outside);
+    /// Runs the two tasks of a gang on one machine and orders those in `stopped` to stop after ten seconds.
+    /// Returns the cause of exit of each task and whether it stored its progress, and the saved progress.
+    fn stop_tasks(stopped: &[u32]) -> (Vec<(Option<ExitCause>, bool)>, u64) {
+        let (mut outside, mut rng) = (ExternalState::default(), ChaCha8Rng::seed_from_u64(1));
+        let id = submit_gang(&mut outside);
         let mut checker = Checker::new(HashMap::new(), 60_000);
         let place = Place { flavor: "g".into(), zone: "a".into(), spot: false };
         let mut worker = Worker::new("i-1".into(), place, 4.0, 0, TIMES, Fetch::Between(10, 11));
-        let task = |index: u32| format!("{id}/{index}");
-        let run = |index| Order::Run { task: task(index), attempt: Attempt(1) };
+        let format_task = |index: u32| format!("{id}/{index}");
+        let run = |index| Order::Run { task: format_task(index), attempt: Attempt(1) };
         worker.execute(0, &[run(0), run(1)], &outside, &mut rng, &mut checker);
         for now in (0..20_000).step_by(50) {
             if now == 10_000 {
-                let stop =
-                    |i: &u32| Order::Stop { task: task(*i), attempt: Attempt(1), grace_s: 5.0 };
-                let orders: Vec<Order> = told.iter().map(stop).collect();
+                let stop = |i: &u32| Order::Stop {
+                    task: format_task(*i),
+                    attempt: Attempt(1),
+                    grace_s: 5.0,
+                };
+                let orders: Vec<Order> = stopped.iter().map(stop).collect();
                 worker.execute(now, &orders, &outside, &mut rng, &mut checker);
             }
-            let mut seen = Muster { size: 2, ..Muster::default() };
+            let mut gang_state = GangState { task_count: 2, ..GangState::default() };
             for task in worker.tasks.values() {
-                let saves = task.phase == TaskPhase::Saving;
-                let runs = matches!(task.phase, TaskPhase::Waiting | TaskPhase::Running);
-                seen.there += u32::from(saves || runs);
-                seen.saving += u32::from(saves || task.stored);
+                let is_saving = task.phase == TaskPhase::Saving;
+                let is_running = matches!(task.phase, TaskPhase::Waiting | TaskPhase::Running);
+                gang_state.active += u32::from(is_saving || is_running);
+                gang_state.saving += u32::from(is_saving || task.stored);
             }
-            worker.step(now, &mut outside, &|_, _| seen, &mut checker);
+            worker.step(now, &mut outside, &|_, _| gang_state, &mut checker);
         }
         let ends = worker.tasks.values().map(|t| (t.cause, t.stored)).collect();
         (ends, outside.saved.get(&(id, 0)).copied().unwrap_or(0))
     }
 
-    /// A gang whose tasks are all told keeps its progress; one of which a task is not told falls back to its
-    /// last checkpoint, and nobody says that anything was stored.
+    /// If all tasks of a gang are ordered to stop, its progress is saved. If one of them is not, the gang
+    /// falls back to its last periodic checkpoint, and no task reports its progress as stored.
     #[test]
-    fn a_gang_is_stopped_in_order_or_falls_back() {
-        let (ends, kept) = stop(&[0, 1]);
+    fn gang_progress_is_saved_only_if_all_tasks_are_stopped() {
+        let (ends, saved) = stop_tasks(&[0, 1]);
         assert_eq!(ends, [(Some(ExitCause::Stopped), true); 2]);
-        assert!((9_800..=10_000).contains(&kept), "{kept}");
-        let (ends, kept) = stop(&[0]);
+        assert!((9_800..=10_000).contains(&saved), "{saved}");
+        let (ends, saved) = stop_tasks(&[0]);
         assert!(ends.iter().all(|(_, stored)| !stored), "{ends:?}");
         assert_eq!(ends[0].0, Some(ExitCause::Peers));
-        assert!(kept % 4_000 == 0 && kept >= 8_000, "{kept}");
+        assert!(saved % 4_000 == 0 && saved >= 8_000, "{saved}");
     }
 }
--- a/crates/explorer/src/constants.rs
+++ b/crates/explorer/src/constants.rs
@@ -1,6 +1,8 @@
-//! Every constant of the explorer, with its unit and the reason for its value.
+//! Constants of the explorer.
 
-/// Threads that find successors. The result is the same with any number: states are taken up in the order of the level.
-pub const THREADS: usize = 8;
-/// States of a level that a thread takes at a time: enough to be worth a hand-over, few enough to spread evenly.
-pub const CHUNK: usize = 2_048;
+/// Threads that compute successors. The result does not depend on it, since successors are processed in the
+/// order of the level.
+pub const THREAD_COUNT: usize = 8;
+/// A slice of a level with fewer states is expanded on one thread; a full slice has four times as many for
+/// each thread. Large enough to be worth starting threads, small enough to spread the work evenly.
+pub const CHUNK_STATE_COUNT: usize = 2_048;
--- a/crates/explorer/src/lib.rs
+++ b/crates/explorer/src/lib.rs
@@ -1,70 +1,73 @@
-//! Every interleaving of a small model: breadth first, so that the first way found to what must not be is a shortest
-//! one. States are kept as 128 bits of hash each, with the way by which they were first reached; a state itself only
-//! lives while its level is looked at.
+//! A breadth-first model checker for small models: it explores all interleavings, so the first counterexample
+//! found is a shortest one. Of each known state only a 128-bit digest and the step that first reached it are
+//! stored; full states are kept only for the level that is being explored and the next one.
 
 pub mod constants;
 
-use constants::{CHUNK, THREADS};
+use constants::{CHUNK_STATE_COUNT, THREAD_COUNT};
 use std::collections::HashMap;
 use std::fmt::Debug;
 use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher, Hash, Hasher};
 
-/// What is explored: a state, the steps possible in it, and what must hold.
+/// A model to explore: its states, the steps between them, and the invariants.
 pub trait Model: Sync {
     type State: Clone + Hash + Send + Sync;
     type Step: Clone + Debug + PartialEq + Send;
 
+    /// The initial state.
     fn start(&self) -> Self::State;
-    /// The steps that may come next, in an order that is always the same.
+    /// The steps to try in a state, always in the same order.
     fn steps(&self, state: &Self::State) -> Vec<Self::Step>;
-    /// The state after a step; `None`: it changes nothing of interest.
+    /// The state after a step; `None` if the step is not possible or changes nothing relevant.
     fn after(&self, state: &Self::State, step: &Self::Step) -> Option<Self::State>;
-    /// What is wrong with a state.
+    /// Describes the invariant that a state violates, if any.
     fn broken(&self, state: &Self::State) -> Option<String>;
 }
 
-/// How far to go.
+/// Limits of the exploration.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Distinct states after which it ends; those that follow on the slice at hand are looked at still.
+    /// Number of distinct states after which the exploration ends; it still completes the current slice of
+    /// the level.
     pub states: usize,
-    /// Steps from the start.
+    /// Maximum number of steps from the initial state.
     pub depth: usize,
 }
 
-/// A way from the start to a state that must not be.
+/// The steps from the initial state to a state that violates an invariant.
 #[derive(Clone, Debug)]
 pub struct Counterexample<Step> {
     pub steps: Vec<Step>,
     pub what: String,
 }
 
+/// The result of an exploration.
 #[derive(Debug)]
 pub struct Report<Step> {
-    /// Distinct states seen.
+    /// Number of distinct states found.
     pub states: usize,
-    /// Steps taken, those to known states included.
+    /// Number of steps tried, including those to known states.
     pub steps: usize,
-    /// The longest of the shortest ways to them.
+    /// Largest distance of a found state from the initial state, in steps.
     pub depth: usize,
-    /// Whether no state was left to look at.
+    /// Whether all reachable states were explored.
     pub whole: bool,
     pub found: Option<Counterexample<Step>>,
 }
 
 type Digest = u128;
 
-/// Digests are spread evenly already.
+/// Hashes a digest to its lower half: digests are already uniformly distributed.
 #[derive(Default)]
-struct AsItIs(u64);
+struct DigestHasher(u64);
 
-impl Hasher for AsItIs {
+impl Hasher for DigestHasher {
     fn finish(&self) -> u64 {
         self.0
     }
 
     fn write(&mut self, _bytes: &[u8]) {
-        unreachable!("only digests are hashed so");
+        unreachable!("only digests are hashed with this hasher");
     }
 
     fn write_u128(&mut self, digest: u128) {
@@ -74,30 +77,32 @@
 
 fn digest(state: &impl Hash) -> Digest {
     let hasher = BuildHasherDefault::<DefaultHasher>::default();
-    let hash = |salt: u64| u128::from(hasher.hash_one((salt, state)));
-    hash(1) << 64 | hash(2)
+    let hash_with = |salt: u64| u128::from(hasher.hash_one((salt, state)));
+    hash_with(1) << 64 | hash_with(2)
 }
 
-/// Whence a state was first reached: the state before, and the number of the step.
+/// How a state was first reached: the state before it and the index of the step.
 #[derive(Clone, Copy)]
-struct Way {
-    before: Digest,
+struct Predecessor {
+    previous: Digest,
     step: u16,
 }
 
-struct Next<State> {
+/// A state reached by one step.
+struct Successor<State> {
     state: State,
     digest: Digest,
-    way: Way,
+    predecessor: Predecessor,
     broken: Option<String>,
 }
 
-/// Looks at every state that can be reached within the bounds, or up to the first that must not be.
+/// Explores the states that are reachable within the bounds, up to the first one that violates an invariant.
 pub fn explore<M: Model>(model: &M, bounds: Bounds) -> Report<M::Step> {
     let start = model.start();
     let root = digest(&start);
-    let mut known: HashMap<Digest, Way, BuildHasherDefault<AsItIs>> = HashMap::default();
-    known.insert(root, Way { before: root, step: 0 });
+    let mut known: HashMap<Digest, Predecessor, BuildHasherDefault<DigestHasher>> =
+        HashMap::default();
+    known.insert(root, Predecessor { previous: root, step: 0 });
     let mut report = Report { states: 1, steps: 0, depth: 0, whole: false, found: None };
     if let Some(what) = model.broken(&start) {
         report.found = Some(Counterexample { steps: Vec::new(), what });
@@ -106,13 +111,15 @@
     let mut level = vec![(start, root)];
     while !level.is_empty() && report.depth < bounds.depth && known.len() < bounds.states {
         let mut next_level = Vec::new();
-        // In slices, so that what is found of one does not have to fit beside all of the level.
-        for slice in level.chunks(CHUNK * THREADS * 4) {
+        // In slices, so that memory never has to hold the successors of the whole level at once, only those
+        // that are new.
+        for slice in level.chunks(CHUNK_STATE_COUNT * THREAD_COUNT * 4) {
             for next in successors(model, slice, &mut report.steps) {
-                if let std::collections::hash_map::Entry::Vacant(place) = known.entry(next.digest) {
-                    place.insert(next.way);
+                if let std::collections::hash_map::Entry::Vacant(vacant) = known.entry(next.digest)
+                {
+                    vacant.insert(next.predecessor);
                     if let Some(what) = next.broken {
-                        let steps = way_to(model, &known, root, next.digest);
+                        let steps = steps_to(model, &known, root, next.digest);
                         report.states = known.len();
                         report.depth = steps.len();
                         report.found = Some(Counterexample { steps, what });
@@ -121,7 +128,7 @@
                     next_level.push((next.state, next.digest));
                 }
             }
-            // The level after this one would be too large to keep.
+            // The next level would be too large to keep in memory.
             if known.len() >= bounds.states {
                 break;
             }
@@ -136,80 +143,85 @@
     report
 }
 
-/// What follows on a slice of a level, in its order.
+/// The successors of the states in a slice of a level, in the order of the slice.
 fn successors<M: Model>(
     model: &M,
     slice: &[(M::State, Digest)],
-    steps_taken: &mut usize,
-) -> Vec<Next<M::State>> {
+    total_steps: &mut usize,
+) -> Vec<Successor<M::State>> {
     let expand = |part: &[(M::State, Digest)]| {
-        let (mut found, mut taken) = (Vec::new(), 0);
-        for (state, before) in part {
-            for (at, step) in model.steps(state).iter().enumerate() {
-                taken += 1;
+        let (mut found, mut step_count) = (Vec::new(), 0);
+        for (state, previous) in part {
+            for (index, step) in model.steps(state).iter().enumerate() {
+                step_count += 1;
                 let Some(after) = model.after(state, step) else { continue };
                 let digest = digest(&after);
-                let way = Way { before: *before, step: at as u16 };
-                found.push(Next { broken: model.broken(&after), state: after, digest, way });
+                let predecessor = Predecessor { previous: *previous, step: index as u16 };
+                found.push(Successor {
+                    broken: model.broken(&after),
+                    state: after,
+                    digest,
+                    predecessor,
+                });
             }
         }
-        (found, taken)
+        (found, step_count)
     };
-    if slice.len() < CHUNK {
-        let (found, taken) = expand(slice);
-        *steps_taken += taken;
+    if slice.len() < CHUNK_STATE_COUNT {
+        let (found, step_count) = expand(slice);
+        *total_steps += step_count;
         return found;
     }
-    let size = slice.len().div_ceil(THREADS);
+    let size = slice.len().div_ceil(THREAD_COUNT);
     std::thread::scope(|scope| {
         let parts: Vec<_> =
             slice.chunks(size).map(|part| scope.spawn(move || expand(part))).collect();
         let mut all = Vec::new();
         for part in parts {
-            let (found, taken) = part.join().expect("a model does not panic");
-            *steps_taken += taken;
+            let (found, step_count) = part.join().expect("the model does not panic");
+            *total_steps += step_count;
             all.extend(found);
         }
         all
     })
 }
 
-/// The steps from the start to a known state.
-fn way_to<M: Model>(
+/// The steps from the initial state to a known state.
+fn steps_to<M: Model>(
     model: &M,
-    known: &HashMap<Digest, Way, BuildHasherDefault<AsItIs>>,
+    known: &HashMap<Digest, Predecessor, BuildHasherDefault<DigestHasher>>,
     root: Digest,
     to: Digest,
 ) -> Vec<M::Step> {
-    let mut numbers = Vec::new();
-    let mut at = to;
-    while at != root {
-        let way = known[&at];
-        numbers.push(way.step);
-        at = way.before;
+    let mut step_indices = Vec::new();
+    let mut current = to;
+    while current != root {
+        let predecessor = known[&current];
+        step_indices.push(predecessor.step);
+        current = predecessor.previous;
     }
     let mut state = model.start();
     let mut steps = Vec::new();
-    for number in numbers.into_iter().rev() {
-        let step = model.steps(&state).swap_remove(usize::from(number));
-        state = model.after(&state, &step).expect("it was taken before");
+    for step_index in step_indices.into_iter().rev() {
+        let step = model.steps(&state).swap_remove(usize::from(step_index));
+        state = model.after(&state, &step).expect("the step was possible during the exploration");
         steps.push(step);
     }
     steps
 }
 
-/// Plays steps from the start again, those that are not possible left out; what is wrong on the way, and after how many
-/// steps.
+/// Replays steps from the initial state, skipping those that are not possible. Returns the number of steps
+/// after which an invariant is violated, and the description of the violation.
 pub fn replay<M: Model>(model: &M, steps: &[M::Step]) -> Option<(usize, String)> {
     let mut state = model.start();
-    for (at, step) in steps.iter().enumerate() {
+    for (index, step) in steps.iter().enumerate() {
         if model.steps(&state).contains(step)
             && let Some(next) = model.after(&state, step)
         {
             state = next;
         }
         if let Some(what) = model.broken(&state) {
-            return Some((at + 1, what));
+            return Some((index + 1, what));
         }
     }
     None
@@ -219,8 +231,9 @@
 mod tests {
     use super::*;
 
-    /// Two counters that are read and written apart: an update can be lost.
-    struct Counters {
+    /// Two processes that increment a shared counter with a separate read and write, so that an update can be
+    /// lost without a lock.
+    struct SharedCounter {
         locked: bool,
     }
 
@@ -238,7 +251,7 @@
         Write(usize),
     }
 
-    impl Model for Counters {
+    impl Model for SharedCounter {
         type State = State;
         type Step = Step;
 
@@ -247,23 +260,23 @@
         }
 
         fn steps(&self, _state: &State) -> Vec<Step> {
-            (0..2).flat_map(|n| [Step::Read(n), Step::Write(n)]).collect()
+            (0..2).flat_map(|process| [Step::Read(process), Step::Write(process)]).collect()
         }
 
         fn after(&self, state: &State, step: &Step) -> Option<State> {
             let mut next = state.clone();
             match *step {
-                Step::Read(n) => {
-                    let free = !self.locked || state.lock.is_none();
-                    if state.done[n] || state.read[n].is_some() || !free {
+                Step::Read(process) => {
+                    let is_lock_free = !self.locked || state.lock.is_none();
+                    if state.done[process] || state.read[process].is_some() || !is_lock_free {
                         return None;
                     }
-                    next.read[n] = Some(state.value);
-                    next.lock = Some(n);
+                    next.read[process] = Some(state.value);
+                    next.lock = Some(process);
                 }
-                Step::Write(n) => {
-                    next.value = state.read[n]? + 1;
-                    (next.read[n], next.done[n], next.lock) = (None, true, None);
+                Step::Write(process) => {
+                    next.value = state.read[process]? + 1;
+                    (next.read[process], next.done[process], next.lock) = (None, true, None);
                 }
             }
             Some(next)
@@ -276,14 +289,14 @@
     }
 
     #[test]
-    fn the_shortest_way_is_found_and_can_be_played_again() {
+    fn shortest_counterexample_is_found_and_replayed() {
         let bounds = Bounds { states: 1_000, depth: 50 };
-        let report = explore(&Counters { locked: false }, bounds);
+        let report = explore(&SharedCounter { locked: false }, bounds);
         let found = report.found.expect("a lost update");
         assert_eq!(found.steps.len(), 4, "{:?}", found.steps);
-        let again = replay(&Counters { locked: false }, &found.steps);
-        assert_eq!(again, Some((4, found.what)));
-        let report = explore(&Counters { locked: true }, bounds);
+        let replayed = replay(&SharedCounter { locked: false }, &found.steps);
+        assert_eq!(replayed, Some((4, found.what)));
+        let report = explore(&SharedCounter { locked: true }, bounds);
         assert!(report.found.is_none() && report.whole, "{report:?}");
         assert_eq!((report.states, report.depth), (8, 4));
     }
