--- a/crates/emulator/src/checker.rs
+++ b/crates/emulator/src/checker.rs
@@ -74,7 +74,7 @@
     cancel_timeout_ms: u64,
     specs: HashMap<String, JobSpec>,
     client_views: HashMap<String, ClientView>,
-    done: HashMap<String, BTreeSet<u32>>,
+    done_tasks: HashMap<String, BTreeSet<u32>>,
     tasks_on_machines: BTreeMap<OnMachine, Place>,
     /// Cores and GPUs used by each team's tasks on machines, in thousandths, so that sums are exact.
     team_usage: HashMap<String, [i64; 2]>,
@@ -119,7 +119,7 @@
             cancel_timeout_ms,
             specs: HashMap::new(),
             client_views: HashMap::new(),
-            done: HashMap::new(),
+            done_tasks: HashMap::new(),
             tasks_on_machines: BTreeMap::new(),
             team_usage: HashMap::new(),
         }
@@ -142,7 +142,7 @@
 
     /// A worker has completed a task.
     pub fn task_done(&mut self, job: &str, index: u32) {
-        self.done.entry(job.into()).or_default().insert(index);
+        self.done_tasks.entry(job.into()).or_default().insert(index);
     }
 
     /// A task has ended with an error, caused by the job, by the machine, or by both. An attempt of a gang
@@ -262,12 +262,12 @@
 
     /// Whether a task has completed.
     pub fn is_done(&self, job: &str, index: u32) -> bool {
-        self.done.get(job).is_some_and(|done| done.contains(&index))
+        self.done_tasks.get(job).is_some_and(|done| done.contains(&index))
     }
 
     /// How many tasks of a job have completed.
     pub fn done_count(&self, job: &str) -> u32 {
-        self.done.get(job).map_or(0, |done| done.len() as u32)
+        self.done_tasks.get(job).map_or(0, |done| done.len() as u32)
     }
 
     /// Tasks that are on machines now.
@@ -278,7 +278,7 @@
     /// Whether all tasks of a job have completed.
     pub fn all_done(&self, job: &str) -> bool {
         let tasks = self.specs.get(job).map_or(0, |spec| spec.tasks as usize);
-        self.done.get(job).map_or(0, |done| done.len()) >= tasks
+        self.done_tasks.get(job).map_or(0, |done| done.len()) >= tasks
     }
 
     /// A task starts on a machine: checks placement, dependencies, final status and quota.
--- a/crates/emulator/src/gate.rs
+++ b/crates/emulator/src/gate.rs
@@ -137,13 +137,13 @@
         let started = spawn("later", || {
             loop {
                 std::thread::sleep(Duration::from_millis(STEP_INTERVAL_MS.0));
-                let Some(Ok(mut delayed_actions)) = DELAYED_ACTIONS.get().map(Mutex::lock) else {
+                let Some(Ok(mut actions)) = DELAYED_ACTIONS.get().map(Mutex::lock) else {
                     continue;
                 };
                 let now = Instant::now();
                 let due: Vec<DelayedAction> =
-                    delayed_actions.extract_if(.., |(at, _)| *at <= now).collect();
-                drop(delayed_actions);
+                    actions.extract_if(.., |(at, _)| *at <= now).collect();
+                drop(actions);
                 due.into_iter().for_each(|(_, action)| action());
             }
         });
--- a/crates/emulator/src/region.rs
+++ b/crates/emulator/src/region.rs
@@ -60,7 +60,7 @@
 
 /// The state of the emulated region.
 pub struct Region {
-    terms: Terms,
+    config: Terms,
     times: Times,
     rng: ChaCha8Rng,
     pub workers: BTreeMap<String, Worker>,
@@ -68,7 +68,7 @@
     pub checker: Checker,
     hosts_by_request: HashMap<String, Vec<HostId>>,
     list_snapshots: Vec<(u64, Vec<ListedMachine>)>,
-    machines: u64,
+    last_machine_number: u64,
     report_count: u64,
     /// Rented machines that have not had a report answered yet, with the time of the hire.
     pub unseen: BTreeMap<String, u64>,
@@ -83,8 +83,8 @@
 impl Region {
     pub fn new(terms: Terms, times: Times, checker: Checker, seed: u64) -> Self {
         Self {
-            machines: terms.first_machine,
-            terms,
+            last_machine_number: terms.first_machine,
+            config: terms,
             times,
             rng: ChaCha8Rng::seed_from_u64(seed),
             workers: BTreeMap::new(),
@@ -110,8 +110,8 @@
 
     /// Machine types with their current prices.
     pub fn catalog(&mut self) -> Catalog {
-        let mut flavors = self.terms.flavors.clone();
-        if self.terms.prices_move {
+        let mut flavors = self.config.flavors.clone();
+        if self.config.prices_move {
             for flavor in &mut flavors {
                 flavor.spot_price *= self.rng.random_range(0.67..1.33);
             }
@@ -121,17 +121,17 @@
 
     /// The machine type with this label.
     pub fn flavor(&self, label: &str) -> Option<&Flavor> {
-        self.terms.flavors.iter().find(|flavor| flavor.label == label)
+        self.config.flavors.iter().find(|flavor| flavor.label == label)
     }
 
     /// A page of the machine list, which is as old as `list_age_ms` of the terms allows.
     pub fn list(&mut self, now: u64, after: &str, max: usize) -> MachineList {
-        let (min_age, max_age) = self.terms.list_age_ms;
+        let (min_age, max_age) = self.config.list_age_ms;
         let age = self.rng.random_range(min_age..max_age);
         let snapshot = self.list_snapshots.iter().rev().find(|(at, _)| at + age <= now);
         let rows = snapshot.map(|(_, rows)| rows.clone()).unwrap_or_default();
         let mut rows = rows.into_iter().filter(|r| r.host.as_str() > after);
-        let hosts: Vec<ListedMachine> = rows.by_ref().take(max.min(self.terms.page)).collect();
+        let hosts: Vec<ListedMachine> = rows.by_ref().take(max.min(self.config.page)).collect();
         let more = rows.next().is_some();
         MachineList { hosts, more }
     }
@@ -148,7 +148,7 @@
             return Hired::Hosts(hosts.clone());
         }
         let Some(flavor) =
-            self.terms.flavors.iter().find(|flavor| flavor.label == hire.flavor).cloned()
+            self.config.flavors.iter().find(|flavor| flavor.label == hire.flavor).cloned()
         else {
             return Hired::Malformed(format!("unknown flavor {}", hire.flavor));
         };
@@ -158,29 +158,29 @@
         let is_same_kind =
             |w: &&Worker| w.place.zone == hire.zone.as_str() && w.place.spot == hire.spot;
         let rented = self.workers.values().filter(is_same_kind).count() as u32;
-        let number = hire.number.min(50).min(self.terms.capacity.saturating_sub(rented));
+        let number = hire.number.min(50).min(self.config.capacity.saturating_sub(rented));
         if number == 0 {
             return Hired::NoCapacity;
         }
         let mut hosts = Vec::new();
         for _ in 0..number {
-            self.machines += 1;
-            let host = format!("i-{:06}", self.machines);
+            self.last_machine_number += 1;
+            let host = format!("i-{:06}", self.last_machine_number);
             let place =
                 Place { flavor: hire.flavor.clone(), zone: hire.zone.to_string(), spot: hire.spot };
             let (boot_factor, extra_never_boots) = self.boots;
             let boot_delay_ms = if self
                 .rng
-                .random_bool((self.terms.never_boots + extra_never_boots).min(1.0))
+                .random_bool((self.config.never_boots + extra_never_boots).min(1.0))
             {
                 u64::MAX / 4
             } else {
-                let boot_ms = self.rng.random_range(self.terms.boot_ms.0..self.terms.boot_ms.1);
+                let boot_ms = self.rng.random_range(self.config.boot_ms.0..self.config.boot_ms.1);
                 let late_factor =
-                    if self.rng.random_bool(self.terms.late_boots) { LATE_BOOT_FACTOR } else { 1 };
+                    if self.rng.random_bool(self.config.late_boots) { LATE_BOOT_FACTOR } else { 1 };
                 (boot_ms as f64 * boot_factor) as u64 * late_factor
             };
-            let fetch = match self.terms.fetch_ms {
+            let fetch = match self.config.fetch_ms {
                 Some((min, max)) => Fetch::Between(min, max),
                 None => Fetch::Rate(flavor.fetch_gb_per_s, BTreeMap::new()),
             };
@@ -192,7 +192,7 @@
                 self.times,
                 fetch,
             );
-            worker.node = self.rng.random_range(0..self.terms.nodes.len());
+            worker.node = self.rng.random_range(0..self.config.nodes.len());
             self.workers.insert(host.clone(), worker);
             self.unseen.insert(host.clone(), now);
             self.rented_at.insert(host.clone(), now);
@@ -204,7 +204,7 @@
 
     /// Sets the capacity of each zone and price kind. Machines that are already rented stay, even beyond it.
     pub fn offer(&mut self, capacity: u32) {
-        self.terms.capacity = capacity;
+        self.config.capacity = capacity;
     }
 
     /// Ends the rent of machines, killing all tasks on them.
@@ -238,7 +238,7 @@
         let rows = self.workers.values().map(build_row).collect();
         self.list_snapshots.push((now, rows));
         // No list request needs a snapshot older than twice the maximum age.
-        let oldest_needed = now.saturating_sub(2 * self.terms.list_age_ms.1);
+        let oldest_needed = now.saturating_sub(2 * self.config.list_age_ms.1);
         let expired_count =
             self.list_snapshots.partition_point(|(at, _)| *at < oldest_needed).saturating_sub(1);
         self.list_snapshots.drain(..expired_count);
@@ -283,7 +283,7 @@
             }
             worker.step(now, &mut self.outside, &get_gang_state, &mut self.checker);
             if worker.waiting.is_some_and(|(_, sent_at)| now > sent_at + WORKER_ANSWER_TIMEOUT_MS) {
-                let next = (worker.node + 1) % self.terms.nodes.len();
+                let next = (worker.node + 1) % self.config.nodes.len();
                 worker.switch_node(now, next);
             }
             if worker.is_report_due(now) {
@@ -307,7 +307,7 @@
         {
             return;
         }
-        let next = (worker.node + 1) % self.terms.nodes.len();
+        let next = (worker.node + 1) % self.config.nodes.len();
         match status {
             200 => {
                 let Ok(answer) = serde_json::from_str::<ReportAnswer>(body) else {
@@ -329,7 +329,7 @@
                     .ok()
                     .and_then(|redirect| redirect.leader);
                 let node =
-                    leader.and_then(|leader| self.terms.nodes.iter().position(|n| *n == leader));
+                    leader.and_then(|leader| self.config.nodes.iter().position(|n| *n == leader));
                 match node.filter(|node| *node != worker.node) {
                     Some(leader) => {
                         worker.switch_node(now, leader);
--- a/crates/emulator/src/serve.rs
+++ b/crates/emulator/src/serve.rs
@@ -253,7 +253,7 @@
             if let Ok((host, incoming)) =
                 commands.recv_timeout(Duration::from_millis(STEP_INTERVAL_MS.0))
             {
-                self.commanded(&host, incoming, &mut delayed);
+                self.handle_worker_request(&host, incoming, &mut delayed);
             }
             let now = self.shared.now();
             delayed.retain(|(host, command)| {
@@ -267,7 +267,8 @@
         }
     }
 
-    fn commanded(
+    /// Handles a direct request to a worker; commands to hanging or partitioned machines go to `delayed`.
+    fn handle_worker_request(
         &self,
         host: &str,
         incoming: Incoming<WorkerRequest>,
@@ -324,22 +325,24 @@
                 }
                 region.step(now)
             };
-            for sending in reports_due {
-                self.send(now, sending);
+            for outgoing in reports_due {
+                self.send(now, outgoing);
             }
             let region = self.region();
             lock(&self.endpoints).retain(|host, _| region.workers.contains_key(host));
         }
     }
 
+    /// Whether the worker of a machine and a controller node cannot reach each other.
     fn is_partitioned(&self, region: &Region, host: &str, node: usize, now: u64) -> bool {
         let Some(worker) = region.workers.get(host) else { return true };
         let controller_zone = self.nodes[node].zone.as_str();
         lock(&self.shared.faults).is_partitioned(&worker.place.zone, node, controller_zone, now)
     }
 
-    fn send(&self, now: u64, sending: Sending) {
-        let Sending { host, id, node, report } = sending;
+    /// Passes a report to the thread that sends it, unless the two are partitioned.
+    fn send(&self, now: u64, outgoing: Sending) {
+        let Sending { host, id, node, report } = outgoing;
         if self.is_partitioned(&self.region(), &host, node, now) {
             return;
         }
