--- a/crates/emulator/src/worker.rs
+++ b/crates/emulator/src/worker.rs
@@ -257,7 +257,7 @@
     pub fn step(
         &mut self,
         now: u64,
-        outside: &mut ExternalState,
+        external: &mut ExternalState,
         gang_state: &dyn Fn(&str, u64) -> GangState,
         checker: &mut Checker,
     ) {
@@ -265,7 +265,7 @@
         self.end_lease(now, checker);
         for key in self.tasks.keys().cloned().collect::<Vec<_>>() {
             // A job without a description was rejected and has only exited tasks here.
-            let Some(spec) = outside.specs.get(&key.0).cloned() else { continue };
+            let Some(spec) = external.specs.get(&key.0).cloned() else { continue };
             let task = self.tasks[&key].clone();
             let is_gang = spec.shape == Shape::Gang;
             let has_lost_peer = || {
@@ -275,28 +275,28 @@
             match task.phase {
                 TaskPhase::Fetching if now >= task.until => {
                     checker.started(now, self.task_on_machine(&key), self.place.clone());
-                    if outside.keeps_results && checker.is_done(&key.0, key.1) {
+                    if external.keeps_results && checker.is_done(&key.0, key.1) {
                         self.exit(&key, ExitCause::Done, checker);
                     } else if is_gang {
                         let phase = TaskPhase::Waiting;
                         self.tasks.insert(key, Instance { phase, waiting_since: now, ..task });
                     } else {
-                        self.begin(now, key, task, &spec, outside);
+                        self.begin(now, key, task, &spec, external);
                     }
                     self.changed = true;
                 }
                 TaskPhase::Waiting if gang_state(&key.0, key.2).active == spec.tasks => {
-                    self.begin(now, key, task, &spec, outside);
+                    self.begin(now, key, task, &spec, external);
                     self.changed = true;
                 }
                 TaskPhase::Waiting if now > task.waiting_since + self.times.gang_wait => {
                     self.exit(&key, ExitCause::Incomplete, checker);
                 }
                 TaskPhase::Saving if now >= task.until => {
-                    self.finish_saving(now, &key, &task, &spec, outside, gang_state, checker);
+                    self.finish_saving(now, &key, &task, &spec, external, gang_state, checker);
                 }
-                TaskPhase::Running if self.faulty || outside.is_failing_attempt(&key) => {
-                    let is_job_fault = outside.is_failing_attempt(&key);
+                TaskPhase::Running if self.faulty || external.is_failing_attempt(&key) => {
+                    let is_job_fault = external.is_failing_attempt(&key);
                     checker.record_error(
                         now,
                         &self.task_on_machine(&key),
@@ -320,7 +320,7 @@
                 TaskPhase::Running if spec.checkpoint_s > 0.0 => {
                     let interval_ms = (spec.checkpoint_s * 1000.0).max(1.0) as u64;
                     let progress = task.base + (now - task.running_since);
-                    outside.save(&spec, key.1, progress / interval_ms * interval_ms);
+                    external.save(&spec, key.1, progress / interval_ms * interval_ms);
                 }
                 _ => {}
             }
@@ -334,9 +334,9 @@
         key: (String, u32, u64),
         task: Instance,
         spec: &JobSpec,
-        outside: &ExternalState,
+        external: &ExternalState,
     ) {
-        let base = outside.progress(spec, key.1);
+        let base = external.progress(spec, key.1);
         let run_time_ms = (spec.estimate_s * self.slowness * 1000.0) as u64;
         let (phase, until) = (TaskPhase::Running, now + run_time_ms.saturating_sub(base));
         self.tasks.insert(key, Instance { phase, until, running_since: now, base, ..task });
@@ -351,7 +351,7 @@
         key: &(String, u32, u64),
         task: &Instance,
         spec: &JobSpec,
-        outside: &mut ExternalState,
+        external: &mut ExternalState,
         gang_state: &dyn Fn(&str, u64) -> GangState,
         checker: &mut Checker,
     ) {
@@ -360,9 +360,9 @@
         if spec.shape == Shape::Gang {
             let attempt = (key.0.clone(), key.2);
             if gang_state(&key.0, key.2).saving >= spec.tasks {
-                outside.complete_checkpoints.insert(attempt.clone());
+                external.complete_checkpoints.insert(attempt.clone());
             }
-            if !outside.complete_checkpoints.contains(&attempt) {
+            if !external.complete_checkpoints.contains(&attempt) {
                 if now > stopped_at + self.times.gang_peer {
                     self.exit(key, ExitCause::Peers, checker);
                 }
@@ -370,7 +370,7 @@
             }
         }
         checker.saved += 1;
-        outside.save(spec, key.1, progress);
+        external.save(spec, key.1, progress);
         self.tasks.insert(key.clone(), Instance { stored: true, ..task.clone() });
         self.exit(key, ExitCause::Stopped, checker);
     }
@@ -432,7 +432,7 @@
         now: u64,
         sent_at: u64,
         answer: &ReportAnswer,
-        outside: &ExternalState,
+        external: &ExternalState,
         rng: &mut ChaCha8Rng,
         checker: &mut Checker,
     ) {
@@ -443,7 +443,7 @@
         self.changed |= answer.token.0 > self.token;
         self.token = answer.token.0;
         self.lease_from = self.lease_from.max(sent_at);
-        self.execute(now, &answer.orders, outside, rng, checker);
+        self.execute(now, &answer.orders, external, rng, checker);
     }
 
     /// Handles a direct command: executes it if the token is not older than the known one and the session
@@ -452,7 +452,7 @@
         &mut self,
         now: u64,
         command: &Command,
-        outside: &ExternalState,
+        external: &ExternalState,
         rng: &mut ChaCha8Rng,
         checker: &mut Checker,
     ) -> Report {
@@ -467,7 +467,7 @@
                     format!("{}: an order to start a task was sent directly", self.host),
                 );
             }
-            self.execute(now, &command.orders, outside, rng, checker);
+            self.execute(now, &command.orders, external, rng, checker);
         }
         self.state(now)
     }
@@ -476,7 +476,7 @@
         &mut self,
         now: u64,
         orders: &[Order],
-        outside: &ExternalState,
+        external: &ExternalState,
         rng: &mut ChaCha8Rng,
         checker: &mut Checker,
     ) {
@@ -490,9 +490,9 @@
             };
             let key = (job.to_owned(), index, attempt.0);
             match order {
-                Order::Run { .. } => self.run(now, key, outside, rng),
+                Order::Run { .. } => self.run(now, key, external, rng),
                 Order::Stop { grace_s, .. } => {
-                    let Some(spec) = outside.specs.get(&key.0) else { continue };
+                    let Some(spec) = external.specs.get(&key.0) else { continue };
                     let can_save = spec.checkpoint_s > 0.0 && *grace_s >= spec.save_s;
                     match self.tasks.get_mut(&key) {
                         Some(task) if task.phase == TaskPhase::Running && can_save => {
@@ -522,7 +522,7 @@
         &mut self,
         now: u64,
         key: (String, u32, u64),
-        outside: &ExternalState,
+        external: &ExternalState,
         rng: &mut ChaCha8Rng,
     ) {
         if self.tasks.contains_key(&key) {
@@ -530,8 +530,8 @@
         }
         let list_active = || self.tasks.iter().filter(|(_, t)| t.phase != TaskPhase::Exited);
         let gpus_used: f64 =
-            list_active().filter_map(|((job, ..), _)| Some(outside.specs.get(job)?.gpus)).sum();
-        let spec = outside.specs.get(&key.0);
+            list_active().filter_map(|((job, ..), _)| Some(external.specs.get(job)?.gpus)).sum();
+        let spec = external.specs.get(&key.0);
         let cause = match spec {
             None => Some(ExitCause::Unknown),
             Some(_) if list_active().any(|((j, i, _), _)| *j == key.0 && *i == key.1) => {
@@ -576,27 +576,27 @@
 
     const TIMES: Times = Times { report: 1_000, lease: 60_000, gang_wait: 9_000, gang_peer: 2_000 };
 
-    fn submit_gang(outside: &mut ExternalState) -> String {
+    fn submit_gang(external: &mut ExternalState) -> String {
         let json = r#"{"nameId":"req-1","jobclass":"c","owner":"red","shape":"group","rank":"low","shards":2,
             "cpus":1,"gpus":1,"memoryGb":1,"bundle":"i","pullGb":1,"samePlace":false,"spread":false,
             "loaners":false,"expectS":30,"snapshotS":4,"flushS":1}"#;
         let spec: JobSpec = serde_json::from_str(json).unwrap();
         let id = spec.id.to_string();
-        outside.specs.insert(id.clone(), spec);
+        external.specs.insert(id.clone(), spec);
         id
     }
 
     /// Runs the two tasks of a gang on one machine and orders those in `stopped` to stop after ten seconds.
     /// Returns the cause of exit of each task and whether it stored its progress, and the saved progress.
     fn stop_tasks(stopped: &[u32]) -> (Vec<(Option<ExitCause>, bool)>, u64) {
-        let (mut outside, mut rng) = (ExternalState::default(), ChaCha8Rng::seed_from_u64(1));
-        let id = submit_gang(&mut outside);
+        let (mut external, mut rng) = (ExternalState::default(), ChaCha8Rng::seed_from_u64(1));
+        let id = submit_gang(&mut external);
         let mut checker = Checker::new(HashMap::new(), 60_000);
         let place = Place { flavor: "g".into(), zone: "a".into(), spot: false };
         let mut worker = Worker::new("i-1".into(), place, 4.0, 0, TIMES, Fetch::Between(10, 11));
         let format_task = |index: u32| format!("{id}/{index}");
         let run = |index| Order::Run { task: format_task(index), attempt: Attempt(1) };
-        worker.execute(0, &[run(0), run(1)], &outside, &mut rng, &mut checker);
+        worker.execute(0, &[run(0), run(1)], &external, &mut rng, &mut checker);
         for now in (0..20_000).step_by(50) {
             if now == 10_000 {
                 let stop = |i: &u32| Order::Stop {
@@ -605,7 +605,7 @@
                     grace_s: 5.0,
                 };
                 let orders: Vec<Order> = stopped.iter().map(stop).collect();
-                worker.execute(now, &orders, &outside, &mut rng, &mut checker);
+                worker.execute(now, &orders, &external, &mut rng, &mut checker);
             }
             let mut gang_state = GangState { task_count: 2, ..GangState::default() };
             for task in worker.tasks.values() {
@@ -614,10 +614,10 @@
                 gang_state.active += u32::from(is_saving || is_running);
                 gang_state.saving += u32::from(is_saving || task.stored);
             }
-            worker.step(now, &mut outside, &|_, _| gang_state, &mut checker);
+            worker.step(now, &mut external, &|_, _| gang_state, &mut checker);
         }
         let ends = worker.tasks.values().map(|t| (t.cause, t.stored)).collect();
-        (ends, outside.saved.get(&(id, 0)).copied().unwrap_or(0))
+        (ends, external.saved.get(&(id, 0)).copied().unwrap_or(0))
     }
 
     /// If all tasks of a gang are ordered to stop, its progress is saved. If one of them is not, the gang
