--- a/crates/emulator/src/checker.rs
+++ b/crates/emulator/src/checker.rs
@@ -203,8 +203,8 @@
 
     /// Index under which failures of a task are counted: its own, or 0 for the tasks of a gang.
     fn failure_index(&self, job: &str, index: u32) -> u32 {
-        let gang = self.specs.get(job).is_some_and(|spec| spec.shape == Shape::Gang);
-        if gang { 0 } else { index }
+        let is_gang = self.specs.get(job).is_some_and(|spec| spec.shape == Shape::Gang);
+        if is_gang { 0 } else { index }
     }
 
     /// An attempt has ended on its machine after running for `ran_ms` milliseconds.
@@ -228,7 +228,7 @@
     }
 
     /// A user has seen for the first time that a job has failed.
-    fn check_failure(&mut self, now: u64, job: &str) {
+    fn check_first_failure(&mut self, now: u64, job: &str) {
         let indexes = (job.to_owned(), 0)..=(job.to_owned(), u32::MAX);
         let failures: Vec<TaskFailures> =
             self.failures.range(indexes).map(|(_, failures)| failures.clone()).collect();
@@ -239,8 +239,9 @@
             );
             self.fail(now, "repeats", text);
         }
-        self.refused_ms
-            .extend(failures.iter().filter_map(|unit| unit.exhausted_at).min().map(|at| now - at));
+        self.refused_ms.extend(
+            failures.iter().filter_map(|failures| failures.exhausted_at).min().map(|at| now - at),
+        );
         if let Some(task) = self.tasks_on_machines.keys().find(|task| task.job == job) {
             let text = format!("{task:?} is on a machine");
             self.fail(now, "failed_early", text);
@@ -397,18 +398,18 @@
         body: &str,
         submission: bool,
     ) {
-        let known = self.specs.contains_key(job);
-        let accepted = self
+        let is_known = self.specs.contains_key(job);
+        let was_accepted = self
             .client_views
             .get(job)
             .is_some_and(|view| view.accepted && asked_at >= view.accepted_at);
-        if accepted && (status == 404 || submission && matches!(status, 400 | 422)) {
+        if was_accepted && (status == 404 || submission && matches!(status, 400 | 422)) {
             self.fail(now, "forgotten", format!("{job} got {status}"));
         }
         if status != 200 && status != 201 {
             return;
         }
-        if !known {
+        if !is_known {
             self.fail(now, "invented", job.into());
             return;
         }
@@ -429,7 +430,7 @@
         let is_contradiction =
             view.final_status.is_some_and(|final_status| final_status != status_seen)
                 && (asked_at >= view.final_status_at || status_seen.is_final());
-        let is_uncancelled = status_seen == JobStatus::Cancelled && !may_be_cancelled;
+        let is_unexplained_cancellation = status_seen == JobStatus::Cancelled && !may_be_cancelled;
         let previous = view.final_status;
         let is_first_final = status_seen.is_final() && view.final_status.is_none();
         let is_first_failure = is_first_final && status_seen == JobStatus::Failed;
@@ -441,7 +442,7 @@
             }
         }
         if is_first_failure {
-            self.check_failure(now, job);
+            self.check_first_failure(now, job);
         }
         if is_first_final {
             self.check_final_statuses(now, job, status_seen);
@@ -449,7 +450,7 @@
         if matches!(status_seen, JobStatus::Queued | JobStatus::Running) {
             self.check_not_orphaned(now, asked_at, job);
         }
-        if is_contradiction || is_uncancelled {
+        if is_contradiction || is_unexplained_cancellation {
             self.fail(now, "went_back", format!("{job} was {previous:?}, is {status_seen:?}"));
         }
     }
--- a/crates/emulator/src/worker.rs
+++ b/crates/emulator/src/worker.rs
@@ -51,7 +51,7 @@
 pub enum Broken {
     /// All attempts: the job itself is faulty.
     Always,
-    /// The attempts of the task with this index.
+    /// The attempts of the task with this index; the other tasks of a gang then exit as well.
     Task(u32),
     /// This share of the attempts, decided by a hash of job, task and attempt.
     Often(f64),
--- a/crates/explorer/src/lib.rs
+++ b/crates/explorer/src/lib.rs
@@ -93,7 +93,7 @@
     state: State,
     digest: Digest,
     predecessor: Predecessor,
-    broken: Option<String>,
+    violation: Option<String>,
 }
 
 /// Explores the states that are reachable within the bounds, up to the first one that violates an invariant.
@@ -104,8 +104,8 @@
         HashMap::default();
     known.insert(root, Predecessor { previous: root, step: 0 });
     let mut report = Report { states: 1, steps: 0, depth: 0, whole: false, found: None };
-    if let Some(what) = model.broken(&start) {
-        report.found = Some(Counterexample { steps: Vec::new(), what });
+    if let Some(violation) = model.broken(&start) {
+        report.found = Some(Counterexample { steps: Vec::new(), what: violation });
         return report;
     }
     let mut level = vec![(start, root)];
@@ -118,11 +118,11 @@
                 if let std::collections::hash_map::Entry::Vacant(vacant) = known.entry(next.digest)
                 {
                     vacant.insert(next.predecessor);
-                    if let Some(what) = next.broken {
+                    if let Some(violation) = next.violation {
                         let steps = steps_to(model, &known, root, next.digest);
                         report.states = known.len();
                         report.depth = steps.len();
-                        report.found = Some(Counterexample { steps, what });
+                        report.found = Some(Counterexample { steps, what: violation });
                         return report;
                     }
                     next_level.push((next.state, next.digest));
@@ -158,7 +158,7 @@
                 let digest = digest(&after);
                 let predecessor = Predecessor { previous: *previous, step: index as u16 };
                 found.push(Successor {
-                    broken: model.broken(&after),
+                    violation: model.broken(&after),
                     state: after,
                     digest,
                     predecessor,
@@ -220,8 +220,8 @@
         {
             state = next;
         }
-        if let Some(what) = model.broken(&state) {
-            return Some((index + 1, what));
+        if let Some(violation) = model.broken(&state) {
+            return Some((index + 1, violation));
         }
     }
     None
