--- a/crates/emulator/src/serve.rs
+++ b/crates/emulator/src/serve.rs
@@ -12,7 +12,7 @@
 use oatloom_protocol::wire::{Command, HireRequest, Hosts, JobSpec, Order, Report, ReportAnswer};
 use oatloom_state::rate_limiter::RateLimiter;
 use oatloom_web::client::HttpClient;
-use oatloom_web::server::{self, HttpClient as Connection, Incoming, ReplySender};
+use oatloom_web::server::{self, ConnectionId as Connection, Incoming, ReplySender};
 use oatloom_web::{StartError, spawn};
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
