--- a/crates/ctl/src/launch.rs
+++ b/crates/ctl/src/launch.rs
@@ -4,11 +4,11 @@
 use crate::constants::*;
 use crate::settings::{Addresses, Local, ZONES, member};
 use oatloom_emulator::checker::{Checker, Limit};
-use oatloom_emulator::faults::{Fault, Faults, Planned, Service};
-use oatloom_emulator::gate::{self, Shared};
-use oatloom_emulator::line;
-use oatloom_emulator::region::{Region, Terms};
+use oatloom_emulator::faults::{Fault, FaultSet, ScheduledFault, Service};
+use oatloom_emulator::link_proxy;
+use oatloom_emulator::region::{CloudConfig, Region};
 use oatloom_emulator::serve::{Emulator, Node};
+use oatloom_emulator::service_proxy::{self, FaultContext};
 use oatloom_protocol::ids::{Millis, Zone};
 use oatloom_protocol::settings::WorkerFacts;
 use oatloom_web::StartError;
@@ -256,8 +256,10 @@
         state.start()?;
         wait_for(&mut state, &state_address, "/status")?;
 
-        let shared =
-            Shared { faults: Arc::new(Mutex::new(Faults::default())), start: Instant::now() };
+        let shared = FaultContext {
+            faults: Arc::new(Mutex::new(FaultSet::default())),
+            start: Instant::now(),
+        };
         let controllers: Vec<String> = serve.iter().map(loopback).collect();
         let nodes: Vec<Node> = controllers
             .iter()
@@ -272,13 +274,14 @@
         let mut addresses = Vec::new();
         for (at, serve) in controllers.iter().enumerate() {
             let behind = |target: &str, service| {
-                gate::start(target, service, at, seed, &shared).map(|address| address.to_string())
+                service_proxy::start(target, service, at, seed, &shared)
+                    .map(|address| address.to_string())
             };
             addresses.push(Addresses {
                 serve: serve.clone(),
                 mesh: meshes[at].clone(),
                 peers: (0..CONTROLLERS)
-                    .map(|to| line::start(&meshes[to], (at, to), &nodes, &shared))
+                    .map(|to| link_proxy::start(&meshes[to], (at, to), &nodes, &shared))
                     .map(|address| address.map(|address| address.to_string()))
                     .collect::<Result<_, _>>()?,
                 state: behind(&state_address, Service::State)?,
@@ -337,7 +340,7 @@
     }
 
     /// A fault begins.
-    pub fn strike(&mut self, planned: &Planned) {
+    pub fn strike(&mut self, planned: &ScheduledFault) {
         tracing::info!("fault: {:?} until {} ms", planned.fault, planned.until);
         match planned.fault {
             Fault::CrashController(at, back) => self.nodes[at].crash(back),
@@ -349,7 +352,7 @@
                     tracing::error!("{e}");
                 }
             }
-            _ => self.emulator.strike(planned),
+            _ => self.emulator.inject(planned),
         }
     }
 
@@ -381,17 +384,17 @@
     let ms = |s: f64| (s * 1000.0) as u64;
     // Names of machines are never used again, by a later region on the same state neither.
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    let terms = Terms {
+    let terms = CloudConfig {
         flavors: local.flavors(),
         capacity: local.machines,
         boot_ms: (ms(local.boot_s * 0.6), ms(local.boot_s * 1.5)),
-        never_boots: 0.02,
-        late_boots: 0.04,
+        never_boot_share: 0.02,
+        late_boot_share: 0.04,
         list_age_ms: (ms(local.list_lag_s), ms(local.list_lag_s * 2.0)),
-        page: 500,
+        max_page_machines: 500,
         fetch_ms: None,
-        prices_move: true,
-        first_machine: since.as_millis() as u64,
+        has_varying_prices: true,
+        first_machine_number: since.as_millis() as u64,
         nodes: (0..CONTROLLERS).map(member).collect(),
     };
     let facts = WorkerFacts {
@@ -402,7 +405,7 @@
         cancel_s: local.cancel_s,
     };
     let limits = local.teams.iter().enumerate();
-    let gpus_max = |n| Limit::gpus(if n == 0 { local.gpus_max } else { 0.0 });
+    let gpus_max = |n| Limit::gpus_only(if n == 0 { local.gpus_max } else { 0.0 });
     let limits = limits.map(|(n, team)| (team.clone(), gpus_max(n))).collect();
     let checker = Checker::new(limits, ms(local.cancel_s));
     Region::new(terms, (&facts).into(), checker, seed)
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -316,7 +316,9 @@
     Ok(exit::GOOD)
 }
 
-fn planned(timetable: Option<&Path>) -> Result<Vec<oatloom_emulator::faults::Planned>, Failure> {
+fn planned(
+    timetable: Option<&Path>,
+) -> Result<Vec<oatloom_emulator::faults::ScheduledFault>, Failure> {
     let Some(path) = timetable else { return Ok(Vec::new()) };
     suite::read_timetable(&read_file(path)?).map_err(|e| wrong(format!("{}: {e}", path.display())))
 }
--- a/crates/ctl/src/suite.rs
+++ b/crates/ctl/src/suite.rs
@@ -7,9 +7,9 @@
 use crate::settings::{Local, ZONES};
 use crate::usage::Question;
 use oatloom_client::controllers::{Controllers, JobRequest, JobResponse, interpret_response};
-use oatloom_emulator::faults::{Fault, Planned, Service, Trouble};
+use oatloom_emulator::faults::{Fault, ScheduledFault, Service, ServiceFault};
 use oatloom_emulator::timetable;
-use oatloom_emulator::worker::Broken;
+use oatloom_emulator::worker::JobFailures;
 use oatloom_ledger::query::UsagePage;
 use oatloom_protocol::ids::{JobId, Millis, Zone};
 use oatloom_protocol::wire::{ExitCause, JobSpec, JobStatus, Rank, Shape};
@@ -146,7 +146,7 @@
     /// It cannot be accepted: its final answer is the refusal.
     senseless: bool,
     /// Its tasks fail by their own doing.
-    broken: Option<Broken>,
+    broken: Option<JobFailures>,
 }
 
 fn plans(local: &Local, scenario: Scenario, length: &Length, rng: &mut ChaCha8Rng) -> Vec<Plan> {
@@ -200,9 +200,9 @@
     let in_time = shape == Shape::Array || length.calm_ms > QUICK_CALM_MS;
     let broken =
         (n % BROKEN_EVERY == 3 && in_time && !senseless).then(|| match rng.random_range(0..3) {
-            0 => Broken::Always,
-            1 => Broken::Task(0),
-            _ => Broken::Often(0.4),
+            0 => JobFailures::Always,
+            1 => JobFailures::Task(0),
+            _ => JobFailures::Share(0.4),
         });
     // What fails needs time for its repeats, and for the verdict.
     let at = if broken.is_some() { at / 3 } else { at };
@@ -210,14 +210,22 @@
 }
 
 /// The troubles of a scenario, in order of time.
-fn troubles(scenario: Scenario, length: &Length, rng: &mut ChaCha8Rng) -> Vec<Planned> {
+fn troubles(scenario: Scenario, length: &Length, rng: &mut ChaCha8Rng) -> Vec<ScheduledFault> {
     let end = length.troubled_ms;
     let mut list = Vec::new();
     let mut add = |at: u64, span: u64, fault: Fault| {
-        list.push(Planned { at, until: (at + span).min(end), fault });
+        list.push(ScheduledFault { at, until: (at + span).min(end), fault });
+    };
+    let state = |trouble| Fault::OnService {
+        service: Service::State,
+        service_fault: trouble,
+        controller: None,
+    };
+    let cloud = |trouble| Fault::OnService {
+        service: Service::Cloud,
+        service_fault: trouble,
+        controller: None,
     };
-    let state = |trouble| Fault::At { service: Service::State, trouble, controller: None };
-    let cloud = |trouble| Fault::At { service: Service::Cloud, trouble, controller: None };
     match scenario {
         Scenario::Mixed => {
             for _ in 0..length.troubles {
@@ -231,8 +239,8 @@
             }
         }
         Scenario::Hires => {
-            add(0, end * 3 / 4, cloud(Trouble::Late(0.3, 4_000)));
-            add(0, end * 3 / 4, cloud(Trouble::Lose(0.4)));
+            add(0, end * 3 / 4, cloud(ServiceFault::Late(0.3, 4_000)));
+            add(0, end * 3 / 4, cloud(ServiceFault::Lose(0.4)));
             for n in 0..length.kills {
                 add(
                     2_500 + n * (end - 4_000) / length.kills,
@@ -244,7 +252,7 @@
         Scenario::Replies => {
             for n in 0..length.kills {
                 let at = 2_000 + n * (end - 4_000) / length.kills;
-                add(at, 400, state(Trouble::Lose(1.0)));
+                add(at, 400, state(ServiceFault::Lose(1.0)));
                 add(at + 300, 0, Fault::RestartState);
                 add(
                     at + 400,
@@ -257,8 +265,8 @@
                 );
             }
         }
-        Scenario::Night => add(1_500, length.outage_s * 1_000, cloud(Trouble::Refuse)),
-        Scenario::Pause => add(5_000, length.outage_s * 1_000, state(Trouble::Refuse)),
+        Scenario::Night => add(1_500, length.outage_s * 1_000, cloud(ServiceFault::Refuse)),
+        Scenario::Pause => add(5_000, length.outage_s * 1_000, state(ServiceFault::Refuse)),
         Scenario::Restless => {
             let kills = length.kills * RESTLESS_KILLS;
             for n in 0..kills {
@@ -290,23 +298,23 @@
 fn drawn(rng: &mut ChaCha8Rng) -> Fault {
     let one = rng.random_range(0..CONTROLLERS);
     let controller = rng.random_bool(0.4).then_some(one);
-    let at = |service, trouble| Fault::At { service, trouble, controller };
+    let at = |service, trouble| Fault::OnService { service, service_fault: trouble, controller };
     let back = rng.random_bool(0.5).then(|| Millis(rng.random_range(0..1_000)));
     match rng.random_range(0..17) {
         0 | 1 => Fault::CrashController(one, back),
         2 => Fault::CrashAll(back),
         3 => Fault::RestartState,
-        4 => at(Service::State, Trouble::Refuse),
-        5 => at(Service::State, Trouble::Slow(400)),
-        6 => at(Service::State, Trouble::Lose(0.3)),
-        7 => at(Service::State, Trouble::Late(0.2, 5_000)),
-        8 => at(Service::State, Trouble::Silent),
-        9 => at(Service::Cloud, Trouble::Refuse),
-        10 => at(Service::Cloud, Trouble::Lose(0.4)),
-        11 => at(Service::Cloud, Trouble::Late(0.3, 5_000)),
-        12 => Fault::CutController(one),
-        13 => Fault::CutZone(ZONES[one].to_owned()),
-        14 => Fault::TakeSpot(3),
+        4 => at(Service::State, ServiceFault::Refuse),
+        5 => at(Service::State, ServiceFault::Slow(400)),
+        6 => at(Service::State, ServiceFault::Lose(0.3)),
+        7 => at(Service::State, ServiceFault::Late(0.2, 5_000)),
+        8 => at(Service::State, ServiceFault::Silent),
+        9 => at(Service::Cloud, ServiceFault::Refuse),
+        10 => at(Service::Cloud, ServiceFault::Lose(0.4)),
+        11 => at(Service::Cloud, ServiceFault::Late(0.3, 5_000)),
+        12 => Fault::PartitionController(one),
+        13 => Fault::PartitionZone(ZONES[one].to_owned()),
+        14 => Fault::PreemptSpot(3),
         15 => Fault::MachinesDie(1),
         _ => Fault::MachinesHang(2),
     }
@@ -368,13 +376,15 @@
         };
         match &wish {
             JobRequest::Submit(spec) if !self.plan.senseless => {
-                let mut region = running.region();
-                region.upload(spec);
+                let mut region = running.lock_region();
+                region.upload_job(spec);
                 if let Some(broken) = self.plan.broken.clone() {
-                    region.outside.broken.insert(id.to_string(), broken);
+                    region.external.broken.insert(id.to_string(), broken);
                 }
             }
-            JobRequest::Abort(id) => running.region().checker.cancel_asked(id.as_str()),
+            JobRequest::Abort(id) => {
+                running.lock_region().checker.record_cancel_request(id.as_str())
+            }
             _ => {}
         }
         let at = self.rng.random_range(0..self.controllers.len());
@@ -385,8 +395,15 @@
             if !self.plan.senseless {
                 let body = String::from_utf8_lossy(&answer.body);
                 let submission = matches!(wish, JobRequest::Submit(_));
-                let mut region = running.region();
-                region.checker.answered(now, asked, id.as_str(), answer.status, &body, submission);
+                let mut region = running.lock_region();
+                region.checker.handle_answer(
+                    now,
+                    asked,
+                    id.as_str(),
+                    answer.status,
+                    &body,
+                    submission,
+                );
             }
             match interpret_response(&wish, answer) {
                 Some(JobResponse::View(view)) => {
@@ -414,7 +431,7 @@
     scenario: Scenario,
     seed: u64,
     length: Length,
-    extra: &[Planned],
+    extra: &[ScheduledFault],
     data: &Path,
     say: &dyn Fn(&str),
 ) -> Result<Findings, LaunchError> {
@@ -429,7 +446,7 @@
         .and_then(|()| std::fs::write(&operators, CLASSES))
         .map_err(|cause| LaunchError::File { path: operators.clone(), cause })?;
     let mut running = Running::start(local, data, Some(&operators), seed)?;
-    running.emulator.region().checker.repeats =
+    running.emulator.lock_region().checker.max_retries =
         REPEATS.iter().map(|(class, repeats)| ((*class).to_owned(), *repeats)).collect();
     say(&format!(
         "{} jobs, {} troubles, controllers at {}",
@@ -543,7 +560,7 @@
     };
     let (done, done_ms) = of("done");
     let (unseen, _) = of("unseen");
-    let region = running.emulator.region();
+    let region = running.emulator.lock_region();
     let exits = region.checker.exits.values().filter(|(cause, _)| *cause == ExitCause::Done);
     let (seen, seen_ms) = exits.fold((0, 0), |(n, sum), (_, ran)| (n + 1, sum + ran));
     let mut wrong = Vec::new();
@@ -603,12 +620,15 @@
     }
     let now = running.emulator.shared.now();
     let unseen_ms = unseen_ms(&running.local);
-    let mut region = running.emulator.region();
-    region.checker.look(now);
-    let mut broken = region.checker.broken.clone();
+    let mut region = running.emulator.lock_region();
+    region.checker.check_cancelled_jobs(now);
+    let mut broken = region.checker.violations.clone();
     // While troubles last, a machine may be late to be seen, or a refused release keep it.
     let calm = start + length.troubled_ms;
-    let unseen = region.unseen.iter().filter(|(_, rented)| now > calm.max(**rented) + unseen_ms);
+    let unseen = region
+        .unreported_machines
+        .iter()
+        .filter(|(_, rented)| now > calm.max(**rented) + unseen_ms);
     broken.extend(unseen.map(|(host, rented)| {
         format!(
             "{:.3} s paid_unseen: {host}, rented at {:.3} s",
@@ -627,7 +647,7 @@
         rules_broken: broken,
         settled_ms: last.saturating_sub(after),
         first_final_ms: finals.filter(|at| *at >= after).min().map(|at| at - after),
-        starts: region.checker.starts,
+        starts: region.checker.start_count,
         controller_memory_mb: (memory as f64 / 1e5).round() / 10.0,
         restarts: running.ends().values().sum(),
         jobs,
@@ -666,8 +686,8 @@
 ///
 /// # Errors
 /// The line and what is wrong in it.
-pub fn read_timetable(text: &str) -> Result<Vec<Planned>, timetable::BadTimetable> {
-    timetable::read(text, CONTROLLERS)
+pub fn read_timetable(text: &str) -> Result<Vec<ScheduledFault>, timetable::TimetableError> {
+    timetable::parse(text, CONTROLLERS)
 }
 
 #[cfg(test)]
--- a/crates/ctl/src/up.rs
+++ b/crates/ctl/src/up.rs
@@ -4,7 +4,7 @@
 use crate::launch::{LaunchError, Running};
 use crate::settings::Local;
 use crossbeam::channel::{Receiver, bounded};
-use oatloom_emulator::faults::Planned;
+use oatloom_emulator::faults::ScheduledFault;
 use oatloom_emulator::timetable;
 use oatloom_protocol::reply::HttpReply;
 use oatloom_protocol::wire::JobSpec;
@@ -49,7 +49,7 @@
     local: Local,
     data: &Path,
     operators: Option<&Path>,
-    timetable: &[Planned],
+    timetable: &[ScheduledFault],
     stop: &Arc<AtomicBool>,
     said: impl FnOnce(&[String], &str),
 ) -> Result<(), LaunchError> {
@@ -59,7 +59,7 @@
     let uploads = data.join("uploads.jsonl");
     for line in std::fs::read_to_string(&uploads).unwrap_or_default().lines() {
         match serde_json::from_str::<JobSpec>(line) {
-            Ok(spec) => running.emulator.region().upload(&spec),
+            Ok(spec) => running.emulator.lock_region().upload_job(&spec),
             Err(e) => tracing::warn!("{}: a line cannot be read: {e}", uploads.display()),
         }
     }
@@ -95,7 +95,7 @@
 ) {
     let now = running.emulator.shared.now();
     let reply = match incoming.request {
-        Request::Strike(text) => match timetable::read_one(&text, now, CONTROLLERS) {
+        Request::Strike(text) => match timetable::parse_one(&text, now, CONTROLLERS) {
             Ok(planned) => {
                 running.strike(&planned);
                 let span = planned.until - planned.at;
@@ -107,21 +107,21 @@
             let line = serde_json::to_string(&spec).unwrap_or_default();
             match writeln!(kept, "{line}") {
                 Ok(()) => {
-                    running.emulator.region().upload(&spec);
+                    running.emulator.lock_region().upload_job(&spec);
                     HttpReply::json(200, &serde_json::json!({}))
                 }
                 Err(e) => HttpReply::unavailable(&format!("the upload cannot be kept: {e}")),
             }
         }
         Request::Show => {
-            let region = running.emulator.region();
+            let region = running.emulator.lock_region();
             HttpReply::json(
                 200,
                 &serde_json::json!({
                     "machines": region.workers.len(),
-                    "tasks": region.tasks(),
-                    "starts": region.checker.starts,
-                    "rulesBroken": region.checker.broken,
+                    "tasks": region.count_tasks(),
+                    "starts": region.checker.start_count,
+                    "rulesBroken": region.checker.violations,
                     "ends": running.ends(),
                 }),
             )
--- a/crates/ctl/tests/ended.rs
+++ b/crates/ctl/tests/ended.rs
@@ -5,7 +5,7 @@
 use oatloom_ctl::constants::{MAX_RESPONSE_BYTES, POLL_TIMEOUT_MS, SUBMIT_TIMEOUT_MS};
 use oatloom_ctl::launch::Running;
 use oatloom_ctl::settings::Local;
-use oatloom_emulator::faults::{Fault, Planned};
+use oatloom_emulator::faults::{Fault, ScheduledFault};
 use oatloom_state::disk::Directory;
 use oatloom_state::records::{SnapshotFooter, SnapshotRow};
 use oatloom_state::wal::{SnapshotStep, SnapshotWriter};
@@ -101,7 +101,7 @@
     let (status, body) =
         caller.post("/v2/runs/req-000000010/abort", &serde_json::json!({})).expect("an answer");
     assert!(status == 200 && String::from_utf8_lossy(&body).contains("done"), "{status}");
-    running.strike(&Planned { at: 0, until: 0, fault: Fault::CrashAll(None) });
+    running.strike(&ScheduledFault { at: 0, until: 0, fault: Fault::CrashAll(None) });
     let back = all_answer(&mut running, ended);
     println!(
         "lookups p50 {:.2} ms, p99 {:.2} ms; all controllers killed: all answer after {back:?}; {:.1} MB in a controller",
--- a/crates/emulator/src/checker.rs
+++ b/crates/emulator/src/checker.rs
@@ -7,7 +7,7 @@
 
 /// A task on a machine, from the moment its image is fetched until it exits or is killed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct OnMachine {
+pub struct PlacedTask {
     pub job: String,
     pub index: u32,
     pub host: String,
@@ -22,7 +22,7 @@
 }
 
 /// Job, task and attempt.
-pub type Start = (String, u32, u64);
+pub type AttemptKey = (String, u32, u64);
 
 /// What the user of one job has observed.
 #[derive(Default)]
@@ -51,31 +51,31 @@
 /// Records the events of a simulated region and the violations of the rules.
 pub struct Checker {
     /// One text for each violation: the time in seconds, the name of the rule, and the details.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     /// Number of stopped tasks that saved their progress before exiting.
-    pub saved: u64,
+    pub saved_count: u64,
     /// Number of task starts.
-    pub starts: usize,
+    pub start_count: usize,
     /// Allowed retries of a task, by class; classes that are missing here have no limit.
-    pub repeats: HashMap<String, u32>,
+    pub max_retries: HashMap<String, u32>,
     /// For each failed job, the time from the failure that exceeded the limit until its user first saw
     /// `failed`, in milliseconds.
-    pub refused_ms: Vec<u64>,
+    pub failure_visibility_ms: Vec<u64>,
     /// Longest time for which a job was still reported as open after its user had seen one of its
     /// dependencies cancelled, in milliseconds.
-    pub orphaned_ms: u64,
+    pub max_orphaned_ms: u64,
     /// Exit cause and run time in milliseconds of each ended attempt, by machine, job, task and attempt.
-    pub exits: BTreeMap<(String, Start), (ExitCause, u64)>,
+    pub exits: BTreeMap<(String, AttemptKey), (ExitCause, u64)>,
     /// Tasks that started on machines since this list was last emptied; `None` if the caller does not collect
     /// them.
-    pub begun: Option<Vec<OnMachine>>,
+    pub started_tasks: Option<Vec<PlacedTask>>,
     failures: BTreeMap<(String, u32), TaskFailures>,
     limits: HashMap<String, Limit>,
     cancel_timeout_ms: u64,
     specs: HashMap<String, JobSpec>,
     client_views: HashMap<String, ClientView>,
     done_tasks: HashMap<String, BTreeSet<u32>>,
-    tasks_on_machines: BTreeMap<OnMachine, Place>,
+    tasks_on_machines: BTreeMap<PlacedTask, Place>,
     /// Cores and GPUs used by each team's tasks on machines, in thousandths, so that sums are exact.
     team_usage: HashMap<String, [i64; 2]>,
 }
@@ -89,7 +89,7 @@
 
 impl Limit {
     /// A limit on GPUs only.
-    pub fn gpus(gpus: f64) -> Self {
+    pub fn gpus_only(gpus: f64) -> Self {
         Self { cpus: 0.0, gpus }
     }
 }
@@ -106,14 +106,14 @@
 impl Checker {
     pub fn new(limits: HashMap<String, Limit>, cancel_timeout_ms: u64) -> Self {
         Self {
-            broken: Vec::new(),
-            saved: 0,
-            starts: 0,
-            repeats: HashMap::new(),
-            refused_ms: Vec::new(),
-            orphaned_ms: 0,
+            violations: Vec::new(),
+            saved_count: 0,
+            start_count: 0,
+            max_retries: HashMap::new(),
+            failure_visibility_ms: Vec::new(),
+            max_orphaned_ms: 0,
             exits: BTreeMap::new(),
-            begun: None,
+            started_tasks: None,
             failures: BTreeMap::new(),
             limits,
             cancel_timeout_ms,
@@ -126,22 +126,22 @@
     }
 
     /// Records the violation of a rule.
-    pub fn fail(&mut self, now: u64, rule: &str, text: String) {
-        self.broken.push(format!("{:.3} s {rule}: {text}", now as f64 / 1000.0));
+    pub fn report_violation(&mut self, now: u64, rule: &str, text: String) {
+        self.violations.push(format!("{:.3} s {rule}: {text}", now as f64 / 1000.0));
     }
 
     /// A user has submitted a job.
-    pub fn submitted(&mut self, spec: &JobSpec) {
+    pub fn record_submission(&mut self, spec: &JobSpec) {
         self.specs.insert(spec.id.to_string(), spec.clone());
     }
 
     /// A user has requested the cancellation of a job.
-    pub fn cancel_asked(&mut self, job: &str) {
+    pub fn record_cancel_request(&mut self, job: &str) {
         self.client_views.entry(job.into()).or_default().cancel_requested = true;
     }
 
     /// A worker has completed a task.
-    pub fn task_done(&mut self, job: &str, index: u32) {
+    pub fn record_task_done(&mut self, job: &str, index: u32) {
         self.done_tasks.entry(job.into()).or_default().insert(index);
     }
 
@@ -150,7 +150,7 @@
     pub fn record_error(
         &mut self,
         now: u64,
-        task: &OnMachine,
+        task: &PlacedTask,
         attempt: u64,
         is_job_fault: bool,
         is_machine_fault: bool,
@@ -175,7 +175,7 @@
     /// A controller has ordered a worker to forget an ended task, so it has recorded the end. Only recorded
     /// failures are checked here against the allowed retries: a machine that is lost before it reports leaves
     /// failures that no controller can know about.
-    pub fn forgotten(&mut self, now: u64, job: &str, index: u32, attempt: u64) {
+    pub fn record_forget(&mut self, now: u64, job: &str, index: u32, attempt: u64) {
         let Some(max_retries) = self.allowed_retries(job) else { return };
         let Some(failures) =
             self.failures.get_mut(&(job.to_owned(), self.failure_index(job, index)))
@@ -190,12 +190,12 @@
                 "{job}/{index} failed {} times, {max_retries} retries allowed",
                 failures.recorded.len()
             );
-            self.fail(now, "repeats", text);
+            self.report_violation(now, "repeats", text);
         }
     }
 
     /// Number of failures caused by the job that controllers are known to have recorded, by job and task.
-    pub fn heard_failures(&self) -> impl Iterator<Item = (&str, u32, usize)> {
+    pub fn count_recorded_failures(&self) -> impl Iterator<Item = (&str, u32, usize)> {
         self.failures
             .iter()
             .map(|((job, index), failures)| (job.as_str(), *index, failures.recorded.len()))
@@ -208,13 +208,13 @@
     }
 
     /// An attempt has ended on its machine after running for `ran_ms` milliseconds.
-    pub fn record_exit(&mut self, host: &str, key: &Start, cause: ExitCause, ran_ms: u64) {
+    pub fn record_exit(&mut self, host: &str, key: &AttemptKey, cause: ExitCause, ran_ms: u64) {
         self.exits.insert((host.to_owned(), key.clone()), (cause, ran_ms));
     }
 
     /// Allowed retries of the tasks of a job; `None` means no limit.
     fn allowed_retries(&self, job: &str) -> Option<u32> {
-        self.repeats.get(&self.specs.get(job)?.class).copied()
+        self.max_retries.get(&self.specs.get(job)?.class).copied()
     }
 
     /// Whether a task of the job, or the gang, has failed more often than its class allows retries, counting
@@ -237,24 +237,24 @@
             let text = format!(
                 "{job} failed with retries left: {failures:?}, {max_retries:?} retries allowed"
             );
-            self.fail(now, "repeats", text);
+            self.report_violation(now, "repeats", text);
         }
-        self.refused_ms.extend(
+        self.failure_visibility_ms.extend(
             failures.iter().filter_map(|failures| failures.exhausted_at).min().map(|at| now - at),
         );
         if let Some(task) = self.tasks_on_machines.keys().find(|task| task.job == job) {
             let text = format!("{task:?} is on a machine");
-            self.fail(now, "failed_early", text);
+            self.report_violation(now, "failed_early", text);
         }
     }
 
     /// Final status that the user of a job has seen.
-    pub fn over(&self, job: &str) -> Option<JobStatus> {
+    pub fn final_status(&self, job: &str) -> Option<JobStatus> {
         self.client_views.get(job).and_then(|view| view.final_status)
     }
 
     /// When the user first saw a final status of a job.
-    pub fn over_at(&self, job: &str) -> Option<u64> {
+    pub fn final_status_at(&self, job: &str) -> Option<u64> {
         self.client_views
             .get(job)
             .filter(|view| view.final_status.is_some())
@@ -267,37 +267,37 @@
     }
 
     /// How many tasks of a job have completed.
-    pub fn done_count(&self, job: &str) -> u32 {
+    pub fn count_done_tasks(&self, job: &str) -> u32 {
         self.done_tasks.get(job).map_or(0, |done| done.len() as u32)
     }
 
     /// Tasks that are on machines now.
-    pub fn on_machines(&self) -> impl Iterator<Item = &OnMachine> {
+    pub fn on_machines(&self) -> impl Iterator<Item = &PlacedTask> {
         self.tasks_on_machines.keys()
     }
 
     /// Whether all tasks of a job have completed.
-    pub fn all_done(&self, job: &str) -> bool {
+    pub fn is_job_done(&self, job: &str) -> bool {
         let tasks = self.specs.get(job).map_or(0, |spec| spec.tasks as usize);
         self.done_tasks.get(job).map_or(0, |done| done.len()) >= tasks
     }
 
     /// A task starts on a machine: checks placement, dependencies, final status and quota.
-    pub fn started(&mut self, now: u64, task: OnMachine, place: Place) {
-        self.starts += 1;
+    pub fn record_start(&mut self, now: u64, task: PlacedTask, place: Place) {
+        self.start_count += 1;
         let Some(spec) = self.specs.get(&task.job).cloned() else { return };
-        let first = OnMachine { job: task.job.clone(), index: 0, host: String::new() };
-        let siblings: Vec<(OnMachine, Place)> = self
+        let first = PlacedTask { job: task.job.clone(), index: 0, host: String::new() };
+        let siblings: Vec<(PlacedTask, Place)> = self
             .tasks_on_machines
             .range(first..)
             .take_while(|(other, _)| other.job == task.job)
             .map(|(other, other_place)| (other.clone(), other_place.clone()))
             .collect();
         let is_duplicate =
-            |other: &&OnMachine| other.index == task.index && other.host != task.host;
+            |other: &&PlacedTask| other.index == task.index && other.host != task.host;
         if let Some(other) = siblings.iter().map(|(other, _)| other).find(is_duplicate) {
             let text = format!("{}/{} on {} and {}", task.job, task.index, other.host, task.host);
-            self.fail(now, "ran_twice", text);
+            self.report_violation(now, "ran_twice", text);
         }
         let in_zone_count =
             siblings.iter().filter(|(_, other)| other.zone == place.zone).count() as u32 + 1;
@@ -310,11 +310,11 @@
                 || (spec.spread && in_zone_count > spec.tasks.div_ceil(2));
         if is_misplaced {
             let text = format!("{task:?} at {place:?}, {siblings:?}, {spec:?}");
-            self.fail(now, "wrong_place", text);
+            self.report_violation(now, "wrong_place", text);
         }
         self.check_dependencies_done(now, &spec, &task);
-        if self.over(&task.job) == Some(JobStatus::Failed) {
-            self.fail(now, "failed_early", format!("{task:?} starts"));
+        if self.final_status(&task.job) == Some(JobStatus::Failed) {
+            self.report_violation(now, "failed_early", format!("{task:?} starts"));
         }
         let is_late = self
             .client_views
@@ -322,9 +322,9 @@
             .and_then(|view| view.cancelled_at)
             .is_some_and(|at| now > at + self.cancel_timeout_ms);
         if is_late {
-            self.fail(now, "ran_cancelled", format!("{task:?} starts"));
+            self.report_violation(now, "ran_cancelled", format!("{task:?} starts"));
         }
-        if let Some(begun) = &mut self.begun {
+        if let Some(begun) = &mut self.started_tasks {
             begun.push(task.clone());
         }
         let used = self.team_usage.entry(spec.team.clone()).or_default();
@@ -336,13 +336,13 @@
         for (resource, used, max) in [("cores", cpus, limit.cpus), ("GPUs", gpus, limit.gpus)] {
             if max > 0.0 && used > to_thousandths(max) {
                 let text = format!("{} uses {} {resource} of {max}", spec.team, used as f64 / 1e3);
-                self.fail(now, "quota", text);
+                self.report_violation(now, "quota", text);
             }
         }
     }
 
     /// A task is no longer on its machine.
-    pub fn ended(&mut self, task: &OnMachine) {
+    pub fn record_end(&mut self, task: &PlacedTask) {
         if self.tasks_on_machines.remove(task).is_some()
             && let Some(spec) = self.specs.get(&task.job)
             && let Some(used) = self.team_usage.get_mut(&spec.team)
@@ -353,8 +353,8 @@
 
     /// Reports tasks of cancelled jobs that are still on machines after the cancel timeout. To be called
     /// periodically.
-    pub fn look(&mut self, now: u64) {
-        let overdue: Vec<OnMachine> = self
+    pub fn check_cancelled_jobs(&mut self, now: u64) {
+        let overdue: Vec<PlacedTask> = self
             .tasks_on_machines
             .keys()
             .filter(|task| {
@@ -366,19 +366,23 @@
             .cloned()
             .collect();
         for task in overdue {
-            self.fail(now, "ran_cancelled", format!("{task:?} is still on its machine"));
-            self.ended(&task);
+            self.report_violation(
+                now,
+                "ran_cancelled",
+                format!("{task:?} is still on its machine"),
+            );
+            self.record_end(&task);
         }
     }
 
     /// A controller sends orders: none may start a task of a job whose user has already seen a final status,
     /// however long the orders are on their way.
-    pub fn ordered(&mut self, now: u64, orders: &[Order]) {
+    pub fn check_orders(&mut self, now: u64, orders: &[Order]) {
         for order in orders {
             let Order::Run { task, .. } = order else { continue };
             let job = task.rsplit_once('/').map_or(task.as_str(), |(job, _)| job);
-            if let Some(final_status) = self.over(job) {
-                self.fail(
+            if let Some(final_status) = self.final_status(job) {
+                self.report_violation(
                     now,
                     "ordered",
                     format!("{task} is to run, its user has seen {final_status:?}"),
@@ -389,7 +393,7 @@
 
     /// A user has received the answer to a request sent at `asked_at`. An answer to a request sent before the
     /// user saw the job accepted, or its final status, may be out of order, whichever node it comes from.
-    pub fn answered(
+    pub fn handle_answer(
         &mut self,
         now: u64,
         asked_at: u64,
@@ -404,22 +408,22 @@
             .get(job)
             .is_some_and(|view| view.accepted && asked_at >= view.accepted_at);
         if was_accepted && (status == 404 || submission && matches!(status, 400 | 422)) {
-            self.fail(now, "forgotten", format!("{job} got {status}"));
+            self.report_violation(now, "forgotten", format!("{job} got {status}"));
         }
         if status != 200 && status != 201 {
             return;
         }
         if !is_known {
-            self.fail(now, "invented", job.into());
+            self.report_violation(now, "invented", job.into());
             return;
         }
         let value: serde_json::Value = serde_json::from_str(body).unwrap_or_default();
         let Ok(status_seen) = serde_json::from_value::<JobStatus>(value["status"].clone()) else {
-            self.fail(now, "answer", format!("{job}: {body}"));
+            self.report_violation(now, "answer", format!("{job}: {body}"));
             return;
         };
-        if status_seen == JobStatus::Done && !self.all_done(job) {
-            self.fail(now, "not_done", job.into());
+        if status_seen == JobStatus::Done && !self.is_job_done(job) {
+            self.report_violation(now, "not_done", job.into());
         }
         let may_be_cancelled = self.may_be_cancelled(job);
         let view = self.client_views.entry(job.into()).or_default();
@@ -451,7 +455,11 @@
             self.check_not_orphaned(now, asked_at, job);
         }
         if is_contradiction || is_unexplained_cancellation {
-            self.fail(now, "went_back", format!("{job} was {previous:?}, is {status_seen:?}"));
+            self.report_violation(
+                now,
+                "went_back",
+                format!("{job} was {previous:?}, is {status_seen:?}"),
+            );
         }
     }
 }
--- a/crates/emulator/src/checker/dependencies.rs
+++ b/crates/emulator/src/checker/dependencies.rs
@@ -1,16 +1,20 @@
 //! Rules about jobs that depend on other jobs: none starts before its dependencies are done, none stays open
 //! after a dependency is cancelled, and the final statuses of a pipeline are consistent.
 
-use super::{Checker, ClientView, OnMachine};
+use super::{Checker, ClientView, PlacedTask};
 use oatloom_protocol::wire::{JobSpec, JobStatus};
 use std::collections::BTreeSet;
 
 impl Checker {
     /// A task starts: workers must have completed all tasks of the jobs that its job depends on.
-    pub(super) fn check_dependencies_done(&mut self, now: u64, spec: &JobSpec, task: &OnMachine) {
-        let incomplete = spec.dependencies.iter().find(|id| !self.all_done(id.as_str()));
+    pub(super) fn check_dependencies_done(&mut self, now: u64, spec: &JobSpec, task: &PlacedTask) {
+        let incomplete = spec.dependencies.iter().find(|id| !self.is_job_done(id.as_str()));
         if let Some(incomplete) = incomplete {
-            self.fail(now, "too_early", format!("{task:?} starts, it depends on {incomplete}"));
+            self.report_violation(
+                now,
+                "too_early",
+                format!("{task:?} starts, it depends on {incomplete}"),
+            );
         }
     }
 
@@ -22,7 +26,7 @@
             |job: &str| self.client_views.get(job).is_some_and(|view| view.cancel_requested);
         is_cancel_requested(job)
             || self.ancestors(job).any(|id| {
-                let done = self.over(id) == Some(JobStatus::Done);
+                let done = self.final_status(id) == Some(JobStatus::Done);
                 !done && (is_cancel_requested(id) || self.has_exhausted_retries(id))
             })
     }
@@ -56,10 +60,10 @@
         let Some(cancelled_at) = self.ancestor_cancelled_at(job) else { return };
         let accepted_at = self.client_views.get(job).map_or(0, |view| view.accepted_at);
         let since = cancelled_at.max(accepted_at);
-        self.orphaned_ms = self.orphaned_ms.max(asked_at.saturating_sub(since));
+        self.max_orphaned_ms = self.max_orphaned_ms.max(asked_at.saturating_sub(since));
         if asked_at > since + self.cancel_timeout_ms {
             let text = format!("{job} is open, a dependency was cancelled at {cancelled_at} ms");
-            self.fail(now, "orphaned", text);
+            self.report_violation(now, "orphaned", text);
         }
     }
 
@@ -68,13 +72,13 @@
     pub(super) fn check_final_statuses(&mut self, now: u64, job: &str, end: JobStatus) {
         let dependencies = self.specs.get(job).map_or(&[][..], |spec| &spec.dependencies);
         let has_ended_otherwise =
-            |id: &&str| self.over(id).is_some_and(|status| status != JobStatus::Done);
+            |id: &&str| self.final_status(id).is_some_and(|status| status != JobStatus::Done);
         let dependency =
             dependencies.iter().map(|id| id.as_str()).find(has_ended_otherwise).map(str::to_owned);
         let dependent = self.contradicting_dependent(job, end);
         match (end, dependency, dependent) {
             (JobStatus::Done, Some(dependency), _) => {
-                self.fail(
+                self.report_violation(
                     now,
                     "crossed",
                     format!("{job} is done, {dependency} which it depends on is not"),
@@ -84,10 +88,10 @@
                 let text = format!(
                     "{job} is done, {dependent} which depends on it was cancelled without a request"
                 );
-                self.fail(now, "crossed", text);
+                self.report_violation(now, "crossed", text);
             }
             (JobStatus::Cancelled | JobStatus::Failed, _, Some(dependent)) => {
-                self.fail(
+                self.report_violation(
                     now,
                     "crossed",
                     format!("{job} is {end:?}, {dependent} which depends on it is done"),
@@ -100,7 +104,7 @@
     /// A direct dependent of this job whose final status, as seen by the user, contradicts the final status
     /// `end` of this job.
     fn contradicting_dependent(&self, job: &str, end: JobStatus) -> Option<String> {
-        let is_contradictory = |id: &str| match (end, self.over(id)) {
+        let is_contradictory = |id: &str| match (end, self.final_status(id)) {
             (JobStatus::Done, Some(JobStatus::Cancelled)) => !self.may_be_cancelled(id),
             (JobStatus::Cancelled | JobStatus::Failed, Some(JobStatus::Done)) => true,
             _ => false,
--- a/crates/emulator/src/faults.rs
+++ b/crates/emulator/src/faults.rs
@@ -13,7 +13,7 @@
 
 /// A fault of the requests to a service.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Trouble {
+pub enum ServiceFault {
     /// Answers are delayed by this many milliseconds.
     Slow(u64),
     /// Requests are answered with 503 and not executed.
@@ -32,11 +32,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
     /// A fault of a service, for all controllers or for one.
-    At { service: Service, trouble: Trouble, controller: Option<usize> },
+    OnService { service: Service, service_fault: ServiceFault, controller: Option<usize> },
     /// A controller reaches neither the services nor workers nor other controllers.
-    CutController(usize),
+    PartitionController(usize),
     /// A zone's workers reach no controller outside it.
-    CutZone(String),
+    PartitionZone(String),
     /// A controller is killed and restarted after this time; `None`: when its supervisor restarts it.
     CrashController(usize, Option<Millis>),
     /// All controllers are killed at once and restarted after this time; `None` as above.
@@ -44,7 +44,7 @@
     /// The state service is killed and restarted.
     RestartState,
     /// The cloud takes back this many spot machines.
-    TakeSpot(usize),
+    PreemptSpot(usize),
     /// This many machines are lost without notice.
     MachinesDie(usize),
     /// This many machines hang for the duration of the fault.
@@ -52,12 +52,12 @@
     /// Every task fails on one machine from now on.
     MachineFaulty,
     /// This share of a job's attempts fails, on whichever machine.
-    JobBreaks(String, f64),
+    JobFails(String, f64),
 }
 
 /// A fault with its start and end, in milliseconds.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Planned {
+pub struct ScheduledFault {
     pub at: u64,
     pub until: u64,
     pub fault: Fault,
@@ -80,13 +80,13 @@
 
 /// All faults that are active now or later.
 #[derive(Debug, Default)]
-pub struct Faults {
-    active: Vec<Planned>,
+pub struct FaultSet {
+    active: Vec<ScheduledFault>,
 }
 
-impl Faults {
+impl FaultSet {
     /// Adds a fault.
-    pub fn add(&mut self, scheduled: Planned) {
+    pub fn add(&mut self, scheduled: ScheduledFault) {
         self.active.push(scheduled);
     }
 
@@ -101,7 +101,8 @@
     }
 
     fn active_faults(&self, now: u64) -> impl Iterator<Item = &Fault> {
-        let is_active = move |scheduled: &&Planned| (scheduled.at..scheduled.until).contains(&now);
+        let is_active =
+            move |scheduled: &&ScheduledFault| (scheduled.at..scheduled.until).contains(&now);
         self.active.iter().filter(is_active).map(|scheduled| &scheduled.fault)
     }
 
@@ -118,27 +119,29 @@
         let mut action = None;
         for fault in self.active_faults(now) {
             let trouble = match fault {
-                Fault::CutController(partitioned) if *partitioned == controller => Trouble::Silent,
-                Fault::At { service: faulty_service, trouble, controller: target }
+                Fault::PartitionController(partitioned) if *partitioned == controller => {
+                    ServiceFault::Silent
+                }
+                Fault::OnService { service: faulty_service, service_fault, controller: target }
                     if *faulty_service == service
                         && target.is_none_or(|target| target == controller) =>
                 {
-                    *trouble
+                    *service_fault
                 }
                 _ => continue,
             };
             match trouble {
-                Trouble::Silent => return RequestAction::Silent,
-                Trouble::Slow(ms) => total_delay_ms += ms,
-                Trouble::Refuse => action = Some(RequestAction::Refuse(503)),
-                Trouble::Throttle => action = action.or(Some(RequestAction::Refuse(429))),
-                Trouble::Lose(share) if rng.random_bool(share) => {
+                ServiceFault::Silent => return RequestAction::Silent,
+                ServiceFault::Slow(ms) => total_delay_ms += ms,
+                ServiceFault::Refuse => action = Some(RequestAction::Refuse(503)),
+                ServiceFault::Throttle => action = action.or(Some(RequestAction::Refuse(429))),
+                ServiceFault::Lose(share) if rng.random_bool(share) => {
                     action = action.or(Some(RequestAction::Lose));
                 }
-                Trouble::Late(share, delay_ms) if rng.random_bool(share) => {
+                ServiceFault::Late(share, delay_ms) if rng.random_bool(share) => {
                     action = action.or(Some(RequestAction::Late { delay_ms }));
                 }
-                Trouble::Lose(_) | Trouble::Late(..) => {}
+                ServiceFault::Lose(_) | ServiceFault::Late(..) => {}
             }
         }
         action.unwrap_or(RequestAction::Pass { delay_ms: total_delay_ms })
@@ -153,8 +156,8 @@
         now: u64,
     ) -> bool {
         self.active_faults(now).any(|fault| match fault {
-            Fault::CutController(partitioned) => *partitioned == controller,
-            Fault::CutZone(partitioned) => {
+            Fault::PartitionController(partitioned) => *partitioned == controller,
+            Fault::PartitionZone(partitioned) => {
                 (partitioned == zone) != (partitioned == controller_zone)
             }
             _ => false,
@@ -170,25 +173,28 @@
     #[test]
     fn the_most_severe_active_fault_applies() {
         let mut rng = ChaCha8Rng::seed_from_u64(1);
-        let mut faults = Faults::default();
-        let build_service_fault =
-            |trouble, controller| Fault::At { service: Service::State, trouble, controller };
-        faults.add(Planned {
+        let mut faults = FaultSet::default();
+        let build_service_fault = |trouble, controller| Fault::OnService {
+            service: Service::State,
+            service_fault: trouble,
+            controller,
+        };
+        faults.add(ScheduledFault {
             at: 0,
             until: 100,
-            fault: build_service_fault(Trouble::Slow(30), None),
+            fault: build_service_fault(ServiceFault::Slow(30), None),
         });
-        faults.add(Planned {
+        faults.add(ScheduledFault {
             at: 0,
             until: 90,
-            fault: build_service_fault(Trouble::Slow(20), Some(1)),
+            fault: build_service_fault(ServiceFault::Slow(20), Some(1)),
         });
-        faults.add(Planned {
+        faults.add(ScheduledFault {
             at: 50,
             until: 80,
-            fault: build_service_fault(Trouble::Refuse, Some(1)),
+            fault: build_service_fault(ServiceFault::Refuse, Some(1)),
         });
-        faults.add(Planned { at: 60, until: 70, fault: Fault::CutController(1) });
+        faults.add(ScheduledFault { at: 60, until: 70, fault: Fault::PartitionController(1) });
         let mut decide = |node, now| faults.decide(Service::State, node, now, &mut rng);
         assert_eq!(decide(1, 10), RequestAction::Pass { delay_ms: 50 });
         assert_eq!(decide(0, 10), RequestAction::Pass { delay_ms: 30 });
@@ -205,9 +211,9 @@
     /// A partitioned zone is still connected within itself.
     #[test]
     fn a_partitioned_zone_reaches_only_itself() {
-        let mut faults = Faults::default();
-        let fault = Fault::CutZone("b".into());
-        faults.add(Planned { at: 0, until: 100, fault });
+        let mut faults = FaultSet::default();
+        let fault = Fault::PartitionZone("b".into());
+        faults.add(ScheduledFault { at: 0, until: 100, fault });
         let is_partitioned =
             |zone, controller_zone| faults.is_partitioned(zone, 0, controller_zone, 50);
         assert!(is_partitioned("b", "a") && is_partitioned("a", "b"));
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -8,9 +8,9 @@
 pub mod checker;
 pub mod constants;
 pub mod faults;
-pub mod gate;
-pub mod line;
+pub mod link_proxy;
 pub mod region;
 pub mod serve;
+pub mod service_proxy;
 pub mod timetable;
 pub mod worker;
--- a/crates/emulator/src/line.rs
+++ b/crates/emulator/src/link_proxy.rs
@@ -2,8 +2,8 @@
 //! order after it, unless the connection is closed meanwhile. Sockets and threads only.
 
 use crate::constants::*;
-use crate::gate::Shared;
 use crate::serve::Node;
+use crate::service_proxy::FaultContext;
 use oatloom_web::{StartError, spawn};
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -18,7 +18,7 @@
     nodes: Vec<Node>,
     from: usize,
     to: usize,
-    shared: Shared,
+    shared: FaultContext,
 }
 
 impl LinkEnds {
@@ -48,7 +48,7 @@
     target: &str,
     (from, to): (usize, usize),
     nodes: &[Node],
-    shared: &Shared,
+    shared: &FaultContext,
 ) -> Result<SocketAddr, StartError> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
--- a/crates/emulator/src/region.rs
+++ b/crates/emulator/src/region.rs
@@ -4,7 +4,7 @@
 
 use crate::checker::{Checker, Place};
 use crate::constants::{LATE_BOOT_FACTOR, REDIRECT_RETRY_DELAY_MS, WORKER_ANSWER_TIMEOUT_MS};
-use crate::worker::{ExternalState, Fetch, GangState, Times, Worker};
+use crate::worker::{ExternalState, GangState, ImageFetch, Worker, WorkerTimes};
 use oatloom_protocol::ids::{HostId, Member, Zone};
 use oatloom_protocol::wire::{
     Catalog, Command, ExitCause, Flavor, HireRequest, JobSpec, ListedMachine, MachineList,
@@ -17,7 +17,7 @@
 
 /// Properties of the cloud.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct CloudConfig {
     pub flavors: Vec<Flavor>,
     /// Maximum number of machines of each price kind (spot or ordinary) in a zone.
     pub capacity: u32,
@@ -25,25 +25,25 @@
     pub boot_ms: (u64, u64),
     /// Share of machines that never boot, and share of machines whose boot takes [`LATE_BOOT_FACTOR`] times
     /// as long.
-    pub never_boots: f64,
-    pub late_boots: f64,
+    pub never_boot_share: f64,
+    pub late_boot_share: f64,
     /// Range of the age of a returned machine list, in milliseconds.
     pub list_age_ms: (u64, u64),
     /// Maximum number of machines in a page of the list.
-    pub page: usize,
+    pub max_page_machines: usize,
     /// Range of image fetch times, in milliseconds; `None`: computed from the fetch rate of the machine type.
     pub fetch_ms: Option<(u64, u64)>,
     /// Whether spot prices vary randomly by up to a third.
-    pub prices_move: bool,
+    pub has_varying_prices: bool,
     /// Number from which machine names continue.
-    pub first_machine: u64,
+    pub first_machine_number: u64,
     /// Controller nodes.
     pub nodes: Vec<Member>,
 }
 
 /// A report to send to a controller node.
 #[derive(Debug)]
-pub struct Sending {
+pub struct OutgoingReport {
     pub host: String,
     pub id: u64,
     pub node: usize,
@@ -52,7 +52,7 @@
 
 /// Result of a hire request.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Hired {
+pub enum HireOutcome {
     Hosts(Vec<HostId>),
     NoCapacity,
     Malformed(String),
@@ -60,58 +60,58 @@
 
 /// The state of the emulated region.
 pub struct Region {
-    config: Terms,
-    times: Times,
+    config: CloudConfig,
+    times: WorkerTimes,
     rng: ChaCha8Rng,
     pub workers: BTreeMap<String, Worker>,
-    pub outside: ExternalState,
+    pub external: ExternalState,
     pub checker: Checker,
     hosts_by_request: HashMap<String, Vec<HostId>>,
     list_snapshots: Vec<(u64, Vec<ListedMachine>)>,
     last_machine_number: u64,
     report_count: u64,
     /// Rented machines that have not had a report answered yet, with the time of the hire.
-    pub unseen: BTreeMap<String, u64>,
+    pub unreported_machines: BTreeMap<String, u64>,
     /// Factor on the boot times of machines hired from now on, and an addition to the share of machines that
     /// never boot.
-    pub boots: (f64, f64),
+    pub boot_conditions: (f64, f64),
     /// First request with each request ID, to detect an ID that is reused for a different request.
     first_requests: HashMap<String, HireRequest>,
     rented_at: HashMap<String, u64>,
 }
 
 impl Region {
-    pub fn new(terms: Terms, times: Times, checker: Checker, seed: u64) -> Self {
+    pub fn new(terms: CloudConfig, times: WorkerTimes, checker: Checker, seed: u64) -> Self {
         Self {
-            last_machine_number: terms.first_machine,
+            last_machine_number: terms.first_machine_number,
             config: terms,
             times,
             rng: ChaCha8Rng::seed_from_u64(seed),
             workers: BTreeMap::new(),
-            outside: ExternalState::default(),
+            external: ExternalState::default(),
             checker,
             hosts_by_request: HashMap::new(),
             list_snapshots: Vec::new(),
             report_count: 0,
-            unseen: BTreeMap::new(),
-            boots: (1.0, 0.0),
+            unreported_machines: BTreeMap::new(),
+            boot_conditions: (1.0, 0.0),
             first_requests: HashMap::new(),
             rented_at: HashMap::new(),
         }
     }
 
     /// A user uploads a job's description, which happens before its submission.
-    pub fn upload(&mut self, spec: &JobSpec) {
-        self.outside.specs.insert(spec.id.to_string(), spec.clone());
-        self.checker.submitted(spec);
+    pub fn upload_job(&mut self, spec: &JobSpec) {
+        self.external.specs.insert(spec.id.to_string(), spec.clone());
+        self.checker.record_submission(spec);
     }
 
     // --- The cloud's interface -------------------------------------------------
 
     /// Machine types with their current prices.
-    pub fn catalog(&mut self) -> Catalog {
+    pub fn get_catalog(&mut self) -> Catalog {
         let mut flavors = self.config.flavors.clone();
-        if self.config.prices_move {
+        if self.config.has_varying_prices {
             for flavor in &mut flavors {
                 flavor.spot_price *= self.rng.random_range(0.67..1.33);
             }
@@ -125,42 +125,43 @@
     }
 
     /// A page of the machine list, which is as old as `list_age_ms` of the terms allows.
-    pub fn list(&mut self, now: u64, after: &str, max: usize) -> MachineList {
+    pub fn list_machines(&mut self, now: u64, after: &str, max: usize) -> MachineList {
         let (min_age, max_age) = self.config.list_age_ms;
         let age = self.rng.random_range(min_age..max_age);
         let snapshot = self.list_snapshots.iter().rev().find(|(at, _)| at + age <= now);
         let rows = snapshot.map(|(_, rows)| rows.clone()).unwrap_or_default();
         let mut rows = rows.into_iter().filter(|r| r.host.as_str() > after);
-        let hosts: Vec<ListedMachine> = rows.by_ref().take(max.min(self.config.page)).collect();
+        let hosts: Vec<ListedMachine> =
+            rows.by_ref().take(max.min(self.config.max_page_machines)).collect();
         let more = rows.next().is_some();
         MachineList { hosts, more }
     }
 
     /// Rents machines. A repeated request gets the same hosts and rents nothing.
-    pub fn hire(&mut self, now: u64, hire: &HireRequest) -> Hired {
+    pub fn hire(&mut self, now: u64, hire: &HireRequest) -> HireOutcome {
         let first_request =
             self.first_requests.entry(hire.request_id.clone()).or_insert_with(|| hire.clone());
         if first_request != hire {
             let text = format!("{}: {first_request:?}, then {hire:?}", hire.request_id);
-            self.checker.fail(now, "name_used_again", text);
+            self.checker.report_violation(now, "name_used_again", text);
         }
         if let Some(hosts) = self.hosts_by_request.get(&hire.request_id) {
-            return Hired::Hosts(hosts.clone());
+            return HireOutcome::Hosts(hosts.clone());
         }
         let Some(flavor) =
             self.config.flavors.iter().find(|flavor| flavor.label == hire.flavor).cloned()
         else {
-            return Hired::Malformed(format!("unknown flavor {}", hire.flavor));
+            return HireOutcome::Malformed(format!("unknown flavor {}", hire.flavor));
         };
         if !flavor.zones.contains(&hire.zone) || hire.number == 0 {
-            return Hired::Malformed("unknown zone, or number of machines is 0".into());
+            return HireOutcome::Malformed("unknown zone, or number of machines is 0".into());
         }
         let is_same_kind =
             |w: &&Worker| w.place.zone == hire.zone.as_str() && w.place.spot == hire.spot;
         let rented = self.workers.values().filter(is_same_kind).count() as u32;
         let number = hire.number.min(50).min(self.config.capacity.saturating_sub(rented));
         if number == 0 {
-            return Hired::NoCapacity;
+            return HireOutcome::NoCapacity;
         }
         let mut hosts = Vec::new();
         for _ in 0..number {
@@ -168,21 +169,24 @@
             let host = format!("i-{:06}", self.last_machine_number);
             let place =
                 Place { flavor: hire.flavor.clone(), zone: hire.zone.to_string(), spot: hire.spot };
-            let (boot_factor, extra_never_boots) = self.boots;
+            let (boot_factor, extra_never_boots) = self.boot_conditions;
             let boot_delay_ms = if self
                 .rng
-                .random_bool((self.config.never_boots + extra_never_boots).min(1.0))
+                .random_bool((self.config.never_boot_share + extra_never_boots).min(1.0))
             {
                 u64::MAX / 4
             } else {
                 let boot_ms = self.rng.random_range(self.config.boot_ms.0..self.config.boot_ms.1);
-                let late_factor =
-                    if self.rng.random_bool(self.config.late_boots) { LATE_BOOT_FACTOR } else { 1 };
+                let late_factor = if self.rng.random_bool(self.config.late_boot_share) {
+                    LATE_BOOT_FACTOR
+                } else {
+                    1
+                };
                 (boot_ms as f64 * boot_factor) as u64 * late_factor
             };
             let fetch = match self.config.fetch_ms {
-                Some((min, max)) => Fetch::Between(min, max),
-                None => Fetch::Rate(flavor.fetch_gb_per_s, BTreeMap::new()),
+                Some((min, max)) => ImageFetch::Range(min, max),
+                None => ImageFetch::Rate(flavor.fetch_gb_per_s, BTreeMap::new()),
             };
             let mut worker = Worker::new(
                 host.clone(),
@@ -194,29 +198,29 @@
             );
             worker.node = self.rng.random_range(0..self.config.nodes.len());
             self.workers.insert(host.clone(), worker);
-            self.unseen.insert(host.clone(), now);
+            self.unreported_machines.insert(host.clone(), now);
             self.rented_at.insert(host.clone(), now);
             hosts.push(HostId::new(&host));
         }
         self.hosts_by_request.insert(hire.request_id.clone(), hosts.clone());
-        Hired::Hosts(hosts)
+        HireOutcome::Hosts(hosts)
     }
 
     /// Sets the capacity of each zone and price kind. Machines that are already rented stay, even beyond it.
-    pub fn offer(&mut self, capacity: u32) {
+    pub fn set_capacity(&mut self, capacity: u32) {
         self.config.capacity = capacity;
     }
 
     /// Ends the rent of machines, killing all tasks on them.
     pub fn release(&mut self, hosts: &[HostId]) {
         for host in hosts {
-            self.take(host.as_str());
+            self.remove_machine(host.as_str());
         }
     }
 
     /// Removes a machine without notice.
-    pub fn take(&mut self, host: &str) {
-        self.unseen.remove(host);
+    pub fn remove_machine(&mut self, host: &str) {
+        self.unreported_machines.remove(host);
         self.rented_at.remove(host);
         if let Some(mut worker) = self.workers.remove(host) {
             worker.kill(&mut self.checker);
@@ -224,7 +228,7 @@
     }
 
     /// Takes a snapshot of the machine list, to be returned by later list requests.
-    pub fn note_list(&mut self, now: u64) {
+    pub fn snapshot_list(&mut self, now: u64) {
         let build_row = |w: &Worker| ListedMachine {
             host: HostId::new(&w.host),
             addr: w.addr.clone(),
@@ -247,7 +251,7 @@
     // --- Machines and their workers ---------------------------------------------
 
     /// Advances all machines to `now`; returns the reports that are due.
-    pub fn step(&mut self, now: u64) -> Vec<Sending> {
+    pub fn step(&mut self, now: u64) -> Vec<OutgoingReport> {
         let mut gang_states: HashMap<(String, u64), GangState> = HashMap::new();
         for worker in self.workers.values().filter(|w| now >= w.hung_until) {
             for ((job, _, attempt), task) in &worker.tasks {
@@ -259,7 +263,7 @@
                 gang_state.done += u32::from(task.cause == Some(ExitCause::Done));
                 gang_state.saving += u32::from(is_saving || task.stored);
                 gang_state.task_count =
-                    self.outside.specs.get(job).map_or(u32::MAX, |spec| spec.tasks);
+                    self.external.specs.get(job).map_or(u32::MAX, |spec| spec.tasks);
             }
         }
         let get_gang_state = |job: &str, attempt: u64| {
@@ -275,33 +279,43 @@
             }
             if now < worker.hung_until {
                 // A hanging machine may resume within its lease, but not later.
-                worker.end_lease(now, &mut self.checker);
+                worker.expire_lease(now, &mut self.checker);
                 continue;
             }
             if worker.lease_from == worker.up_at && worker.report_seq == 0 {
                 worker.lease_from = worker.lease_from.max(now);
             }
-            worker.step(now, &mut self.outside, &get_gang_state, &mut self.checker);
-            if worker.waiting.is_some_and(|(_, sent_at)| now > sent_at + WORKER_ANSWER_TIMEOUT_MS) {
+            worker.step(now, &mut self.external, &get_gang_state, &mut self.checker);
+            if worker
+                .pending_report
+                .is_some_and(|(_, sent_at)| now > sent_at + WORKER_ANSWER_TIMEOUT_MS)
+            {
                 let next = (worker.node + 1) % self.config.nodes.len();
                 worker.switch_node(now, next);
             }
             if worker.is_report_due(now) {
                 self.report_count += 1;
                 let (id, node) = (self.report_count, worker.node);
-                let report = worker.report(now, id, &mut self.rng);
-                reports_due.push(Sending { host: host.clone(), id, node, report });
+                let report = worker.begin_report(now, id, &mut self.rng);
+                reports_due.push(OutgoingReport { host: host.clone(), id, node, report });
             }
         }
-        taken.iter().for_each(|host| self.take(host));
+        taken.iter().for_each(|host| self.remove_machine(host));
         reports_due
     }
 
     /// Delivers a node's answer to a report to its worker.
-    pub fn answered(&mut self, now: u64, host: &str, report: (u64, u64), status: u16, body: &str) {
+    pub fn handle_answer(
+        &mut self,
+        now: u64,
+        host: &str,
+        report: (u64, u64),
+        status: u16,
+        body: &str,
+    ) {
         let Some(worker) = self.workers.get_mut(host) else { return };
         let (_, sent_at) = report;
-        if worker.waiting != Some(report)
+        if worker.pending_report != Some(report)
             || now < worker.hung_until
             || now > sent_at + WORKER_ANSWER_TIMEOUT_MS
         {
@@ -311,15 +325,15 @@
         match status {
             200 => {
                 let Ok(answer) = serde_json::from_str::<ReportAnswer>(body) else {
-                    self.checker.fail(now, "answer", format!("{host}: {body}"));
+                    self.checker.report_violation(now, "answer", format!("{host}: {body}"));
                     return;
                 };
-                self.unseen.remove(host);
+                self.unreported_machines.remove(host);
                 worker.handle_answer(
                     now,
                     sent_at,
                     &answer,
-                    &self.outside,
+                    &self.external,
                     &mut self.rng,
                     &mut self.checker,
                 );
@@ -344,30 +358,36 @@
 
     /// Delivers a direct command to a machine that has booted. Returns whether the worker accepted the
     /// command, and its report.
-    pub fn commanded(&mut self, now: u64, host: &str, command: &Command) -> Option<(bool, Report)> {
+    pub fn handle_command(
+        &mut self,
+        now: u64,
+        host: &str,
+        command: &Command,
+    ) -> Option<(bool, Report)> {
         let worker = self.workers.get_mut(host).filter(|w| now >= w.up_at)?;
-        let is_accepted = command.token.0 >= worker.token && command.session.0 == worker.shift;
-        let report = worker.command(now, command, &self.outside, &mut self.rng, &mut self.checker);
+        let is_accepted = command.token.0 >= worker.token && command.session.0 == worker.session;
+        let report =
+            worker.handle_command(now, command, &self.external, &mut self.rng, &mut self.checker);
         Some((is_accepted, report))
     }
 
     // --- Faults --------------------------------------------------------------------
 
     /// A random machine that has booted.
-    pub fn some_machine(&mut self, now: u64) -> Option<String> {
+    pub fn pick_random_machine(&mut self, now: u64) -> Option<String> {
         let booted: Vec<String> =
             self.workers.iter().filter(|(_, w)| now >= w.up_at).map(|(h, _)| h.clone()).collect();
         booted.choose(&mut self.rng).cloned()
     }
 
     /// Takes back up to `max` spot machines: two of three with notice, the third without. Returns how many.
-    pub fn take_spot(&mut self, now: u64, max: usize, notice_ms: u64) -> usize {
+    pub fn preempt_spot_machines(&mut self, now: u64, max: usize, notice_ms: u64) -> usize {
         let select_spot_host = |(host, w): (&String, &Worker)| w.place.spot.then(|| host.clone());
         let taken: Vec<String> =
             self.workers.iter().filter_map(select_spot_host).take(max).collect();
         for (n, host) in taken.iter().enumerate() {
             if n % 3 == 2 {
-                self.take(host);
+                self.remove_machine(host);
             } else if let Some(worker) = self.workers.get_mut(host) {
                 worker.notice_until = Some(now + notice_ms);
             }
@@ -376,12 +396,12 @@
     }
 
     /// The worker on a machine.
-    pub fn machine(&mut self, host: &str) -> Option<&mut Worker> {
+    pub fn get_worker_mut(&mut self, host: &str) -> Option<&mut Worker> {
         self.workers.get_mut(host)
     }
 
     /// Number of tasks on machines, of all jobs.
-    pub fn tasks(&self) -> usize {
+    pub fn count_tasks(&self) -> usize {
         let count_active =
             |w: &Worker| w.tasks.values().filter(|t| t.phase != TaskPhase::Exited).count();
         self.workers.values().map(count_active).sum()
--- a/crates/emulator/src/serve.rs
+++ b/crates/emulator/src/serve.rs
@@ -2,10 +2,10 @@
 //! workers send. Only threads and sockets are here; [`crate::region`] has the logic.
 
 use crate::constants::*;
-use crate::faults::{Fault, Planned};
-use crate::gate::Shared;
-use crate::region::{Hired, Region, Sending};
-use crate::worker::Broken;
+use crate::faults::{Fault, ScheduledFault};
+use crate::region::{HireOutcome, OutgoingReport, Region};
+use crate::service_proxy::FaultContext;
+use crate::worker::JobFailures;
 use crossbeam::channel::{Receiver, Sender, bounded, unbounded};
 use oatloom_protocol::ids::{Mono, Zone};
 use oatloom_protocol::reply::HttpReply;
@@ -71,7 +71,7 @@
     command_sender: Sender<(String, Incoming<WorkerRequest>)>,
     result_sender: Sender<ReportResult>,
     nodes: Vec<Node>,
-    pub shared: Shared,
+    pub shared: FaultContext,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -89,7 +89,7 @@
         region: Region,
         nodes: Vec<Node>,
         cloud_rps: f64,
-        shared: Shared,
+        shared: FaultContext,
     ) -> Result<(Arc<Self>, SocketAddr), StartError> {
         let (command_sender, commands) = unbounded();
         let (result_sender, results) = unbounded();
@@ -110,43 +110,45 @@
     }
 
     /// Locks the region.
-    pub fn region(&self) -> MutexGuard<'_, Region> {
+    pub fn lock_region(&self) -> MutexGuard<'_, Region> {
         lock(&self.region)
     }
 
     /// Starts a fault of machines or of the network. Faults of processes are left to the caller.
-    pub fn strike(&self, planned: &Planned) {
+    pub fn inject(&self, planned: &ScheduledFault) {
         let now = self.shared.now();
         let duration_ms = planned.until.saturating_sub(planned.at);
-        let mut region = self.region();
+        let mut region = self.lock_region();
         let mut for_random_machines = |count: usize, action: &mut dyn FnMut(&mut Region, &str)| {
             for _ in 0..count {
-                if let Some(host) = region.some_machine(now) {
+                if let Some(host) = region.pick_random_machine(now) {
                     action(&mut region, &host);
                 }
             }
         };
         match &planned.fault {
-            Fault::TakeSpot(count) => _ = region.take_spot(now, *count, SPOT_NOTICE_MS),
+            Fault::PreemptSpot(count) => {
+                _ = region.preempt_spot_machines(now, *count, SPOT_NOTICE_MS)
+            }
             Fault::MachinesDie(count) => {
-                for_random_machines(*count, &mut |region, host| region.take(host))
+                for_random_machines(*count, &mut |region, host| region.remove_machine(host))
             }
             Fault::MachinesHang(count) => for_random_machines(*count, &mut |region, host| {
-                if let Some(worker) = region.machine(host) {
+                if let Some(worker) = region.get_worker_mut(host) {
                     worker.hung_until = now + duration_ms;
                 }
             }),
             Fault::MachineFaulty => for_random_machines(1, &mut |region, host| {
-                if let Some(worker) = region.machine(host) {
+                if let Some(worker) = region.get_worker_mut(host) {
                     worker.faulty = true;
                 }
             }),
-            Fault::JobBreaks(job, share) => {
-                region.outside.broken.insert(job.clone(), Broken::Often(*share));
+            Fault::JobFails(job, share) => {
+                region.external.broken.insert(job.clone(), JobFailures::Share(*share));
             }
-            Fault::At { .. } | Fault::CutController(_) | Fault::CutZone(_) => {
+            Fault::OnService { .. } | Fault::PartitionController(_) | Fault::PartitionZone(_) => {
                 drop(region);
-                lock(&self.shared.faults).add(Planned {
+                lock(&self.shared.faults).add(ScheduledFault {
                     at: now,
                     until: now + duration_ms,
                     ..planned.clone()
@@ -183,14 +185,14 @@
     }
 
     fn answer_cloud_request(&self, now: u64, request: &CloudRequest) -> HttpReply {
-        let mut region = self.region();
+        let mut region = self.lock_region();
         match request {
-            CloudRequest::Catalog => HttpReply::json(200, &region.catalog()),
+            CloudRequest::Catalog => HttpReply::json(200, &region.get_catalog()),
             CloudRequest::List { after, max } => {
-                HttpReply::json(200, &region.list(now, after, *max))
+                HttpReply::json(200, &region.list_machines(now, after, *max))
             }
             CloudRequest::Hire(hire) => match region.hire(now, hire) {
-                Hired::Hosts(hosts) => {
+                HireOutcome::Hosts(hosts) => {
                     for host in &hosts {
                         if let Err(e) = self.start_worker_server(&mut region, host.as_str()) {
                             tracing::warn!("cannot start the server of machine {host}: {e}");
@@ -198,8 +200,8 @@
                     }
                     HttpReply::json(200, &Hosts { hosts })
                 }
-                Hired::NoCapacity => HttpReply::error(503, "no capacity"),
-                Hired::Malformed(text) => HttpReply::error(400, &text),
+                HireOutcome::NoCapacity => HttpReply::error(503, "no capacity"),
+                HireOutcome::Malformed(text) => HttpReply::error(400, &text),
             },
             CloudRequest::Release(hosts) => {
                 region.release(&hosts.hosts);
@@ -218,7 +220,7 @@
         let deliver = move |incoming| command_sender.send((name.clone(), incoming)).is_ok();
         let answers =
             Arc::new(server::start("127.0.0.1:0", MAX_CONNECTIONS, parse_worker_request, deliver)?);
-        if let Some(worker) = region.machine(host) {
+        if let Some(worker) = region.get_worker_mut(host) {
             worker.addr = answers.address().to_string();
         }
         // Only one report is in flight at a time, but one that timed out may still occupy the thread.
@@ -257,10 +259,10 @@
             }
             let now = self.shared.now();
             delayed.retain(|(host, command)| {
-                let mut region = self.region();
-                let is_hanging = region.machine(host).is_some_and(|w| now < w.hung_until);
+                let mut region = self.lock_region();
+                let is_hanging = region.get_worker_mut(host).is_some_and(|w| now < w.hung_until);
                 if !is_hanging {
-                    let _ = region.commanded(now, host, command);
+                    let _ = region.handle_command(now, host, command);
                 }
                 is_hanging
             });
@@ -279,8 +281,8 @@
         };
         let connection: Connection = incoming.caller;
         let now = self.shared.now();
-        let mut region = self.region();
-        let Some(worker) = region.machine(host).filter(|w| now >= w.up_at) else {
+        let mut region = self.lock_region();
+        let Some(worker) = region.get_worker_mut(host).filter(|w| now >= w.up_at) else {
             return answers.close(connection);
         };
         // The socket does not show which controller sent the command, so no command reaches a partitioned
@@ -295,8 +297,8 @@
             return answers.close(connection);
         }
         let reply = match incoming.request {
-            WorkerRequest::Show => HttpReply::json(200, &worker.state(now)),
-            WorkerRequest::Do(command) => match region.commanded(now, host, &command) {
+            WorkerRequest::Show => HttpReply::json(200, &worker.build_report(now)),
+            WorkerRequest::Do(command) => match region.handle_command(now, host, &command) {
                 Some((true, report)) => HttpReply::json(200, &report),
                 Some((false, report)) => HttpReply::json(409, &report),
                 None => return answers.close(connection),
@@ -312,15 +314,15 @@
             std::thread::sleep(Duration::from_millis(STEP_INTERVAL_MS.0));
             let now = self.shared.now();
             while let Ok(ReportResult { transit, answer, jobs }) = results.try_recv() {
-                jobs.iter().for_each(|job| self.region().upload(job));
+                jobs.iter().for_each(|job| self.lock_region().upload_job(job));
                 self.deliver_answer(now, &transit, answer);
             }
             let reports_due = {
-                let mut region = self.region();
+                let mut region = self.lock_region();
                 if now >= last_snapshot_at + LIST_SNAPSHOT_INTERVAL_MS.0 {
                     last_snapshot_at = now;
-                    region.note_list(now);
-                    region.checker.look(now);
+                    region.snapshot_list(now);
+                    region.checker.check_cancelled_jobs(now);
                     lock(&self.shared.faults).remove_expired(now);
                 }
                 region.step(now)
@@ -328,7 +330,7 @@
             for outgoing in reports_due {
                 self.send(now, outgoing);
             }
-            let region = self.region();
+            let region = self.lock_region();
             lock(&self.endpoints).retain(|host, _| region.workers.contains_key(host));
         }
     }
@@ -341,9 +343,9 @@
     }
 
     /// Passes a report to the thread that sends it, unless the two are partitioned.
-    fn send(&self, now: u64, outgoing: Sending) {
-        let Sending { host, id, node, report } = outgoing;
-        if self.is_partitioned(&self.region(), &host, node, now) {
+    fn send(&self, now: u64, outgoing: OutgoingReport) {
+        let OutgoingReport { host, id, node, report } = outgoing;
+        if self.is_partitioned(&self.lock_region(), &host, node, now) {
             return;
         }
         if let Some(endpoint) = lock(&self.endpoints).get(&host) {
@@ -357,11 +359,11 @@
     /// Delivers the answer to a report to its worker, unless the two are partitioned now.
     fn deliver_answer(&self, now: u64, transit: &ReportTransit, answer: NodeAnswer) {
         let ReportTransit { host, id, sent, node } = transit;
-        let mut region = self.region();
+        let mut region = self.lock_region();
         if !self.is_partitioned(&region, host, *node, now) {
             let (status, body) = answer.unwrap_or((0, Vec::new()));
             let body = String::from_utf8_lossy(&body);
-            region.answered(now, host, (*id, *sent), status, &body);
+            region.handle_answer(now, host, (*id, *sent), status, &body);
         }
     }
 }
--- a/crates/emulator/src/gate.rs
+++ b/crates/emulator/src/service_proxy.rs
@@ -2,7 +2,7 @@
 //! them. Only sockets and threads are here; [`crate::faults`] decides what happens to a request.
 
 use crate::constants::*;
-use crate::faults::{Faults, RequestAction, Service};
+use crate::faults::{FaultSet, RequestAction, Service};
 use crossbeam::channel::{Receiver, bounded};
 use oatloom_protocol::ids::Millis;
 use oatloom_protocol::reply::HttpReply;
@@ -24,12 +24,12 @@
 
 /// The active faults and the clock, shared by all proxies and the emulator.
 #[derive(Clone)]
-pub struct Shared {
-    pub faults: Arc<Mutex<Faults>>,
+pub struct FaultContext {
+    pub faults: Arc<Mutex<FaultSet>>,
     pub start: Instant,
 }
 
-impl Shared {
+impl FaultContext {
     /// Time since the start, in milliseconds.
     pub fn now(&self) -> u64 {
         self.start.elapsed().as_millis() as u64
@@ -45,7 +45,7 @@
     service: Service,
     controller: usize,
     seed: u64,
-    shared: &Shared,
+    shared: &FaultContext,
 ) -> Result<SocketAddr, StartError> {
     let (sender, queue) = bounded::<Incoming<RawRequest>>(MAX_QUEUED_REQUESTS);
     let read = |method: &str, path: &str, body: &[u8]| -> Result<RawRequest, HttpReply> {
@@ -72,7 +72,7 @@
     caller: &HttpClient,
     service: Service,
     controller: usize,
-    shared: &Shared,
+    shared: &FaultContext,
     mut rng: ChaCha8Rng,
 ) {
     while let Ok(Incoming { caller: connection, request }) = queue.recv() {
--- a/crates/emulator/src/timetable.rs
+++ b/crates/emulator/src/timetable.rs
@@ -3,7 +3,7 @@
 //! same form without `at 5`.
 
 use crate::constants::*;
-use crate::faults::{Fault, Planned, Service, Trouble};
+use crate::faults::{Fault, ScheduledFault, Service, ServiceFault};
 use lexpr::datum::{Datum, Ref};
 use lexpr::parse::Parser;
 use oatloom_protocol::ids::Millis;
@@ -11,7 +11,7 @@
 /// A syntax error in a timetable, with its line.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("line {line}: {text}")]
-pub struct BadTimetable {
+pub struct TimetableError {
     pub line: usize,
     pub text: String,
 }
@@ -74,8 +74,8 @@
     datum.span().start().line()
 }
 
-fn syntax_error<T>(line: usize, text: impl Into<String>) -> Result<T, BadTimetable> {
-    Err(BadTimetable { line, text: text.into() })
+fn syntax_error<T>(line: usize, text: impl Into<String>) -> Result<T, TimetableError> {
+    Err(TimetableError { line, text: text.into() })
 }
 
 /// Parses a timetable for a region with this many controllers. Each entry starts with its time in seconds
@@ -83,10 +83,10 @@
 ///
 /// # Errors
 /// If the text is not a valid timetable; the error has the line.
-pub fn read(text: &str, controllers: usize) -> Result<Vec<Planned>, BadTimetable> {
+pub fn parse(text: &str, controllers: usize) -> Result<Vec<ScheduledFault>, TimetableError> {
     let mut planned = Vec::new();
     let mut parser = Parser::from_str(text);
-    while let Some(datum) = parser.next_datum().map_err(|e| BadTimetable {
+    while let Some(datum) = parser.next_datum().map_err(|e| TimetableError {
         line: e.location().map_or(0, |l| l.line()),
         text: format!("not an S-expression: {e}"),
     })? {
@@ -117,9 +117,13 @@
 ///
 /// # Errors
 /// If the text is not a valid fault.
-pub fn read_one(text: &str, now: u64, controllers: usize) -> Result<Planned, BadTimetable> {
+pub fn parse_one(
+    text: &str,
+    now: u64,
+    controllers: usize,
+) -> Result<ScheduledFault, TimetableError> {
     let mut parser = Parser::from_str(text);
-    let datum = parser.next_datum().map_err(|e| BadTimetable { line: 1, text: e.to_string() })?;
+    let datum = parser.next_datum().map_err(|e| TimetableError { line: 1, text: e.to_string() })?;
     let Some(datum) = datum else { return syntax_error(1, "the request is empty") };
     match datum.list_iter() {
         Some(items) => parse_entry(1, &items.collect::<Vec<_>>(), now, controllers),
@@ -136,7 +140,7 @@
     items: &[Ref],
     at: u64,
     controllers: usize,
-) -> Result<Planned, BadTimetable> {
+) -> Result<ScheduledFault, TimetableError> {
     let Some(name) = items.first().and_then(|item| item.value().as_symbol()) else {
         return syntax_error(line, "the name of a fault is missing");
     };
@@ -146,7 +150,7 @@
     let options = parse_options(line, name, allowed, &items[1..], controllers)?;
     let duration_s = options.duration_s.unwrap_or(DEFAULT_FAULT_DURATION_S);
     let until = at + (duration_s * 1000.0) as u64;
-    Ok(Planned { at, until, fault: build_fault(line, name, options)? })
+    Ok(ScheduledFault { at, until, fault: build_fault(line, name, options)? })
 }
 
 fn parse_options(
@@ -155,7 +159,7 @@
     allowed: &[&str],
     items: &[Ref],
     controllers: usize,
-) -> Result<Options, BadTimetable> {
+) -> Result<Options, TimetableError> {
     let mut options = Options::default();
     for item in items {
         let line = item.span().start().line().max(line);
@@ -192,7 +196,7 @@
     Ok(options)
 }
 
-fn build_fault(line: usize, name: &str, options: Options) -> Result<Fault, BadTimetable> {
+fn build_fault(line: usize, name: &str, options: Options) -> Result<Fault, TimetableError> {
     let Options { ms, share, controller, count, zone, job, .. } = options;
     let delay_or = |default: f64| ms.unwrap_or(default) as u64;
     // 0 is allowed: a process may be restarted within a fraction of a second.
@@ -201,38 +205,39 @@
     let job_share = share.unwrap_or(1.0);
     let share = share.unwrap_or(DEFAULT_FAULT_SHARE);
     let service = if name.starts_with("state-") { Service::State } else { Service::Cloud };
-    let build_service_fault = |trouble| Ok(Fault::At { service, trouble, controller });
+    let build_service_fault =
+        |trouble| Ok(Fault::OnService { service, service_fault: trouble, controller });
     let require_controller = || {
         controller
-            .ok_or_else(|| BadTimetable { line, text: format!("{name} needs (controller N)") })
+            .ok_or_else(|| TimetableError { line, text: format!("{name} needs (controller N)") })
     };
     match name {
         "state-restart" => Ok(Fault::RestartState),
         "state-slow" | "cloud-slow" => {
-            build_service_fault(Trouble::Slow(delay_or(DEFAULT_SLOW_DELAY_MS)))
+            build_service_fault(ServiceFault::Slow(delay_or(DEFAULT_SLOW_DELAY_MS)))
         }
-        "state-refuse" | "cloud-refuse" => build_service_fault(Trouble::Refuse),
-        "state-throttle" | "cloud-throttle" => build_service_fault(Trouble::Throttle),
-        "state-lose" | "cloud-lose" => build_service_fault(Trouble::Lose(share)),
+        "state-refuse" | "cloud-refuse" => build_service_fault(ServiceFault::Refuse),
+        "state-throttle" | "cloud-throttle" => build_service_fault(ServiceFault::Throttle),
+        "state-lose" | "cloud-lose" => build_service_fault(ServiceFault::Lose(share)),
         "state-late" | "cloud-late" => {
-            build_service_fault(Trouble::Late(share, delay_or(DEFAULT_LATE_DELAY_MS)))
+            build_service_fault(ServiceFault::Late(share, delay_or(DEFAULT_LATE_DELAY_MS)))
         }
-        "state-silent" | "cloud-silent" => build_service_fault(Trouble::Silent),
-        "cut-controller" => require_controller().map(Fault::CutController),
+        "state-silent" | "cloud-silent" => build_service_fault(ServiceFault::Silent),
+        "cut-controller" => require_controller().map(Fault::PartitionController),
         "crash-controller" => {
             require_controller().map(|index| Fault::CrashController(index, restart_after))
         }
         "cut-zone" => match zone {
-            Some(zone) => Ok(Fault::CutZone(zone)),
+            Some(zone) => Ok(Fault::PartitionZone(zone)),
             None => syntax_error(line, "cut-zone needs (zone NAME)"),
         },
         "crash-all" => Ok(Fault::CrashAll(restart_after)),
-        "take-spot" => Ok(Fault::TakeSpot(count)),
+        "take-spot" => Ok(Fault::PreemptSpot(count)),
         "machine-dies" => Ok(Fault::MachinesDie(count)),
         "machine-hangs" => Ok(Fault::MachinesHang(count)),
         "machine-faulty" => Ok(Fault::MachineFaulty),
         "job-breaks" => match job {
-            Some(job) => Ok(Fault::JobBreaks(job, job_share)),
+            Some(job) => Ok(Fault::JobFails(job, job_share)),
             None => syntax_error(line, "job-breaks needs (job ID)"),
         },
         _ => syntax_error(line, format!("unknown fault {name}")),
@@ -247,19 +252,20 @@
     fn timetable_is_parsed_and_sorted_by_time() {
         let text = "; a bad evening\n(at 8 crash-all)\n(at 2.5 state-lose (for 3)\n (share 0.5))\n\
                     (at 1 cut-zone (zone b))";
-        let planned = read(text, 3).unwrap();
-        let lose = Trouble::Lose(0.5);
+        let planned = parse(text, 3).unwrap();
+        let lose = ServiceFault::Lose(0.5);
         assert_eq!(
             planned[0],
-            Planned { at: 1_000, until: 6_000, fault: Fault::CutZone("b".into()) }
+            ScheduledFault { at: 1_000, until: 6_000, fault: Fault::PartitionZone("b".into()) }
         );
-        let fault = Fault::At { service: Service::State, trouble: lose, controller: None };
-        assert_eq!(planned[1], Planned { at: 2_500, until: 5_500, fault });
+        let fault =
+            Fault::OnService { service: Service::State, service_fault: lose, controller: None };
+        assert_eq!(planned[1], ScheduledFault { at: 2_500, until: 5_500, fault });
         assert_eq!(planned[2].fault, Fault::CrashAll(None));
-        let single = read_one("(cloud-refuse (for 2))", 700, 3).unwrap();
+        let single = parse_one("(cloud-refuse (for 2))", 700, 3).unwrap();
         assert_eq!((single.at, single.until), (700, 2_700));
-        assert_eq!(read_one("crash-all", 0, 3).unwrap().fault, Fault::CrashAll(None));
-        let restart = read_one("(crash-controller (controller 1) (ms 0))", 0, 3).unwrap();
+        assert_eq!(parse_one("crash-all", 0, 3).unwrap().fault, Fault::CrashAll(None));
+        let restart = parse_one("(crash-controller (controller 1) (ms 0))", 0, 3).unwrap();
         assert_eq!(restart.fault, Fault::CrashController(1, Some(Millis(0))));
     }
 
@@ -278,7 +284,7 @@
                 text.push_str(" (job req-1)");
             }
             text.push(')');
-            assert!(read_one(&text, 0, 3).is_ok(), "{text}");
+            assert!(parse_one(&text, 0, 3).is_ok(), "{text}");
         }
     }
 
@@ -286,7 +292,7 @@
     #[test]
     fn errors_have_the_line_and_name() {
         let assert_error = |text: &str, expected: &str| {
-            let error = read(text, 3).unwrap_err().to_string();
+            let error = parse(text, 3).unwrap_err().to_string();
             assert!(error.contains(expected), "{error}");
         };
         assert_error(
--- a/crates/emulator/src/worker.rs
+++ b/crates/emulator/src/worker.rs
@@ -1,6 +1,6 @@
 //! A machine and its worker, as the protocol describes them. Deterministic: the caller passes in the time.
 
-use crate::checker::{Checker, OnMachine, Place};
+use crate::checker::{Checker, Place, PlacedTask};
 use oatloom_protocol::ids::{Attempt, HostId, ReportSeq, Token, WorkerSession, Zone};
 use oatloom_protocol::settings::WorkerFacts;
 use oatloom_protocol::wire::{
@@ -13,21 +13,21 @@
 
 /// Intervals and timeouts of workers, in milliseconds.
 #[derive(Clone, Copy, Debug)]
-pub struct Times {
+pub struct WorkerTimes {
     pub report: u64,
-    pub lease: u64,
-    pub gang_wait: u64,
-    pub gang_peer: u64,
+    pub lease_ms: u64,
+    pub gang_wait_ms: u64,
+    pub gang_peer_ms: u64,
 }
 
-impl From<&WorkerFacts> for Times {
+impl From<&WorkerFacts> for WorkerTimes {
     fn from(facts: &WorkerFacts) -> Self {
         let to_ms = |s: f64| (s * 1000.0) as u64;
         Self {
             report: to_ms(facts.report_s),
-            lease: to_ms(facts.lease_s),
-            gang_wait: to_ms(facts.gang_wait_s),
-            gang_peer: to_ms(facts.gang_peer_s),
+            lease_ms: to_ms(facts.lease_s),
+            gang_wait_ms: to_ms(facts.gang_wait_s),
+            gang_peer_ms: to_ms(facts.gang_peer_s),
         }
     }
 }
@@ -41,20 +41,20 @@
     /// Attempts of gangs whose checkpoint is complete: all tasks were stopped in time and have saved.
     pub complete_checkpoints: BTreeSet<(String, u64)>,
     /// Whether a completed task that is started again ends at once, as the protocol specifies.
-    pub keeps_results: bool,
+    pub has_stored_results: bool,
     /// Jobs whose tasks fail through a fault of the job itself.
-    pub broken: HashMap<String, Broken>,
+    pub broken: HashMap<String, JobFailures>,
 }
 
 /// Which attempts of a job fail on every machine.
 #[derive(Clone, Debug)]
-pub enum Broken {
+pub enum JobFailures {
     /// All attempts: the job itself is faulty.
     Always,
     /// The attempts of the task with this index; the other tasks of a gang then exit as well.
     Task(u32),
     /// This share of the attempts, decided by a hash of job, task and attempt.
-    Often(f64),
+    Share(f64),
 }
 
 impl ExternalState {
@@ -62,9 +62,9 @@
     fn is_failing_attempt(&self, (job, index, attempt): &(String, u32, u64)) -> bool {
         match self.broken.get(job) {
             None => false,
-            Some(Broken::Always) => true,
-            Some(Broken::Task(task)) => task == index,
-            Some(Broken::Often(share)) => {
+            Some(JobFailures::Always) => true,
+            Some(JobFailures::Task(task)) => task == index,
+            Some(JobFailures::Share(share)) => {
                 let mut hasher = DefaultHasher::new();
                 (job, index, attempt).hash(&mut hasher);
                 ((hasher.finish() >> 11) as f64 / (1u64 << 53) as f64) < *share
@@ -103,7 +103,7 @@
 
 /// An attempt of a task on a machine.
 #[derive(Clone, Debug)]
-pub struct Instance {
+pub struct TaskAttempt {
     pub phase: TaskPhase,
     pub cause: Option<ExitCause>,
     /// End of the current phase: of the image fetch, of the run, or of saving.
@@ -111,16 +111,16 @@
     pub waiting_since: u64,
     /// Start of the run, and the saved progress with which it started.
     pub running_since: u64,
-    pub base: u64,
+    pub base_progress_ms: u64,
     /// Whether its progress was saved when it was stopped.
     pub stored: bool,
     /// When it stopped running: when it exited, or was ordered to stop and began to save.
     pub ended: Option<u64>,
 }
 
-impl Instance {
+impl TaskAttempt {
     /// Run time so far, in milliseconds.
-    pub fn ran(&self, now: u64) -> u64 {
+    pub fn run_time_ms(&self, now: u64) -> u64 {
         match self.running_since {
             0 => 0,
             since => self.ended.unwrap_or(now).saturating_sub(since),
@@ -130,9 +130,9 @@
 
 /// How long a machine takes to fetch images.
 #[derive(Clone, Debug)]
-pub enum Fetch {
+pub enum ImageFetch {
     /// A random time in this range, in milliseconds, for each task.
-    Between(u64, u64),
+    Range(u64, u64),
     /// This rate in GB/s; a fetched image stays on the machine. The map has the time at which each image is
     /// fetched.
     Rate(f64, BTreeMap<String, u64>),
@@ -143,33 +143,33 @@
     pub host: String,
     /// Address for direct commands.
     pub addr: String,
-    times: Times,
-    pub fetch: Fetch,
+    times: WorkerTimes,
+    pub fetch: ImageFetch,
     /// Factor on the run time that the job's owner estimated.
-    pub slowness: f64,
+    pub run_time_factor: f64,
     pub place: Place,
     pub gpus: f64,
     /// When the machine has booted.
     pub up_at: u64,
     /// Number of the worker session.
-    pub shift: u64,
+    pub session: u64,
     /// Sequence number of the last report in this session.
     pub report_seq: u64,
     /// Highest fencing token received.
     pub token: u64,
     /// Attempts, by job, task and attempt.
-    pub tasks: BTreeMap<(String, u32, u64), Instance>,
+    pub tasks: BTreeMap<(String, u32, u64), TaskAttempt>,
     /// Start of the current lease: when the last answered report was sent.
     pub lease_from: u64,
     /// Index of the controller node that it reports to.
     pub node: usize,
     pub next_report: u64,
     /// Report without an answer yet: its id and when it was sent.
-    pub waiting: Option<(u64, u64)>,
+    pub pending_report: Option<(u64, u64)>,
     /// The machine does nothing until then.
     pub hung_until: u64,
     /// The machine reaches no controller until then.
-    pub cut_until: u64,
+    pub partitioned_until: u64,
     /// When the cloud takes back the machine, after a preemption notice.
     pub notice_until: Option<u64>,
     /// Whether the machine is faulty: every task fails on it.
@@ -187,28 +187,28 @@
         place: Place,
         gpus: f64,
         up_at: u64,
-        times: Times,
-        fetch: Fetch,
+        times: WorkerTimes,
+        fetch: ImageFetch,
     ) -> Self {
         Self {
             addr: host.clone(),
             host,
             times,
             fetch,
-            slowness: 1.0,
+            run_time_factor: 1.0,
             place,
             gpus,
             up_at,
-            shift: 1,
+            session: 1,
             report_seq: 0,
             token: 0,
             tasks: BTreeMap::new(),
             lease_from: up_at,
             node: 0,
             next_report: up_at,
-            waiting: None,
+            pending_report: None,
             hung_until: 0,
-            cut_until: 0,
+            partitioned_until: 0,
             notice_until: None,
             faulty: false,
             changed: false,
@@ -217,14 +217,14 @@
         }
     }
 
-    fn task_on_machine(&self, key: &(String, u32, u64)) -> OnMachine {
-        OnMachine { job: key.0.clone(), index: key.1, host: self.host.clone() }
+    fn task_on_machine(&self, key: &(String, u32, u64)) -> PlacedTask {
+        PlacedTask { job: key.0.clone(), index: key.1, host: self.host.clone() }
     }
 
     /// Kills all tasks, as when the cloud takes back the machine or the lease expires.
     pub fn kill(&mut self, checker: &mut Checker) {
         for key in std::mem::take(&mut self.tasks).into_keys() {
-            checker.ended(&self.task_on_machine(&key));
+            checker.record_end(&self.task_on_machine(&key));
         }
     }
 
@@ -234,20 +234,20 @@
             task.phase = TaskPhase::Exited;
             task.cause = Some(cause);
             task.ended = task.ended.or(Some(self.clock));
-            checker.record_exit(&self.host, key, cause, task.ran(self.clock));
+            checker.record_exit(&self.host, key, cause, task.run_time_ms(self.clock));
             self.changed = true;
-            checker.ended(&task_on_machine);
+            checker.record_end(&task_on_machine);
         }
     }
 
     /// If the lease has expired without an answer, kills all tasks and starts the next session.
-    pub fn end_lease(&mut self, now: u64, checker: &mut Checker) {
-        if now > self.lease_from + self.times.lease {
+    pub fn expire_lease(&mut self, now: u64, checker: &mut Checker) {
+        if now > self.lease_from + self.times.lease_ms {
             self.kill(checker);
-            self.shift += 1;
+            self.session += 1;
             self.report_seq = 0;
             self.lease_from = now;
-            self.waiting = None;
+            self.pending_report = None;
             self.changed = true;
         }
     }
@@ -262,7 +262,7 @@
         checker: &mut Checker,
     ) {
         self.clock = now;
-        self.end_lease(now, checker);
+        self.expire_lease(now, checker);
         for key in self.tasks.keys().cloned().collect::<Vec<_>>() {
             // A job without a description was rejected and has only exited tasks here.
             let Some(spec) = external.specs.get(&key.0).cloned() else { continue };
@@ -274,12 +274,12 @@
             };
             match task.phase {
                 TaskPhase::Fetching if now >= task.until => {
-                    checker.started(now, self.task_on_machine(&key), self.place.clone());
-                    if external.keeps_results && checker.is_done(&key.0, key.1) {
+                    checker.record_start(now, self.task_on_machine(&key), self.place.clone());
+                    if external.has_stored_results && checker.is_done(&key.0, key.1) {
                         self.exit(&key, ExitCause::Done, checker);
                     } else if is_gang {
                         let phase = TaskPhase::Waiting;
-                        self.tasks.insert(key, Instance { phase, waiting_since: now, ..task });
+                        self.tasks.insert(key, TaskAttempt { phase, waiting_since: now, ..task });
                     } else {
                         self.begin(now, key, task, &spec, external);
                     }
@@ -289,7 +289,7 @@
                     self.begin(now, key, task, &spec, external);
                     self.changed = true;
                 }
-                TaskPhase::Waiting if now > task.waiting_since + self.times.gang_wait => {
+                TaskPhase::Waiting if now > task.waiting_since + self.times.gang_wait_ms => {
                     self.exit(&key, ExitCause::Incomplete, checker);
                 }
                 TaskPhase::Saving if now >= task.until => {
@@ -314,12 +314,12 @@
                     let completed = 0..spec.tasks;
                     completed
                         .filter(|i| is_gang || *i == key.1)
-                        .for_each(|i| checker.task_done(&key.0, i));
+                        .for_each(|i| checker.record_task_done(&key.0, i));
                     self.exit(&key, ExitCause::Done, checker);
                 }
                 TaskPhase::Running if spec.checkpoint_s > 0.0 => {
                     let interval_ms = (spec.checkpoint_s * 1000.0).max(1.0) as u64;
-                    let progress = task.base + (now - task.running_since);
+                    let progress = task.base_progress_ms + (now - task.running_since);
                     external.save(&spec, key.1, progress / interval_ms * interval_ms);
                 }
                 _ => {}
@@ -332,14 +332,17 @@
         &mut self,
         now: u64,
         key: (String, u32, u64),
-        task: Instance,
+        task: TaskAttempt,
         spec: &JobSpec,
         external: &ExternalState,
     ) {
         let base = external.progress(spec, key.1);
-        let run_time_ms = (spec.estimate_s * self.slowness * 1000.0) as u64;
+        let run_time_ms = (spec.estimate_s * self.run_time_factor * 1000.0) as u64;
         let (phase, until) = (TaskPhase::Running, now + run_time_ms.saturating_sub(base));
-        self.tasks.insert(key, Instance { phase, until, running_since: now, base, ..task });
+        self.tasks.insert(
+            key,
+            TaskAttempt { phase, until, running_since: now, base_progress_ms: base, ..task },
+        );
     }
 
     /// Completes the saving of a stopped task. A gang's progress counts only if all its tasks were stopped in
@@ -349,50 +352,50 @@
         &mut self,
         now: u64,
         key: &(String, u32, u64),
-        task: &Instance,
+        task: &TaskAttempt,
         spec: &JobSpec,
         external: &mut ExternalState,
         gang_state: &dyn Fn(&str, u64) -> GangState,
         checker: &mut Checker,
     ) {
         let stopped_at = task.until.saturating_sub((spec.save_s * 1000.0) as u64);
-        let progress = task.base + stopped_at.saturating_sub(task.running_since);
+        let progress = task.base_progress_ms + stopped_at.saturating_sub(task.running_since);
         if spec.shape == Shape::Gang {
             let attempt = (key.0.clone(), key.2);
             if gang_state(&key.0, key.2).saving >= spec.tasks {
                 external.complete_checkpoints.insert(attempt.clone());
             }
             if !external.complete_checkpoints.contains(&attempt) {
-                if now > stopped_at + self.times.gang_peer {
+                if now > stopped_at + self.times.gang_peer_ms {
                     self.exit(key, ExitCause::Peers, checker);
                 }
                 return;
             }
         }
-        checker.saved += 1;
+        checker.saved_count += 1;
         external.save(spec, key.1, progress);
-        self.tasks.insert(key.clone(), Instance { stored: true, ..task.clone() });
+        self.tasks.insert(key.clone(), TaskAttempt { stored: true, ..task.clone() });
         self.exit(key, ExitCause::Stopped, checker);
     }
 
     /// Whether a report has to be sent now.
     pub fn is_report_due(&self, now: u64) -> bool {
         let is_change_due = self.changed && now >= self.last_report + 500;
-        self.waiting.is_none() && (now >= self.next_report || is_change_due)
+        self.pending_report.is_none() && (now >= self.next_report || is_change_due)
     }
 
     /// Returns the report to send now and schedules the next one.
-    pub fn report(&mut self, now: u64, id: u64, rng: &mut ChaCha8Rng) -> Report {
+    pub fn begin_report(&mut self, now: u64, id: u64, rng: &mut ChaCha8Rng) -> Report {
         self.changed = false;
         self.last_report = now;
-        self.waiting = Some((id, now));
+        self.pending_report = Some((id, now));
         self.next_report =
             now + self.times.report * 3 / 4 + rng.random_range(0..self.times.report / 2);
-        self.state(now)
+        self.build_report(now)
     }
 
     /// State of the worker, for a report or the answer to a command. Increments the report sequence number.
-    pub fn state(&mut self, now: u64) -> Report {
+    pub fn build_report(&mut self, now: u64) -> Report {
         self.report_seq += 1;
         Report {
             host: HostId::new(&self.host),
@@ -400,7 +403,7 @@
             flavor: self.place.flavor.clone(),
             zone: Zone::new(&self.place.zone),
             spot: self.place.spot,
-            session: WorkerSession(self.shift),
+            session: WorkerSession(self.session),
             report_seq: ReportSeq(self.report_seq),
             token: Token(self.token),
             notice_s: self.notice_until.map(|t| t.saturating_sub(now) as f64 / 1000.0),
@@ -413,7 +416,7 @@
                     status: task.phase,
                     cause: task.cause,
                     stored: task.stored,
-                    ran_ms: Some(task.ran(now)),
+                    ran_ms: Some(task.run_time_ms(now)),
                 })
                 .collect(),
         }
@@ -421,7 +424,7 @@
 
     /// Switches to node `node` and schedules the next report a second later.
     pub fn switch_node(&mut self, now: u64, node: usize) {
-        self.waiting = None;
+        self.pending_report = None;
         self.node = node;
         self.next_report = now + 1_000;
     }
@@ -436,7 +439,7 @@
         rng: &mut ChaCha8Rng,
         checker: &mut Checker,
     ) {
-        self.waiting = None;
+        self.pending_report = None;
         if answer.token.0 < self.token {
             return;
         }
@@ -448,7 +451,7 @@
 
     /// Handles a direct command: executes it if the token is not older than the known one and the session
     /// matches.
-    pub fn command(
+    pub fn handle_command(
         &mut self,
         now: u64,
         command: &Command,
@@ -456,12 +459,12 @@
         rng: &mut ChaCha8Rng,
         checker: &mut Checker,
     ) -> Report {
-        if command.token.0 >= self.token && command.session.0 == self.shift {
+        if command.token.0 >= self.token && command.session.0 == self.session {
             self.changed |= command.token.0 > self.token;
             self.token = command.token.0;
             let starts_task = command.orders.iter().any(|order| matches!(order, Order::Run { .. }));
             if starts_task {
-                checker.fail(
+                checker.report_violation(
                     now,
                     "direct",
                     format!("{}: an order to start a task was sent directly", self.host),
@@ -469,7 +472,7 @@
             }
             self.execute(now, &command.orders, external, rng, checker);
         }
-        self.state(now)
+        self.build_report(now)
     }
 
     fn execute(
@@ -511,7 +514,7 @@
                 Order::Forget { .. } => {
                     if self.tasks.get(&key).is_some_and(|task| task.phase == TaskPhase::Exited) {
                         self.tasks.remove(&key);
-                        checker.forgotten(now, &key.0, key.1, key.2);
+                        checker.record_forget(now, &key.0, key.1, key.2);
                     }
                 }
             }
@@ -543,13 +546,13 @@
         let phase = if cause.is_some() { TaskPhase::Exited } else { TaskPhase::Fetching };
         let until = spec.map_or(now, |spec| self.fetched_at(now, spec, rng));
         let (waiting_since, running_since, base, stored) = (0, 0, 0, false);
-        let task = Instance {
+        let task = TaskAttempt {
             phase,
             cause,
             until,
             waiting_since,
             running_since,
-            base,
+            base_progress_ms: base,
             stored,
             ended: None,
         };
@@ -560,8 +563,8 @@
     /// When the machine will have fetched the job's image.
     fn fetched_at(&mut self, now: u64, spec: &JobSpec, rng: &mut ChaCha8Rng) -> u64 {
         match &mut self.fetch {
-            Fetch::Between(min, max) => now + rng.random_range(*min..*max),
-            Fetch::Rate(rate, fetched_at) => {
+            ImageFetch::Range(min, max) => now + rng.random_range(*min..*max),
+            ImageFetch::Rate(rate, fetched_at) => {
                 let duration_ms = (spec.image_gb / rate.max(0.001) * 1000.0) as u64;
                 (*fetched_at.entry(spec.image.clone()).or_insert(now + duration_ms)).max(now)
             }
@@ -574,7 +577,8 @@
     use super::*;
     use rand::SeedableRng;
 
-    const TIMES: Times = Times { report: 1_000, lease: 60_000, gang_wait: 9_000, gang_peer: 2_000 };
+    const TIMES: WorkerTimes =
+        WorkerTimes { report: 1_000, lease_ms: 60_000, gang_wait_ms: 9_000, gang_peer_ms: 2_000 };
 
     fn submit_gang(external: &mut ExternalState) -> String {
         let json = r#"{"nameId":"req-1","jobclass":"c","owner":"red","shape":"group","rank":"low","shards":2,
@@ -593,7 +597,7 @@
         let id = submit_gang(&mut external);
         let mut checker = Checker::new(HashMap::new(), 60_000);
         let place = Place { flavor: "g".into(), zone: "a".into(), spot: false };
-        let mut worker = Worker::new("i-1".into(), place, 4.0, 0, TIMES, Fetch::Between(10, 11));
+        let mut worker = Worker::new("i-1".into(), place, 4.0, 0, TIMES, ImageFetch::Range(10, 11));
         let format_task = |index: u32| format!("{id}/{index}");
         let run = |index| Order::Run { task: format_task(index), attempt: Attempt(1) };
         worker.execute(0, &[run(0), run(1)], &external, &mut rng, &mut checker);
--- a/crates/explorer/src/lib.rs
+++ b/crates/explorer/src/lib.rs
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug)]
 pub struct Counterexample<Step> {
     pub steps: Vec<Step>,
-    pub what: String,
+    pub violation: String,
 }
 
 /// The result of an exploration.
@@ -51,8 +51,8 @@
     /// Largest distance of a found state from the initial state, in steps.
     pub depth: usize,
     /// Whether all reachable states were explored.
-    pub whole: bool,
-    pub found: Option<Counterexample<Step>>,
+    pub is_complete: bool,
+    pub counterexample: Option<Counterexample<Step>>,
 }
 
 type Digest = u128;
@@ -103,9 +103,10 @@
     let mut known: HashMap<Digest, Predecessor, BuildHasherDefault<DigestHasher>> =
         HashMap::default();
     known.insert(root, Predecessor { previous: root, step: 0 });
-    let mut report = Report { states: 1, steps: 0, depth: 0, whole: false, found: None };
+    let mut report =
+        Report { states: 1, steps: 0, depth: 0, is_complete: false, counterexample: None };
     if let Some(violation) = model.broken(&start) {
-        report.found = Some(Counterexample { steps: Vec::new(), what: violation });
+        report.counterexample = Some(Counterexample { steps: Vec::new(), violation: violation });
         return report;
     }
     let mut level = vec![(start, root)];
@@ -122,7 +123,8 @@
                         let steps = steps_to(model, &known, root, next.digest);
                         report.states = known.len();
                         report.depth = steps.len();
-                        report.found = Some(Counterexample { steps, what: violation });
+                        report.counterexample =
+                            Some(Counterexample { steps, violation: violation });
                         return report;
                     }
                     next_level.push((next.state, next.digest));
@@ -139,7 +141,7 @@
         level = next_level;
     }
     report.states = known.len();
-    report.whole = level.is_empty() && known.len() < bounds.states;
+    report.is_complete = level.is_empty() && known.len() < bounds.states;
     report
 }
 
@@ -292,12 +294,12 @@
     fn shortest_counterexample_is_found_and_replayed() {
         let bounds = Bounds { states: 1_000, depth: 50 };
         let report = explore(&SharedCounter { locked: false }, bounds);
-        let found = report.found.expect("a lost update");
+        let found = report.counterexample.expect("a lost update");
         assert_eq!(found.steps.len(), 4, "{:?}", found.steps);
         let replayed = replay(&SharedCounter { locked: false }, &found.steps);
-        assert_eq!(replayed, Some((4, found.what)));
+        assert_eq!(replayed, Some((4, found.violation)));
         let report = explore(&SharedCounter { locked: true }, bounds);
-        assert!(report.found.is_none() && report.whole, "{report:?}");
+        assert!(report.counterexample.is_none() && report.is_complete, "{report:?}");
         assert_eq!((report.states, report.depth), (8, 4));
     }
 }
--- a/crates/shares/tests/explorer.rs
+++ b/crates/shares/tests/explorer.rs
@@ -941,11 +941,11 @@
     let report = explore(model, Bounds { states, depth: 200 });
     eprintln!(
         "{} nodes: {} states, {} steps, depth {}, whole {}",
-        model.nodes, report.states, report.steps, report.depth, report.whole
+        model.nodes, report.states, report.steps, report.depth, report.is_complete
     );
-    if let Some(found) = &report.found {
+    if let Some(found) = &report.counterexample {
         let lines: Vec<String> = found.steps.iter().map(|step| format!("  {step:?}")).collect();
-        panic!("{}, after\n{}", found.what, lines.join("\n"));
+        panic!("{}, after\n{}", found.violation, lines.join("\n"));
     }
     report
 }
@@ -953,13 +953,13 @@
 #[test]
 fn two_controllers_keep_one_owner_per_share() {
     let report = assert_sound(&model(2, BUDGET), state_limit(150_000));
-    assert!(report.whole || report.states >= state_limit(150_000));
+    assert!(report.is_complete || report.states >= state_limit(150_000));
 }
 
 #[test]
 fn three_controllers_keep_one_owner_per_share() {
     let report = assert_sound(&model(3, BUDGET), state_limit(150_000));
-    assert!(report.whole || report.states >= state_limit(150_000));
+    assert!(report.is_complete || report.states >= state_limit(150_000));
 }
 
 /// The start without any stored key.
@@ -1030,7 +1030,7 @@
                 ..model(2, budget)
             };
             let report = explore(&faulty, Bounds { states: 500_000, depth: 60 });
-            let Some(found) = report.found else {
+            let Some(found) = report.counterexample else {
                 return Err(format!(
                     "{fault:?} {environment_fault:?}: not detected in {} states",
                     report.states
@@ -1038,13 +1038,13 @@
             };
             assert_eq!(
                 replay(&faulty, &found.steps),
-                Some((found.steps.len(), found.what.clone()))
+                Some((found.steps.len(), found.violation.clone()))
             );
             assert_eq!(replay(&sound, &found.steps), None, "{:#?}", found.steps);
             let (steps, states) = (found.steps.len(), report.states);
             eprintln!(
                 "{fault:?} {environment_fault:?}: {steps} steps, {states} states: {}",
-                found.what
+                found.violation
             );
             Ok(())
         };
--- a/tests/graphs.rs
+++ b/tests/graphs.rs
@@ -28,7 +28,7 @@
 fn play(mut world: World, name: &str, totals: &mut Totals) {
     world.run();
     let (wrong, rules): (Vec<String>, Vec<String>) =
-        world.region.checker.broken.iter().cloned().partition(|b| b.contains(" repeats: "));
+        world.region.checker.violations.iter().cloned().partition(|b| b.contains(" repeats: "));
     assert!(rules.is_empty(), "{name} breaks rules: {rules:#?}");
     let mut clients = std::mem::take(&mut world.clients);
     assert!(clients.violations.is_empty(), "{name}: {:#?}", clients.violations);
@@ -180,7 +180,7 @@
     graph.set_operator_settings(settings);
     graph.clients.add_client("quick", serde_json::from_value(add).expect("an addition"));
     graph.run_until(120_000);
-    assert!(graph.region.checker.broken.is_empty(), "{:#?}", graph.region.checker.broken);
+    assert!(graph.region.checker.violations.is_empty(), "{:#?}", graph.region.checker.violations);
     assert_eq!((graph.clients.done_graphs, &graph.clients.violations), (1, &Vec::new()));
     let inputs = graph.clients.input_jobs();
     // Their ids as jobs submitted by a user.
@@ -194,11 +194,11 @@
     while jobs_only.now < 120_000 {
         for (job, needs) in &inputs {
             let done = |input: &String| {
-                jobs_only.region.checker.over(&job_ids[input]) == Some(JobStatus::Done)
+                jobs_only.region.checker.final_status(&job_ids[input]) == Some(JobStatus::Done)
             };
             if !submitted.contains(job) && jobs_only.now > 1_000 && needs.iter().all(done) {
                 submitted.insert(job.clone());
-                let spec = graph.region.outside.specs[job].clone();
+                let spec = graph.region.external.specs[job].clone();
                 jobs_only.add_job(oatloom_protocol::wire::JobSpec {
                     id: JobId::new(&job_ids[job]),
                     ..spec
@@ -207,7 +207,11 @@
         }
         jobs_only.step();
     }
-    assert!(jobs_only.region.checker.broken.is_empty(), "{:#?}", jobs_only.region.checker.broken);
+    assert!(
+        jobs_only.region.checker.violations.is_empty(),
+        "{:#?}",
+        jobs_only.region.checker.violations
+    );
     assert_eq!(jobs_only.count_with_known_status(JobStatus::Done), inputs.len());
     let (as_graph, as_jobs) = (usage_entries(&graph), usage_entries(&jobs_only));
     assert!(as_graph.len() >= 9, "{as_graph:#?}");
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -6,7 +6,7 @@
 
 use oatloom_core::api::Request;
 use oatloom_core::jobs::{ChunkRecord, LiveRecord};
-use oatloom_emulator::worker::{Broken, Instance, Worker};
+use oatloom_emulator::worker::{JobFailures, TaskAttempt, Worker};
 use oatloom_protocol::ids::{Attempt, HostId, JobId, ReportSeq, WorkerSession, Zone};
 use oatloom_protocol::wire::{
     Change, ExitCause, JobSpec, JobStatus, Order, Rank, Report, ReportAnswer, Shape, TaskPhase,
@@ -49,7 +49,7 @@
 /// Whether a job counts as neglected by `until`; no other rule may be broken.
 fn neglected(world: &mut World, until: u64) -> bool {
     world.run_until(until);
-    let broken = &world.region.checker.broken;
+    let broken = &world.region.checker.violations;
     assert!(broken.iter().all(|text| text.contains(" neglected: ")), "{broken:?}");
     !broken.is_empty()
 }
@@ -57,16 +57,16 @@
 /// Lets a task of another job hold this many of the machine's GPUs for ever.
 fn occupy(world: &mut World, gpus: f64) {
     let spec = JobSpec { gpus, ..small_array("req-2", 5) };
-    world.region.outside.specs.insert("req-2".into(), spec);
-    let worker = world.region.machine("i-1").expect("the machine");
+    world.region.external.specs.insert("req-2".into(), spec);
+    let worker = world.region.get_worker_mut("i-1").expect("the machine");
     worker.lease_from = u64::MAX / 2;
-    let task = Instance {
+    let task = TaskAttempt {
         phase: TaskPhase::Running,
         cause: None,
         until: u64::MAX,
         waiting_since: 0,
         running_since: 1,
-        base: 0,
+        base_progress_ms: 0,
         stored: false,
         ended: None,
     };
@@ -104,10 +104,10 @@
     let mut unaccepted = with_waiting_job(0.0, |_| {});
     unaccepted.add_job(small_array("req-3", 5));
     assert!(neglected(&mut unaccepted, past_limit));
-    let broken = &unaccepted.region.checker.broken;
+    let broken = &unaccepted.region.checker.violations;
     assert!(broken.iter().all(|text| text.contains("req-1")), "{broken:?}");
     let mut broken = with_waiting_job(0.0, |_| {});
-    broken.region.outside.broken.insert("req-1".into(), Broken::Always);
+    broken.region.external.broken.insert("req-1".into(), JobFailures::Always);
     assert!(!neglected(&mut broken, past_limit), "it waits because it fails");
     // Free room and limits are judged by what the workers actually run.
     let mut full = with_waiting_job(0.0, |_| {});
@@ -126,14 +126,14 @@
 fn an_interruption_restarts_the_neglect_period() {
     for trouble in [
         |worker: &mut Worker| worker.hung_until = 62_000,
-        |worker: &mut Worker| worker.cut_until = 62_000,
+        |worker: &mut Worker| worker.partitioned_until = 62_000,
         |worker: &mut Worker| worker.place.spot = true,
     ] {
         let mut world = with_waiting_job(0.0, |_| {});
         assert!(!neglected(&mut world, 60_000));
-        trouble(world.region.machine("i-1").expect("the machine"));
+        trouble(world.region.get_worker_mut("i-1").expect("the machine"));
         assert!(!neglected(&mut world, 62_500));
-        world.region.machine("i-1").expect("the machine").place.spot = false;
+        world.region.get_worker_mut("i-1").expect("the machine").place.spot = false;
         assert!(!neglected(&mut world, 62_000 + NEGLECTED_MS));
         assert!(neglected(&mut world, 66_000 + NEGLECTED_MS));
     }
@@ -280,7 +280,7 @@
 /// A day on which two teams have more work than their limits let them do before the faults end, from the first seconds on.
 fn day_at_limits(limit_kind: LimitKind, rng: &mut ChaCha8Rng) -> World {
     let mut world = World::without_users(limit_kind.site(), rng, FAULTS_END_MS);
-    world.region.outside.keeps_results = true;
+    world.region.external.has_stored_results = true;
     let mut number = 0;
     for team in &limit_kind.teams() {
         let mut work_s = 0.0;
@@ -350,10 +350,10 @@
         match step {
             Step::Cut(span) | Step::Hang(span) => {
                 for host in &hosts {
-                    let Some(worker) = world.region.machine(host) else { continue };
+                    let Some(worker) = world.region.get_worker_mut(host) else { continue };
                     match step {
                         Step::Hang(_) => worker.hung_until = now + span,
-                        _ => worker.cut_until = now + span,
+                        _ => worker.partitioned_until = now + span,
                     }
                 }
             }
@@ -568,7 +568,7 @@
         let capacity = if seed % 2 == 0 { 2 } else { 4 };
         let mut world =
             World::without_users(Site { capacity, ..site(&[team]) }, &mut rng, FAULTS_END_MS);
-        world.region.outside.keeps_results = true;
+        world.region.external.has_stored_results = true;
         let mut work_s = 0.0;
         for number in 0.. {
             let mut spec = random_job(number, LimitKind::Tiny, &team, &mut rng);
@@ -600,11 +600,15 @@
             let span = rng.random_range(5_000..60_000);
             for host in &hosts {
                 match rng.random_range(0..5) {
-                    0 | 1 => world.region.take(host),
-                    2 => world.region.machine(host).expect("there").cut_until = now + span,
-                    3 => world.region.machine(host).expect("there").hung_until = now + span,
+                    0 | 1 => world.region.remove_machine(host),
+                    2 => {
+                        world.region.get_worker_mut(host).expect("there").partitioned_until =
+                            now + span
+                    }
+                    3 => world.region.get_worker_mut(host).expect("there").hung_until = now + span,
                     _ => {
-                        world.region.machine(host).expect("there").notice_until = Some(now + 6_000)
+                        world.region.get_worker_mut(host).expect("there").notice_until =
+                            Some(now + 6_000)
                     }
                 }
             }
@@ -638,7 +642,7 @@
         let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x7);
         let team = TeamLimits { name: "blue", ..TeamLimits::default() };
         let mut world = World::without_users(site(&[team]), &mut rng, 110_000);
-        world.region.outside.keeps_results = true;
+        world.region.external.has_stored_results = true;
         let mut tasks = 0;
         for n in 0..24 {
             let mut spec = small_array(&format!("req-{n}"), rng.random_range(2..5));
@@ -657,12 +661,12 @@
         while world.continues_before(100_000) {
             world.run_until(world.now + 500);
             for (n, worker) in world.region.workers.values_mut().enumerate() {
-                worker.slowness = if n % 2 == 0 { 1.0 } else { 5.0 };
+                worker.run_time_factor = if n % 2 == 0 { 1.0 } else { 5.0 };
             }
             if failures.peek().is_some_and(|at| world.now >= *at) {
                 failures.next();
                 let partly_done = |spec: &JobSpec| {
-                    let done = world.region.checker.done_count(spec.id.as_str());
+                    let done = world.region.checker.count_done_tasks(spec.id.as_str());
                     done > 0 && done < spec.tasks
                 };
                 partly_done_jobs +=
@@ -676,7 +680,7 @@
         let unfinished = world.unfinished();
         assert!(unfinished.is_empty(), "{context} leaves jobs unfinished: {unfinished:#?}");
         assert_eq!(world.count_with_known_status(JobStatus::Done), 24, "{context}");
-        assert_eq!(world.region.checker.starts, tasks, "{context}: a task was started again");
+        assert_eq!(world.region.checker.start_count, tasks, "{context}: a task was started again");
     }
     println!(
         "tasks finish far apart: {partly_done_jobs} jobs were partly done when a leader failed"
@@ -720,7 +724,8 @@
             let begun = running > 0
                 && world.open_jobs().iter().all(|spec| {
                     let id = spec.id.as_str();
-                    !world.machines_of(id).is_empty() || world.region.checker.done_count(id) > 0
+                    !world.machines_of(id).is_empty()
+                        || world.region.checker.count_done_tasks(id) > 0
                 });
             if begun {
                 break;
--- a/tests/looks.rs
+++ b/tests/looks.rs
@@ -64,7 +64,7 @@
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     for n in 0..count {
         world.run_finely_until(2_000 + n * every_ms);
-        world.region.checker.submitted(&spec(n));
+        world.region.checker.record_submission(&spec(n));
         for node in 0..3 {
             let request =
                 if rng.random_bool(0.5) { UserRequest::Submit } else { UserRequest::View };
@@ -171,7 +171,7 @@
         assert_finished(&world, &format!("seed {seed}"));
         for id in world.aggressive_users.cancelled_at_end.clone() {
             raced += 1;
-            match world.region.checker.over(&id) {
+            match world.region.checker.final_status(&id) {
                 Some(JobStatus::Done) => as_done += 1,
                 Some(JobStatus::Cancelled) => as_cancelled += 1,
                 other => panic!("seed {seed}: {id} ended as {other:?}"),
@@ -551,7 +551,7 @@
             sent.push(("req-10001".into(), 404));
             for n in 0..8 {
                 let node = rng.random_range(0..3);
-                let known = world.region.checker.over(&job_id(n));
+                let known = world.region.checker.final_status(&job_id(n));
                 let request = match (known, rng.random_bool(0.5)) {
                     (Some(JobStatus::Done), true) => {
                         done_aborted += 1;
--- a/tests/machines.rs
+++ b/tests/machines.rs
@@ -328,7 +328,7 @@
         let zone_name = ["a", "b", "c"][zone];
         let busy_machines = |w: &World| -> Vec<(String, u64)> {
             let in_zone = w.region.workers.values().filter(|m| m.place.zone == zone_name);
-            in_zone.filter(|m| !m.tasks.is_empty()).map(|m| (m.host.clone(), m.shift)).collect()
+            in_zone.filter(|m| !m.tasks.is_empty()).map(|m| (m.host.clone(), m.session)).collect()
         };
         inside += busy_machines(&world).len();
         world.isolate_zone(zone, span);
--- a/tests/members.rs
+++ b/tests/members.rs
@@ -56,7 +56,7 @@
         }
         let mut world = World::with_faults(seed, faults, 120_000, None);
         world.run();
-        let broken = &world.region.checker.broken;
+        let broken = &world.region.checker.violations;
         assert!(broken.is_empty(), "seed {seed} breaks rules: {broken:#?}");
         let unfinished = world.unfinished();
         assert!(unfinished.is_empty(), "seed {seed} leaves undone: {unfinished:#?}");
--- a/tests/ops.rs
+++ b/tests/ops.rs
@@ -5,7 +5,7 @@
 #[allow(dead_code)]
 mod world;
 
-use oatloom_emulator::worker::Broken;
+use oatloom_emulator::worker::JobFailures;
 use oatloom_protocol::ids::JobId;
 use oatloom_protocol::wire::{JobSpec, Rank, Shape};
 use rand::{Rng, SeedableRng};
@@ -15,7 +15,7 @@
 const CALM_FROM_MS: u64 = 150_000;
 
 fn check(world: &World, seed: u64) {
-    let broken = &world.region.checker.broken;
+    let broken = &world.region.checker.violations;
     assert!(broken.is_empty(), "seed {seed} breaks rules: {broken:#?}");
     assert_eq!(world.two_leaders_at, None, "seed {seed}: two leaders at once");
     // Guards against work of a team whose quota is used up according to the job table after a takeover: its starts were
@@ -63,7 +63,7 @@
         // Fails on every machine until its user cancels it.
         let mut spec = guest(7_000 + n, 4, 3.0);
         spec.team = "red".into();
-        world.region.outside.broken.insert(spec.id.to_string(), Broken::Always);
+        world.region.external.broken.insert(spec.id.to_string(), JobFailures::Always);
         world.add_job(spec);
         world.cancel_last(rng.random_range(40_000..CALM_FROM_MS - 20_000));
     }
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -5,7 +5,7 @@
 mod world;
 
 use oatloom_core::store::{StoreOp, StoreReply};
-use oatloom_emulator::checker::{Checker, Limit, OnMachine, Place};
+use oatloom_emulator::checker::{Checker, Limit, Place, PlacedTask};
 use oatloom_protocol::ids::{JobId, LeaseId};
 use oatloom_protocol::reply::HttpReply;
 use oatloom_protocol::settings::StateFacts;
@@ -41,22 +41,23 @@
 
 /// The rules that `act` breaks on a checker that knows the chain of jobs.
 fn violations(act: impl Fn(&mut Checker)) -> Vec<String> {
-    let mut checker = Checker::new([("blue".to_owned(), Limit::gpus(0.0))].into(), MAX_CANCEL_MS);
-    chain_of_three().iter().for_each(|spec| checker.submitted(spec));
+    let mut checker =
+        Checker::new([("blue".to_owned(), Limit::gpus_only(0.0))].into(), MAX_CANCEL_MS);
+    chain_of_three().iter().for_each(|spec| checker.record_submission(spec));
     act(&mut checker);
     let rule = |broken: &String| broken.split([' ', ':']).nth(2).unwrap_or_default().to_owned();
-    checker.broken.iter().map(rule).collect()
+    checker.violations.iter().map(rule).collect()
 }
 
 fn start_task(checker: &mut Checker, now: u64, job: &str) {
-    let on = OnMachine { job: job.into(), index: 0, host: "x".into() };
+    let on = PlacedTask { job: job.into(), index: 0, host: "x".into() };
     let place = Place { flavor: "g4".into(), zone: "a".into(), spot: false };
-    checker.started(now, on, place);
+    checker.record_start(now, on, place);
 }
 
 /// Passes the checker the answer to a status request that was sent at the same moment.
 fn answer_status(checker: &mut Checker, now: u64, job: &str, job_status: &str) {
-    checker.answered(now, now, job, 200, &format!(r#"{{"status":"{job_status}"}}"#), false);
+    checker.handle_answer(now, now, job, 200, &format!(r#"{{"status":"{job_status}"}}"#), false);
 }
 
 #[test]
@@ -64,7 +65,7 @@
     assert_eq!(violations(|c| start_task(c, 1, "req-2")), ["too_early"]);
     let in_order = violations(|c| {
         start_task(c, 1, "req-1");
-        c.task_done("req-1", 0);
+        c.record_task_done("req-1", 0);
         start_task(c, 2, "req-2");
     });
     assert!(in_order.is_empty());
@@ -81,7 +82,7 @@
         violations(move |c| {
             answer_status(c, 1, "req-2", "queued");
             answer_status(c, 1, "req-3", "queued");
-            c.cancel_asked("req-1");
+            c.record_cancel_request("req-1");
             answer_status(c, 10, "req-1", "cancelled");
             answer_status(c, at, job, "queued");
         })
@@ -91,8 +92,8 @@
         assert_eq!(violations_if_open_at(job, 11 + MAX_CANCEL_MS), ["orphaned"], "{job}");
     }
     let done = violations(|c| {
-        c.cancel_asked("req-1");
-        c.task_done("req-1", 0);
+        c.record_cancel_request("req-1");
+        c.record_task_done("req-1", 0);
         answer_status(c, 10, "req-1", "done");
         answer_status(c, 20 + MAX_CANCEL_MS, "req-2", "queued");
     });
@@ -104,14 +105,14 @@
     let not_requested = violations(|c| answer_status(c, 1, "req-2", "cancelled"));
     assert_eq!(not_requested, ["went_back"], "none of its dependencies was cancelled");
     let cascade = violations(|c| {
-        c.cancel_asked("req-1");
+        c.record_cancel_request("req-1");
         answer_status(c, 1, "req-1", "cancelled");
         answer_status(c, 2, "req-3", "cancelled");
         answer_status(c, 3, "req-2", "cancelled");
     });
     assert!(cascade.is_empty(), "{cascade:?}");
     let dependency_cancelled = violations(|c| {
-        c.cancel_asked("req-3");
+        c.record_cancel_request("req-3");
         answer_status(c, 1, "req-2", "cancelled");
     });
     assert_eq!(
@@ -120,9 +121,9 @@
         "a dependency is not cancelled with its dependents"
     );
     let done_after_all = violations(|c| {
-        c.cancel_asked("req-1");
+        c.record_cancel_request("req-1");
         answer_status(c, 1, "req-2", "cancelled");
-        c.task_done("req-1", 0);
+        c.record_task_done("req-1", 0);
         answer_status(c, 2, "req-1", "done");
     });
     assert_eq!(
@@ -131,16 +132,16 @@
         "its cancellation was answered with the status done, so its dependents go on"
     );
     let after_done = violations(|c| {
-        c.cancel_asked("req-1");
-        c.task_done("req-1", 0);
+        c.record_cancel_request("req-1");
+        c.record_task_done("req-1", 0);
         answer_status(c, 1, "req-1", "done");
         answer_status(c, 2, "req-2", "cancelled");
     });
     assert_eq!(after_done, ["went_back"]);
     for cancelled_first in [true, false] {
         let both = violations(move |c| {
-            c.cancel_asked("req-1");
-            c.task_done("req-2", 0);
+            c.record_cancel_request("req-1");
+            c.record_task_done("req-2", 0);
             let ends = [("req-1", "cancelled"), ("req-2", "done")];
             let order = if cancelled_first { [0, 1] } else { [1, 0] };
             order.iter().for_each(|n| answer_status(c, 1, ends[*n].0, ends[*n].1));
@@ -177,9 +178,9 @@
 fn checker_reports_an_assignment_before_dependencies_are_durably_done() {
     let broken = |writes: &[StoreOp]| {
         let mut world = without_controllers();
-        world.region.checker.task_done("req-1", 0);
+        world.region.checker.record_task_done("req-1", 0);
         writes.iter().for_each(|op| world.write(op));
-        let rules = world.region.checker.broken.clone();
+        let rules = world.region.checker.violations.clone();
         assert!(rules.iter().all(|text| text.contains(" too_early: ")), "{rules:?}");
         rules.len()
     };
@@ -202,7 +203,7 @@
         }
         let reply = HttpReply { status, ..HttpReply::json(200, &json!({"status": job_status})) };
         world.check_user_response(job, &reply, status != 200);
-        let broken = world.region.checker.broken.first().cloned().unwrap_or_default();
+        let broken = world.region.checker.violations.first().cloned().unwrap_or_default();
         broken.split([' ', ':']).nth(2).unwrap_or_default().to_owned()
     };
     assert_eq!(first_violation(&[], "req-3", 200, "queued"), "");
@@ -222,12 +223,12 @@
     let neglected = |ended: bool| {
         let mut world = without_controllers();
         world.add_machine("i-1", "a", false);
-        world.region.checker.task_done("req-1", 0);
+        world.region.checker.record_task_done("req-1", 0);
         if ended {
             world.write(&put("over/req-1", json!({"s": "done", "n": 1})));
         }
         world.run_until(2 * NEGLECTED_MS);
-        let broken = &world.region.checker.broken;
+        let broken = &world.region.checker.violations;
         assert!(broken.iter().all(|text| text.contains(" neglected: ")), "{broken:?}");
         broken.iter().filter(|text| text.contains("req-2")).count()
     };
@@ -280,9 +281,9 @@
     let mut world = without_controllers();
     world.write(&large);
     world.write(&larger);
-    assert!(world.region.checker.broken.is_empty());
+    assert!(world.region.checker.violations.is_empty());
     world.write(&large);
-    let broken = &world.region.checker.broken;
+    let broken = &world.region.checker.violations;
     assert!(broken.len() == 1 && broken[0].contains(" asked_again: "), "{broken:?}");
 }
 
@@ -461,7 +462,7 @@
             1 + DEPENDENTS as usize,
             "{context}"
         );
-        longest = longest.max(world.region.checker.orphaned_ms);
+        longest = longest.max(world.region.checker.max_orphaned_ms);
     }
     println!(
         "{interrupted} cascades interrupted; reported open for at most {longest} ms after the cancellation"
@@ -750,7 +751,8 @@
         world.add_job_at(narrow("req-000004", 5, Some(110.0)), 20_000);
         world.run();
         assert_finished(&world, &format!("seed {seed}"));
-        let finished_at = |id: &str| world.region.checker.over_at(id).expect("it has finished");
+        let finished_at =
+            |id: &str| world.region.checker.final_status_at(id).expect("it has finished");
         let (last, later) = (finished_at("req-000002"), finished_at("req-000004"));
         assert!(last < later, "seed {seed}: {last} ms and {later} ms");
     }
--- a/tests/repeats.rs
+++ b/tests/repeats.rs
@@ -4,8 +4,8 @@
 #[allow(dead_code)]
 mod world;
 
-use oatloom_emulator::checker::Start;
-use oatloom_emulator::worker::Broken;
+use oatloom_emulator::checker::AttemptKey;
+use oatloom_emulator::worker::JobFailures;
 use oatloom_protocol::wire::{ExitCause, JobStatus, Shape};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -31,16 +31,16 @@
 fn day(seed: u64, classes: &str) -> World {
     let mut world = World::new(seed, true);
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let mut jobs: Vec<String> = world.region.outside.specs.keys().cloned().collect();
+    let mut jobs: Vec<String> = world.region.external.specs.keys().cloned().collect();
     jobs.sort();
     for job in jobs {
         let broken = match rng.random_range(0..20) {
-            0 => Broken::Always,
-            1 => Broken::Task(0),
-            2 => Broken::Often(0.3),
+            0 => JobFailures::Always,
+            1 => JobFailures::Task(0),
+            2 => JobFailures::Share(0.3),
             _ => continue,
         };
-        world.region.outside.broken.insert(job, broken);
+        world.region.external.broken.insert(job, broken);
     }
     world.add_faults((0..1).map(|_| (rng.random_range(8_000..110_000), Fault::FaultyMachine)));
     world.add_faults((0..3).map(|n| (rng.random_range(8_000..110_000), Fault::Crash(n))));
@@ -52,7 +52,7 @@
     let mut world = day(seed, CLASSES);
     world.run();
     let (wrong, broken): (Vec<String>, Vec<String>) =
-        world.region.checker.broken.iter().cloned().partition(|b| b.contains(" repeats: "));
+        world.region.checker.violations.iter().cloned().partition(|b| b.contains(" repeats: "));
     assert!(broken.is_empty(), "seed {seed} breaks rules: {broken:#?}");
     if wrong.is_empty() {
         let unfinished = world.unfinished();
@@ -60,13 +60,13 @@
     }
     outcome.wrong.extend(wrong.into_iter().map(|text| format!("seed {seed}: {text}")));
     outcome.failed += world.count_with_known_status(JobStatus::Failed);
-    outcome.broken_jobs += world.region.outside.broken.len();
-    outcome.refused_ms.append(&mut world.region.checker.refused_ms);
+    outcome.broken_jobs += world.region.external.broken.len();
+    outcome.refused_ms.append(&mut world.region.checker.failure_visibility_ms);
     let checker = &world.region.checker;
     for (job, _) in
-        world.region.outside.broken.iter().filter(|(_, how)| matches!(how, Broken::Always))
+        world.region.external.broken.iter().filter(|(_, how)| matches!(how, JobFailures::Always))
     {
-        let failed = |((_, (of, ..)), (cause, _)): &(&(String, Start), &(ExitCause, u64))| {
+        let failed = |((_, (of, ..)), (cause, _)): &(&(String, AttemptKey), &(ExitCause, u64))| {
             of == job && *cause == ExitCause::Error
         };
         let hosts: BTreeSet<&str> =
@@ -146,10 +146,12 @@
 fn assert_exact_failure_counts(world: &World, step: u64) {
     let checker = &world.region.checker;
     let charged = world.max_failures();
-    let of_array = |job: &str| world.region.outside.specs[job].shape == Shape::Array;
-    for (job, index, reported) in checker.heard_failures().filter(|(job, ..)| of_array(job)) {
+    let of_array = |job: &str| world.region.external.specs[job].shape == Shape::Array;
+    for (job, index, reported) in
+        checker.count_recorded_failures().filter(|(job, ..)| of_array(job))
+    {
         // Failures after a job was cancelled or failed are not counted.
-        let counts = matches!(checker.over(job), None | Some(JobStatus::Done));
+        let counts = matches!(checker.final_status(job), None | Some(JobStatus::Done));
         let recorded = charged.get(&(job.to_owned(), index)).copied().unwrap_or(0) as usize;
         assert!(
             !counts || reported <= recorded,
@@ -157,7 +159,7 @@
         );
     }
     for ((job, index), recorded) in charged.iter().filter(|((job, _), _)| of_array(job)) {
-        let failed = |((_, start), (cause, _)): &(&(String, Start), &(ExitCause, u64))| {
+        let failed = |((_, start), (cause, _)): &(&(String, AttemptKey), &(ExitCause, u64))| {
             *cause == ExitCause::Error && start.0 == *job && start.1 == *index
         };
         let happened = checker.exits.iter().filter(failed).count();
@@ -178,11 +180,11 @@
         let mut world =
             World::with_faults(7, vec![(14_000 + step * 450, Fault::CrashAll)], 60_000, None);
         world.restart_ms = restart_ms;
-        let mut jobs: Vec<String> = world.region.outside.specs.keys().cloned().collect();
+        let mut jobs: Vec<String> = world.region.external.specs.keys().cloned().collect();
         jobs.sort();
         for (n, job) in jobs.into_iter().enumerate().filter(|(n, _)| n % 9 == 0) {
-            let broken = if n % 2 == 0 { Broken::Always } else { Broken::Often(0.5) };
-            world.region.outside.broken.insert(job, broken);
+            let broken = if n % 2 == 0 { JobFailures::Always } else { JobFailures::Share(0.5) };
+            world.region.external.broken.insert(job, broken);
         }
         world.set_operator_settings(CLASSES);
         world.run();
@@ -190,7 +192,7 @@
         // considered faulty independently of takeovers (step 16 with restarts after 1 s). This counts as a wrong verdict as in
         // the other tests; the failure counts themselves are exact.
         let (wrong_verdicts, broken): (Vec<String>, Vec<String>) =
-            world.region.checker.broken.iter().cloned().partition(|b| b.contains(" repeats: "));
+            world.region.checker.violations.iter().cloned().partition(|b| b.contains(" repeats: "));
         assert!(broken.is_empty(), "step {step} breaks rules: {broken:#?}");
         assert_exact_failure_counts(&world, step);
         if wrong_verdicts.is_empty() {
@@ -212,23 +214,23 @@
         let (mut sum, mut count) = (0, 0);
         for seed in 0..10 {
             let mut world = World::with_faults(seed, Vec::new(), 100_000, Some(Shape::Array));
-            let mut jobs: Vec<String> = world.region.outside.specs.keys().cloned().collect();
+            let mut jobs: Vec<String> = world.region.external.specs.keys().cloned().collect();
             jobs.sort();
-            let is_array = |job: &String| world.region.outside.specs[job].shape == Shape::Array;
+            let is_array = |job: &String| world.region.external.specs[job].shape == Shape::Array;
             let arrays: Vec<String> = jobs.iter().filter(|job| is_array(job)).cloned().collect();
             for job in arrays.iter().step_by(4) {
                 if failing {
-                    world.region.outside.broken.insert(job.clone(), Broken::Always);
+                    world.region.external.broken.insert(job.clone(), JobFailures::Always);
                 } else {
                     world.remove_user(job);
                 }
             }
             world.set_operator_settings("((classes (default (repeats 1000))))");
             world.run();
-            let broken = &world.region.checker.broken;
+            let broken = &world.region.checker.violations;
             assert!(broken.is_empty(), "seed {seed}: {broken:#?}");
             let healthy = jobs.iter().filter(|job| !arrays.iter().step_by(4).any(|a| a == *job));
-            for at in healthy.filter_map(|job| world.region.checker.over_at(job)) {
+            for at in healthy.filter_map(|job| world.region.checker.final_status_at(job)) {
                 sum += at;
                 count += 1;
             }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -4,7 +4,7 @@
 #[allow(dead_code)]
 mod world;
 
-use oatloom_emulator::checker::{Checker, Limit, OnMachine, Place};
+use oatloom_emulator::checker::{Checker, Limit, Place, PlacedTask};
 use oatloom_protocol::ids::Attempt;
 use oatloom_protocol::wire::{JobStatus, Order};
 use world::{World, extra_seeds, init_log};
@@ -14,11 +14,11 @@
     init_log();
     let mut world = World::new(seed, faults);
     world.run();
-    let broken = &world.region.checker.broken;
+    let broken = &world.region.checker.violations;
     assert!(broken.is_empty(), "seed {seed} breaks rules: {broken:#?}");
     let unfinished = world.unfinished();
     assert!(unfinished.is_empty(), "seed {seed} leaves undone: {unfinished:#?}");
-    assert!(world.region.checker.starts > 0, "seed {seed} ran nothing");
+    assert!(world.region.checker.start_count > 0, "seed {seed} ran nothing");
     world
 }
 
@@ -88,69 +88,69 @@
         (spec.spread, spec.one_zone) = (spread, one_zone);
         spec
     };
-    let on = |index, host: &str| OnMachine { job: "req-1".into(), index, host: host.into() };
+    let on = |index, host: &str| PlacedTask { job: "req-1".into(), index, host: host.into() };
     let place =
         |flavor: &str, zone: &str, spot| Place { flavor: flavor.into(), zone: zone.into(), spot };
     let good = || place("g4", "a", false);
     let caught = |spread, one_zone, act: &dyn Fn(&mut Checker)| -> Vec<String> {
         let limits = [("red".to_owned(), Limit { cpus: 1.5, gpus: 3.0 })].into();
         let mut checker = Checker::new(limits, 1_000);
-        checker.submitted(&spec(spread, one_zone));
+        checker.record_submission(&spec(spread, one_zone));
         act(&mut checker);
         let rule = |b: &String| b.split([' ', ':']).nth(2).unwrap_or_default().to_owned();
-        checker.broken.iter().map(rule).collect()
+        checker.violations.iter().map(rule).collect()
     };
     let view = |status: &str| format!(r#"{{"status":"{status}"}}"#);
-    assert!(caught(false, false, &|c| c.started(1, on(0, "x"), good())).is_empty());
+    assert!(caught(false, false, &|c| c.record_start(1, on(0, "x"), good())).is_empty());
     let twice = caught(false, false, &|c| {
-        c.started(1, on(0, "x"), good());
-        c.started(2, on(0, "y"), good());
+        c.record_start(1, on(0, "x"), good());
+        c.record_start(2, on(0, "y"), good());
     });
     assert!(twice.contains(&"ran_twice".to_owned()) && twice.contains(&"quota".to_owned()));
     let quotas = |gpus: f64, cpus: f64| {
         caught(false, false, &move |c| {
             let mut spec = spec(false, false);
             (spec.gpus, spec.cpus) = (gpus, cpus);
-            c.submitted(&spec);
-            (0..2).for_each(|i| c.started(1, on(i, "x"), good()));
+            c.record_submission(&spec);
+            (0..2).for_each(|i| c.record_start(1, on(i, "x"), good()));
         })
     };
     assert!(quotas(1.5, 0.75).is_empty());
     assert_eq!(quotas(1.6, 0.75), ["quota"]);
     assert_eq!(quotas(1.5, 0.76), ["quota"], "cores count too");
     for bad in [place("g2", "a", false), place("g4", "a", true)] {
-        let rules = caught(false, false, &|c| c.started(1, on(0, "x"), bad.clone()));
+        let rules = caught(false, false, &|c| c.record_start(1, on(0, "x"), bad.clone()));
         assert_eq!(rules, ["wrong_place"]);
     }
     let crowded = caught(true, false, &|c| {
-        c.started(1, on(0, "x"), good());
-        c.started(2, on(1, "y"), good());
+        c.record_start(1, on(0, "x"), good());
+        c.record_start(2, on(1, "y"), good());
     });
     assert!(crowded.contains(&"wrong_place".to_owned()));
     let split = caught(false, true, &|c| {
-        c.started(1, on(0, "x"), good());
-        c.started(2, on(1, "y"), place("g4", "b", false));
+        c.record_start(1, on(0, "x"), good());
+        c.record_start(2, on(1, "y"), place("g4", "b", false));
     });
     assert!(split.contains(&"wrong_place".to_owned()));
     let cancelled = |c: &mut Checker| {
-        c.cancel_asked("req-1");
-        c.answered(10, 9, "req-1", 200, &view("cancelled"), false);
+        c.record_cancel_request("req-1");
+        c.handle_answer(10, 9, "req-1", 200, &view("cancelled"), false);
     };
     let outlives_cancel = caught(false, false, &|c| {
-        c.started(1, on(0, "x"), good());
+        c.record_start(1, on(0, "x"), good());
         cancelled(c);
-        c.look(2_000);
+        c.check_cancelled_jobs(2_000);
     });
     assert_eq!(outlives_cancel, ["ran_cancelled"]);
     let starts = caught(false, false, &|c| {
         cancelled(c);
-        c.started(2_000, on(0, "x"), good());
+        c.record_start(2_000, on(0, "x"), good());
     });
     assert_eq!(starts, ["ran_cancelled"]);
     let answers = |list: &'static [(u16, &'static str, bool)]| {
         caught(false, false, &move |c| {
             for (status, state, submission) in list {
-                c.answered(1, 1, "req-1", *status, &view(state), *submission);
+                c.handle_answer(1, 1, "req-1", *status, &view(state), *submission);
             }
         })
     };
@@ -160,20 +160,20 @@
     assert_eq!(answers(&[(201, "queued", true), (200, "done", false)]), ["not_done"]);
     assert_eq!(answers(&[(200, "cancelled", false)]), ["went_back"]);
     let back = caught(false, false, &|c| {
-        (0..2).for_each(|i| c.task_done("req-1", i));
-        c.answered(1, 1, "req-1", 200, &view("done"), false);
-        c.answered(2, 2, "req-1", 200, &view("running"), false);
+        (0..2).for_each(|i| c.record_task_done("req-1", i));
+        c.handle_answer(1, 1, "req-1", 200, &view("done"), false);
+        c.handle_answer(2, 2, "req-1", 200, &view("running"), false);
     });
     assert_eq!(back, ["went_back"]);
     // On any node, a request sent before a change was announced may return the older state, but two different final states are a
     // violation.
     let overlapping = |asked: u64, status: u16, state: &'static str| {
         caught(false, false, &move |c| {
-            (0..2).for_each(|i| c.task_done("req-1", i));
-            c.cancel_asked("req-1");
-            c.answered(10, 5, "req-1", 201, &view("queued"), true);
-            c.answered(20, 15, "req-1", 200, &view("cancelled"), false);
-            c.answered(30, asked, "req-1", status, &view(state), false);
+            (0..2).for_each(|i| c.record_task_done("req-1", i));
+            c.record_cancel_request("req-1");
+            c.handle_answer(10, 5, "req-1", 201, &view("queued"), true);
+            c.handle_answer(20, 15, "req-1", 200, &view("cancelled"), false);
+            c.handle_answer(30, asked, "req-1", status, &view(state), false);
         })
     };
     assert!(overlapping(8, 404, "").is_empty(), "asked before the acceptance was announced");
@@ -184,13 +184,13 @@
     assert_eq!(overlapping(3, 200, "done"), ["went_back"], "a different end was never true");
     let order = |task: &str| Order::Run { task: task.into(), attempt: Attempt(7) };
     let ordered = caught(false, false, &|c| {
-        c.ordered(5, &[order("req-1/0")]);
+        c.check_orders(5, &[order("req-1/0")]);
         cancelled(c);
-        c.ordered(10, &[order("req-2/0")]);
-        c.ordered(10, &[order("req-1/1")]);
+        c.check_orders(10, &[order("req-2/0")]);
+        c.check_orders(10, &[order("req-1/1")]);
     });
     assert_eq!(ordered, ["ordered"]);
     let invented =
-        caught(false, false, &|c| c.answered(1, 1, "req-2", 200, &view("queued"), false));
+        caught(false, false, &|c| c.handle_answer(1, 1, "req-2", 200, &view("queued"), false));
     assert_eq!(invented, ["invented"]);
 }
--- a/tests/served.rs
+++ b/tests/served.rs
@@ -197,7 +197,7 @@
         watch.sample(world);
         sample(world);
     }
-    let broken = &world.region.checker.broken;
+    let broken = &world.region.checker.violations;
     assert!(broken.is_empty(), "{context} breaks rules: {broken:#?}");
     assert_eq!(world.two_leaders_at, None, "{context}: two leaders at once");
     watch
@@ -409,7 +409,8 @@
     let watch = run_watched("huge array", &mut world, |world| {
         max_tasks =
             max_tasks.max(world.region.workers.values().map(|w| w.tasks.len()).max().unwrap_or(0));
-        if done_at.is_none() && world.now > 22_000 && world.region.checker.all_done(id.as_str()) {
+        if done_at.is_none() && world.now > 22_000 && world.region.checker.is_job_done(id.as_str())
+        {
             done_at = Some(world.now);
         }
     });
--- a/tests/upgrade_days.rs
+++ b/tests/upgrade_days.rs
@@ -5,7 +5,7 @@
 mod world;
 
 use oatloom_core::store::StoreOp;
-use oatloom_emulator::worker::Broken;
+use oatloom_emulator::worker::JobFailures;
 use oatloom_protocol::ids::JobId;
 use oatloom_protocol::wire::{Change, JobSpec, JobStatus, Shape, Txn};
 use rand::{Rng, SeedableRng};
@@ -116,7 +116,7 @@
         }
         let changes = vec![Change::Put { key: key.into(), value, lease: None }];
         world.write(&StoreOp::Txn(Txn { conditions: Vec::new(), changes }));
-        let rules = &world.region.checker.broken;
+        let rules = &world.region.checker.violations;
         assert!(rules.iter().all(|text| text.contains(" new_form: ")), "{rules:?}");
         !rules.is_empty()
     };
@@ -330,7 +330,7 @@
             let wide = JobSpec { tasks: 96, gpus: 0.1, cpus: 0.1, ..small_array(&id, 2) };
             world.add_job_at(wide, 5_000 + n * 2_000);
             world.schedule_cancel(&id, 150_000 + n * 3_000);
-            world.region.outside.broken.insert(id, Broken::Often(0.8));
+            world.region.external.broken.insert(id, JobFailures::Share(0.8));
         }
         play(&mut world, &format!("full records, seed {seed}"));
         largest = largest.max(world.largest_value());
--- a/tests/world/aggressive_users.rs
+++ b/tests/world/aggressive_users.rs
@@ -80,7 +80,7 @@
             }),
             UserRequest::Abort => {
                 user.abort_at.get_or_insert(self.now);
-                self.region.checker.cancel_asked(job);
+                self.region.checker.record_cancel_request(job);
                 Request::Abort(id)
             }
         };
@@ -143,8 +143,9 @@
             return;
         }
         let checker = &self.region.checker;
-        let fresh =
-            |job: &String| checker.all_done(job) && !self.aggressive_users.ended_jobs.contains(job);
+        let fresh = |job: &String| {
+            checker.is_job_done(job) && !self.aggressive_users.ended_jobs.contains(job)
+        };
         let accepted = self.users.iter().filter(|u| u.accepted);
         let jobs: Vec<String> = accepted.map(|u| u.spec.id.to_string()).filter(fresh).collect();
         for job in jobs {
@@ -156,7 +157,7 @@
                 let at = self.now + self.rng.random_range(0..=within);
                 self.add_faults([(at, fault)]);
             }
-            if !self.rng.random_bool(share) || self.region.checker.over(&job).is_some() {
+            if !self.rng.random_bool(share) || self.region.checker.final_status(&job).is_some() {
                 continue;
             }
             self.aggressive_users.cancelled_at_end.insert(job.clone());
@@ -176,7 +177,7 @@
             && matches!(from, Sender::Worker { .. } | Sender::Peer { .. })
             && let Ok(answer) = serde_json::from_str::<ReportAnswer>(&reply.body)
         {
-            self.region.checker.ordered(self.now, &answer.orders);
+            self.region.checker.check_orders(self.now, &answer.orders);
             self.check_orders(&answer.orders);
             for order in &answer.orders {
                 if let Order::Run { task, .. } = order
@@ -238,6 +239,6 @@
     pub fn ended_after(&self, job: &JobId) -> Option<(JobStatus, u64)> {
         let at = self.users.iter().find(|u| u.spec.id == *job)?.arrives_at;
         let checker = &self.region.checker;
-        Some((checker.over(job.as_str())?, checker.over_at(job.as_str())? - at))
+        Some((checker.final_status(job.as_str())?, checker.final_status_at(job.as_str())? - at))
     }
 }
--- a/tests/world/graphs.rs
+++ b/tests/world/graphs.rs
@@ -4,7 +4,7 @@
 use oatloom_core::jobs::{FinalRecord, LiveRecord};
 use oatloom_core::store::{StoreOp, StoreReply};
 use oatloom_emulator::region::Region;
-use oatloom_emulator::worker::Broken;
+use oatloom_emulator::worker::JobFailures;
 use oatloom_graph::answers::{GraphStatus, GraphView, NodeStatus};
 use oatloom_graph::ids::{GraphId, NodeId};
 use oatloom_graph::records::{
@@ -402,7 +402,7 @@
             } else if let (Some(job), Some(value)) = (key.strip_prefix("live/"), value) {
                 let record: LiveRecord = serde_json::from_value(value.clone()).expect("a record");
                 if let Some(part) = record.part {
-                    region.upload(&record.spec);
+                    region.upload_job(&record.spec);
                     self.record_part(job, (*part).clone(), region);
                 }
             } else if let (Some(job), Some(value)) = (key.strip_prefix("over/"), value) {
@@ -435,8 +435,9 @@
             |at: NodeId| nodes.and_then(|n| n.get(&at)).is_some_and(|n| n.0.starts_with("bad"));
         let broken = (0u32..).zip(part.nodes.iter(10_000)).find(|(_, at)| bad(*at));
         if let Some((task, _)) = broken {
-            let broken = if part.is_batch() { Broken::Task(task) } else { Broken::Always };
-            region.outside.broken.insert(job.to_owned(), broken);
+            let broken =
+                if part.is_batch() { JobFailures::Task(task) } else { JobFailures::Always };
+            region.external.broken.insert(job.to_owned(), broken);
         }
         self.parts.insert(job.to_owned(), part);
     }
@@ -464,7 +465,7 @@
             return;
         }
         let checker = &mut region.checker;
-        for task in checker.begun.as_mut().map(std::mem::take).unwrap_or_default() {
+        for task in checker.started_tasks.as_mut().map(std::mem::take).unwrap_or_default() {
             let Some((graph, at)) = self.node_of(&task.job, task.index) else { continue };
             self.node_starts += 1;
             let (name, needs) = &self.nodes[&graph][&at];
@@ -487,7 +488,7 @@
                 ));
             }
         }
-        checker.begun.get_or_insert_default();
+        checker.started_tasks.get_or_insert_default();
         if now.is_multiple_of(1_000) {
             for on in region.checker.on_machines() {
                 let Some((graph, _)) = self.node_of(&on.job, on.index) else { continue };
--- a/tests/world/limits.rs
+++ b/tests/world/limits.rs
@@ -3,7 +3,7 @@
 use super::{SETTINGS, Site, User, World, settings};
 use oatloom_core::workers::Resources;
 use oatloom_emulator::checker::Place;
-use oatloom_emulator::worker::{Fetch, Times, Worker};
+use oatloom_emulator::worker::{ImageFetch, Worker, WorkerTimes};
 use oatloom_protocol::wire::{JobSpec, JobStatus, Shape, TaskPhase};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
@@ -102,7 +102,7 @@
     /// Whether a leader can use a worker: it is up, reachable both ways, not faulty and not about to be reclaimed.
     fn usable(&self, worker: &Worker) -> bool {
         let now = self.now;
-        now >= worker.up_at.max(worker.hung_until).max(worker.cut_until)
+        now >= worker.up_at.max(worker.hung_until).max(worker.partitioned_until)
             && worker.notice_until.is_none()
             && !worker.faulty
             && !self.loses_inbound(&worker.host)
@@ -121,7 +121,7 @@
     /// array or service, for all tasks of a gang. Jobs whose tasks fail by themselves are left out, since they back off
     /// after each failure.
     pub fn runnable_jobs(&self) -> BTreeSet<String> {
-        let specs = &self.region.outside.specs;
+        let specs = &self.region.external.specs;
         let mut placed: BTreeMap<&str, BTreeSet<u32>> = BTreeMap::new();
         let mut zones: BTreeMap<&str, BTreeMap<String, u32>> = BTreeMap::new();
         let mut used: BTreeMap<&str, Resources> = BTreeMap::new();
@@ -164,9 +164,9 @@
             };
             if !user.accepted
                 || user.abort_at.is_some_and(|at| self.now >= at)
-                || self.region.checker.over(id).is_some()
+                || self.region.checker.final_status(id).is_some()
                 || self.unfinished_dependency(spec).is_some()
-                || self.region.outside.broken.contains_key(id)
+                || self.region.external.broken.contains_key(id)
                 || !(0..spec.tasks).any(wants)
             {
                 return false;
@@ -191,16 +191,21 @@
         let runnable = self.runnable_jobs();
         for job in self.neglect_tracker.update(self.now, runnable) {
             let text =
-                format!("{job} could run but waits: {:?}", self.region.outside.specs.get(&job));
-            self.region.checker.fail(self.now, "neglected", text);
+                format!("{job} could run but waits: {:?}", self.region.external.specs.get(&job));
+            self.region.checker.report_violation(self.now, "neglected", text);
         }
     }
 
     /// Adds a machine of four GPUs that is up from the beginning.
     pub fn add_machine(&mut self, host: &str, zone: &str, spot: bool) {
-        let times = Times { report: 3_000, lease: 26_000, gang_wait: 40_000, gang_peer: 4_000 };
+        let times = WorkerTimes {
+            report: 3_000,
+            lease_ms: 26_000,
+            gang_wait_ms: 40_000,
+            gang_peer_ms: 4_000,
+        };
         let place = Place { flavor: "g4".into(), zone: zone.into(), spot };
-        let fetch = Fetch::Between(10, 11);
+        let fetch = ImageFetch::Range(10, 11);
         let worker = Worker::new(host.into(), place, 4.0, 0, times, fetch);
         self.region.workers.insert(host.into(), worker);
     }
@@ -244,7 +249,7 @@
             user.spec.shape != Shape::Service
                 && user.accepted
                 && user.abort_at.is_none()
-                && self.region.checker.over(user.spec.id.as_str()).is_none()
+                && self.region.checker.final_status(user.spec.id.as_str()).is_none()
         };
         self.users.iter().filter(open).map(|user| user.spec.clone()).collect()
     }
@@ -257,6 +262,6 @@
 
     /// Whether a job's user knows that it is cancelled.
     pub fn known_cancelled(&self, job: &str) -> bool {
-        self.region.checker.over(job) == Some(JobStatus::Cancelled)
+        self.region.checker.final_status(job) == Some(JobStatus::Cancelled)
     }
 }
--- a/tests/world/machine_faults.rs
+++ b/tests/world/machine_faults.rs
@@ -128,7 +128,8 @@
         let coverage = &mut self.machine_faults.coverage;
         if worker.token > command.token.0 {
             coverage.outranked += 1;
-        } else if worker.shift == command.session.0 && leader.is_some_and(|now| now > command.token)
+        } else if worker.session == command.session.0
+            && leader.is_some_and(|now| now > command.token)
         {
             coverage.deposed += 1;
             let stops_running_task = |order: &&Order| match order {
@@ -186,7 +187,7 @@
         let machine = self.leader_term_of(leader).and_then(|r| r.fleet.machines.get(&report.host));
         let first = machine.is_none_or(|m| m.last_report.is_none());
         let worker = self.region.workers.get(report.host.as_str());
-        let older_session = worker.is_some_and(|w| w.shift > report.session.0);
+        let older_session = worker.is_some_and(|w| w.session > report.session.0);
         let lists_absent_task = |w: &Worker| {
             report.tasks.iter().any(|row| {
                 let Some((job, index)) = row.task.rsplit_once('/') else { return false };
@@ -217,13 +218,13 @@
                 let held = term.job_table.assignment(&id).is_some_and(|h| {
                     h.host.as_str() == worker.host
                         && h.attempt.0 == *attempt
-                        && h.session.0 == worker.shift
+                        && h.session.0 == worker.session
                 });
                 if task.phase != TaskPhase::Exited && !held {
                     violations.push(format!(
                         "{job}/{index} attempt {attempt} is on {}, session {}, but the job table of {token} has {:?}",
                         worker.host,
-                        worker.shift,
+                        worker.session,
                         term.job_table.assignment(&id)
                     ));
                 }
@@ -247,7 +248,7 @@
             }
         }
         for text in violations {
-            self.region.checker.fail(self.now, "job_table", text);
+            self.region.checker.report_violation(self.now, "job_table", text);
         }
     }
 
@@ -255,8 +256,8 @@
     pub fn running_after_cancel(&self, for_ms: u64) -> Vec<String> {
         let checker = &self.region.checker;
         let cancelled_long_ago = |job: &str| {
-            checker.over(job) == Some(JobStatus::Cancelled)
-                && checker.over_at(job).is_some_and(|at| self.now >= at + for_ms)
+            checker.final_status(job) == Some(JobStatus::Cancelled)
+                && checker.final_status_at(job).is_some_and(|at| self.now >= at + for_ms)
         };
         checker
             .on_machines()
@@ -284,7 +285,7 @@
         let now = self.now;
         let busy = self.region.workers.values_mut().filter(|w| now >= w.up_at);
         let busy = busy.filter(|w| !w.tasks.is_empty()).step_by(every);
-        busy.map(|worker| worker.cut_until = now + span).count()
+        busy.map(|worker| worker.partitioned_until = now + span).count()
     }
 
     /// Runs to the given time, or to the first broken rule, and checks the job table after every step.
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -24,7 +24,7 @@
 use oatloom_core::operators::OperatorSettings;
 use oatloom_core::store::{OpClass, OpId, StoreOp, StoreReply};
 use oatloom_emulator::checker::{Checker, Limit};
-use oatloom_emulator::region::{Hired, Region, Sending, Terms};
+use oatloom_emulator::region::{CloudConfig, HireOutcome, OutgoingReport, Region};
 use oatloom_emulator::worker::Worker;
 use oatloom_ledger::entry::UsageEntry;
 use oatloom_protocol::ids::{
@@ -392,7 +392,7 @@
 
 /// Asserts that no rule is broken, two nodes never led at once and no plan contained an invalid start.
 pub fn assert_rules(world: &World, context: &str) {
-    let broken = &world.region.checker.broken;
+    let broken = &world.region.checker.violations;
     assert!(broken.is_empty(), "{context}: broken rules: {broken:#?}");
     assert_eq!(world.two_leaders_at, None, "{context}: two nodes led at once");
     assert_eq!(world.wrong_plans, 0, "{context}: a plan had an invalid start");
@@ -460,19 +460,19 @@
         boot_s: 5.0,
         zones: zones.clone(),
     };
-    let terms = Terms {
+    let terms = CloudConfig {
         flavors: site.sizes.iter().map(|n| flavor(format!("g{n}"), f64::from(*n))).collect(),
         capacity: site.capacity,
         boot_ms: (1_000, 12_000),
-        never_boots: 0.05,
-        late_boots: 0.05,
+        never_boot_share: 0.05,
+        late_boot_share: 0.05,
         // One to two times the configured list lag, so that a list may be older than the one before.
         list_age_ms: (2_000, 8_000),
         // Small pages, so that a list needs many.
-        page: site.capacity as usize,
+        max_page_machines: site.capacity as usize,
         fetch_ms: Some((300, 4_000)),
-        prices_move: false,
-        first_machine: 0,
+        has_varying_prices: false,
+        first_machine_number: 0,
         nodes: (0..3).map(|n| Member::new(&format!("n-{n}"))).collect(),
     };
     let settings = settings(&site.settings, 0);
@@ -617,7 +617,7 @@
                     user.spec.shape = shape;
                     user.spec.estimate_s = user.spec.estimate_s.max(4.0);
                     user.abort_at = None;
-                    world.region.outside.specs.insert(user.spec.id.to_string(), user.spec.clone());
+                    world.region.external.specs.insert(user.spec.id.to_string(), user.spec.clone());
                 }
             }
         }
@@ -642,7 +642,7 @@
 
     /// Adds a user who submits this job at the given time.
     pub fn add_job_at(&mut self, spec: JobSpec, at: u64) {
-        self.region.outside.specs.insert(spec.id.to_string(), spec.clone());
+        self.region.external.specs.insert(spec.id.to_string(), spec.clone());
         self.users.push(User::new(spec, at, None));
     }
 
@@ -662,9 +662,9 @@
     pub fn set_operator_settings(&mut self, text: &str) {
         self.operators = oatloom::settings::parse_operator_settings(text).expect("valid settings");
         let classes = &self.operators.classes;
-        for spec in self.region.outside.specs.values() {
+        for spec in self.region.external.specs.values() {
             if let Some(allowance) = classes.policy_for(&spec.class) {
-                self.region.checker.repeats.insert(spec.class.clone(), allowance.max_retries);
+                self.region.checker.max_retries.insert(spec.class.clone(), allowance.max_retries);
             }
         }
     }
@@ -714,7 +714,7 @@
         let service = shape == Shape::Service;
         let abort = service || rng.random_bool(0.15);
         let last = faults_end_at - 5_000;
-        self.region.outside.specs.insert(spec.id.to_string(), spec.clone());
+        self.region.external.specs.insert(spec.id.to_string(), spec.clone());
         let abort_at = abort.then(|| rng.random_range(at.min(last)..last + 1));
         self.users.push(User::new(spec, at, abort_at));
     }
@@ -949,12 +949,12 @@
     fn execute_cloud_op(&mut self, op: &CloudOp) -> CloudReply {
         let now = self.now;
         match op {
-            CloudOp::Catalog => CloudReply::Catalog(self.region.catalog()),
-            CloudOp::List { after } => CloudReply::List(self.region.list(now, after, 500)),
+            CloudOp::Catalog => CloudReply::Catalog(self.region.get_catalog()),
+            CloudOp::List { after } => CloudReply::List(self.region.list_machines(now, after, 500)),
             CloudOp::Hire(hire) => match self.region.hire(now, hire) {
-                Hired::Hosts(hosts) => CloudReply::Hired(hosts),
-                Hired::NoCapacity => CloudReply::NoCapacity,
-                Hired::Malformed(text) => CloudReply::Malformed(text),
+                HireOutcome::Hosts(hosts) => CloudReply::Hired(hosts),
+                HireOutcome::NoCapacity => CloudReply::NoCapacity,
+                HireOutcome::Malformed(text) => CloudReply::Malformed(text),
             },
             CloudOp::Release(hosts) => {
                 self.region.release(hosts);
@@ -977,8 +977,11 @@
         let partitioned = |w: &Worker| {
             now < self.nodes[node].cut_until || self.is_partitioned(node, &w.place.zone)
         };
-        let Some((until, partitioned)) =
-            self.region.workers.get(&addr).map(|w| (w.hung_until.max(w.cut_until), partitioned(w)))
+        let Some((until, partitioned)) = self
+            .region
+            .workers
+            .get(&addr)
+            .map(|w| (w.hung_until.max(w.partitioned_until), partitioned(w)))
         else {
             return self
                 .send(800, Message::Event { node, incarnation, event: command_reply(None) });
@@ -998,7 +1001,7 @@
         if !answer {
             self.record_late_command(&addr, &command);
         }
-        let report = self.region.commanded(now, &addr, &command).map(|(_, report)| report);
+        let report = self.region.handle_command(now, &addr, &command).map(|(_, report)| report);
         if answer {
             let delay = self.delay();
             self.send(delay, Message::Event { node, incarnation, event: command_reply(report) });
@@ -1019,7 +1022,14 @@
             Sender::User { job, submission, abort, asked_at } => {
                 if reply.status != 599 {
                     let checker = &mut self.region.checker;
-                    checker.answered(now, asked_at, &job, reply.status, &reply.body, submission);
+                    checker.handle_answer(
+                        now,
+                        asked_at,
+                        &job,
+                        reply.status,
+                        &reply.body,
+                        submission,
+                    );
                     self.check_user_response(&job, &reply, submission);
                 }
                 let Some(user) = self.users.iter_mut().find(|u| u.spec.id.as_str() == job) else {
@@ -1047,14 +1057,21 @@
             Sender::DuplicateReport => {}
             Sender::HealthProbe => self.probe_results.push((now, node, reply.status)),
             Sender::Worker { host, report_id, sent_at } => {
-                let partitioned =
-                    |w: &Worker| now < w.cut_until || self.is_partitioned(node, &w.place.zone);
+                let partitioned = |w: &Worker| {
+                    now < w.partitioned_until || self.is_partitioned(node, &w.place.zone)
+                };
                 if now >= self.nodes[node].cut_until
                     && !self.loses_inbound(&host)
                     && !self.region.workers.get(&host).is_some_and(partitioned)
                 {
                     let status = reply.status;
-                    self.region.answered(now, &host, (report_id, sent_at), status, &reply.body);
+                    self.region.handle_answer(
+                        now,
+                        &host,
+                        (report_id, sent_at),
+                        status,
+                        &reply.body,
+                    );
                 }
             }
         }
@@ -1062,7 +1079,7 @@
 
     fn step_workers(&mut self) {
         let now = self.now;
-        for Sending { host, id, node, report } in self.region.step(now) {
+        for OutgoingReport { host, id, node, report } in self.region.step(now) {
             if self.intercept_report(&host, &report) {
                 let from = Sender::Worker { host, report_id: id, sent_at: now };
                 let reply = HttpReply::error(599, "no connection");
@@ -1070,7 +1087,8 @@
                 continue;
             }
             let Some(worker) = self.region.workers.get(&host) else { continue };
-            let held = now < worker.cut_until || self.is_partitioned(node, &worker.place.zone);
+            let held =
+                now < worker.partitioned_until || self.is_partitioned(node, &worker.place.zone);
             let delay = match held {
                 false => self.delay(),
                 // A report held back by a partition may arrive after it, long after the worker's timeout.
@@ -1128,7 +1146,7 @@
     pub fn inject_fault(&mut self, fault: Fault) {
         let now = self.now;
         log::info!("world {now}: {fault:?}");
-        let host = self.region.some_machine(now).unwrap_or_default();
+        let host = self.region.pick_random_machine(now).unwrap_or_default();
         match fault {
             Fault::Crash(node) => self.crash(node),
             Fault::CrashAll => (0..3).for_each(|n| self.crash(n)),
@@ -1181,16 +1199,16 @@
             Fault::PollStorm(span, factor) => self.poll_storm = (now + span, factor),
             Fault::SlowBoots(span, slowdown, never) => {
                 self.slow_boots_until = now + span;
-                self.region.boots = (f64::from(slowdown) / 1e3, f64::from(never) / 1e3);
+                self.region.boot_conditions = (f64::from(slowdown) / 1e3, f64::from(never) / 1e3);
             }
             Fault::NodeZonePartition(node, zone, span) => {
                 self.partitions.push((node, zone, now + span))
             }
             Fault::CapacityHalved(span) => {
                 self.reduced_capacity_until = now + span;
-                self.region.offer(self.site.capacity / 2);
+                self.region.set_capacity(self.site.capacity / 2);
             }
-            Fault::MachineTerminated => self.region.take(&host),
+            Fault::MachineTerminated => self.region.remove_machine(&host),
             Fault::HalfOfMachinesTerminated => {
                 let up = |(_, w): &(&String, &Worker)| now >= w.up_at;
                 let half: Vec<String> = self
@@ -1201,20 +1219,20 @@
                     .map(|(h, _)| h.clone())
                     .step_by(2)
                     .collect();
-                half.iter().for_each(|host| self.region.take(host));
+                half.iter().for_each(|host| self.region.remove_machine(host));
             }
             Fault::CloudOutage(span) => self.cloud_outage_until = now + span,
             Fault::CloudDelayed(span, delay) => self.cloud_delayed = (now + span, delay),
             Fault::StoreRepliesLost(span) => self.store_replies_lost_until = now + span,
             Fault::StoreRestart => self.restart_store(),
             // Some of them are taken without notice.
-            Fault::SpotReclaimed => _ = self.region.take_spot(now, 3, 6_000),
+            Fault::SpotReclaimed => _ = self.region.preempt_spot_machines(now, 3, 6_000),
             _ => {}
         }
-        let Some(worker) = self.region.machine(&host) else { return };
+        let Some(worker) = self.region.get_worker_mut(&host) else { return };
         match fault {
             Fault::MachineHangs(span) => worker.hung_until = now + span,
-            Fault::MachinePartitioned(span) => worker.cut_until = now + span,
+            Fault::MachinePartitioned(span) => worker.partitioned_until = now + span,
             Fault::FaultyMachine => worker.faulty = true,
             _ => {}
         }
@@ -1316,7 +1334,7 @@
             }
             let user = &self.users[at];
             if self.stop_polling_when_final
-                && self.region.checker.over(user.spec.id.as_str()).is_some()
+                && self.region.checker.final_status(user.spec.id.as_str()).is_some()
             {
                 self.users[at].next_request_at = u64::MAX;
                 continue;
@@ -1342,10 +1360,10 @@
                 continue;
             }
             if submit {
-                self.region.checker.submitted(&self.users[at].spec);
+                self.region.checker.record_submission(&self.users[at].spec);
             }
             if abort {
-                self.region.checker.cancel_asked(&job);
+                self.region.checker.record_cancel_request(&job);
             }
             self.users[at].requests_sent += 1;
             let node = self.rng.random_range(0..3);
@@ -1385,11 +1403,11 @@
             self.state.expire(self.now);
         }
         if self.slow_boots_until > 0 && self.now >= self.slow_boots_until {
-            (self.slow_boots_until, self.region.boots) = (0, (1.0, 0.0));
+            (self.slow_boots_until, self.region.boot_conditions) = (0, (1.0, 0.0));
         }
         if self.reduced_capacity_until > 0 && self.now >= self.reduced_capacity_until {
             self.reduced_capacity_until = 0;
-            self.region.offer(self.site.capacity);
+            self.region.set_capacity(self.site.capacity);
         }
         while let Some((_, fault)) = self.faults.first().copied().filter(|(at, _)| *at <= self.now)
         {
@@ -1428,8 +1446,8 @@
             self.deliver(message);
         }
         if self.now.is_multiple_of(1_000) {
-            self.region.note_list(self.now);
-            self.region.checker.look(self.now);
+            self.region.snapshot_list(self.now);
+            self.region.checker.check_cancelled_jobs(self.now);
             self.check_forgotten();
             self.check_waiting_jobs();
             self.check_neglected();
@@ -1453,7 +1471,7 @@
     /// Whether the simulation continues and has not reached `until`: it stops at the first broken rule, so that loops which
     /// wait for a condition end and the test fails instead of hanging.
     pub fn continues_before(&self, until: u64) -> bool {
-        self.now < until && self.region.checker.broken.is_empty()
+        self.now < until && self.region.checker.violations.is_empty()
     }
 
     /// Runs to the end of the recovery phase, by which all jobs must be finished.
@@ -1467,7 +1485,9 @@
     pub fn unfinished(&self) -> Vec<String> {
         self.users
             .iter()
-            .filter(|u| u.accepted && self.region.checker.over(u.spec.id.as_str()).is_none())
+            .filter(|u| {
+                u.accepted && self.region.checker.final_status(u.spec.id.as_str()).is_none()
+            })
             .map(|u| {
                 let node = self.nodes.iter().find_map(|n| n.controller.as_ref()?.leader_term());
                 let job = node.and_then(|r| r.job_table.get(&u.spec.id));
@@ -1490,7 +1510,7 @@
         let forgotten: Vec<String> =
             self.users.iter().filter(waiting).map(|u| u.spec.id.to_string()).collect();
         for job in forgotten {
-            self.region.checker.fail(
+            self.region.checker.report_violation(
                 self.now,
                 "forgotten",
                 format!("requests for {job} get no successful response"),
@@ -1639,7 +1659,7 @@
     pub fn count_with_known_status(&self, status: JobStatus) -> usize {
         self.users
             .iter()
-            .filter(|u| self.region.checker.over(u.spec.id.as_str()) == Some(status))
+            .filter(|u| self.region.checker.final_status(u.spec.id.as_str()) == Some(status))
             .count()
     }
 }
--- a/tests/world/pipelines.rs
+++ b/tests/world/pipelines.rs
@@ -225,7 +225,9 @@
     fn dependency_ready(&self, id: &JobId, submit_when: SubmitWhen) -> bool {
         let Some(user) = self.users.iter().find(|user| user.spec.id == *id) else { return true };
         match submit_when {
-            SubmitWhen::DependenciesFinished => self.region.checker.over(id.as_str()).is_some(),
+            SubmitWhen::DependenciesFinished => {
+                self.region.checker.final_status(id.as_str()).is_some()
+            }
             SubmitWhen::Immediately | SubmitWhen::DependenciesAccepted => user.accepted,
         }
     }
@@ -248,7 +250,7 @@
 
     /// Accepted jobs that wait for dependencies.
     pub fn waiting_jobs(&self) -> usize {
-        let over = |user: &User| self.region.checker.over(user.spec.id.as_str()).is_some();
+        let over = |user: &User| self.region.checker.final_status(user.spec.id.as_str()).is_some();
         let waits = |user: &&User| {
             user.accepted && !over(user) && self.unfinished_dependency(&user.spec).is_some()
         };
@@ -263,21 +265,21 @@
 
     /// Checks, when a task of a job is assigned, that all its dependencies are durably done.
     fn check_release(&mut self, job: &str, action: &str) {
-        let Some(spec) = self.region.outside.specs.get(job) else { return };
+        let Some(spec) = self.region.external.specs.get(job) else { return };
         if let Some(open) = self.unfinished_dependency(spec) {
             let text = format!("{job} {action}, but {open} is not durably done");
-            self.region.checker.fail(self.now, "too_early", text);
+            self.region.checker.report_violation(self.now, "too_early", text);
         }
     }
 
     /// Checks a response to a user: a submission that names accepted jobs is never rejected permanently, and no final status is
     /// reported before the record from which it follows, of the job or of a dependency, is durable.
     pub fn check_user_response(&mut self, job: &str, reply: &HttpReply, submission: bool) {
-        let Some(spec) = self.region.outside.specs.get(job) else { return };
+        let Some(spec) = self.region.external.specs.get(job) else { return };
         if submission && !spec.dependencies.is_empty() && matches!(reply.status, 400 | 422) {
             let text =
                 format!("{job} got {} although all its dependencies were accepted", reply.status);
-            return self.region.checker.fail(self.now, "refused", text);
+            return self.region.checker.report_violation(self.now, "refused", text);
         }
         if !matches!(reply.status, 200 | 201) {
             return;
@@ -288,7 +290,7 @@
         };
         if status.is_final() && !self.follows_from_records(&spec.id, status) {
             let text = format!("{job} is reported as {status:?}, but no stored record shows it");
-            self.region.checker.fail(self.now, "not_durable", text);
+            self.region.checker.report_violation(self.now, "not_durable", text);
         }
     }
 
@@ -304,7 +306,7 @@
             if ended.is_some_and(|stored| stored != JobStatus::Done) {
                 return end == JobStatus::Cancelled;
             }
-            let Some(spec) = self.region.outside.specs.get(id) else { continue };
+            let Some(spec) = self.region.external.specs.get(id) else { continue };
             let needs = spec.dependencies.iter().map(|need| need.as_str());
             open.extend(needs.filter(|need| visited.insert(need)));
         }
@@ -370,7 +372,7 @@
             }
         }
         for text in violations {
-            self.region.checker.fail(self.now, "waiting", text);
+            self.region.checker.report_violation(self.now, "waiting", text);
         }
     }
 
--- a/tests/world/served.rs
+++ b/tests/world/served.rs
@@ -117,8 +117,8 @@
                 _ => user.spec.tasks,
             };
             let done = match user.spec.shape {
-                Shape::Array => world.region.checker.done_count(id),
-                _ if world.region.checker.all_done(id) => required,
+                Shape::Array => world.region.checker.count_done_tasks(id),
+                _ if world.region.checker.is_job_done(id) => required,
                 _ => 0,
             };
             if present + done >= required {
@@ -166,12 +166,12 @@
         for user in world.users.iter().filter(|u| came(u.arrives_at, 10_000)) {
             let (spec, checker) = (&user.spec, &world.region.checker);
             let id = spec.id.as_str();
-            let done = checker.all_done(id);
+            let done = checker.is_job_done(id);
             let max_running = self.max_running.get(id).copied().unwrap_or(0);
             let full =
                 if spec.shape == Shape::Array { done } else { done || max_running == spec.tasks };
             let up = self.up.get(id).copied().unwrap_or_default();
-            let known_done = checker.over(id) == Some(JobStatus::Done);
+            let known_done = checker.final_status(id) == Some(JobStatus::Done);
             for name in [format!("class {}", spec.class), format!("team {}", spec.team)] {
                 let served = all.entry(name).or_default();
                 served.accepted.add(1, user.accepted.into());
--- a/tests/world/upgrades.rs
+++ b/tests/world/upgrades.rs
@@ -119,7 +119,7 @@
                 let text = format!(
                     "n-{node} writes {key} with field {field:?}, unknown to the previous version: {value}"
                 );
-                self.region.checker.fail(self.now, "new_form", text);
+                self.region.checker.report_violation(self.now, "new_form", text);
             }
         }
     }
@@ -134,7 +134,7 @@
         if !self.refused_writes.insert(write) {
             let keys: Vec<&str> = txn.changes.iter().map(key_of).collect();
             let text = format!("n-{node} repeats the refused write of {keys:?}: {reason}");
-            self.region.checker.fail(self.now, "asked_again", text);
+            self.region.checker.report_violation(self.now, "asked_again", text);
         }
     }
 }
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -95,7 +95,7 @@
         }
     }
     world.run();
-    let broken = &world.region.checker.broken;
+    let broken = &world.region.checker.violations;
     assert!(broken.is_empty(), "seed {seed} breaks rules: {broken:#?}");
     let unfinished = world.unfinished();
     assert!(unfinished.is_empty(), "seed {seed} leaves undone: {unfinished:#?}");
