--- a/crates/ctl/src/suite.rs
+++ b/crates/ctl/src/suite.rs
@@ -379,7 +379,7 @@
                 let mut region = running.lock_region();
                 region.upload_job(spec);
                 if let Some(broken) = self.plan.broken.clone() {
-                    region.external.broken.insert(id.to_string(), broken);
+                    region.external.failing_jobs.insert(id.to_string(), broken);
                 }
             }
             JobRequest::Abort(id) => {
--- a/crates/emulator/src/serve.rs
+++ b/crates/emulator/src/serve.rs
@@ -144,7 +144,7 @@
                 }
             }),
             Fault::JobFails(job, share) => {
-                region.external.broken.insert(job.clone(), JobFailures::Share(*share));
+                region.external.failing_jobs.insert(job.clone(), JobFailures::Share(*share));
             }
             Fault::OnService { .. } | Fault::PartitionController(_) | Fault::PartitionZone(_) => {
                 drop(region);
--- a/crates/emulator/src/worker.rs
+++ b/crates/emulator/src/worker.rs
@@ -14,7 +14,7 @@
 /// Intervals and timeouts of workers, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct WorkerTimes {
-    pub report: u64,
+    pub report_interval_ms: u64,
     pub lease_ms: u64,
     pub gang_wait_ms: u64,
     pub gang_peer_ms: u64,
@@ -24,7 +24,7 @@
     fn from(facts: &WorkerFacts) -> Self {
         let to_ms = |s: f64| (s * 1000.0) as u64;
         Self {
-            report: to_ms(facts.report_s),
+            report_interval_ms: to_ms(facts.report_s),
             lease_ms: to_ms(facts.lease_s),
             gang_wait_ms: to_ms(facts.gang_wait_s),
             gang_peer_ms: to_ms(facts.gang_peer_s),
@@ -43,7 +43,7 @@
     /// Whether a completed task that is started again ends at once, as the protocol specifies.
     pub has_stored_results: bool,
     /// Jobs whose tasks fail through a fault of the job itself.
-    pub broken: HashMap<String, JobFailures>,
+    pub failing_jobs: HashMap<String, JobFailures>,
 }
 
 /// Which attempts of a job fail on every machine.
@@ -60,7 +60,7 @@
 impl ExternalState {
     /// Whether an attempt fails through a fault of the job.
     fn is_failing_attempt(&self, (job, index, attempt): &(String, u32, u64)) -> bool {
-        match self.broken.get(job) {
+        match self.failing_jobs.get(job) {
             None => false,
             Some(JobFailures::Always) => true,
             Some(JobFailures::Task(task)) => task == index,
@@ -115,7 +115,7 @@
     /// Whether its progress was saved when it was stopped.
     pub stored: bool,
     /// When it stopped running: when it exited, or was ordered to stop and began to save.
-    pub ended: Option<u64>,
+    pub stopped_at: Option<u64>,
 }
 
 impl TaskAttempt {
@@ -123,7 +123,7 @@
     pub fn run_time_ms(&self, now: u64) -> u64 {
         match self.running_since {
             0 => 0,
-            since => self.ended.unwrap_or(now).saturating_sub(since),
+            since => self.stopped_at.unwrap_or(now).saturating_sub(since),
         }
     }
 }
@@ -233,7 +233,7 @@
         if let Some(task) = self.tasks.get_mut(key) {
             task.phase = TaskPhase::Exited;
             task.cause = Some(cause);
-            task.ended = task.ended.or(Some(self.clock));
+            task.stopped_at = task.stopped_at.or(Some(self.clock));
             checker.record_exit(&self.host, key, cause, task.run_time_ms(self.clock));
             self.changed = true;
             checker.record_end(&task_on_machine);
@@ -389,8 +389,9 @@
         self.changed = false;
         self.last_report = now;
         self.pending_report = Some((id, now));
-        self.next_report =
-            now + self.times.report * 3 / 4 + rng.random_range(0..self.times.report / 2);
+        self.next_report = now
+            + self.times.report_interval_ms * 3 / 4
+            + rng.random_range(0..self.times.report_interval_ms / 2);
         self.build_report(now)
     }
 
@@ -501,7 +502,7 @@
                         Some(task) if task.phase == TaskPhase::Running && can_save => {
                             task.phase = TaskPhase::Saving;
                             task.until = now + (spec.save_s * 1000.0) as u64;
-                            task.ended = Some(now);
+                            task.stopped_at = Some(now);
                             self.changed = true;
                         }
                         Some(task) if task.phase == TaskPhase::Saving && can_save => {}
@@ -554,7 +555,7 @@
             running_since,
             base_progress_ms: base,
             stored,
-            ended: None,
+            stopped_at: None,
         };
         self.tasks.insert(key, task);
         self.changed = true;
@@ -577,8 +578,12 @@
     use super::*;
     use rand::SeedableRng;
 
-    const TIMES: WorkerTimes =
-        WorkerTimes { report: 1_000, lease_ms: 60_000, gang_wait_ms: 9_000, gang_peer_ms: 2_000 };
+    const TIMES: WorkerTimes = WorkerTimes {
+        report_interval_ms: 1_000,
+        lease_ms: 60_000,
+        gang_wait_ms: 9_000,
+        gang_peer_ms: 2_000,
+    };
 
     fn submit_gang(external: &mut ExternalState) -> String {
         let json = r#"{"nameId":"req-1","jobclass":"c","owner":"red","shape":"group","rank":"low","shards":2,
--- a/crates/explorer/src/lib.rs
+++ b/crates/explorer/src/lib.rs
@@ -15,13 +15,13 @@
     type Step: Clone + Debug + PartialEq + Send;
 
     /// The initial state.
-    fn start(&self) -> Self::State;
+    fn initial_state(&self) -> Self::State;
     /// The steps to try in a state, always in the same order.
     fn steps(&self, state: &Self::State) -> Vec<Self::Step>;
     /// The state after a step; `None` if the step is not possible or changes nothing relevant.
-    fn after(&self, state: &Self::State, step: &Self::Step) -> Option<Self::State>;
+    fn apply(&self, state: &Self::State, step: &Self::Step) -> Option<Self::State>;
     /// Describes the invariant that a state violates, if any.
-    fn broken(&self, state: &Self::State) -> Option<String>;
+    fn find_violation(&self, state: &Self::State) -> Option<String>;
 }
 
 /// Limits of the exploration.
@@ -98,14 +98,14 @@
 
 /// Explores the states that are reachable within the bounds, up to the first one that violates an invariant.
 pub fn explore<M: Model>(model: &M, bounds: Bounds) -> Report<M::Step> {
-    let start = model.start();
+    let start = model.initial_state();
     let root = digest(&start);
     let mut known: HashMap<Digest, Predecessor, BuildHasherDefault<DigestHasher>> =
         HashMap::default();
     known.insert(root, Predecessor { previous: root, step: 0 });
     let mut report =
         Report { states: 1, steps: 0, depth: 0, is_complete: false, counterexample: None };
-    if let Some(violation) = model.broken(&start) {
+    if let Some(violation) = model.find_violation(&start) {
         report.counterexample = Some(Counterexample { steps: Vec::new(), violation: violation });
         return report;
     }
@@ -156,11 +156,11 @@
         for (state, previous) in part {
             for (index, step) in model.steps(state).iter().enumerate() {
                 step_count += 1;
-                let Some(after) = model.after(state, step) else { continue };
+                let Some(after) = model.apply(state, step) else { continue };
                 let digest = digest(&after);
                 let predecessor = Predecessor { previous: *previous, step: index as u16 };
                 found.push(Successor {
-                    violation: model.broken(&after),
+                    violation: model.find_violation(&after),
                     state: after,
                     digest,
                     predecessor,
@@ -202,11 +202,11 @@
         step_indices.push(predecessor.step);
         current = predecessor.previous;
     }
-    let mut state = model.start();
+    let mut state = model.initial_state();
     let mut steps = Vec::new();
     for step_index in step_indices.into_iter().rev() {
         let step = model.steps(&state).swap_remove(usize::from(step_index));
-        state = model.after(&state, &step).expect("the step was possible during the exploration");
+        state = model.apply(&state, &step).expect("the step was possible during the exploration");
         steps.push(step);
     }
     steps
@@ -215,14 +215,14 @@
 /// Replays steps from the initial state, skipping those that are not possible. Returns the number of steps
 /// after which an invariant is violated, and the description of the violation.
 pub fn replay<M: Model>(model: &M, steps: &[M::Step]) -> Option<(usize, String)> {
-    let mut state = model.start();
+    let mut state = model.initial_state();
     for (index, step) in steps.iter().enumerate() {
         if model.steps(&state).contains(step)
-            && let Some(next) = model.after(&state, step)
+            && let Some(next) = model.apply(&state, step)
         {
             state = next;
         }
-        if let Some(violation) = model.broken(&state) {
+        if let Some(violation) = model.find_violation(&state) {
             return Some((index + 1, violation));
         }
     }
@@ -257,7 +257,7 @@
         type State = State;
         type Step = Step;
 
-        fn start(&self) -> State {
+        fn initial_state(&self) -> State {
             State { value: 0, read: [None; 2], done: [false; 2], lock: None }
         }
 
@@ -265,7 +265,7 @@
             (0..2).flat_map(|process| [Step::Read(process), Step::Write(process)]).collect()
         }
 
-        fn after(&self, state: &State, step: &Step) -> Option<State> {
+        fn apply(&self, state: &State, step: &Step) -> Option<State> {
             let mut next = state.clone();
             match *step {
                 Step::Read(process) => {
@@ -284,7 +284,7 @@
             Some(next)
         }
 
-        fn broken(&self, state: &State) -> Option<String> {
+        fn find_violation(&self, state: &State) -> Option<String> {
             let all = state.done == [true; 2] && state.value < 2;
             all.then(|| format!("an update was lost: {}", state.value))
         }
--- a/crates/shares/tests/explorer.rs
+++ b/crates/shares/tests/explorer.rs
@@ -661,7 +661,7 @@
     type State = State;
     type Step = Step;
 
-    fn start(&self) -> State {
+    fn initial_state(&self) -> State {
         self.steady_state()
     }
 
@@ -758,7 +758,7 @@
         steps
     }
 
-    fn after(&self, before: &State, step: &Step) -> Option<State> {
+    fn apply(&self, before: &State, step: &Step) -> Option<State> {
         let mut state = before.clone();
         match *step {
             Step::Deliver(message) => {
@@ -860,7 +860,7 @@
         (state != *before).then_some(state)
     }
 
-    fn broken(&self, state: &State) -> Option<String> {
+    fn find_violation(&self, state: &State) -> Option<String> {
         for share in self.share_ids() {
             let stored = state.stored_shares[index_of(share)];
             let accepting_owners: Vec<u8> = (0..self.nodes)
@@ -969,7 +969,7 @@
         let model = model(nodes, BUDGET);
         assert!(model.unanswered_shares(&model.initial_state()).is_empty());
         let steady_state = model.steady_state();
-        assert!(model.broken(&steady_state).is_none());
+        assert!(model.find_violation(&steady_state).is_none());
         assert!(steady_state.stored_shares.iter().all(|stored| stored.key_record.is_some()));
     }
 }
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -68,7 +68,7 @@
         running_since: 1,
         base_progress_ms: 0,
         stored: false,
-        ended: None,
+        stopped_at: None,
     };
     worker.tasks.insert(("req-2".into(), 0, 1), task);
 }
@@ -107,7 +107,7 @@
     let broken = &unaccepted.region.checker.violations;
     assert!(broken.iter().all(|text| text.contains("req-1")), "{broken:?}");
     let mut broken = with_waiting_job(0.0, |_| {});
-    broken.region.external.broken.insert("req-1".into(), JobFailures::Always);
+    broken.region.external.failing_jobs.insert("req-1".into(), JobFailures::Always);
     assert!(!neglected(&mut broken, past_limit), "it waits because it fails");
     // Free room and limits are judged by what the workers actually run.
     let mut full = with_waiting_job(0.0, |_| {});
--- a/tests/ops.rs
+++ b/tests/ops.rs
@@ -63,7 +63,7 @@
         // Fails on every machine until its user cancels it.
         let mut spec = guest(7_000 + n, 4, 3.0);
         spec.team = "red".into();
-        world.region.external.broken.insert(spec.id.to_string(), JobFailures::Always);
+        world.region.external.failing_jobs.insert(spec.id.to_string(), JobFailures::Always);
         world.add_job(spec);
         world.cancel_last(rng.random_range(40_000..CALM_FROM_MS - 20_000));
     }
--- a/tests/repeats.rs
+++ b/tests/repeats.rs
@@ -40,7 +40,7 @@
             2 => JobFailures::Share(0.3),
             _ => continue,
         };
-        world.region.external.broken.insert(job, broken);
+        world.region.external.failing_jobs.insert(job, broken);
     }
     world.add_faults((0..1).map(|_| (rng.random_range(8_000..110_000), Fault::FaultyMachine)));
     world.add_faults((0..3).map(|n| (rng.random_range(8_000..110_000), Fault::Crash(n))));
@@ -60,11 +60,15 @@
     }
     outcome.wrong.extend(wrong.into_iter().map(|text| format!("seed {seed}: {text}")));
     outcome.failed += world.count_with_known_status(JobStatus::Failed);
-    outcome.broken_jobs += world.region.external.broken.len();
+    outcome.broken_jobs += world.region.external.failing_jobs.len();
     outcome.refused_ms.append(&mut world.region.checker.failure_visibility_ms);
     let checker = &world.region.checker;
-    for (job, _) in
-        world.region.external.broken.iter().filter(|(_, how)| matches!(how, JobFailures::Always))
+    for (job, _) in world
+        .region
+        .external
+        .failing_jobs
+        .iter()
+        .filter(|(_, how)| matches!(how, JobFailures::Always))
     {
         let failed = |((_, (of, ..)), (cause, _)): &(&(String, AttemptKey), &(ExitCause, u64))| {
             of == job && *cause == ExitCause::Error
@@ -184,7 +188,7 @@
         jobs.sort();
         for (n, job) in jobs.into_iter().enumerate().filter(|(n, _)| n % 9 == 0) {
             let broken = if n % 2 == 0 { JobFailures::Always } else { JobFailures::Share(0.5) };
-            world.region.external.broken.insert(job, broken);
+            world.region.external.failing_jobs.insert(job, broken);
         }
         world.set_operator_settings(CLASSES);
         world.run();
@@ -220,7 +224,7 @@
             let arrays: Vec<String> = jobs.iter().filter(|job| is_array(job)).cloned().collect();
             for job in arrays.iter().step_by(4) {
                 if failing {
-                    world.region.external.broken.insert(job.clone(), JobFailures::Always);
+                    world.region.external.failing_jobs.insert(job.clone(), JobFailures::Always);
                 } else {
                     world.remove_user(job);
                 }
--- a/tests/upgrade_days.rs
+++ b/tests/upgrade_days.rs
@@ -330,7 +330,7 @@
             let wide = JobSpec { tasks: 96, gpus: 0.1, cpus: 0.1, ..small_array(&id, 2) };
             world.add_job_at(wide, 5_000 + n * 2_000);
             world.schedule_cancel(&id, 150_000 + n * 3_000);
-            world.region.external.broken.insert(id, JobFailures::Share(0.8));
+            world.region.external.failing_jobs.insert(id, JobFailures::Share(0.8));
         }
         play(&mut world, &format!("full records, seed {seed}"));
         largest = largest.max(world.largest_value());
--- a/tests/world/graphs.rs
+++ b/tests/world/graphs.rs
@@ -437,7 +437,7 @@
         if let Some((task, _)) = broken {
             let broken =
                 if part.is_batch() { JobFailures::Task(task) } else { JobFailures::Always };
-            region.external.broken.insert(job.to_owned(), broken);
+            region.external.failing_jobs.insert(job.to_owned(), broken);
         }
         self.parts.insert(job.to_owned(), part);
     }
--- a/tests/world/limits.rs
+++ b/tests/world/limits.rs
@@ -166,7 +166,7 @@
                 || user.abort_at.is_some_and(|at| self.now >= at)
                 || self.region.checker.final_status(id).is_some()
                 || self.unfinished_dependency(spec).is_some()
-                || self.region.external.broken.contains_key(id)
+                || self.region.external.failing_jobs.contains_key(id)
                 || !(0..spec.tasks).any(wants)
             {
                 return false;
@@ -199,7 +199,7 @@
     /// Adds a machine of four GPUs that is up from the beginning.
     pub fn add_machine(&mut self, host: &str, zone: &str, spot: bool) {
         let times = WorkerTimes {
-            report: 3_000,
+            report_interval_ms: 3_000,
             lease_ms: 26_000,
             gang_wait_ms: 40_000,
             gang_peer_ms: 4_000,
