--- a/crates/core/src/controller/leading.rs
+++ b/crates/core/src/controller/leading.rs
@@ -6,7 +6,7 @@
     pub(super) fn send_leadership_requests(&mut self, now: Mono, requests: Vec<LeadershipRequest>) {
         for request in requests {
             let leader_key = || LEADER_KEY.to_owned();
-            let (lane, op) = match &request {
+            let (class, op) = match &request {
                 LeadershipRequest::Read => (OpClass::Lease, StoreOp::Get { key: leader_key() }),
                 LeadershipRequest::Watch(after) => {
                     (OpClass::Watch, StoreOp::Follow { prefix: leader_key(), after: *after })
@@ -23,7 +23,7 @@
                 }
             };
             // Not refused: only operations of the general class are limited in number.
-            let _ = self.submit(now, lane, op, Purpose::Leadership { request, sent: now });
+            let _ = self.submit(now, class, op, Purpose::Leadership { request, sent: now });
         }
     }
 
--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -75,7 +75,7 @@
     },
     Store {
         id: OpId,
-        lane: OpClass,
+        class: OpClass,
         op: StoreOp,
     },
     Cloud {
@@ -521,20 +521,20 @@
     }
 
     fn send(&mut self, operations: Vec<(OpId, OpClass, StoreOp)>) {
-        for (id, lane, op) in operations {
-            self.actions.push(Action::Store { id, lane, op });
+        for (id, class, op) in operations {
+            self.actions.push(Action::Store { id, class, op });
         }
     }
 
     fn submit(
         &mut self,
         now: Mono,
-        lane: OpClass,
+        class: OpClass,
         op: StoreOp,
         purpose: Purpose,
     ) -> Result<(), Purpose> {
         let mut operations = Vec::new();
-        let result = self.store.submit(now, lane, op, purpose, &mut operations);
+        let result = self.store.submit(now, class, op, purpose, &mut operations);
         self.send(operations);
         result.map(|_| ()).map_err(|(_, purpose)| purpose)
     }
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -213,7 +213,7 @@
     fn perform(&mut self, action: Action) -> Option<Event> {
         match action {
             Action::Reply { conn, reply } => self.send_reply(conn, reply),
-            Action::Store { id, lane, op } => return self.clients.store(id, lane, op),
+            Action::Store { id, class, op } => return self.clients.store(id, class, op),
             Action::Cloud { id, op } => return self.clients.cloud(id, op),
             Action::Command { addr, command } => return self.clients.command(addr, command),
             Action::PeerRequest { to, id, request } => {
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -775,8 +775,8 @@
                         self.send(delay, Message::Reply { node, from, reply });
                     }
                 }
-                Action::Store { id, lane, op } => {
-                    self.send_to_store(node, incarnation, id, lane, op)
+                Action::Store { id, class, op } => {
+                    self.send_to_store(node, incarnation, id, class, op)
                 }
                 Action::Cloud { id, op } => self.send_to_cloud(node, incarnation, id, op),
                 Action::Command { addr, command } => {
@@ -836,13 +836,13 @@
         node: usize,
         incarnation: u64,
         id: OpId,
-        lane: OpClass,
+        class: OpClass,
         op: StoreOp,
     ) {
         let spent = self.store_traffic.entry(self.now / 1_000).or_default();
         spent.0 += 1;
         spent.1 += if let StoreOp::Txn(txn) = &op { txn.changes.len() as u32 } else { 0 };
-        if lane == OpClass::Watch
+        if class == OpClass::Watch
             && let StoreOp::Follow { prefix, after } = op
         {
             let until = self.now + 10_000;
@@ -869,7 +869,7 @@
         } else if self.now < self.slow_store.0 && answer {
             let usual = if self.rng.random_bool(0.1) { 100..300 } else { 3..12 };
             let took = self.rng.random_range(usual) * u64::from(self.slow_store.1);
-            timeout = if lane == OpClass::Lease { 1_200 } else { 2_500 };
+            timeout = if class == OpClass::Lease { 1_200 } else { 2_500 };
             (delay, answer) = (Some(took), took < timeout);
         }
         if !answer {
