--- a/crates/ledger/src/entry.rs
+++ b/crates/ledger/src/entry.rs
@@ -3,9 +3,10 @@
 use crate::constants::{DAY_MS, MICROS_PER_UNIT};
 use oatloom_protocol::ids::{Attempt, HostId, TaskId, Zone};
 use oatloom_protocol::wire::{ExitCause, Rank, Shape};
+use std::fmt;
 
 /// How an attempt ended.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, PartialEq, Eq)]
 pub enum AttemptEnd {
     /// The worker reported the end, with this cause.
     Seen(ExitCause),
@@ -14,6 +15,16 @@
     Unseen,
 }
 
+/// Formats an end as `Seen(cause)` or `Unseen`, whatever the variants are called.
+impl fmt::Debug for AttemptEnd {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Seen(cause) => f.debug_tuple("Seen").field(cause).finish(),
+            Self::Unseen => f.write_str("Unseen"),
+        }
+    }
+}
+
 /// Usage of an attempt, recorded at its end. Times are measured by the worker if it reported them, otherwise by
 /// the leader.
 #[derive(Clone, Debug, PartialEq)]
