--- a/crates/core/src/jobs/record_limits/tests.rs
+++ b/crates/core/src/jobs/record_limits/tests.rs
@@ -52,7 +52,7 @@
         held_ms: 99_999_999,
         ran_ms: 88_888_888,
         unseen_ms: 0,
-        end: AttemptEnd::Seen(ExitCause::Stopped),
+        end: AttemptEnd::Reported(ExitCause::Stopped),
         progress_saved: true,
         job_continues: true,
         checkpoint_ms: 30_000,
--- a/crates/core/src/jobs/tests.rs
+++ b/crates/core/src/jobs/tests.rs
@@ -311,7 +311,7 @@
         held_ms: 20,
         ran_ms: 10,
         unseen_ms: 0,
-        end: oatloom_ledger::entry::AttemptEnd::Unseen,
+        end: oatloom_ledger::entry::AttemptEnd::Unreported,
         progress_saved: false,
         job_continues: true,
         checkpoint_ms: 0,
--- a/crates/core/src/leader_term/reports.rs
+++ b/crates/core/src/leader_term/reports.rs
@@ -239,7 +239,7 @@
 
     /// Releases a task that is provably gone and whose end was not reported.
     pub(super) fn task_lost(&mut self, id: &JobId, index: u32, now: Mono) {
-        self.record_usage(id, index, AttemptEnd::Unseen, (false, None), now);
+        self.record_usage(id, index, AttemptEnd::Unreported, (false, None), now);
         if let Some(job) = self.job_table.jobs.get_mut(id) {
             job.lost_at = now;
         }
@@ -353,7 +353,13 @@
         }
         for other in others {
             // These started and ended together with the reported task.
-            self.record_usage(id, other, AttemptEnd::Seen(ExitCause::Done), (false, ran_ms), now);
+            self.record_usage(
+                id,
+                other,
+                AttemptEnd::Reported(ExitCause::Done),
+                (false, ran_ms),
+                now,
+            );
             self.release_task(id, other, true, now);
         }
     }
@@ -435,7 +441,7 @@
         log::debug!("task {task}: ended on {host}, {cause:?}");
         let id = &task.job;
         let (index, mut gang_failure) = (task.index, None);
-        self.record_usage(id, index, AttemptEnd::Seen(cause), (row.stored, row.ran_ms), now);
+        self.record_usage(id, index, AttemptEnd::Reported(cause), (row.stored, row.ran_ms), now);
         match cause {
             ExitCause::Done => {
                 if let Some(job) = self.job_table.get(id)
--- a/crates/core/src/leader_term/usage.rs
+++ b/crates/core/src/leader_term/usage.rs
@@ -30,12 +30,15 @@
             RunSent::Inherited if job.submitted > Mono(0) => job.submitted,
             _ => assignment.assigned_at,
         };
-        let seen_ms = assignment.running_since.map_or(0, |since| now.since(since).0);
-        let seen_ms = if end == AttemptEnd::Unseen { 0 } else { seen_ms };
-        let ran_ms = ran_ms.or(assignment.reported_run_ms).unwrap_or(seen_ms);
+        let running_ms = assignment.running_since.map_or(0, |since| now.since(since).0);
+        let running_ms = if end == AttemptEnd::Unreported { 0 } else { running_ms };
+        let ran_ms = ran_ms.or(assignment.reported_run_ms).unwrap_or(running_ms);
         // Reports may arrive late, so only the proof that the task is gone bounds how long it ran after the last one.
-        let unseen_ms =
-            if end == AttemptEnd::Unseen { now.since(since).0.saturating_sub(ran_ms) } else { 0 };
+        let unseen_ms = if end == AttemptEnd::Unreported {
+            now.since(since).0.saturating_sub(ran_ms)
+        } else {
+            0
+        };
         let flavor = machine.and_then(|m| self.fleet.flavor(&m.flavor));
         let spot = machine.is_some_and(|m| m.spot);
         let entry = UsageEntry {
@@ -56,7 +59,7 @@
             end,
             progress_saved: stored,
             job_continues: matches!(job.state, JobState::Open)
-                || end == AttemptEnd::Seen(ExitCause::Done),
+                || end == AttemptEnd::Reported(ExitCause::Done),
             checkpoint_ms: Millis::from_secs(spec.checkpoint_s).0,
             cpus: spec.cpus,
             gpus: spec.gpus,
--- a/crates/ledger/src/entry.rs
+++ b/crates/ledger/src/entry.rs
@@ -9,18 +9,18 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum AttemptEnd {
     /// The worker reported the end, with this cause.
-    Seen(ExitCause),
-    /// The end was not observed: the machine or its lease was lost. The run time is the one reported last; the
-    /// attempt may have run on until the lease expired.
-    Unseen,
+    Reported(ExitCause),
+    /// No end was reported: the machine or its lease was lost. The run time is the one reported last; the attempt
+    /// may have run on until the lease expired.
+    Unreported,
 }
 
-/// Formats an end as `Seen(cause)` or `Unseen`, whatever the variants are called.
+/// Formats an end as `Seen(cause)` or `Unseen`.
 impl fmt::Debug for AttemptEnd {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Seen(cause) => f.debug_tuple("Seen").field(cause).finish(),
-            Self::Unseen => f.write_str("Unseen"),
+            Self::Reported(cause) => f.debug_tuple("Seen").field(cause).finish(),
+            Self::Unreported => f.write_str("Unseen"),
         }
     }
 }
@@ -86,8 +86,8 @@
         let ran = self.ran_ms;
         let useful_ms = match self.end {
             _ if self.shape == Shape::Service => ran,
-            AttemptEnd::Seen(ExitCause::Done) => ran,
-            AttemptEnd::Seen(ExitCause::Stopped) if self.progress_saved => ran,
+            AttemptEnd::Reported(ExitCause::Done) => ran,
+            AttemptEnd::Reported(ExitCause::Stopped) if self.progress_saved => ran,
             _ if !self.job_continues => 0,
             _ => ran.checked_div(self.checkpoint_ms).unwrap_or(0) * self.checkpoint_ms,
         };
@@ -146,28 +146,31 @@
             assert_eq!(breakdown.useful_ms + breakdown.repeated_ms + breakdown.lost_ms, e.ran_ms);
             (breakdown.useful_ms, breakdown.repeated_ms, breakdown.lost_ms)
         };
-        assert_eq!(breakdown_of(entry(AttemptEnd::Seen(ExitCause::Done), 900)), (900, 0, 0));
-        assert_eq!(breakdown_of(entry(AttemptEnd::Seen(ExitCause::Error), 900)), (0, 900, 0));
-        assert_eq!(breakdown_of(entry(AttemptEnd::Unseen, 900)), (0, 900, 0));
-        let job_ended =
-            UsageEntry { job_continues: false, ..entry(AttemptEnd::Seen(ExitCause::Stopped), 900) };
+        assert_eq!(breakdown_of(entry(AttemptEnd::Reported(ExitCause::Done), 900)), (900, 0, 0));
+        assert_eq!(breakdown_of(entry(AttemptEnd::Reported(ExitCause::Error), 900)), (0, 900, 0));
+        assert_eq!(breakdown_of(entry(AttemptEnd::Unreported, 900)), (0, 900, 0));
+        let job_ended = UsageEntry {
+            job_continues: false,
+            ..entry(AttemptEnd::Reported(ExitCause::Stopped), 900)
+        };
         assert_eq!(breakdown_of(job_ended), (0, 0, 900));
-        let with_checkpoints = UsageEntry { checkpoint_ms: 400, ..entry(AttemptEnd::Unseen, 900) };
+        let with_checkpoints =
+            UsageEntry { checkpoint_ms: 400, ..entry(AttemptEnd::Unreported, 900) };
         assert_eq!(breakdown_of(with_checkpoints.clone()), (800, 100, 0));
         let saved = UsageEntry {
             progress_saved: true,
-            end: AttemptEnd::Seen(ExitCause::Stopped),
+            end: AttemptEnd::Reported(ExitCause::Stopped),
             ..with_checkpoints
         };
         assert_eq!(breakdown_of(saved), (900, 0, 0));
-        let replica = UsageEntry { shape: Shape::Service, ..entry(AttemptEnd::Unseen, 900) };
+        let replica = UsageEntry { shape: Shape::Service, ..entry(AttemptEnd::Unreported, 900) };
         assert_eq!(breakdown_of(replica), (900, 0, 0));
     }
 
     #[test]
     fn cost_is_the_share_of_the_machine_while_held() {
         // A quarter of a machine at 3.6 an hour, for an hour.
-        let mut e = entry(AttemptEnd::Seen(ExitCause::Done), 0);
+        let mut e = entry(AttemptEnd::Reported(ExitCause::Done), 0);
         e.held_ms = 3_600_000;
         assert_eq!(e.cost_micros(), 900_000);
         assert_eq!(UsageEntry { hourly_price: -1.0, ..e }.cost_micros(), 0);
--- a/crates/ledger/src/query.rs
+++ b/crates/ledger/src/query.rs
@@ -223,7 +223,7 @@
             for team in ["red", "blue"] {
                 let mut rollup = Rollup::default();
                 for cause in [ExitCause::Done, ExitCause::Error] {
-                    rollup.usage.add(&entry(AttemptEnd::Seen(cause), 7));
+                    rollup.usage.add(&entry(AttemptEnd::Reported(cause), 7));
                 }
                 let rollup_id = RollupId { day, team: team.into(), class: "c".into() };
                 store.push((rollup_id.key(), Some(rollup)));
--- a/crates/ledger/src/rollup.rs
+++ b/crates/ledger/src/rollup.rs
@@ -446,8 +446,10 @@
                     }
                     1..6 => {
                         let mut days = UsageByDay::default();
-                        let mut e =
-                            entry(AttemptEnd::Seen(ExitCause::Done), rng.random_range(1..5_000));
+                        let mut e = entry(
+                            AttemptEnd::Reported(ExitCause::Done),
+                            rng.random_range(1..5_000),
+                        );
                         e.ended_ms = rng.random_range(0..3) * DAY_MS;
                         days.add(&e);
                         let team = format!("t{}", rng.random_range(0..3));
@@ -520,7 +522,7 @@
     fn job_usage_stays_small_and_preserves_sums() {
         let mut days = UsageByDay::default();
         for n in 0..90u64 {
-            let mut e = entry(AttemptEnd::Seen(ExitCause::Done), 5);
+            let mut e = entry(AttemptEnd::Reported(ExitCause::Done), 5);
             e.flavor = format!("f{}", n % 30);
             e.ended_ms = n / 30 * DAY_MS;
             days.add(&e);
--- a/crates/ledger/src/sums.rs
+++ b/crates/ledger/src/sums.rs
@@ -12,7 +12,7 @@
     pub flavor: String,
     pub zone: String,
     pub spot: bool,
-    /// Name of the cause as in the protocol, or `unseen` if the end was not observed.
+    /// Name of the cause as in the protocol, or `unseen` if no end was reported.
     pub end: String,
 }
 
@@ -28,7 +28,7 @@
     pub useful_ms: u64,
     pub repeated_ms: u64,
     pub lost_ms: u64,
-    /// Upper bound on the unreported run time of attempts whose end was not observed.
+    /// Upper bound on the unreported run time of attempts whose end was not reported.
     pub unseen_ms: u64,
     /// Run time times cores; `gpuMs` and `gbMs` likewise for GPUs and GB of memory.
     pub core_ms: u64,
@@ -121,15 +121,15 @@
 /// Name of an end, as in the protocol.
 pub fn end_name(end: AttemptEnd) -> &'static str {
     match end {
-        AttemptEnd::Unseen => "unseen",
-        AttemptEnd::Seen(ExitCause::Done) => "done",
-        AttemptEnd::Seen(ExitCause::Stopped) => "halted",
-        AttemptEnd::Seen(ExitCause::Peers) => "peers",
-        AttemptEnd::Seen(ExitCause::Incomplete) => "incomplete",
-        AttemptEnd::Seen(ExitCause::Error) => "error",
-        AttemptEnd::Seen(ExitCause::NoRoom) => "no_room",
-        AttemptEnd::Seen(ExitCause::Busy) => "busy",
-        AttemptEnd::Seen(ExitCause::Unknown) => "no_such",
+        AttemptEnd::Unreported => "unseen",
+        AttemptEnd::Reported(ExitCause::Done) => "done",
+        AttemptEnd::Reported(ExitCause::Stopped) => "halted",
+        AttemptEnd::Reported(ExitCause::Peers) => "peers",
+        AttemptEnd::Reported(ExitCause::Incomplete) => "incomplete",
+        AttemptEnd::Reported(ExitCause::Error) => "error",
+        AttemptEnd::Reported(ExitCause::NoRoom) => "no_room",
+        AttemptEnd::Reported(ExitCause::Busy) => "busy",
+        AttemptEnd::Reported(ExitCause::Unknown) => "no_such",
     }
 }
 
@@ -232,7 +232,11 @@
         let mut entries = Vec::new();
         for n in 0..200u64 {
             let mut e = entry(
-                if n % 3 == 0 { AttemptEnd::Unseen } else { AttemptEnd::Seen(ExitCause::Done) },
+                if n % 3 == 0 {
+                    AttemptEnd::Unreported
+                } else {
+                    AttemptEnd::Reported(ExitCause::Done)
+                },
                 n * 17,
             );
             e.flavor = format!("f{}", n % 7);
--- a/crates/ledger/tests/month.rs
+++ b/crates/ledger/tests/month.rs
@@ -80,10 +80,10 @@
 ) -> UsageEntry {
     let ran_ms = rng.random_range(0..240_000);
     let end = match rng.random_range(0..20) {
-        0 => AttemptEnd::Seen(ExitCause::Error),
-        1 => AttemptEnd::Seen(ExitCause::Stopped),
-        2 => AttemptEnd::Unseen,
-        _ => AttemptEnd::Seen(ExitCause::Done),
+        0 => AttemptEnd::Reported(ExitCause::Error),
+        1 => AttemptEnd::Reported(ExitCause::Stopped),
+        2 => AttemptEnd::Unreported,
+        _ => AttemptEnd::Reported(ExitCause::Done),
     };
     UsageEntry {
         task,
@@ -99,7 +99,7 @@
         ended_ms,
         held_ms: ran_ms + rng.random_range(0..30_000),
         ran_ms,
-        unseen_ms: if end == AttemptEnd::Unseen { 9_000 } else { 0 },
+        unseen_ms: if end == AttemptEnd::Unreported { 9_000 } else { 0 },
         end,
         progress_saved: rng.random_bool(0.5),
         job_continues: rng.random_bool(0.9),
--- a/tests/usage.rs
+++ b/tests/usage.rs
@@ -53,7 +53,7 @@
 fn run_seeds(from: u64, count: u64) {
     init_log();
     let more = extra_seeds();
-    let (mut attempts, mut unseen, mut inferred, mut exact) = (0, 0, 0, 0);
+    let (mut attempts, mut unreported, mut inferred, mut exact) = (0, 0, 0, 0);
     for seed in from..from + count + more {
         let mut world = World::new(seed, true);
         world.set_operator_settings("((ledger . #t))");
@@ -103,28 +103,30 @@
             }
             sums
         };
-        let (expected, most, found) = (sums(&entries), sums(&all), stored_usage(&world));
+        let (expected, max, found) = (sums(&entries), sums(&all), stored_usage(&world));
         let unambiguous: Vec<UsageEntry> =
             entries.iter().filter(|e| !has_several_entries(e)).cloned().collect();
-        let least = sums(&unambiguous);
+        let min = sums(&unambiguous);
         if found == expected {
             exact += 1;
         } else {
             // Several leaders started the same attempt on a machine: its record does not show which of the ends were
             // written.
             assert!(all.iter().any(has_several_entries), "seed {seed}: {found:#?}\n{expected:#?}");
-            for (cause, line) in &found {
+            for (cause, sums_found) in &found {
                 let of = |sums: &BTreeMap<String, UsageSums>| {
                     sums.get(cause).copied().unwrap_or_default()
                 };
-                let (least, most) = (of(&least), of(&most));
-                let within = |f: fn(&UsageSums) -> u64| (f(&least)..=f(&most)).contains(&f(line));
+                let (min, max) = (of(&min), of(&max));
+                let within =
+                    |f: fn(&UsageSums) -> u64| (f(&min)..=f(&max)).contains(&f(sums_found));
                 let in_range =
-                    within(|l| l.attempts) && within(|l| l.ran_ms) && within(|l| l.held_ms);
-                assert!(in_range, "seed {seed} {cause}: {least:?} {line:?} {most:?}");
+                    within(|s| s.attempts) && within(|s| s.ran_ms) && within(|s| s.held_ms);
+                assert!(in_range, "seed {seed} {cause}: {min:?} {sums_found:?} {max:?}");
             }
         }
-        // A seen end matches the worker to the millisecond; an unseen one is at most the time that the task may have run.
+        // The run time of a reported end matches the worker to the millisecond; without a report the recorded and the unreported
+        // time together bound the time that the task ran.
         for entry in &entries {
             let task = (entry.task.job.to_string(), entry.task.index, entry.attempt.0);
             let key = (entry.host.to_string(), task);
@@ -132,13 +134,13 @@
             match (entry.end, exit) {
                 // The tasks of a gang complete together, and the first report counts for all; a machine that hung
                 // meanwhile may have measured another time.
-                (AttemptEnd::Seen(ExitCause::Done), exit)
+                (AttemptEnd::Reported(ExitCause::Done), exit)
                     if entry.shape == Shape::Gang
                         && exit.is_none_or(|(_, ran)| ran != entry.ran_ms) =>
                 {
                     inferred += 1;
                 }
-                (AttemptEnd::Seen(cause), Some((cause_at_worker, ran)))
+                (AttemptEnd::Reported(cause), Some((cause_at_worker, ran)))
                     if !has_several_durable_entries(entry) =>
                 {
                     assert_eq!(
@@ -149,33 +151,35 @@
                 }
                 // A refused start never ran.
                 (
-                    AttemptEnd::Seen(ExitCause::NoRoom | ExitCause::Busy | ExitCause::Unknown),
+                    AttemptEnd::Reported(ExitCause::NoRoom | ExitCause::Busy | ExitCause::Unknown),
                     None,
                 ) => {
                     assert_eq!(entry.ran_ms, 0);
                 }
                 // A worker reports only the last end of an attempt that was started twice.
-                (AttemptEnd::Seen(_), Some(_)) => {}
-                (AttemptEnd::Seen(_), None) => panic!("seed {seed}: no worker saw {entry:?}"),
+                (AttemptEnd::Reported(_), Some(_)) => {}
+                (AttemptEnd::Reported(_), None) => {
+                    panic!("seed {seed}: no worker has an exit for {entry:?}")
+                }
                 // A later leader does not know when the tasks of a finished job started. A worker with an attempt that was
                 // started twice reports only the second run.
-                (AttemptEnd::Unseen, Some((_, ran)))
+                (AttemptEnd::Unreported, Some((_, ran)))
                     if entry.job_continues && !has_several_durable_entries(entry) =>
                 {
                     assert!(ran <= entry.ran_ms + entry.unseen_ms, "seed {seed}: {ran} {entry:?}");
                 }
-                (AttemptEnd::Unseen, _) => {}
+                (AttemptEnd::Unreported, _) => {}
             }
             attempts += 1;
-            unseen += u64::from(entry.end == AttemptEnd::Unseen);
+            unreported += u64::from(entry.end == AttemptEnd::Unreported);
         }
     }
     println!(
-        "{} days, {attempts} attempts, {unseen} unseen, {inferred} inferred, {exact} exact",
+        "{} days, {attempts} attempts, {unreported} unreported, {inferred} inferred, {exact} exact",
         count + more
     );
     assert!(exact * 100 >= (count + more) * 95);
-    assert!(attempts > unseen * 4 && inferred * 200 <= attempts);
+    assert!(attempts > unreported * 4 && inferred * 200 <= attempts);
 }
 
 /// Runs the seed given in `OATLOOM_SEED`, if any.
