--- a/crates/core/src/leader_term/machines.rs
+++ b/crates/core/src/leader_term/machines.rs
@@ -158,7 +158,7 @@
                 // Machines that were up before this term began are not released as never booted while no machine of
                 // their zone reports yet: their tasks may run on until their leases end.
                 let none_reports =
-                    observations.get(&m.zone).is_some_and(ZoneObservation::nobody_heard);
+                    observations.get(&m.zone).is_some_and(ZoneObservation::has_never_reported);
                 let may_be_up =
                     m.was_up() && none_reports && (!lease_expired || kept_in_lost_zone(m));
                 if now.since(m.created_at) > boot_timeout && had_time_to_report && !may_be_up {
@@ -266,10 +266,10 @@
                 m.listed_up_since.or((!m.assigned.is_empty()).then_some(self.started_at));
             let overdue = |at: Mono| u32::from(now.since(at.max(leader_known_by)) > early_silence);
             if let Some(at) = m.last_report {
-                observation.known += 1;
+                observation.machines_known += 1;
                 // Machines cut off together fall silent within one report period of each other.
                 observation.silent += overdue(at);
-                observation.heard += u32::from(now.since(at) <= early_silence);
+                observation.machines_reporting += u32::from(now.since(at) <= early_silence);
                 observation.latest = observation.latest.max(Some(at));
             } else if let Some(at) = expected {
                 observation.expected += 1;
