--- a/tests/machines.rs
+++ b/tests/machines.rs
@@ -61,13 +61,13 @@
     let mut faults = vec![(9_000, Fault::FaultyMachine)];
     for at in &changes {
         faults.push((at - rng.random_range(1_000..14_000), Fault::MachinePartitioned(32_000)));
-        let upon = match rng.random_range(0..4) {
+        let leader_fault = match rng.random_range(0..4) {
             0 => LeaderFault::Crash,
             1 => LeaderFault::StoreRefuses(9_000),
             2 => LeaderFault::Isolated(9_000),
             _ => LeaderFault::Down(9_000),
         };
-        faults.push((*at, Fault::Leader(upon)));
+        faults.push((*at, Fault::Leader(leader_fault)));
     }
     faults.sort_by_key(|(at, _)| *at);
     let mut world = World::with_faults(seed, faults, FAULTS_END_MS, None);
@@ -638,13 +638,13 @@
             _ => Fault::MachinePartitioned(12_000),
         };
         faults.push((at - rng.random_range(500..4_000), machine));
-        let upon = match rng.random_range(0..4) {
+        let fault = match rng.random_range(0..4) {
             0 => Fault::Leader(LeaderFault::Crash),
             1 => Fault::Leader(LeaderFault::StoreRefuses(9_000)),
             2 => Fault::Leader(LeaderFault::Isolated(9_000)),
             _ => Fault::LeaderPaused(7_000),
         };
-        faults.push((*at, upon));
+        faults.push((*at, fault));
     }
     faults.sort_by_key(|(at, _)| *at);
     let mut world = World::with_faults(seed, faults, FAULTS_END_MS, Some(Shape::Gang));
--- a/tests/members.rs
+++ b/tests/members.rs
@@ -20,8 +20,8 @@
         assert!(before.iter().all(|share| *share > 0.95), "seed {seed}: {before:?}");
         let during = world.healthy_probe_share(54_000, 78_000);
         for (other, share) in during.iter().enumerate() {
-            let right = if other == node { *share < 0.05 } else { *share > 0.95 };
-            assert!(right, "seed {seed}, {node} refused: {during:?}");
+            let is_expected = if other == node { *share < 0.05 } else { *share > 0.95 };
+            assert!(is_expected, "seed {seed}, {node} refused: {during:?}");
         }
         let after = world.healthy_probe_share(86_000, 90_000);
         assert!(after[node] > 0.7, "seed {seed}: {after:?}");
--- a/tests/owners.rs
+++ b/tests/owners.rs
@@ -233,7 +233,7 @@
         }
     }
 
-    fn up(&self, n: usize) -> bool {
+    fn is_up(&self, n: usize) -> bool {
         self.nodes[n].owners.is_some() && self.now >= self.nodes[n].frozen_until
     }
 
@@ -316,7 +316,7 @@
     /// The leader's map: each call assigns a random share to a random member.
     fn plan(&mut self) {
         let present: Vec<u8> =
-            (0..self.nodes.len() as u8).filter(|n| self.up(usize::from(*n))).collect();
+            (0..self.nodes.len() as u8).filter(|n| self.is_up(usize::from(*n))).collect();
         if present.is_empty() {
             return;
         }
@@ -329,7 +329,7 @@
         let to = MemberIndex(present[self.rng.random_range(0..present.len())]);
         self.moves += u64::from(self.map.owners.insert(share, to) != Some(to));
         for n in 0..self.nodes.len() {
-            if self.up(n) && self.rng.random_bool(0.9) {
+            if self.is_up(n) && self.rng.random_bool(0.9) {
                 let map = self.map.clone();
                 self.nodes[n].owners.as_mut().map(|owners| owners.update_map(map));
             }
@@ -359,7 +359,7 @@
                     Some(ShareOwners::new(&member_name(n), members, SHARE_COUNT));
                 self.nodes[n].started_at = self.now;
             }
-            if self.up(n) {
+            if self.is_up(n) {
                 let now = self.clock(n);
                 let owners = self.nodes[n].owners.as_mut().expect("it is up");
                 let requests = owners.tick(now, &present);
@@ -404,7 +404,7 @@
                 continue;
             }
             let (share, n) = (self.workers[at].share, self.workers[at].next_controller);
-            let answer = self.up(n).then(|| {
+            let answer = self.is_up(n).then(|| {
                 let now = self.clock(n);
                 let owners = self.nodes[n].owners.as_ref().expect("it is up");
                 (owners.may_answer(share, now), owners.owner(share).cloned())
@@ -465,7 +465,7 @@
     fn unanswered(&self) -> usize {
         let answers = |share: &ShareId| {
             (0..self.nodes.len()).any(|n| {
-                let owners = self.nodes[n].owners.as_ref().filter(|_| self.up(n));
+                let owners = self.nodes[n].owners.as_ref().filter(|_| self.is_up(n));
                 owners.is_some_and(|owners| owners.may_answer(*share, self.clock(n)).is_some())
             })
         };
--- a/tests/quiet_controllers.rs
+++ b/tests/quiet_controllers.rs
@@ -165,7 +165,7 @@
 /// The outage of `tests/members.rs` with other seeds: all stay up. `OATLOOM_SEEDS=n` runs n more.
 #[test]
 fn all_controllers_stay_up_in_an_outage_with_more_seeds() {
-    let mut wrong = Vec::new();
+    let mut unexpected = Vec::new();
     for seed in 0..30 + extra_seeds() {
         let mut world =
             World::with_faults(seed, vec![(40_000, Fault::StoreOutage(30_000))], 90_000, None);
@@ -174,17 +174,17 @@
         world.run_until(90_000);
         let during = world.healthy_probe_share(42_000, 70_000);
         if !during.iter().all(|share| *share > 0.95) {
-            wrong.push((seed, during));
+            unexpected.push((seed, during));
         }
     }
-    assert!(wrong.is_empty(), "seed, shares of probes: {wrong:?}");
+    assert!(unexpected.is_empty(), "seed, shares of probes: {unexpected:?}");
 }
 
 /// The state service refuses one node, as in `tests/members.rs` but with other seeds: only this node is not up.
 /// `OATLOOM_SEEDS=n` runs n more.
 #[test]
 fn the_others_stay_up_while_one_is_refused() {
-    let mut wrong = Vec::new();
+    let mut unexpected = Vec::new();
     for (seed, node) in
         (0..30 + extra_seeds()).flat_map(|seed| (0..3).map(move |node| (seed, node)))
     {
@@ -194,12 +194,12 @@
         world.probing = true;
         world.run_until(90_000);
         let during = world.healthy_probe_share(54_000, 78_000);
-        let right = |(other, share): (usize, &f64)| {
+        let is_expected = |(other, share): (usize, &f64)| {
             if other == node { *share < 0.05 } else { *share > 0.95 }
         };
-        if !during.iter().enumerate().all(right) {
-            wrong.push((seed, node, during));
+        if !during.iter().enumerate().all(is_expected) {
+            unexpected.push((seed, node, during));
         }
     }
-    assert!(wrong.is_empty(), "seed, node that is refused, shares of probes: {wrong:?}");
+    assert!(unexpected.is_empty(), "seed, node that is refused, shares of probes: {unexpected:?}");
 }
--- a/tests/repeats.rs
+++ b/tests/repeats.rs
@@ -23,8 +23,8 @@
     refused_ms: Vec<u64>,
     /// Number of machines on which each always failing job failed.
     machines_used: Vec<usize>,
-    /// Wrong verdicts: jobs failed for faults that were not their own, or started once too often.
-    wrong: Vec<String>,
+    /// Errors of fault attribution: jobs failed for faults that were not their own, or retried once too often.
+    attribution_errors: Vec<String>,
 }
 
 /// A day with broken jobs and faulty machines.
@@ -51,14 +51,16 @@
 fn play(seed: u64, outcome: &mut Outcome) {
     let mut world = day(seed, CLASSES);
     world.run();
-    let (wrong, broken): (Vec<String>, Vec<String>) =
+    let (attribution_errors, broken): (Vec<String>, Vec<String>) =
         world.region.checker.broken.iter().cloned().partition(|b| b.contains(" repeats: "));
     assert!(broken.is_empty(), "seed {seed} breaks rules: {broken:#?}");
-    if wrong.is_empty() {
+    if attribution_errors.is_empty() {
         let unfinished = world.unfinished();
         assert!(unfinished.is_empty(), "seed {seed} leaves undone: {unfinished:#?}");
     }
-    outcome.wrong.extend(wrong.into_iter().map(|text| format!("seed {seed}: {text}")));
+    outcome
+        .attribution_errors
+        .extend(attribution_errors.into_iter().map(|text| format!("seed {seed}: {text}")));
     outcome.failed += world.count_with_known_status(JobStatus::Failed);
     outcome.broken_jobs += world.region.outside.broken.len();
     outcome.refused_ms.append(&mut world.region.checker.refused_ms);
@@ -86,11 +88,11 @@
     let at =
         |share: f64| outcome.refused_ms.get((outcome.refused_ms.len() as f64 * share) as usize);
     println!(
-        "{} days, {} broken jobs, {} failed, {} wrong verdicts; refused after {:?} ms (p50), {:?} ms (p99)",
+        "{} days, {} broken jobs, {} failed, {} attribution errors; refused after {:?} ms (p50), {:?} ms (p99)",
         count + more,
         outcome.broken_jobs,
         outcome.failed,
-        outcome.wrong.len(),
+        outcome.attribution_errors.len(),
         at(0.5),
         at(0.99)
     );
@@ -105,13 +107,17 @@
         machines_used(0.99),
         outcome.machines_used.last()
     );
-    // Once a job has failed on three machines it is kept to them; tasks already started by then and lost machines add a few.
+    // A job that has failed on three machines is placed on these only; tasks already started by then and lost machines add a few.
     assert!(machines_used(0.5).is_none_or(|n| *n <= 4), "{:?}", outcome.machines_used);
     assert!(outcome.machines_used.last().is_none_or(|n| *n <= 10), "{:?}", outcome.machines_used);
-    assert!(outcome.failed > 0, "nothing was refused");
+    assert!(outcome.failed > 0, "no job was failed");
     // One machine in ten and one job in seven are faulty here, ten times what the model expects, and a job that ran on two faulty
     // machines in a row is indistinguishable from a faulty one.
-    assert!(outcome.wrong.len() * 15 <= outcome.failed, "{:#?}", outcome.wrong);
+    assert!(
+        outcome.attribution_errors.len() * 15 <= outcome.failed,
+        "{:#?}",
+        outcome.attribution_errors
+    );
 }
 
 /// Runs the seed given in `OATLOOM_SEED`, if any.
@@ -168,11 +174,11 @@
     }
 }
 
-/// All controllers crash at a different moment around task failures and the verdicts on them in each run of one day: no failure
-/// is lost or counted twice, and no verdict is reported before it is durable.
+/// In each run of one day all controllers crash at another moment, while tasks fail and jobs are failed for it: no failure is
+/// lost or counted twice, and no job is reported as failed before that is durable.
 #[test]
 fn failure_counts_survive_a_takeover_at_any_step() {
-    let (mut failed, mut wrong) = (0, Vec::new());
+    let (mut failed, mut attribution_errors) = (0, Vec::new());
     let runs = (0..60).flat_map(|step| [300, 1_000].map(|restart_ms| (step, restart_ms)));
     for (step, restart_ms) in runs {
         let mut world =
@@ -187,21 +193,22 @@
         world.set_operator_settings(CLASSES);
         world.run();
         // Three different tasks of a job that fails every other time may fail on one healthy machine by chance, which is then
-        // considered faulty independently of takeovers (step 16 with restarts after 1 s). This counts as a wrong verdict as in
+        // considered faulty independently of takeovers (step 16 with restarts after 1 s). This counts as an attribution error as in
         // the other tests; the failure counts themselves are exact.
-        let (wrong_verdicts, broken): (Vec<String>, Vec<String>) =
+        let (errors_of_run, broken): (Vec<String>, Vec<String>) =
             world.region.checker.broken.iter().cloned().partition(|b| b.contains(" repeats: "));
         assert!(broken.is_empty(), "step {step} breaks rules: {broken:#?}");
         assert_exact_failure_counts(&world, step);
-        if wrong_verdicts.is_empty() {
+        if errors_of_run.is_empty() {
             assert!(world.unfinished().is_empty(), "step {step}: {:#?}", world.unfinished());
         }
-        wrong.extend(wrong_verdicts.into_iter().map(|text| format!("step {step}: {text}")));
+        attribution_errors
+            .extend(errors_of_run.into_iter().map(|text| format!("step {step}: {text}")));
         failed += world.count_with_known_status(JobStatus::Failed);
     }
     assert!(failed >= 120, "{failed} jobs failed in 120 runs");
-    println!("{failed} failed, wrong: {wrong:?}");
-    assert!(wrong.len() * 15 <= failed, "{wrong:#?}");
+    println!("{failed} failed, attribution errors: {attribution_errors:?}");
+    assert!(attribution_errors.len() * 15 <= failed, "{attribution_errors:#?}");
 }
 
 /// Arrays that keep failing back off between retries and take little capacity from others: compares the mean completion time of
--- a/tests/world/limits.rs
+++ b/tests/world/limits.rs
@@ -1,4 +1,4 @@
-//! Jobs that wait although they could run, settings with binding team limits, and helpers that change jobs and machines.
+//! Jobs that wait although they could run, settings with team limits that take effect, and helpers that change jobs and machines.
 
 use super::{SETTINGS, Site, User, World, settings};
 use oatloom_core::workers::Resources;
@@ -63,14 +63,15 @@
         }
         *zones.entry(&machine.zone).or_default() += fit;
     }
-    let there = |zone: &str| others.get(zone).copied().unwrap_or(0);
+    let count_in = |zone: &str| others.get(zone).copied().unwrap_or(0);
     let cap = if spec.spread { spec.tasks.div_ceil(2) } else { spec.tasks };
-    let open = zones.iter().map(|(zone, fit)| (*zone, (*fit).min(cap.saturating_sub(there(zone)))));
+    let fit_by_zone =
+        zones.iter().map(|(zone, fit)| (*zone, (*fit).min(cap.saturating_sub(count_in(zone)))));
     if !spec.one_zone {
-        return open.map(|(_, fit)| fit).sum();
+        return fit_by_zone.map(|(_, fit)| fit).sum();
     }
-    let elsewhere = |zone: &str| others.iter().any(|(other, n)| other != zone && *n > 0);
-    open.filter(|(zone, _)| !elsewhere(zone)).map(|(_, fit)| fit).max().unwrap_or(0)
+    let has_task_elsewhere = |zone: &str| others.iter().any(|(other, n)| other != zone && *n > 0);
+    fit_by_zone.filter(|(zone, _)| !has_task_elsewhere(zone)).map(|(_, fit)| fit).max().unwrap_or(0)
 }
 
 /// A team's guarantee and limit, in cores and GPUs; 0 means none.
@@ -99,8 +100,8 @@
 }
 
 impl World {
-    /// Whether a leader can use a worker: it is up, reachable both ways, not faulty and not about to be reclaimed.
-    fn usable(&self, worker: &Worker) -> bool {
+    /// Whether a leader can place tasks on a worker: it is up, reachable both ways, not faulty and not about to be reclaimed.
+    fn is_usable(&self, worker: &Worker) -> bool {
         let now = self.now;
         now >= worker.up_at.max(worker.hung_until).max(worker.cut_until)
             && worker.notice_until.is_none()
@@ -112,8 +113,8 @@
     /// Tasks on machines according to their workers, including those that wait for their image.
     fn placed_tasks(&self) -> impl Iterator<Item = (&str, u32, &Worker)> {
         self.region.workers.values().flat_map(|worker| {
-            let there = worker.tasks.iter().filter(|(_, t)| t.phase != TaskPhase::Exited);
-            there.map(move |((job, index, _), _)| (job.as_str(), *index, worker))
+            let present = worker.tasks.iter().filter(|(_, t)| t.phase != TaskPhase::Exited);
+            present.map(move |((job, index, _), _)| (job.as_str(), *index, worker))
         })
     }
 
@@ -138,7 +139,7 @@
             .region
             .workers
             .values()
-            .filter(|worker| self.usable(worker))
+            .filter(|worker| self.is_usable(worker))
             .map(|worker| {
                 let mut room = self
                     .region
@@ -154,11 +155,12 @@
         let can_run = |user: &&User| {
             let spec = &user.spec;
             let id = spec.id.as_str();
-            let there = placed.get(id);
-            let has = |task: u32| there.is_some_and(|tasks| tasks.contains(&task));
-            let wants = |task: u32| !self.region.checker.is_done(id, task) && !has(task);
+            let placed_indices = placed.get(id);
+            let is_placed = |task: u32| placed_indices.is_some_and(|tasks| tasks.contains(&task));
+            let needs_machine =
+                |task: u32| !self.region.checker.is_done(id, task) && !is_placed(task);
             let at_once = match spec.shape {
-                Shape::Gang if there.is_some() => return false,
+                Shape::Gang if placed_indices.is_some() => return false,
                 Shape::Gang => spec.tasks,
                 _ => 1,
             };
@@ -167,17 +169,17 @@
                 || self.region.checker.over(id).is_some()
                 || self.unfinished_dependency(spec).is_some()
                 || self.region.outside.broken.contains_key(id)
-                || !(0..spec.tasks).any(wants)
+                || !(0..spec.tasks).any(needs_machine)
             {
                 return false;
             }
             let Some(team) = teams.iter().find(|team| team.name == spec.team) else { return false };
             let used = used.get(spec.team.as_str()).copied().unwrap_or_default();
-            let within = |limit: f64, used: f64, each: f64| {
+            let is_within_limit = |limit: f64, used: f64, each: f64| {
                 limit <= 0.0 || used + each * f64::from(at_once) <= limit + EPSILON
             };
-            within(team.cpus_max, used.cpus, spec.cpus)
-                && within(team.gpus_max, used.gpus, spec.gpus)
+            is_within_limit(team.cpus_max, used.cpus, spec.cpus)
+                && is_within_limit(team.gpus_max, used.gpus, spec.gpus)
                 && placeable(spec, zones.get(id).unwrap_or(&BTreeMap::new()), &free) >= at_once
         };
         self.users.iter().filter(can_run).map(|user| user.spec.id.to_string()).collect()
@@ -227,32 +229,32 @@
 
     /// Jobs other than services that have a task on a machine and were not cancelled by their users.
     pub fn on_machines(&self) -> Vec<JobSpec> {
-        let on: BTreeSet<&str> =
+        let on_machines: BTreeSet<&str> =
             self.region.checker.on_machines().map(|task| task.job.as_str()).collect();
-        let wanted = self.users.iter().filter(|user| {
+        let selected = self.users.iter().filter(|user| {
             user.spec.shape != Shape::Service
                 && user.abort_at.is_none()
                 && user.accepted
-                && on.contains(user.spec.id.as_str())
+                && on_machines.contains(user.spec.id.as_str())
         });
-        wanted.map(|user| user.spec.clone()).collect()
+        selected.map(|user| user.spec.clone()).collect()
     }
 
     /// Accepted jobs other than services that their users have not cancelled and do not know to be finished.
     pub fn open_jobs(&self) -> Vec<JobSpec> {
-        let open = |user: &&User| {
+        let is_open = |user: &&User| {
             user.spec.shape != Shape::Service
                 && user.accepted
                 && user.abort_at.is_none()
                 && self.region.checker.over(user.spec.id.as_str()).is_none()
         };
-        self.users.iter().filter(open).map(|user| user.spec.clone()).collect()
+        self.users.iter().filter(is_open).map(|user| user.spec.clone()).collect()
     }
 
     /// The number of leader terms, counted by writes of the leader key.
     pub fn leader_term_count(&self) -> usize {
-        let lead = |key: &Option<String>| key.as_deref() == Some("lead");
-        self.state.history().iter().filter(|change| lead(&change.put)).count()
+        let is_leader_key = |key: &Option<String>| key.as_deref() == Some("lead");
+        self.state.history().iter().filter(|change| is_leader_key(&change.put)).count()
     }
 
     /// Whether a job's user knows that it is cancelled.
