--- a/crates/ledger/tests/month.rs
+++ b/crates/ledger/tests/month.rs
@@ -26,7 +26,7 @@
 
 impl Store {
     /// Accounting of a new leader, which has read the cursor and the final states after it.
-    fn leader(&mut self) -> Rollups {
+    fn new_leader(&mut self) -> Rollups {
         let mut rollups = Rollups::new(USAGE_FLUSH_PERIOD_MS);
         rollups.set_cursor(self.cursor, Revision(0));
         let after = rollups.cursor().counted_through;
@@ -43,11 +43,12 @@
         let mut changes = 0;
         while rollups.flush_due(now, open_from) {
             let cursor = rollups.flush(15, now, open_from);
-            let revision_of =
+            let stored_revision =
                 |id: &RollupId| self.rollups.get(id).map_or(Revision(0), |(_, stored)| *stored);
-            let matches = rollups.writes().all(|(id, version, _)| revision_of(id) == version);
+            let versions_match =
+                rollups.writes().all(|(id, version, _)| stored_revision(id) == version);
             let ids: Vec<RollupId> = rollups.writes().map(|(id, ..)| id.clone()).collect();
-            if !matches {
+            if !versions_match {
                 rollups.discard_writes();
                 for id in &ids {
                     rollups.set_stored(id, self.rollups.get(id).cloned());
@@ -118,12 +119,12 @@
     let attempts: u64 = requested.unwrap_or(60_000);
     let mut rng = ChaCha8Rng::seed_from_u64(30);
     let (mut store, mut expected) = (Store::default(), BTreeMap::<RollupId, UsageSums>::new());
-    let mut rollups = store.leader();
+    let mut rollups = store.new_leader();
     let (mut entered, mut changes, mut takeovers, mut jobs) = (0, 0, 0, 0u64);
     let started = Instant::now();
     let mut clock = 0;
     while entered < attempts {
-        // A job ends at a time proportional to the share of attempts entered.
+        // The time of the job's end is proportional to the share of attempts entered so far.
         let tasks = rng.random_range(1..60).min(attempts - entered);
         clock = (entered as f64 / attempts as f64 * (30 * DAY_MS) as f64) as u64;
         let team = format!("team-{}", rng.random_range(0..4));
@@ -144,12 +145,12 @@
         rollups.add_final_state(&job, &job_usage, Revision(store.revision));
         if rng.random_bool(0.002) {
             takeovers += 1;
-            rollups = store.leader();
+            rollups = store.new_leader();
         }
         changes += store.flush(&mut rollups, Mono(clock), (clock / DAY_MS).saturating_sub(1));
     }
-    let after = Mono(clock).plus(USAGE_FLUSH_PERIOD_MS);
-    changes += store.flush(&mut rollups, after, 31);
+    let flush_time = Mono(clock).plus(USAGE_FLUSH_PERIOD_MS);
+    changes += store.flush(&mut rollups, flush_time, 31);
     let elapsed = started.elapsed();
     println!(
         "{entered} attempts of {jobs} jobs, {takeovers} takeovers, {changes} changes, {} roll-ups, {:.0} attempts/s",
@@ -157,9 +158,9 @@
         entered as f64 / elapsed.as_secs_f64()
     );
     assert_eq!(rollups.pending_count(), 0);
-    let sums =
+    let total_of =
         |(id, (rollup, _)): (&RollupId, &(Rollup, Revision))| (id.clone(), rollup.usage.total());
-    assert_eq!(store.rollups.iter().map(sums).collect::<BTreeMap<_, _>>(), expected);
+    assert_eq!(store.rollups.iter().map(total_of).collect::<BTreeMap<_, _>>(), expected);
     assert!(expected.len() <= 4 * 6 * 30, "grows with teams, classes and days only");
     for (rollup, _) in store.rollups.values() {
         assert!(serde_json::to_string(rollup).unwrap().len() < 8 * 1024);
--- a/crates/membership/tests/world.rs
+++ b/crates/membership/tests/world.rs
@@ -20,7 +20,7 @@
     /// When it last crashed.
     last_crash: u64,
     frozen_until: u64,
-    /// Running without a freeze since this time.
+    /// Since when it has run without a crash or a freeze.
     running_since: u64,
     /// Error of its wall clock, ms.
     clock_offset_ms: i64,
@@ -39,8 +39,10 @@
     /// Since when a pair is not partitioned.
     connected: BTreeMap<(usize, usize), u64>,
     in_flight: Vec<(u64, usize, usize, Gossip)>,
+    /// Number of checks in which a connected peer was suspected.
     suspected: u64,
     max_message_bytes: usize,
+    /// Number of messages delayed by a partition.
     delayed: u64,
 }
 
@@ -55,7 +57,7 @@
 impl World {
     fn new(seed: u64, count: usize) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let node = |rng: &mut ChaCha8Rng| Node {
+        let new_node = |rng: &mut ChaCha8Rng| Node {
             membership: None,
             down_until: 0,
             last_crash: 0,
@@ -64,7 +66,7 @@
             clock_offset_ms: rng.random_range(-1_000..=1_000),
             clock_start: rng.random_range(0..5_000_000),
         };
-        let nodes = (0..count).map(|_| node(&mut rng)).collect();
+        let nodes = (0..count).map(|_| new_node(&mut rng)).collect();
         Self {
             seed,
             now: 0,
@@ -150,19 +152,19 @@
                 continue;
             }
             let now = self.clocks(n).mono;
-            let greet = self.nodes[n]
+            let greeting_targets = self.nodes[n]
                 .membership
                 .as_mut()
                 .map(|membership| membership.tick(now))
                 .unwrap_or_default();
-            for to in greet {
+            for to in greeting_targets {
                 let to = (0..self.nodes.len()).find(|n| member_name(*n) == to).expect("a member");
                 self.send(n, to);
             }
         }
-        // Some controller has to send first; in service that is the leader.
-        let up = |n: &Node| n.membership.is_some() && self.now >= n.frozen_until;
-        let leader = self.nodes.iter().position(up);
+        // Gossip starts with one controller that sends to all; in production that is the leader.
+        let is_up = |n: &Node| n.membership.is_some() && self.now >= n.frozen_until;
+        let leader = self.nodes.iter().position(is_up);
         if let Some(leader) = leader.filter(|_| self.now.is_multiple_of(3_000)) {
             (0..self.nodes.len()).filter(|to| *to != leader).for_each(|to| self.send(leader, to));
         }
@@ -186,10 +188,10 @@
         if self.partition(a, b).is_some() {
             self.connected.insert(unordered_pair(a, b), self.now);
         }
-        let up = |n: &Node| n.membership.is_some() && self.now >= n.frozen_until;
+        let is_up = |n: &Node| n.membership.is_some() && self.now >= n.frozen_until;
         let since = self.connected.get(&unordered_pair(a, b)).copied().unwrap_or(0);
         let since = since.max(self.nodes[a].running_since).max(self.nodes[b].running_since);
-        (up(&self.nodes[a]) && up(&self.nodes[b])).then_some(since)
+        (is_up(&self.nodes[a]) && is_up(&self.nodes[b])).then_some(since)
     }
 
     fn check(&mut self) {
@@ -199,13 +201,14 @@
                 let connected_since = self.connected_since(a, b);
                 let Some(membership) = self.nodes[a].membership.as_ref() else { continue };
                 let presence = membership.presence(&member_name(b));
-                let silent = matches!(presence, Presence::Suspected { .. } | Presence::Gone { .. });
+                let is_suspected =
+                    matches!(presence, Presence::Suspected { .. } | Presence::Gone { .. });
                 if let Some(since) = connected_since
                     && at > since + SETTLE_MS + GREETING_INTERVAL_GONE_MS.0
                 {
-                    let gone = matches!(presence, Presence::Gone { .. });
-                    assert!(!gone, "seed {seed}, {at}: n-{a} considers n-{b} gone");
-                    self.suspected += u64::from(silent);
+                    let is_gone = matches!(presence, Presence::Gone { .. });
+                    assert!(!is_gone, "seed {seed}, {at}: n-{a} considers n-{b} gone");
+                    self.suspected += u64::from(is_suspected);
                     let incarnation: Option<Incarnation> =
                         self.nodes[b].membership.as_ref().map(Membership::incarnation);
                     assert_eq!(
@@ -214,15 +217,15 @@
                         "seed {seed}, {at}: n-{a} of n-{b}"
                     );
                 }
-                let settled = at.saturating_sub(self.nodes[a].running_since) > SETTLE_MS;
-                let crash_settled = self.nodes[b].last_crash + SETTLE_MS < at;
+                let is_settled = at.saturating_sub(self.nodes[a].running_since) > SETTLE_MS;
+                let is_crash_settled = self.nodes[b].last_crash + SETTLE_MS < at;
                 if self.nodes[b].membership.is_none()
-                    && settled
-                    && crash_settled
+                    && is_settled
+                    && is_crash_settled
                     && presence != Presence::Unknown
                 {
                     assert!(
-                        silent,
+                        is_suspected,
                         "seed {seed}, {at}: n-{a} does not suspect n-{b}: {presence:?}"
                     );
                 }
@@ -265,33 +268,33 @@
     use oatloom_membership::RejectReason;
     let now = Now { mono: Mono(50_000), wall_ms: 1_000_000 };
     let mut membership = Membership::new(member_name(0), (0..3).map(member_name), 1, now);
-    let status = || LocalStatus { ready: true, ..LocalStatus::default() };
+    let local_status = || LocalStatus { ready: true, ..LocalStatus::default() };
     let mut other = Membership::new(member_name(1), (0..3).map(member_name), 2, now);
-    let good = other.gossip_for(&member_name(0), status(), now);
+    let valid = other.gossip_for(&member_name(0), local_status(), now);
     let later = Now { mono: Mono(50_100), wall_ms: 1_000_100 };
     let mut invalid = Vec::new();
     invalid.push((
-        Gossip { version: GOSSIP_VERSION + 1, ..good.clone() },
+        Gossip { version: GOSSIP_VERSION + 1, ..valid.clone() },
         RejectReason::VersionMismatch,
     ));
-    invalid.push((Gossip { from: Member::new("x"), ..good.clone() }, RejectReason::UnknownMember));
-    invalid.push((Gossip { from: member_name(0), ..good.clone() }, RejectReason::DuplicateName));
+    invalid.push((Gossip { from: Member::new("x"), ..valid.clone() }, RejectReason::UnknownMember));
+    invalid.push((Gossip { from: member_name(0), ..valid.clone() }, RejectReason::DuplicateName));
     let ahead = later.wall_ms + MAX_CLOCK_AHEAD_MS.0 + 1;
-    invalid.push((Gossip { at_ms: ahead, ..good.clone() }, RejectReason::ClockAhead));
+    invalid.push((Gossip { at_ms: ahead, ..valid.clone() }, RejectReason::ClockAhead));
     let future_start = Incarnation { started_ms: ahead, nonce: 1 };
-    invalid.push((Gossip { incarnation: future_start, ..good.clone() }, RejectReason::ClockAhead));
+    invalid.push((Gossip { incarnation: future_start, ..valid.clone() }, RejectReason::ClockAhead));
     let sent_too_early = later.wall_ms - MAX_MESSAGE_AGE_MS.0 - 1;
-    invalid.push((Gossip { at_ms: sent_too_early, ..good.clone() }, RejectReason::Delayed));
+    invalid.push((Gossip { at_ms: sent_too_early, ..valid.clone() }, RejectReason::Delayed));
     for (gossip, reason) in &invalid {
         assert_eq!(membership.receive(gossip, later), Err(*reason));
         assert_eq!(membership.presence(&member_name(1)), Presence::Unknown);
     }
-    assert_eq!(membership.receive(&good, later), Ok(()));
-    assert_eq!(membership.receive(&good, later), Err(RejectReason::Stale), "a duplicate");
-    let before = Incarnation { started_ms: 999_000, nonce: 9 };
-    let earlier = Gossip { incarnation: before, at_ms: 1_000_050, ..good };
+    assert_eq!(membership.receive(&valid, later), Ok(()));
+    assert_eq!(membership.receive(&valid, later), Err(RejectReason::Stale), "a duplicate");
+    let earlier_incarnation = Incarnation { started_ms: 999_000, nonce: 9 };
+    let from_earlier = Gossip { incarnation: earlier_incarnation, at_ms: 1_000_050, ..valid };
     assert_eq!(
-        membership.receive(&earlier, later),
+        membership.receive(&from_earlier, later),
         Err(RejectReason::Stale),
         "an earlier incarnation"
     );
@@ -302,18 +305,19 @@
 /// A refused connection doesn't prove that a peer is gone: reports of a third controller count as
 /// much, and show that it can relay.
 #[test]
-fn an_unreachable_peer_that_others_hear_is_not_gone() {
+fn an_unreachable_peer_that_others_receive_from_is_not_gone() {
     let start = Now { mono: Mono(50_000), wall_ms: 1_000_000 };
-    let at = |ms: u64| Now { mono: Mono(50_000 + ms), wall_ms: 1_000_000 + ms };
+    let time_after = |ms: u64| Now { mono: Mono(50_000 + ms), wall_ms: 1_000_000 + ms };
     let mut nodes: Vec<Membership> = (0..3)
         .map(|n| Membership::new(member_name(n), (0..3).map(member_name), n as u64, start))
         .collect();
-    let status = || LocalStatus { ready: true, store_ms: Some(5), leader: None };
+    let local_status = || LocalStatus { ready: true, store_ms: Some(5), leader: None };
     for ms in (100..30_000).step_by(100) {
         for (from, to) in [(0, 2), (1, 2), (2, 0), (2, 1)] {
             if ms % 2_000 == 0 {
-                let gossip = nodes[from].gossip_for(&member_name(to), status(), at(ms));
-                assert_eq!(nodes[to].receive(&gossip, at(ms)), Ok(()));
+                let gossip =
+                    nodes[from].gossip_for(&member_name(to), local_status(), time_after(ms));
+                assert_eq!(nodes[to].receive(&gossip, time_after(ms)), Ok(()));
             }
         }
         for node in &mut nodes {
@@ -322,10 +326,10 @@
         nodes[0].record_unreachable(&member_name(1), Mono(50_000 + ms));
     }
     let present: BTreeSet<&Member> = nodes[0].present();
-    assert_eq!(present.len(), 2, "n-1 is heard by n-2");
+    assert_eq!(present.len(), 2, "n-2 receives gossip of n-1");
     assert_eq!(nodes[0].relay_for(&member_name(1), Mono(79_900)), Some(&member_name(2)));
     assert!(nodes[0].store_serves(5_000, Mono(79_900)));
-    // Without reports of the third controller there is no sign of life left.
+    // Without reports of the third controller, nothing shows that the peer is alive.
     for ms in (30_000..70_000).step_by(100) {
         nodes[0].tick(Mono(50_000 + ms));
     }
--- a/crates/shares/tests/explorer.rs
+++ b/crates/shares/tests/explorer.rs
@@ -212,13 +212,13 @@
 
 struct SharesModel {
     nodes: u8,
-    /// How many of the two shares are explored.
+    /// Number of the two shares that are explored.
     share_count: usize,
     budget: Budget,
     fault: Option<InjectedFault>,
     environment_fault: EnvironmentFault,
-    /// One in this many states is checked for shares that never get an owner; 0 turns the check
-    /// off.
+    /// One in this many states is checked for shares that never get an owner; 0 disables the
+    /// check.
     liveness_check_interval: u64,
 }
 
@@ -242,7 +242,7 @@
     }
 
     fn initial_state(&self) -> State {
-        let node = |n: u8| Node {
+        let new_node = |n: u8| Node {
             protocol: Some(self.new_protocol(n)),
             incarnation: 0,
             lease_number: 0,
@@ -260,13 +260,13 @@
             stored_shares: [stored; 2],
             revision: Token(1),
             leases: (0..self.nodes).map(|n| (n, 0)).collect(),
-            nodes: (0..self.nodes).map(node).collect(),
+            nodes: (0..self.nodes).map(new_node).collect(),
             in_flight: MessageSet::default(),
             worker_tokens: [Token(0); 2],
             budget: self.budget,
         };
         for node in &mut state.nodes {
-            node.protocol.as_mut().expect("up").set_lease_valid(true);
+            node.protocol.as_mut().expect("the node is up").set_lease_valid(true);
         }
         state
     }
@@ -300,7 +300,7 @@
         }
     }
 
-    fn read_key_of(state: &State, n: u8, share: ShareId) -> Message {
+    fn key_read_message(state: &State, n: u8, share: ShareId) -> Message {
         let stored = state.stored_shares[index_of(share)];
         let incarnation = state.nodes[usize::from(n)].incarnation;
         let revision =
@@ -312,13 +312,13 @@
         match message {
             Message::KeyWrite { writer, incarnation, lease_number, share, attempt, condition } => {
                 let stored = state.stored_shares[index_of(share)];
-                let holds = match condition {
+                let is_condition_met = match condition {
                     None => true,
                     Some(None) => stored.key_record.is_none(),
                     Some(Some(token)) => stored.key_record.is_some_and(|key| key.token == token),
                 };
                 let mut written = None;
-                if holds && state.leases.contains(&(writer, lease_number)) {
+                if is_condition_met && state.leases.contains(&(writer, lease_number)) {
                     state.revision.0 += 1;
                     let token = state.revision;
                     let key_record =
@@ -375,8 +375,8 @@
             }
             Message::RecordWrite { writer, incarnation, share, fence, expected_version } => {
                 let stored = &mut state.stored_shares[index_of(share)];
-                let fenced = stored.key_record.is_some_and(|key| key.token == fence);
-                let committed = (fenced
+                let is_fenced = stored.key_record.is_some_and(|key| key.token == fence);
+                let committed = (is_fenced
                     || self.environment_fault == EnvironmentFault::UnfencedRecords)
                     && stored.record_version == expected_version;
                 if committed {
@@ -557,8 +557,8 @@
         state.leases.insert((n, node.lease_number));
     }
 
-    /// Ends all faults, lets all pending work finish, and returns the shares that nobody answers
-    /// then.
+    /// Ends all faults, lets all pending work finish, and returns the shares that no controller
+    /// answers for then.
     fn unanswered_shares(&self, state: &State) -> Vec<ShareId> {
         let mut state = state.clone();
         for round in 0..14 {
@@ -577,7 +577,7 @@
                     state.nodes[usize::from(n)]
                         .protocol
                         .as_mut()
-                        .expect("up")
+                        .expect("the node is up")
                         .set_lease_valid(true);
                 }
                 for share in self.share_ids() {
@@ -585,10 +585,13 @@
                         let to = MemberIndex((share.0 as u8) % self.nodes);
                         self.apply_event(&mut state, n, Event::Planned { share, to });
                     }
-                    let key_read = Self::read_key_of(&state, n, share);
+                    let key_read = Self::key_read_message(&state, n, share);
                     self.deliver(&mut state, key_read);
-                    let phase =
-                        state.nodes[usize::from(n)].protocol.as_ref().expect("up").phase(share);
+                    let phase = state.nodes[usize::from(n)]
+                        .protocol
+                        .as_ref()
+                        .expect("the node is up")
+                        .phase(share);
                     match phase {
                         SharePhase::Syncing { .. } => self.sync_records(&mut state, n, share),
                         SharePhase::Draining { .. } => {
@@ -603,7 +606,8 @@
                         _ => {}
                     }
                     if round % 3 == 2 {
-                        let protocol = state.nodes[usize::from(n)].protocol.as_mut().expect("up");
+                        let protocol =
+                            state.nodes[usize::from(n)].protocol.as_mut().expect("the node is up");
                         let attempt = *protocol.attempt_mut(share);
                         self.apply_event(&mut state, n, Event::WriteTimedOut { share, attempt });
                     }
@@ -620,13 +624,13 @@
                 .collect();
             former_leases.into_iter().for_each(|lease| Self::expire(&mut state, lease));
         }
-        let answered = |share: &ShareId| {
+        let is_answered = |share: &ShareId| {
             let protocols = state.nodes.iter().filter_map(|node| node.protocol.as_ref());
             protocols
                 .filter_map(|protocol| protocol.may_answer(*share))
-                .any(|t| t >= state.worker_tokens[index_of(*share)])
+                .any(|token| token >= state.worker_tokens[index_of(*share)])
         };
-        self.share_ids().filter(|share| !answered(share)).collect()
+        self.share_ids().filter(|share| !is_answered(share)).collect()
     }
 
     /// A fault-free state in which all shares are owned.
@@ -637,10 +641,14 @@
                 for share in self.share_ids() {
                     let to = MemberIndex((share.0 as u8) % self.nodes);
                     self.apply_event(&mut state, n, Event::Planned { share, to });
-                    let key_read = Self::read_key_of(&state, n, share);
+                    let key_read = Self::key_read_message(&state, n, share);
                     self.deliver(&mut state, key_read);
                     if matches!(
-                        state.nodes[usize::from(n)].protocol.as_ref().expect("up").phase(share),
+                        state.nodes[usize::from(n)]
+                            .protocol
+                            .as_ref()
+                            .expect("the node is up")
+                            .phase(share),
                         SharePhase::Syncing { .. }
                     ) {
                         self.sync_records(&mut state, n, share);
@@ -680,10 +688,10 @@
             };
             for share in self.share_ids() {
                 let stored = state.stored_shares[index_of(share)];
-                let known = protocol.key(share);
+                let known_key = protocol.key(share);
                 let is_outdated = match stored.key_record {
-                    Some(key_record) => known.revision() < key_record.token,
-                    None => !matches!(known, KeyState::Free { .. }),
+                    Some(key_record) => known_key.revision() < key_record.token,
+                    None => !matches!(known_key, KeyState::Free { .. }),
                 };
                 if is_outdated {
                     steps.push(Step::ReadKey(n, share));
@@ -792,7 +800,7 @@
                 }
             }
             Step::ReadKey(n, share) => {
-                let message = Self::read_key_of(&state, n, share);
+                let message = Self::key_read_message(&state, n, share);
                 // At most two reads of a key are in flight, and the earlier one may arrive last.
                 let is_read_of_key = |m: &&Message| matches!(m, Message::KeyRead { to, share: s, .. } if *to == n && *s == share);
                 if state.in_flight.iter().filter(is_read_of_key).count() >= 2
@@ -1048,7 +1056,6 @@
             );
             Ok(())
         };
-    let undetected: Vec<String> =
-        all_faults.filter_map(|all_faults| find_fault(all_faults).err()).collect();
+    let undetected: Vec<String> = all_faults.filter_map(|fault| find_fault(fault).err()).collect();
     assert!(undetected.is_empty(), "{undetected:#?}");
 }
