--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -62,7 +62,8 @@
             messages_sent += 1;
         }
         let took = Millis(messages_sent * HINTS_PERIOD_MS.0);
-        // Forty images on each of 6,000 machines exceed what frames carry in time: missing hints cost image fetches and break no rule.
+        // Forty images on each of 6,000 machines exceed what frames carry in time: missing hints cost image fetches and break no
+        // rule.
         assert!(took < MAX_HINT_AGE_MS || images == 40, "{machines} machines take {took:?}");
         assert_eq!(stored.map(|hints| hints.images.len()), Some(machines));
     }
--- a/tests/hard.rs
+++ b/tests/hard.rs
@@ -7,15 +7,15 @@
 use oatloom_protocol::wire::{JobStatus, Shape};
 use world::{Fault, World};
 
-fn check(world: &World, seed: u64) {
+fn assert_no_broken_rule(world: &World, seed: u64) {
     let broken = &world.region.checker.broken;
     assert!(broken.is_empty(), "seed {seed} breaks rules: {broken:#?}");
 }
 
-fn finished(world: &World, seed: u64) {
-    check(world, seed);
+fn assert_finished(world: &World, seed: u64) {
+    assert_no_broken_rule(world, seed);
     let unfinished = world.unfinished();
-    assert!(unfinished.is_empty(), "seed {seed} leaves undone: {unfinished:#?}");
+    assert!(unfinished.is_empty(), "seed {seed} has unfinished jobs: {unfinished:#?}");
 }
 
 /// The state service restarts while gangs are partly placed: some assignments are durable, some in flight, and some start
@@ -26,7 +26,7 @@
         let faults = (0..60).map(|n| (3_000 + n * 2_000, Fault::StoreRestart)).collect();
         let mut world = World::with_faults(seed, faults, 130_000, Some(Shape::Gang));
         world.run();
-        finished(&world, seed);
+        assert_finished(&world, seed);
     }
 }
 
@@ -39,11 +39,11 @@
         faults.extend((0..9).map(|n| (6_000 + n * 11_000, Fault::Crash(n as usize % 3))));
         let mut world = World::with_faults(seed, faults, 120_000, None);
         world.run();
-        finished(&world, seed);
+        assert_finished(&world, seed);
         // The boot timeout, the lag of the cloud's list and a release have passed by then.
-        let old: Vec<_> =
+        let unknown: Vec<_> =
             world.region.unseen.iter().filter(|(_, at)| world.now > **at + 60_000).collect();
-        assert!(old.is_empty(), "seed {seed}: unknown machines still rented: {old:?}");
+        assert!(unknown.is_empty(), "seed {seed}: unknown machines still rented: {unknown:?}");
     }
 }
 
@@ -63,7 +63,7 @@
         }
         let mut world = World::with_faults(seed, faults, 125_000, None);
         world.run();
-        finished(&world, seed);
+        assert_finished(&world, seed);
     }
 }
 
@@ -75,7 +75,7 @@
         let mut world = World::with_faults(seed, faults, 130_000, None);
         world.restart_ms = 1_000;
         world.run();
-        finished(&world, seed);
+        assert_finished(&world, seed);
     }
 }
 
@@ -88,32 +88,35 @@
         let outage = vec![(800, Fault::CloudOutage(OUTAGE_MS))];
         let mut world = World::with_faults(seed, outage, 900, Some(Shape::Array));
         world.run_until(300_000);
-        let early = world.max_queue_load();
+        let load_at_start = world.max_queue_load();
         world.run_until(OUTAGE_MS);
-        check(&world, seed);
+        assert_no_broken_rule(&world, seed);
         let (waiting, up) = world.pending_tasks_and_machines_up();
         assert!(waiting > 20 && up == 0, "seed {seed}: {waiting} tasks wait for {up} machines");
-        let late = world.max_queue_load();
-        let all = late.open_requests
-            + late.store_operations
-            + late.cloud_calls
-            + late.peer_requests
-            + late.parked_reports
-            + late.unwritten_changes;
-        assert!(all < 40, "seed {seed}: {early:?} early, {late:?} late");
+        let load_at_end = world.max_queue_load();
+        let total = load_at_end.open_requests
+            + load_at_end.store_operations
+            + load_at_end.cloud_calls
+            + load_at_end.peer_requests
+            + load_at_end.parked_reports
+            + load_at_end.unwritten_changes;
+        assert!(
+            total < 40,
+            "seed {seed}: {load_at_start:?} at the start, {load_at_end:?} at the end"
+        );
         // Until every job that may run is running or finished.
-        let back = 800 + OUTAGE_MS;
-        while world.pending_tasks_and_machines_up().0 > 0 && world.now < back + 120_000 {
+        let outage_end = 800 + OUTAGE_MS;
+        while world.pending_tasks_and_machines_up().0 > 0 && world.now < outage_end + 120_000 {
             world.step();
         }
-        println!("seed {seed}: full use {} ms after the cloud's return", world.now - back);
+        println!("seed {seed}: full use {} ms after the cloud's return", world.now - outage_end);
         assert!(
-            world.now <= back + 60_000,
+            world.now <= outage_end + 60_000,
             "seed {seed}: {:?}",
             world.pending_tasks_and_machines_up()
         );
-        world.run_until(back + 300_000);
-        finished(&world, seed);
+        world.run_until(outage_end + 300_000);
+        assert_finished(&world, seed);
     }
 }
 
@@ -121,7 +124,7 @@
 /// final state soon after its return.
 #[test]
 fn a_one_minute_state_service_outage_is_survived() {
-    let (mut slowest, mut none) = (0, 0);
+    let (mut max_delay_ms, mut days_without) = (0, 0);
     for seed in 0..10 {
         let (from, span) = (60_000, 60_000);
         let mut world = World::with_faults(
@@ -131,23 +134,23 @@
             Some(Shape::Array),
         );
         world.run_until(from + span);
-        check(&world, seed);
-        let finished_jobs = |w: &World| {
+        assert_no_broken_rule(&world, seed);
+        let count_finished_jobs = |w: &World| {
             w.count_with_known_status(JobStatus::Done)
                 + w.count_with_known_status(JobStatus::Cancelled)
         };
-        let before = finished_jobs(&world);
-        while finished_jobs(&world) == before && world.now < from + span + 60_000 {
+        let before = count_finished_jobs(&world);
+        while count_finished_jobs(&world) == before && world.now < from + span + 60_000 {
             world.step();
         }
-        let took = world.now - from - span;
-        slowest = slowest.max(took);
-        none += u32::from(finished_jobs(&world) == before);
+        let delay_ms = world.now - from - span;
+        max_delay_ms = max_delay_ms.max(delay_ms);
+        days_without += u32::from(count_finished_jobs(&world) == before);
         world.run();
-        finished(&world, seed);
+        assert_finished(&world, seed);
     }
-    println!("the first final state came within {slowest} ms; {none} days had none");
-    assert!(slowest <= 5_000, "{slowest} ms");
+    println!("the first final state came within {max_delay_ms} ms; {days_without} days had none");
+    assert!(max_delay_ms <= 5_000, "{max_delay_ms} ms");
 }
 
 /// Spot machines are reclaimed all day, most with notice. Guards against tasks that are told to save and then, while saving, to
@@ -159,7 +162,7 @@
         let faults = (0..40).map(|n| (6_000 + n * 3_000, Fault::SpotReclaimed)).collect();
         let mut world = World::with_faults(seed, faults, 130_000, Some(Shape::Array));
         world.run();
-        finished(&world, seed);
+        assert_finished(&world, seed);
         saved += world.region.checker.saved;
         days += u32::from(world.region.checker.saved > 0);
     }
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -17,7 +17,9 @@
 use rand_chacha::ChaCha8Rng;
 use serde_json::json;
 use std::collections::BTreeSet;
-use world::limits::{MachineRoom, NEGLECTED_MS, NeglectTracker, TeamLimits, placeable, site};
+use world::limits::{
+    MachineRoom, NEGLECTED_MS, NeglectTracker, TeamLimits, count_placeable_tasks, site,
+};
 use world::solo::Solo;
 use world::{Fault, LeaderFault, Site, World, assert_rules, extra_seeds, init_log, small_array};
 
@@ -159,7 +161,7 @@
         let mut spec = JobSpec { tasks, ..small_array("req-1", 5) };
         change(&mut spec);
         let others = others.iter().map(|(zone, n)| ((*zone).to_owned(), *n)).collect();
-        placeable(&spec, &others, &machines)
+        count_placeable_tasks(&spec, &others, &machines)
     };
     assert_eq!(count(9, &[], &|_| {}), 3);
     assert_eq!(count(9, &[], &|spec| spec.spot = true), 7);
@@ -378,7 +380,7 @@
     assert_rules(&world, context);
     let unfinished = world.unfinished();
     assert!(unfinished.is_empty(), "{context} leaves jobs unfinished: {unfinished:#?}");
-    cancelled.iter().filter(|job| world.known_cancelled(job)).count()
+    cancelled.iter().filter(|job| world.is_known_cancelled(job)).count()
 }
 
 /// The seed given in `OATLOOM_SEED`, if any.
--- a/tests/looks.rs
+++ b/tests/looks.rs
@@ -152,7 +152,7 @@
 fn cancellation_racing_with_the_last_task_has_one_outcome() {
     let (mut raced, mut as_done, mut as_cancelled) = (0, 0, 0);
     for seed in seeds(12) {
-        let strike = match seed % 4 {
+        let fault_at_end = match seed % 4 {
             0 | 1 => None,
             2 => Some((4, Fault::Leader(LeaderFault::Crash))),
             _ => Some((4, Fault::Leader(LeaderFault::StoreRefuses(5_000)))),
@@ -161,7 +161,7 @@
         world.restart_ms = [50, 300, 1_000, 5_000][seed as usize % 4];
         world.aggressive_users.enabled = seed % 2 == 0;
         world.aggressive_users.abort_on_end = (0.8, [60, 300, 900, 4_500][(seed / 4) as usize % 4]);
-        world.aggressive_users.fault_at_end = strike;
+        world.aggressive_users.fault_at_end = fault_at_end;
         add_jobs(&mut world, 16, 1_500, |n| match n % 3 {
             0 => small_array(&job_id(n), 1 + n as u32 % 5),
             _ => one_task(&job_id(n), 1 + n as u32 % 5),
@@ -255,7 +255,7 @@
         while world.now < 50_000 && !(0..8).any(|n| world.region.checker.is_done(&job_id(n), 0)) {
             world.step();
         }
-        let (at, former) = (world.now, world.leader().expect("a node leads"));
+        let (isolated_at, former) = (world.now, world.leader().expect("a node leads"));
         world.inject_fault(Fault::Leader(LeaderFault::Isolated(9_000 + seed * 150)));
         for n in 0..8 {
             for after in (3_500..9_000).step_by(250) {
@@ -267,11 +267,11 @@
                 );
             }
         }
-        world.run_finely_until(at + 6_000);
-        // Nor does it learn of the next leader from that leader itself.
+        world.run_finely_until(isolated_at + 6_000);
+        // The next leader cannot inform the former one either.
         let next = world.leader().filter(|next| *next != former).expect("another leads");
         world.inject_fault(Fault::PeersPartitioned(former, next, 14_000));
-        world.run_finely_until(at + 18_000);
+        world.run_finely_until(isolated_at + 18_000);
         world.run_until(130_000);
         assert_finished(&world, &format!("seed {seed}"));
         done += world.count_with_known_status(JobStatus::Done);
@@ -399,9 +399,9 @@
                 if !placed.insert(id.clone()) {
                     continue;
                 }
-                let within = [1, 20, 200, 1_500][rng.random_range(0..4)];
+                let max_delay_ms = [1, 20, 200, 1_500][rng.random_range(0..4)];
                 for node in 0..3 {
-                    let after = rng.random_range(0..within);
+                    let after = rng.random_range(0..max_delay_ms);
                     world.send_user_request(&id, node, UserRequest::Abort, after);
                 }
             }
@@ -466,28 +466,28 @@
 /// Texts of jobs that must be refused, with the expected HTTP status.
 fn invalid_jobs() -> Vec<(serde_json::Value, u16)> {
     let valid = World::json_of(&small_array("req-0", 5));
-    let with = |key: &str, value: serde_json::Value| {
+    let replace_field = |key: &str, value: serde_json::Value| {
         let mut job = valid.clone();
         job[key] = value;
         job
     };
     let mut invalid = vec![
-        (with("owner", json!("nobody")), 422),
-        (with("gpus", json!(64.0)), 422),
-        (with("cpus", json!(4_000.0)), 422),
-        (with("memoryGb", json!(1e6)), 422),
-        (with("flavors", json!(["no-such"])), 422),
-        (with("flavors", json!([])), 422),
-        (with("yard", json!("nowhere")), 422),
+        (replace_field("owner", json!("nobody")), 422),
+        (replace_field("gpus", json!(64.0)), 422),
+        (replace_field("cpus", json!(4_000.0)), 422),
+        (replace_field("memoryGb", json!(1e6)), 422),
+        (replace_field("flavors", json!(["no-such"])), 422),
+        (replace_field("flavors", json!([])), 422),
+        (replace_field("yard", json!("nowhere")), 422),
         (json!({ "owner": "red", "shape": "group", "shards": 15 }), 422),
-        (with("shards", json!(0)), 400),
-        (with("shards", json!(100_001)), 400),
-        (with("shards", json!(1.5)), 400),
-        (with("cpus", json!(-1)), 400),
-        (with("shape", json!("choir")), 400),
-        (with("rank", json!(null)), 400),
-        (with("gpus", json!("1")), 400),
-        (with("bundle", json!("i".repeat(9_000))), 400),
+        (replace_field("shards", json!(0)), 400),
+        (replace_field("shards", json!(100_001)), 400),
+        (replace_field("shards", json!(1.5)), 400),
+        (replace_field("cpus", json!(-1)), 400),
+        (replace_field("shape", json!("choir")), 400),
+        (replace_field("rank", json!(null)), 400),
+        (replace_field("gpus", json!("1")), 400),
+        (replace_field("bundle", json!("i".repeat(9_000))), 400),
     ];
     // A gang that needs more than its team's limit.
     let mut gang = valid.clone();
@@ -551,8 +551,8 @@
             sent.push(("req-10001".into(), 404));
             for n in 0..8 {
                 let node = rng.random_range(0..3);
-                let known = world.region.checker.over(&job_id(n));
-                let request = match (known, rng.random_bool(0.5)) {
+                let known_status = world.region.checker.over(&job_id(n));
+                let request = match (known_status, rng.random_bool(0.5)) {
                     (Some(JobStatus::Done), true) => {
                         done_aborted += 1;
                         UserRequest::Abort
@@ -562,14 +562,14 @@
                 };
                 if world.is_accepted(&job_id(n)) {
                     world.send_user_request(&job_id(n), node, request, 0);
-                    repeated += u32::from(known.is_none());
+                    repeated += u32::from(known_status.is_none());
                 }
             }
         }
         world.run_until(140_000);
         assert_finished(&world, &format!("seed {seed}"));
         let is_unavailable =
-            |request: &&RawRequest| request.answer.as_ref().is_some_and(|(_, r)| r.status == 503);
+            |request: &&RawRequest| request.reply.as_ref().is_some_and(|(_, r)| r.status == 503);
         let unavailable = world.aggressive_users.raw_requests.iter().filter(is_unavailable).count();
         assert!(
             seed % 4 > 0 || unavailable * 20 < sent.len(),
@@ -577,10 +577,10 @@
         );
         for (request, (id, status)) in world.aggressive_users.raw_requests.iter().zip(&sent) {
             let (_, reply) =
-                request.answer.as_ref().unwrap_or_else(|| panic!("no answer to {request:?}"));
+                request.reply.as_ref().unwrap_or_else(|| panic!("no reply to {request:?}"));
             *counts.entry(reply.status).or_default() += 1;
             let is_expected = reply.status == *status || matches!(reply.status, 503 | 599);
-            assert!(is_expected, "seed {seed}: {request:?} is to get {status}");
+            assert!(is_expected, "seed {seed}: {request:?} should get {status}");
             assert!(!world.was_ever_written(id), "seed {seed}: {id} left a record");
         }
     }
@@ -603,7 +603,7 @@
         let record = LiveRecord { spec: spec.clone(), wall_ms: 1, part: None };
         solo.write(vec![Change::put("live/req-1".into(), json!(record))]);
         // The leader does not answer, so the follower reads the job's records itself.
-        let ask = |solo: &mut Solo, request| {
+        let request_without_leader = |solo: &mut Solo, request| {
             let conn = solo.send_request(request);
             for (id, _) in std::mem::take(&mut solo.peer_requests) {
                 solo.event(Event::PeerReply { id, reply: None });
@@ -613,23 +613,24 @@
         let id = JobId::new("req-1");
         solo.holds_reply = |op| matches!(op, StoreOp::Get { key } if key == "live/req-1");
         solo.execute_held = true;
-        let early = if abort { Request::Abort(id.clone()) } else { Request::View(id.clone()) };
-        let early = ask(&mut solo, early);
+        let request = if abort { Request::Abort(id.clone()) } else { Request::View(id.clone()) };
+        let early_conn = request_without_leader(&mut solo, request);
         assert_eq!(solo.held.len(), 1, "the first lookup has read the job as open");
         let status = JobStatus::Cancelled;
         let end = FinalRecord { status, done: 0, failure: None, spent: None, part: None };
         let delete_live = Change::Delete { key: "live/req-1".into() };
         solo.write(vec![Change::put("over/req-1".into(), json!(end)), delete_live]);
         solo.holds_reply = |_| false;
-        let late = ask(&mut solo, Request::View(id));
-        let answer = |solo: &Solo, conn| {
+        let late_conn = request_without_leader(&mut solo, Request::View(id));
+        let reported = |solo: &Solo, conn| {
             solo.reply(conn).map(|reply| (reply.status, reply.body.contains("cancelled")))
         };
-        assert_eq!(answer(&solo, late), Some((200, true)));
+        assert_eq!(reported(&solo, late_conn), Some((200, true)));
         solo.release_held();
-        assert_eq!(answer(&solo, early), Some((200, true)), "abort: {abort}");
-        let again = ask(&mut solo, Request::Submit(Submission::Spec(Box::new(spec))));
-        assert_eq!(answer(&solo, again), Some((200, true)));
+        assert_eq!(reported(&solo, early_conn), Some((200, true)), "abort: {abort}");
+        let resubmission_conn =
+            request_without_leader(&mut solo, Request::Submit(Submission::Spec(Box::new(spec))));
+        assert_eq!(reported(&solo, resubmission_conn), Some((200, true)));
     }
 }
 
--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -9,7 +9,7 @@
 use world::random_faults::random_fault;
 use world::{Fault, LeaderFault, World, assert_rules, extra_seeds, init_log, small_array};
 
-const CALM_MS: u64 = 150_000;
+const FAULTS_END_MS: u64 = 150_000;
 
 /// Runs a day with three groups of this many overlapping random faults.
 fn overlapping_faults(seed: u64, faults_per_group: u64) -> World {
@@ -20,8 +20,8 @@
         let (span, gap) = (rng.random_range(1_000..60_000), rng.random_range(0..20_000));
         faults.push((at, random_fault(&mut rng, span)));
         for k in 1..faults_per_group {
-            let further = rng.random_range(1_000..30_000);
-            faults.push((at + gap / k, random_fault(&mut rng, further)));
+            let further_span = rng.random_range(1_000..30_000);
+            faults.push((at + gap / k, random_fault(&mut rng, further_span)));
         }
     }
     faults.sort_by_key(|(at, _)| *at);
@@ -33,7 +33,7 @@
     let context = format!("seed {seed}, {faults:?}");
     assert_rules(&world, &context);
     let unfinished = world.unfinished();
-    assert!(unfinished.is_empty(), "{context} leaves undone: {unfinished:#?}");
+    assert!(unfinished.is_empty(), "{context} has unfinished jobs: {unfinished:#?}");
     world
 }
 
@@ -56,21 +56,21 @@
 #[test]
 fn a_refused_leader_then_an_outage_leaves_no_cancelled_task() {
     init_log();
-    for (n, phase) in (0..=12_000).step_by(1_500).enumerate() {
+    for (n, delay_ms) in (0..=12_000).step_by(1_500).enumerate() {
         let controllers = 1 + n % 3;
         let mut faults = vec![
             (60_000, Fault::Leader(LeaderFault::StoreRefuses(14_000))),
-            (60_000 + phase, Fault::StoreOutage(if n % 4 == 3 { 600_000 } else { 71_000 })),
+            (60_000 + delay_ms, Fault::StoreOutage(if n % 4 == 3 { 600_000 } else { 71_000 })),
         ];
         for node in controllers..3 {
             faults.push((2_000, Fault::NodeDown(node, 10_000_000)));
         }
         faults.sort_by_key(|(at, _)| *at);
-        let calm = if n % 4 == 3 { 680_000 } else { 150_000 };
-        let mut world = World::with_faults(n as u64, faults, calm, Some(Shape::Array));
+        let faults_end_ms = if n % 4 == 3 { 680_000 } else { 150_000 };
+        let mut world = World::with_faults(n as u64, faults, faults_end_ms, Some(Shape::Array));
         world.cancel_share(0.8, 55_000, 80_000);
         world.run();
-        assert_rules(&world, &format!("{controllers} controllers, phase {phase} ms"));
+        assert_rules(&world, &format!("{controllers} controllers, delay {delay_ms} ms"));
     }
 }
 
@@ -82,7 +82,7 @@
     init_log();
     for seed in 0..8 {
         let faults = vec![(30_000, Fault::MachinesInboundLost(100_000, 1))];
-        let mut world = World::with_faults(seed, faults, CALM_MS, None);
+        let mut world = World::with_faults(seed, faults, FAULTS_END_MS, None);
         world.remove_users();
         for n in 0..8 {
             world.add_job_at(small_array(&format!("req-{n}"), 300), 2_000);
@@ -95,7 +95,7 @@
         }
         world.inject_fault(Fault::StoreOutage(71_000));
         world.inject_fault(Fault::MachinesInboundLost(0, 1));
-        world.run_until(CALM_MS);
+        world.run_until(FAULTS_END_MS);
         assert!(world.region.checker.starts > 8, "seed {seed}: its tasks ran");
         assert_rules(&world, &format!("seed {seed}"));
     }
@@ -136,10 +136,18 @@
         let node = (leader + 1) % 3;
         world.inject_fault(Fault::PeersPartitioned(node, leader, 100_000));
         world.run_until(160_000);
-        let share = |from, to| world.healthy_probe_share(from, to)[node];
-        assert!(share(10_000, 60_000) > 0.95, "a short partition is tolerated");
-        assert!(share(84_000, 139_000) < 0.3, "seed {seed}: {}", share(84_000, 139_000));
-        assert!(share(150_000, 160_000) > 0.8, "seed {seed}: {}", share(150_000, 160_000));
+        let healthy_share = |from, to| world.healthy_probe_share(from, to)[node];
+        assert!(healthy_share(10_000, 60_000) > 0.95, "a short partition is tolerated");
+        assert!(
+            healthy_share(84_000, 139_000) < 0.3,
+            "seed {seed}: {}",
+            healthy_share(84_000, 139_000)
+        );
+        assert!(
+            healthy_share(150_000, 160_000) > 0.8,
+            "seed {seed}: {}",
+            healthy_share(150_000, 160_000)
+        );
         assert!(world.healthy_probe_share(10_000, 160_000)[leader] > 0.95);
         assert_rules(&world, &format!("seed {seed}"));
     }
@@ -159,14 +167,14 @@
         world.remove_users();
         world.probing = true;
         world.run_until(115_000);
-        let share = |from, to, node| world.healthy_probe_share(from, to)[node];
-        assert!(share(10_000, 40_000, node) > 0.95);
+        let healthy_share = |from, to, node| world.healthy_probe_share(from, to)[node];
+        assert!(healthy_share(10_000, 40_000, node) > 0.95);
         assert!(
-            share(50_000, 99_000, node) < 0.05,
+            healthy_share(50_000, 99_000, node) < 0.05,
             "seed {seed}, {node}: {}",
-            share(50_000, 99_000, node)
+            healthy_share(50_000, 99_000, node)
         );
-        assert!(share(108_000, 115_000, node) > 0.9);
-        assert!((0..3).filter(|n| *n != node).all(|n| share(10_000, 115_000, n) > 0.95));
+        assert!(healthy_share(108_000, 115_000, node) > 0.9);
+        assert!((0..3).filter(|n| *n != node).all(|n| healthy_share(10_000, 115_000, n) > 0.95));
     }
 }
--- a/tests/ops.rs
+++ b/tests/ops.rs
@@ -1,4 +1,4 @@
-//! Faults met in operation: controllers that are silent for long or suspended in the middle of their work, processes that
+//! Faults that occur in production: controllers that are silent for long or paused while they handle an event, processes that
 //! restart within a fraction of a second, machines that boot late, never or at once, users who poll eight times as often, jobs
 //! that always fail, a guest's huge array. Each kind occurs alone and with others, by seed. `OATLOOM_SEEDS=n` runs n more seeds.
 
@@ -12,21 +12,21 @@
 use rand_chacha::ChaCha8Rng;
 use world::{Fault, World, extra_seeds, init_log};
 
-const CALM_FROM_MS: u64 = 150_000;
+const FAULTS_END_MS: u64 = 150_000;
 
-fn check(world: &World, seed: u64) {
+fn assert_no_broken_rule(world: &World, seed: u64) {
     let broken = &world.region.checker.broken;
     assert!(broken.is_empty(), "seed {seed} breaks rules: {broken:#?}");
     assert_eq!(world.two_leaders_at, None, "seed {seed}: two leaders at once");
     // Guards against work of a team whose quota is used up according to the job table after a takeover: its starts were
     // planned and refused forever.
-    assert_eq!(world.wrong_plans, 0, "seed {seed}: planned starts that are not allowed");
+    assert_eq!(world.max_invalid_starts, 0, "seed {seed}: planned starts that are not allowed");
 }
 
-fn finished(world: &World, seed: u64) {
-    check(world, seed);
+fn assert_finished(world: &World, seed: u64) {
+    assert_no_broken_rule(world, seed);
     let unfinished = world.unfinished();
-    assert!(unfinished.is_empty(), "seed {seed} leaves undone: {unfinished:#?}");
+    assert!(unfinished.is_empty(), "seed {seed} has unfinished jobs: {unfinished:#?}");
 }
 
 /// A random fault at a random time.
@@ -48,7 +48,7 @@
         12 => Fault::StoreOutage(span / 3),
         _ => Fault::MachineHangs(span),
     };
-    (rng.random_range(5_000..CALM_FROM_MS - 30_000), fault)
+    (rng.random_range(5_000..FAULTS_END_MS - 30_000), fault)
 }
 
 /// A day with several random faults, some jobs that always fail, and processes that restart after 50 ms to 1 s.
@@ -57,20 +57,20 @@
     let count = rng.random_range(5..14);
     let mut faults: Vec<_> = (0..count).map(|_| random_fault(&mut rng)).collect();
     faults.sort_by_key(|(at, _)| *at);
-    let mut world = World::with_faults(seed, faults, CALM_FROM_MS, None);
+    let mut world = World::with_faults(seed, faults, FAULTS_END_MS, None);
     world.restart_ms = rng.random_range(50..1_000);
     for n in 0..rng.random_range(0..3) {
         // Fails on every machine until its user cancels it.
-        let mut spec = guest(7_000 + n, 4, 3.0);
+        let mut spec = guest_job(7_000 + n, 4, 3.0);
         spec.team = "red".into();
         world.region.outside.broken.insert(spec.id.to_string(), Broken::Always);
         world.add_job(spec);
-        world.cancel_last(rng.random_range(40_000..CALM_FROM_MS - 20_000));
+        world.cancel_last(rng.random_range(40_000..FAULTS_END_MS - 20_000));
     }
     world
 }
 
-fn guest(n: u64, tasks: u32, estimate_s: f64) -> JobSpec {
+fn guest_job(n: u64, tasks: u32, estimate_s: f64) -> JobSpec {
     JobSpec {
         id: JobId::new(&format!("req-{n:06}")),
         class: "guest".into(),
@@ -101,7 +101,7 @@
     for seed in first..first + count + extra_seeds() {
         let mut world = day(seed);
         world.run();
-        finished(&world, seed);
+        assert_finished(&world, seed);
     }
 }
 
@@ -127,21 +127,21 @@
     if let Some(seed) = std::env::var("OATLOOM_SEED").ok().and_then(|s| s.parse().ok()) {
         let mut world = day(seed);
         world.run();
-        finished(&world, seed);
+        assert_finished(&world, seed);
     }
 }
 
 /// Times without a leader after each crash, in milliseconds, sorted.
 fn leaderless_ms(seed: u64, all: bool, restart_ms: u64) -> Vec<u64> {
-    let mut world = World::with_faults(seed, Vec::new(), CALM_FROM_MS, None);
+    let mut world = World::with_faults(seed, Vec::new(), FAULTS_END_MS, None);
     world.restart_ms = restart_ms;
     world.run_until(8_000);
     let mut leaderless_ms = Vec::new();
     for _ in 0..8 {
-        let leads = world.leader();
+        let leader = world.leader();
         let at = world.now;
-        let crash = if all { Fault::CrashAll } else { Fault::Crash(leads.expect("a leader")) };
-        world.inject_fault(crash);
+        let fault = if all { Fault::CrashAll } else { Fault::Crash(leader.expect("a leader")) };
+        world.inject_fault(fault);
         while world.leader().is_none() {
             assert!(
                 world.continues_before(at + 20_000),
@@ -151,7 +151,7 @@
         }
         leaderless_ms.push(world.now - at);
         world.run_until(world.now + 5_000);
-        check(&world, seed);
+        assert_no_broken_rule(&world, seed);
     }
     leaderless_ms.sort_unstable();
     leaderless_ms
@@ -163,11 +163,14 @@
 fn a_quick_restart_does_not_wait_for_the_old_lease() {
     for seed in 0..6 {
         for all in [false, true] {
-            let back = leaderless_ms(seed, all, 300);
-            assert!(back[4] <= 1_200 && back[7] <= 2_500, "seed {seed}, all {all}: {back:?}");
+            let after_restart = leaderless_ms(seed, all, 300);
+            assert!(
+                after_restart[4] <= 1_200 && after_restart[7] <= 2_500,
+                "seed {seed}, all {all}: {after_restart:?}"
+            );
         }
-        let down = leaderless_ms(seed, false, 8_000);
-        assert!(down[0] > 3_000 && down[7] < 6_500, "seed {seed}: {down:?}");
+        let while_down = leaderless_ms(seed, false, 8_000);
+        assert!(while_down[0] > 3_000 && while_down[7] < 6_500, "seed {seed}: {while_down:?}");
     }
 }
 
@@ -177,12 +180,12 @@
 #[test]
 fn a_single_follower_accepts_a_burst_of_submissions() {
     for seed in 0..6 {
-        let mut world = World::with_faults(seed, Vec::new(), CALM_FROM_MS, None);
+        let mut world = World::with_faults(seed, Vec::new(), FAULTS_END_MS, None);
         world.run_until(8_000);
         let leader = world.leader().expect("a leader");
         world.load_balancer_target = Some((leader + 1) % 3);
         for n in 0..120 {
-            world.add_job_at(guest(7_500 + n, 1, 2.0), 10_000 + n * 167);
+            world.add_job_at(guest_job(7_500 + n, 1, 2.0), 10_000 + n * 167);
         }
         world.run_until(32_000);
         let waits = world.accepted_after(|spec| spec.class == "guest");
@@ -190,7 +193,7 @@
         println!("seed {seed}: {late} late of {}; median {:?}", waits.len(), waits[60]);
         assert!(waits.len() == 120 && late <= 12, "seed {seed}: {late} late, {waits:?}");
         world.run();
-        finished(&world, seed);
+        assert_finished(&world, seed);
     }
 }
 
@@ -214,21 +217,24 @@
             at += rng.random_range(500..5_000);
             n += 1;
         }
-        let mut world = World::with_faults(seed, faults, CALM_FROM_MS, None);
+        let mut world = World::with_faults(seed, faults, FAULTS_END_MS, None);
         world.restart_ms = rng.random_range(50..1_000);
         world.run();
-        finished(&world, seed);
+        assert_finished(&world, seed);
         // The state service allows a burst of one second's requests beyond its rates, shared by all incarnations of a process.
         // Guards against each incarnation starting with a full burst.
         let max_per_second =
-            |which: fn(&(u32, u32)) -> u32| world.store_traffic.values().map(which).max();
+            |select: fn(&(u32, u32)) -> u32| world.store_traffic.values().map(select).max();
         let (requests, changes) = (max_per_second(|s| s.0), max_per_second(|s| s.1));
         println!("seed {seed}: {requests:?} requests and {changes:?} changes in a second at most");
         assert!(requests < Some(2 * 120) && changes < Some(2 * 25), "{requests:?}, {changes:?}");
-        let sustained = |which: fn(&(u32, u32)) -> u32| {
-            let seconds: Vec<u32> = world.store_traffic.values().map(which).collect();
+        let max_per_ten_seconds = |select: fn(&(u32, u32)) -> u32| {
+            let seconds: Vec<u32> = world.store_traffic.values().map(select).collect();
             seconds.windows(10).map(|ten| ten.iter().sum::<u32>()).max()
         };
-        assert!(sustained(|s| s.0) < Some(11 * 120) && sustained(|s| s.1) < Some(11 * 25));
+        assert!(
+            max_per_ten_seconds(|s| s.0) < Some(11 * 120)
+                && max_per_ten_seconds(|s| s.1) < Some(11 * 25)
+        );
     }
 }
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -420,7 +420,7 @@
         "{context}: all dependents wait by then"
     );
     world.cancel(job_id(0).as_str(), CANCELLED_AT_MS);
-    while !world.known_cancelled(job_id(0).as_str())
+    while !world.is_known_cancelled(job_id(0).as_str())
         && world.continues_before(CANCELLED_AT_MS + 20_000)
     {
         world.step();
@@ -652,9 +652,9 @@
     }
     world.run_until(40_000);
     assert_eq!(world.aggressive_users.raw_requests.len(), 6);
-    for odd in &world.aggressive_users.raw_requests {
-        let status = odd.answer.as_ref().map(|(_, reply)| reply.status);
-        assert_eq!(status, Some(422), "{odd:?}");
+    for request in &world.aggressive_users.raw_requests {
+        let status = request.reply.as_ref().map(|(_, reply)| reply.status);
+        assert_eq!(status, Some(422), "{request:?}");
     }
     assert!(!world.was_ever_written("req-000002"));
 }
--- a/tests/quiet_controllers.rs
+++ b/tests/quiet_controllers.rs
@@ -143,11 +143,11 @@
 fn two_unanswered_requests_far_apart_do_not_make_the_leader_unreachable() {
     let mut solo = follower();
     let mut unhealthy_at = Vec::new();
-    let asks = |now: u64| [10_000, 57_000].contains(&now) || now >= 100_000;
+    let sends_request = |now: u64| [10_000, 57_000].contains(&now) || now >= 100_000;
     while solo.now < 150_000 {
         solo.advance(1_000);
         solo.send_request(leader_gossip(&solo, 100));
-        if asks(solo.now) {
+        if sends_request(solo.now) {
             solo.send_request(Request::View(JobId::new("req-000001")));
             for (id, _) in std::mem::take(&mut solo.peer_requests) {
                 solo.event(Event::PeerReply { id, reply: None });
--- a/tests/served.rs
+++ b/tests/served.rs
@@ -185,44 +185,47 @@
 
 /// Asserts that every class and team gets at least half by each measure, on days where that is feasible.
 fn assert_half_served(context: &str, world: World) {
-    let (least, bound) = smallest_share(context, world, |_| {});
-    assert!(least >= 0.5 || bound < MIN_FEASIBLE_SHARE, "{context}: {least} of {bound}");
+    let (smallest, achievable) = smallest_share(context, world, |_| {});
+    assert!(
+        smallest >= 0.5 || achievable < MIN_FEASIBLE_SHARE,
+        "{context}: {smallest} of {achievable}"
+    );
 }
 
 /// Runs a day to its end, sampling once a second, and asserts that no rule was broken.
-fn run_watched(context: &str, world: &mut World, mut sample: impl FnMut(&World)) -> ServiceMonitor {
-    let mut watch = ServiceMonitor::default();
+fn run_sampled(context: &str, world: &mut World, mut sample: impl FnMut(&World)) -> ServiceMonitor {
+    let mut monitor = ServiceMonitor::default();
     while world.continues_before(world.faults_end_at) {
         world.run_until((world.now / 1_000 + 1) * 1_000);
-        watch.sample(world);
+        monitor.sample(world);
         sample(world);
     }
     let broken = &world.region.checker.broken;
     assert!(broken.is_empty(), "{context} breaks rules: {broken:#?}");
     assert_eq!(world.two_leaders_at, None, "{context}: two leaders at once");
-    watch
+    monitor
 }
 
 /// The smallest share that any class or team got by the strictest measure, and the share of replicas that could have been up.
 fn smallest_share(context: &str, mut world: World, mut sample: impl FnMut(&World)) -> (f64, f64) {
     init_log();
     let mut max_machines = 0;
-    let watch = run_watched(context, &mut world, |world| {
+    let monitor = run_sampled(context, &mut world, |world| {
         max_machines = max_machines.max(world.region.workers.len());
         sample(world);
     });
     println!(
         "{context}: {max_machines} machines at most, replicas could be up {:.3}",
-        watch.achievable_up.ratio()
+        monitor.achievable_up.ratio()
     );
-    let served = watch.served(&world);
+    let served = monitor.served(&world);
     for (name, share) in &served {
         println!("{context}: {name}: {share}");
     }
-    (served.values().map(Served::lowest).fold(1.0, f64::min), watch.achievable_up.ratio())
+    (served.values().map(Served::lowest).fold(1.0, f64::min), monitor.achievable_up.ratio())
 }
 
-fn burst(class: usize) -> Option<Burst> {
+fn burst_of(class: usize) -> Option<Burst> {
     Some(Burst { class, from: 100_000, until: 160_000 })
 }
 
@@ -235,7 +238,7 @@
     for (class, Class { name, .. }) in CLASSES.iter().enumerate() {
         assert_half_served(
             &format!("burst of {name}"),
-            day(class as u64, SMALL_FLEET, Vec::new(), burst(class)),
+            day(class as u64, SMALL_FLEET, Vec::new(), burst_of(class)),
         );
     }
 }
@@ -245,8 +248,8 @@
     for class in [1, 2] {
         let faults = vec![(100_000, Fault::CloudOutage(60_000))];
         assert_half_served(
-            "no capacity",
-            day(20 + class as u64, SMALL_FLEET, faults, burst(class)),
+            "cloud outage",
+            day(20 + class as u64, SMALL_FLEET, faults, burst_of(class)),
         );
     }
 }
@@ -255,7 +258,10 @@
 fn loss_of_half_the_machines_during_a_burst_leaves_everyone_at_least_half() {
     for class in [0, 3] {
         let faults = vec![(120_000, Fault::HalfOfMachinesTerminated)];
-        assert_half_served("half dead", day(30 + class as u64, SMALL_FLEET, faults, burst(class)));
+        assert_half_served(
+            "half of the machines lost",
+            day(30 + class as u64, SMALL_FLEET, faults, burst_of(class)),
+        );
     }
 }
 
@@ -263,7 +269,7 @@
 fn a_zone_outage_leaves_everyone_at_least_half() {
     for zone in 0..3 {
         let world = day(40 + zone as u64, SMALL_FLEET, zone_outage(110_000, zone, 100_000), None);
-        assert_half_served("zone gone", world);
+        assert_half_served("zone outage", world);
     }
 }
 
@@ -271,7 +277,7 @@
 fn repeated_restarts_of_all_controllers_leave_everyone_at_least_half() {
     for seed in 0..3 {
         let faults = (0..20).map(|n| (60_000 + n * 6_000, Fault::CrashAll)).collect();
-        assert_half_served("all restart", day(50 + seed, SMALL_FLEET, faults, burst(2)));
+        assert_half_served("all restart", day(50 + seed, SMALL_FLEET, faults, burst_of(2)));
     }
 }
 
@@ -297,7 +303,8 @@
             _ => faults.push((at, Fault::StoreOutage(rng.random_range(2_000..15_000)))),
         }
     }
-    let burst = rng.random_bool(0.7).then(|| burst(rng.random_range(0..CLASSES.len()))).flatten();
+    let burst =
+        rng.random_bool(0.7).then(|| burst_of(rng.random_range(0..CLASSES.len()))).flatten();
     println!("seed {seed}: {faults:?}, {burst:?}");
     day(seed, machines, faults, burst)
 }
@@ -315,20 +322,20 @@
 /// (27 before started services were completed first), mostly for the widest gangs; the cause is not known.
 #[test]
 fn half_of_the_largest_services_and_gangs_begin_in_time() {
-    let mut short = Vec::new();
+    let mut below_half = Vec::new();
     for seed in 1_000..1_006 + extra_seeds() {
         let mut world = random_day(seed, SMALL_FLEET);
-        let watch = run_watched(&format!("seed {seed}"), &mut world, |_| {});
-        if watch.achievable_up.ratio() < MIN_FEASIBLE_SHARE {
+        let monitor = run_sampled(&format!("seed {seed}"), &mut world, |_| {});
+        if monitor.achievable_up.ratio() < MIN_FEASIBLE_SHARE {
             continue;
         }
         let served =
-            watch.served(&world).into_iter().map(|(name, s)| (name, s.largest_whole.ratio()));
-        short.extend(
+            monitor.served(&world).into_iter().map(|(name, s)| (name, s.largest_whole.ratio()));
+        below_half.extend(
             served.filter(|(_, share)| *share < 0.5).map(|(name, share)| (seed, name, share)),
         );
     }
-    assert!(short.is_empty(), "{short:?}");
+    assert!(below_half.is_empty(), "{below_half:?}");
 }
 
 /// More random days, on some of which half of the capacity is lost permanently during a burst. Days on which even all machines
@@ -337,18 +344,20 @@
 fn every_feasible_random_day_leaves_everyone_at_least_half() {
     let more = 1_006..1_006 + extra_seeds();
     let days: BTreeSet<u64> = [1_011, 1_013, 1_019, 1_035].into_iter().chain(more).collect();
-    let (mut short, mut infeasible) = (Vec::new(), Vec::new());
+    let (mut below_half, mut infeasible) = (Vec::new(), Vec::new());
     for seed in days {
-        let (least, bound) =
+        let (smallest, achievable) =
             smallest_share(&format!("seed {seed}"), random_day(seed, SMALL_FLEET), |_| {});
-        match least < 0.5 {
-            true if bound < MIN_FEASIBLE_SHARE => infeasible.push((seed, least, bound)),
-            true => short.push((seed, least, bound)),
+        match smallest < 0.5 {
+            true if achievable < MIN_FEASIBLE_SHARE => {
+                infeasible.push((seed, smallest, achievable))
+            }
+            true => below_half.push((seed, smallest, achievable)),
             false => {}
         }
     }
-    println!("fall short: {short:?}; infeasible: {infeasible:?}");
-    assert!(short.is_empty(), "{short:?}");
+    println!("below half: {below_half:?}; infeasible: {infeasible:?}");
+    assert!(below_half.is_empty(), "{below_half:?}");
 }
 
 /// With more work than capacity, hundreds of milliseconds of latency on every link and repeated leader crashes, each class and
@@ -358,17 +367,19 @@
     for seed in 80..81 + extra_seeds() {
         let mut faults = vec![(10_000, Fault::CapacityHalved(250_000))];
         faults.extend((0..4).map(|n| (110_000 + n * 30_000, Fault::Leader(LeaderFault::Crash))));
-        let mut world = day(seed, SMALL_FLEET / 3, faults, burst([3, 1][seed as usize % 2]));
+        let mut world = day(seed, SMALL_FLEET / 3, faults, burst_of([3, 1][seed as usize % 2]));
         world.slow_links = (u64::MAX, 100, 450);
-        let (mut full, mut samples) = (0, 0);
-        let least = smallest_share(&format!("slow links, seed {seed}"), world, |world| {
-            let counts = world.now > 100_000 && world.now < 300_000 && world.leader().is_some();
-            samples += u32::from(counts);
-            full += u32::from(counts && world.pending_tasks_and_machines_up().0 > 0);
+        let (mut with_pending, mut samples) = (0, 0);
+        let smallest = smallest_share(&format!("slow links, seed {seed}"), world, |world| {
+            let is_sampled = world.now > 100_000 && world.now < 300_000 && world.leader().is_some();
+            samples += u32::from(is_sampled);
+            with_pending += u32::from(is_sampled && world.pending_tasks_and_machines_up().0 > 0);
         });
-        println!("slow links, seed {seed}: {least:?}, tasks waited in {full} of {samples} samples");
-        assert!(full * 4 > samples * 3, "there is more work than capacity");
-        assert!(least.0 >= 0.5 || least.1 < MIN_FEASIBLE_SHARE, "seed {seed}: {least:?}");
+        println!(
+            "slow links, seed {seed}: {smallest:?}, tasks waited in {with_pending} of {samples} samples"
+        );
+        assert!(with_pending * 4 > samples * 3, "there is more work than capacity");
+        assert!(smallest.0 >= 0.5 || smallest.1 < MIN_FEASIBLE_SHARE, "seed {seed}: {smallest:?}");
     }
 }
 
@@ -380,7 +391,10 @@
             (120_000, Fault::HalfOfMachinesTerminated),
             (120_000, Fault::CapacityHalved(DAY_MS.1)),
         ];
-        assert_half_served("half gone", day(60 + class as u64, SMALL_FLEET, faults, burst(class)));
+        assert_half_served(
+            "half of the capacity lost",
+            day(60 + class as u64, SMALL_FLEET, faults, burst_of(class)),
+        );
     }
 }
 
@@ -406,7 +420,7 @@
     let id = huge.id.clone();
     world.add_job_at(huge, 20_000);
     let (mut done_at, mut max_tasks) = (None, 0);
-    let watch = run_watched("huge array", &mut world, |world| {
+    let monitor = run_sampled("huge array", &mut world, |world| {
         max_tasks =
             max_tasks.max(world.region.workers.values().map(|w| w.tasks.len()).max().unwrap_or(0));
         if done_at.is_none() && world.now > 22_000 && world.region.checker.all_done(id.as_str()) {
@@ -421,7 +435,7 @@
     );
     assert!(largest <= 16 * 1024, "{largest} bytes");
     assert!(changes < Some(100), "{changes:?} changes in a second");
-    for (name, share) in watch.served(&world) {
+    for (name, share) in monitor.served(&world) {
         println!("{name}: {share}");
         assert!(share.lowest() > 0.8, "{name}: {share}");
     }
--- a/tests/terms.rs
+++ b/tests/terms.rs
@@ -18,12 +18,12 @@
     small_array(id, 9)
 }
 
-fn cancelled() -> serde_json::Value {
+fn cancelled_record() -> serde_json::Value {
     let status = JobStatus::Cancelled;
     json!(FinalRecord { status, done: 0, failure: None, spent: None, part: None })
 }
 
-fn report(report_seq: u64, tasks: Vec<TaskReport>) -> Request {
+fn report_request(report_seq: u64, tasks: Vec<TaskReport>) -> Request {
     Request::Report(Box::new(Report {
         host: HostId::new("i-1"),
         addr: "10.0.0.9:1".into(),
@@ -38,7 +38,7 @@
     }))
 }
 
-fn running(task: &str) -> TaskReport {
+fn running_task(task: &str) -> TaskReport {
     TaskReport {
         task: task.into(),
         attempt: Attempt(5),
@@ -50,7 +50,7 @@
 }
 
 /// A cancelled job with one task that is still assigned to a machine in the stored records.
-fn with_a_cancelled_job() -> Solo {
+fn solo_with_cancelled_job() -> Solo {
     let mut solo = Solo::new();
     let record = ChunkRecord {
         done: String::new(),
@@ -60,7 +60,7 @@
         usage: Default::default(),
     };
     solo.write(vec![
-        Change::put("over/req-1".into(), cancelled()),
+        Change::put("over/req-1".into(), cancelled_record()),
         Change::put("asg/req-1/0000".into(), json!(record)),
     ]);
     solo
@@ -71,11 +71,11 @@
 #[test]
 fn a_new_leader_answers_no_report_before_its_job_table_is_loaded() {
     for released in [true, false] {
-        let mut solo = with_a_cancelled_job();
+        let mut solo = solo_with_cancelled_job();
         solo.holds_reply = |op| matches!(op, StoreOp::List { .. });
         solo.advance(500);
         assert!(solo.controller.valid_token(solo.clock().mono).is_some(), "it leads");
-        let conn = solo.send_request(report(1, vec![running("req-1/0")]));
+        let conn = solo.send_request(report_request(1, vec![running_task("req-1/0")]));
         solo.advance(1_000);
         assert_eq!(solo.reply(conn), None, "no reply while the job table is loading");
         if released {
@@ -84,9 +84,9 @@
             solo.advance(100);
             let reply = solo.reply(conn).expect("it has loaded its job table");
             let answer: ReportAnswer = serde_json::from_str(&reply.body).unwrap();
-            let stops =
+            let stops_task =
                 matches!(&answer.orders[..], [Order::Stop { task, .. }] if task == "req-1/0");
-            assert!(reply.status == 200 && stops, "{answer:?}");
+            assert!(reply.status == 200 && stops_task, "{answer:?}");
         } else {
             solo.advance(2_500);
             assert_eq!(
@@ -102,17 +102,17 @@
 /// of the task that should stop.
 #[test]
 fn stop_orders_come_first_in_a_report_answer() {
-    let mut solo = with_a_cancelled_job();
+    let mut solo = solo_with_cancelled_job();
     solo.advance(500);
     let mut tasks: Vec<TaskReport> = (0..400)
         .map(|n| TaskReport {
             status: TaskPhase::Exited,
             cause: Some(ExitCause::Stopped),
-            ..running(&format!("req-2/{n}"))
+            ..running_task(&format!("req-2/{n}"))
         })
         .collect();
-    tasks.push(running("req-1/0"));
-    let conn = solo.send_request(report(1, tasks));
+    tasks.push(running_task("req-1/0"));
+    let conn = solo.send_request(report_request(1, tasks));
     let reply = solo.reply(conn).expect("it has orders");
     let answer: ReportAnswer = serde_json::from_str(&reply.body).unwrap();
     let first = answer.orders.first();
@@ -146,7 +146,7 @@
         }
         assert_eq!(solo.held.len(), 1);
         solo.write(vec![
-            Change::put("over/req-7".into(), cancelled()),
+            Change::put("over/req-7".into(), cancelled_record()),
             Change::Delete { key: "live/req-7".into() },
         ]);
         solo.state.execute(solo.now, &StoreOp::Revoke { lease });
@@ -170,7 +170,7 @@
     let mut solo = Solo::new();
     solo.set_other_leader();
     solo.advance(500);
-    solo.write(vec![Change::put("over/req-6".into(), cancelled())]);
+    solo.write(vec![Change::put("over/req-6".into(), cancelled_record())]);
     let conn = solo.send_request(Request::Submit(Submission::Spec(Box::new(spec("req-6")))));
     let reported = solo.reply(conn).map(|reply| (reply.status, reply.body.contains("cancelled")));
     assert_eq!(reported, Some((200, true)));
@@ -207,24 +207,24 @@
     let mut solo = Solo::new();
     solo.advance(1_000);
     let before = solo.controller.valid_token(solo.clock().mono).expect("it leads");
-    let at =
+    let index =
         solo.watches.iter().position(|(_, prefix, _)| prefix == LIVE_PREFIX).expect("it watches");
-    let (id, ..) = solo.watches.remove(at);
-    solo.event(Event::Store { id, reply: StoreReply::TooOld });
+    let (watch_id, ..) = solo.watches.remove(index);
+    solo.event(Event::Store { id: watch_id, reply: StoreReply::TooOld });
     assert_eq!(solo.controller.valid_token(solo.clock().mono), None);
     solo.advance(6_000);
     let after = solo.controller.valid_token(solo.clock().mono).expect("it leads again");
     assert!(after > before, "{before:?} {after:?}");
-    // A job accepted elsewhere is seen although the watch of the earlier term is still open.
+    // A job accepted by another controller is added although the watch of the earlier term is still open.
     let record = LiveRecord { spec: spec("req-8"), wall_ms: 1_000_000, part: None };
     solo.write(vec![Change::put("live/req-8".into(), json!(record))]);
     solo.advance(200);
-    let open = |solo: &Solo| {
+    let is_open = |solo: &Solo| {
         solo.controller
             .leader_term()
             .is_some_and(|term| term.job_table.get(&JobId::new("req-8")).is_some())
     };
-    assert!(open(&solo));
+    assert!(is_open(&solo));
 }
 
 /// Guards against a controller that was paused and then relays an old reply of the leader about a job: the user may have read
--- a/tests/upgrade_days.rs
+++ b/tests/upgrade_days.rs
@@ -153,7 +153,7 @@
             .aggressive_users
             .raw_requests
             .iter()
-            .filter_map(|odd| odd.answer.as_ref().map(|(_, reply)| reply.status))
+            .filter_map(|request| request.reply.as_ref().map(|(_, reply)| reply.status))
             .collect();
         assert!(answers.len() > 10, "seed {seed}: {answers:?}");
         assert!(answers.iter().all(|status| matches!(status, 503 | 599)), "{answers:?}");
--- a/tests/world/aggressive_users.rs
+++ b/tests/world/aggressive_users.rs
@@ -16,12 +16,12 @@
 /// A finer step than usual, so that events a few milliseconds apart fall into different steps.
 pub const FINE_STEP_MS: u64 = 5;
 
-/// A raw HTTP request that belongs to no user's job, and its response.
+/// A raw HTTP request that belongs to no user's job, and its response with the time of its arrival.
 #[derive(Debug)]
 pub struct RawRequest {
     pub node: usize,
     pub request: String,
-    pub answer: Option<(u64, HttpReply)>,
+    pub reply: Option<(u64, HttpReply)>,
 }
 
 /// What users do beyond the default behaviour, and counts of what happened. Nothing by default.
@@ -87,8 +87,8 @@
         self.aggressive_users.requests_sent += 1;
         let submission =
             matches!(user_request, UserRequest::Submit | UserRequest::SubmitIncomplete);
-        let (abort, asked_at) = (user_request == UserRequest::Abort, self.now + after);
-        let from = Sender::User { job: job.to_owned(), submission, abort, asked_at };
+        let (abort, sent_at) = (user_request == UserRequest::Abort, self.now + after);
+        let from = Sender::User { job: job.to_owned(), submission, abort, sent_at };
         let delay = after + self.delay();
         self.send(delay, Message::Request { node, from, request, forwarded: false });
     }
@@ -138,22 +138,23 @@
 
     /// Handles jobs whose last task has just ended on its machine.
     pub(super) fn step_aggressive_users(&mut self) {
-        let (share, within) = self.aggressive_users.abort_on_end;
+        let (share, max_delay_ms) = self.aggressive_users.abort_on_end;
         if share <= 0.0 {
             return;
         }
         let checker = &self.region.checker;
-        let fresh =
+        let has_just_ended =
             |job: &String| checker.all_done(job) && !self.aggressive_users.ended_jobs.contains(job);
         let accepted = self.users.iter().filter(|u| u.accepted);
-        let jobs: Vec<String> = accepted.map(|u| u.spec.id.to_string()).filter(fresh).collect();
+        let jobs: Vec<String> =
+            accepted.map(|u| u.spec.id.to_string()).filter(has_just_ended).collect();
         for job in jobs {
             self.aggressive_users.ended_jobs.insert(job.clone());
             let nth = self.aggressive_users.ended_jobs.len();
             if let Some((every, fault)) = self.aggressive_users.fault_at_end
                 && nth.is_multiple_of(every)
             {
-                let at = self.now + self.rng.random_range(0..=within);
+                let at = self.now + self.rng.random_range(0..=max_delay_ms);
                 self.add_faults([(at, fault)]);
             }
             if !self.rng.random_bool(share) || self.region.checker.over(&job).is_some() {
@@ -162,7 +163,7 @@
             self.aggressive_users.cancelled_at_end.insert(job.clone());
             for _ in 0..self.rng.random_range(1..4) {
                 let (node, after) =
-                    (self.rng.random_range(0..3), self.rng.random_range(0..=within));
+                    (self.rng.random_range(0..3), self.rng.random_range(0..=max_delay_ms));
                 self.send_user_request(&job, node, UserRequest::Abort, after);
                 self.send_user_request(&job, (node + 1) % 3, UserRequest::View, after);
                 self.send_user_request(&job, (node + 2) % 3, UserRequest::Submit, after);
@@ -192,11 +193,11 @@
     pub fn send_raw_request(&mut self, node: usize, method: &str, path: &str, body: &str) {
         let number = self.aggressive_users.raw_requests.len();
         let request_text = format!("{method} {path} {body}");
-        let (answer, request) = match parse(method, path, body.as_bytes()) {
+        let (reply, request) = match parse(method, path, body.as_bytes()) {
             Ok(request) => (None, Some(request)),
             Err(reply) => (Some((self.now, reply)), None),
         };
-        self.aggressive_users.raw_requests.push(RawRequest { node, request: request_text, answer });
+        self.aggressive_users.raw_requests.push(RawRequest { node, request: request_text, reply });
         if let Some(request) = request {
             let delay = self.delay();
             let from = Sender::RawRequest(number);
--- a/tests/world/graphs.rs
+++ b/tests/world/graphs.rs
@@ -1,4 +1,4 @@
-//! Task graph clients in the simulated world, and the invariants checked: no node starts before its inputs are
+//! Task graph clients in the simulated world, and the invariants checked for them: no node starts before its inputs are
 //! durably done, none runs twice, no final status changes, and nothing of an ended session remains.
 
 use oatloom_core::jobs::{FinalRecord, LiveRecord};
@@ -189,20 +189,20 @@
 
     /// Each job of a graph with the jobs that produce its inputs.
     pub fn input_jobs(&self) -> BTreeMap<String, BTreeSet<String>> {
-        let maker = |graph: GraphId, at: NodeIx| {
+        let find_producer = |graph: GraphId, at: NodeIx| {
             let mut jobs = self.parts.keys();
             jobs.find(|job| (0..400).any(|task| self.node_of(job, task) == Some((graph, at))))
                 .cloned()
         };
-        let inputs = |job: &String| {
+        let find_inputs = |job: &String| {
             let graph =
                 GraphId::of_job(&oatloom_protocol::ids::JobId::new(job)).map(|(graph, _)| graph);
             let nodes = self.parts[job].nodes.iter(400);
             let needs = nodes.filter_map(|at| Some(self.nodes.get(&graph?)?.get(&at)?.1.clone()));
             let needs: Vec<NodeIx> = needs.flatten().collect();
-            needs.into_iter().filter_map(|at| maker(graph?, at)).collect()
+            needs.into_iter().filter_map(|at| find_producer(graph?, at)).collect()
         };
-        self.parts.keys().map(|job| (job.clone(), inputs(job))).collect()
+        self.parts.keys().map(|job| (job.clone(), find_inputs(job))).collect()
     }
 
     /// All clients stop sending at this time.
@@ -216,33 +216,33 @@
             return Vec::new();
         }
         let mut requests = Vec::new();
-        for (at, client) in self.clients.iter_mut().enumerate() {
+        for (index, client) in self.clients.iter_mut().enumerate() {
             if now < client.starts_at
                 || matches!(client.behavior, Behavior::Disappears(t) if now >= t)
             {
                 continue;
             }
             client.in_flight.retain(|_, (sent, _)| now < *sent + RESPONSE_TIMEOUT_MS);
-            let mut ask = |client: &mut Client, heartbeat: bool, ask: Ask| {
+            let mut send_request = |client: &mut Client, heartbeat: bool, request: Ask| {
                 self.last_request_id += 1;
                 client.in_flight.insert(self.last_request_id, (now, heartbeat));
                 // Rotates over the controllers, since two of three may be frozen for longer than a session's lease.
                 client.sent_counts[usize::from(heartbeat)] += 1;
                 requests.push((
-                    at,
+                    index,
                     self.last_request_id,
                     client.sent_counts[usize::from(heartbeat)] % 3,
-                    ask,
+                    request,
                 ));
             };
             let keyed = Keyed { key: client.key.clone() };
             let has_in_flight = |client: &Client, heartbeat: bool| {
-                client.in_flight.values().any(|(_, b)| *b == heartbeat)
+                client.in_flight.values().any(|(_, is_heartbeat)| *is_heartbeat == heartbeat)
             };
             if client.open && now >= client.next_heartbeat_at && !has_in_flight(client, true) {
                 client.next_heartbeat_at = now + REQUEST_INTERVAL_MS;
                 let session = client.session.clone();
-                ask(client, true, Ask::Beat(session, keyed.clone()));
+                send_request(client, true, Ask::Beat(session, keyed.clone()));
             }
             if now < client.next_request_at || has_in_flight(client, false) {
                 continue;
@@ -271,7 +271,7 @@
             if matches!(request, Ask::Look(..)) && client.final_status.is_some() {
                 client.next_request_at = now + 9 * REQUEST_INTERVAL_MS;
             }
-            ask(client, false, request);
+            send_request(client, false, request);
         }
         requests
     }
@@ -289,7 +289,8 @@
             reply.status,
             reply.body
         );
-        let mut fail = |text: String| self.violations.push(format!("{} ms {text}", now));
+        let mut record_violation =
+            |text: String| self.violations.push(format!("{} ms {text}", now));
         match reply.status {
             200 | 201 if heartbeat => client.next_heartbeat_at = now + 5_000,
             200 | 201 => {}
@@ -304,7 +305,10 @@
                 // The graph may have ended, cancelled by the client or because of a failed node, before all nodes were added.
                 let ending = reply.body.contains("ending") || reply.body.contains("over");
                 if !ending {
-                    fail(format!("{}: rejected with {status} {}", client.graph, reply.body));
+                    record_violation(format!(
+                        "{}: rejected with {status} {}",
+                        client.graph, reply.body
+                    ));
                 }
                 client.pending_requests.retain(|ask| !matches!(ask, Ask::Add(..)));
                 return;
@@ -322,14 +326,14 @@
                         "{} {}: was {before:?}, is {:?}",
                         client.graph, node.name, node.status
                     );
-                    fail(text);
+                    record_violation(text);
                 }
                 if node.status.is_final() {
                     client.final_statuses.insert(node.name.clone(), node.status);
                 }
             }
-            if client.final_status.is_some_and(|over| over != view.status) {
-                fail(format!(
+            if client.final_status.is_some_and(|status| status != view.status) {
+                record_violation(format!(
                     "{}: was {:?}, is {:?}",
                     client.graph, client.final_status, view.status
                 ));
@@ -343,7 +347,10 @@
                     self.failed_graphs += usize::from(view.status == GraphStatus::Failed);
                     let failed = view.failure.as_ref().and_then(|f| f.failure.as_ref());
                     if view.status == GraphStatus::Failed && failed.is_none() {
-                        fail(format!("{}: failed without a reported cause", client.graph));
+                        record_violation(format!(
+                            "{}: failed without a reported cause",
+                            client.graph
+                        ));
                     }
                 }
                 client.pending_requests.clear();
@@ -423,9 +430,9 @@
             return;
         };
         let nodes = self.nodes.get(&graph);
-        let bad =
+        let always_fails =
             |at: NodeIx| nodes.and_then(|n| n.get(&at)).is_some_and(|n| n.0.starts_with("bad"));
-        let broken = (0u32..).zip(part.nodes.iter(10_000)).find(|(_, at)| bad(*at));
+        let broken = (0u32..).zip(part.nodes.iter(10_000)).find(|(_, at)| always_fails(*at));
         if let Some((task, _)) = broken {
             let broken = if part.batch() { Broken::Task(task) } else { Broken::Always };
             region.outside.broken.insert(job.to_owned(), broken);
@@ -459,8 +466,8 @@
             let Some((graph, at)) = self.node_of(&task.job, task.index) else { continue };
             self.node_starts += 1;
             let (name, needs) = &self.nodes[&graph][&at];
-            let early = needs.iter().find(|input| !self.is_done(graph, **input));
-            if let Some(input) = early {
+            let unfinished_input = needs.iter().find(|input| !self.is_done(graph, **input));
+            if let Some(input) = unfinished_input {
                 let input = &self.nodes[&graph][input].0;
                 self.violations
                     .push(format!("{now} ms {graph} {name} starts before {input} is done"));
@@ -497,35 +504,37 @@
     /// Checks what must hold after the recovery phase: every client that stayed knows the result, and nothing remains of those
     /// that left. `stored` lists the keys under a prefix in the state service.
     pub fn check_final_state(&mut self, stored: &dyn Fn(&str) -> Vec<String>) {
-        let mut fail = |text: String| self.violations.push(text);
+        let mut record_violation = |text: String| self.violations.push(text);
         for client in &self.clients {
-            let gone = matches!(client.behavior, Behavior::Disappears(_));
-            if !gone && client.final_status.is_none() {
-                fail(format!(
+            let disappeared = matches!(client.behavior, Behavior::Disappears(_));
+            if !disappeared && client.final_status.is_none() {
+                record_violation(format!(
                     "{}: client never received its final status, next request {:?}",
                     client.graph,
                     client.pending_requests.first()
                 ));
             }
-            if !gone && client.final_status == Some(GraphStatus::Done) {
+            if !disappeared && client.final_status == Some(GraphStatus::Done) {
                 let nodes = self.nodes.get(&client.graph);
                 for (name, _) in nodes.into_iter().flat_map(BTreeMap::values) {
                     if !client.final_statuses.contains_key(name) {
-                        fail(format!("{} {name}: no final status", client.graph));
+                        record_violation(format!("{} {name}: no final status", client.graph));
                     }
                 }
             }
             let digits = client.graph.digits();
-            let ours = |key: &String| key.contains(&digits);
-            let open = !client.detached || !gone;
+            let is_of_graph = |key: &String| key.contains(&digits);
+            let must_be_deleted = !client.detached || !disappeared;
             for prefix in ["graph/", "live/req-9", "asg/req-9"] {
-                for key in stored(prefix).into_iter().filter(|key| open && ours(key)) {
-                    fail(format!("{key} is still stored"));
+                for key in
+                    stored(prefix).into_iter().filter(|key| must_be_deleted && is_of_graph(key))
+                {
+                    record_violation(format!("{key} is still stored"));
                 }
             }
         }
         for key in stored(SESSIONS) {
-            fail(format!("{key} is still stored"));
+            record_violation(format!("{key} is still stored"));
         }
     }
 }
@@ -537,10 +546,10 @@
     let mut requests = Vec::new();
     for n in 0..count {
         let mut nodes = Vec::new();
-        let mut fresh: Vec<String> = Vec::new();
+        let mut new_names: Vec<String> = Vec::new();
         for m in 0..rng.random_range(1..9) {
-            let bad = failing && rng.random_bool(0.06);
-            let name = format!("{}{n}-{m}", if bad { "bad" } else { "n" });
+            let fails = failing && rng.random_bool(0.06);
+            let name = format!("{}{n}-{m}", if fails { "bad" } else { "n" });
             let kind = match rng.random_range(0..14) {
                 0..5 => "map",
                 5..9 => "fold",
@@ -550,17 +559,17 @@
                 12 => "apart",
                 _ => "cache",
             };
-            let wide = matches!(kind, "wide" | "crew" | "near" | "apart") && !bad;
+            let wide = matches!(kind, "wide" | "crew" | "near" | "apart") && !fails;
             let shards = if wide { rng.random_range(1..4) } else { 1 };
-            let known: Vec<&String> = names.iter().chain(&fresh).collect();
-            let count = rng.random_range(0..known.len().min(3) + 1);
+            let earlier_names: Vec<&String> = names.iter().chain(&new_names).collect();
+            let count = rng.random_range(0..earlier_names.len().min(3) + 1);
             let needs: BTreeSet<String> =
-                known.choose_multiple(rng, count).map(|name| (*name).clone()).collect();
+                earlier_names.choose_multiple(rng, count).map(|name| (*name).clone()).collect();
             nodes.push(json!({"name": name, "kind": kind, "needs": needs, "shards": shards}));
             // An actor has no result that others could need.
-            fresh.extend((kind != "cache").then_some(name));
+            new_names.extend((kind != "cache").then_some(name));
         }
-        names.append(&mut fresh);
+        names.append(&mut new_names);
         let add: AddNodes =
             serde_json::from_value(json!({"key": key, "addition": format!("add-{n}"),
             "kinds": kinds(), "nodes": nodes, "seal": n + 1 == count}))
--- a/tests/world/limits.rs
+++ b/tests/world/limits.rs
@@ -48,7 +48,11 @@
 }
 
 /// How many further tasks of a job could be placed at once, given its running tasks by zone.
-pub fn placeable(spec: &JobSpec, others: &BTreeMap<String, u32>, machines: &[MachineRoom]) -> u32 {
+pub fn count_placeable_tasks(
+    spec: &JobSpec,
+    others: &BTreeMap<String, u32>,
+    machines: &[MachineRoom],
+) -> u32 {
     let need = Resources::from(spec);
     let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
     for machine in machines {
@@ -180,7 +184,8 @@
             };
             is_within_limit(team.cpus_max, used.cpus, spec.cpus)
                 && is_within_limit(team.gpus_max, used.gpus, spec.gpus)
-                && placeable(spec, zones.get(id).unwrap_or(&BTreeMap::new()), &free) >= at_once
+                && count_placeable_tasks(spec, zones.get(id).unwrap_or(&BTreeMap::new()), &free)
+                    >= at_once
         };
         self.users.iter().filter(can_run).map(|user| user.spec.id.to_string()).collect()
     }
@@ -258,7 +263,7 @@
     }
 
     /// Whether a job's user knows that it is cancelled.
-    pub fn known_cancelled(&self, job: &str) -> bool {
+    pub fn is_known_cancelled(&self, job: &str) -> bool {
         self.region.checker.over(job) == Some(JobStatus::Cancelled)
     }
 }
--- a/tests/world/machine_faults.rs
+++ b/tests/world/machine_faults.rs
@@ -59,11 +59,11 @@
 
 impl World {
     /// From now on saves copies of a share of the reports for the next leader.
-    pub fn save_reports(&mut self, share: f64, given: ReplayTiming) {
+    pub fn save_reports(&mut self, share: f64, timing: ReplayTiming) {
         let rng = ChaCha8Rng::seed_from_u64(self.now ^ 0x6d61_6368);
-        let last_token = self.leader().and_then(|n| self.leader_term_of(n)).map(|r| r.token);
+        let last_token = self.leader().and_then(|n| self.leader_term_of(n)).map(|term| term.token);
         self.machine_faults.saved =
-            Some(SavedReports { rng, share, timing: given, reports: Vec::new(), last_token });
+            Some(SavedReports { rng, share, timing, reports: Vec::new(), last_token });
     }
 
     /// Every n-th of the busy machines that are up reaches no controller for this long; returns how many.
@@ -146,14 +146,15 @@
         }
     }
 
-    /// Delivers saved reports to every controller when a new leader begins or has acted: unchanged, twice to nodes that do
-    /// not lead so that they forward them, and once as if forwarded by another controller.
+    /// Delivers saved reports to every controller when a new leader begins, or once a worker has acknowledged it: unchanged,
+    /// twice to nodes that do not lead so that they forward them, and once as if forwarded by another controller.
     pub(super) fn replay_reports(&mut self) {
         let Some(node) = self.leader() else { return };
         let Some(token) = self.leader_term_of(node).map(|term| term.token) else { return };
         let Some(mut saved) = self.machine_faults.saved.take() else { return };
-        let acted = self.region.workers.values().any(|w| w.token == token.0);
-        if saved.last_token == Some(token) || saved.timing == ReplayTiming::AfterFirstAck && !acted
+        let is_acknowledged = self.region.workers.values().any(|w| w.token == token.0);
+        if saved.last_token == Some(token)
+            || saved.timing == ReplayTiming::AfterFirstAck && !is_acknowledged
         {
             self.machine_faults.saved = Some(saved);
             return;
@@ -167,13 +168,13 @@
                 for forwarded in [false, to == node] {
                     let request = Request::Report(Box::new(report.clone()));
                     let delay = saved.rng.random_range(0..span);
-                    let ask = Message::Request {
+                    let message = Message::Request {
                         node: to,
                         from: Sender::DuplicateReport,
                         request,
                         forwarded,
                     };
-                    self.send(delay, ask);
+                    self.send(delay, message);
                 }
             }
         }
@@ -183,8 +184,9 @@
     }
 
     fn record_replayed(&mut self, leader: usize, report: &Report) {
-        let machine = self.leader_term_of(leader).and_then(|r| r.fleet.machines.get(&report.host));
-        let first = machine.is_none_or(|m| m.last_report.is_none());
+        let machine =
+            self.leader_term_of(leader).and_then(|term| term.fleet.machines.get(&report.host));
+        let is_first_report = machine.is_none_or(|m| m.last_report.is_none());
         let worker = self.region.workers.get(report.host.as_str());
         let older_session = worker.is_some_and(|w| w.shift > report.session.0);
         let lists_absent_task = |w: &Worker| {
@@ -197,7 +199,7 @@
         let older_attempt = worker.is_some_and(lists_absent_task);
         let coverage = &mut self.machine_faults.coverage;
         coverage.replayed += 1;
-        coverage.before_first_report += usize::from(first);
+        coverage.before_first_report += usize::from(is_first_report);
         coverage.older_session += usize::from(older_session);
         coverage.older_attempt += usize::from(older_attempt);
     }
@@ -214,12 +216,12 @@
         for worker in self.region.workers.values() {
             for ((job, index, attempt), task) in &worker.tasks {
                 let id = TaskId::new(&JobId::new(job), *index);
-                let held = term.job_table.assignment(&id).is_some_and(|h| {
+                let is_assigned = term.job_table.assignment(&id).is_some_and(|h| {
                     h.host.as_str() == worker.host
                         && h.attempt.0 == *attempt
                         && h.session.0 == worker.shift
                 });
-                if task.phase != TaskPhase::Exited && !held {
+                if task.phase != TaskPhase::Exited && !is_assigned {
                     violations.push(format!(
                         "{job}/{index} attempt {attempt} is on {}, session {}, but the job table of {token} has {:?}",
                         worker.host,
@@ -254,13 +256,13 @@
     /// Tasks that are on machines this long or longer after their user learned that the job is cancelled.
     pub fn running_after_cancel(&self, for_ms: u64) -> Vec<String> {
         let checker = &self.region.checker;
-        let cancelled_long_ago = |job: &str| {
+        let was_cancelled_long_ago = |job: &str| {
             checker.over(job) == Some(JobStatus::Cancelled)
                 && checker.over_at(job).is_some_and(|at| self.now >= at + for_ms)
         };
         checker
             .on_machines()
-            .filter(|on| cancelled_long_ago(&on.job))
+            .filter(|on| was_cancelled_long_ago(&on.job))
             .map(|on| format!("{on:?}"))
             .collect()
     }
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -101,7 +101,7 @@
         job: String,
         submission: bool,
         abort: bool,
-        asked_at: u64,
+        sent_at: u64,
     },
     Worker {
         host: String,
@@ -123,6 +123,7 @@
     RawRequest(usize),
 }
 
+/// A message or event in transit. `awaits_reply`: whether its sender still waits for the response.
 enum Message {
     Event {
         node: usize,
@@ -140,30 +141,31 @@
         incarnation: u64,
         id: OpId,
         op: StoreOp,
-        answer: bool,
+        awaits_reply: bool,
     },
     Cloud {
         node: usize,
         incarnation: u64,
         id: u64,
         op: CloudOp,
-        answer: bool,
+        awaits_reply: bool,
     },
     Reply {
         node: usize,
         from: Sender,
         reply: HttpReply,
     },
-    /// A direct command in transit, and whether its sender still waits for the response.
+    /// A direct command to a worker.
     Command {
         node: usize,
         incarnation: u64,
         addr: String,
         command: Command,
-        answer: bool,
+        awaits_reply: bool,
     },
 }
 
+/// A fault of the environment. Durations and delays are in milliseconds; nodes and zones are given by index.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
     Crash(usize),
@@ -184,12 +186,13 @@
     NodeFrozen(usize, u64),
     /// The leader is paused while it handles an event: the actions it decided on leave when it resumes.
     LeaderPaused(u64),
-    /// A node is stopped, or its whole network is partitioned, for this long.
+    /// A node is down for this long.
     NodeDown(usize, u64),
+    /// A node is cut off from the whole network for this long.
     NodePartitioned(usize, u64),
     /// Users poll this many times as often.
     PollStorm(u64, u32),
-    /// Machines hired meanwhile boot slower by this factor in thousandths; this many of a thousand never boot.
+    /// The boot times of machines hired meanwhile are multiplied by this many thousandths; this many of a thousand never boot.
     SlowBoots(u64, u32, u32),
     FaultyMachine,
     /// The cloud refuses every request.
@@ -240,12 +243,12 @@
     /// The version it runs when it is started next.
     version: upgrades::Version,
     incarnation: u64,
-    started: u64,
+    started_at: u64,
     clock_drift: f64,
     frozen_until: u64,
     /// Actions decided at this moment leave the node only when it resumes.
     paused_at: Option<u64>,
-    cut_until: u64,
+    partitioned_until: u64,
     isolated_until: u64,
     refused_until: u64,
     conns: HashMap<ConnId, Sender>,
@@ -284,9 +287,9 @@
     fn new(spec: JobSpec, at: u64, abort_at: Option<u64>) -> Self {
         let (accepted, accepted_after, aborted, requests_sent, requests_answered) =
             (false, None, false, 0, 0);
-        let needs = !spec.dependencies.is_empty();
+        let has_dependencies = !spec.dependencies.is_empty();
         Self {
-            submit_when: if needs {
+            submit_when: if has_dependencies {
                 SubmitWhen::DependenciesAccepted
             } else {
                 SubmitWhen::Immediately
@@ -321,8 +324,9 @@
     store_replies_lost_until: u64,
     /// Until when the state service is slow, and by which factor.
     slow_store: (u64, u32),
-    /// Until when this many of a thousand transactions are executed late, or reports duplicated.
+    /// Until when this many of a thousand transactions are executed late.
     delayed_writes: (u64, u32),
+    /// Until when this many of a thousand reports are delivered twice.
     duplicate_reports: (u64, u32),
     /// Until when this many of a thousand direct commands are delayed.
     delayed_commands: (u64, u32),
@@ -334,7 +338,7 @@
     pub aggressive_users: AggressiveUsers,
     /// Which two nodes cannot reach each other, and until when.
     partitioned_peers: (usize, usize, u64),
-    /// Until when messages to these machines are lost.
+    /// Until when messages to each of these machines are lost.
     inbound_lost_until: BTreeMap<String, u64>,
     /// Until when users poll this many times as often.
     poll_storm: (u64, u32),
@@ -342,8 +346,8 @@
     reduced_capacity_until: u64,
     /// When two nodes first considered themselves the leader at the same time, which must never happen.
     pub two_leaders_at: Option<u64>,
-    /// The most invalid task starts that the plans of one leader term contained.
-    pub wrong_plans: u32,
+    /// The largest number of invalid task starts in the plans of one leader term.
+    pub max_invalid_starts: u32,
     /// Whether messages held back by a partition may be delivered after it; otherwise they are lost.
     pub delivers_after_partition: bool,
     /// Whether the load balancer probes each node once a second, and the results: time, node, status.
@@ -355,10 +359,11 @@
     pub operators: OperatorSettings,
     /// Usage accounting entries of the controllers, in order, each with its node and that node's incarnation.
     pub accounting_entries: Vec<(usize, u64, UsageEntry)>,
-    /// Whether the state service enforces its lower limits, and writes refused for size: node, incarnation and digest.
+    /// Whether the state service enforces its lower limits.
     pub limits_lowered: bool,
+    /// Writes refused for size: node, incarnation and digest.
     refused_writes: BTreeSet<(usize, u64, u64)>,
-    /// Jobs with dependencies that were seen to be released.
+    /// Jobs with dependencies whose release by the leader was checked.
     released: BTreeSet<JobId>,
     site: Site,
     /// Requests and changes sent to the state service, by second.
@@ -395,7 +400,7 @@
     let broken = &world.region.checker.broken;
     assert!(broken.is_empty(), "{context}: broken rules: {broken:#?}");
     assert_eq!(world.two_leaders_at, None, "{context}: two nodes led at once");
-    assert_eq!(world.wrong_plans, 0, "{context}: a plan had an invalid start");
+    assert_eq!(world.max_invalid_starts, 0, "{context}: a plan had an invalid start");
 }
 
 /// The same, and every accepted job's user knows its final state.
@@ -417,10 +422,10 @@
 
 pub fn settings(text: &str, node: usize) -> Settings {
     let mut settings = oatloom::settings::parse_platform_settings(text).expect("valid settings");
-    let member = |n: usize| Member::new(&format!("n-{n}"));
-    settings.member = member(node);
-    let peer = |n| Peer { member: member(n), zone: Zone::new(ZONES[n]), addr: String::new() };
-    settings.peers = (0..3).filter(|n| *n != node).map(peer).collect();
+    let member_of = |n: usize| Member::new(&format!("n-{n}"));
+    settings.member = member_of(node);
+    let to_peer = |n| Peer { member: member_of(n), zone: Zone::new(ZONES[n]), addr: String::new() };
+    settings.peers = (0..3).filter(|n| *n != node).map(to_peer).collect();
     settings
 }
 
@@ -448,7 +453,7 @@
 
 fn region(site: &Site, seed: u64) -> Region {
     let zones: Vec<Zone> = ZONES.iter().map(|z| Zone::new(z)).collect();
-    let flavor = |label: String, size: f64| Flavor {
+    let new_flavor = |label: String, size: f64| Flavor {
         label,
         cpus: 8.0 * size,
         gpus: size,
@@ -461,7 +466,7 @@
         zones: zones.clone(),
     };
     let terms = Terms {
-        flavors: site.sizes.iter().map(|n| flavor(format!("g{n}"), f64::from(*n))).collect(),
+        flavors: site.sizes.iter().map(|n| new_flavor(format!("g{n}"), f64::from(*n))).collect(),
         capacity: site.capacity,
         boot_ms: (1_000, 12_000),
         never_boots: 0.05,
@@ -476,9 +481,9 @@
         nodes: (0..3).map(|n| Member::new(&format!("n-{n}"))).collect(),
     };
     let settings = settings(&site.settings, 0);
-    let limit =
+    let limit_of =
         |team: &Team| (team.name.clone(), Limit { cpus: team.cpus_max, gpus: team.gpus_max });
-    let limits = settings.facts.teams.iter().map(limit).collect();
+    let limits = settings.facts.teams.iter().map(limit_of).collect();
     let cancel_ms = Millis::from_secs(settings.facts.workers.cancel_s).0;
     let checker = Checker::new(limits, cancel_ms);
     Region::new(terms, (&settings.facts.workers).into(), checker, seed)
@@ -520,7 +525,7 @@
             slow_boots_until: 0,
             reduced_capacity_until: 0,
             two_leaders_at: None,
-            wrong_plans: 0,
+            max_invalid_starts: 0,
             delivers_after_partition: true,
             probing: false,
             probe_results: Vec::new(),
@@ -552,11 +557,11 @@
                 controller: None,
                 version: upgrades::Version::Current,
                 incarnation: 0,
-                started: 0,
+                started_at: 0,
                 clock_drift: rng.random_range(0.0..0.0005),
                 frozen_until: 0,
                 paused_at: None,
-                cut_until: 0,
+                partitioned_until: 0,
                 isolated_until: 0,
                 refused_until: 0,
                 conns: HashMap::new(),
@@ -741,18 +746,19 @@
 
     fn clock(&self, node: usize) -> Now {
         let n = &self.nodes[node];
-        let steady = (self.now - n.started) as f64 * (1.0 + n.clock_drift);
-        Now { mono: Mono(CLOCK_START_MS.0 + steady as u64), wall_ms: 1_000_000 + self.now }
+        let local_ms = (self.now - n.started_at) as f64 * (1.0 + n.clock_drift);
+        Now { mono: Mono(CLOCK_START_MS.0 + local_ms as u64), wall_ms: 1_000_000 + self.now }
     }
 
-    /// How much later than usual the actions of a node leave it.
+    /// The additional delay of a node's actions, in milliseconds: while it is paused or partitioned they do not leave it.
     fn departure_delay(&self, node: usize) -> u64 {
         let n = &self.nodes[node];
         let paused = if n.paused_at == Some(self.now) { n.frozen_until } else { 0 };
-        paused.max(n.cut_until).saturating_sub(self.now)
+        paused.max(n.partitioned_until).saturating_sub(self.now)
     }
 
-    fn event(&mut self, node: usize, event: Event) {
+    /// Passes an event to a node's controller and carries out the resulting actions.
+    fn handle_event(&mut self, node: usize, event: Event) {
         let departure_delay = self.departure_delay(node);
         let clock = self.clock(node);
         let Some(controller) = self.nodes[node].controller.as_mut() else { return };
@@ -780,19 +786,19 @@
                 }
                 Action::Cloud { id, op } => self.send_to_cloud(node, incarnation, id, op),
                 Action::Command { addr, command } => {
-                    let (mut delay, mut answer) = self.draw_delivery(node);
+                    let (mut delay, mut awaits_reply) = self.draw_delivery(node);
                     let (until, share) = self.delayed_commands;
                     if self.now < until && self.rng.random_bool(f64::from(share) / 1e3) {
-                        (delay, answer) = (Some(self.rng.random_range(2_000..16_000)), false);
+                        (delay, awaits_reply) = (Some(self.rng.random_range(2_000..16_000)), false);
                     }
-                    if !answer {
+                    if !awaits_reply {
                         let event = Event::CommandReply { report: None };
                         self.send(800, Message::Event { node, incarnation, event });
                     }
                     if let Some(delay) = delay {
                         self.send(
                             delay,
-                            Message::Command { node, incarnation, addr, command, answer },
+                            Message::Command { node, incarnation, addr, command, awaits_reply },
                         );
                     }
                 }
@@ -807,8 +813,8 @@
                     }
                     let from = Sender::Peer { node, incarnation, request_id: id };
                     let delay = self.delay() + departure_delay;
-                    let ask = Message::Request { node: peer, from, request, forwarded: true };
-                    self.send(delay, ask);
+                    let message = Message::Request { node: peer, from, request, forwarded: true };
+                    self.send(delay, message);
                 }
             }
         }
@@ -839,9 +845,9 @@
         class: OpClass,
         op: StoreOp,
     ) {
-        let spent = self.store_traffic.entry(self.now / 1_000).or_default();
-        spent.0 += 1;
-        spent.1 += if let StoreOp::Txn(txn) = &op { txn.changes.len() as u32 } else { 0 };
+        let traffic = self.store_traffic.entry(self.now / 1_000).or_default();
+        traffic.0 += 1;
+        traffic.1 += if let StoreOp::Txn(txn) = &op { txn.changes.len() as u32 } else { 0 };
         if class == OpClass::Watch
             && let StoreOp::Follow { prefix, after } = op
         {
@@ -849,49 +855,49 @@
             self.watches.push(StoreWatch { node, incarnation, id, prefix, after, until });
             return;
         }
-        let (mut delay, mut answer) = self.draw_delivery(node);
+        let (mut delay, mut awaits_reply) = self.draw_delivery(node);
         let mut timeout = 2_500;
-        let of = |share: u32| f64::from(share) / 1e3;
+        let to_probability = |per_mille: u32| f64::from(per_mille) / 1e3;
         if self.is_isolated(node) {
             // A request held back by the partition arrives after it.
             let remaining = self.nodes[node].isolated_until - self.now;
-            (delay, answer) = (self.rng.random_bool(0.5).then_some(remaining + 5), false);
+            (delay, awaits_reply) = (self.rng.random_bool(0.5).then_some(remaining + 5), false);
         } else if matches!(op, StoreOp::Txn(_))
             && self.now < self.delayed_writes.0
-            && self.rng.random_bool(of(self.delayed_writes.1))
+            && self.rng.random_bool(to_probability(self.delayed_writes.1))
         {
-            (delay, answer) = (Some(self.rng.random_range(2_000..12_000)), false);
+            (delay, awaits_reply) = (Some(self.rng.random_range(2_000..12_000)), false);
         } else if matches!(op, StoreOp::Txn(_))
             && self.now < self.write_replies_lost.0
-            && self.rng.random_bool(of(self.write_replies_lost.1))
+            && self.rng.random_bool(to_probability(self.write_replies_lost.1))
         {
-            (delay, answer) = (Some(self.delay()), false);
-        } else if self.now < self.slow_store.0 && answer {
-            let usual = if self.rng.random_bool(0.1) { 100..300 } else { 3..12 };
-            let took = self.rng.random_range(usual) * u64::from(self.slow_store.1);
+            (delay, awaits_reply) = (Some(self.delay()), false);
+        } else if self.now < self.slow_store.0 && awaits_reply {
+            let usual_ms = if self.rng.random_bool(0.1) { 100..300 } else { 3..12 };
+            let took_ms = self.rng.random_range(usual_ms) * u64::from(self.slow_store.1);
             timeout = if class == OpClass::Lease { 1_200 } else { 2_500 };
-            (delay, answer) = (Some(took), took < timeout);
+            (delay, awaits_reply) = (Some(took_ms), took_ms < timeout);
         }
-        if !answer {
+        if !awaits_reply {
             let lost = Event::Store { id, reply: StoreReply::Lost };
             self.send(timeout, Message::Event { node, incarnation, event: lost });
         }
         if let Some(delay) = delay {
-            self.send(delay, Message::Store { node, incarnation, id, op, answer });
+            self.send(delay, Message::Store { node, incarnation, id, op, awaits_reply });
         }
     }
 
     fn send_to_cloud(&mut self, node: usize, incarnation: u64, id: u64, op: CloudOp) {
-        let (mut delay, mut answer) = self.draw_delivery(node);
+        let (mut delay, mut awaits_reply) = self.draw_delivery(node);
         if self.now < self.cloud_delayed.0 && self.rng.random_bool(0.5) {
-            (delay, answer) = (Some(self.cloud_delayed.1), false);
+            (delay, awaits_reply) = (Some(self.cloud_delayed.1), false);
         }
-        if !answer {
+        if !awaits_reply {
             let lost = Event::Cloud { id, reply: CloudReply::Lost };
             self.send(5_000, Message::Event { node, incarnation, event: lost });
         }
         if let Some(delay) = delay {
-            self.send(delay + 100, Message::Cloud { node, incarnation, id, op, answer });
+            self.send(delay + 100, Message::Cloud { node, incarnation, id, op, awaits_reply });
         }
     }
 
@@ -899,7 +905,7 @@
         match message {
             Message::Event { node, incarnation, event } => {
                 if self.nodes[node].incarnation == incarnation {
-                    self.event(node, event);
+                    self.handle_event(node, event);
                 }
             }
             Message::Request { node, from, request, forwarded } => {
@@ -912,36 +918,38 @@
                 self.next_sequence += 1;
                 let conn = ConnId(self.next_sequence);
                 self.nodes[node].conns.insert(conn, from);
-                self.event(node, Event::Request { conn, request, forwarded });
+                self.handle_event(node, Event::Request { conn, request, forwarded });
             }
-            Message::Store { node, incarnation, id, op, answer } => {
-                let out = self.now < self.outage_until || self.now < self.nodes[node].refused_until;
-                let reply = if out { StoreReply::Refused } else { self.state.serve(self.now, &op) };
+            Message::Store { node, incarnation, id, op, awaits_reply } => {
+                let refuses =
+                    self.now < self.outage_until || self.now < self.nodes[node].refused_until;
+                let reply =
+                    if refuses { StoreReply::Refused } else { self.state.serve(self.now, &op) };
                 self.check_write(node, &op, &reply);
                 self.clients.observe_write(self.now, &op, &reply, &mut self.region);
                 let lost = self.now < self.store_replies_lost_until
-                    || self.now < self.nodes[node].cut_until
+                    || self.now < self.nodes[node].partitioned_until
                     || self.is_isolated(node);
-                if answer {
+                if awaits_reply {
                     let delay = if lost { 2_500 } else { self.delay() };
                     let reply = if lost { StoreReply::Lost } else { reply };
                     let event = Event::Store { id, reply };
                     self.send(delay, Message::Event { node, incarnation, event });
                 }
             }
-            Message::Cloud { node, incarnation, id, op, answer } => {
-                let out = self.now < self.cloud_outage_until;
-                let reply = if out { CloudReply::Busy } else { self.execute_cloud_op(&op) };
-                if answer {
-                    let lost = self.now < self.nodes[node].cut_until;
+            Message::Cloud { node, incarnation, id, op, awaits_reply } => {
+                let refuses = self.now < self.cloud_outage_until;
+                let reply = if refuses { CloudReply::Busy } else { self.execute_cloud_op(&op) };
+                if awaits_reply {
+                    let lost = self.now < self.nodes[node].partitioned_until;
                     let (delay, reply) = if lost { (5_000, CloudReply::Lost) } else { (20, reply) };
                     let event = Event::Cloud { id, reply };
                     self.send(delay, Message::Event { node, incarnation, event });
                 }
             }
             Message::Reply { node, from, reply } => self.deliver_reply(node, from, reply),
-            Message::Command { node, incarnation, addr, command, answer } => {
-                self.deliver_command(node, incarnation, addr, command, answer);
+            Message::Command { node, incarnation, addr, command, awaits_reply } => {
+                self.deliver_command(node, incarnation, addr, command, awaits_reply);
             }
         }
     }
@@ -970,12 +978,12 @@
         incarnation: u64,
         addr: String,
         command: Command,
-        answer: bool,
+        awaits_reply: bool,
     ) {
         let now = self.now;
-        self.record_command(&addr, answer);
+        self.record_command(&addr, awaits_reply);
         let partitioned = |w: &Worker| {
-            now < self.nodes[node].cut_until || self.is_partitioned(node, &w.place.zone)
+            now < self.nodes[node].partitioned_until || self.is_partitioned(node, &w.place.zone)
         };
         let Some((until, partitioned)) =
             self.region.workers.get(&addr).map(|w| (w.hung_until.max(w.cut_until), partitioned(w)))
@@ -989,17 +997,17 @@
         }
         if now < until || partitioned {
             let delay = until.max(now + 5_000) - now;
-            if answer {
+            if awaits_reply {
                 self.send(800, Message::Event { node, incarnation, event: command_reply(None) });
             }
-            let late = Message::Command { node, incarnation, addr, command, answer: false };
+            let late = Message::Command { node, incarnation, addr, command, awaits_reply: false };
             return self.send(delay, late);
         }
-        if !answer {
+        if !awaits_reply {
             self.record_late_command(&addr, &command);
         }
         let report = self.region.commanded(now, &addr, &command).map(|(_, report)| report);
-        if answer {
+        if awaits_reply {
             let delay = self.delay();
             self.send(delay, Message::Event { node, incarnation, event: command_reply(report) });
         }
@@ -1016,40 +1024,40 @@
             Sender::GraphClient(client, number) => {
                 self.clients.receive_response(now, client, number, &reply)
             }
-            Sender::User { job, submission, abort, asked_at } => {
+            Sender::User { job, submission, abort, sent_at } => {
                 if reply.status != 599 {
                     let checker = &mut self.region.checker;
-                    checker.answered(now, asked_at, &job, reply.status, &reply.body, submission);
+                    checker.answered(now, sent_at, &job, reply.status, &reply.body, submission);
                     self.check_user_response(&job, &reply, submission);
                 }
                 let Some(user) = self.users.iter_mut().find(|u| u.spec.id.as_str() == job) else {
                     return;
                 };
-                let good = matches!(reply.status, 200 | 201);
+                let succeeded = matches!(reply.status, 200 | 201);
                 let timeout =
                     if submission { SUBMIT_RESPONSE_TIMEOUT_MS } else { POLL_RESPONSE_TIMEOUT_MS };
-                if good && now <= asked_at + timeout {
+                if succeeded && now <= sent_at + timeout {
                     user.requests_answered += 1;
                     user.last_answered_at = now;
                 }
-                user.accepted |= good;
-                if good {
+                user.accepted |= succeeded;
+                if succeeded {
                     user.accepted_after.get_or_insert(now - user.arrives_at);
                 }
-                user.aborted |= abort && good;
-                if good {
+                user.aborted |= abort && succeeded;
+                if succeeded {
                     self.receive_status(&job, &reply.body);
                 }
             }
             Sender::RawRequest(number) => {
-                self.aggressive_users.raw_requests[number].answer = Some((now, reply))
+                self.aggressive_users.raw_requests[number].reply = Some((now, reply))
             }
             Sender::DuplicateReport => {}
             Sender::HealthProbe => self.probe_results.push((now, node, reply.status)),
             Sender::Worker { host, report_id, sent_at } => {
                 let partitioned =
                     |w: &Worker| now < w.cut_until || self.is_partitioned(node, &w.place.zone);
-                if now >= self.nodes[node].cut_until
+                if now >= self.nodes[node].partitioned_until
                     && !self.loses_inbound(&host)
                     && !self.region.workers.get(&host).is_some_and(partitioned)
                 {
@@ -1140,14 +1148,14 @@
                     let n = &mut self.nodes[node];
                     (n.frozen_until, n.paused_at) = (now + span, Some(now));
                     // The next event is handled, and then nothing until the node resumes.
-                    self.event(node, Event::Tick);
+                    self.handle_event(node, Event::Tick);
                 }
             }
             Fault::NodeDown(node, span) => {
                 self.crash(node);
                 self.nodes[node].restart_at = now + span;
             }
-            Fault::NodePartitioned(node, span) => self.nodes[node].cut_until = now + span,
+            Fault::NodePartitioned(node, span) => self.nodes[node].partitioned_until = now + span,
             Fault::NodeIsolated(node, span) => self.nodes[node].isolated_until = now + span,
             Fault::LimitsLowered => self.lower_limits(),
             Fault::Upgrade(node, down_ms) => self.upgrade(node, down_ms),
@@ -1192,12 +1200,12 @@
             }
             Fault::MachineTerminated => self.region.take(&host),
             Fault::HalfOfMachinesTerminated => {
-                let up = |(_, w): &(&String, &Worker)| now >= w.up_at;
+                let is_up = |(_, w): &(&String, &Worker)| now >= w.up_at;
                 let half: Vec<String> = self
                     .region
                     .workers
                     .iter()
-                    .filter(up)
+                    .filter(is_up)
                     .map(|(h, _)| h.clone())
                     .step_by(2)
                     .collect();
@@ -1225,7 +1233,7 @@
         let in_transit: Vec<(u64, u64)> = self
             .queue
             .iter()
-            .filter(|(_, message)| matches!(message, Message::Store { answer: true, .. }))
+            .filter(|(_, message)| matches!(message, Message::Store { awaits_reply: true, .. }))
             .map(|(at, _)| *at)
             .collect();
         for at in in_transit {
@@ -1266,17 +1274,18 @@
         for node in 0..3 {
             if self.nodes[node].controller.is_none() && self.now >= self.nodes[node].restart_at {
                 let seed = self.rng.random();
-                self.nodes[node].controller = Some(self.controller(node, seed));
-                self.nodes[node].started = self.now;
+                self.nodes[node].controller = Some(self.new_controller(node, seed));
+                self.nodes[node].started_at = self.now;
             }
             if self.now >= self.nodes[node].frozen_until {
-                self.event(node, Event::Tick);
+                self.handle_event(node, Event::Tick);
             }
         }
         let invalid_starts =
             |n: &Node| n.controller.as_ref()?.leader_term().map(|term| term.invalid_assignments);
-        self.wrong_plans =
-            self.wrong_plans.max(self.nodes.iter().filter_map(invalid_starts).max().unwrap_or(0));
+        self.max_invalid_starts = self
+            .max_invalid_starts
+            .max(self.nodes.iter().filter_map(invalid_starts).max().unwrap_or(0));
         if (0..3).filter(|n| self.may_issue_orders(*n)).count() > 1 {
             self.two_leaders_at.get_or_insert(self.now);
         }
@@ -1286,21 +1295,21 @@
         if self.now < self.outage_until {
             return;
         }
-        let ready = |w: &StoreWatch, s: &State, now: u64| {
+        let is_ready = |w: &StoreWatch, s: &State, now: u64| {
             now >= w.until || !s.changes(&w.prefix, w.after).is_empty()
         };
-        let (done, keep): (Vec<StoreWatch>, Vec<StoreWatch>) =
+        let (ready, open): (Vec<StoreWatch>, Vec<StoreWatch>) =
             std::mem::take(&mut self.watches).into_iter().partition(|w| {
                 self.nodes[w.node].incarnation != w.incarnation
                     || self.now
                         >= self.nodes[w.node]
                             .refused_until
-                            .max(self.nodes[w.node].cut_until)
+                            .max(self.nodes[w.node].partitioned_until)
                             .max(self.nodes[w.node].isolated_until)
-                        && ready(w, &self.state, self.now)
+                        && is_ready(w, &self.state, self.now)
             });
-        self.watches = keep;
-        for w in done {
+        self.watches = open;
+        for w in ready {
             let reply = self.state.follow(&w.prefix, w.after);
             let event = Event::Store { id: w.id, reply };
             self.send(4, Message::Event { node: w.node, incarnation: w.incarnation, event });
@@ -1309,16 +1318,16 @@
 
     fn step_users(&mut self) {
         let now = self.now;
-        for at in 0..self.users.len() {
-            let user = &self.users[at];
-            if now < user.next_request_at || !self.may_submit(at) {
+        for index in 0..self.users.len() {
+            let user = &self.users[index];
+            if now < user.next_request_at || !self.may_submit(index) {
                 continue;
             }
-            let user = &self.users[at];
+            let user = &self.users[index];
             if self.stop_polling_when_final
                 && self.region.checker.over(user.spec.id.as_str()).is_some()
             {
-                self.users[at].next_request_at = u64::MAX;
+                self.users[index].next_request_at = u64::MAX;
                 continue;
             }
             let job = user.spec.id.to_string();
@@ -1334,42 +1343,44 @@
             } else {
                 Request::View(user.spec.id.clone())
             };
-            // An idle user's job was not accepted yet, so there is nothing to ask for.
+            // The job of an idle user was not accepted yet, so there is nothing to request.
             let idle = !submit && !user.accepted && now < user.give_up_at;
-            let times = if now < self.poll_storm.0 { u64::from(self.poll_storm.1) } else { 1 };
-            self.users[at].next_request_at = now + self.rng.random_range(1_000..5_000) / times;
-            if idle || now < self.users[at].arrives_at {
+            let poll_factor =
+                if now < self.poll_storm.0 { u64::from(self.poll_storm.1) } else { 1 };
+            self.users[index].next_request_at =
+                now + self.rng.random_range(1_000..5_000) / poll_factor;
+            if idle || now < self.users[index].arrives_at {
                 continue;
             }
             if submit {
-                self.region.checker.submitted(&self.users[at].spec);
+                self.region.checker.submitted(&self.users[index].spec);
             }
             if abort {
                 self.region.checker.cancel_asked(&job);
             }
-            self.users[at].requests_sent += 1;
+            self.users[index].requests_sent += 1;
             let node = self.rng.random_range(0..3);
             let node = self.load_balancer_target.unwrap_or(node);
-            let from = Sender::User { job, submission: submit, abort, asked_at: now };
+            let from = Sender::User { job, submission: submit, abort, sent_at: now };
             let delay = self.delay();
             self.send(delay, Message::Request { node, from, request, forwarded: false });
         }
         if self.probing && now.is_multiple_of(1_000) {
             for node in 0..3 {
-                let ask = Message::Request {
+                let probe = Message::Request {
                     node,
                     from: Sender::HealthProbe,
                     request: Request::HealthProbe,
                     forwarded: false,
                 };
-                self.send(2, ask);
+                self.send(2, probe);
             }
         }
         if now.is_multiple_of(7_000) {
             let job = "req-999999".to_owned();
             let request = Request::View(JobId::new(&job));
             let node = self.rng.random_range(0..3);
-            let from = Sender::User { job, submission: false, abort: false, asked_at: now };
+            let from = Sender::User { job, submission: false, abort: false, sent_at: now };
             self.send(5, Message::Request { node, from, request, forwarded: false });
         }
     }
@@ -1402,8 +1413,8 @@
         }
         self.step_users();
         self.step_aggressive_users();
-        for (client, number, node, ask) in self.clients.step(self.now) {
-            let request = Request::Graph(Box::new(ask));
+        for (client, number, node, graph_request) in self.clients.step(self.now) {
+            let request = Request::Graph(Box::new(graph_request));
             let delay = self.delay();
             let from = Sender::GraphClient(client, number);
             self.send(delay, Message::Request { node, from, request, forwarded: false });
@@ -1443,7 +1454,7 @@
         let (node, until) = match message {
             Message::Event { node, .. } => (node, self.nodes[*node].frozen_until),
             Message::Request { node, .. } => {
-                (node, self.nodes[*node].frozen_until.max(self.nodes[*node].cut_until))
+                (node, self.nodes[*node].frozen_until.max(self.nodes[*node].partitioned_until))
             }
             _ => return None,
         };
@@ -1469,8 +1480,8 @@
             .iter()
             .filter(|u| u.accepted && self.region.checker.over(u.spec.id.as_str()).is_none())
             .map(|u| {
-                let node = self.nodes.iter().find_map(|n| n.controller.as_ref()?.leader_term());
-                let job = node.and_then(|r| r.job_table.get(&u.spec.id));
+                let term = self.nodes.iter().find_map(|n| n.controller.as_ref()?.leader_term());
+                let job = term.and_then(|term| term.job_table.get(&u.spec.id));
                 format!("{:?}\n   {job:?}", u.spec)
             })
             .collect()
@@ -1479,7 +1490,7 @@
     /// After all faults, every accepted job that its user has not cancelled gets successful responses, whatever happens to
     /// other jobs.
     fn check_forgotten(&mut self) {
-        let waiting = |u: &&User| {
+        let is_forgotten = |u: &&User| {
             let is_polling = u.accepted
                 && u.abort_at.is_none_or(|at| self.now < at)
                 && !self.stop_polling_when_final;
@@ -1488,7 +1499,7 @@
                     > FORGOTTEN_MS
         };
         let forgotten: Vec<String> =
-            self.users.iter().filter(waiting).map(|u| u.spec.id.to_string()).collect();
+            self.users.iter().filter(is_forgotten).map(|u| u.spec.id.to_string()).collect();
         for job in forgotten {
             self.region.checker.fail(
                 self.now,
@@ -1524,17 +1535,17 @@
     /// Open tasks without a machine whose team's limit leaves room for at least one more task, and machines that
     /// are up.
     pub fn pending_tasks_and_machines_up(&self) -> (usize, usize) {
-        let leader = self.nodes.iter().find_map(|n| n.controller.as_ref()?.leader_term());
-        let pending = leader.map_or(0, |r| {
-            let allowed = |j: &&Job| {
+        let term = self.nodes.iter().find_map(|n| n.controller.as_ref()?.leader_term());
+        let pending = term.map_or(0, |term| {
+            let is_allowed = |j: &&Job| {
                 let gpu_limit = TEAM_GPU_LIMITS
                     .iter()
                     .find(|(team, _)| *team == j.spec.team)
                     .map_or(0.0, |l| l.1);
-                let used = r.job_table.usage.get(&j.spec.team).map_or(0.0, |usage| usage.gpus);
+                let used = term.job_table.usage.get(&j.spec.team).map_or(0.0, |usage| usage.gpus);
                 j.state == JobState::Open && (gpu_limit <= 0.0 || used + j.spec.gpus <= gpu_limit)
             };
-            r.job_table.jobs.values().filter(allowed).map(|j| j.pending() as usize).sum()
+            term.job_table.jobs.values().filter(is_allowed).map(|j| j.pending() as usize).sum()
         });
         let up = self.region.workers.values().filter(|w| self.now >= w.up_at).count();
         (pending, up)
@@ -1544,7 +1555,7 @@
     /// history of the state service.
     pub fn ended_attempts(&self) -> BTreeMap<Placement, usize> {
         // The worker session distinguishes two assignments of one attempt to the same machine.
-        let mut held: BTreeMap<&str, BTreeSet<(Placement, WorkerSession)>> = BTreeMap::new();
+        let mut placements: BTreeMap<&str, BTreeSet<(Placement, WorkerSession)>> = BTreeMap::new();
         let mut ended = BTreeMap::new();
         for change in self.state.history() {
             let key = change.put.as_deref().or(change.delete.as_deref()).unwrap_or_default();
@@ -1557,9 +1568,9 @@
                     r.assignments.into_iter().map(|row| ((row.0, row.1.0, row.2), row.3)).collect()
                 })
                 .unwrap_or_default();
-            let before = held.insert(key, now).unwrap_or_default();
-            for (gone, _) in before.difference(&held[key]) {
-                *ended.entry(gone.clone()).or_default() += 1;
+            let before = placements.insert(key, now).unwrap_or_default();
+            for (removed, _) in before.difference(&placements[key]) {
+                *ended.entry(removed.clone()).or_default() += 1;
             }
         }
         ended
@@ -1595,7 +1606,7 @@
         teams.into_iter().map(|team| (team.name, team.gpus_max)).collect()
     }
 
-    /// The share of probes between two times that each node answered with 200.
+    /// For each node, the share of probes between two times that it answered with 200.
     pub fn healthy_probe_share(&self, from: u64, to: u64) -> [f64; 3] {
         let mut counts = [(0.0, 0.0); 3];
         for (at, node, status) in &self.probe_results {
@@ -1604,7 +1615,7 @@
                 counts[*node].1 += 1.0;
             }
         }
-        counts.map(|(good, all)| if all > 0.0 { good / all } else { 0.0 })
+        counts.map(|(healthy, all)| if all > 0.0 { healthy / all } else { 0.0 })
     }
 
     /// GPUs of all on-demand machines that the cloud offers now.
@@ -1618,17 +1629,18 @@
         f64::from(capacity) * ZONES.len() as f64 * f64::from(largest)
     }
 
-    /// Times from first submission to acceptance in milliseconds, sorted; `None` if not accepted yet.
-    pub fn accepted_after(&self, which: impl Fn(&JobSpec) -> bool) -> Vec<Option<u64>> {
-        let came = self.users.iter().filter(|u| which(&u.spec) && u.arrives_at <= self.now);
-        let mut waits: Vec<Option<u64>> = came.map(|u| u.accepted_after).collect();
+    /// Times from first submission to acceptance of the selected jobs in milliseconds, sorted; `None` if not accepted yet.
+    pub fn accepted_after(&self, is_selected: impl Fn(&JobSpec) -> bool) -> Vec<Option<u64>> {
+        let arrived =
+            self.users.iter().filter(|u| is_selected(&u.spec) && u.arrives_at <= self.now);
+        let mut waits: Vec<Option<u64>> = arrived.map(|u| u.accepted_after).collect();
         waits.sort_unstable_by_key(|wait| wait.unwrap_or(u64::MAX));
         waits
     }
 
     /// The largest value ever written, in bytes.
     pub fn largest_value(&self) -> usize {
-        self.state.history().iter().map(|l| l.value.to_string().len()).max().unwrap_or(0)
+        self.state.history().iter().map(|change| change.value.to_string().len()).max().unwrap_or(0)
     }
 
     /// The rows of the state service under a prefix.
--- a/tests/world/pipelines.rs
+++ b/tests/world/pipelines.rs
@@ -84,7 +84,7 @@
     rng: &mut ChaCha8Rng,
 ) -> Vec<Vec<usize>> {
     let last = jobs.saturating_sub(1);
-    let of = |job: usize, rng: &mut ChaCha8Rng| match shape {
+    let dependencies_of = |job: usize, rng: &mut ChaCha8Rng| match shape {
         _ if job == 0 => Vec::new(),
         PipelineShape::Chain => vec![job - 1],
         PipelineShape::Diamond if job == last => (1..last).collect(),
@@ -98,7 +98,7 @@
             before
         }
     };
-    (0..jobs).map(|job| of(job, rng)).collect()
+    (0..jobs).map(|job| dependencies_of(job, rng)).collect()
 }
 
 /// A short job of a pipeline, without dependencies yet.
@@ -131,13 +131,13 @@
 
 impl World {
     /// Adds users with random pipelines. Some of their first jobs depend on jobs of other users or of earlier pipelines.
-    pub fn add_pipelines(&mut self, seed: u64, draw: PipelineDistribution) {
+    pub fn add_pipelines(&mut self, seed: u64, distribution: PipelineDistribution) {
         let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x7069_7065);
-        let finite = |user: &&User| user.spec.shape != Shape::Service;
-        let mut known: Vec<JobId> =
-            self.users.iter().filter(finite).map(|user| user.spec.id.clone()).collect();
+        let is_finite = |user: &&User| user.spec.shape != Shape::Service;
+        let mut earlier_jobs: Vec<JobId> =
+            self.users.iter().filter(is_finite).map(|user| user.spec.id.clone()).collect();
         let mut number = FIRST_JOB_NUMBER;
-        for _ in 0..draw.count {
+        for _ in 0..distribution.count {
             let jobs = rng.random_range(2..8);
             let shape = *PIPELINE_SHAPES.choose(&mut rng).unwrap_or(&PipelineShape::Chain);
             let mut ids = Vec::new();
@@ -146,8 +146,8 @@
                 ids.push(JobId::new(&format!("req-{:06}", thousands + number)));
                 number += 1;
             }
-            self.add_pipeline(shape, &ids, &known, draw, &mut rng);
-            known.extend(ids);
+            self.add_pipeline(shape, &ids, &earlier_jobs, distribution, &mut rng);
+            earlier_jobs.extend(ids);
         }
     }
 
@@ -155,29 +155,29 @@
         &mut self,
         shape: PipelineShape,
         ids: &[JobId],
-        known: &[JobId],
-        draw: PipelineDistribution,
+        earlier_jobs: &[JobId],
+        distribution: PipelineDistribution,
         rng: &mut ChaCha8Rng,
     ) {
-        let at = rng.random_range(draw.arrive_from_ms..draw.arrive_to_ms);
-        let needs = dependency_indices(shape, ids.len(), rng);
-        for (job, needed) in needs.iter().enumerate() {
+        let at = rng.random_range(distribution.arrive_from_ms..distribution.arrive_to_ms);
+        let dependencies = dependency_indices(shape, ids.len(), rng);
+        for (job, indices) in dependencies.iter().enumerate() {
             let mut spec = random_stage(ids[job].clone(), rng);
-            spec.dependencies = needed.iter().map(|needed| ids[*needed].clone()).collect();
+            spec.dependencies = indices.iter().map(|index| ids[*index].clone()).collect();
             if job == 0 && rng.random_bool(0.4) {
-                spec.dependencies.extend(known.choose(rng).cloned());
+                spec.dependencies.extend(earlier_jobs.choose(rng).cloned());
             }
             let last = job + 1 == ids.len();
             if last {
                 (spec.rank, spec.deadline_s) = (Rank::High, Some(rng.random_range(60.0..150.0)));
             }
             self.add_job_at(spec, at);
-            if last && rng.random_bool(draw.late_share) {
+            if last && rng.random_bool(distribution.late_share) {
                 self.submit_last_after_dependencies();
             }
         }
-        if rng.random_bool(draw.cancelled_share) {
-            let cancelled_at = at + rng.random_range(0..draw.max_cancel_delay_ms);
+        if rng.random_bool(distribution.cancelled_share) {
+            let cancelled_at = at + rng.random_range(0..distribution.max_cancel_delay_ms);
             // Cancels one or two jobs of the pipeline at once, with equal probability.
             let jobs = rng.random_range(1..3);
             for id in ids.choose_multiple(rng, jobs) {
@@ -207,10 +207,10 @@
         if user.submit_when == SubmitWhen::Immediately {
             return true;
         }
-        let ready = |id: &JobId| self.dependency_ready(id, user.submit_when);
+        let is_ready = |id: &JobId| self.is_dependency_ready(id, user.submit_when);
         if self.now < user.arrives_at
             || !self.all_current()
-            || !user.spec.dependencies.iter().all(ready)
+            || !user.spec.dependencies.iter().all(is_ready)
         {
             return false;
         }
@@ -222,7 +222,7 @@
         true
     }
 
-    fn dependency_ready(&self, id: &JobId, submit_when: SubmitWhen) -> bool {
+    fn is_dependency_ready(&self, id: &JobId, submit_when: SubmitWhen) -> bool {
         let Some(user) = self.users.iter().find(|user| user.spec.id == *id) else { return true };
         match submit_when {
             SubmitWhen::DependenciesFinished => self.region.checker.over(id.as_str()).is_some(),
@@ -248,17 +248,18 @@
 
     /// Accepted jobs that wait for dependencies.
     pub fn waiting_jobs(&self) -> usize {
-        let over = |user: &User| self.region.checker.over(user.spec.id.as_str()).is_some();
-        let waits = |user: &&User| {
-            user.accepted && !over(user) && self.unfinished_dependency(&user.spec).is_some()
+        let is_finished = |user: &User| self.region.checker.over(user.spec.id.as_str()).is_some();
+        let is_waiting = |user: &&User| {
+            user.accepted && !is_finished(user) && self.unfinished_dependency(&user.spec).is_some()
         };
-        self.users.iter().filter(waits).count()
+        self.users.iter().filter(is_waiting).count()
     }
 
     /// Accepted jobs that have dependencies.
     pub fn accepted_dependents(&self) -> usize {
-        let accepted = |user: &&User| user.accepted && !user.spec.dependencies.is_empty();
-        self.users.iter().filter(accepted).count()
+        let is_accepted_dependent =
+            |user: &&User| user.accepted && !user.spec.dependencies.is_empty();
+        self.users.iter().filter(is_accepted_dependent).count()
     }
 
     /// Checks, when a task of a job is assigned, that all its dependencies are durably done.
@@ -293,20 +294,20 @@
     }
 
     /// Whether a job's final status follows from what the state service stores.
-    fn follows_from_records(&self, id: &JobId, end: JobStatus) -> bool {
+    fn follows_from_records(&self, id: &JobId, status: JobStatus) -> bool {
         if let Some(stored) = self.durable_status(id) {
-            return stored == end;
+            return stored == status;
         }
         let mut visited: BTreeSet<&str> = BTreeSet::new();
         let mut open = vec![id.as_str()];
         while let Some(id) = open.pop() {
             let ended = self.durable_status(&JobId::new(id));
             if ended.is_some_and(|stored| stored != JobStatus::Done) {
-                return end == JobStatus::Cancelled;
+                return status == JobStatus::Cancelled;
             }
             let Some(spec) = self.region.outside.specs.get(id) else { continue };
-            let needs = spec.dependencies.iter().map(|need| need.as_str());
-            open.extend(needs.filter(|need| visited.insert(need)));
+            let dependencies = spec.dependencies.iter().map(|id| id.as_str());
+            open.extend(dependencies.filter(|id| visited.insert(id)));
         }
         false
     }
@@ -335,13 +336,18 @@
     /// reported.
     pub(super) fn check_released_jobs(&mut self) {
         let Some(term) = self.active_term() else { return };
-        let released = |job: &&Job| {
+        let is_newly_released = |job: &&Job| {
             !job.spec.dependencies.is_empty()
                 && job.state == JobState::Open
                 && !self.released.contains(&job.spec.id)
         };
-        let released: Vec<JobId> =
-            term.job_table.jobs.values().filter(released).map(|job| job.spec.id.clone()).collect();
+        let released: Vec<JobId> = term
+            .job_table
+            .jobs
+            .values()
+            .filter(is_newly_released)
+            .map(|job| job.spec.id.clone())
+            .collect();
         for id in released {
             self.check_release(id.as_str(), "is released");
             self.released.insert(id);
--- a/tests/world/served.rs
+++ b/tests/world/served.rs
@@ -1,4 +1,4 @@
-//! Measures how well each class and team was served, by strict definitions.
+//! Measures which share of its demand each class and team received.
 
 use super::World;
 use oatloom_protocol::wire::{JobSpec, JobStatus, Shape};
@@ -23,9 +23,9 @@
 }
 
 impl Share {
-    fn add(&mut self, wanted: u64, had: u64) {
+    fn add(&mut self, wanted: u64, received: u64) {
         self.wanted += wanted;
-        self.received += had;
+        self.received += received;
     }
 
     pub fn ratio(self) -> f64 {
@@ -81,11 +81,13 @@
 /// Observations of jobs, sampled once a second.
 #[derive(Debug, Default)]
 pub struct ServiceMonitor {
-    /// The most tasks of each job on machines at once, and seconds of replicas up and wanted.
+    /// The largest number of tasks of each job on machines at once.
     max_running: HashMap<String, u32>,
-    /// When a job first began, and when it was complete.
+    /// When a job first began.
     begun_at: HashMap<String, u64>,
+    /// When all tasks that a job may run at once were running or done.
     complete_at: HashMap<String, u64>,
+    /// Seconds of replicas wanted and up.
     up: HashMap<String, Share>,
     /// Replica seconds wanted, and those that all on-demand machines of the cloud could have provided if they served
     /// nothing else: services may not use spot machines.
@@ -100,20 +102,20 @@
             *running.entry(&task.job).or_default() += 1;
         }
         let limits = world.gpu_limits();
-        let at_once = |spec: &JobSpec| match limits.get(&spec.team) {
+        let max_parallel_tasks = |spec: &JobSpec| match limits.get(&spec.team) {
             Some(gpu_limit) if *gpu_limit > 0.0 && spec.gpus > 0.0 => {
                 (gpu_limit / spec.gpus) as u32
             }
             _ => u32::MAX,
         };
         let mut wanted = 0.0;
-        // The checker knows no tasks of a job that was not submitted yet, so that all of them would count as done and services
-        // and gangs would seem to have begun before they came.
+        // Jobs that were not submitted yet are skipped: the checker knows no tasks of them, so that all tasks would count as
+        // done, and services and gangs as begun.
         for user in world.users.iter().filter(|user| user.arrives_at <= world.now) {
             let id = user.spec.id.as_str();
             let present = running.get(id).copied().unwrap_or(0).min(user.spec.tasks);
             let required = match user.spec.shape {
-                Shape::Array => user.spec.tasks.min(at_once(&user.spec)),
+                Shape::Array => user.spec.tasks.min(max_parallel_tasks(&user.spec)),
                 _ => user.spec.tasks,
             };
             let done = match user.spec.shape {
@@ -124,18 +126,18 @@
             if present + done >= required {
                 self.complete_at.entry(id.to_owned()).or_insert(world.now);
             }
-            let first = if user.spec.shape == Shape::Array { 1 } else { required };
-            if present + done >= first {
+            let required_to_begin = if user.spec.shape == Shape::Array { 1 } else { required };
+            if present + done >= required_to_begin {
                 self.begun_at.entry(id.to_owned()).or_insert(world.now);
             }
-            let cancels = user.abort_at.is_some_and(|at| world.now >= at);
+            let is_cancelled = user.abort_at.is_some_and(|at| world.now >= at);
             if present > 0 {
                 let max_running = self.max_running.entry(id.to_owned()).or_default();
                 *max_running = (*max_running).max(present);
             }
             if user.spec.shape == Shape::Service
                 && world.now >= user.arrives_at + MAX_SERVICE_START_MS
-                && !cancels
+                && !is_cancelled
             {
                 self.up
                     .entry(id.to_owned())
@@ -150,7 +152,7 @@
     /// The results of each class and team, for a simulation that ends now.
     pub fn served(&self, world: &World) -> BTreeMap<String, Served> {
         let mut all: BTreeMap<String, Served> = BTreeMap::new();
-        let came = |at: u64, before: u64| at + before <= world.now;
+        let arrived_before_end = |at: u64, margin_ms: u64| at + margin_ms <= world.now;
         let mut sizes: BTreeMap<&str, Vec<u32>> = BTreeMap::new();
         for user in &world.users {
             sizes.entry(&user.spec.class).or_default().push(user.spec.tasks);
@@ -158,12 +160,13 @@
         for sizes in sizes.values_mut() {
             sizes.sort_unstable();
         }
-        let large = |spec: &JobSpec| {
+        let is_among_largest = |spec: &JobSpec| {
             let sizes = &sizes[spec.class.as_str()];
-            let from = ((sizes.len() as f64 * LARGEST_QUANTILE) as usize).min(sizes.len() - 1);
-            spec.tasks >= sizes[from]
+            let first_large =
+                ((sizes.len() as f64 * LARGEST_QUANTILE) as usize).min(sizes.len() - 1);
+            spec.tasks >= sizes[first_large]
         };
-        for user in world.users.iter().filter(|u| came(u.arrives_at, 10_000)) {
+        for user in world.users.iter().filter(|u| arrived_before_end(u.arrives_at, 10_000)) {
             let (spec, checker) = (&user.spec, &world.region.checker);
             let id = spec.id.as_str();
             let done = checker.all_done(id);
@@ -177,22 +180,22 @@
                 served.accepted.add(1, user.accepted.into());
                 served.answered.add(user.requests_sent.into(), user.requests_answered.into());
                 served.up.add(up.wanted, up.received);
-                if came(user.arrives_at, MAX_BEGIN_DELAY_MS)
+                if arrived_before_end(user.arrives_at, MAX_BEGIN_DELAY_MS)
                     && user.abort_at.is_none()
-                    && large(spec)
+                    && is_among_largest(spec)
                 {
-                    let soon = |at: Option<&u64>| {
+                    let is_in_time = |at: Option<&u64>| {
                         at.is_some_and(|at| *at <= user.arrives_at + MAX_BEGIN_DELAY_MS)
                     };
                     let begun = match spec.shape {
                         Shape::Array => &mut served.largest,
                         _ => &mut served.largest_whole,
                     };
-                    begun.add(1, soon(self.begun_at.get(id)).into());
-                    served.largest_full.add(1, soon(self.complete_at.get(id)).into());
+                    begun.add(1, is_in_time(self.begun_at.get(id)).into());
+                    served.largest_full.add(1, is_in_time(self.complete_at.get(id)).into());
                 }
                 // Cancelled jobs are left out.
-                if came(user.arrives_at, END_MARGIN_MS) && user.abort_at.is_none() {
+                if arrived_before_end(user.arrives_at, END_MARGIN_MS) && user.abort_at.is_none() {
                     served.started.add(1, full.into());
                     if spec.shape != Shape::Service {
                         served.done.add(1, known_done.into());
--- a/tests/world/solo.rs
+++ b/tests/world/solo.rs
@@ -122,8 +122,8 @@
                         }
                         events.push(Event::Cloud { id, reply: CloudReply::Busy });
                     }
-                    Action::PeerRequest { id, request: question, .. } => {
-                        self.peer_requests.push((id, question))
+                    Action::PeerRequest { id, request, .. } => {
+                        self.peer_requests.push((id, request))
                     }
                     Action::Command { .. } => events.push(Event::CommandReply { report: None }),
                 }
@@ -139,17 +139,17 @@
         }
     }
 
-    /// Advances the time in steps.
+    /// Advances the time by this many milliseconds, in steps of 50 ms.
     pub fn advance(&mut self, ms: u64) {
         let until = self.now + ms;
         while self.now < until {
             self.now += 50;
             self.state.expire(self.now);
             self.event(Event::Tick);
-            let due = |(_, prefix, after): &(OpId, String, Revision)| {
+            let is_due = |(_, prefix, after): &(OpId, String, Revision)| {
                 !self.state.changes(prefix, *after).is_empty()
             };
-            let (ready, open) = std::mem::take(&mut self.watches).into_iter().partition(due);
+            let (ready, open) = std::mem::take(&mut self.watches).into_iter().partition(is_due);
             self.watches = open;
             let ready: Vec<_> = ready;
             for (id, prefix, after) in ready {
--- a/tests/world/state.rs
+++ b/tests/world/state.rs
@@ -61,9 +61,9 @@
 
     /// Ends leases that were not renewed.
     pub fn expire(&mut self, now: u64) {
-        let late: Vec<u64> =
+        let expired: Vec<u64> =
             self.leases.iter().filter(|(_, (_, end))| now > *end).map(|(id, _)| *id).collect();
-        for id in late {
+        for id in expired {
             self.end_lease(id);
         }
     }
@@ -97,9 +97,15 @@
     }
 
     pub fn changes(&self, prefix: &str, after: Revision) -> Vec<LoggedChange> {
-        let from = self.log.partition_point(|l| l.version <= after);
-        let key = |l: &LoggedChange| l.put.clone().or(l.delete.clone()).unwrap_or_default();
-        self.log[from..].iter().filter(|l| key(l).starts_with(prefix)).cloned().collect()
+        let from = self.log.partition_point(|change| change.version <= after);
+        let key_of = |change: &LoggedChange| {
+            change.put.clone().or(change.delete.clone()).unwrap_or_default()
+        };
+        self.log[from..]
+            .iter()
+            .filter(|change| key_of(change).starts_with(prefix))
+            .cloned()
+            .collect()
     }
 
     pub fn follow(&self, prefix: &str, after: Revision) -> StoreReply {
--- a/tests/world/upgrades.rs
+++ b/tests/world/upgrades.rs
@@ -8,7 +8,7 @@
 use oatloom_protocol::wire::Change;
 use rand_chacha::ChaCha8Rng;
 
-/// The last limits in the default settings, and the announced lower limits that are inserted after them.
+/// The last lines of the limits in the default settings, and the announced lower limits that are inserted after them.
 const LIMITS_TEXT: &str = "txn_ops = 16\n";
 const NEXT_LIMITS_TEXT: &str =
     "[facts.state.next]\nvalue_kb = 2.0\ntxn_ops = 5\nwrite_rps = 18.0\n";
@@ -33,7 +33,7 @@
 /// The default site, whose settings announce lower limits of the state service.
 pub fn site_with_next_limits() -> Site {
     let text = SETTINGS.replace(LIMITS_TEXT, &format!("{LIMITS_TEXT}{NEXT_LIMITS_TEXT}"));
-    assert_ne!(text, SETTINGS, "the usual settings have limits");
+    assert_ne!(text, SETTINGS, "the default settings contain the limits");
     Site { settings: text, ..Site::default() }
 }
 
@@ -79,8 +79,8 @@
         self.nodes[node].restart_at = self.now + down_ms;
     }
 
-    /// A controller of its node's present version.
-    pub(super) fn controller(&self, node: usize, seed: u64) -> Controller {
+    /// Creates a controller of the version that its node is to run.
+    pub(super) fn new_controller(&self, node: usize, seed: u64) -> Controller {
         let settings = settings(&self.site.settings, node);
         let operators = self.operators.clone();
         match self.nodes[node].version {
