--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -23,7 +23,7 @@
 
 fn settings() -> Settings {
     let text = include_str!("sample.toml").replace("sockets = 1000", "sockets = 2500");
-    oatloom::settings::parse_platform_settings(&text).expect("sound settings")
+    oatloom::settings::parse_platform_settings(&text).expect("valid settings")
 }
 
 /// The term of a leader with this many machines, each with up to `images` cached images.
@@ -40,9 +40,9 @@
 
 fn frame_bytes(hints: LeaderHints) -> usize {
     let mut bytes = Vec::new();
-    let asked =
+    let frame =
         PeerRequestFrame { id: u64::MAX, request: PeerRequest::LeaderHints(Box::new(hints)) };
-    ciborium::into_writer(&asked, &mut bytes).expect("a frame");
+    ciborium::into_writer(&frame, &mut bytes).expect("a frame");
     bytes.len()
 }
 
@@ -61,10 +61,13 @@
             stored = Some(LeaderHints::merge(stored, hints));
             messages_sent += 1;
         }
-        let took = Millis(messages_sent * HINTS_PERIOD_MS.0);
+        let duration = Millis(messages_sent * HINTS_PERIOD_MS.0);
         // Forty images on each of 6,000 machines exceed what frames carry in time: missing hints cost image fetches and break no
         // rule.
-        assert!(took < MAX_HINT_AGE_MS || images == 40, "{machines} machines take {took:?}");
+        assert!(
+            duration < MAX_HINT_AGE_MS || images == 40,
+            "{machines} machines take {duration:?}"
+        );
         assert_eq!(stored.map(|hints| hints.images.len()), Some(machines));
     }
 }
@@ -72,11 +75,11 @@
 /// As many users can wait for a leader's answer at once as poll within its timeout.
 #[test]
 fn users_of_a_large_fleet_can_wait_at_once() {
-    let mut core = Controller::new(settings(), OperatorSettings::default(), 1);
+    let mut controller = Controller::new(settings(), OperatorSettings::default(), 1);
     let now = Now { mono: NOW, wall_ms: 1_000 };
-    let peer = core_peer();
+    let peer = first_peer();
     let hints = LeaderHints { token: Token(7), leader: Some(peer), ..LeaderHints::default() };
-    core.handle(
+    controller.handle(
         now,
         Event::Request {
             conn: ConnId(1),
@@ -86,23 +89,27 @@
     );
     // One job per two machines, polled every 5 s: twice the number of polls within one request timeout.
     let waiting = MACHINES / 2 * LEADER_QUERY_TIMEOUT_MS.0 as usize / 5_000 * 2;
-    let mut asked = BTreeMap::new();
+    let mut leader_requests = BTreeMap::new();
     for n in 0..waiting as u64 {
         let request = Request::View(JobId::new(&format!("req-{n:06}")));
-        for action in
-            core.handle(now, Event::Request { conn: ConnId(10 + n), request, forwarded: false })
+        for action in controller
+            .handle(now, Event::Request { conn: ConnId(10 + n), request, forwarded: false })
         {
             match action {
-                Action::PeerRequest { id, .. } => _ = asked.insert(id, n),
+                Action::PeerRequest { id, .. } => _ = leader_requests.insert(id, n),
                 Action::Reply { reply, .. } => panic!("{n} of {waiting} is refused: {reply:?}"),
                 _ => {}
             }
         }
     }
-    assert!(waiting > 600 && asked.len() >= waiting, "{} of {waiting}", asked.len());
+    assert!(
+        waiting > 600 && leader_requests.len() >= waiting,
+        "{} of {waiting}",
+        leader_requests.len()
+    );
 }
 
 /// The first of the controller's peers.
-fn core_peer() -> Member {
+fn first_peer() -> Member {
     settings().peers[0].member.clone()
 }
--- a/tests/inherited_machines.rs
+++ b/tests/inherited_machines.rs
@@ -7,7 +7,7 @@
 //!   were released as never reported, 10.5 s into the term and long before their leases ended. This also killed their tasks and
 //!   removed the evidence that the zone was silent, so that it counted as healthy (seeds 203, 225).
 //! - Hires were requested before the list of machines had been read once (seeds 209, 217, 219, 234).
-//! - With fewer than three machines left in the zone, no report was awaited, and the zone counted as healthy until they were
+//! - With fewer than three machines left in the zone, no report was expected, and the zone counted as healthy until they were
 //!   overdue: up to six machines were hired in that time (seeds 210, 217, 234).
 
 #[allow(dead_code)]
@@ -73,13 +73,13 @@
         world.run_until(77_000);
         let busy: BTreeSet<String> = {
             let region = &world.region;
-            let in_lost_zone =
+            let is_in_lost_zone =
                 |host: &String| region.workers.get(host).is_some_and(|w| w.place.zone == "a");
             region
                 .checker
                 .on_machines()
                 .map(|task| task.host.clone())
-                .filter(in_lost_zone)
+                .filter(is_in_lost_zone)
                 .collect()
         };
         running += busy.len();
@@ -127,7 +127,7 @@
     const ALL_CRASH_AT_MS: u64 = 110_000;
     const COUNT_UNTIL_MS: u64 = 160_000;
     const BOOTING_MS: u64 = 33_000;
-    let (mut most, mut elsewhere) = (0, 0);
+    let (mut max_booting, mut elsewhere) = (0, 0);
     for seed in 400..406 + extra_seeds() {
         let mut faults: Vec<(u64, Fault)> =
             (0..3).map(|node| (LOST_AT_MS, Fault::NodeZonePartition(node, 0, 110_000))).collect();
@@ -152,11 +152,11 @@
                 }
             }
             let booting = hired_at.iter().filter(|at| world.now < **at + BOOTING_MS);
-            most = most.max(booting.count());
+            max_booting = max_booting.max(booting.count());
         }
         world.run();
         world::assert_finished(&world, &format!("seed {seed}"));
     }
     assert!(elsewhere > 1, "some machines are hired elsewhere");
-    assert!(most <= 1, "{most} machines booting at once in a zone without reports");
+    assert!(max_booting <= 1, "{max_booting} machines booting at once in a zone without reports");
 }
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,5 +1,5 @@
 //! Teams at their limits, and jobs that finish or are cancelled, while machines and leaders fail in many orders and at many
-//! times. `OATLOOM_SEEDS=n` plays n more seeds of each.
+//! times. `OATLOOM_SEEDS=n` runs n more seeds of each test.
 
 #[allow(dead_code)]
 mod world;
@@ -35,7 +35,7 @@
 
 /// A world whose controllers are down from the beginning, with a machine of four GPUs in zone a and an accepted job of two
 /// tasks of one GPU each.
-fn with_waiting_job(limit: f64, change: impl Fn(&mut JobSpec)) -> World {
+fn world_with_waiting_job(limit: f64, change: impl Fn(&mut JobSpec)) -> World {
     let teams = [TeamLimits { name: "blue", gpus_max: limit, ..TeamLimits::default() }];
     let mut world = World::without_users(site(&teams), &mut ChaCha8Rng::seed_from_u64(1), 0);
     (0..3).for_each(|node| world.inject_fault(Fault::NodeDown(node, 1_000_000)));
@@ -49,7 +49,7 @@
 }
 
 /// Whether a job counts as neglected by `until`; no other rule may be broken.
-fn neglected(world: &mut World, until: u64) -> bool {
+fn is_neglected(world: &mut World, until: u64) -> bool {
     world.run_until(until);
     let broken = &world.region.checker.broken;
     assert!(broken.iter().all(|text| text.contains(" neglected: ")), "{broken:?}");
@@ -78,16 +78,25 @@
 #[test]
 fn a_job_that_waits_although_it_fits_counts_as_neglected() {
     let past_limit = NEGLECTED_MS + 3_000;
-    assert!(!neglected(&mut with_waiting_job(0.0, |_| {}), NEGLECTED_MS));
-    assert!(neglected(&mut with_waiting_job(0.0, |_| {}), past_limit));
-    assert!(neglected(&mut with_waiting_job(0.0, |spec| spec.shape = Shape::Gang), past_limit));
-    assert!(neglected(&mut with_waiting_job(2.0, |spec| spec.shape = Shape::Gang), past_limit));
+    assert!(!is_neglected(&mut world_with_waiting_job(0.0, |_| {}), NEGLECTED_MS));
+    assert!(is_neglected(&mut world_with_waiting_job(0.0, |_| {}), past_limit));
+    assert!(is_neglected(
+        &mut world_with_waiting_job(0.0, |spec| spec.shape = Shape::Gang),
+        past_limit
+    ));
+    assert!(is_neglected(
+        &mut world_with_waiting_job(2.0, |spec| spec.shape = Shape::Gang),
+        past_limit
+    ));
     assert!(
-        neglected(&mut with_waiting_job(1.0, |_| {}), past_limit),
+        is_neglected(&mut world_with_waiting_job(1.0, |_| {}), past_limit),
         "room for one task of an array suffices"
     );
     assert!(
-        !neglected(&mut with_waiting_job(1.0, |spec| spec.shape = Shape::Gang), past_limit),
+        !is_neglected(
+            &mut world_with_waiting_job(1.0, |spec| spec.shape = Shape::Gang),
+            past_limit
+        ),
         "a gang needs room for all tasks"
     );
     for change in [
@@ -98,52 +107,55 @@
         |spec: &mut JobSpec| (spec.shape, spec.spread) = (Shape::Gang, true),
         |spec: &mut JobSpec| (spec.shape, spec.tasks) = (Shape::Gang, 5),
     ] {
-        assert!(!neglected(&mut with_waiting_job(0.0, change), past_limit), "no machine fits");
+        assert!(
+            !is_neglected(&mut world_with_waiting_job(0.0, change), past_limit),
+            "no machine fits"
+        );
     }
-    let mut cancelled = with_waiting_job(0.0, |_| {});
+    let mut cancelled = world_with_waiting_job(0.0, |_| {});
     cancelled.cancel("req-1", 10_000);
-    assert!(!neglected(&mut cancelled, past_limit));
-    let mut unaccepted = with_waiting_job(0.0, |_| {});
+    assert!(!is_neglected(&mut cancelled, past_limit));
+    let mut unaccepted = world_with_waiting_job(0.0, |_| {});
     unaccepted.add_job(small_array("req-3", 5));
-    assert!(neglected(&mut unaccepted, past_limit));
+    assert!(is_neglected(&mut unaccepted, past_limit));
     let broken = &unaccepted.region.checker.broken;
     assert!(broken.iter().all(|text| text.contains("req-1")), "{broken:?}");
-    let mut broken = with_waiting_job(0.0, |_| {});
+    let mut broken = world_with_waiting_job(0.0, |_| {});
     broken.region.outside.broken.insert("req-1".into(), Broken::Always);
-    assert!(!neglected(&mut broken, past_limit), "it waits because it fails");
+    assert!(!is_neglected(&mut broken, past_limit), "it waits because it fails");
     // Free room and limits are judged by what the workers actually run.
-    let mut full = with_waiting_job(0.0, |_| {});
+    let mut full = world_with_waiting_job(0.0, |_| {});
     occupy(&mut full, 3.5);
-    assert!(!neglected(&mut full, past_limit));
-    let mut roomy = with_waiting_job(0.0, |_| {});
-    occupy(&mut roomy, 3.0);
-    assert!(neglected(&mut roomy, past_limit));
-    let mut at_limit = with_waiting_job(3.0, |_| {});
+    assert!(!is_neglected(&mut full, past_limit));
+    let mut with_room = world_with_waiting_job(0.0, |_| {});
+    occupy(&mut with_room, 3.0);
+    assert!(is_neglected(&mut with_room, past_limit));
+    let mut at_limit = world_with_waiting_job(3.0, |_| {});
     occupy(&mut at_limit, 2.5);
-    assert!(!neglected(&mut at_limit, past_limit));
+    assert!(!is_neglected(&mut at_limit, past_limit));
 }
 
 /// Only an uninterrupted wait counts: it starts anew after the machine hung, was cut off or was a spot machine.
 #[test]
 fn an_interruption_restarts_the_neglect_period() {
-    for trouble in [
+    for interrupt in [
         |worker: &mut Worker| worker.hung_until = 62_000,
         |worker: &mut Worker| worker.cut_until = 62_000,
         |worker: &mut Worker| worker.place.spot = true,
     ] {
-        let mut world = with_waiting_job(0.0, |_| {});
-        assert!(!neglected(&mut world, 60_000));
-        trouble(world.region.machine("i-1").expect("the machine"));
-        assert!(!neglected(&mut world, 62_500));
+        let mut world = world_with_waiting_job(0.0, |_| {});
+        assert!(!is_neglected(&mut world, 60_000));
+        interrupt(world.region.machine("i-1").expect("the machine"));
+        assert!(!is_neglected(&mut world, 62_500));
         world.region.machine("i-1").expect("the machine").place.spot = false;
-        assert!(!neglected(&mut world, 62_000 + NEGLECTED_MS));
-        assert!(neglected(&mut world, 66_000 + NEGLECTED_MS));
+        assert!(!is_neglected(&mut world, 62_000 + NEGLECTED_MS));
+        assert!(is_neglected(&mut world, 66_000 + NEGLECTED_MS));
     }
-    let mut neglect = NeglectTracker::default();
+    let mut tracker = NeglectTracker::default();
     let job = || BTreeSet::from(["req-1".to_owned()]);
-    assert!(neglect.update(0, job()).is_empty());
-    assert_eq!(neglect.update(NEGLECTED_MS + 1, job()), ["req-1"]);
-    assert_eq!(neglect.longest_wait_ms, NEGLECTED_MS + 1);
+    assert!(tracker.update(0, job()).is_empty());
+    assert_eq!(tracker.update(NEGLECTED_MS + 1, job()), ["req-1"]);
+    assert_eq!(tracker.longest_wait_ms, NEGLECTED_MS + 1);
 }
 
 /// The number of further tasks of a job that could be placed, given where its others are.
@@ -233,9 +245,9 @@
 
 /// How many tasks of this size a team may run at once: without limits, as many as these sites have room for.
 fn max_concurrent_tasks(team: &TeamLimits, cpus: f64, gpus: f64) -> u32 {
-    let fitting =
+    let max_fitting =
         |limit: f64, each: f64| if limit > 0.0 { (limit / each + 1e-6) as u32 } else { 8 };
-    fitting(team.cpus_max, cpus).min(fitting(team.gpus_max, gpus))
+    max_fitting(team.cpus_max, cpus).min(max_fitting(team.gpus_max, gpus))
 }
 
 /// A random job that its team's limit allows.
@@ -289,9 +301,9 @@
         while work_s < TEAM_WORK_S {
             number += 1;
             let spec = random_job(number, limit_kind, team, rng);
-            let takes_s = if spec.shape == Shape::Service { 30.0 } else { spec.estimate_s };
+            let duration_s = if spec.shape == Shape::Service { 30.0 } else { spec.estimate_s };
             let max_tasks = f64::from(max_concurrent_tasks(team, spec.cpus, spec.gpus));
-            work_s += f64::from(spec.tasks) * (takes_s + TASK_OVERHEAD_S) / max_tasks;
+            work_s += f64::from(spec.tasks) * (duration_s + TASK_OVERHEAD_S) / max_tasks;
             // Half of the work comes at once, so that the team is at its limit from the beginning.
             let at =
                 if work_s < TEAM_WORK_S / 2.0 { 1_000 } else { rng.random_range(1_000..110_000) };
@@ -324,10 +336,10 @@
     Hang(u64),
     /// The jobs' users cancel the jobs.
     Cancel,
-    Strike(Fault),
+    Inject(Fault),
 }
 
-/// Plays the steps, at their times after now, on some jobs of each team that have tasks on machines and on the machines of
+/// Applies the steps, at their times after now, on some jobs of each team that have tasks on machines and on the machines of
 /// these tasks. Returns the jobs that had a task on a machine when they were cancelled.
 fn apply_steps(
     world: &mut World,
@@ -340,8 +352,8 @@
     jobs.sort_by(|a, b| b.estimate_s.total_cmp(&a.estimate_s));
     let mut chosen: Vec<String> = Vec::new();
     for team in ["red", "blue"] {
-        let of = jobs.iter().filter(|spec| spec.team == team);
-        chosen.extend(of.take(rng.random_range(1..4)).map(|spec| spec.id.to_string()));
+        let jobs_of_team = jobs.iter().filter(|spec| spec.team == team);
+        chosen.extend(jobs_of_team.take(rng.random_range(1..4)).map(|spec| spec.id.to_string()));
     }
     let hosts: BTreeSet<String> = chosen.iter().flat_map(|job| world.machines_of(job)).collect();
     steps.sort_by_key(|(after, _)| *after);
@@ -367,7 +379,7 @@
                     world.cancel(job, now);
                 }
             }
-            Step::Strike(fault) => world.inject_fault(fault),
+            Step::Inject(fault) => world.inject_fault(fault),
         }
     }
     ran
@@ -375,7 +387,7 @@
 
 /// Plays a day to its end: the rules hold, no job is neglected and none is left unfinished. Returns how many of these jobs
 /// were reported as cancelled to their users.
-fn finish(mut world: World, context: &str, cancelled: &[String]) -> usize {
+fn assert_finishes(mut world: World, context: &str, cancelled: &[String]) -> usize {
     world.run();
     assert_rules(&world, context);
     let unfinished = world.unfinished();
@@ -409,7 +421,8 @@
             cancelled.extend(apply_steps(&mut world, &mut rng, steps));
         }
         ran += cancelled.len();
-        confirmed += finish(world, &format!("{name}, seed {seed}, {limit_kind:?}"), &cancelled);
+        confirmed +=
+            assert_finishes(world, &format!("{name}, seed {seed}, {limit_kind:?}"), &cancelled);
     }
     println!(
         "{name}: {ran} jobs were running when they were cancelled, {confirmed} were reported as cancelled"
@@ -433,7 +446,7 @@
         vec![
             (rng.random_range(0..5_000), cut_or_hang(rng, 2_000, 60_000)),
             (rng.random_range(0..8_000), Step::Cancel),
-            (rng.random_range(0..8_000), Step::Strike(leader_failure(rng))),
+            (rng.random_range(0..8_000), Step::Inject(leader_failure(rng))),
         ]
     });
 }
@@ -443,11 +456,11 @@
 #[test]
 fn a_new_leader_counts_tasks_on_unreachable_machines() {
     play_days("new leader, unreachable machines", 15, |rng| {
-        let lead = rng.random_range(500..3_000);
+        let failure_after = rng.random_range(500..3_000);
         vec![
             (0, cut_or_hang(rng, 25_000, 60_000)),
-            (lead, Step::Strike(leader_failure(rng))),
-            (lead + rng.random_range(0..26_000), Step::Cancel),
+            (failure_after, Step::Inject(leader_failure(rng))),
+            (failure_after + rng.random_range(0..26_000), Step::Cancel),
         ]
     });
 }
@@ -457,14 +470,14 @@
 #[test]
 fn a_new_leader_counts_tasks_of_cancelled_jobs_still_on_machines() {
     play_days("final but still on machines", 15, |rng| {
-        let lead = rng.random_range(1_500..9_000);
+        let failure_after = rng.random_range(1_500..9_000);
         vec![
             (0, cut_or_hang(rng, 25_000, 60_000)),
             (200, Step::Cancel),
-            (lead, Step::Strike(leader_failure(rng))),
+            (failure_after, Step::Inject(leader_failure(rng))),
             (
-                lead + rng.random_range(5_000..14_000),
-                Step::Strike(Fault::Leader(LeaderFault::Crash)),
+                failure_after + rng.random_range(5_000..14_000),
+                Step::Inject(Fault::Leader(LeaderFault::Crash)),
             ),
         ]
     });
@@ -475,7 +488,7 @@
 #[test]
 fn limits_hold_after_all_controllers_are_down_for_longer_than_a_lease() {
     init_log();
-    let (mut ran, mut confirmed, mut left) = (0, 0, 0);
+    let (mut ran, mut confirmed, mut tasks_left) = (0, 0, 0);
     for seed in seeds(10) {
         let limit_kind = LIMIT_KINDS[seed as usize % LIMIT_KINDS.len()];
         let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0xa3a1);
@@ -488,16 +501,16 @@
                 (rng.random_range(0..2_500), Step::Cancel),
                 (rng.random_range(0..20_000), cut_or_hang(&mut rng, 5_000, 50_000)),
             ];
-            let mut back = u64::MAX;
+            let mut first_restart_at = u64::MAX;
             for node in 0..3 {
                 let (at, down_ms) =
                     (down_after + rng.random_range(0..300), rng.random_range(27_000..50_000));
-                back = back.min(world.now + at + down_ms);
-                steps.push((at, Step::Strike(Fault::NodeDown(node, down_ms))));
+                first_restart_at = first_restart_at.min(world.now + at + down_ms);
+                steps.push((at, Step::Inject(Fault::NodeDown(node, down_ms))));
             }
             cancelled.extend(apply_steps(&mut world, &mut rng, steps));
-            world.run_until(back);
-            left += world.region.checker.on_machines().count();
+            world.run_until(first_restart_at);
+            tasks_left += world.region.checker.on_machines().count();
             // Some are cancelled while all controllers are down or just after, at whichever is back first.
             for job in world.open_jobs().choose_multiple(&mut rng, 3) {
                 let at = world.now + rng.random_range(0..15_000);
@@ -505,7 +518,7 @@
             }
         }
         ran += cancelled.len();
-        confirmed += finish(
+        confirmed += assert_finishes(
             world,
             &format!("all controllers down, seed {seed}, {limit_kind:?}"),
             &cancelled,
@@ -516,7 +529,7 @@
         requested_seed().is_some() || ran >= 20 && confirmed * 2 >= ran,
         "{confirmed} of {ran}"
     );
-    assert_eq!(left, 0, "all leases have expired");
+    assert_eq!(tasks_left, 0, "all leases have expired");
 }
 
 /// The leader fails ten times in two minutes and restarts after 50 ms to 5 s each time; in every second day the state service
@@ -539,7 +552,7 @@
             }
             let all = rng.random_bool(0.2);
             let failure = if all { Fault::CrashAll } else { Fault::Leader(LeaderFault::Crash) };
-            let mut steps = vec![(rng.random_range(0..2_000), Step::Strike(failure))];
+            let mut steps = vec![(rng.random_range(0..2_000), Step::Inject(failure))];
             if n % 3 == 0 {
                 steps.push((rng.random_range(0..3_000), Step::Cancel));
                 steps.push((rng.random_range(0..3_000), cut_or_hang(&mut rng, 2_000, 40_000)));
@@ -550,7 +563,7 @@
         let terms = world.leader_term_count();
         assert!(terms >= if outage.is_some() { 6 } else { 10 }, "seed {seed}: {terms} terms");
         assert!(!cancelled.is_empty());
-        finish(
+        assert_finishes(
             world,
             &format!("ten leader changes, seed {seed}, {limit_kind:?}, {terms} terms"),
             &cancelled,
@@ -593,9 +606,9 @@
         for n in 0..3 {
             world.run_until(25_000 + n * 40_000 + rng.random_range(0..6_000));
             let now = world.now;
-            let bound_to_zone = |spec: &JobSpec| spec.zone.is_some();
+            let is_bound_to_zone = |spec: &JobSpec| spec.zone.is_some();
             let jobs: Vec<JobSpec> =
-                world.on_machines().into_iter().filter(bound_to_zone).collect();
+                world.on_machines().into_iter().filter(is_bound_to_zone).collect();
             lost += jobs.len();
             let hosts: BTreeSet<String> =
                 jobs.iter().flat_map(|spec| world.machines_of(spec.id.as_str())).collect();
@@ -603,10 +616,17 @@
             for host in &hosts {
                 match rng.random_range(0..5) {
                     0 | 1 => world.region.take(host),
-                    2 => world.region.machine(host).expect("there").cut_until = now + span,
-                    3 => world.region.machine(host).expect("there").hung_until = now + span,
+                    2 => {
+                        world.region.machine(host).expect("the machine exists").cut_until =
+                            now + span
+                    }
+                    3 => {
+                        world.region.machine(host).expect("the machine exists").hung_until =
+                            now + span
+                    }
                     _ => {
-                        world.region.machine(host).expect("there").notice_until = Some(now + 6_000)
+                        world.region.machine(host).expect("the machine exists").notice_until =
+                            Some(now + 6_000)
                     }
                 }
             }
@@ -622,7 +642,7 @@
                 world.inject_fault(leader_failure(&mut rng));
             }
         }
-        finish(world, &format!("one zone, seed {seed}, capacity {capacity}"), &[]);
+        assert_finishes(world, &format!("one zone, seed {seed}, capacity {capacity}"), &[]);
     }
     println!(
         "one zone: {lost} jobs lost machines of their zone; the zone had half its capacity {full} times"
@@ -663,12 +683,12 @@
             }
             if failures.peek().is_some_and(|at| world.now >= *at) {
                 failures.next();
-                let partly_done = |spec: &JobSpec| {
+                let is_partly_done = |spec: &JobSpec| {
                     let done = world.region.checker.done_count(spec.id.as_str());
                     done > 0 && done < spec.tasks
                 };
                 partly_done_jobs +=
-                    world.open_jobs().iter().filter(|spec| partly_done(spec)).count();
+                    world.open_jobs().iter().filter(|spec| is_partly_done(spec)).count();
                 world.inject_fault(Fault::Leader(LeaderFault::Crash));
             }
         }
@@ -693,13 +713,13 @@
 #[test]
 fn work_of_one_zone_begins_soon_after_the_zone_is_back() {
     init_log();
-    const BACK_MS: u64 = 165_000;
+    const ZONE_BACK_AT_MS: u64 = 165_000;
     const MAX_WAIT_S: u64 = 110;
     let mut waits = Vec::new();
     for seed in seeds(10) {
         let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x20e);
         let team = TeamLimits { name: "blue", ..TeamLimits::default() };
-        let mut world = World::without_users(site(&[team]), &mut rng, BACK_MS);
+        let mut world = World::without_users(site(&[team]), &mut rng, ZONE_BACK_AT_MS);
         for number in 0..16 {
             let mut spec = small_array(&format!("req-{number}"), 10);
             spec.tasks = 4;
@@ -714,24 +734,24 @@
                 world.inject_fault(leader_failure(&mut rng));
             }
         }
-        world.run_until(BACK_MS);
-        let open = world.open_jobs().len();
-        while !world.open_jobs().is_empty() && world.now < BACK_MS + 190_000 {
+        world.run_until(ZONE_BACK_AT_MS);
+        let open_count = world.open_jobs().len();
+        while !world.open_jobs().is_empty() && world.now < ZONE_BACK_AT_MS + 190_000 {
             world.run_until(world.now + 1_000);
             let running = world.region.checker.on_machines().count();
-            let begun = running > 0
+            let all_begun = running > 0
                 && world.open_jobs().iter().all(|spec| {
                     let id = spec.id.as_str();
                     !world.machines_of(id).is_empty() || world.region.checker.done_count(id) > 0
                 });
-            if begun {
+            if all_begun {
                 break;
             }
         }
         assert_rules(&world, &format!("zone reconnected, seed {seed}"));
-        waits.push((world.now - BACK_MS) / 1_000);
+        waits.push((world.now - ZONE_BACK_AT_MS) / 1_000);
         assert!(
-            requested_seed().is_some() || open > 0,
+            requested_seed().is_some() || open_count > 0,
             "seed {seed}: work of the zone waits for it"
         );
     }
@@ -749,7 +769,7 @@
     tasks: &[(&str, TaskPhase)],
 ) -> Vec<Order> {
     let token = solo.controller.valid_token(solo.clock().mono).expect("it leads");
-    let row = |(task, status): &(&str, TaskPhase)| TaskReport {
+    let report_task = |(task, status): &(&str, TaskPhase)| TaskReport {
         task: (*task).into(),
         attempt: Attempt(5),
         status: *status,
@@ -767,7 +787,7 @@
         report_seq: ReportSeq(report_seq),
         token,
         notice_s: None,
-        tasks: tasks.iter().map(row).collect(),
+        tasks: tasks.iter().map(report_task).collect(),
     };
     let conn = solo.send_request(Request::Report(Box::new(report)));
     solo.advance(3_500);
@@ -796,13 +816,13 @@
         };
         // It uses twelve of the team's fourteen GPUs.
         let gang = JobSpec { shape: Shape::Gang, ..four_gpu_job("req-1", 3) };
-        let held = |index: u32| {
+        let assignment_of = |index: u32| {
             let host = HostId::new(&format!("i-{}", index + 1));
             (index, Attempt(5), host, WorkerSession(1), Zone::new("a"))
         };
         let record = ChunkRecord {
             done: String::new(),
-            assignments: (0..3).map(held).collect(),
+            assignments: (0..3).map(assignment_of).collect(),
             size: ("red".into(), 1.0, 4.0, 1.0, 3),
             charges: Default::default(),
             usage: Default::default(),
@@ -814,10 +834,10 @@
             Change::put("asg/req-1/0000".into(), json!(record)),
         ]);
         solo.advance(500);
-        let fetching = |task| [(task, TaskPhase::Fetching)];
-        report_from(&mut solo, "i-1", 1, &fetching("req-1/0"));
-        report_from(&mut solo, "i-2", 1, &fetching("req-1/1"));
-        report_from(&mut solo, "i-3", 1, &fetching("req-1/2"));
+        let fetching_task = |task| [(task, TaskPhase::Fetching)];
+        report_from(&mut solo, "i-1", 1, &fetching_task("req-1/0"));
+        report_from(&mut solo, "i-2", 1, &fetching_task("req-1/1"));
+        report_from(&mut solo, "i-3", 1, &fetching_task("req-1/2"));
         report_from(&mut solo, "i-4", 1, &[]);
         report_from(&mut solo, "i-1", 2, &[("req-1/0", TaskPhase::Exited)]);
         let last_report =
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -161,7 +161,7 @@
 sockets = {sockets}
 "#
     );
-    let settings = oatloom::settings::parse_platform_settings(&text).expect("sound settings");
+    let settings = oatloom::settings::parse_platform_settings(&text).expect("valid settings");
     std::thread::spawn(move || oatloom::runtime::run(settings, OperatorSettings::default()));
     let config = ureq::Agent::config_builder().http_status_as_error(false);
     let config = config.timeout_global(Some(Duration::from_secs(5))).build();
@@ -281,7 +281,7 @@
     let text = text.replace("127.0.0.1:8081", &free_address());
     let text = text.replace("127.0.0.1:1\"", &format!("{}\"", free_address()));
     let text = text.replace("127.0.0.1:2\"", &format!("{}\"", free_address()));
-    let settings = oatloom::settings::parse_platform_settings(&text).expect("sound settings");
+    let settings = oatloom::settings::parse_platform_settings(&text).expect("valid settings");
     std::thread::spawn(move || oatloom::runtime::run(settings, OperatorSettings::default()));
     let config = ureq::Agent::config_builder().http_status_as_error(false).build();
     let node =
--- a/tests/members.rs
+++ b/tests/members.rs
@@ -59,6 +59,6 @@
         let broken = &world.region.checker.broken;
         assert!(broken.is_empty(), "seed {seed} breaks rules: {broken:#?}");
         let unfinished = world.unfinished();
-        assert!(unfinished.is_empty(), "seed {seed} leaves undone: {unfinished:#?}");
+        assert!(unfinished.is_empty(), "seed {seed} has unfinished jobs: {unfinished:#?}");
     }
 }
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -53,7 +53,7 @@
     report: f64,
     poll: f64,
     /// A reply of the state service or the cloud.
-    answer: f64,
+    reply: f64,
     dropped: f64,
     /// A new connection.
     connect: f64,
@@ -68,7 +68,7 @@
 const BASE_COSTS: Costs = Costs {
     report: 70.0,
     poll: 30.0,
-    answer: 40.0,
+    reply: 40.0,
     dropped: 10.0,
     connect: 20.0,
     parked_check: 0.7,
@@ -78,10 +78,10 @@
 /// At 6,000 machines, a sixth more load than the CPU share can handle.
 const HIGH_COSTS: Costs = Costs { report: 160.0, poll: 60.0, connect: 40.0, ..BASE_COSTS };
 
-/// A fault planted to show that the test detects it.
+/// A fault injected to show that the test detects it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum PlantedFault {
-    Nothing,
+enum InjectedFault {
+    None,
     /// A FIFO queue that never drops old requests.
     QueueWithoutAgeLimit,
     /// Every event checks all parked reports.
@@ -128,18 +128,18 @@
 }
 
 struct Simulation {
-    core: Controller,
+    controller: Controller,
     state: State,
     inbox: Inbox<(Caller, Request)>,
     dropped_reports: DroppedReports,
     fifo: VecDeque<(Caller, Request)>,
-    planted: PlantedFault,
+    injected_fault: InjectedFault,
     costs: Costs,
     now: u64,
     events: VecDeque<Event>,
     scheduled: BTreeMap<(u64, u64), Event>,
     watches: Vec<(u64, OpId, String, Revision)>,
-    serial: u64,
+    last_id: u64,
     open_requests: HashMap<ConnId, Caller>,
     workers: Vec<Worker>,
     users: Vec<User>,
@@ -210,20 +210,20 @@
         let spec = spec(n);
         let size = (spec.team.clone(), spec.cpus, spec.gpus, spec.memory_gb, spec.tasks);
         let machine_of = |task: usize| n * MACHINES_PER_JOB + task / TASKS_PER_MACHINE;
-        let held = (0..spec.tasks).map(|task| {
+        let assignments = (0..spec.tasks).map(|task| {
             let machine = machine_of(task as usize);
             (task, Attempt(FORMER_TOKEN.0 << 20), host(machine), WorkerSession(1), zone_of(machine))
         });
         let record = ChunkRecord {
             done: "00".into(),
-            assignments: held.collect(),
+            assignments: assignments.collect(),
             size,
             charges: Default::default(),
             usage: Default::default(),
         };
         for machine in (n * MACHINES_PER_JOB)..(n + 1) * MACHINES_PER_JOB {
-            let here = (0..spec.tasks).filter(|task| machine_of(*task as usize) == machine);
-            let row = |task| TaskReport {
+            let tasks_here = (0..spec.tasks).filter(|task| machine_of(*task as usize) == machine);
+            let report_task = |task| TaskReport {
                 task: format!("{}/{task}", spec.id),
                 attempt: Attempt(FORMER_TOKEN.0 << 20),
                 status: TaskPhase::Running,
@@ -241,7 +241,7 @@
                 report_seq: ReportSeq(100),
                 token: FORMER_TOKEN,
                 notice_s: None,
-                tasks: here.map(row).collect(),
+                tasks: tasks_here.map(report_task).collect(),
             };
             workers.push(Worker { report, next: 0, sent: None, last_answered: 0, lost: false });
         }
@@ -264,7 +264,7 @@
 }
 
 impl Simulation {
-    fn new(machines: usize, seed: u64, costs: Costs, planted: PlantedFault) -> Self {
+    fn new(machines: usize, seed: u64, costs: Costs, injected_fault: InjectedFault) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let text = world::SETTINGS
             .replace("report_s = 3.0", "report_s = 8.0")
@@ -275,7 +275,7 @@
             .replace("gpus_max = 14.0", "gpus_max = 0.0")
             .replace("cpu_share = 0.5", &format!("cpu_share = {CPU_SHARE}"))
             .replace("sockets = 1000", "sockets = 2500");
-        let settings = oatloom::settings::parse_platform_settings(&text).expect("sound settings");
+        let settings = oatloom::settings::parse_platform_settings(&text).expect("valid settings");
         let connections = settings.facts.limits.max_connections();
         let (state, mut workers, mut users) = inherited_state(machines);
         // A third of the reports were in flight to the former leader; their retries arrive together a second later.
@@ -291,18 +291,18 @@
             user.next = rng.random_range(0..POLL_PERIOD_MS);
         }
         Self {
-            core: Controller::new(settings, OperatorSettings::default(), rng.random()),
+            controller: Controller::new(settings, OperatorSettings::default(), rng.random()),
             state,
             inbox: Inbox::new(connections),
             dropped_reports: DroppedReports::default(),
             fifo: VecDeque::new(),
-            planted,
+            injected_fault,
             costs,
             now: 0,
             events: VecDeque::new(),
             scheduled: BTreeMap::new(),
             watches: Vec::new(),
-            serial: 0,
+            last_id: 0,
             open_requests: HashMap::new(),
             workers,
             users,
@@ -313,20 +313,21 @@
     }
 
     fn schedule(&mut self, delay: u64, event: Event) {
-        self.serial += 1;
-        self.scheduled.insert((self.now + delay, self.serial), event);
+        self.last_id += 1;
+        self.scheduled.insert((self.now + delay, self.last_id), event);
     }
 
+    /// Index into the counters: 0 before `STEADY_FROM_MS`, 1 afterwards.
     fn phase(&self) -> usize {
         usize::from(self.now >= STEADY_FROM_MS)
     }
 
     fn send(&mut self, caller: Caller, request: Request) {
         self.budget_us -= self.costs.connect;
-        if self.planted == PlantedFault::QueueWithoutAgeLimit {
+        if self.injected_fault == InjectedFault::QueueWithoutAgeLimit {
             return self.fifo.push_back((caller, request));
         }
-        let kind = self.dropped_reports.classify(&request, self.core.leader_token());
+        let kind = self.dropped_reports.classify(&request, self.controller.leader_token());
         if let Some(Admitted::Drop((caller, request), retry)) =
             self.inbox.push(Mono(self.now), kind, false, (caller, request))
         {
@@ -337,19 +338,19 @@
     /// Rejects a request at once with a retry time.
     fn reject(&mut self, caller: Caller, request: &Request, retry_after_s: u32) {
         self.dropped_reports.record_dropped(request);
-        self.budget_us -= if self.planted == PlantedFault::ExpensiveRejections {
+        self.budget_us -= if self.injected_fault == InjectedFault::ExpensiveRejections {
             self.costs.report
         } else {
             self.costs.dropped
         };
-        let later = HttpReply::unavailable("busy");
-        self.handle_answer(caller, &HttpReply { retry_after_s: Some(retry_after_s), ..later });
+        let rejection = HttpReply::unavailable("busy");
+        self.handle_reply(caller, &HttpReply { retry_after_s: Some(retry_after_s), ..rejection });
     }
 
     fn run_callers(&mut self) {
         let (now, phase) = (self.now, self.phase());
         for n in 0..self.workers.len() {
-            let again = 1_000 + self.rng.random_range(0..500);
+            let retry_delay_ms = 1_000 + self.rng.random_range(0..500);
             let worker = &mut self.workers[n];
             if worker.lost {
                 continue;
@@ -358,7 +359,7 @@
                 worker.lost = true;
                 self.outcome.leases_lost += 1;
             } else if worker.sent.is_some_and(|sent| now - sent >= REPORT_TIMEOUT_MS) {
-                (worker.sent, worker.next) = (None, now + again);
+                (worker.sent, worker.next) = (None, now + retry_delay_ms);
                 self.outcome.timed_out[phase] += 1;
                 self.outcome.last_timeout_ms = now;
             } else if worker.sent.is_none() && now >= worker.next {
@@ -386,11 +387,11 @@
         }
     }
 
-    fn handle_answer(&mut self, caller: Caller, reply: &HttpReply) {
+    fn handle_reply(&mut self, caller: Caller, reply: &HttpReply) {
         let (now, phase) = (self.now, self.phase());
         match caller {
             Caller::Worker(n, sent) => {
-                let again =
+                let period_ms =
                     self.rng.random_range(REPORT_PERIOD_MS * 3 / 4..REPORT_PERIOD_MS * 5 / 4);
                 let worker = &mut self.workers[n];
                 if worker.sent != Some(sent) {
@@ -406,7 +407,7 @@
                 // A higher token is a change, and changes are reported soon.
                 let changed = answer.token > worker.report.token;
                 worker.report.token = answer.token;
-                worker.next = sent.max(now) + if changed { 500 } else { again };
+                worker.next = sent.max(now) + if changed { 500 } else { period_ms };
                 self.outcome.answered[phase] += 1;
             }
             Caller::User(n, sent) => {
@@ -441,7 +442,7 @@
         match action {
             Action::Reply { conn, reply } => {
                 if let Some(caller) = self.open_requests.remove(&conn) {
-                    self.handle_answer(caller, &reply);
+                    self.handle_reply(caller, &reply);
                 }
             }
             Action::Store { id, op: StoreOp::Follow { prefix, after }, .. } => {
@@ -476,11 +477,11 @@
     fn handle(&mut self, event: Event, cost_us: f64) {
         let now = Now { mono: Mono(CLOCK_START_MS.0 + self.now), wall_ms: 1_000_000 + self.now };
         let (checks_before, parked) =
-            (self.core.parked_checks(), self.core.queue_sizes().parked_reports);
-        let actions = self.core.handle(now, event);
-        let checked = match self.planted {
-            PlantedFault::ChecksAllParked => parked as u64,
-            _ => self.core.parked_checks() - checks_before,
+            (self.controller.parked_checks(), self.controller.queue_sizes().parked_reports);
+        let actions = self.controller.handle(now, event);
+        let checked = match self.injected_fault {
+            InjectedFault::ChecksAllParked => parked as u64,
+            _ => self.controller.parked_checks() - checks_before,
         };
         self.budget_us -= cost_us + self.costs.parked_check * checked as f64;
         actions.into_iter().for_each(|action| self.perform(action));
@@ -488,14 +489,14 @@
 
     /// The next queued request, if any.
     fn next_request(&mut self) -> Option<(Caller, Request)> {
-        if self.planted == PlantedFault::QueueWithoutAgeLimit {
+        if self.injected_fault == InjectedFault::QueueWithoutAgeLimit {
             return self.fifo.pop_front();
         }
         loop {
             match self.inbox.pop(Mono(self.now))? {
                 Admitted::Take(next, age) => {
                     self.dropped_reports.record_handled(&next.1);
-                    self.core.set_queue_delay(age);
+                    self.controller.set_queue_delay(age);
                     return Some(next);
                 }
                 Admitted::Drop((caller, request), retry) => self.reject(caller, &request, retry),
@@ -510,16 +511,16 @@
         {
             self.events.push_back(call.remove());
         }
-        let due =
+        let is_due =
             |(until, _, prefix, after): &(u64, OpId, String, Revision), state: &State, now| {
                 now >= *until || !state.changes(prefix, *after).is_empty()
             };
         if self.now.is_multiple_of(50) {
-            let (done, pending) = std::mem::take(&mut self.watches)
+            let (ready, pending) = std::mem::take(&mut self.watches)
                 .into_iter()
-                .partition(|w| due(w, &self.state, self.now));
+                .partition(|w| is_due(w, &self.state, self.now));
             self.watches = pending;
-            for (_, id, prefix, after) in Vec::from_iter::<Vec<_>>(done) {
+            for (_, id, prefix, after) in Vec::from_iter::<Vec<_>>(ready) {
                 let reply = self.state.follow(&prefix, after);
                 self.events.push_back(Event::Store { id, reply });
             }
@@ -528,15 +529,15 @@
         if self.now.is_multiple_of(500) {
             self.budget_us -= self.costs.machine * self.workers.len() as f64;
         }
-        if self.now.is_multiple_of(CORE_TICK_MS) {
+        if self.now.is_multiple_of(TICK_INTERVAL_MS) {
             self.handle(Event::Tick, 0.0);
         }
         while self.budget_us > 0.0 {
             if let Some(event) = self.events.pop_front() {
-                self.handle(event, self.costs.answer);
+                self.handle(event, self.costs.reply);
             } else if let Some((caller, request)) = self.next_request() {
-                self.serial += 1;
-                let conn = ConnId(self.serial);
+                self.last_id += 1;
+                let conn = ConnId(self.last_id);
                 let cost_us = if matches!(caller, Caller::User(..)) {
                     self.costs.poll
                 } else {
@@ -564,27 +565,27 @@
     }
 }
 
-/// Tick period of the core's thread.
-const CORE_TICK_MS: u64 = 50;
+/// Interval between two ticks of the controller.
+const TICK_INTERVAL_MS: u64 = 50;
 
 fn seeds() -> impl Iterator<Item = u64> {
     1..=1 + world::extra_seeds()
 }
 
 /// Whether the controller recovered from the takeover.
-fn recovers(outcome: &Outcome) -> bool {
-    let late = f64::from(outcome.timed_out[1]) / f64::from(outcome.answered[1].max(1));
+fn has_recovered(outcome: &Outcome) -> bool {
+    let timeout_share = f64::from(outcome.timed_out[1]) / f64::from(outcome.answered[1].max(1));
     outcome.leases_lost == 0
         && outcome.forgotten == 0
-        && late < 0.01
+        && timeout_share < 0.01
         && outcome.queue_at_end < 1_000
 }
 
 fn check_takeover(machines: usize) {
     for seed in seeds() {
-        let outcome = Simulation::new(machines, seed, BASE_COSTS, PlantedFault::Nothing).run();
+        let outcome = Simulation::new(machines, seed, BASE_COSTS, InjectedFault::None).run();
         println!("{machines} machines, seed {seed}: {outcome:?}");
-        assert!(recovers(&outcome), "{machines} machines, seed {seed}: {outcome:?}");
+        assert!(has_recovered(&outcome), "{machines} machines, seed {seed}: {outcome:?}");
     }
 }
 
@@ -602,7 +603,7 @@
 #[test]
 fn overloaded_controller_keeps_leases_and_answers_for_every_job() {
     for seed in seeds() {
-        let outcome = Simulation::new(6_000, seed, HIGH_COSTS, PlantedFault::Nothing).run();
+        let outcome = Simulation::new(6_000, seed, HIGH_COSTS, InjectedFault::None).run();
         println!("overloaded, seed {seed}: {outcome:?}");
         assert_eq!((outcome.leases_lost, outcome.forgotten), (0, 0), "{outcome:?}");
         assert!(outcome.longest_queue < 6_000 && outcome.answered[1] > 20_000, "{outcome:?}");
@@ -611,14 +612,14 @@
 
 /// Each fault that can cause an overload collapse makes the test fail.
 #[test]
-fn planted_causes_of_collapse_are_detected() {
-    for (planted, costs) in [
-        (PlantedFault::QueueWithoutAgeLimit, HIGH_COSTS),
-        (PlantedFault::ExpensiveRejections, HIGH_COSTS),
-        (PlantedFault::ChecksAllParked, BASE_COSTS),
+fn injected_causes_of_collapse_are_detected() {
+    for (injected_fault, costs) in [
+        (InjectedFault::QueueWithoutAgeLimit, HIGH_COSTS),
+        (InjectedFault::ExpensiveRejections, HIGH_COSTS),
+        (InjectedFault::ChecksAllParked, BASE_COSTS),
     ] {
-        let outcome = Simulation::new(6_000, 1, costs, planted).run();
-        println!("{planted:?}: {outcome:?}");
-        assert!(!recovers(&outcome), "{planted:?}: {outcome:?}");
+        let outcome = Simulation::new(6_000, 1, costs, injected_fault).run();
+        println!("{injected_fault:?}: {outcome:?}");
+        assert!(!has_recovered(&outcome), "{injected_fault:?}: {outcome:?}");
     }
 }
--- a/tests/repeats.rs
+++ b/tests/repeats.rs
@@ -48,7 +48,7 @@
     world
 }
 
-fn play(seed: u64, outcome: &mut Outcome) {
+fn run_seed(seed: u64, outcome: &mut Outcome) {
     let mut world = day(seed, CLASSES);
     world.run();
     let (attribution_errors, broken): (Vec<String>, Vec<String>) =
@@ -56,7 +56,7 @@
     assert!(broken.is_empty(), "seed {seed} breaks rules: {broken:#?}");
     if attribution_errors.is_empty() {
         let unfinished = world.unfinished();
-        assert!(unfinished.is_empty(), "seed {seed} leaves undone: {unfinished:#?}");
+        assert!(unfinished.is_empty(), "seed {seed} has unfinished jobs: {unfinished:#?}");
     }
     outcome
         .attribution_errors
@@ -82,7 +82,7 @@
     let more = extra_seeds();
     let mut outcome = Outcome::default();
     for seed in from..from + count + more {
-        play(seed, &mut outcome);
+        run_seed(seed, &mut outcome);
     }
     outcome.refused_ms.sort_unstable();
     let at =
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -9,7 +9,7 @@
 use oatloom_protocol::wire::{JobStatus, Order};
 use world::{World, extra_seeds, init_log};
 
-fn play(seed: u64, faults: bool) -> World {
+fn run_seed(seed: u64, faults: bool) -> World {
     // `LOG_LEVEL=debug` shows the controllers' log for a failing seed.
     init_log();
     let mut world = World::new(seed, faults);
@@ -17,16 +17,16 @@
     let broken = &world.region.checker.broken;
     assert!(broken.is_empty(), "seed {seed} breaks rules: {broken:#?}");
     let unfinished = world.unfinished();
-    assert!(unfinished.is_empty(), "seed {seed} leaves undone: {unfinished:#?}");
-    assert!(world.region.checker.starts > 0, "seed {seed} ran nothing");
+    assert!(unfinished.is_empty(), "seed {seed} has unfinished jobs: {unfinished:#?}");
+    assert!(world.region.checker.starts > 0, "seed {seed} started no task");
     world
 }
 
-fn play_seeds(first: u64, count: u64) {
+fn run_seeds(first: u64, count: u64) {
     let more = extra_seeds();
     let (mut done, mut cancelled) = (0, 0);
     for seed in first..first + count + more {
-        let world = play(seed, true);
+        let world = run_seed(seed, true);
         done += world.count_with_known_status(JobStatus::Done);
         cancelled += world.count_with_known_status(JobStatus::Cancelled);
     }
@@ -37,34 +37,34 @@
 #[test]
 fn one_seed() {
     if let Some(seed) = std::env::var("OATLOOM_SEED").ok().and_then(|s| s.parse().ok()) {
-        play(seed, true);
+        run_seed(seed, true);
     }
 }
 
 #[test]
 fn a_day_without_faults_finishes_every_job() {
-    let world = play(1, false);
+    let world = run_seed(1, false);
     assert!(world.count_with_known_status(JobStatus::Done) > 5);
 }
 
 #[test]
 fn days_with_faults_keep_the_rules_1() {
-    play_seeds(1_000, 8);
+    run_seeds(1_000, 8);
 }
 
 #[test]
 fn days_with_faults_keep_the_rules_2() {
-    play_seeds(2_000, 8);
+    run_seeds(2_000, 8);
 }
 
 #[test]
 fn days_with_faults_keep_the_rules_3() {
-    play_seeds(3_000, 8);
+    run_seeds(3_000, 8);
 }
 
 #[test]
 fn days_with_faults_keep_the_rules_4() {
-    play_seeds(4_000, 8);
+    run_seeds(4_000, 8);
 }
 
 /// Two runs of a seed produce the same actions in the same order. Guards against iteration over a
@@ -72,14 +72,14 @@
 #[test]
 fn a_seed_reproduces_the_same_actions() {
     for seed in [1_001, 4_001] {
-        let (a, b) = (play(seed, true), play(seed, true));
+        let (a, b) = (run_seed(seed, true), run_seed(seed, true));
         assert_eq!((a.digest, a.now), (b.digest, b.now), "seed {seed}");
     }
 }
 
-/// The checker reports each planted violation.
+/// The checker reports each violation of a rule.
 #[test]
-fn the_checker_detects_planted_violations() {
+fn the_checker_detects_each_violation() {
     let spec = |spread, one_zone| {
         let text = r#"{"nameId":"req-1","jobclass":"c","owner":"red","shape":"sweep","rank":"low",
             "shards":2,"cpus":1,"gpus":2,"memoryGb":1,"bundle":"i","pullGb":1,"flavors":["g4"],
@@ -88,67 +88,68 @@
         (spec.spread, spec.one_zone) = (spread, one_zone);
         spec
     };
-    let on = |index, host: &str| OnMachine { job: "req-1".into(), index, host: host.into() };
+    let task_on = |index, host: &str| OnMachine { job: "req-1".into(), index, host: host.into() };
     let place =
         |flavor: &str, zone: &str, spot| Place { flavor: flavor.into(), zone: zone.into(), spot };
-    let good = || place("g4", "a", false);
-    let caught = |spread, one_zone, act: &dyn Fn(&mut Checker)| -> Vec<String> {
+    let valid_place = || place("g4", "a", false);
+    let violations = |spread, one_zone, act: &dyn Fn(&mut Checker)| -> Vec<String> {
         let limits = [("red".to_owned(), Limit { cpus: 1.5, gpus: 3.0 })].into();
         let mut checker = Checker::new(limits, 1_000);
         checker.submitted(&spec(spread, one_zone));
         act(&mut checker);
-        let rule = |b: &String| b.split([' ', ':']).nth(2).unwrap_or_default().to_owned();
-        checker.broken.iter().map(rule).collect()
+        let rule_of = |b: &String| b.split([' ', ':']).nth(2).unwrap_or_default().to_owned();
+        checker.broken.iter().map(rule_of).collect()
     };
     let view = |status: &str| format!(r#"{{"status":"{status}"}}"#);
-    assert!(caught(false, false, &|c| c.started(1, on(0, "x"), good())).is_empty());
-    let twice = caught(false, false, &|c| {
-        c.started(1, on(0, "x"), good());
-        c.started(2, on(0, "y"), good());
+    assert!(violations(false, false, &|c| c.started(1, task_on(0, "x"), valid_place())).is_empty());
+    let twice = violations(false, false, &|c| {
+        c.started(1, task_on(0, "x"), valid_place());
+        c.started(2, task_on(0, "y"), valid_place());
     });
     assert!(twice.contains(&"ran_twice".to_owned()) && twice.contains(&"quota".to_owned()));
     let quotas = |gpus: f64, cpus: f64| {
-        caught(false, false, &move |c| {
+        violations(false, false, &move |c| {
             let mut spec = spec(false, false);
             (spec.gpus, spec.cpus) = (gpus, cpus);
             c.submitted(&spec);
-            (0..2).for_each(|i| c.started(1, on(i, "x"), good()));
+            (0..2).for_each(|i| c.started(1, task_on(i, "x"), valid_place()));
         })
     };
     assert!(quotas(1.5, 0.75).is_empty());
     assert_eq!(quotas(1.6, 0.75), ["quota"]);
     assert_eq!(quotas(1.5, 0.76), ["quota"], "cores count too");
-    for bad in [place("g2", "a", false), place("g4", "a", true)] {
-        let rules = caught(false, false, &|c| c.started(1, on(0, "x"), bad.clone()));
+    for invalid_place in [place("g2", "a", false), place("g4", "a", true)] {
+        let rules =
+            violations(false, false, &|c| c.started(1, task_on(0, "x"), invalid_place.clone()));
         assert_eq!(rules, ["wrong_place"]);
     }
-    let crowded = caught(true, false, &|c| {
-        c.started(1, on(0, "x"), good());
-        c.started(2, on(1, "y"), good());
+    let crowded = violations(true, false, &|c| {
+        c.started(1, task_on(0, "x"), valid_place());
+        c.started(2, task_on(1, "y"), valid_place());
     });
     assert!(crowded.contains(&"wrong_place".to_owned()));
-    let split = caught(false, true, &|c| {
-        c.started(1, on(0, "x"), good());
-        c.started(2, on(1, "y"), place("g4", "b", false));
+    let split = violations(false, true, &|c| {
+        c.started(1, task_on(0, "x"), valid_place());
+        c.started(2, task_on(1, "y"), place("g4", "b", false));
     });
     assert!(split.contains(&"wrong_place".to_owned()));
     let cancelled = |c: &mut Checker| {
         c.cancel_asked("req-1");
         c.answered(10, 9, "req-1", 200, &view("cancelled"), false);
     };
-    let outlives_cancel = caught(false, false, &|c| {
-        c.started(1, on(0, "x"), good());
+    let outlives_cancel = violations(false, false, &|c| {
+        c.started(1, task_on(0, "x"), valid_place());
         cancelled(c);
         c.look(2_000);
     });
     assert_eq!(outlives_cancel, ["ran_cancelled"]);
-    let starts = caught(false, false, &|c| {
+    let starts_after_cancel = violations(false, false, &|c| {
         cancelled(c);
-        c.started(2_000, on(0, "x"), good());
+        c.started(2_000, task_on(0, "x"), valid_place());
     });
-    assert_eq!(starts, ["ran_cancelled"]);
+    assert_eq!(starts_after_cancel, ["ran_cancelled"]);
     let answers = |list: &'static [(u16, &'static str, bool)]| {
-        caught(false, false, &move |c| {
+        violations(false, false, &move |c| {
             for (status, state, submission) in list {
                 c.answered(1, 1, "req-1", *status, &view(state), *submission);
             }
@@ -159,31 +160,31 @@
     assert_eq!(answers(&[(201, "queued", true), (422, "", true)]), ["forgotten"]);
     assert_eq!(answers(&[(201, "queued", true), (200, "done", false)]), ["not_done"]);
     assert_eq!(answers(&[(200, "cancelled", false)]), ["went_back"]);
-    let back = caught(false, false, &|c| {
+    let reopened = violations(false, false, &|c| {
         (0..2).for_each(|i| c.task_done("req-1", i));
         c.answered(1, 1, "req-1", 200, &view("done"), false);
         c.answered(2, 2, "req-1", 200, &view("running"), false);
     });
-    assert_eq!(back, ["went_back"]);
+    assert_eq!(reopened, ["went_back"]);
     // On any node, a request sent before a change was announced may return the older state, but two different final states are a
     // violation.
-    let overlapping = |asked: u64, status: u16, state: &'static str| {
-        caught(false, false, &move |c| {
+    let overlapping = |sent_at: u64, status: u16, state: &'static str| {
+        violations(false, false, &move |c| {
             (0..2).for_each(|i| c.task_done("req-1", i));
             c.cancel_asked("req-1");
             c.answered(10, 5, "req-1", 201, &view("queued"), true);
             c.answered(20, 15, "req-1", 200, &view("cancelled"), false);
-            c.answered(30, asked, "req-1", status, &view(state), false);
+            c.answered(30, sent_at, "req-1", status, &view(state), false);
         })
     };
-    assert!(overlapping(8, 404, "").is_empty(), "asked before the acceptance was announced");
+    assert!(overlapping(8, 404, "").is_empty(), "sent before the acceptance was announced");
     assert_eq!(overlapping(10, 404, ""), ["forgotten"]);
-    assert!(overlapping(19, 200, "running").is_empty(), "asked before the end was announced");
+    assert!(overlapping(19, 200, "running").is_empty(), "sent before the end was announced");
     assert_eq!(overlapping(20, 200, "running"), ["went_back"]);
     assert_eq!(overlapping(20, 200, "queued"), ["went_back"]);
     assert_eq!(overlapping(3, 200, "done"), ["went_back"], "a different end was never true");
     let order = |task: &str| Order::Run { task: task.into(), attempt: Attempt(7) };
-    let ordered = caught(false, false, &|c| {
+    let ordered = violations(false, false, &|c| {
         c.ordered(5, &[order("req-1/0")]);
         cancelled(c);
         c.ordered(10, &[order("req-2/0")]);
@@ -191,6 +192,6 @@
     });
     assert_eq!(ordered, ["ordered"]);
     let invented =
-        caught(false, false, &|c| c.answered(1, 1, "req-2", 200, &view("queued"), false));
+        violations(false, false, &|c| c.answered(1, 1, "req-2", 200, &view("queued"), false));
     assert_eq!(invented, ["invented"]);
 }
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -46,7 +46,7 @@
 /// a lost zone for jobs that can also run elsewhere or fit no machine type.
 #[test]
 fn a_job_needs_a_zone_if_it_can_run_nowhere_else() {
-    let flavor = |label: &str, gpus: f64, zones: &[&str]| Flavor {
+    let new_flavor = |label: &str, gpus: f64, zones: &[&str]| Flavor {
         label: label.into(),
         cpus: 8.0 * gpus,
         gpus,
@@ -58,25 +58,32 @@
         boot_s: 5.0,
         zones: zones.iter().map(|zone| Zone::new(zone)).collect(),
     };
-    let flavors = [flavor("g1", 1.0, &["a", "b"]), flavor("g4", 4.0, &["a"])];
-    let needs = |change: &dyn Fn(&mut JobSpec)| {
+    let flavors = [new_flavor("g1", 1.0, &["a", "b"]), new_flavor("g4", 4.0, &["a"])];
+    let zones_needed = |change: &dyn Fn(&mut JobSpec)| {
         let mut spec = array(1);
         change(&mut spec);
         ["a", "b"].map(|zone| needs_zone(&spec, &flavors, &Zone::new(zone)))
     };
-    assert_eq!(needs(&|_| {}), [false, false], "both zones have a machine type that fits");
-    assert_eq!(needs(&|spec| spec.zone = Some(Zone::new("b"))), [false, true]);
-    assert_eq!(needs(&|spec| spec.gpus = 4.0), [true, false], "it fits a single machine type");
-    assert_eq!(needs(&|spec| spec.flavors = Some(vec!["g4".into()])), [true, false]);
-    assert_eq!(needs(&|spec| spec.gpus = 5.0), [false, false], "it fits no machine type");
+    assert_eq!(zones_needed(&|_| {}), [false, false], "both zones have a machine type that fits");
+    assert_eq!(zones_needed(&|spec| spec.zone = Some(Zone::new("b"))), [false, true]);
+    assert_eq!(
+        zones_needed(&|spec| spec.gpus = 4.0),
+        [true, false],
+        "it fits a single machine type"
+    );
+    assert_eq!(zones_needed(&|spec| spec.flavors = Some(vec!["g4".into()])), [true, false]);
+    assert_eq!(zones_needed(&|spec| spec.gpus = 5.0), [false, false], "it fits no machine type");
 }
 
 /// Numbers of machines hired in zone `a` while it was known to be lost, and in the other zones during that time.
-fn hired_while_lost(seed: u64, more: impl IntoIterator<Item = (u64, Fault)>) -> (usize, usize) {
+fn hired_while_lost(
+    seed: u64,
+    further_faults: impl IntoIterator<Item = (u64, Fault)>,
+) -> (usize, usize) {
     init_log();
     let mut faults: Vec<(u64, Fault)> =
         (0..3).map(|node| (LOST_AT_MS, Fault::NodeZonePartition(node, 0, LOST_FOR_MS))).collect();
-    faults.extend(more);
+    faults.extend(further_faults);
     faults.sort_by_key(|(at, _)| *at);
     let mut world = World::with_faults(seed, faults, 190_000, None);
     world.delivers_after_partition = false;
@@ -87,9 +94,9 @@
             world.add_job(array(world.now / 1_000));
         }
         world.run_until(world.now + STEP_MS);
-        let counts = world.now > LOST_AT_MS + DETECTION_MS;
+        let is_counted = world.now > LOST_AT_MS + DETECTION_MS;
         for (name, worker) in &world.region.workers {
-            if known_machines.insert(name.clone()) && counts {
+            if known_machines.insert(name.clone()) && is_counted {
                 *(if worker.place.zone == "a" { &mut in_lost_zone } else { &mut elsewhere }) += 1;
             }
         }
@@ -98,7 +105,7 @@
     let broken = &world.region.checker.broken;
     assert!(broken.is_empty(), "seed {seed} breaks rules: {broken:#?}");
     let unfinished = world.unfinished();
-    assert!(unfinished.is_empty(), "seed {seed} leaves undone: {unfinished:#?}");
+    assert!(unfinished.is_empty(), "seed {seed} has unfinished jobs: {unfinished:#?}");
     eprintln!("seed {seed}: {in_lost_zone} in the lost zone, {elsewhere} elsewhere");
     (in_lost_zone, elsewhere)
 }
@@ -125,8 +132,9 @@
 fn a_new_leader_does_not_hire_in_a_lost_zone() {
     let (mut in_lost_zone, mut elsewhere) = (0, 0);
     for seed in 100..106 + extra_seeds() {
-        let crash = |node: usize| (LOST_AT_MS + 45_000 + 15_000 * node as u64, Fault::Crash(node));
-        let (a, b) = hired_while_lost(seed, (0..3).map(crash));
+        let crash_of =
+            |node: usize| (LOST_AT_MS + 45_000 + 15_000 * node as u64, Fault::Crash(node));
+        let (a, b) = hired_while_lost(seed, (0..3).map(crash_of));
         in_lost_zone += a;
         elsewhere += b;
     }
