--- a/tests/graphs.rs
+++ b/tests/graphs.rs
@@ -21,21 +21,21 @@
     done: usize,
     failed: usize,
     starts: usize,
-    /// Wrong verdicts on the cause of failures, counted as on days without graphs.
-    wrong: Vec<String>,
+    /// Errors of fault attribution, counted as in `tests/repeats.rs`.
+    attribution_errors: Vec<String>,
 }
 
-fn play(mut world: World, name: &str, totals: &mut Totals) {
+fn run_world(mut world: World, name: &str, totals: &mut Totals) {
     world.run();
-    let (wrong, rules): (Vec<String>, Vec<String>) =
+    let (attribution_errors, rules): (Vec<String>, Vec<String>) =
         world.region.checker.broken.iter().cloned().partition(|b| b.contains(" repeats: "));
     assert!(rules.is_empty(), "{name} breaks rules: {rules:#?}");
     let mut clients = std::mem::take(&mut world.clients);
     assert!(clients.violations.is_empty(), "{name}: {:#?}", clients.violations);
-    if wrong.is_empty() {
-        let stored =
+    if attribution_errors.is_empty() {
+        let list_stored_keys =
             |prefix: &str| world.stored_rows(prefix).into_iter().map(|row| row.key).collect();
-        clients.check_final_state(&stored);
+        clients.check_final_state(&list_stored_keys);
         assert!(clients.violations.is_empty(), "{name}: {:#?}", clients.violations);
         assert!(world.unfinished().is_empty(), "{name}: {:#?}", world.unfinished());
     }
@@ -43,7 +43,9 @@
     totals.done += clients.done_graphs;
     totals.failed += clients.failed_graphs;
     totals.starts += clients.node_starts;
-    totals.wrong.extend(wrong.into_iter().map(|text| format!("{name}: {text}")));
+    totals
+        .attribution_errors
+        .extend(attribution_errors.into_iter().map(|text| format!("{name}: {text}")));
 }
 
 fn run_seeds(from: u64, count: u64, failing: bool) {
@@ -51,16 +53,20 @@
     let mut totals = Totals::default();
     for seed in from..from + count + extra_seeds() {
         let mut world = World::new(seed, true);
-        let at = |n: u64| 15_000 + (seed * 7_919 + n * 31_337) % 90_000;
-        world.add_faults((0..2).map(|n| (at(n), Fault::Crash(n as usize))));
+        let crash_time = |n: u64| 15_000 + (seed * 7_919 + n * 31_337) % 90_000;
+        world.add_faults((0..2).map(|n| (crash_time(n), Fault::Crash(n as usize))));
         world.set_operator_settings(if failing { GRAPHS_WITH_RETRIES } else { GRAPHS_ENABLED });
         world.clients.add(seed, 5, 110_000, failing);
-        play(world, &format!("seed {seed}"), &mut totals);
+        run_world(world, &format!("seed {seed}"), &mut totals);
     }
     println!("{totals:?}");
     assert!(totals.done > 0 && (totals.failed > 0) == failing, "{totals:?}");
     // One machine in ten is faulty here, far more than the fault attribution model expects.
-    assert!(totals.wrong.len() * 10 <= totals.failed, "{:#?}", totals.wrong);
+    assert!(
+        totals.attribution_errors.len() * 10 <= totals.failed,
+        "{:#?}",
+        totals.attribution_errors
+    );
 }
 
 /// Runs the seed given in `OATLOOM_SEED`, if any.
@@ -98,8 +104,8 @@
     init_log();
     let mut totals = Totals::default();
     for step in 0..60 + extra_seeds() {
-        let crash = |n: u64| (6_000 + n * 21_000 + step * 350, Fault::CrashAll);
-        let mut world = World::with_faults(9, (0..3).map(crash).collect(), 90_000, None);
+        let crash_of = |n: u64| (6_000 + n * 21_000 + step * 350, Fault::CrashAll);
+        let mut world = World::with_faults(9, (0..3).map(crash_of).collect(), 90_000, None);
         world.restart_ms = 1_000;
         world.set_operator_settings(if step % 2 == 0 {
             GRAPHS_ENABLED
@@ -107,7 +113,7 @@
             GRAPHS_WITH_RETRIES
         });
         world.clients.add(9, 6, 60_000, step % 2 == 1);
-        play(world, &format!("step {step}"), &mut totals);
+        run_world(world, &format!("step {step}"), &mut totals);
     }
     println!("{totals:?}");
     assert!(totals.done > 60 && totals.starts > 1_000, "{totals:?}");
@@ -130,7 +136,7 @@
         world.set_operator_settings(GRAPHS_ENABLED);
         world.clients.add(moment, 4, 60_000, false);
         world.clients.disappear_at(at);
-        play(world, &format!("moment {moment}"), &mut totals);
+        run_world(world, &format!("moment {moment}"), &mut totals);
     }
     println!("{totals:?}");
     assert!(totals.starts > 100, "{totals:?}");
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -19,19 +19,19 @@
     listener.local_addr().expect("an address").to_string()
 }
 
-/// Starts a server that answers each request with `answer` on a separate thread.
-fn serve(answer: impl Fn(&str, &str, &str) -> (u16, Value) + Send + Sync + 'static) -> String {
+/// Starts a server that answers each request with `respond` on a separate thread.
+fn serve(respond: impl Fn(&str, &str, &str) -> (u16, Value) + Send + Sync + 'static) -> String {
     let server = tiny_http::Server::http("127.0.0.1:0").expect("a server");
     let address = server.server_addr().to_string();
-    let answer = Arc::new(answer);
+    let respond = Arc::new(respond);
     std::thread::spawn(move || {
         for mut request in server.incoming_requests() {
-            let answer = answer.clone();
+            let respond = respond.clone();
             std::thread::spawn(move || {
                 let mut body = String::new();
                 let _ = request.as_reader().read_to_string(&mut body);
                 let (method, url) = (request.method().to_string(), request.url().to_owned());
-                let (status, value) = answer(&method, &url, &body);
+                let (status, value) = respond(&method, &url, &body);
                 let response = tiny_http::Response::from_string(value.to_string());
                 let _ = request.respond(response.with_status_code(status));
             });
@@ -103,22 +103,27 @@
 }
 
 impl Node {
-    fn ask(&self, method: &str, path: &str, body: Option<String>) -> (u16, Value, Option<String>) {
+    fn request(
+        &self,
+        method: &str,
+        path: &str,
+        body: Option<String>,
+    ) -> (u16, Value, Option<String>) {
         let url = format!("{}{path}", self.base);
-        let answer = match (method, body) {
+        let response = match (method, body) {
             ("POST", body) => self.agent.post(url).send(body.unwrap_or_default()),
             _ => self.agent.get(url).call(),
         };
-        let Ok(mut answer) = answer else { return (0, Value::Null, None) };
-        let retry_after = answer.headers().get("Retry-After");
+        let Ok(mut response) = response else { return (0, Value::Null, None) };
+        let retry_after = response.headers().get("Retry-After");
         let retry_after = retry_after.and_then(|v| v.to_str().ok()).map(str::to_owned);
-        let text = answer.body_mut().read_to_string().unwrap_or_default();
-        (answer.status().as_u16(), serde_json::from_str(&text).unwrap_or_default(), retry_after)
+        let text = response.body_mut().read_to_string().unwrap_or_default();
+        (response.status().as_u16(), serde_json::from_str(&text).unwrap_or_default(), retry_after)
     }
 
-    fn wait_until(&self, condition: &str, good: impl Fn(&Self) -> bool) {
+    fn wait_until(&self, condition: &str, holds: impl Fn(&Self) -> bool) {
         let start = Instant::now();
-        while !good(self) {
+        while !holds(self) {
             assert!(start.elapsed() < Duration::from_secs(20), "{condition}: not within 20 s");
             std::thread::sleep(Duration::from_millis(50));
         }
@@ -187,24 +192,24 @@
 #[test]
 fn a_controller_serves_users_and_workers_over_http() {
     let node = start(1_000);
-    node.wait_until("up", |n| n.ask("GET", "/up", None).0 == 200);
+    node.wait_until("up", |n| n.request("GET", "/up", None).0 == 200);
     // The body is too large to arrive together with the header, so it is read separately.
-    let submit = |id, gpus| node.ask("POST", "/v2/runs", Some(job(id, gpus))).0;
+    let submit = |id, gpus| node.request("POST", "/v2/runs", Some(job(id, gpus))).0;
     assert_eq!(submit("req-000001", 1.0), 201);
     assert_eq!(submit("req-000001", 1.0), 200);
     assert_eq!(submit("req-000002", 9.0), 422);
     assert_eq!(submit("req-000001", 9.0), 200, "the id is known, so the spec is not validated");
     assert_eq!(submit("other-1", 1.0), 400);
-    assert_eq!(node.ask("POST", "/v2/runs", Some("{".into())).0, 400);
-    assert_eq!(node.ask("POST", "/v2/runs", Some("x".repeat(70_000))).0, 413);
-    assert_eq!(node.ask("GET", "/v2/runs/req-000009", None).0, 404);
-    assert_eq!(node.ask("GET", "/elsewhere", None).0, 404);
+    assert_eq!(node.request("POST", "/v2/runs", Some("{".into())).0, 400);
+    assert_eq!(node.request("POST", "/v2/runs", Some("x".repeat(70_000))).0, 413);
+    assert_eq!(node.request("GET", "/v2/runs/req-000009", None).0, 404);
+    assert_eq!(node.request("GET", "/elsewhere", None).0, 404);
 
     let mut report_seq = 1;
     let mut send_report = |token: u64, tasks: Value| {
         report_seq += 1;
         let (status, answer, _) =
-            node.ask("POST", "/v1/report", Some(report(report_seq, token, tasks)));
+            node.request("POST", "/v1/report", Some(report(report_seq, token, tasks)));
         assert_eq!(status, 200, "{answer}");
         answer
     };
@@ -222,20 +227,22 @@
     let ended = json!([{"shard": run["shard"], "try": run["try"], "status": "ended",
         "cause": "done"}]);
     send_report(token, ended.clone());
-    node.wait_until("done", |n| n.ask("GET", "/v2/runs/req-000001", None).1["status"] == "done");
+    node.wait_until("done", |n| {
+        n.request("GET", "/v2/runs/req-000001", None).1["status"] == "done"
+    });
     let forget = send_report(token, ended);
     assert_eq!(forget["orders"][0]["verb"], "forget");
     assert_eq!(submit("req-000001", 1.0), 200, "a finished job is still known");
 
     assert_eq!(submit("req-000003", 1.0), 201);
-    let cancel = || node.ask("POST", "/v2/runs/req-000003/abort", None).1["status"].clone();
+    let cancel = || node.request("POST", "/v2/runs/req-000003/abort", None).1["status"].clone();
     assert_eq!((cancel(), cancel()), (json!("cancelled"), json!("cancelled")));
-    let (status, done, _) = node.ask("POST", "/v2/runs/req-000001/abort", None);
+    let (status, done, _) = node.request("POST", "/v2/runs/req-000001/abort", None);
     assert_eq!((status, &done["status"]), (200, &json!("done")));
 }
 
 /// Whether the peer has closed the connection.
-fn closed(mut stream: &std::net::TcpStream) -> bool {
+fn is_closed(mut stream: &std::net::TcpStream) -> bool {
     let _ = stream.set_read_timeout(Some(Duration::from_millis(5)));
     matches!(std::io::Read::read(&mut stream, &mut [0]), Ok(0))
 }
@@ -246,21 +253,22 @@
 #[test]
 fn connections_are_bounded_and_the_listener_continues() {
     let node = start(300);
-    node.wait_until("up", |n| n.ask("GET", "/up", None).0 == 200);
-    let count = |of: &str| std::fs::read_dir(of).map_or(0, Iterator::count);
-    let (threads, descriptors) = (|| count("/proc/self/task"), || count("/proc/self/fd"));
+    node.wait_until("up", |n| n.request("GET", "/up", None).0 == 200);
+    let count_entries = |directory: &str| std::fs::read_dir(directory).map_or(0, Iterator::count);
+    let (count_threads, count_descriptors) =
+        (|| count_entries("/proc/self/task"), || count_entries("/proc/self/fd"));
     let address = node.base.trim_start_matches("http://").to_owned();
-    let (before, open) = (threads(), descriptors());
+    let (before, open) = (count_threads(), count_descriptors());
     let connect = |_| std::net::TcpStream::connect(&address).expect("accepted");
     let idle: Vec<_> = (0..190).map(connect).collect();
-    assert_eq!(node.ask("GET", "/up", None).0, 200);
-    assert!(threads() < before + 150, "{before} threads, then {}", threads());
+    assert_eq!(node.request("GET", "/up", None).0, 200);
+    assert!(count_threads() < before + 150, "{before} threads, then {}", count_threads());
     let over_limit: Vec<_> = (0..60).map(connect).collect();
     // With a hundred sockets reserved for its own calls, it accepts at most two hundred. Both ends of each connection are in
     // this process, and the other tests open some as well.
-    let accepted_count = descriptors().saturating_sub(open + idle.len() + over_limit.len());
+    let accepted_count = count_descriptors().saturating_sub(open + idle.len() + over_limit.len());
     assert!(accepted_count <= 200 + 60, "{accepted_count} connections are accepted");
-    node.wait_until("idle connections are closed", |_| idle.iter().any(closed));
+    node.wait_until("idle connections are closed", |_| idle.iter().any(is_closed));
     for mut stream in &over_limit {
         std::io::Write::write_all(&mut stream, b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
             .expect("sent");
@@ -270,7 +278,7 @@
         assert_eq!(&start, b"HTTP/1.1 200");
     }
     drop((idle, over_limit));
-    node.wait_until("served again", |n| n.ask("GET", "/up", None).0 == 200);
+    node.wait_until("served again", |n| n.request("GET", "/up", None).0 == 200);
 }
 
 /// Without the state service, workers and users get 503 at once.
@@ -286,10 +294,10 @@
     let config = ureq::Agent::config_builder().http_status_as_error(false).build();
     let node =
         Node { agent: ureq::Agent::new_with_config(config), base: format!("http://{listen}") };
-    node.wait_until("answers", |n| n.ask("GET", "/up", None).0 == 503);
-    let asked = Instant::now();
-    let (status, _, retry_after) = node.ask("POST", "/v2/runs", Some(job("req-000001", 1.0)));
+    node.wait_until("answers", |n| n.request("GET", "/up", None).0 == 503);
+    let sent_at = Instant::now();
+    let (status, _, retry_after) = node.request("POST", "/v2/runs", Some(job("req-000001", 1.0)));
     assert_eq!((status, retry_after.as_deref()), (503, Some("1")));
-    assert_eq!(node.ask("POST", "/v1/report", Some(report(1, 0, json!([])))).0, 503);
-    assert!(asked.elapsed() < Duration::from_secs(1));
+    assert_eq!(node.request("POST", "/v1/report", Some(report(1, 0, json!([])))).0, 503);
+    assert!(sent_at.elapsed() < Duration::from_secs(1));
 }
--- a/tests/machines.rs
+++ b/tests/machines.rs
@@ -53,8 +53,8 @@
 
 /// The leader changes five times; in between, machines are cut off and come back in new sessions, and a faulty machine fails
 /// its tasks. Copies of reports of all ages reach every controller when a new leader starts, or after its first orders.
-fn deliver_old_reports(seed: u64, given: ReplayTiming) -> Coverage {
-    let context = format!("seed {seed}, {given:?}");
+fn deliver_old_reports(seed: u64, timing: ReplayTiming) -> Coverage {
+    let context = format!("seed {seed}, {timing:?}");
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let changes: Vec<u64> =
         (0..5).map(|n| 25_000 + n * 24_000 + rng.random_range(0..8_000)).collect();
@@ -72,7 +72,7 @@
     faults.sort_by_key(|(at, _)| *at);
     let mut world = World::with_faults(seed, faults, FAULTS_END_MS, None);
     add_long_jobs_around(&mut world, &mut rng, &changes);
-    world.save_reports(0.4, given);
+    world.save_reports(0.4, timing);
     world.run_checked_until(FAULTS_END_MS + 190_000);
     assert_finished(&world, &context);
     world.machine_faults.coverage
@@ -109,7 +109,7 @@
     assert!(sum.older_session > 20 && sum.older_attempt > 100, "{sum:?}");
 }
 
-/// Plays the seed given in `OATLOOM_SEED`, if any.
+/// Runs the seed given in `OATLOOM_SEED`, if any.
 #[test]
 fn one_seed() {
     init_log();
@@ -120,7 +120,7 @@
 }
 
 /// A worker's report without tasks.
-fn report(host: &str, zone: &str, session: u64, report_seq: u64, token: u64) -> Report {
+fn new_report(host: &str, zone: &str, session: u64, report_seq: u64, token: u64) -> Report {
     Report {
         host: HostId::new(host),
         addr: "10.0.0.9:1".into(),
@@ -135,7 +135,7 @@
     }
 }
 
-/// Old reports arrive from machines that an earlier leader has returned. Guards against tasks that are assigned to them, and
+/// Old reports arrive from machines that an earlier leader has released. Guards against tasks that are assigned to them, and
 /// against their zone counting as lost, and getting no machine for minutes, because they are silent afterwards: a gang bound to
 /// one zone waited for 155 s (seed 134 of the old reports above).
 #[test]
@@ -144,20 +144,23 @@
     solo.advance(500);
     let token = solo.controller.valid_token(solo.clock().mono).expect("it leads").0;
     for n in 0..4 {
-        solo.send_request(Request::Report(Box::new(report(&format!("i-{n}"), "a", 1, 40, 0))));
+        solo.send_request(Request::Report(Box::new(new_report(&format!("i-{n}"), "a", 1, 40, 0))));
     }
     solo.send_request(Request::Submit(Submission::Spec(Box::new(small_array("req-1", 9)))));
     let mut placed = false;
     for report_seq in 1..20 {
-        let present = report("i-9", "b", 1, report_seq, if report_seq > 1 { token } else { 0 });
+        let present = new_report("i-9", "b", 1, report_seq, if report_seq > 1 { token } else { 0 });
         solo.send_request(Request::Report(Box::new(present)));
         solo.advance(1_000);
         let leader_term = solo.controller.leader_term().expect("it leads");
         let (zones, job) =
             (&leader_term.fleet.zones, leader_term.job_table.get(&JobId::new("req-1")));
         assert!(!zones.is_lost(&Zone::new("a")), "{report_seq}");
-        let hosts: Vec<&str> =
-            job.iter().flat_map(|j| j.assignments()).map(|(_, hold)| hold.host.as_str()).collect();
+        let hosts: Vec<&str> = job
+            .iter()
+            .flat_map(|j| j.assignments())
+            .map(|(_, assignment)| assignment.host.as_str())
+            .collect();
         assert!(hosts.iter().all(|host| *host == "i-9"), "{report_seq}: {hosts:?}");
         placed |= !hosts.is_empty();
     }
@@ -194,15 +197,15 @@
 fn cancelled_tasks_stop_on_machines_that_reach_no_controller() {
     init_log();
     for seed in 0..9 + extra_seeds() {
-        let (kind, phase) = (seed % 3, seed * 170 % 1_500);
-        let context = format!("seed {seed}, kind {kind}, phase {phase}");
+        let (kind, offset_ms) = (seed % 3, seed * 170 % 1_500);
+        let context = format!("seed {seed}, kind {kind}, offset {offset_ms} ms");
         let mut world = World::with_faults(seed, Vec::new(), FAULTS_END_MS, None);
         world.remove_users();
-        add_long_jobs(&mut world, 8, 2_000, |n| (n < 6).then_some(40_000 + phase));
-        world.run_checked_until(39_000 + phase);
+        add_long_jobs(&mut world, 8, 2_000, |n| (n < 6).then_some(40_000 + offset_ms));
+        world.run_checked_until(39_000 + offset_ms);
         let silenced = world.silence_machines(45_000, 1);
         if kind != 2 {
-            // Without a cloud outage silent machines are returned, and their tasks with them.
+            // Without a cloud outage silent machines are released, and their tasks end with them.
             world.inject_fault(Fault::CloudOutage(45_000));
         }
         match kind {
@@ -215,33 +218,33 @@
             before >= 10 && silenced > 2,
             "{context}: {before} tasks run on {silenced} machines"
         );
-        let patience = if kind == 0 { 9_000 } else { 15_000 };
-        while world.continues_before(84_000 + phase) {
+        let max_delay_ms = if kind == 0 { 9_000 } else { 15_000 };
+        while world.continues_before(84_000 + offset_ms) {
             world.run_checked_until(world.now + 500);
             assert_rules(&world, &context);
             assert_eq!(
-                world.running_after_cancel(patience),
+                world.running_after_cancel(max_delay_ms),
                 [""; 0],
                 "{context}, at {}",
                 world.now
             );
         }
-        let commanded = &world.machine_faults.command_times;
+        let command_times = &world.machine_faults.command_times;
         assert!(
-            commanded.len() * 2 > silenced,
+            command_times.len() * 2 > silenced,
             "{context}: {} of {silenced} got commands",
-            commanded.len()
+            command_times.len()
         );
-        for (host, times) in commanded {
+        for (host, times) in command_times {
             let min_interval = times.windows(2).map(|w| w[1] - w[0]).min();
             assert!(min_interval.is_none_or(|ms| ms >= 2_900), "{context}: {host} at {times:?}");
             assert!(times.len() < 10, "{context}: {host} at {times:?}");
         }
         // The machines come back, and jobs that were not cancelled run again.
-        let running_again = |world: &World| count_long_tasks(world) >= 4;
+        let has_running_again = |world: &World| count_long_tasks(world) >= 4;
         world.run_checked_until(135_000);
         assert_rules(&world, &context);
-        assert!(running_again(&world), "{context}: {} tasks run", count_long_tasks(&world));
+        assert!(has_running_again(&world), "{context}: {} tasks run", count_long_tasks(&world));
         assert!(world.region.workers.values().all(|w| !world.is_silent(&w.host)));
     }
 }
@@ -254,7 +257,7 @@
     let mut interrupted = 0;
     for seed in 0..12 + extra_seeds() {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let lag = if seed % 2 == 0 {
+        let store_fault = if seed % 2 == 0 {
             Fault::SlowStore(120_000, 30 + 10 * (seed % 7) as u32)
         } else {
             Fault::DelayedWrites(120_000, 400)
@@ -262,7 +265,7 @@
         let faults = vec![
             (1_000, Fault::SlowBoots(200_000, 120, 0)),
             (1_500, Fault::CloudDelayed(120_000, 300)),
-            (1_700, lag),
+            (1_700, store_fault),
         ];
         let mut world = World::with_faults(seed, faults, FAULTS_END_MS, None);
         for wave in 0..5 {
@@ -344,7 +347,7 @@
 #[test]
 fn leader_failure_with_unreachable_long_tasks_keeps_the_rules() {
     init_log();
-    let (mut struck, mut running) = (0, 0);
+    let (mut affected, mut running) = (0, 0);
     for seed in 0..10 + extra_seeds() {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut world = World::with_faults(seed, Vec::new(), FAULTS_END_MS, None);
@@ -362,14 +365,14 @@
         world.run_checked_until(36_000 + rng.random_range(0..5_000));
         running += count_limited_tasks(&world);
         if seed % 2 == 0 {
-            struck += world
+            affected += world
                 .partition_machines(20_000 + rng.random_range(0..25_000), 1 + seed as usize % 3);
         } else {
             world.inject_fault(Fault::MachinesInboundLost(
                 20_000 + rng.random_range(0..25_000),
                 1 + seed as u32 % 3,
             ));
-            struck += 1;
+            affected += 1;
         }
         for _ in 0..2 {
             world.run_checked_until(world.now + rng.random_range(500..7_000));
@@ -382,7 +385,7 @@
         world.run_checked_until(FAULTS_END_MS + 150_000);
         assert_finished(&world, &format!("seed {seed}"));
     }
-    assert!(struck >= 12, "{struck} machines were unreachable or got no answers");
+    assert!(affected >= 12, "{affected} machines were unreachable or got no answers");
     assert!(running >= 100, "the team was at its limit: {running} tasks over all days");
 }
 
@@ -407,7 +410,7 @@
             world.add_job_at(limited_job(n, 2, 12), 30_000 + n * 1_500);
         }
         world.run_checked_until(38_000 + seed * 370);
-        let Some(old) = world.leader() else { panic!("seed {seed}: nobody leads") };
+        let Some(old) = world.leader() else { panic!("seed {seed}: no node leads") };
         world.inject_fault(Fault::NodeIsolated(old, span));
         world.inject_fault(Fault::PollStorm(span + 10_000, 6));
         let until = world.now + span + 10_000;
@@ -447,11 +450,12 @@
     let mut solo = Solo::new();
     solo.holds_reply = |op| matches!(op, StoreOp::List { .. });
     solo.advance(500);
-    let ask = |solo: &mut Solo, session, report_seq| {
-        solo.send_request(Request::Report(Box::new(report("i-1", "a", session, report_seq, 0))))
+    let send_report = |solo: &mut Solo, session, report_seq| {
+        solo.send_request(Request::Report(Box::new(new_report("i-1", "a", session, report_seq, 0))))
     };
-    let newer = ask(&mut solo, 2, 5);
-    let old = [ask(&mut solo, 2, 4), ask(&mut solo, 1, 80), ask(&mut solo, 2, 5)];
+    let newer = send_report(&mut solo, 2, 5);
+    let old =
+        [send_report(&mut solo, 2, 4), send_report(&mut solo, 1, 80), send_report(&mut solo, 2, 5)];
     assert!(old.iter().all(|conn| solo.reply(*conn).is_some_and(|r| r.status == 409)));
     assert_eq!(solo.reply(newer), None, "it waits for the job table");
     solo.holds_reply = |_| false;
@@ -484,36 +488,36 @@
 /// The attempt of that task in the leader's job table, and whether it was sent.
 fn assigned_attempt(solo: &Solo) -> Option<(u64, RunSent)> {
     let task = TaskId::new(&JobId::new("req-1"), 0);
-    let hold = solo
+    let assignment = solo
         .controller
         .leader_term()
         .and_then(|leader_term| leader_term.job_table.assignment(&task));
-    hold.map(|hold| (hold.attempt.0, hold.run_sent))
+    assignment.map(|assignment| (assignment.attempt.0, assignment.run_sent))
 }
 
 /// Answers to direct commands are not ordered relative to reports. Guards against an answer that ends anything but an attempt
 /// that it lists as exited, in this worker session and under this leader's fencing token.
 #[test]
 fn a_direct_answer_ends_only_attempts_that_it_lists_as_exited() {
-    let exited = |attempt| vec![first_task_row(attempt, TaskPhase::Exited)];
+    let exited_task = |attempt| vec![first_task_row(attempt, TaskPhase::Exited)];
     let cases: [(u64, bool, Vec<TaskReport>, bool); 6] = [
-        (1, true, exited(9), false),
-        (3, true, exited(9), false),
-        (2, false, exited(9), false),
-        (2, true, exited(8), false),
+        (1, true, exited_task(9), false),
+        (3, true, exited_task(9), false),
+        (2, false, exited_task(9), false),
+        (2, true, exited_task(8), false),
         (2, true, Vec::new(), false),
-        (2, true, exited(9), true),
+        (2, true, exited_task(9), true),
     ];
     for (session, knows_token, tasks, ends) in cases {
         let context = format!("session {session}, knows its token: {knows_token}, {tasks:?}");
         let (mut solo, token) = leader_with_assigned_task();
         let running = first_task_row(9, TaskPhase::Running);
-        let current = Report { tasks: vec![running], ..report("i-1", "a", 2, 20, token) };
+        let current = Report { tasks: vec![running], ..new_report("i-1", "a", 2, 20, token) };
         solo.send_request(Request::Report(Box::new(current)));
         solo.advance(100);
         let answer = Report {
             tasks,
-            ..report("i-1", "a", session, 21, if knows_token { token } else { 0 })
+            ..new_report("i-1", "a", session, 21, if knows_token { token } else { 0 })
         };
         solo.event(Event::CommandReply { report: Some(Box::new(answer)) });
         assert_eq!(assigned_attempt(&solo).is_none_or(|h| h.0 != 9), ends, "{context}");
@@ -547,13 +551,13 @@
 /// attempt or fencing token, don't end the assignment; a newer report with this leader's token that doesn't list the task does.
 #[test]
 fn old_reports_end_no_assignment_of_a_new_leader() {
-    let exited = |attempt| vec![first_task_row(attempt, TaskPhase::Exited)];
+    let exited_task = |attempt| vec![first_task_row(attempt, TaskPhase::Exited)];
     let cases: [(u64, u64, bool, Vec<TaskReport>); 5] = [
-        (1, 900, true, exited(9)),
+        (1, 900, true, exited_task(9)),
         (1, 900, true, Vec::new()),
-        (2, 3, true, exited(8)),
+        (2, 3, true, exited_task(8)),
         (2, 3, false, Vec::new()),
-        (2, 3, false, exited(9)),
+        (2, 3, false, exited_task(9)),
     ];
     for (session, report_seq, knows_token, tasks) in cases {
         let context = format!(
@@ -563,7 +567,7 @@
         let lists_earlier_attempt = !tasks.is_empty() && tasks[0].attempt.0 == 8;
         let old = Report {
             tasks,
-            ..report("i-1", "a", session, report_seq, if knows_token { token } else { 0 })
+            ..new_report("i-1", "a", session, report_seq, if knows_token { token } else { 0 })
         };
         // A report that lists an earlier attempt lists the current one too.
         let mut old = old;
@@ -576,7 +580,7 @@
         solo.send_request(Request::Abort(JobId::new("req-1")));
         solo.advance(1_000);
         assert_eq!(assigned_attempt(&solo).map(|h| h.0), Some(9), "{context}: cancelled");
-        solo.send_request(Request::Report(Box::new(report("i-1", "a", 2, 20, token))));
+        solo.send_request(Request::Report(Box::new(new_report("i-1", "a", 2, 20, token))));
         assert_eq!(
             assigned_attempt(&solo),
             None,
@@ -599,13 +603,13 @@
             world.add_job_at(small_array(&format!("req-{n}"), 200), 5_000 + n * 500);
         }
         world.run_until(74_000);
-        let machines =
+        let hosts_of =
             |world: &World| -> Vec<String> { world.region.workers.keys().cloned().collect() };
-        let before = machines(&world);
+        let before = hosts_of(&world);
         let running = world.region.checker.on_machines().count();
         assert!(running >= 6, "seed {seed}: {running} tasks run");
         world.run_until(104_000);
-        let left = machines(&world);
+        let left = hosts_of(&world);
         world.run_until(170_000);
         let dead = before.iter().filter(|host| !left.contains(host));
         let dead: Vec<HostId> = dead.map(|host| HostId::new(host)).collect();
@@ -690,13 +694,13 @@
     for cause in [ExitCause::NoRoom, ExitCause::Busy, ExitCause::Unknown] {
         let mut solo = Solo::new();
         let spec = JobSpec { shape: Shape::Gang, gpus: 4.0, ..small_array("req-1", 9) };
-        let held = |index: u32| {
+        let assignment_of = |index: u32| {
             let host = HostId::new(&format!("i-{}", index + 1));
             (index, Attempt(5), host, WorkerSession(1), Zone::new("a"))
         };
         let record = ChunkRecord {
             done: String::new(),
-            assignments: (0..2).map(held).collect(),
+            assignments: (0..2).map(assignment_of).collect(),
             size: ("blue".into(), 1.0, 4.0, 1.0, 2),
             charges: Default::default(),
             usage: Default::default(),
@@ -717,10 +721,10 @@
         ];
         let mut started = Vec::new();
         for report_seq in 1..40 {
-            for (at, host) in ["i-1", "i-2"].into_iter().enumerate() {
+            for (index, host) in ["i-1", "i-2"].into_iter().enumerate() {
                 let mut machine_report =
-                    report(host, "a", 1, report_seq, if report_seq > 1 { token } else { 0 });
-                machine_report.tasks = machine_tasks[at].clone();
+                    new_report(host, "a", 1, report_seq, if report_seq > 1 { token } else { 0 });
+                machine_report.tasks = machine_tasks[index].clone();
                 let conn = solo.send_request(Request::Report(Box::new(machine_report)));
                 solo.advance(1_000);
                 let answer = solo.reply(conn).map(|r| r.body.clone()).unwrap_or_default();
@@ -731,8 +735,8 @@
                             let is_same_attempt =
                                 |r: &TaskReport| r.task == task && r.attempt == attempt;
                             started.push((host, task.clone(), attempt));
-                            if !machine_tasks[at].iter().any(is_same_attempt) {
-                                machine_tasks[at].push(task_row(
+                            if !machine_tasks[index].iter().any(is_same_attempt) {
+                                machine_tasks[index].push(task_row(
                                     &task,
                                     attempt,
                                     TaskPhase::Waiting,
@@ -741,9 +745,9 @@
                             }
                         }
                         Order::Stop { task, attempt, .. } => {
-                            let stopped_task =
+                            let is_stopped_task =
                                 |r: &&mut TaskReport| r.task == task && r.attempt == attempt;
-                            for stopped in machine_tasks[at].iter_mut().filter(stopped_task) {
+                            for stopped in machine_tasks[index].iter_mut().filter(is_stopped_task) {
                                 if stopped.status != TaskPhase::Exited {
                                     stopped.status = TaskPhase::Exited;
                                     stopped.cause = Some(ExitCause::Stopped);
@@ -751,7 +755,7 @@
                             }
                         }
                         Order::Forget { task, attempt } => {
-                            machine_tasks[at].retain(|r| r.task != task || r.attempt != attempt);
+                            machine_tasks[index].retain(|r| r.task != task || r.attempt != attempt);
                         }
                     }
                 }
--- a/tests/owners.rs
+++ b/tests/owners.rs
@@ -21,7 +21,7 @@
 use world::state::State;
 
 const STEP_MS: u64 = 50;
-const REPORT_MS: u64 = 3_000;
+const REPORT_INTERVAL_MS: u64 = 3_000;
 const LEASE_MS: u64 = 26_000;
 /// Time until the other controllers know of a crash: membership suspects after 4.5 s.
 const DETECTION_MS: u64 = 5_000;
@@ -33,7 +33,7 @@
         request: StoreRequest,
         sent: Mono,
         op: StoreOp,
-        answer: bool,
+        awaits_reply: bool,
     },
     Reply {
         node: usize,
@@ -90,11 +90,12 @@
     workers: Vec<Worker>,
     map: ShareMap,
     /// Since when there are no faults.
-    calm_since: u64,
-    /// The longest time without an answer for a worker while there were no faults, and the number
-    /// of worker leases that ended.
+    fault_free_since: u64,
+    /// The longest time without an answer for a worker while there were no faults, in milliseconds.
     longest_silence: u64,
+    /// Number of worker leases that ended.
     expired_leases: u64,
+    /// Number of shares that the map moved to another member.
     moves: u64,
 }
 
@@ -105,7 +106,7 @@
 impl World {
     fn new(seed: u64, nodes: usize, workers: usize) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let node = |rng: &mut ChaCha8Rng| Node {
+        let new_node = |rng: &mut ChaCha8Rng| Node {
             owners: None,
             incarnation: 0,
             started_at: 0,
@@ -115,18 +116,18 @@
             frozen_until: 0,
             refused_until: 0,
         };
-        let worker = |n: usize| Worker {
+        let new_worker = |n: usize| Worker {
             share: ShareId::of_host(&HostId::new(&format!("i-{n:06}"))),
             highest_token: Token(0),
             next_controller: n % nodes,
-            next_report: (n as u64 * 37) % REPORT_MS,
+            next_report: (n as u64 * 37) % REPORT_INTERVAL_MS,
             last_answered: 0,
         };
         Self {
             seed,
             now: 0,
-            nodes: (0..nodes).map(|_| node(&mut rng)).collect(),
-            workers: (0..workers).map(worker).collect(),
+            nodes: (0..nodes).map(|_| new_node(&mut rng)).collect(),
+            workers: (0..workers).map(new_worker).collect(),
             rng,
             state: State::default(),
             outage_until: 0,
@@ -134,7 +135,7 @@
             next_sequence: 0,
             watches: Vec::new(),
             map: ShareMap::default(),
-            calm_since: 0,
+            fault_free_since: 0,
             longest_silence: 0,
             expired_leases: 0,
             moves: 0,
@@ -143,8 +144,8 @@
 
     fn clock(&self, n: usize) -> Mono {
         let node = &self.nodes[n];
-        let steady = (self.now - node.started_at) as f64 * (1.0 + node.drift);
-        Mono(CLOCK_START_MS.0 + steady as u64)
+        let local_ms = (self.now - node.started_at) as f64 * (1.0 + node.drift);
+        Mono(CLOCK_START_MS.0 + local_ms as u64)
     }
 
     fn send(&mut self, delay: u64, message: Message) {
@@ -183,7 +184,7 @@
                 }
             };
             let lost = self.rng.random_bool(0.01);
-            let late = lost && self.rng.random_bool(0.5);
+            let is_late = lost && self.rng.random_bool(0.5);
             if lost {
                 let (request, reply) = (request.clone(), StoreReply::Lost);
                 self.send(
@@ -192,11 +193,11 @@
                 );
             }
             // A lost request may be executed at once, much later, or never.
-            let delay = if late { self.rng.random_range(3_000..60_000) } else { self.delay() };
-            if !lost || late || self.rng.random_bool(0.5) {
+            let delay = if is_late { self.rng.random_range(3_000..60_000) } else { self.delay() };
+            if !lost || is_late || self.rng.random_bool(0.5) {
                 self.send(
                     delay,
-                    Message::Store { node: n, incarnation, request, sent, op, answer: !lost },
+                    Message::Store { node: n, incarnation, request, sent, op, awaits_reply: !lost },
                 );
             }
         }
@@ -239,12 +240,12 @@
 
     fn deliver(&mut self, message: Message) {
         match message {
-            Message::Store { node, incarnation, request, sent, op, answer } => {
+            Message::Store { node, incarnation, request, sent, op, awaits_reply } => {
                 let refused =
                     self.now < self.outage_until || self.now < self.nodes[node].refused_until;
                 let reply =
                     if refused { StoreReply::Refused } else { self.state.execute(self.now, &op) };
-                if answer {
+                if awaits_reply {
                     let delay = self.delay();
                     self.send(delay, Message::Reply { node, incarnation, request, sent, reply });
                 }
@@ -277,8 +278,8 @@
         }
     }
 
-    /// When a message to a frozen node can be delivered.
-    fn frozen(&self, message: &Message) -> Option<u64> {
+    /// When a message can be delivered, if its receiver is frozen now.
+    fn frozen_until(&self, message: &Message) -> Option<u64> {
         let n = match message {
             Message::Reply { node, .. } | Message::RecordsSynced { node, .. } => *node,
             Message::Offer { to, .. } => (0..self.nodes.len()).find(|n| member_name(*n) == *to)?,
@@ -370,10 +371,10 @@
         if self.outage_until == 0 {
             let watches = std::mem::take(&mut self.watches);
             for (n, incarnation, request, sent, after, until) in watches {
-                let due =
+                let is_due =
                     self.now >= until || !self.state.changes(OWNER_KEY_PREFIX, after).is_empty();
                 if self.nodes[n].incarnation != incarnation {
-                } else if due && self.now >= self.nodes[n].refused_until {
+                } else if is_due && self.now >= self.nodes[n].refused_until {
                     let reply = self.state.follow(OWNER_KEY_PREFIX, after);
                     self.send(4, Message::Reply { node: n, incarnation, request, sent, reply });
                 } else {
@@ -386,7 +387,7 @@
                 break;
             }
             let message = entry.remove();
-            match self.frozen(&message) {
+            match self.frozen_until(&message) {
                 Some(until) => {
                     self.next_sequence += 1;
                     self.queue.insert((until, self.next_sequence), message);
@@ -399,23 +400,24 @@
     }
 
     fn step_workers(&mut self) {
-        for at in 0..self.workers.len() {
-            if self.now < self.workers[at].next_report {
+        for index in 0..self.workers.len() {
+            if self.now < self.workers[index].next_report {
                 continue;
             }
-            let (share, n) = (self.workers[at].share, self.workers[at].next_controller);
+            let (share, n) = (self.workers[index].share, self.workers[index].next_controller);
             let answer = self.is_up(n).then(|| {
                 let now = self.clock(n);
                 let owners = self.nodes[n].owners.as_ref().expect("it is up");
                 (owners.may_answer(share, now), owners.owner(share).cloned())
             });
-            let jitter = self.rng.random_range(REPORT_MS * 3 / 4..REPORT_MS * 5 / 4);
-            let worker = &mut self.workers[at];
+            let jitter =
+                self.rng.random_range(REPORT_INTERVAL_MS * 3 / 4..REPORT_INTERVAL_MS * 5 / 4);
+            let worker = &mut self.workers[index];
             let next = (n + 1) % self.nodes.len();
             match answer {
                 Some((Some(token), _)) if token >= worker.highest_token => {
-                    let silent = self.now - worker.last_answered.max(self.calm_since);
-                    if self.now > self.calm_since + LEASE_MS {
+                    let silent = self.now - worker.last_answered.max(self.fault_free_since);
+                    if self.now > self.fault_free_since + LEASE_MS {
                         self.longest_silence = self.longest_silence.max(silent);
                     }
                     worker.highest_token = token;
@@ -447,11 +449,11 @@
     /// reject outdated tokens.
     fn check_single_owner(&self) {
         for share in ShareId::all() {
-            let answers = |n: &usize| {
+            let answers_share = |n: &usize| {
                 let owners = self.nodes[*n].owners.as_ref();
                 owners.and_then(|owners| owners.may_answer(share, self.clock(*n))).is_some()
             };
-            let owners: Vec<usize> = (0..self.nodes.len()).filter(answers).collect();
+            let owners: Vec<usize> = (0..self.nodes.len()).filter(answers_share).collect();
             assert!(
                 owners.len() <= 1,
                 "seed {}, {}: share {share}: {owners:?}",
@@ -461,19 +463,20 @@
         }
     }
 
-    /// Number of shares that nobody answers.
-    fn unanswered(&self) -> usize {
-        let answers = |share: &ShareId| {
+    /// Number of shares that no controller answers.
+    fn unanswered_count(&self) -> usize {
+        let is_answered = |share: &ShareId| {
             (0..self.nodes.len()).any(|n| {
                 let owners = self.nodes[n].owners.as_ref().filter(|_| self.is_up(n));
                 owners.is_some_and(|owners| owners.may_answer(*share, self.clock(n)).is_some())
             })
         };
-        ShareId::all().filter(|share| !answers(share)).count()
+        ShareId::all().filter(|share| !is_answered(share)).count()
     }
 }
 
-/// Four minutes of random faults, then a calm period in which every share must be answered again.
+/// Four minutes of random faults, then a period without faults in which every share must be
+/// answered again.
 #[test]
 fn every_share_has_one_owner_under_random_faults() {
     let mut moves = 0;
@@ -488,16 +491,20 @@
                         faults_until = faults_until.max(world.inject_fault());
                     }
                 }
-                world.calm_since = world.calm_since.max(world.now);
+                world.fault_free_since = world.fault_free_since.max(world.now);
                 world.step();
             }
             while world.now < faults_until + 30_000 {
-                world.calm_since = world.now;
+                world.fault_free_since = world.now;
                 world.step();
             }
-            assert_eq!(world.unanswered(), 0, "{nodes} nodes, seed {seed}: unanswered shares");
-            world.calm_since = world.now;
-            while world.now < world.calm_since + 60_000 {
+            assert_eq!(
+                world.unanswered_count(),
+                0,
+                "{nodes} nodes, seed {seed}: unanswered shares"
+            );
+            world.fault_free_since = world.now;
+            while world.now < world.fault_free_since + 60_000 {
                 world.step();
             }
             // Bound of the rule `no_deaf_worker`: a report period, and a redirection.
@@ -543,20 +550,20 @@
             }
             world.step();
         }
-        assert_eq!(world.unanswered(), 0, "seed {seed}");
+        assert_eq!(world.unanswered_count(), 0, "seed {seed}");
         let n = seed as usize % 3;
         let owners = world.nodes[n].owners.as_ref().expect("it is up");
         let is_owned = |share: &ShareId| owners.may_answer(*share, world.clock(n)).is_some();
-        let held = ShareId::all().filter(is_owned).count();
+        let owned_count = ShareId::all().filter(is_owned).count();
         world.crash(n);
         world.nodes[n].down_until = u64::MAX;
         let (crashed_at, mut recovered_after) = (world.now, 0);
         while world.now < crashed_at + 15_000 {
             world.step();
-            let unanswered = world.unanswered();
+            let unanswered = world.unanswered_count();
             assert!(
-                unanswered <= held + 2,
-                "seed {seed}: {unanswered} unanswered shares, {held} of the crashed owner"
+                unanswered <= owned_count + 2,
+                "seed {seed}: {unanswered} unanswered shares, {owned_count} of the crashed owner"
             );
             if unanswered > 0 {
                 recovered_after = world.now - crashed_at;
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -1,5 +1,5 @@
 //! Seeded days with pipelines: jobs of random shape that depend on each other, under each kind of fault, alone and combined.
-//! `OATLOOM_SEEDS=n` plays n more seeds of each.
+//! `OATLOOM_SEEDS=n` runs n more seeds of each test.
 
 #[allow(dead_code)]
 mod world;
@@ -31,12 +31,12 @@
 
 /// A chain of three arrays of one task, `req-1` to `req-3`.
 fn chain_of_three() -> Vec<JobSpec> {
-    let job = |n: u32| JobSpec {
+    let new_job = |n: u32| JobSpec {
         tasks: 1,
         dependencies: (n > 1).then(|| JobId::new(&format!("req-{}", n - 1))).into_iter().collect(),
         ..small_array(&format!("req-{n}"), 2)
     };
-    (1..4).map(job).collect()
+    (1..4).map(new_job).collect()
 }
 
 /// The rules that `act` breaks on a checker that knows the chain of jobs.
@@ -44,8 +44,8 @@
     let mut checker = Checker::new([("blue".to_owned(), Limit::gpus(0.0))].into(), MAX_CANCEL_MS);
     chain_of_three().iter().for_each(|spec| checker.submitted(spec));
     act(&mut checker);
-    let rule = |broken: &String| broken.split([' ', ':']).nth(2).unwrap_or_default().to_owned();
-    checker.broken.iter().map(rule).collect()
+    let rule_of = |broken: &String| broken.split([' ', ':']).nth(2).unwrap_or_default().to_owned();
+    checker.broken.iter().map(rule_of).collect()
 }
 
 fn start_task(checker: &mut Checker, now: u64, job: &str) {
@@ -150,7 +150,7 @@
 }
 
 /// A world in which no controller runs, with the users of the chain's jobs.
-fn without_controllers() -> World {
+fn world_without_controllers() -> World {
     let teams = [TeamLimits { name: "blue", ..TeamLimits::default() }];
     let mut world = World::without_users(site(&teams), &mut ChaCha8Rng::seed_from_u64(1), 0);
     (0..3).for_each(|node| world.inject_fault(Fault::NodeDown(node, 1_000_000)));
@@ -166,8 +166,8 @@
 }
 
 fn assignment(job: &str, tasks: &[u32]) -> StoreOp {
-    let held: Vec<_> = tasks.iter().map(|task| json!([task, 5, "i-1", 1, "a"])).collect();
-    let value = json!({"d": "", "a": held, "u": ["blue", 1.0, 1.0, 1.0, 1]});
+    let assignments: Vec<_> = tasks.iter().map(|task| json!([task, 5, "i-1", 1, "a"])).collect();
+    let value = json!({"d": "", "a": assignments, "u": ["blue", 1.0, 1.0, 1.0, 1]});
     put(&format!("asg/{job}/0000"), value)
 }
 
@@ -175,28 +175,32 @@
 /// their tasks.
 #[test]
 fn checker_reports_an_assignment_before_dependencies_are_durably_done() {
-    let broken = |writes: &[StoreOp]| {
-        let mut world = without_controllers();
+    let count_violations = |writes: &[StoreOp]| {
+        let mut world = world_without_controllers();
         world.region.checker.task_done("req-1", 0);
         writes.iter().for_each(|op| world.write(op));
         let rules = world.region.checker.broken.clone();
         assert!(rules.iter().all(|text| text.contains(" too_early: ")), "{rules:?}");
         rules.len()
     };
-    let end = |status: &str| put("over/req-1", json!({"s": status, "n": 1}));
-    assert_eq!(broken(&[assignment("req-1", &[0])]), 0, "it has no dependencies");
-    assert_eq!(broken(&[assignment("req-2", &[0])]), 1);
-    assert_eq!(broken(&[assignment("req-2", &[])]), 0, "no task is assigned");
-    assert_eq!(broken(&[end("done"), assignment("req-2", &[0])]), 0);
-    assert_eq!(broken(&[end("cancelled"), assignment("req-2", &[0])]), 1);
-    assert_eq!(broken(&[end("done"), assignment("req-3", &[0])]), 1, "its own dependency counts");
+    let put_final_record = |status: &str| put("over/req-1", json!({"s": status, "n": 1}));
+    assert_eq!(count_violations(&[assignment("req-1", &[0])]), 0, "it has no dependencies");
+    assert_eq!(count_violations(&[assignment("req-2", &[0])]), 1);
+    assert_eq!(count_violations(&[assignment("req-2", &[])]), 0, "no task is assigned");
+    assert_eq!(count_violations(&[put_final_record("done"), assignment("req-2", &[0])]), 0);
+    assert_eq!(count_violations(&[put_final_record("cancelled"), assignment("req-2", &[0])]), 1);
+    assert_eq!(
+        count_violations(&[put_final_record("done"), assignment("req-3", &[0])]),
+        1,
+        "its own dependency counts"
+    );
 }
 
 /// The checker detects final states that are reported before a record shows them, and refusals of jobs that may be submitted.
 #[test]
 fn checker_reports_answers_without_a_durable_record() {
     let first_violation = |records: &[(&str, &str)], job: &str, status: u16, job_status: &str| {
-        let mut world = without_controllers();
+        let mut world = world_without_controllers();
         for (job, end) in records {
             world.write(&put(&format!("over/{job}"), json!({"s": end, "n": 1})));
         }
@@ -219,8 +223,8 @@
 /// A job that waits for its dependencies doesn't count as neglected; once they are durably done, it does.
 #[test]
 fn a_job_counts_as_neglected_only_after_its_dependencies_are_done() {
-    let neglected = |ended: bool| {
-        let mut world = without_controllers();
+    let count_neglected = |ended: bool| {
+        let mut world = world_without_controllers();
         world.add_machine("i-1", "a", false);
         world.region.checker.task_done("req-1", 0);
         if ended {
@@ -231,14 +235,14 @@
         assert!(broken.iter().all(|text| text.contains(" neglected: ")), "{broken:?}");
         broken.iter().filter(|text| text.contains("req-2")).count()
     };
-    assert_eq!(neglected(false), 0);
-    assert_eq!(neglected(true), 1);
+    assert_eq!(count_neglected(false), 0);
+    assert_eq!(count_neglected(true), 1);
 }
 
 /// The simulated state service enforces its limits, also after they are lowered.
 #[test]
 fn simulated_state_service_enforces_its_limits() {
-    let facts = |value_kb, txn_ops, write_rps| StateFacts {
+    let new_facts = |value_kb, txn_ops, write_rps| StateFacts {
         rps: 10.0,
         write_rps,
         value_kb,
@@ -250,17 +254,17 @@
         let change = |n| Change::Put { key: format!("k/{n}"), value: json!(n), lease: None };
         StoreOp::Txn(Txn { conditions: Vec::new(), changes: (0..n).map(change).collect() })
     };
-    let committed = |reply: &StoreReply| matches!(reply, StoreReply::Committed(_));
+    let is_committed = |reply: &StoreReply| matches!(reply, StoreReply::Committed(_));
     let mut state = State::default();
-    state.set_limits(StateLimits::new(&facts(8.0, 16, 25.0), 0));
-    assert!(committed(&state.serve(0, &large)));
-    assert!(committed(&state.serve(0, &txn_of(16))));
+    state.set_limits(StateLimits::new(&new_facts(8.0, 16, 25.0), 0));
+    assert!(is_committed(&state.serve(0, &large)));
+    assert!(is_committed(&state.serve(0, &txn_of(16))));
     assert!(matches!(state.serve(0, &txn_of(17)), StoreReply::Throttled), "the burst is used up");
     assert!(matches!(state.serve(2_000, &txn_of(17)), StoreReply::Malformed(_)));
-    state.set_limits(StateLimits::new(&facts(2.0, 5, 18.0), 10_000));
+    state.set_limits(StateLimits::new(&new_facts(2.0, 5, 18.0), 10_000));
     assert!(matches!(state.serve(10_000, &large), StoreReply::Malformed(_)));
     assert!(matches!(state.serve(10_000, &txn_of(6)), StoreReply::Malformed(_)));
-    assert!(committed(&state.serve(11_000, &txn_of(5))));
+    assert!(is_committed(&state.serve(11_000, &txn_of(5))));
     let StoreReply::Found(row) = state.serve(11_000, &StoreOp::Get { key: "k".into() }) else {
         panic!("stored values stay readable");
     };
@@ -277,7 +281,7 @@
 fn checker_reports_a_retry_of_a_transaction_refused_for_its_size() {
     let large = put("k", json!("x".repeat(9_000)));
     let larger = put("k", json!("x".repeat(9_001)));
-    let mut world = without_controllers();
+    let mut world = world_without_controllers();
     world.write(&large);
     world.write(&larger);
     assert!(world.region.checker.broken.is_empty());
@@ -310,11 +314,11 @@
 }
 
 /// A day with pipelines and some other jobs, and these faults.
-fn pipeline_day(seed: u64, faults: Vec<(u64, Fault)>, draw: PipelineDistribution) -> World {
+fn pipeline_day(seed: u64, faults: Vec<(u64, Fault)>, distribution: PipelineDistribution) -> World {
     init_log();
     let mut world = World::with_faults(seed, faults, FAULTS_END_MS, None);
     world.restart_ms = [50, 300, 1_000, 5_000][(seed % 4) as usize];
-    world.add_pipelines(seed, draw);
+    world.add_pipelines(seed, distribution);
     world
 }
 
@@ -335,7 +339,7 @@
     faults
 }
 
-fn play_random_days(first_seed: u64, count: u64, overlapping: u64) {
+fn run_random_days(first_seed: u64, count: u64, overlapping: u64) {
     let mut outcomes = Outcomes::default();
     for seed in first_seed..first_seed + count + extra_seeds() {
         let faults = random_faults(seed, overlapping);
@@ -347,12 +351,12 @@
     outcomes.assert_all_occurred("days with random faults");
 }
 
-/// Plays the seed given in `OATLOOM_SEED`, if any, with `OATLOOM_TROUBLES` overlapping faults.
+/// Runs the seed given in `OATLOOM_SEED`, if any, with `OATLOOM_TROUBLES` overlapping faults.
 #[test]
 fn one_seed() {
     let number = |name: &str| std::env::var(name).ok().and_then(|text| text.parse::<u64>().ok());
     if let Some(seed) = number("OATLOOM_SEED") {
-        play_random_days(seed, 1, number("OATLOOM_TROUBLES").unwrap_or(2));
+        run_random_days(seed, 1, number("OATLOOM_TROUBLES").unwrap_or(2));
     }
 }
 
@@ -370,17 +374,17 @@
 
 #[test]
 fn pipelines_keep_their_rules_under_single_faults() {
-    play_random_days(10_000, 6, 1);
+    run_random_days(10_000, 6, 1);
 }
 
 #[test]
 fn pipelines_keep_their_rules_under_random_pairs_of_faults() {
-    play_random_days(20_000, 8, 2);
+    run_random_days(20_000, 8, 2);
 }
 
 #[test]
 fn pipelines_keep_their_rules_under_random_triples_of_faults() {
-    play_random_days(30_000, 8, 3);
+    run_random_days(30_000, 8, 3);
 }
 
 // --- Cascades of cancellations -------------------------------------------------------------------
@@ -411,8 +415,8 @@
     world
 }
 
-/// Plays until the user of the first job is told that it is cancelled.
-fn play_until_first_is_cancelled(world: &mut World, context: &str) {
+/// Runs until the user of the first job is told that it is cancelled.
+fn run_until_first_is_cancelled(world: &mut World, context: &str) {
     world.run_until(CANCELLED_AT_MS - 1_000);
     assert_eq!(
         world.accepted_dependents(),
@@ -441,7 +445,7 @@
         if lowers_limits {
             world.add_faults([(20_000, Fault::LimitsLowered)]);
         }
-        play_until_first_is_cancelled(&mut world, &context);
+        run_until_first_is_cancelled(&mut world, &context);
         world.run_until(world.now + [0, 50, 150, 400, 1_000, 2_500][(seed % 6) as usize]);
         let before = world.stored_rows("over/").len();
         interrupted += usize::from(before < 1 + DEPENDENTS as usize);
@@ -476,7 +480,7 @@
     for seed in 0..8 + extra_seeds() {
         let mut world = long_job_with_dependents(seed, Site::default());
         let context = format!("seed {seed}");
-        play_until_first_is_cancelled(&mut world, &context);
+        run_until_first_is_cancelled(&mut world, &context);
         world.run_until(world.now + [0, 50, 300, 900][(seed % 4) as usize]);
         world.inject_fault(Fault::StoreOutage(60_000));
         if seed % 2 == 0 {
@@ -538,14 +542,18 @@
     }
 }
 
-/// A day of pipelines alone, played in fine steps; users react to each answer by asking every node at once.
-fn reactive_day(seed: u64, draw: PipelineDistribution, prepare: impl Fn(&mut World)) -> World {
+/// A day of pipelines alone, in fine steps; users react to each answer by asking every node at once.
+fn reactive_day(
+    seed: u64,
+    distribution: PipelineDistribution,
+    prepare: impl Fn(&mut World),
+) -> World {
     let mut world = World::with_faults(seed, leader_and_store_faults(seed), 70_000, None);
     world.remove_users();
     world.restart_ms = [50, 1_000][(seed % 2) as usize];
     world.aggressive_users.enabled = true;
     prepare(&mut world);
-    world.add_pipelines(seed, draw);
+    world.add_pipelines(seed, distribution);
     world.run_finely_until(50_000);
     world.run_until(190_000);
     assert_finished(&world, &format!("seed {seed}, {:?}", leader_and_store_faults(seed)));
@@ -592,12 +600,13 @@
 fn cancellation_racing_with_the_last_task_of_a_stage_has_one_outcome() {
     let (mut outcomes, mut cancelled_at_end) = (Outcomes::default(), 0);
     for seed in 200..216 + extra_seeds() {
-        let within = [60, 300, 900, 4_500][(seed % 4) as usize];
-        let strike = [None, Some((4, Fault::Leader(LeaderFault::Crash)))][(seed / 2 % 2) as usize];
-        let draw = PipelineDistribution { cancelled_share: 0.0, ..OFTEN_CANCELLED };
-        let world = reactive_day(seed, draw, |world| {
-            world.aggressive_users.abort_on_end = (0.4, within);
-            world.aggressive_users.fault_at_end = strike;
+        let max_delay_ms = [60, 300, 900, 4_500][(seed % 4) as usize];
+        let fault_at_end =
+            [None, Some((4, Fault::Leader(LeaderFault::Crash)))][(seed / 2 % 2) as usize];
+        let distribution = PipelineDistribution { cancelled_share: 0.0, ..OFTEN_CANCELLED };
+        let world = reactive_day(seed, distribution, |world| {
+            world.aggressive_users.abort_on_end = (0.4, max_delay_ms);
+            world.aggressive_users.fault_at_end = fault_at_end;
         });
         cancelled_at_end += world.aggressive_users.cancelled_at_end.len();
         outcomes.add(&world);
@@ -734,7 +743,7 @@
     for seed in 0..6 {
         let mut world =
             World::without_users(site(&teams), &mut ChaCha8Rng::seed_from_u64(seed), FAULTS_END_MS);
-        let narrow = |id: &str, seconds, deadline_s| JobSpec {
+        let narrow_job = |id: &str, seconds, deadline_s| JobSpec {
             team: "narrow".into(),
             deadline_s,
             ..small_array(id, seconds)
@@ -742,12 +751,12 @@
         world.add_job_at(small_array("req-000001", 15), 1_000);
         let last = JobSpec {
             dependencies: vec![JobId::new("req-000001")],
-            ..narrow("req-000002", 5, Some(110.0))
+            ..narrow_job("req-000002", 5, Some(110.0))
         };
         world.add_job_at(last, 2_000);
         // Occupies the place until both wait for it.
-        world.add_job_at(narrow("req-000003", 60, None), 2_000);
-        world.add_job_at(narrow("req-000004", 5, Some(110.0)), 20_000);
+        world.add_job_at(narrow_job("req-000003", 60, None), 2_000);
+        world.add_job_at(narrow_job("req-000004", 5, Some(110.0)), 20_000);
         world.run();
         assert_finished(&world, &format!("seed {seed}"));
         let finished_at = |id: &str| world.region.checker.over_at(id).expect("it has finished");
@@ -786,8 +795,8 @@
     JobSpec { tasks: 1, gpus: 0.0, cpus: 0.1, dependencies, ..small_array(job_id(n).as_str(), 1) }
 }
 
-/// Plays a world with only these jobs to its end.
-fn play_many(site: Site, jobs: Vec<JobSpec>) -> World {
+/// Runs a world with only these jobs to its end.
+fn run_jobs(site: Site, jobs: Vec<JobSpec>) -> World {
     init_log();
     let mut world = World::without_users(site, &mut ChaCha8Rng::seed_from_u64(7), 240_000);
     world.stop_polling_when_final = true;
@@ -800,7 +809,7 @@
 fn a_job_with_three_hundred_dependencies_finishes() {
     let mut jobs: Vec<JobSpec> = (1..=300).map(|n| short_job(n, Vec::new())).collect();
     jobs.push(short_job(0, (1..=300).map(job_id).collect()));
-    let world = play_many(Site::default(), jobs);
+    let world = run_jobs(Site::default(), jobs);
     assert_finished(&world, "one job with many dependencies");
     assert_eq!(world.count_with_known_status(JobStatus::Done), 301);
 }
@@ -809,7 +818,7 @@
 fn three_hundred_dependents_of_one_job_finish() {
     let dependents = (1..=300).map(|n| short_job(n, vec![job_id(0)]));
     let jobs = std::iter::once(short_job(0, Vec::new())).chain(dependents).collect();
-    let world = play_many(Site::default(), jobs);
+    let world = run_jobs(Site::default(), jobs);
     assert_finished(&world, "many dependents of one job");
     assert_eq!(world.count_with_known_status(JobStatus::Done), 301);
 }
@@ -845,7 +854,7 @@
 fn a_job_with_more_dependencies_than_fit_one_value_finishes() {
     let mut jobs: Vec<JobSpec> = (1..=DEPENDENCIES).map(|n| short_job(n, Vec::new())).collect();
     jobs.push(short_job(0, (1..=DEPENDENCIES).map(job_id).collect()));
-    let world = play_many(site_with_next_limits(), jobs);
+    let world = run_jobs(site_with_next_limits(), jobs);
     assert_finished(&world, "one job with many dependencies");
     assert_eq!(world.count_with_known_status(JobStatus::Done), DEPENDENCIES as usize + 1);
 }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -101,9 +101,14 @@
     job_table
 }
 
-fn pass(settings: &Settings, job_table: &mut JobTable, fleet: &Fleet, hire: bool) -> PlacementPlan {
+fn run_pass(
+    settings: &Settings,
+    job_table: &mut JobTable,
+    fleet: &Fleet,
+    hire: bool,
+) -> PlacementPlan {
     let paced: BTreeMap<JobId, u32> = job_table.jobs.keys().map(|id| (id.clone(), 1_000)).collect();
-    let refused = |_: &MachineKind| !hire;
+    let is_refused = |_: &MachineKind| !hire;
     placement::plan(PlacementInputs {
         now: NOW.plus(Millis(1_000)),
         settings,
@@ -112,12 +117,17 @@
         array_task_limits: &paced,
         pending_hires: Vec::new(),
         expected_jobs: &[],
-        is_refused: &refused,
+        is_refused: &is_refused,
     })
 }
 
 /// Applies the starts of a plan as a leader does, and checks the constraints of each.
-fn start(plan: &PlacementPlan, settings: &Settings, job_table: &mut JobTable, fleet: &mut Fleet) {
+fn apply_starts(
+    plan: &PlacementPlan,
+    settings: &Settings,
+    job_table: &mut JobTable,
+    fleet: &mut Fleet,
+) {
     let mut started: BTreeMap<&JobId, u32> = BTreeMap::new();
     for (n, (id, index, host)) in plan.starts.iter().enumerate() {
         *started.entry(id).or_default() += 1;
@@ -127,7 +137,7 @@
         assert!(fleet.free_resources(machine).fits(&need), "{id}/{index} does not fit on {host}");
         let job = job_table.get(id).expect("a known job");
         assert!(placement::may_place(settings, job_table, job, machine), "{id}/{index} on {host}");
-        let hold = TaskAssignment {
+        let assignment = TaskAssignment {
             host: host.clone(),
             session: WorkerSession(1),
             zone: machine.zone.clone(),
@@ -143,7 +153,7 @@
             reported_run_ms: None,
             stop: None,
         };
-        assert!(job_table.assign(id, *index, hold), "{id}/{index} is placed twice");
+        assert!(job_table.assign(id, *index, assignment), "{id}/{index} is placed twice");
         let machine = fleet.machines.get_mut(host).expect("a known machine");
         let task = oatloom_protocol::ids::TaskId::new(id, *index);
         machine.assign(task, need, &spec.image, spec.image_gb, 100.0);
@@ -168,17 +178,17 @@
     assert!(tasks > 10 * jobs as u32);
     let mut total = 0;
     for round in 0..100 {
-        let plan = pass(&settings, &mut job_table, &fleet, false);
+        let plan = run_pass(&settings, &mut job_table, &fleet, false);
         assert!(plan.steps < 2 * (machines * jobs) as u64, "round {round}: {}", plan.steps);
         total += plan.starts.len();
-        start(&plan, &settings, &mut job_table, &mut fleet);
+        apply_starts(&plan, &settings, &mut job_table, &mut fleet);
         if plan.starts.is_empty() {
             break;
         }
     }
     assert!(total > 3 * machines, "{total} tasks on {machines} machines");
     // Nothing more fits: after one job found no machine, similar jobs do not search again.
-    let full = pass(&settings, &mut job_table, &fleet, false);
+    let full = run_pass(&settings, &mut job_table, &fleet, false);
     assert!(full.starts.is_empty());
     assert!(full.steps < 130 * machines as u64, "{}", full.steps);
 }
@@ -191,15 +201,15 @@
     let free = settings();
     let mut limited = settings();
     limited.facts.teams[0].gpus_max = 500.0;
-    let cost = |settings: &Settings, used: f64| {
+    let measure_cost = |settings: &Settings, used: f64| {
         let mut job_table = random_jobs(1_000, &mut ChaCha8Rng::seed_from_u64(3));
         job_table.usage.insert("red".into(), TeamUsage { cpus: 0.0, gpus: used });
         let from = std::time::Instant::now();
-        let plan = pass(settings, &mut job_table, &fleet, true);
+        let plan = run_pass(settings, &mut job_table, &fleet, true);
         (plan.steps, plan.starts.len(), from.elapsed())
     };
     let (unlimited, at_limit, near) =
-        (cost(&free, 0.0), cost(&limited, 500.0), cost(&limited, 497.0));
+        (measure_cost(&free, 0.0), measure_cost(&limited, 500.0), measure_cost(&limited, 497.0));
     println!(
         "checks, starts, time: {unlimited:?} without a limit, {at_limit:?} at the limit, {near:?} near it"
     );
@@ -216,7 +226,7 @@
     let mut rng = ChaCha8Rng::seed_from_u64(9);
     let settings = settings();
     let mut job_table = random_jobs(400, &mut rng);
-    let plan = pass(&settings, &mut job_table, &fleet(0), true);
+    let plan = run_pass(&settings, &mut job_table, &fleet(0), true);
     assert!(plan.hires.len() > 500, "{}", plan.hires.len());
     assert!(plan.steps < 2 * 400 * plan.hires.len() as u64, "{}", plan.steps);
     let on_demand = plan.hires.iter().filter(|(kind, _)| !kind.spot).count();
@@ -243,9 +253,9 @@
         id
     };
     add(&mut job_table, 1, "sweep", 12, "standard", "many");
-    let plan = pass(&settings, &mut job_table, &fleet, false);
+    let plan = run_pass(&settings, &mut job_table, &fleet, false);
     assert_eq!(plan.starts.len(), 12);
-    start(&plan, &settings, &mut job_table, &mut fleet);
+    apply_starts(&plan, &settings, &mut job_table, &mut fleet);
     let gang = add(&mut job_table, 2, "group", 4, "high", "quick");
     (job_table, fleet, gang)
 }
@@ -256,7 +266,7 @@
 fn a_gang_preempts_for_all_its_tasks_where_they_may_run_together() {
     for (one_zone, spread) in [(true, false), (false, true), (false, false)] {
         let (mut job_table, fleet, gang) = full_fleet_and_gang(one_zone, spread);
-        let plan = pass(&settings(), &mut job_table, &fleet, true);
+        let plan = run_pass(&settings(), &mut job_table, &fleet, true);
         assert_eq!((plan.stops.len(), plan.reservations.len()), (4, 4));
         assert!(plan.hires.is_empty(), "preempted machines are free sooner than hired ones");
         let mut zones: BTreeMap<&Zone, u32> = BTreeMap::new();
@@ -349,7 +359,7 @@
     let mut job_table = JobTable::default();
     let first = add(&mut job_table, 1, Shape::Service, Rank::Critical, 4, "img-1");
     let second = add(&mut job_table, 2, Shape::Service, Rank::High, 1, "img-2");
-    let plan = pass(&settings, &mut job_table, &fleet, false);
+    let plan = run_pass(&settings, &mut job_table, &fleet, false);
     assert_eq!(plan.starts.iter().filter(|(id, ..)| *id == first).count(), 4);
     assert!(plan.starts.iter().all(|(id, ..)| *id != second));
     assert!(plan.reservations.is_empty() && plan.stops.is_empty(), "{:?}", plan.reservations);
@@ -369,14 +379,14 @@
         let machine = fleet.machines.get_mut(&with_image).expect("a known machine");
         machine.restore_images(vec![Image { name: "img-2".into(), gb: 20.0, ready: true }]);
         let starts = (0..4).map(|index| (array.clone(), index, with_image.clone())).collect();
-        start(
+        apply_starts(
             &PlacementPlan { starts, ..PlacementPlan::default() },
             &settings,
             &mut job_table,
             &mut fleet,
         );
         job_table.jobs.get_mut(&service).expect("a known job").was_up = was_up;
-        let plan = pass(&settings, &mut job_table, &fleet, false);
+        let plan = run_pass(&settings, &mut job_table, &fleet, false);
         let started: Vec<&HostId> =
             plan.starts.iter().filter(|(id, ..)| *id == service).map(|(.., host)| host).collect();
         if was_up {
@@ -389,7 +399,7 @@
             let machine = fleet.machines.get_mut(&with_image).expect("a known machine");
             machine.unassign(task, NOW);
             machine.reservation = Some((service.clone(), NOW.plus(Millis(20_000))));
-            let plan = pass(&settings, &mut job_table, &fleet, false);
+            let plan = run_pass(&settings, &mut job_table, &fleet, false);
             assert!(plan.starts.contains(&(service, 0, with_image)), "{:?}", plan.starts);
         } else {
             assert_eq!(started, [&free]);
--- a/tests/shortage.rs
+++ b/tests/shortage.rs
@@ -82,8 +82,8 @@
             *replicas.entry(&task.job).or_default() += 1;
         }
         for (job, count) in replicas {
-            let before = max_counts.entry(job.to_owned()).or_default();
-            *before = count.max(*before);
+            let max_count = max_counts.entry(job.to_owned()).or_default();
+            *max_count = count.max(*max_count);
         }
     }
     max_counts
@@ -138,10 +138,13 @@
         }
         max_replicas(&mut world, ALL_UP_BY_MS);
         assert_rules(&world, &format!("seed {seed}"));
-        let mut now: BTreeMap<&str, u32> = BTreeMap::new();
+        let mut replicas: BTreeMap<&str, u32> = BTreeMap::new();
         for task in world.region.checker.on_machines() {
-            *now.entry(&task.job).or_default() += 1;
+            *replicas.entry(&task.job).or_default() += 1;
         }
-        assert!(now.len() == 3 && now.values().all(|n| *n == 8), "seed {seed}: replicas: {now:?}");
+        assert!(
+            replicas.len() == 3 && replicas.values().all(|n| *n == 8),
+            "seed {seed}: replicas: {replicas:?}"
+        );
     }
 }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -67,10 +67,10 @@
     restarted.state = std::mem::take(&mut solo.state);
     restarted.advance(3_000);
     assert!(restarted.controller.all_upgraded());
-    let own = |change: &&oatloom_protocol::wire::LoggedChange| {
+    let is_own_key = |change: &&oatloom_protocol::wire::LoggedChange| {
         change.put.as_deref() == Some("version/n-0")
     };
-    assert_eq!(restarted.state.history().iter().filter(own).count(), 1);
+    assert_eq!(restarted.state.history().iter().filter(is_own_key).count(), 1);
 }
 
 // --- Lowered limits ----------------------------------------------------------------------------------
@@ -80,18 +80,18 @@
     "txn_ops = 16\nnext = { rps = 60.0, write_rps = 18.0, value_kb = 2.0, txn_ops = 5 }\n";
 
 /// Whether the state service refuses this with 400 after its limits were lowered.
-fn over_lowered_limits(op: &StoreOp) -> bool {
+fn exceeds_lowered_limits(op: &StoreOp) -> bool {
     let StoreOp::Txn(txn) = op else { return false };
-    let long = |change: &Change| match change {
+    let is_too_long = |change: &Change| match change {
         Change::Put { value, .. } => value.to_string().len() > 2 * 1_024,
         Change::Delete { .. } => false,
     };
-    txn.changes.len() > 5 || txn.changes.iter().any(long)
+    txn.changes.len() > 5 || txn.changes.iter().any(is_too_long)
 }
 
 /// The same for a service whose limits are lower than it announced.
-fn over_two_changes(op: &StoreOp) -> bool {
-    matches!(op, StoreOp::Txn(txn) if txn.changes.len() > 2) || over_lowered_limits(op)
+fn exceeds_two_changes(op: &StoreOp) -> bool {
+    matches!(op, StoreOp::Txn(txn) if txn.changes.len() > 2) || exceeds_lowered_limits(op)
 }
 
 fn host(n: u64) -> String {
@@ -108,9 +108,9 @@
 impl LoweredLimits {
     fn new(refuses: fn(&StoreOp) -> bool, upgraded: bool) -> Self {
         let settings = world::settings(&world::SETTINGS.replace("txn_ops = 16\n", NEXT_LIMITS), 0);
-        let core = Controller::new(settings, OperatorSettings::default(), 7);
+        let controller = Controller::new(settings, OperatorSettings::default(), 7);
         let mut solo = Solo::new();
-        (solo.controller, solo.holds_reply) = (core, refuses);
+        (solo.controller, solo.holds_reply) = (controller, refuses);
         for member in ["n-1", "n-2"].iter().filter(|_| upgraded) {
             announce(&mut solo, member, 2);
         }
@@ -120,11 +120,11 @@
     }
 
     /// Advances time; each machine reports every three seconds and runs what it was assigned.
-    fn pass(&mut self, machines: u64, seconds: u64) {
+    fn run(&mut self, machines: u64, seconds: u64) {
         for step in 0..seconds * 4 {
             if step % 12 == 0 {
                 self.report_seq += 1;
-                let assigned = self.assigned();
+                let assigned = self.durable_assignments();
                 (0..machines).for_each(|n| self.report(n, &assigned));
             }
             self.solo.advance(250);
@@ -137,14 +137,14 @@
     }
 
     /// All durable assignments.
-    fn assigned(&self) -> Vec<(JobId, u32, Attempt, HostId)> {
+    fn durable_assignments(&self) -> Vec<(JobId, u32, Attempt, HostId)> {
         let mut assigned = Vec::new();
         for row in self.solo.state.rows("asg/") {
             let (job, _) = oatloom_core::jobs::parse_chunk_key(&row.key).unwrap();
             let record: ChunkRecord = serde_json::from_value(row.value).unwrap();
-            let held = record.assignments.into_iter();
+            let rows = record.assignments.into_iter();
             assigned
-                .extend(held.map(|(task, attempt, host, ..)| (job.clone(), task, attempt, host)));
+                .extend(rows.map(|(task, attempt, host, ..)| (job.clone(), task, attempt, host)));
         }
         assigned
     }
@@ -181,16 +181,16 @@
         spec.tasks = tasks;
         spec.team = "blue".into();
         let conn = self.solo.send_request(Request::Submit(Submission::Spec(Box::new(spec))));
-        self.pass(0, 1);
+        self.run(0, 1);
         self.solo.reply(conn).map_or(0, |reply| reply.status)
     }
 
-    fn durable(&self) -> usize {
-        self.assigned().len()
+    fn durable_count(&self) -> usize {
+        self.durable_assignments().len()
     }
 
     /// Number of refused transactions that were repeated unchanged and refused again.
-    fn repeated(&self) -> usize {
+    fn repeated_count(&self) -> usize {
         self.refused.windows(2).filter(|two| two[0] == two[1]).count()
     }
 }
@@ -199,15 +199,15 @@
 /// durable any more, and states already reported to users were lost.
 #[test]
 fn jobs_start_and_finish_under_lowered_limits() {
-    let mut lowered = LoweredLimits::new(over_lowered_limits, true);
+    let mut lowered = LoweredLimits::new(exceeds_lowered_limits, true);
     for n in 0..12 {
         assert_eq!(lowered.submit(&format!("req-{n}"), 40), 201);
     }
-    lowered.pass(96, 30);
-    assert!(lowered.durable() >= 96, "{} assignments are durable", lowered.durable());
+    lowered.run(96, 30);
+    assert!(lowered.durable_count() >= 96, "{} assignments are durable", lowered.durable_count());
     assert!(lowered.refused.is_empty(), "{} were refused", lowered.refused.len());
     let abort = lowered.solo.send_request(Request::Abort(JobId::new("req-3")));
-    lowered.pass(96, 3);
+    lowered.run(96, 3);
     assert_eq!(lowered.solo.reply(abort).map(|reply| reply.status), Some(200));
     assert_eq!(lowered.solo.state.rows("over/").len(), 1);
 }
@@ -215,17 +215,21 @@
 /// Limits below the announced ones are found by splitting transactions: none is repeated unchanged, and all writes succeed.
 #[test]
 fn limits_lower_than_announced_are_found_by_splitting() {
-    let mut lowered = LoweredLimits::new(over_two_changes, true);
+    let mut lowered = LoweredLimits::new(exceeds_two_changes, true);
     for n in 0..12 {
         assert_eq!(lowered.submit(&format!("req-{n}"), 40), 201);
     }
-    lowered.pass(96, 40);
-    assert!(lowered.durable() >= 96, "{} assignments are durable", lowered.durable());
-    assert!(!lowered.refused.is_empty() && lowered.repeated() == 0, "{} twice", lowered.repeated());
+    lowered.run(96, 40);
+    assert!(lowered.durable_count() >= 96, "{} assignments are durable", lowered.durable_count());
+    assert!(
+        !lowered.refused.is_empty() && lowered.repeated_count() == 0,
+        "{} twice",
+        lowered.repeated_count()
+    );
     for n in 0..12 {
         lowered.solo.send_request(Request::Abort(JobId::new(&format!("req-{n}"))));
     }
-    lowered.pass(96, 20);
+    lowered.run(96, 20);
     assert_eq!(lowered.solo.state.rows("over/").len(), 12);
     // A larger transaction is tried once per several successful ones.
     assert!(lowered.refused.len() < 40, "{} were refused", lowered.refused.len());
@@ -234,20 +238,20 @@
 /// Records keep the format of the previous version until all members are known to run this one; then they are packed.
 #[test]
 fn records_are_packed_only_once_every_member_can_read_them() {
-    let packed = |lowered: &LoweredLimits| {
+    let count_packed = |lowered: &LoweredLimits| {
         let rows = lowered.solo.state.rows("asg/");
         assert!(!rows.is_empty());
         rows.iter().filter(|row| row.value.get("p").is_some()).count()
     };
     let mut mixed = LoweredLimits::new(|_| false, false);
     assert_eq!(mixed.submit("req-1", 40), 201);
-    mixed.pass(40, 10);
-    assert!(mixed.durable() > 0);
-    assert_eq!(packed(&mixed), 0, "a member may be of the earlier version");
+    mixed.run(40, 10);
+    assert!(mixed.durable_count() > 0);
+    assert_eq!(count_packed(&mixed), 0, "a member may be of the earlier version");
     announce(&mut mixed.solo, "n-1", 2);
     announce(&mut mixed.solo, "n-2", 2);
-    mixed.pass(40, 3);
+    mixed.run(40, 3);
     assert_eq!(mixed.submit("req-2", 40), 201);
-    mixed.pass(40, 10);
-    assert!(packed(&mixed) > 0);
+    mixed.run(40, 10);
+    assert!(count_packed(&mixed) > 0);
 }
--- a/tests/upgrade_days.rs
+++ b/tests/upgrade_days.rs
@@ -16,11 +16,11 @@
 use world::upgrades::site_with_next_limits;
 use world::{Fault, LeaderFault, World, assert_finished, extra_seeds, init_log, small_array};
 
-/// End of all faults.
-const CALM_MS: u64 = 200_000;
+/// All faults end by this time of the simulation.
+const FAULTS_END_MS: u64 = 200_000;
 /// Time at which the first node is upgraded.
 const FIRST_UPGRADE_MS: u64 = 20_000;
-/// Downtime of a node during its upgrade, as in operation.
+/// Downtime of a node during its upgrade, as in production.
 const DOWNTIME_MS: u64 = 6_000;
 /// Pipelines are submitted from the first upgrade on.
 const PIPELINES: PipelineDistribution = PipelineDistribution {
@@ -35,7 +35,7 @@
 fn day(seed: u64, faults: Vec<(u64, Fault)>) -> World {
     init_log();
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let mut world = World::without_users(site_with_next_limits(), &mut rng, CALM_MS);
+    let mut world = World::without_users(site_with_next_limits(), &mut rng, FAULTS_END_MS);
     world.begin_with_previous_version();
     world.restart_ms = [300, 2_000, 6_000][(seed % 3) as usize];
     world.add_users(16, &mut rng);
@@ -47,16 +47,16 @@
 /// Upgrades of all nodes one after another, in an order given by the seed.
 fn rolling_upgrade(seed: u64, first: u64, every: u64, downtime_ms: u64) -> Vec<(u64, Fault)> {
     let from = seed as usize % 3;
-    let node = |position: usize| (from + position) % 3;
+    let node_at = |position: usize| (from + position) % 3;
     (0..3)
         .map(|position| {
-            (first + position as u64 * every, Fault::Upgrade(node(position), downtime_ms))
+            (first + position as u64 * every, Fault::Upgrade(node_at(position), downtime_ms))
         })
         .collect()
 }
 
 /// Runs a day to its end; all nodes are upgraded, and no write was over the size limits of the state service.
-fn play(world: &mut World, context: &str) {
+fn run_to_end(world: &mut World, context: &str) {
     world.run();
     assert_finished(world, context);
     assert!(world.all_current(), "{context}: some node was not upgraded");
@@ -90,27 +90,27 @@
 }
 
 /// Runs one day per seed with the faults that `faults` returns for it.
-fn play_days(context: &str, first: u64, count: u64, faults: impl Fn(u64) -> Vec<(u64, Fault)>) {
+fn run_days(context: &str, first: u64, count: u64, faults: impl Fn(u64) -> Vec<(u64, Fault)>) {
     let mut totals = Totals::default();
     for seed in first..first + count + extra_seeds() {
         let faults = faults(seed);
         let mut world = day(seed, faults.clone());
-        play(&mut world, &format!("{context}, seed {seed}, {faults:?}"));
+        run_to_end(&mut world, &format!("{context}, seed {seed}, {faults:?}"));
         totals.add(&world);
     }
     totals.assert_some(context);
 }
 
-fn rng_of(seed: u64) -> ChaCha8Rng {
+fn new_rng(seed: u64) -> ChaCha8Rng {
     ChaCha8Rng::seed_from_u64(seed)
 }
 
 /// The checker reports a record that the previous version cannot read while that version may still run.
 #[test]
 fn the_checker_detects_new_records_beside_the_previous_version() {
-    let broken = |key: &str, value: serde_json::Value, upgraded: bool| {
-        let mut rng = rng_of(1);
-        let mut world = World::without_users(site_with_next_limits(), &mut rng, CALM_MS);
+    let breaks_rule = |key: &str, value: serde_json::Value, upgraded: bool| {
+        let mut rng = new_rng(1);
+        let mut world = World::without_users(site_with_next_limits(), &mut rng, FAULTS_END_MS);
         if !upgraded {
             world.begin_with_previous_version();
         }
@@ -122,12 +122,12 @@
     };
     let size = json!(["blue", 1.0, 1.0, 1.0, 2]);
     let packed = json!({"d": "", "u": size, "p": "AAAA"});
-    assert!(broken("asg/req-1/0000", packed.clone(), false));
-    assert!(!broken("asg/req-1/0000", packed, true));
-    assert!(!broken("asg/req-1/0000", json!({"d": "", "a": [], "u": size}), false));
-    assert!(!broken("live/req-1", json!({"s": small_array("req-1", 2), "t": 1}), false));
+    assert!(breaks_rule("asg/req-1/0000", packed.clone(), false));
+    assert!(!breaks_rule("asg/req-1/0000", packed, true));
+    assert!(!breaks_rule("asg/req-1/0000", json!({"d": "", "a": [], "u": size}), false));
+    assert!(!breaks_rule("live/req-1", json!({"s": small_array("req-1", 2), "t": 1}), false));
     let dependent = JobSpec { dependencies: vec![JobId::new("req-2")], ..small_array("req-1", 2) };
-    assert!(broken("live/req-1", json!({"s": dependent, "t": 1}), false));
+    assert!(breaks_rule("live/req-1", json!({"s": dependent, "t": 1}), false));
 }
 
 /// No node accepts a job with dependencies while any controller may run the previous version.
@@ -163,12 +163,14 @@
 
 #[test]
 fn upgrades_without_faults_keep_the_rules() {
-    play_days("calm", 0, 6, |seed| rolling_upgrade(seed, FIRST_UPGRADE_MS, 15_000, DOWNTIME_MS));
+    run_days("no faults", 0, 6, |seed| {
+        rolling_upgrade(seed, FIRST_UPGRADE_MS, 15_000, DOWNTIME_MS)
+    });
 }
 
 #[test]
 fn upgrades_every_two_seconds_keep_the_rules() {
-    play_days("every 2 s", 1_000, 6, |seed| {
+    run_days("every 2 s", 1_000, 6, |seed| {
         rolling_upgrade(seed, FIRST_UPGRADE_MS, 2_000, DOWNTIME_MS)
     });
 }
@@ -176,7 +178,7 @@
 /// Transactions sent by the previous version are executed after the upgrade.
 #[test]
 fn upgrades_during_late_writes_keep_the_rules() {
-    play_days("late writes", 2_000, 6, |seed| {
+    run_days("late writes", 2_000, 6, |seed| {
         let every = [2_000, 5_000, 9_000][(seed % 3) as usize];
         let mut faults = rolling_upgrade(seed, FIRST_UPGRADE_MS, every, DOWNTIME_MS);
         faults.push((FIRST_UPGRADE_MS - 5_000, Fault::DelayedWrites(40_000, 300)));
@@ -186,7 +188,7 @@
 
 #[test]
 fn an_upgrade_during_an_outage_keeps_the_rules() {
-    play_days("outage", 3_000, 6, |seed| {
+    run_days("outage", 3_000, 6, |seed| {
         let mut faults = rolling_upgrade(seed, FIRST_UPGRADE_MS, 6_000, DOWNTIME_MS);
         let from = FIRST_UPGRADE_MS + (seed % 6) * 2_500;
         faults.push((from, Fault::StoreOutage(4_000 + (seed % 4) * 4_000)));
@@ -197,15 +199,15 @@
 /// A node that crashes before its upgrade restarts with the previous version.
 #[test]
 fn crashes_before_upgrades_keep_the_rules() {
-    play_days("crashes before upgrades", 4_000, 6, |seed| {
-        let mut rng = rng_of(seed);
+    run_days("crashes before upgrades", 4_000, 6, |seed| {
+        let mut rng = new_rng(seed);
         let mut faults = rolling_upgrade(seed, 40_000, 8_000, DOWNTIME_MS);
         for _ in 0..3 {
             let at = rng.random_range(10_000..56_000);
-            let any = Fault::Crash(rng.random_range(0..3));
+            let random_crash = Fault::Crash(rng.random_range(0..3));
             faults.push((
                 at,
-                if rng.random_bool(0.5) { Fault::Leader(LeaderFault::Crash) } else { any },
+                if rng.random_bool(0.5) { Fault::Leader(LeaderFault::Crash) } else { random_crash },
             ));
         }
         faults
@@ -215,7 +217,7 @@
 /// A process of the previous version is suspended in the middle of its work while the others are upgraded.
 #[test]
 fn a_suspended_process_of_the_previous_version_keeps_the_rules() {
-    play_days("suspended", 5_000, 6, |seed| {
+    run_days("suspended", 5_000, 6, |seed| {
         let mut faults = rolling_upgrade(seed, FIRST_UPGRADE_MS, 5_000, DOWNTIME_MS);
         let suspended = Fault::LeaderPaused(3_000 + (seed % 5) * 3_000);
         faults.push((FIRST_UPGRADE_MS - 1_000 + (seed % 3) * 5_000, suspended));
@@ -225,8 +227,8 @@
 
 #[test]
 fn upgrades_under_random_faults_keep_the_rules() {
-    play_days("random faults", 6_000, 10, |seed| {
-        let mut rng = rng_of(seed);
+    run_days("random faults", 6_000, 10, |seed| {
+        let mut rng = new_rng(seed);
         let every = rng.random_range(2_000..15_000);
         let mut faults = rolling_upgrade(seed, 30_000, every, rng.random_range(500..9_000));
         for _ in 0..rng.random_range(1..4) {
@@ -258,12 +260,12 @@
 
 #[test]
 fn lowered_limits_keep_the_rules() {
-    play_days("limits lowered", 10_000, 8, |seed| lowered_limits(seed, []));
+    run_days("limits lowered", 10_000, 8, |seed| lowered_limits(seed, []));
 }
 
 #[test]
 fn limits_lowered_during_an_outage_keep_the_rules() {
-    play_days("limits lowered in an outage", 11_000, 8, |seed| {
+    run_days("limits lowered in an outage", 11_000, 8, |seed| {
         let before = 500 + (seed % 5) * 2_000;
         lowered_limits(seed, [(LIMITS_LOWERED_MS - before, Fault::StoreOutage(before + 3_000))])
     });
@@ -272,7 +274,7 @@
 /// The leader fails shortly before or after the limits are lowered.
 #[test]
 fn limits_lowered_at_a_takeover_keep_the_rules() {
-    play_days("limits lowered at a takeover", 12_000, 9, |seed| {
+    run_days("limits lowered at a takeover", 12_000, 9, |seed| {
         let at = LIMITS_LOWERED_MS - 5_000 + (seed % 9) * 1_000;
         let leader_fault = match seed % 3 {
             0 => LeaderFault::Crash,
@@ -285,8 +287,8 @@
 
 #[test]
 fn limits_lowered_under_random_faults_keep_the_rules() {
-    play_days("limits lowered, random faults", 13_000, 10, |seed| {
-        let mut rng = rng_of(seed);
+    run_days("limits lowered, random faults", 13_000, 10, |seed| {
+        let mut rng = new_rng(seed);
         let mut additional = Vec::new();
         for _ in 0..rng.random_range(1..4) {
             let at = rng.random_range(60_000..110_000);
@@ -313,7 +315,7 @@
             world.add_job_at(wide, 5_000 + n as u64 * 2_000);
         }
         world.cancel_last(LIMITS_LOWERED_MS + 4_000);
-        play(&mut world, &format!("wide jobs, seed {seed}"));
+        run_to_end(&mut world, &format!("wide jobs, seed {seed}"));
     }
 }
 
@@ -332,7 +334,7 @@
             world.schedule_cancel(&id, 150_000 + n * 3_000);
             world.region.outside.broken.insert(id, Broken::Often(0.8));
         }
-        play(&mut world, &format!("full records, seed {seed}"));
+        run_to_end(&mut world, &format!("full records, seed {seed}"));
         largest = largest.max(world.largest_value());
     }
     assert!(
