--- a/crates/ledger/src/sums.rs
+++ b/crates/ledger/src/sums.rs
@@ -28,7 +28,7 @@
     pub useful_ms: u64,
     pub repeated_ms: u64,
     pub lost_ms: u64,
-    /// Upper bound on the unreported run time of attempts whose end was not reported.
+    /// Upper bound on the unreported run time of attempts whose end was not observed.
     pub unseen_ms: u64,
     /// Run time times cores; `gpuMs` and `gbMs` likewise for GPUs and GB of memory.
     pub core_ms: u64,
