--- a/tests/graphs.rs
+++ b/tests/graphs.rs
@@ -28,7 +28,7 @@
 fn run_world(mut world: World, name: &str, totals: &mut Totals) {
     world.run();
     let (attribution_errors, rules): (Vec<String>, Vec<String>) =
-        world.region.checker.broken.iter().cloned().partition(|b| b.contains(" repeats: "));
+        world.region.checker.violations.iter().cloned().partition(|b| b.contains(" repeats: "));
     assert!(rules.is_empty(), "{name} breaks rules: {rules:#?}");
     let mut clients = std::mem::take(&mut world.clients);
     assert!(clients.violations.is_empty(), "{name}: {:#?}", clients.violations);
--- a/tests/immediate_requests.rs
+++ b/tests/immediate_requests.rs
@@ -551,7 +551,7 @@
             sent.push(("req-10001".into(), 404));
             for n in 0..8 {
                 let node = rng.random_range(0..3);
-                let known_status = world.region.checker.over(&job_id(n));
+                let known_status = world.region.checker.final_status(&job_id(n));
                 let request = match (known_status, rng.random_bool(0.5)) {
                     (Some(JobStatus::Done), true) => {
                         done_aborted += 1;
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -118,10 +118,10 @@
     let mut unaccepted = world_with_waiting_job(0.0, |_| {});
     unaccepted.add_job(small_array("req-3", 5));
     assert!(is_neglected(&mut unaccepted, past_limit));
-    let broken = &unaccepted.region.checker.broken;
+    let broken = &unaccepted.region.checker.violations;
     assert!(broken.iter().all(|text| text.contains("req-1")), "{broken:?}");
     let mut broken = world_with_waiting_job(0.0, |_| {});
-    broken.region.outside.broken.insert("req-1".into(), Broken::Always);
+    broken.region.external.failing_jobs.insert("req-1".into(), JobFailures::Always);
     assert!(!is_neglected(&mut broken, past_limit), "it waits because it fails");
     // Free room and limits are judged by what the workers actually run.
     let mut full = world_with_waiting_job(0.0, |_| {});
@@ -145,9 +145,9 @@
     ] {
         let mut world = world_with_waiting_job(0.0, |_| {});
         assert!(!is_neglected(&mut world, 60_000));
-        interrupt(world.region.machine("i-1").expect("the machine"));
+        interrupt(world.region.get_worker_mut("i-1").expect("the machine"));
         assert!(!is_neglected(&mut world, 62_500));
-        world.region.machine("i-1").expect("the machine").place.spot = false;
+        world.region.get_worker_mut("i-1").expect("the machine").place.spot = false;
         assert!(!is_neglected(&mut world, 62_000 + NEGLECTED_MS));
         assert!(is_neglected(&mut world, 66_000 + NEGLECTED_MS));
     }
@@ -615,18 +615,24 @@
             let span = rng.random_range(5_000..60_000);
             for host in &hosts {
                 match rng.random_range(0..5) {
-                    0 | 1 => world.region.take(host),
+                    0 | 1 => world.region.remove_machine(host),
                     2 => {
-                        world.region.machine(host).expect("the machine exists").cut_until =
-                            now + span
+                        world
+                            .region
+                            .get_worker_mut(host)
+                            .expect("the machine exists")
+                            .partitioned_until = now + span
                     }
                     3 => {
-                        world.region.machine(host).expect("the machine exists").hung_until =
+                        world.region.get_worker_mut(host).expect("the machine exists").hung_until =
                             now + span
                     }
                     _ => {
-                        world.region.machine(host).expect("the machine exists").notice_until =
-                            Some(now + 6_000)
+                        world
+                            .region
+                            .get_worker_mut(host)
+                            .expect("the machine exists")
+                            .notice_until = Some(now + 6_000)
                     }
                 }
             }
@@ -684,7 +690,7 @@
             if failures.peek().is_some_and(|at| world.now >= *at) {
                 failures.next();
                 let is_partly_done = |spec: &JobSpec| {
-                    let done = world.region.checker.done_count(spec.id.as_str());
+                    let done = world.region.checker.count_done_tasks(spec.id.as_str());
                     done > 0 && done < spec.tasks
                 };
                 partly_done_jobs +=
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -24,21 +24,26 @@
     listener.local_addr().expect("an address").to_string()
 }
 
-/// Starts a server that answers each request with `respond` on a separate thread.
-fn serve(respond: impl Fn(&str, &str, &str) -> (u16, Value) + Send + Sync + 'static) -> String {
-    let server = tiny_http::Server::http("127.0.0.1:0").expect("a server");
-    let address = server.server_addr().to_string();
-    let respond = Arc::new(respond);
+/// Starts a server that answers each request with `answer` on a separate thread. The server gives no connection a thread
+/// of its own: one that hands kept connections to a pool of threads left a new connection unserved until another one ended
+/// when two of them arrived before an idle thread woke up, and submissions timed out.
+fn serve(answer: impl Fn(&str, &str, &str) -> (u16, Value) + Send + Sync + 'static) -> String {
+    let read = |method: &str, url: &str, body: &[u8]| {
+        Ok((method.to_owned(), url.to_owned(), String::from_utf8_lossy(body).into_owned()))
+    };
+    let (sender, requests) = std::sync::mpsc::channel();
+    let deliver = move |incoming| sender.send(incoming).is_ok();
+    let replies =
+        server::start("127.0.0.1:0", MAX_STUB_CONNECTIONS, read, deliver).expect("a server");
+    let address = replies.address().to_string();
+    let (answer, replies) = (Arc::new(answer), Arc::new(replies));
     std::thread::spawn(move || {
-        for mut request in server.incoming_requests() {
-            let respond = respond.clone();
+        for incoming in requests {
+            let (answer, replies) = (answer.clone(), replies.clone());
             std::thread::spawn(move || {
-                let mut body = String::new();
-                let _ = request.as_reader().read_to_string(&mut body);
-                let (method, url) = (request.method().to_string(), request.url().to_owned());
-                let (status, value) = respond(&method, &url, &body);
-                let response = tiny_http::Response::from_string(value.to_string());
-                let _ = request.respond(response.with_status_code(status));
+                let (method, url, body) = &incoming.request;
+                let (status, value) = answer(method, url, body);
+                replies.send(incoming.caller, HttpReply::json(status, &value));
             });
         }
     });
@@ -199,7 +204,11 @@
     let node = start(1_000);
     node.wait_until("up", |n| n.request("GET", "/up", None).0 == 200);
     // The body is too large to arrive together with the header, so it is read separately.
-    let submit = |id, gpus| node.request("POST", "/v2/runs", Some(job(id, gpus))).0;
+    let submit = |id, gpus| {
+        let (status, answer, _) = node.request("POST", "/v2/runs", Some(job(id, gpus)));
+        println!("submission of {id}: {status} {answer}");
+        status
+    };
     assert_eq!(submit("req-000001", 1.0), 201);
     assert_eq!(submit("req-000001", 1.0), 200);
     assert_eq!(submit("req-000002", 9.0), 422);
--- a/tests/ops.rs
+++ b/tests/ops.rs
@@ -15,7 +15,7 @@
 const FAULTS_END_MS: u64 = 150_000;
 
 fn assert_no_broken_rule(world: &World, seed: u64) {
-    let broken = &world.region.checker.broken;
+    let broken = &world.region.checker.violations;
     assert!(broken.is_empty(), "seed {seed} breaks rules: {broken:#?}");
     assert_eq!(world.two_leaders_at, None, "seed {seed}: two leaders at once");
     // Guards against work of a team whose quota is used up according to the job table after a takeover: its starts were
--- a/tests/overlapping_faults.rs
+++ b/tests/overlapping_faults.rs
@@ -96,7 +96,7 @@
         world.inject_fault(Fault::StoreOutage(71_000));
         world.inject_fault(Fault::MachinesInboundLost(0, 1));
         world.run_until(FAULTS_END_MS);
-        assert!(world.region.checker.starts > 8, "seed {seed}: its tasks ran");
+        assert!(world.region.checker.start_count > 8, "seed {seed}: its tasks ran");
         assert_rules(&world, &format!("seed {seed}"));
     }
 }
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -46,7 +46,7 @@
     chain_of_three().iter().for_each(|spec| checker.record_submission(spec));
     act(&mut checker);
     let rule_of = |broken: &String| broken.split([' ', ':']).nth(2).unwrap_or_default().to_owned();
-    checker.broken.iter().map(rule_of).collect()
+    checker.violations.iter().map(rule_of).collect()
 }
 
 fn start_task(checker: &mut Checker, now: u64, job: &str) {
@@ -178,7 +178,7 @@
 fn checker_reports_an_assignment_before_dependencies_are_durably_done() {
     let count_violations = |writes: &[StoreOp]| {
         let mut world = world_without_controllers();
-        world.region.checker.task_done("req-1", 0);
+        world.region.checker.record_task_done("req-1", 0);
         writes.iter().for_each(|op| world.write(op));
         let rules = world.region.checker.violations.clone();
         assert!(rules.iter().all(|text| text.contains(" too_early: ")), "{rules:?}");
--- a/tests/repeats.rs
+++ b/tests/repeats.rs
@@ -52,7 +52,7 @@
     let mut world = day(seed, CLASSES);
     world.run();
     let (attribution_errors, broken): (Vec<String>, Vec<String>) =
-        world.region.checker.broken.iter().cloned().partition(|b| b.contains(" repeats: "));
+        world.region.checker.violations.iter().cloned().partition(|b| b.contains(" repeats: "));
     assert!(broken.is_empty(), "seed {seed} breaks rules: {broken:#?}");
     if attribution_errors.is_empty() {
         let unfinished = world.unfinished();
@@ -202,7 +202,7 @@
         // considered faulty independently of takeovers (step 16 with restarts after 1 s). This counts as an attribution error as in
         // the other tests; the failure counts themselves are exact.
         let (errors_of_run, broken): (Vec<String>, Vec<String>) =
-            world.region.checker.broken.iter().cloned().partition(|b| b.contains(" repeats: "));
+            world.region.checker.violations.iter().cloned().partition(|b| b.contains(" repeats: "));
         assert!(broken.is_empty(), "step {step} breaks rules: {broken:#?}");
         assert_exact_failure_counts(&world, step);
         if errors_of_run.is_empty() {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -18,7 +18,7 @@
     assert!(broken.is_empty(), "seed {seed} breaks rules: {broken:#?}");
     let unfinished = world.unfinished();
     assert!(unfinished.is_empty(), "seed {seed} has unfinished jobs: {unfinished:#?}");
-    assert!(world.region.checker.starts > 0, "seed {seed} started no task");
+    assert!(world.region.checker.start_count > 0, "seed {seed} started no task");
     world
 }
 
@@ -88,7 +88,7 @@
         (spec.spread, spec.one_zone) = (spread, one_zone);
         spec
     };
-    let task_on = |index, host: &str| OnMachine { job: "req-1".into(), index, host: host.into() };
+    let task_on = |index, host: &str| PlacedTask { job: "req-1".into(), index, host: host.into() };
     let place =
         |flavor: &str, zone: &str, spot| Place { flavor: flavor.into(), zone: zone.into(), spot };
     let valid_place = || place("g4", "a", false);
@@ -98,39 +98,42 @@
         checker.record_submission(&spec(spread, one_zone));
         act(&mut checker);
         let rule_of = |b: &String| b.split([' ', ':']).nth(2).unwrap_or_default().to_owned();
-        checker.broken.iter().map(rule_of).collect()
+        checker.violations.iter().map(rule_of).collect()
     };
     let view = |status: &str| format!(r#"{{"status":"{status}"}}"#);
-    assert!(violations(false, false, &|c| c.started(1, task_on(0, "x"), valid_place())).is_empty());
+    assert!(
+        violations(false, false, &|c| c.record_start(1, task_on(0, "x"), valid_place())).is_empty()
+    );
     let twice = violations(false, false, &|c| {
-        c.started(1, task_on(0, "x"), valid_place());
-        c.started(2, task_on(0, "y"), valid_place());
+        c.record_start(1, task_on(0, "x"), valid_place());
+        c.record_start(2, task_on(0, "y"), valid_place());
     });
     assert!(twice.contains(&"ran_twice".to_owned()) && twice.contains(&"quota".to_owned()));
     let quotas = |gpus: f64, cpus: f64| {
         violations(false, false, &move |c| {
             let mut spec = spec(false, false);
             (spec.gpus, spec.cpus) = (gpus, cpus);
-            c.submitted(&spec);
-            (0..2).for_each(|i| c.started(1, task_on(i, "x"), valid_place()));
+            c.record_submission(&spec);
+            (0..2).for_each(|i| c.record_start(1, task_on(i, "x"), valid_place()));
         })
     };
     assert!(quotas(1.5, 0.75).is_empty());
     assert_eq!(quotas(1.6, 0.75), ["quota"]);
     assert_eq!(quotas(1.5, 0.76), ["quota"], "cores count too");
     for invalid_place in [place("g2", "a", false), place("g4", "a", true)] {
-        let rules =
-            violations(false, false, &|c| c.started(1, task_on(0, "x"), invalid_place.clone()));
+        let rules = violations(false, false, &|c| {
+            c.record_start(1, task_on(0, "x"), invalid_place.clone())
+        });
         assert_eq!(rules, ["wrong_place"]);
     }
     let crowded = violations(true, false, &|c| {
-        c.started(1, task_on(0, "x"), valid_place());
-        c.started(2, task_on(1, "y"), valid_place());
+        c.record_start(1, task_on(0, "x"), valid_place());
+        c.record_start(2, task_on(1, "y"), valid_place());
     });
     assert!(crowded.contains(&"wrong_place".to_owned()));
     let split = violations(false, true, &|c| {
-        c.started(1, task_on(0, "x"), valid_place());
-        c.started(2, task_on(1, "y"), place("g4", "b", false));
+        c.record_start(1, task_on(0, "x"), valid_place());
+        c.record_start(2, task_on(1, "y"), place("g4", "b", false));
     });
     assert!(split.contains(&"wrong_place".to_owned()));
     let cancelled = |c: &mut Checker| {
@@ -138,14 +141,14 @@
         c.handle_answer(10, 9, "req-1", 200, &view("cancelled"), false);
     };
     let outlives_cancel = violations(false, false, &|c| {
-        c.started(1, task_on(0, "x"), valid_place());
+        c.record_start(1, task_on(0, "x"), valid_place());
         cancelled(c);
         c.check_cancelled_jobs(2_000);
     });
     assert_eq!(outlives_cancel, ["ran_cancelled"]);
     let starts_after_cancel = violations(false, false, &|c| {
         cancelled(c);
-        c.started(2_000, task_on(0, "x"), valid_place());
+        c.record_start(2_000, task_on(0, "x"), valid_place());
     });
     assert_eq!(starts_after_cancel, ["ran_cancelled"]);
     let answers = |list: &'static [(u16, &'static str, bool)]| {
@@ -161,20 +164,20 @@
     assert_eq!(answers(&[(201, "queued", true), (200, "done", false)]), ["not_done"]);
     assert_eq!(answers(&[(200, "cancelled", false)]), ["went_back"]);
     let reopened = violations(false, false, &|c| {
-        (0..2).for_each(|i| c.task_done("req-1", i));
-        c.answered(1, 1, "req-1", 200, &view("done"), false);
-        c.answered(2, 2, "req-1", 200, &view("running"), false);
+        (0..2).for_each(|i| c.record_task_done("req-1", i));
+        c.handle_answer(1, 1, "req-1", 200, &view("done"), false);
+        c.handle_answer(2, 2, "req-1", 200, &view("running"), false);
     });
     assert_eq!(reopened, ["went_back"]);
     // On any node, a request sent before a change was announced may return the older state, but two different final states are a
     // violation.
     let overlapping = |sent_at: u64, status: u16, state: &'static str| {
         violations(false, false, &move |c| {
-            (0..2).for_each(|i| c.task_done("req-1", i));
-            c.cancel_asked("req-1");
-            c.answered(10, 5, "req-1", 201, &view("queued"), true);
-            c.answered(20, 15, "req-1", 200, &view("cancelled"), false);
-            c.answered(30, sent_at, "req-1", status, &view(state), false);
+            (0..2).for_each(|i| c.record_task_done("req-1", i));
+            c.record_cancel_request("req-1");
+            c.handle_answer(10, 5, "req-1", 201, &view("queued"), true);
+            c.handle_answer(20, 15, "req-1", 200, &view("cancelled"), false);
+            c.handle_answer(30, sent_at, "req-1", status, &view(state), false);
         })
     };
     assert!(overlapping(8, 404, "").is_empty(), "sent before the acceptance was announced");
@@ -185,13 +188,13 @@
     assert_eq!(overlapping(3, 200, "done"), ["went_back"], "a different end was never true");
     let order = |task: &str| Order::Run { task: task.into(), attempt: Attempt(7) };
     let ordered = violations(false, false, &|c| {
-        c.ordered(5, &[order("req-1/0")]);
+        c.check_orders(5, &[order("req-1/0")]);
         cancelled(c);
         c.check_orders(10, &[order("req-2/0")]);
         c.check_orders(10, &[order("req-1/1")]);
     });
     assert_eq!(ordered, ["ordered"]);
     let invented =
-        violations(false, false, &|c| c.answered(1, 1, "req-2", 200, &view("queued"), false));
+        violations(false, false, &|c| c.handle_answer(1, 1, "req-2", 200, &view("queued"), false));
     assert_eq!(invented, ["invented"]);
 }
--- a/tests/scheduled_faults.rs
+++ b/tests/scheduled_faults.rs
@@ -8,7 +8,7 @@
 use world::{Fault, World};
 
 fn assert_no_broken_rule(world: &World, seed: u64) {
-    let broken = &world.region.checker.broken;
+    let broken = &world.region.checker.violations;
     assert!(broken.is_empty(), "seed {seed} breaks rules: {broken:#?}");
 }
 
@@ -41,8 +41,12 @@
         world.run();
         assert_finished(&world, seed);
         // The boot timeout, the lag of the cloud's list and a release have passed by then.
-        let unknown: Vec<_> =
-            world.region.unseen.iter().filter(|(_, at)| world.now > **at + 60_000).collect();
+        let unknown: Vec<_> = world
+            .region
+            .unreported_machines
+            .iter()
+            .filter(|(_, at)| world.now > **at + 60_000)
+            .collect();
         assert!(unknown.is_empty(), "seed {seed}: unknown machines still rented: {unknown:?}");
     }
 }
@@ -163,8 +167,8 @@
         let mut world = World::with_faults(seed, faults, 130_000, Some(Shape::Array));
         world.run();
         assert_finished(&world, seed);
-        saved += world.region.checker.saved;
-        days += u32::from(world.region.checker.saved > 0);
+        saved += world.region.checker.saved_count;
+        days += u32::from(world.region.checker.saved_count > 0);
     }
     println!("{saved} tasks saved, on {days} days of 16");
     assert!(days >= 5, "{saved} tasks that were stopped had the time to save, on {days} days");
--- a/tests/world/aggressive_users.rs
+++ b/tests/world/aggressive_users.rs
@@ -143,8 +143,9 @@
             return;
         }
         let checker = &self.region.checker;
-        let has_just_ended =
-            |job: &String| checker.all_done(job) && !self.aggressive_users.ended_jobs.contains(job);
+        let has_just_ended = |job: &String| {
+            checker.is_job_done(job) && !self.aggressive_users.ended_jobs.contains(job)
+        };
         let accepted = self.users.iter().filter(|u| u.accepted);
         let jobs: Vec<String> =
             accepted.map(|u| u.spec.id.to_string()).filter(has_just_ended).collect();
--- a/tests/world/graphs.rs
+++ b/tests/world/graphs.rs
@@ -197,17 +197,17 @@
 
     /// Each job of a graph with the jobs that produce its inputs.
     pub fn input_jobs(&self) -> BTreeMap<String, BTreeSet<String>> {
-        let find_producer = |graph: GraphId, at: NodeIx| {
+        let find_producer = |graph: GraphId, at: NodeId| {
             let mut jobs = self.parts.keys();
             jobs.find(|job| (0..400).any(|task| self.node_of(job, task) == Some((graph, at))))
                 .cloned()
         };
         let find_inputs = |job: &String| {
-            let graph =
-                GraphId::of_job(&oatloom_protocol::ids::JobId::new(job)).map(|(graph, _)| graph);
+            let graph = GraphId::from_job_id(&oatloom_protocol::ids::JobId::new(job))
+                .map(|(graph, _)| graph);
             let nodes = self.parts[job].nodes.iter(400);
             let needs = nodes.filter_map(|at| Some(self.nodes.get(&graph?)?.get(&at)?.1.clone()));
-            let needs: Vec<NodeIx> = needs.flatten().collect();
+            let needs: Vec<NodeId> = needs.flatten().collect();
             needs.into_iter().filter_map(|at| find_producer(graph?, at)).collect()
         };
         self.parts.keys().map(|job| (job.clone(), find_inputs(job))).collect()
@@ -231,7 +231,7 @@
                 continue;
             }
             client.in_flight.retain(|_, (sent, _)| now < *sent + RESPONSE_TIMEOUT_MS);
-            let mut send_request = |client: &mut Client, heartbeat: bool, request: Ask| {
+            let mut send_request = |client: &mut Client, heartbeat: bool, request: GraphRequest| {
                 self.last_request_id += 1;
                 client.in_flight.insert(self.last_request_id, (now, heartbeat));
                 // Rotates over the controllers, since two of three may be frozen for longer than a session's lease.
@@ -250,7 +250,7 @@
             if client.open && now >= client.next_heartbeat_at && !has_in_flight(client, true) {
                 client.next_heartbeat_at = now + REQUEST_INTERVAL_MS;
                 let session = client.session.clone();
-                send_request(client, true, Ask::Beat(session, keyed.clone()));
+                send_request(client, true, GraphRequest::Heartbeat(session, keyed.clone()));
             }
             if now < client.next_request_at || has_in_flight(client, false) {
                 continue;
@@ -439,7 +439,7 @@
         };
         let nodes = self.nodes.get(&graph);
         let always_fails =
-            |at: NodeIx| nodes.and_then(|n| n.get(&at)).is_some_and(|n| n.0.starts_with("bad"));
+            |at: NodeId| nodes.and_then(|n| n.get(&at)).is_some_and(|n| n.0.starts_with("bad"));
         let broken = (0u32..).zip(part.nodes.iter(10_000)).find(|(_, at)| always_fails(*at));
         if let Some((task, _)) = broken {
             let broken =
@@ -543,7 +543,7 @@
                 }
             }
         }
-        for key in stored(SESSIONS) {
+        for key in stored(SESSIONS_PREFIX) {
             record_violation(format!("{key} is still stored"));
         }
     }
--- a/tests/world/limits.rs
+++ b/tests/world/limits.rs
@@ -172,7 +172,7 @@
                 || user.abort_at.is_some_and(|at| self.now >= at)
                 || self.region.checker.final_status(id).is_some()
                 || self.unfinished_dependency(spec).is_some()
-                || self.region.outside.broken.contains_key(id)
+                || self.region.external.failing_jobs.contains_key(id)
                 || !(0..spec.tasks).any(needs_machine)
             {
                 return false;
@@ -269,6 +269,6 @@
 
     /// Whether a job's user knows that it is cancelled.
     pub fn is_known_cancelled(&self, job: &str) -> bool {
-        self.region.checker.over(job) == Some(JobStatus::Cancelled)
+        self.region.checker.final_status(job) == Some(JobStatus::Cancelled)
     }
 }
--- a/tests/world/machine_faults.rs
+++ b/tests/world/machine_faults.rs
@@ -258,8 +258,8 @@
     pub fn running_after_cancel(&self, for_ms: u64) -> Vec<String> {
         let checker = &self.region.checker;
         let was_cancelled_long_ago = |job: &str| {
-            checker.over(job) == Some(JobStatus::Cancelled)
-                && checker.over_at(job).is_some_and(|at| self.now >= at + for_ms)
+            checker.final_status(job) == Some(JobStatus::Cancelled)
+                && checker.final_status_at(job).is_some_and(|at| self.now >= at + for_ms)
         };
         checker
             .on_machines()
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -465,7 +465,7 @@
         boot_s: 5.0,
         zones: zones.clone(),
     };
-    let terms = Terms {
+    let terms = CloudConfig {
         flavors: site.sizes.iter().map(|n| new_flavor(format!("g{n}"), f64::from(*n))).collect(),
         capacity: site.capacity,
         boot_ms: (1_000, 12_000),
@@ -1009,7 +1009,7 @@
         if !awaits_reply {
             self.record_late_command(&addr, &command);
         }
-        let report = self.region.commanded(now, &addr, &command).map(|(_, report)| report);
+        let report = self.region.handle_command(now, &addr, &command).map(|(_, report)| report);
         if awaits_reply {
             let delay = self.delay();
             self.send(delay, Message::Event { node, incarnation, event: command_reply(report) });
@@ -1030,7 +1030,14 @@
             Sender::User { job, submission, abort, sent_at } => {
                 if reply.status != 599 {
                     let checker = &mut self.region.checker;
-                    checker.answered(now, sent_at, &job, reply.status, &reply.body, submission);
+                    checker.handle_answer(
+                        now,
+                        sent_at,
+                        &job,
+                        reply.status,
+                        &reply.body,
+                        submission,
+                    );
                     self.check_user_response(&job, &reply, submission);
                 }
                 let Some(user) = self.users.iter_mut().find(|u| u.spec.id.as_str() == job) else {
@@ -1058,8 +1065,9 @@
             Sender::DuplicateReport => {}
             Sender::HealthProbe => self.probe_results.push((now, node, reply.status)),
             Sender::Worker { host, report_id, sent_at } => {
-                let partitioned =
-                    |w: &Worker| now < w.cut_until || self.is_partitioned(node, &w.place.zone);
+                let partitioned = |w: &Worker| {
+                    now < w.partitioned_until || self.is_partitioned(node, &w.place.zone)
+                };
                 if now >= self.nodes[node].partitioned_until
                     && !self.loses_inbound(&host)
                     && !self.region.workers.get(&host).is_some_and(partitioned)
@@ -1363,7 +1371,7 @@
                 continue;
             }
             if submit {
-                self.region.checker.submitted(&self.users[index].spec);
+                self.region.checker.record_submission(&self.users[index].spec);
             }
             if abort {
                 self.region.checker.record_cancel_request(&job);
--- a/tests/world/pipelines.rs
+++ b/tests/world/pipelines.rs
@@ -250,7 +250,8 @@
 
     /// Accepted jobs that wait for dependencies.
     pub fn waiting_jobs(&self) -> usize {
-        let is_finished = |user: &User| self.region.checker.over(user.spec.id.as_str()).is_some();
+        let is_finished =
+            |user: &User| self.region.checker.final_status(user.spec.id.as_str()).is_some();
         let is_waiting = |user: &&User| {
             user.accepted && !is_finished(user) && self.unfinished_dependency(&user.spec).is_some()
         };
@@ -307,7 +308,7 @@
             if ended.is_some_and(|stored| stored != JobStatus::Done) {
                 return status == JobStatus::Cancelled;
             }
-            let Some(spec) = self.region.outside.specs.get(id) else { continue };
+            let Some(spec) = self.region.external.specs.get(id) else { continue };
             let dependencies = spec.dependencies.iter().map(|id| id.as_str());
             open.extend(dependencies.filter(|id| visited.insert(id)));
         }
