--- a/crates/ctl/src/suite.rs
+++ b/crates/ctl/src/suite.rs
@@ -322,6 +322,30 @@
     }
 }
 
+/// Name of a job shape in the report.
+fn shape_text(shape: Shape) -> &'static str {
+    match shape {
+        Shape::Array => "array",
+        Shape::Gang => "gang",
+        Shape::Service => "service",
+    }
+}
+
+/// Name of a scenario in the report.
+fn scenario_text(scenario: Scenario) -> &'static str {
+    match scenario {
+        Scenario::Mixed => "mixed",
+        Scenario::Gangs => "gangs",
+        Scenario::Hires => "hires",
+        Scenario::Replies => "replies",
+        Scenario::Night => "night",
+        Scenario::Pause => "pause",
+        Scenario::Killed => "killed",
+        Scenario::Restless => "restless",
+        Scenario::Asked => "asked",
+    }
+}
+
 fn is_final(status: &str) -> bool {
     matches!(status, "done" | "cancelled" | "failed") || status.starts_with("refused")
 }
@@ -593,7 +617,7 @@
         }
         jobs.push(Outcome {
             job: user.plan.spec.id.to_string(),
-            shape: format!("{:?}", user.plan.spec.shape).to_lowercase(),
+            shape: shape_text(user.plan.spec.shape).to_owned(),
             tasks: user.plan.spec.tasks,
             accepted: user.accepted,
             answers: user.answers.clone(),
@@ -621,7 +645,7 @@
     let after = length.troubled_ms;
     let last = finals.clone().max().unwrap_or(0);
     Findings {
-        scenario: format!("{scenario:?}").to_lowercase(),
+        scenario: scenario_text(scenario).to_owned(),
         seed,
         without_exactly_one: jobs.iter().filter(|job| !job.exactly_one).count(),
         rules_broken: broken,
