--- a/crates/ctl/src/constants.rs
+++ b/crates/ctl/src/constants.rs
@@ -1,4 +1,4 @@
-//! Constants of the command line and of rehearsals, with unit and reason.
+//! Constants of the command line tool and of its failure rehearsals.
 
 use oatloom_protocol::ids::Millis;
 
@@ -7,76 +7,76 @@
 pub use oatloom_client::constants::{
     ANSWER_BYTES, GIVE_UP_MS, POLL_TIMEOUT_MS, RETRY_LEAST_MS, SUBMIT_TIMEOUT_MS, UNREACHABLE_MS,
 };
-/// Period of polls of one who waits at a terminal.
-pub const WATCH_EVERY_MS: Millis = Millis(500);
+/// Interval between status polls while a user waits for a job.
+pub const WATCH_INTERVAL_MS: Millis = Millis(500);
 
 // --- Task graphs ----------------------------------------------------------------
 
-/// How long a session of the command line lives without a heartbeat, in seconds: over a takeover, and not much more.
+/// Lifetime of a command line session without a heartbeat: long enough for a change of the leader, and little more.
 pub const SESSION_TTL_S: f64 = 30.0;
-/// Rows of a plan that are printed unless all are wanted.
-pub const PLAN_ROWS: usize = 40;
+/// Maximum number of rows of a graph plan that are printed without `--all`.
+pub const MAX_PLAN_ROWS: usize = 40;
 
 // --- A region on one machine -------------------------------------------------
 
-/// Controllers of a region.
-pub const CONTROLLERS: usize = 3;
-/// Where the first controller listens; the others and the region's own address follow.
-pub const PORT: u16 = 18_080;
-/// How long a program may take until it answers.
-pub const START_MS: Millis = Millis(10_000);
-/// How often a region on any free ports is started anew because a program found its port taken.
-pub const START_TRIES: u32 = 4;
-/// Pause before a controller that ended is started again, and the longest such pause: it doubles while it
-/// ends at once.
-pub const RESTART_MS: Millis = Millis(500);
-pub const RESTART_MOST_MS: Millis = Millis(10_000);
-/// A controller that has lived this long has started well.
-pub const SETTLED_MS: Millis = Millis(5_000);
-/// Kills of the scenario `restless` for each of another one: 200 in two minutes.
-pub const RESTLESS_KILLS: u64 = 10;
-/// Period of looking after processes.
-pub const TEND_MS: Millis = Millis(50);
+/// Number of controllers of a region.
+pub const CONTROLLER_COUNT: usize = 3;
+/// Port of the first controller; the ports of the others and of the region itself follow.
+pub const FIRST_CONTROLLER_PORT: u16 = 18_080;
+/// How long a started program may take until it answers.
+pub const START_TIMEOUT_MS: Millis = Millis(10_000);
+/// Attempts to start a region on free ports: another program may take a port before it is bound.
+pub const MAX_START_ATTEMPTS: u32 = 4;
+/// Delay before a program that ended is restarted, and its maximum: the delay doubles while the program ends
+/// soon after its start.
+pub const MIN_RESTART_DELAY_MS: Millis = Millis(500);
+pub const MAX_RESTART_DELAY_MS: Millis = Millis(10_000);
+/// A program that ran this long is stable: its restart delay is reset.
+pub const MIN_STABLE_UPTIME_MS: Millis = Millis(5_000);
+/// Kills in the scenario `restless` per kill in another scenario: 200 in two minutes.
+pub const RESTLESS_KILL_FACTOR: u64 = 10;
+/// Interval at which processes are supervised.
+pub const SUPERVISION_INTERVAL_MS: Millis = Millis(50);
 
 // --- Suite --------------------------------------------------------------------
 
-/// Jobs of a suite, and of a quick one.
-pub const JOBS: u64 = 60;
-pub const QUICK_JOBS: u64 = 24;
-/// How long troubles last, in milliseconds.
-pub const TROUBLED_MS: u64 = 120_000;
-pub const QUICK_TROUBLED_MS: u64 = 16_000;
-/// How long everything may take to end once all is well again, in milliseconds: a machine that is silent has
-/// to be proven gone, and what was lost runs again.
-pub const CALM_MS: u64 = 60_000;
-pub const QUICK_CALM_MS: u64 = 26_000;
-/// Troubles drawn, and of a quick one.
-pub const TROUBLES: u64 = 24;
-pub const QUICK_TROUBLES: u64 = 8;
-/// What the suite's controllers allow, and the same for its judge: class, repeats.
-pub const CLASSES: &str = "((classes (class (name \"quick\") (repeats 2))\n (class (name \"slow\") (repeats 1) (on-exhausted finish-rest)))\n (ledger . #t) (ledger-every-ms . 1000))\n";
-pub const REPEATS: [(&str, u32); 2] = [("quick", 2), ("slow", 1)];
-/// How long the account may take until it no longer changes once all is over, in milliseconds, how often it is looked
-/// at, and for how many looks it has to stay the same: longer than the suite's controllers take to add what ended.
-pub const SETTLE_MS: u64 = 6_000;
-pub const SETTLE_EVERY_MS: u64 = 250;
-pub const SETTLE_LOOKS: u32 = 6;
-/// One job in so many fails by its own doing.
-pub const BROKEN_EVERY: u64 = 8;
-/// How many times as often users ask in the scenario `asked`, as operators have seen.
-pub const STORM_TIMES: u64 = 8;
-/// Shortest and longest period of a user's polls in a suite, in milliseconds.
-pub const POLL_MS: (u64, u64) = (400, 1_200);
-/// A machine that is not up after so many of its usual boot times and a lease is to be returned
+/// Number of jobs of a full and of a quick run.
+pub const JOB_COUNT: u64 = 60;
+pub const QUICK_JOB_COUNT: u64 = 24;
+/// How long faults are injected.
+pub const FAULT_PHASE_MS: u64 = 120_000;
+pub const QUICK_FAULT_PHASE_MS: u64 = 16_000;
+/// How long all jobs may take to finish after the last fault: a silent machine has to be proven gone, and lost
+/// tasks run again.
+pub const RECOVERY_PHASE_MS: u64 = 60_000;
+pub const QUICK_RECOVERY_PHASE_MS: u64 = 26_000;
+/// Number of faults of a full and of a quick run in the scenario `mixed`.
+pub const FAULT_COUNT: u64 = 24;
+pub const QUICK_FAULT_COUNT: u64 = 8;
+/// Operator settings of the controllers, and the same retry limits for the checker: class, retries.
+pub const OPERATOR_SETTINGS: &str = "((classes (class (name \"quick\") (repeats 2))\n (class (name \"slow\") (repeats 1) (on-exhausted finish-rest)))\n (ledger . #t) (ledger-every-ms . 1000))\n";
+pub const MAX_RETRIES_BY_CLASS: [(&str, u32); 2] = [("quick", 2), ("slow", 1)];
+/// How long the recorded usage may take to settle after all jobs finished, how often it is polled, and for how many
+/// polls it must stay the same: longer than the interval at which the controllers record finished attempts.
+pub const USAGE_SETTLE_TIMEOUT_MS: u64 = 6_000;
+pub const USAGE_POLL_INTERVAL_MS: u64 = 250;
+pub const USAGE_STABLE_POLL_COUNT: u32 = 6;
+/// One job in this many fails by itself, without an injected fault.
+pub const FAILING_JOB_INTERVAL: u64 = 8;
+/// How many times as often users poll in the scenario `asked`; operators have observed such a load.
+pub const REQUEST_STORM_FACTOR: u64 = 8;
+/// Shortest and longest interval between the polls of a user.
+pub const USER_POLL_INTERVAL_RANGE_MS: (u64, u64) = (400, 1_200);
+/// A machine that is not up after this many usual boot times plus a lease must be returned
 /// (docs/operations.md).
-pub const UNSEEN_BOOTS: f64 = 4.0;
-/// What passes until that is done, in seconds: a leader that was chosen at the last moment waits some reports
-/// before it judges a machine, and a refused call is made again after a pause.
-pub const UNSEEN_SLACK_S: f64 = 5.0;
+pub const UNSEEN_MACHINE_BOOT_FACTOR: f64 = 4.0;
+/// Time allowed for that return: a leader elected just before waits for some reports before it judges a machine,
+/// and a refused call is retried after a delay.
+pub const UNSEEN_MACHINE_SLACK_S: f64 = 5.0;
 
-// --- The region's own address ---------------------------------------------------
+// --- The address of the region itself -------------------------------------------
 
-/// How far the port of the region's own address is from the first controller's.
-pub const OWN_PORT_BEYOND: u16 = 10;
-/// Connections to it.
-pub const OWN_CONNECTIONS: usize = 64;
+/// Offset of the port of the region itself from the port of the first controller.
+pub const REGION_PORT_OFFSET: u16 = 10;
+/// Maximum number of connections to that address.
+pub const MAX_REGION_CONNECTIONS: usize = 64;
--- a/crates/ctl/src/graphs.rs
+++ b/crates/ctl/src/graphs.rs
@@ -1,4 +1,4 @@
-//! Task graphs from the command line.
+//! The subcommands for task graphs.
 
 use crate::constants::*;
 use crate::jobs::{exit, read_json};
@@ -18,11 +18,11 @@
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
-/// A graph as a file describes it.
+/// The content of a graph file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GraphFile {
-    /// One that nobody else uses if left out.
+    /// Id of the graph; an unused one is drawn if left out.
     #[serde(default)]
     pub graph: Option<GraphId>,
     pub owner: String,
@@ -41,24 +41,25 @@
     Rank::Standard
 }
 
+/// Subcommands of `oatloomctl graph`.
 #[derive(clap::Subcommand)]
 pub enum Command {
     /// Submit a graph, described by a file (JSON)
     Submit {
         file: PathBuf,
-        /// Follow it until it is over; it is cancelled if this program ends before
+        /// Wait until it is finished; it is cancelled if this program ends before
         #[arg(long)]
         wait: bool,
-        /// What it can be cancelled with; one that nobody else knows if left out
+        /// Secret key that allows cancelling it; a random one if left out
         #[arg(long, env = "OATLOOM_KEY")]
         key: Option<String>,
     },
-    /// Say how a graph is doing
+    /// Print the status of a graph
     Status { id: String },
-    /// Follow a graph until it is over
+    /// Print status changes of a graph until it is finished
     Watch {
         id: String,
-        /// The position that an earlier watch has printed
+        /// Position to resume from, as an earlier watch reported it
         #[arg(long, default_value = "")]
         after: String,
     },
@@ -68,50 +69,56 @@
         #[arg(long, env = "OATLOOM_KEY")]
         key: String,
     },
-    /// Show a file's nodes, its critical path and when it would end at best; asks no controller
+    /// Print a file's nodes, critical path and shortest run time, without contacting a controller
     Show {
         file: PathBuf,
-        /// All nodes
+        /// Show all nodes
         #[arg(long)]
         all: bool,
     },
 }
 
-/// What went wrong, by the status that scripts see.
+/// Why a graph command failed; decides the exit code.
 #[derive(Debug, thiserror::Error)]
-pub enum Failure {
+pub enum GraphCommandError {
     #[error("{0}")]
-    Wrong(String),
+    InvalidInput(String),
     #[error(transparent)]
     Graph(#[from] GraphError),
 }
 
-impl Failure {
-    pub fn status(&self) -> u8 {
+impl GraphCommandError {
+    /// The exit code of the program.
+    pub fn exit_code(&self) -> u8 {
         match self {
-            Self::Wrong(_) => exit::WRONG,
+            Self::InvalidInput(_) => exit::USAGE_ERROR,
             Self::Graph(GraphError::NoAnswer(_)) => exit::NO_ANSWER,
-            Self::Graph(_) => exit::BAD,
+            Self::Graph(_) => exit::FAILURE,
         }
     }
 }
 
-fn graph_id(id: &str) -> Result<GraphId, Failure> {
-    let text = || Failure::Wrong(format!("{id}: an id is `graph-` and up to ten digits"));
-    GraphId::parse(id).ok_or_else(text)
+fn parse_graph_id(id: &str) -> Result<GraphId, GraphCommandError> {
+    let invalid_id = || {
+        GraphCommandError::InvalidInput(format!(
+            "{id}: not a graph id; an id is `graph-` and up to ten digits"
+        ))
+    };
+    GraphId::parse(id).ok_or_else(invalid_id)
 }
 
-/// Reads a graph's file.
+/// Reads and checks a graph file.
 ///
 /// # Errors
-/// It cannot be read, is not JSON, or says something that makes no sense by itself.
-pub fn read(path: &Path) -> Result<GraphFile, Failure> {
-    let file: GraphFile = read_json(path).map_err(Failure::Wrong)?;
-    check(&addition(&file)).map_err(|e| Failure::Wrong(format!("{}: {e}", path.display())))?;
+/// The file cannot be read, is not JSON, or has a value that is invalid on its own.
+pub fn read_graph_file(path: &Path) -> Result<GraphFile, GraphCommandError> {
+    let file: GraphFile = read_json(path).map_err(GraphCommandError::InvalidInput)?;
+    check(&as_addition(&file))
+        .map_err(|e| GraphCommandError::InvalidInput(format!("{}: {e}", path.display())))?;
     Ok(file)
 }
 
-fn addition(file: &GraphFile) -> AddNodes {
+fn as_addition(file: &GraphFile) -> AddNodes {
     AddNodes {
         key: "not-a-key".into(),
         addition: "file".into(),
@@ -121,62 +128,66 @@
     }
 }
 
-/// A file's nodes in an order in which they can start.
-fn model(file: &GraphFile) -> Result<Model, Failure> {
-    // It is looked at and not written: nothing bounds it.
+/// The nodes of a file in an order in which inputs come first.
+fn build_model(file: &GraphFile) -> Result<Model, GraphCommandError> {
+    // The model is only shown and never stored, so the size limits of stored values do not apply.
     let room = Room { value: usize::MAX / 4, values: usize::MAX };
     let mut model = Model::default();
-    let refused = |text: String| Failure::Wrong(text);
-    let prepared = model.prepare(&addition(file), 0, room).map_err(|e| refused(e.1))?;
+    let refused = |text: String| GraphCommandError::InvalidInput(text);
+    let prepared = model.prepare(&as_addition(file), 0, room).map_err(|e| refused(e.1))?;
     for page in &prepared.pages {
         model.apply(page, 0).map_err(|e| refused(e.to_string()))?;
     }
     Ok(model)
 }
 
-/// The plan of a file as a table: each node with its kind, inputs, earliest start and the path that depends on it.
+/// The plan of a file as a table: each node with its kind, tasks, earliest start and the length of the longest path
+/// from it.
 ///
 /// # Errors
-/// The file's nodes are no graph.
-pub fn plan(file: &GraphFile, all: bool) -> Result<String, Failure> {
-    let mut model = model(file)?;
-    let longest = model.weigh(|kind| seconds(kind, 1.0));
-    let mut starts: Vec<f64> = Vec::new();
+/// The nodes do not form a valid graph.
+pub fn format_plan(file: &GraphFile, all: bool) -> Result<String, GraphCommandError> {
+    let mut model = build_model(file)?;
+    let critical_path_s = model.weigh(|kind| seconds(kind, 1.0));
+    let mut start_times: Vec<f64> = Vec::new();
     let mut rows = Vec::new();
-    for at in (0..model.len()).map(NodeIx) {
-        let Some(node) = model.node(at) else { continue };
-        let ends = |input: NodeIx| {
+    for index in (0..model.len()).map(NodeIx) {
+        let Some(node) = model.node(index) else { continue };
+        let finish_time = |input: NodeIx| {
             let node = model.node(input)?;
-            Some(starts[input.0 as usize] + seconds(model.kind_of(node), 1.0))
+            Some(start_times[input.0 as usize] + seconds(model.kind_of(node), 1.0))
         };
-        let start = model.needs(at).filter_map(ends).fold(0.0, f64::max);
-        let path = f64::from(node.path_s);
-        let critical = start + path >= longest - 1e-3 && !model.kind_of(node).is_actor();
-        starts.push(start);
-        rows.push((critical, start, node, path));
+        let start = model.needs(index).filter_map(finish_time).fold(0.0, f64::max);
+        let remaining_path_s = f64::from(node.path_s);
+        let is_critical =
+            start + remaining_path_s >= critical_path_s - 1e-3 && !model.kind_of(node).is_actor();
+        start_times.push(start);
+        rows.push((is_critical, start, node, remaining_path_s));
     }
     let mut table = Table::new();
     table.load_preset(NOTHING).set_header(["", "node", "kind", "tasks", "start s", "path s"]);
-    let shown = rows.iter().filter(|row| all || row.0 || rows.len() <= PLAN_ROWS);
-    for (critical, start, node, path) in shown.take(if all { usize::MAX } else { PLAN_ROWS }) {
+    let shown = rows.iter().filter(|row| all || row.0 || rows.len() <= MAX_PLAN_ROWS);
+    for (is_critical, start, node, remaining_path_s) in
+        shown.take(if all { usize::MAX } else { MAX_PLAN_ROWS })
+    {
         table.add_row([
-            if *critical { "*".to_owned() } else { String::new() },
+            if *is_critical { "*".to_owned() } else { String::new() },
             node.name.to_string(),
             model.kind_of(node).name.clone(),
             node.shards.to_string(),
             format!("{start:.0}"),
-            format!("{path:.0}"),
+            format!("{remaining_path_s:.0}"),
         ]);
     }
-    let work: f64 =
+    let total_task_s: f64 =
         rows.iter().map(|(_, _, n, _)| seconds(model.kind_of(n), 1.0) * f64::from(n.shards)).sum();
     Ok(format!(
-        "{table}\n{} nodes, {work:.0} s of tasks; the critical path (*) takes {longest:.0} s, without boots and fetches",
+        "{table}\n{} nodes, {total_task_s:.0} s of tasks; the critical path (*) takes {critical_path_s:.0} s, without boots and fetches",
         model.len()
     ))
 }
 
-fn line(view: &GraphView) -> String {
+fn status_line(view: &GraphView) -> String {
     let status = serde_json::json!(view.status);
     let mut text = format!(
         "{}: {} ({} of {} nodes done, {} started, {} failed, {} cancelled, {} skipped)",
@@ -189,11 +200,11 @@
         view.cancelled,
         view.skipped
     );
-    if let Some(failed) = &view.failure {
-        text += &format!(": {}", failed.node);
-        if let Some(failure) = &failed.failure {
-            let (times, repeats) = (failure.failures, failure.repeats);
-            text += &format!(" failed {times} times, {repeats} repeats are allowed");
+    if let Some(failed_node) = &view.failure {
+        text += &format!(": {}", failed_node.node);
+        if let Some(failure) = &failed_node.failure {
+            let (failure_count, repeats) = (failure.failures, failure.repeats);
+            text += &format!(" failed {failure_count} times, {repeats} repeats are allowed");
         }
     }
     if !view.why.is_empty() {
@@ -202,19 +213,19 @@
     text
 }
 
-fn say(view: &GraphView, json: bool) -> u8 {
+fn print_status(view: &GraphView, json: bool) -> u8 {
     match json {
         true => println!("{}", serde_json::json!(view)),
-        false => println!("{}", line(view)),
+        false => println!("{}", status_line(view)),
     }
     match view.status {
-        GraphStatus::Failed | GraphStatus::Cancelled => exit::BAD,
-        _ => exit::GOOD,
+        GraphStatus::Failed | GraphStatus::Cancelled => exit::FAILURE,
+        _ => exit::SUCCESS,
     }
 }
 
-fn follow(mut watch: Watch, json: bool) -> Result<u8, Failure> {
-    let each = |node: &NodeView| {
+fn follow(mut watch: Watch, json: bool) -> Result<u8, GraphCommandError> {
+    let print_node = |node: &NodeView| {
         if json {
             println!("{}", serde_json::json!(node));
         } else {
@@ -223,8 +234,8 @@
             println!("{}: {}{job}", node.name, status.as_str().unwrap_or_default());
         }
     };
-    let over = watch.to_end(each)?;
-    Ok(say(&over, json))
+    let final_view = watch.to_end(print_node)?;
+    Ok(print_status(&final_view, json))
 }
 
 fn submit(
@@ -233,13 +244,13 @@
     wait: bool,
     key: Option<String>,
     json: bool,
-) -> Result<u8, Failure> {
+) -> Result<u8, GraphCommandError> {
     let mut rng = ChaCha8Rng::from_os_rng();
     let key = key.unwrap_or_else(|| format!("{:032x}", rng.random::<u128>()));
-    let number = format!("graph-{}", rng.random_range(0..10_000_000_000u64));
-    let id = file.graph.map_or_else(|| graph_id(&number), Ok)?;
-    let name = format!("ctl-{:016x}", rng.random::<u64>());
-    let session = Session::open(controllers, &name, &key, &file.owner, SESSION_TTL_S)?;
+    let random_id = format!("graph-{}", rng.random_range(0..10_000_000_000u64));
+    let id = file.graph.map_or_else(|| parse_graph_id(&random_id), Ok)?;
+    let session_name = format!("ctl-{:016x}", rng.random::<u64>());
+    let session = Session::open(controllers, &session_name, &key, &file.owner, SESSION_TTL_S)?;
     let plan = Plan {
         class: file.jobclass.clone(),
         rank: file.rank,
@@ -251,12 +262,12 @@
     for (name, spec) in &file.kinds {
         graph.kind(name, spec.clone());
     }
-    // In an order in which inputs come first, however the file has them.
-    let model = model(file)?;
+    // Inputs have to be added before the nodes that use them, whatever the order in the file.
+    let model = build_model(file)?;
     let by_name: BTreeMap<&str, &NewNode> =
         file.nodes.iter().map(|node| (node.name.as_str(), node)).collect();
-    for at in (0..model.len()).map(NodeIx) {
-        let node = model.node(at).and_then(|node| by_name.get(&*node.name));
+    for index in (0..model.len()).map(NodeIx) {
+        let node = model.node(index).and_then(|node| by_name.get(&*node.name));
         if let Some(node) = node {
             graph.add((*node).clone())?;
         }
@@ -265,39 +276,39 @@
     let status = if wait {
         follow(graph.watch(), json)?
     } else {
-        say(&view, json);
-        eprintln!("oatloomctl: it goes on by itself; --key {key} cancels it");
-        exit::GOOD
+        print_status(&view, json);
+        eprintln!("oatloomctl: the graph runs without this program; cancel it with --key {key}");
+        exit::SUCCESS
     };
     session.close()?;
     Ok(status)
 }
 
-/// Carries a command out; the status that scripts see.
+/// Runs a graph command and returns the exit code.
 ///
 /// # Errors
-/// It is wrongly asked, refused, or nobody answers.
-pub fn run(command: &Command, addresses: &[String], json: bool) -> Result<u8, Failure> {
+/// The input is invalid, the request is refused, or no controller answers.
+pub fn run(command: &Command, addresses: &[String], json: bool) -> Result<u8, GraphCommandError> {
     let mut controllers = Controllers::new(addresses);
     match command {
         Command::Submit { file, wait, key } => {
-            submit(controllers, &read(file)?, *wait, key.clone(), json)
+            submit(controllers, &read_graph_file(file)?, *wait, key.clone(), json)
         }
         Command::Status { id } => {
-            let mut watch = Watch::new(controllers, graph_id(id)?, String::new());
-            Ok(say(&watch.look()?, json))
+            let mut watch = Watch::new(controllers, parse_graph_id(id)?, String::new());
+            Ok(print_status(&watch.look()?, json))
         }
         Command::Watch { id, after } => {
-            follow(Watch::new(controllers, graph_id(id)?, after.clone()), json)
+            follow(Watch::new(controllers, parse_graph_id(id)?, after.clone()), json)
         }
         Command::Cancel { id, key } => {
-            let view = graphs::cancel(&mut controllers, graph_id(id)?, key)?;
-            say(&view, json);
-            Ok(exit::GOOD)
+            let view = graphs::cancel(&mut controllers, parse_graph_id(id)?, key)?;
+            print_status(&view, json);
+            Ok(exit::SUCCESS)
         }
         Command::Show { file, all } => {
-            println!("{}", plan(&read(file)?, *all)?);
-            Ok(exit::GOOD)
+            println!("{}", format_plan(&read_graph_file(file)?, *all)?);
+            Ok(exit::SUCCESS)
         }
     }
 }
@@ -306,22 +317,25 @@
 mod tests {
     use super::*;
 
-    /// The shipped example is a graph, and its plan names the critical path.
+    /// The plan of the example in `deploy` marks its critical path, and a cycle is refused.
     #[test]
     fn the_example_has_a_critical_path() {
         let path =
             std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/graphs/first.json");
-        let file = read(&path).unwrap();
-        let plan = plan(&file, false).unwrap();
-        let starred: Vec<&str> = plan
+        let file = read_graph_file(&path).unwrap();
+        let plan = format_plan(&file, false).unwrap();
+        let critical_nodes: Vec<&str> = plan
             .lines()
             .filter(|line| line.trim_start().starts_with('*'))
             .filter_map(|line| line.split_whitespace().nth(1))
             .collect();
-        assert_eq!(starred, ["fetch", "train", "report"], "{plan}");
+        assert_eq!(critical_nodes, ["fetch", "train", "report"], "{plan}");
         assert!(plan.contains("takes 13 s"), "{plan}");
-        let mut looped = file.clone();
-        looped.nodes[0].needs = vec!["report".into()];
-        assert!(super::plan(&looped, false).is_err_and(|e| e.to_string().contains("needs itself")));
+        let mut cyclic = file.clone();
+        cyclic.nodes[0].needs = vec!["report".into()];
+        assert!(
+            super::format_plan(&cyclic, false)
+                .is_err_and(|e| e.to_string().contains("needs itself"))
+        );
     }
 }
--- a/crates/ctl/src/jobs.rs
+++ b/crates/ctl/src/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs from the command line: what is asked, what is printed, and the status that scripts see.
+//! The subcommands for jobs: requests, printed results and exit codes.
 
 use crate::constants::*;
 use indicatif::{ProgressBar, ProgressStyle};
@@ -10,39 +10,39 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Statuses of the program.
+/// Exit codes of the program.
 pub mod exit {
-    /// All is well.
-    pub const GOOD: u8 = 0;
-    /// Refused, not known, or ended otherwise than done.
-    pub const BAD: u8 = 1;
-    /// Wrongly asked: an argument, a file, a directory, a port.
-    pub const WRONG: u8 = 2;
-    /// No controller gave an answer in time.
+    /// The command succeeded.
+    pub const SUCCESS: u8 = 0;
+    /// The request was refused, the id is unknown, or the job did not finish as done.
+    pub const FAILURE: u8 = 1;
+    /// An argument, file, directory or port is invalid.
+    pub const USAGE_ERROR: u8 = 2;
+    /// No controller answered in time.
     pub const NO_ANSWER: u8 = 3;
 }
 
-/// A job by its options, where no file describes it.
+/// Command line options that describe a job, instead of a file.
 #[derive(Clone, Debug, clap::Args)]
-pub struct Sketch {
-    /// What kind of job it is
+pub struct JobOptions {
+    /// Kind of the job
     #[arg(long, value_enum)]
-    pub shape: Option<ShapeWord>,
-    /// Its id, `req-` and digits; one that nobody else uses if left out
+    pub shape: Option<ShapeArg>,
+    /// Its id, `req-` and digits; an unused one if left out
     #[arg(long, value_name = "ID")]
     pub id: Option<String>,
-    /// The team it counts for
+    /// The team whose usage it counts towards
     #[arg(long, default_value = "red")]
     pub team: String,
-    /// Its class of jobs
+    /// Its job class
     #[arg(long, default_value = "quick")]
     pub class: String,
     #[arg(long, value_enum, default_value = "standard")]
-    pub rank: RankWord,
+    pub rank: RankArg,
     /// Number of tasks
     #[arg(long, default_value_t = 1)]
     pub tasks: u32,
-    /// Cores of each task
+    /// Cores per task
     #[arg(long, default_value_t = 1.0)]
     pub cpus: f64,
     #[arg(long, default_value_t = 0.0)]
@@ -57,39 +57,41 @@
     /// Expected run time of a task, in seconds
     #[arg(long, value_name = "SECONDS", default_value_t = 3.0)]
     pub estimate_s: f64,
-    /// By when it should be done, in seconds from now
+    /// Deadline, in seconds from now
     #[arg(long, value_name = "SECONDS")]
     pub due_s: Option<f64>,
-    /// Jobs that have to be done before it starts; several with commas between
+    /// Jobs that must be done before it starts, separated by commas
     #[arg(long = "awaits", value_name = "ID", value_delimiter = ',')]
     pub dependencies: Vec<String>,
-    /// It may run on machines that the cloud can take back
+    /// Allow spot machines, which the cloud can take back
     #[arg(long)]
     pub spot: bool,
 }
 
+/// Value of `--shape`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
-pub enum ShapeWord {
+pub enum ShapeArg {
     Array,
     Gang,
     Service,
 }
 
+/// Value of `--rank`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
-pub enum RankWord {
+pub enum RankArg {
     Low,
     Standard,
     High,
     Critical,
 }
 
-impl Sketch {
-    /// The job, with an id from `number` if none was given.
+impl JobOptions {
+    /// The job that the options describe, with an id made from `number` if none was given; `None` without a shape.
     pub fn spec(&self, number: u64) -> Option<JobSpec> {
         let shape = match self.shape? {
-            ShapeWord::Array => Shape::Array,
-            ShapeWord::Gang => Shape::Gang,
-            ShapeWord::Service => Shape::Service,
+            ShapeArg::Array => Shape::Array,
+            ShapeArg::Gang => Shape::Gang,
+            ShapeArg::Service => Shape::Service,
         };
         let id = self.id.clone().unwrap_or_else(|| format!("req-{number}"));
         Some(JobSpec {
@@ -98,10 +100,10 @@
             team: self.team.clone(),
             shape,
             rank: match self.rank {
-                RankWord::Low => Rank::Low,
-                RankWord::Standard => Rank::Standard,
-                RankWord::High => Rank::High,
-                RankWord::Critical => Rank::Critical,
+                RankArg::Low => Rank::Low,
+                RankArg::Standard => Rank::Standard,
+                RankArg::High => Rank::High,
+                RankArg::Critical => Rank::Critical,
             },
             tasks: self.tasks,
             cpus: self.cpus,
@@ -123,130 +125,131 @@
     }
 }
 
-/// Reads a file of JSON.
+/// Reads a JSON file.
 ///
 /// # Errors
-/// It cannot be read, is not JSON, or describes something else; the text says what is wrong.
+/// A message for the user if the file cannot be read, is not JSON, or has other fields.
 pub(crate) fn read_json<T: DeserializeOwned>(path: &Path) -> Result<T, String> {
     let name = path.display();
     let text = std::fs::read_to_string(path).map_err(|e| format!("{name}: cannot be read: {e}"))?;
     serde_json::from_str(&text).map_err(|e| format!("{name}: {e}"))
 }
 
-/// Reads a job's file.
+/// Reads and checks a job file.
 ///
 /// # Errors
-/// It cannot be read, is not JSON, or describes no job; the text says what is wrong.
-pub fn read(path: &Path) -> Result<JobSpec, String> {
+/// A message for the user if the file cannot be read, is not JSON, or is not a valid job.
+pub fn read_job(path: &Path) -> Result<JobSpec, String> {
     let spec: JobSpec = read_json(path)?;
     spec.check().map_err(|e| format!("{}: {e}", path.display()))?;
     Ok(spec)
 }
 
-/// Says what became of a request, and what scripts see of it.
-fn say(id: &JobId, told: &Told, json: bool) -> u8 {
-    let (text, value, status) = match told {
+/// Prints the result of a request and returns the exit code.
+fn print_result(id: &JobId, result: &Told, json: bool) -> u8 {
+    let (text, value, exit_code) = match result {
         Told::View(view) => {
             let tasks = format!("{} done, {} running", view.done, view.running);
-            let word = serde_json::json!(view.status);
-            let mut text = format!("{id}: {} ({tasks})", word.as_str().unwrap_or_default());
+            let status_name = serde_json::json!(view.status);
+            let mut text = format!("{id}: {} ({tasks})", status_name.as_str().unwrap_or_default());
             if !view.waits_for.is_empty() {
                 let ids: Vec<&str> = view.waits_for.iter().map(JobId::as_str).collect();
                 text += &format!(", waits for {}", ids.join(", "));
             }
             if let Some(failure) = &view.failure {
-                let (task, times) = (&failure.task, failure.failures);
+                let (task, failure_count) = (&failure.task, failure.failures);
                 let (class, repeats) = (&failure.class, failure.repeats);
                 text += &format!(
-                    ": {task} failed {times} times, class {class} allows {repeats} repeats"
+                    ": {task} failed {failure_count} times, class {class} allows {repeats} repeats"
                 );
             }
-            (text, serde_json::json!(view), exit::GOOD)
+            (text, serde_json::json!(view), exit::SUCCESS)
         }
         Told::Refused(404, _) => {
             let value = serde_json::json!({"nameId": id, "error": "no such job"});
-            (format!("{id}: no such job"), value, exit::BAD)
+            (format!("{id}: no such job"), value, exit::FAILURE)
         }
         Told::Refused(code, body) => {
             let value = serde_json::json!({"nameId": id, "refused": code, "error": body});
-            (format!("{id}: refused: {body}"), value, exit::BAD)
+            (format!("{id}: refused: {body}"), value, exit::FAILURE)
         }
         Told::Unreachable => {
             let text = "no controller can be reached; --controllers says where they are";
             let value = serde_json::json!({"nameId": id, "error": text});
-            (format!("{id}: {text}"), value, exit::WRONG)
+            (format!("{id}: {text}"), value, exit::USAGE_ERROR)
         }
         Told::Nothing(text) => {
             let value = serde_json::json!({"nameId": id, "error": text});
-            (format!("{id}: no answer that counts: {text}"), value, exit::NO_ANSWER)
+            (format!("{id}: no usable answer from any controller: {text}"), value, exit::NO_ANSWER)
         }
     };
-    match (json, status) {
+    match (json, exit_code) {
         (true, _) => println!("{value}"),
-        (false, exit::GOOD) => println!("{text}"),
+        (false, exit::SUCCESS) => println!("{text}"),
         (false, _) => eprintln!("oatloomctl: {text}"),
     }
-    status
+    exit_code
 }
 
-/// Asks once, insisting as long as a user does.
-pub fn ask(controllers: &mut Controllers, wish: &Wish, json: bool) -> u8 {
-    let told = controllers.insist(wish, GIVE_UP_MS);
-    say(wish.id(), &told, json)
+/// Sends a request, with retries until [`GIVE_UP_MS`] has passed, and prints the result.
+pub fn ask(controllers: &mut Controllers, request: &Wish, json: bool) -> u8 {
+    let result = controllers.insist(request, GIVE_UP_MS);
+    print_result(request.id(), &result, json)
 }
 
-/// Follows jobs until all are over. A bar on a terminal, a line for each change elsewhere.
+/// Follows jobs until all are finished. Shows a progress bar for one job on a terminal, otherwise a line per change.
 pub fn watch(controllers: &mut Controllers, ids: &[JobId], tasks: Option<u32>, json: bool) -> u8 {
     let bar = (!json && std::io::stderr().is_terminal() && ids.len() == 1).then(|| {
         let bar = ProgressBar::new(u64::from(tasks.unwrap_or(0)));
         let style = ProgressStyle::with_template("{msg} {wide_bar} {pos}/{len} tasks, {elapsed}");
         bar.with_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()))
     });
-    let mut worst = exit::GOOD;
-    let mut open: Vec<(JobId, Option<JobView>)> = ids.iter().map(|id| (id.clone(), None)).collect();
-    while !open.is_empty() {
-        let mut still = Vec::new();
-        for (id, before) in open {
+    let mut worst_exit_code = exit::SUCCESS;
+    let mut unfinished: Vec<(JobId, Option<JobView>)> =
+        ids.iter().map(|id| (id.clone(), None)).collect();
+    while !unfinished.is_empty() {
+        let mut still_unfinished = Vec::new();
+        for (id, previous) in unfinished {
             match controllers.insist(&Wish::View(id.clone()), GIVE_UP_MS) {
                 Told::View(view) => {
-                    let over = view.status.is_final();
-                    if over && view.status != JobStatus::Done {
-                        worst = worst.max(exit::BAD);
+                    let is_finished = view.status.is_final();
+                    if is_finished && view.status != JobStatus::Done {
+                        worst_exit_code = worst_exit_code.max(exit::FAILURE);
                     }
                     match &bar {
                         Some(bar) => {
                             bar.set_position(u64::from(view.done));
                             bar.set_message(format!("{id} {:?}", view.status));
                         }
-                        None if before.as_ref() != Some(&view) => {
-                            say(&id, &Told::View(view.clone()), json);
+                        None if previous.as_ref() != Some(&view) => {
+                            print_result(&id, &Told::View(view.clone()), json);
                         }
                         None => {}
                     }
-                    if !over {
-                        still.push((id, Some(view)));
+                    if !is_finished {
+                        still_unfinished.push((id, Some(view)));
                     } else if let Some(bar) = &bar {
                         bar.finish_and_clear();
-                        say(&id, &Told::View(view), json);
+                        print_result(&id, &Told::View(view), json);
                     }
                 }
-                told => worst = worst.max(say(&id, &told, json)),
+                result => worst_exit_code = worst_exit_code.max(print_result(&id, &result, json)),
             }
         }
-        open = still;
-        if !open.is_empty() {
-            std::thread::sleep(Duration::from_millis(WATCH_EVERY_MS.0));
+        unfinished = still_unfinished;
+        if !unfinished.is_empty() {
+            std::thread::sleep(Duration::from_millis(WATCH_INTERVAL_MS.0));
         }
     }
-    worst
+    worst_exit_code
 }
 
-/// Submits a job, and follows it if asked to.
+/// Submits a job, and follows it to its end if `wait` is set.
 pub fn submit(controllers: &mut Controllers, spec: JobSpec, wait: bool, json: bool) -> u8 {
     let (id, tasks) = (spec.id.clone(), spec.tasks);
-    let told = controllers.insist(&Wish::Submit(Box::new(spec)), GIVE_UP_MS);
-    if !wait || !matches!(told, Told::View(_)) {
-        return say(&id, &told, json);
+    let result = controllers.insist(&Wish::Submit(Box::new(spec)), GIVE_UP_MS);
+    if !wait || !matches!(result, Told::View(_)) {
+        return print_result(&id, &result, json);
     }
     watch(controllers, &[id], Some(tasks), json)
 }
--- a/crates/ctl/src/launch.rs
+++ b/crates/ctl/src/launch.rs
@@ -1,8 +1,8 @@
 //! A whole region as processes and threads of this machine: the state service, the emulated cloud with its
-//! workers, gates before both, and three controllers, which are started again when they end.
+//! workers, fault-injecting proxies (gates) before both, and three controllers. Programs that end are restarted.
 
 use crate::constants::*;
-use crate::settings::{Addresses, Local, ZONES, member};
+use crate::settings::{Addresses, LocalSettings, ZONES, controller_name};
 use oatloom_emulator::checker::{Checker, Limit};
 use oatloom_emulator::faults::{Fault, Faults, Planned, Service};
 use oatloom_emulator::gate::{self, Shared};
@@ -21,47 +21,48 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
+/// Why a region could not be started.
 #[derive(Debug, thiserror::Error)]
 pub enum LaunchError {
     #[error("{path}: {cause}")]
     File { path: PathBuf, cause: std::io::Error },
     #[error(
-        "{program} is not beside this program: build it with `cargo build --release --workspace`"
+        "{program} does not exist; it must be in the directory of oatloomctl: build it with `cargo build --release --workspace`"
     )]
     Program { program: PathBuf },
     #[error("{program} cannot be started: {cause}")]
     Process { program: PathBuf, cause: std::io::Error },
-    #[error("{program} ended at its start, with {status}: see {log}")]
+    #[error("{program} ended during its start with {status}; see its log {log}")]
     Ended { program: PathBuf, status: ExitStatus, log: PathBuf },
-    #[error("{program} does not answer at {address} within {} s: see {log}", START_MS.0 / 1000)]
+    #[error("{program} does not answer at {address} within {} s; see its log {log}", START_TIMEOUT_MS.0 / 1000)]
     Silent { program: PathBuf, address: String, log: PathBuf },
-    #[error("port {port} is in use: another region may be running")]
+    #[error("port {port} is in use; another region may be running")]
     Port { port: u16 },
-    #[error("no port is free: {0}")]
+    #[error("no free port: {0}")]
     NoPort(std::io::Error),
     #[error(transparent)]
     Start(#[from] StartError),
 }
 
-/// A program that is looked after.
-struct Process {
+/// A child process that is restarted when it ends.
+struct SupervisedProcess {
     name: String,
     program: PathBuf,
     arguments: Vec<String>,
     log: PathBuf,
     child: Option<Child>,
     started: Instant,
-    /// When it is started again, if it is not running.
-    again: Instant,
-    pause: Millis,
-    /// How soon after its next end it is to be back, if somebody has asked for that.
-    back: Option<Millis>,
-    ends: u32,
+    /// When it may be restarted, if it is not running.
+    next_start: Instant,
+    restart_delay: Millis,
+    /// Restart delay that an injected fault asks for after the next end of the process.
+    requested_delay: Option<Millis>,
+    exit_count: u32,
 }
 
-impl Process {
+impl SupervisedProcess {
     fn new(name: &str, program: PathBuf, arguments: Vec<String>, data: &Path) -> Self {
-        let (started, pause) = (Instant::now(), RESTART_MS);
+        let (started, restart_delay) = (Instant::now(), MIN_RESTART_DELAY_MS);
         let log = data.join(format!("{name}.log"));
         let name = name.to_owned();
         Self {
@@ -71,16 +72,16 @@
             log,
             child: None,
             started,
-            again: started,
-            pause,
-            back: None,
-            ends: 0,
+            next_start: started,
+            restart_delay,
+            requested_delay: None,
+            exit_count: 0,
         }
     }
 
     fn start(&mut self) -> Result<(), LaunchError> {
-        let failed = |cause| LaunchError::File { path: self.log.clone(), cause };
-        let log = File::options().create(true).append(true).open(&self.log).map_err(failed)?;
+        let file_error = |cause| LaunchError::File { path: self.log.clone(), cause };
+        let log = File::options().create(true).append(true).open(&self.log).map_err(file_error)?;
         let child = Command::new(&self.program)
             .args(&self.arguments)
             .stdin(Stdio::null())
@@ -93,40 +94,43 @@
         Ok(())
     }
 
-    /// Whether it has ended, and how.
-    fn ended(&mut self) -> Option<ExitStatus> {
+    /// The exit status if the process has ended since the last call.
+    fn take_exit_status(&mut self) -> Option<ExitStatus> {
         let status = self.child.as_mut()?.try_wait().ok().flatten()?;
         self.child = None;
         Some(status)
     }
 
-    /// Says that it has ended, and when it is started again: later each time while it ends at once.
-    fn note_end(&mut self, status: ExitStatus) {
-        self.ends += 1;
-        let settled = self.started.elapsed() >= Duration::from_millis(SETTLED_MS.0);
-        self.pause =
-            if settled { RESTART_MS } else { Millis((self.pause.0 * 2).min(RESTART_MOST_MS.0)) };
-        let after = match self.back.take() {
-            Some(back) => {
-                // It was killed on purpose: no reason to wait longer the next time.
-                self.pause = RESTART_MS;
-                back
+    /// Logs the end and sets the time of the restart. The delay doubles while the process ends soon after its start.
+    fn schedule_restart(&mut self, status: ExitStatus) {
+        self.exit_count += 1;
+        let is_stable = self.started.elapsed() >= Duration::from_millis(MIN_STABLE_UPTIME_MS.0);
+        self.restart_delay = if is_stable {
+            MIN_RESTART_DELAY_MS
+        } else {
+            Millis((self.restart_delay.0 * 2).min(MAX_RESTART_DELAY_MS.0))
+        };
+        let delay = match self.requested_delay.take() {
+            Some(requested_delay) => {
+                // Killed by an injected fault, so the restart delay does not grow.
+                self.restart_delay = MIN_RESTART_DELAY_MS;
+                requested_delay
             }
-            None => self.pause,
+            None => self.restart_delay,
         };
-        self.again = Instant::now() + Duration::from_millis(after.0);
-        tracing::warn!("{} ended with {status}; it is started again in {} ms", self.name, after.0);
+        self.next_start = Instant::now() + Duration::from_millis(delay.0);
+        tracing::warn!("{} ended with {status}; restarting it in {} ms", self.name, delay.0);
     }
 
-    /// Whether it is not running and it is time to start it again.
+    /// Whether it is not running and its restart time has come.
     fn is_due(&self) -> bool {
-        self.child.is_none() && Instant::now() >= self.again
+        self.child.is_none() && Instant::now() >= self.next_start
     }
 
-    fn start_again(&mut self) {
+    fn restart(&mut self) {
         if let Err(e) = self.start() {
             tracing::error!("{e}");
-            self.again = Instant::now() + Duration::from_millis(RESTART_MOST_MS.0);
+            self.next_start = Instant::now() + Duration::from_millis(MAX_RESTART_DELAY_MS.0);
         }
     }
 
@@ -136,25 +140,25 @@
         }
     }
 
-    /// Kills it; it is back after so long, at once even, or when its turn comes.
-    fn crash(&mut self, back: Option<Millis>) {
+    /// Kills the process. It is restarted after the given delay (0: at once), or after its own restart delay.
+    fn crash(&mut self, requested_delay: Option<Millis>) {
         if self.child.is_none() {
-            // It has ended already; what is asked for must not hold for its next end.
+            // Already ended: the requested delay must not apply to its next end.
             return;
         }
         self.kill();
-        self.back = back;
-        if back == Some(Millis(0))
+        self.requested_delay = requested_delay;
+        if requested_delay == Some(Millis(0))
             && let Some(status) = self.child.as_mut().and_then(|child| child.wait().ok())
         {
             self.child = None;
-            self.note_end(status);
-            self.start_again();
+            self.schedule_restart(status);
+            self.restart();
         }
     }
 
-    /// Ends it for good.
-    fn end(&mut self) {
+    /// Kills the process without a restart.
+    fn terminate(&mut self) {
         self.kill();
         if let Some(mut child) = self.child.take() {
             let _ = child.wait();
@@ -163,15 +167,15 @@
 }
 
 /// A running region.
-pub struct Running {
+pub struct RunningRegion {
     pub emulator: Arc<Emulator>,
-    /// Where users reach the controllers.
+    /// Addresses of the controllers for users.
     pub controllers: Vec<String>,
-    pub local: Local,
-    state: Process,
-    nodes: Vec<Process>,
-    /// Controllers that are to be started with settings that make no sense, for a rehearsal.
-    pub misled: Option<usize>,
+    pub local: LocalSettings,
+    state: SupervisedProcess,
+    controller_processes: Vec<SupervisedProcess>,
+    /// Index of a controller whose next start gets a missing settings file, to rehearse a failing start.
+    pub misconfigured: Option<usize>,
 }
 
 fn free_port() -> Result<u16, LaunchError> {
@@ -179,8 +183,8 @@
     listener.local_addr().map(|a| a.port()).map_err(LaunchError::NoPort)
 }
 
-/// Ports that follow a first one; each must be free.
-fn ports(first: u16, count: u16) -> Result<Vec<u16>, LaunchError> {
+/// Consecutive ports from `first`, each of which must be free; any free ports if `first` is 0.
+fn free_ports(first: u16, count: u16) -> Result<Vec<u16>, LaunchError> {
     (0..count)
         .map(|n| {
             if first == 0 {
@@ -193,158 +197,168 @@
         .collect()
 }
 
-fn program(name: &str) -> Result<PathBuf, LaunchError> {
-    let mut folder = std::env::current_exe().unwrap_or_default();
-    folder.pop();
-    // Tests stand a folder below the programs.
-    let candidates = [folder.join(name), folder.join("..").join(name)];
-    let found = candidates.iter().find(|path| path.is_file()).cloned();
-    found.ok_or_else(|| LaunchError::Program { program: folder.join(name) })
+fn find_program(name: &str) -> Result<PathBuf, LaunchError> {
+    let mut directory = std::env::current_exe().unwrap_or_default();
+    directory.pop();
+    // Test binaries are one directory below the programs.
+    let candidates = [directory.join(name), directory.join("..").join(name)];
+    let program = candidates.iter().find(|path| path.is_file()).cloned();
+    program.ok_or_else(|| LaunchError::Program { program: directory.join(name) })
 }
 
-fn write(path: &Path, text: &str) -> Result<(), LaunchError> {
+fn write_file(path: &Path, text: &str) -> Result<(), LaunchError> {
     std::fs::write(path, text).map_err(|cause| LaunchError::File { path: path.into(), cause })
 }
 
-impl Running {
-    /// Starts everything and waits until the controllers answer. What is under `data` from before is gone
-    /// on with; `operators` is a file of the operators' own settings, for all controllers.
+impl RunningRegion {
+    /// Starts all programs and waits until the controllers answer. State that an earlier run left under `data` is
+    /// used again; `operators` is a file of operator settings for all controllers.
     ///
     /// # Errors
-    /// A program, port or file cannot be had, or a program ends at its start.
+    /// A program, port or file is not available, or a program ends during its start.
     pub fn start(
-        local: Local,
+        local: LocalSettings,
         data: &Path,
         operators: Option<&Path>,
         seed: u64,
     ) -> Result<Self, LaunchError> {
-        // A port that was free a moment ago may have been taken by another region that is starting.
-        let mut tries = if local.port == 0 { START_TRIES } else { 1 };
+        // Another region may have taken a port between the check and the start of the program.
+        let mut attempts_left = if local.port == 0 { MAX_START_ATTEMPTS } else { 1 };
         loop {
-            tries -= 1;
+            attempts_left -= 1;
             match Self::try_start(local.clone(), data, operators, seed) {
-                Err(LaunchError::Ended { .. }) if tries > 0 => {}
+                Err(LaunchError::Ended { .. }) if attempts_left > 0 => {}
                 other => return other,
             }
         }
     }
 
     fn try_start(
-        local: Local,
+        local: LocalSettings,
         data: &Path,
         operators: Option<&Path>,
         seed: u64,
     ) -> Result<Self, LaunchError> {
         std::fs::create_dir_all(data)
             .map_err(|cause| LaunchError::File { path: data.into(), cause })?;
-        let serve = ports(local.port, CONTROLLERS as u16)?;
+        let serve_ports = free_ports(local.port, CONTROLLER_COUNT as u16)?;
         let loopback = |port: &u16| format!("127.0.0.1:{port}");
         let state_address = loopback(&free_port()?);
-        let (state_home, state_file) = (data.join("state"), data.join("state.lisp"));
-        write(&state_file, &local.state())?;
+        let (state_directory, state_file) = (data.join("state"), data.join("state.lisp"));
+        write_file(&state_file, &local.state_settings())?;
         let arguments = [
             "--listen",
             &state_address,
             "--data",
-            &state_home.to_string_lossy(),
+            &state_directory.to_string_lossy(),
             "--file",
             &state_file.to_string_lossy(),
         ]
         .map(str::to_owned);
-        let mut state =
-            Process::new("oatloom-state", program("oatloom-state")?, arguments.to_vec(), data);
+        let mut state = SupervisedProcess::new(
+            "oatloom-state",
+            find_program("oatloom-state")?,
+            arguments.to_vec(),
+            data,
+        );
         state.start()?;
         wait_for(&mut state, &state_address, "/status")?;
 
         let shared =
             Shared { faults: Arc::new(Mutex::new(Faults::default())), start: Instant::now() };
-        let controllers: Vec<String> = serve.iter().map(loopback).collect();
+        let controllers: Vec<String> = serve_ports.iter().map(loopback).collect();
         let nodes: Vec<Node> = controllers
             .iter()
             .zip(ZONES)
             .map(|(address, zone)| Node { address: address.clone(), zone: Zone::new(zone) })
             .collect();
-        let meshes: Vec<String> = (0..CONTROLLERS)
+        let mesh_addresses: Vec<String> = (0..CONTROLLER_COUNT)
             .map(|_| free_port().map(|port| loopback(&port)))
             .collect::<Result<_, _>>()?;
         let (emulator, cloud) =
-            Emulator::start(region(&local, seed), nodes.clone(), 6.0, shared.clone())?;
+            Emulator::start(emulated_region(&local, seed), nodes.clone(), 6.0, shared.clone())?;
         let mut addresses = Vec::new();
-        for (at, serve) in controllers.iter().enumerate() {
-            let behind = |target: &str, service| {
-                gate::start(target, service, at, seed, &shared).map(|address| address.to_string())
+        for (index, serve) in controllers.iter().enumerate() {
+            let start_gate = |target: &str, service| {
+                gate::start(target, service, index, seed, &shared)
+                    .map(|address| address.to_string())
             };
             addresses.push(Addresses {
                 serve: serve.clone(),
-                mesh: meshes[at].clone(),
-                peers: (0..CONTROLLERS)
-                    .map(|to| line::start(&meshes[to], (at, to), &nodes, &shared))
+                mesh: mesh_addresses[index].clone(),
+                peers: (0..CONTROLLER_COUNT)
+                    .map(|peer| line::start(&mesh_addresses[peer], (index, peer), &nodes, &shared))
                     .map(|address| address.map(|address| address.to_string()))
                     .collect::<Result<_, _>>()?,
-                state: behind(&state_address, Service::State)?,
-                cloud: behind(&cloud.to_string(), Service::Cloud)?,
+                state: start_gate(&state_address, Service::State)?,
+                cloud: start_gate(&cloud.to_string(), Service::Cloud)?,
             });
         }
-        let mut processes = Vec::new();
-        for at in 0..CONTROLLERS {
-            let name = member(at).to_string();
+        let mut controller_processes = Vec::new();
+        for index in 0..CONTROLLER_COUNT {
+            let name = controller_name(index).to_string();
             let file = data.join(format!("{name}.toml"));
-            write(&file, &local.controller(at, &addresses))?;
+            write_file(&file, &local.controller_settings(index, &addresses))?;
             let mut arguments = vec!["--config".to_owned(), file.to_string_lossy().into_owned()];
             if let Some(path) = operators {
                 arguments.extend(["--operators".to_owned(), path.to_string_lossy().into_owned()]);
             }
-            let mut process = Process::new(&name, program("oatloom")?, arguments, data);
+            let mut process =
+                SupervisedProcess::new(&name, find_program("oatloom")?, arguments, data);
             process.start()?;
-            processes.push(process);
+            controller_processes.push(process);
         }
         let mut running = Self {
             emulator,
             controllers: controllers.clone(),
             local,
             state,
-            nodes: processes,
-            misled: None,
+            controller_processes,
+            misconfigured: None,
         };
-        for (process, address) in running.nodes.iter_mut().zip(&controllers) {
+        for (process, address) in running.controller_processes.iter_mut().zip(&controllers) {
             wait_for(process, address, "/up")?;
         }
         Ok(running)
     }
 
-    /// Looks after the processes; to be called every [`TEND_MS`].
-    pub fn tend(&mut self) {
-        for process in self.nodes.iter_mut().chain([&mut self.state]) {
-            if let Some(status) = process.ended() {
-                process.note_end(status);
+    /// Restarts processes that have ended; call it every [`SUPERVISION_INTERVAL_MS`].
+    pub fn supervise(&mut self) {
+        for process in self.controller_processes.iter_mut().chain([&mut self.state]) {
+            if let Some(status) = process.take_exit_status() {
+                process.schedule_restart(status);
             }
         }
-        for (at, process) in self.nodes.iter_mut().enumerate() {
+        for (index, process) in self.controller_processes.iter_mut().enumerate() {
             if !process.is_due() {
                 continue;
             }
             let arguments = process.arguments.clone();
-            if self.misled == Some(at) {
-                self.misled = None;
+            if self.misconfigured == Some(index) {
+                self.misconfigured = None;
                 process.arguments = vec!["--config".to_owned(), "/no/such/settings".to_owned()];
             }
-            process.start_again();
+            process.restart();
             process.arguments = arguments;
         }
         if self.state.is_due() {
-            self.state.start_again();
+            self.state.restart();
         }
     }
 
-    /// A fault begins.
-    pub fn strike(&mut self, planned: &Planned) {
+    /// Starts a fault.
+    pub fn inject_fault(&mut self, planned: &Planned) {
         tracing::info!("fault: {:?} until {} ms", planned.fault, planned.until);
         match planned.fault {
-            Fault::CrashController(at, back) => self.nodes[at].crash(back),
-            Fault::CrashAll(back) => self.nodes.iter_mut().for_each(|node| node.crash(back)),
+            Fault::CrashController(index, requested_delay) => {
+                self.controller_processes[index].crash(requested_delay)
+            }
+            Fault::CrashAll(requested_delay) => {
+                self.controller_processes.iter_mut().for_each(|node| node.crash(requested_delay))
+            }
             Fault::RestartState => {
-                // Killed, not asked to end; started again without a pause.
-                self.state.end();
+                // Killed rather than shut down, and restarted without a delay.
+                self.state.terminate();
                 if let Err(e) = self.state.start() {
                     tracing::error!("{e}");
                 }
@@ -353,46 +367,46 @@
         }
     }
 
-    /// How often each program has ended by itself or was killed.
-    pub fn ends(&self) -> HashMap<String, u32> {
-        let all = self.nodes.iter().chain([&self.state]);
-        all.map(|process| (process.name.clone(), process.ends)).collect()
+    /// How often each program has ended or was killed.
+    pub fn exit_counts(&self) -> HashMap<String, u32> {
+        let all = self.controller_processes.iter().chain([&self.state]);
+        all.map(|process| (process.name.clone(), process.exit_count)).collect()
     }
 
-    /// Largest resident memory of a controller, in bytes.
-    pub fn controllers_memory(&self) -> u64 {
-        let resident = |process: &Process| {
+    /// Resident memory of the controller that uses most, in bytes.
+    pub fn max_controller_memory_bytes(&self) -> u64 {
+        let resident_bytes = |process: &SupervisedProcess| {
             let id = process.child.as_ref()?.id();
             let text = std::fs::read_to_string(format!("/proc/{id}/statm")).ok()?;
             Some(text.split(' ').nth(1)?.parse::<u64>().ok()? * 4096)
         };
-        self.nodes.iter().filter_map(resident).max().unwrap_or(0)
+        self.controller_processes.iter().filter_map(resident_bytes).max().unwrap_or(0)
     }
 }
 
-/// Guards against processes that are left behind, also by a start that fails half way.
-impl Drop for Process {
+/// Kills the child process, also when the start of the region fails halfway.
+impl Drop for SupervisedProcess {
     fn drop(&mut self) {
-        self.end();
+        self.terminate();
     }
 }
 
-fn region(local: &Local, seed: u64) -> Region {
-    let ms = |s: f64| (s * 1000.0) as u64;
-    // Names of machines are never used again, by a later region on the same state neither.
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+fn emulated_region(local: &LocalSettings, seed: u64) -> Region {
+    let to_ms = |s: f64| (s * 1000.0) as u64;
+    // Machine names must not be reused, even by a later region with the same state.
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let terms = Terms {
         flavors: local.flavors(),
         capacity: local.machines,
-        boot_ms: (ms(local.boot_s * 0.6), ms(local.boot_s * 1.5)),
+        boot_ms: (to_ms(local.boot_s * 0.6), to_ms(local.boot_s * 1.5)),
         never_boots: 0.02,
         late_boots: 0.04,
-        list_age_ms: (ms(local.list_lag_s), ms(local.list_lag_s * 2.0)),
+        list_age_ms: (to_ms(local.list_lag_s), to_ms(local.list_lag_s * 2.0)),
         page: 500,
         fetch_ms: None,
         prices_move: true,
-        first_machine: since.as_millis() as u64,
-        nodes: (0..CONTROLLERS).map(member).collect(),
+        first_machine: since_epoch.as_millis() as u64,
+        nodes: (0..CONTROLLER_COUNT).map(controller_name).collect(),
     };
     let facts = WorkerFacts {
         report_s: local.report_s,
@@ -402,27 +416,27 @@
         cancel_s: local.cancel_s,
     };
     let limits = local.teams.iter().enumerate();
-    let gpus_max = |n| Limit::gpus(if n == 0 { local.gpus_max } else { 0.0 });
-    let limits = limits.map(|(n, team)| (team.clone(), gpus_max(n))).collect();
-    let checker = Checker::new(limits, ms(local.cancel_s));
+    let gpu_limit = |index| Limit::gpus(if index == 0 { local.gpus_max } else { 0.0 });
+    let limits = limits.map(|(index, team)| (team.clone(), gpu_limit(index))).collect();
+    let checker = Checker::new(limits, to_ms(local.cancel_s));
     Region::new(terms, (&facts).into(), checker, seed)
 }
 
-/// Waits until a program answers.
-fn wait_for(process: &mut Process, address: &str, path: &str) -> Result<(), LaunchError> {
+/// Waits until a started program answers with status 200.
+fn wait_for(process: &mut SupervisedProcess, address: &str, path: &str) -> Result<(), LaunchError> {
     let caller = Caller::new(address, POLL_TIMEOUT_MS, ANSWER_BYTES);
-    let began = Instant::now();
+    let started = Instant::now();
     loop {
         if caller.get(path).is_some_and(|(status, _)| status == 200) {
             return Ok(());
         }
         let (program, log) = (process.program.clone(), process.log.clone());
-        if let Some(status) = process.ended() {
+        if let Some(status) = process.take_exit_status() {
             return Err(LaunchError::Ended { program, status, log });
         }
-        if began.elapsed() >= Duration::from_millis(START_MS.0) {
+        if started.elapsed() >= Duration::from_millis(START_TIMEOUT_MS.0) {
             return Err(LaunchError::Silent { program, address: address.to_owned(), log });
         }
-        std::thread::sleep(Duration::from_millis(TEND_MS.0));
+        std::thread::sleep(Duration::from_millis(SUPERVISION_INTERVAL_MS.0));
     }
 }
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,4 +1,5 @@
-//! What `oatloomctl` does: a region on one machine, jobs from the command line, and rehearsals.
+//! Implementation of `oatloomctl`: a region on one machine, requests for jobs, task graphs and usage, and failure
+//! rehearsals.
 
 pub mod constants;
 pub mod graphs;
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,15 +1,17 @@
-//! The command line.
+//! The command line arguments of `oatloomctl` and the dispatch of its subcommands.
 
 use clap::{Parser, Subcommand};
 use oatloom_client::users::{Controllers, Wish};
-use oatloom_ctl::constants::{ANSWER_BYTES, CONTROLLERS, OWN_PORT_BEYOND, PORT, SUBMIT_TIMEOUT_MS};
+use oatloom_ctl::constants::{
+    ANSWER_BYTES, CONTROLLER_COUNT, FIRST_CONTROLLER_PORT, REGION_PORT_OFFSET, SUBMIT_TIMEOUT_MS,
+};
 use oatloom_ctl::graphs;
-use oatloom_ctl::jobs::{self, Sketch, exit};
+use oatloom_ctl::jobs::{self, JobOptions, exit};
 use oatloom_ctl::schemas;
-use oatloom_ctl::settings::Local;
-use oatloom_ctl::suite::{self, Findings, Length, Scenario};
+use oatloom_ctl::settings::LocalSettings;
+use oatloom_ctl::suite::{self, Scenario, SuiteLength, SuiteReport};
 use oatloom_ctl::up;
-use oatloom_ctl::usage::{self, Question};
+use oatloom_ctl::usage::{self, UsageQuery};
 use oatloom_logging::Format;
 use oatloom_protocol::ids::JobId;
 use oatloom_web::client::Caller;
@@ -19,27 +21,27 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// Runs a region of oatloom on this machine, submits jobs, and rehearses failures.
+/// Runs an oatloom region on this machine, submits jobs, and rehearses failures.
 #[derive(Parser)]
 #[command(
     name = "oatloomctl",
     version,
     about,
-    after_help = "Status: 0 all is well; 1 refused, not known, or ended otherwise than done; 2 wrongly asked; \
-3 no controller answered in time. LOG_LEVEL sets how much is logged to standard error."
+    after_help = "Exit code: 0 success; 1 request refused, unknown id, or not finished as done; 2 invalid arguments or files; \
+3 no controller answered in time. LOG_LEVEL sets the level of the log on standard error."
 )]
 struct Arguments {
     #[command(subcommand)]
     command: Command,
-    /// How the log looks
+    /// Format of the log
     #[arg(long, value_enum, default_value_t, global = true)]
     log_format: Format,
 }
 
-/// Where the controllers are.
+/// Addresses of the controllers, and the output format.
 #[derive(clap::Args)]
-struct Where {
-    /// Addresses of the controllers, with commas between them
+struct ControllerOptions {
+    /// Addresses of the controllers, separated by commas
     #[arg(
         long,
         global = true,
@@ -48,15 +50,17 @@
         value_name = "ADDRESSES"
     )]
     controllers: Vec<SocketAddr>,
-    /// One line of JSON instead of text
+    /// Print one line of JSON instead of text
     #[arg(long, global = true)]
     json: bool,
 }
 
-impl Where {
+impl ControllerOptions {
     fn addresses(&self) -> Vec<String> {
         if self.controllers.is_empty() {
-            (0..CONTROLLERS as u16).map(|n| format!("127.0.0.1:{}", PORT + n)).collect()
+            (0..CONTROLLER_COUNT as u16)
+                .map(|n| format!("127.0.0.1:{}", FIRST_CONTROLLER_PORT + n))
+                .collect()
         } else {
             self.controllers.iter().map(SocketAddr::to_string).collect()
         }
@@ -67,16 +71,16 @@
 enum Command {
     /// Run a whole region on this machine until Ctrl-C
     Up {
-        /// What the region is like (an S-expression; see deploy/local.lisp)
+        /// Settings of the region (an S-expression; see deploy/local.lisp)
         #[arg(long, value_name = "FILE")]
         file: Option<PathBuf>,
-        /// Where its state and logs are kept; a second start goes on with the same jobs
+        /// Directory of its state and logs; a later start with it continues the same jobs
         #[arg(long, value_name = "DIR", default_value = "region")]
         data: PathBuf,
-        /// The operators' own settings, for all controllers
+        /// Operator settings for all controllers
         #[arg(long, value_name = "FILE")]
         operators: Option<PathBuf>,
-        /// Faults at set times (S-expressions; see docs/rehearsals.md)
+        /// Faults at given times (S-expressions; see docs/rehearsals.md)
         #[arg(long, value_name = "FILE")]
         timetable: Option<PathBuf>,
     },
@@ -84,168 +88,201 @@
     Submit {
         file: Option<PathBuf>,
         #[command(flatten)]
-        sketch: Sketch,
-        /// Follow it until it is over
+        job_options: JobOptions,
+        /// Wait until the job is finished
         #[arg(long)]
         wait: bool,
         #[command(flatten)]
-        at: Where,
-        /// The region's own address, which machines of `up` learn jobs from
+        controllers: ControllerOptions,
+        /// Address of a region started by `up`, whose emulated machines fetch the job from it
         #[arg(long, env = "OATLOOM_REGION", value_name = "ADDRESS")]
         region: Option<SocketAddr>,
     },
-    /// Say how a job is doing
+    /// Print the status of a job
     Status {
         id: String,
         #[command(flatten)]
-        at: Where,
+        controllers: ControllerOptions,
     },
     /// Cancel a job
     Abort {
         id: String,
         #[command(flatten)]
-        at: Where,
+        controllers: ControllerOptions,
     },
-    /// Follow jobs until all are over
+    /// Print status changes of jobs until all are finished
     Watch {
         #[arg(required = true)]
         ids: Vec<String>,
         #[command(flatten)]
-        at: Where,
+        controllers: ControllerOptions,
     },
-    /// Say what was used, by day, team and class, where an account is kept
+    /// Print the recorded usage by day, team and class, if usage accounting is on
     Usage {
         #[command(flatten)]
-        question: Question,
+        query: UsageQuery,
         #[command(flatten)]
-        at: Where,
+        controllers: ControllerOptions,
     },
-    /// Task graphs, where controllers serve them
+    /// Task graphs, if the controllers serve them
     Graph {
         #[command(subcommand)]
         command: graphs::Command,
         #[command(flatten)]
-        at: Where,
+        controllers: ControllerOptions,
     },
-    /// Print the JSON Schemas of what is said over HTTP, or write them to a folder
+    /// Print the JSON Schemas of the HTTP messages, or write them to a directory
     Schema {
-        /// Only this one
+        /// Print only this schema
         name: Option<String>,
         #[arg(long, value_name = "DIR", conflicts_with = "name")]
         write: Option<PathBuf>,
     },
-    /// Begin a fault in a running region, such as "(state-refuse (for 6))"
+    /// Start a fault in a running region, such as "(state-refuse (for 6))"
     Fault {
         fault: String,
         #[arg(long, env = "OATLOOM_REGION", value_name = "ADDRESS")]
         region: Option<SocketAddr>,
     },
-    /// Play mixed work with troubles, and judge every job's answers and the rules
+    /// Run jobs under injected faults, and check the answers of every job and the scheduling rules
     Suite {
-        /// Half a minute instead of minutes
+        /// Run for half a minute instead of minutes
         #[arg(long)]
         quick: bool,
-        /// What jobs and troubles are drawn from
+        /// Seed of the random jobs and faults
         #[arg(long, default_value_t = 1)]
         seed: u64,
         #[arg(long, value_enum, default_value = "mixed")]
         scenario: Scenario,
-        /// Further faults at set times
+        /// Further faults at given times
         #[arg(long, value_name = "FILE")]
         timetable: Option<PathBuf>,
-        /// Where logs are kept; a directory that goes away if left out
+        /// Directory of the logs; a temporary directory if left out
         #[arg(long, value_name = "DIR")]
         data: Option<PathBuf>,
-        /// Write all findings there, as JSON
+        /// Write the report to this file as JSON
         #[arg(long, value_name = "FILE")]
         json: Option<PathBuf>,
     },
 }
 
-/// What went wrong, and the status for it.
-struct Failure(u8, String);
+/// The exit code and message of a failed command.
+struct CommandError(u8, String);
 
-fn wrong(text: impl std::fmt::Display) -> Failure {
-    Failure(exit::WRONG, text.to_string())
+fn usage_error(text: impl std::fmt::Display) -> CommandError {
+    CommandError(exit::USAGE_ERROR, text.to_string())
 }
 
-fn read_file(path: &Path) -> Result<String, Failure> {
+fn read_file(path: &Path) -> Result<String, CommandError> {
     std::fs::read_to_string(path)
-        .map_err(|e| wrong(format!("{}: cannot be read: {e}", path.display())))
+        .map_err(|e| usage_error(format!("{}: cannot be read: {e}", path.display())))
 }
 
-fn job(id: &str) -> Result<JobId, Failure> {
-    JobId::parse(id).ok_or_else(|| wrong(format!("{id}: an id is `req-` and digits")))
+fn parse_job_id(id: &str) -> Result<JobId, CommandError> {
+    JobId::parse(id)
+        .ok_or_else(|| usage_error(format!("{id}: not a job id; an id is `req-` and digits")))
 }
 
-fn own_address(region: Option<SocketAddr>) -> String {
-    region.map_or_else(|| format!("127.0.0.1:{}", PORT + OWN_PORT_BEYOND), |at| at.to_string())
+fn region_address(region: Option<SocketAddr>) -> String {
+    region.map_or_else(
+        || format!("127.0.0.1:{}", FIRST_CONTROLLER_PORT + REGION_PORT_OFFSET),
+        |address| address.to_string(),
+    )
 }
 
-fn run(arguments: Arguments) -> Result<u8, Failure> {
-    let level = match &arguments.command {
+fn run(arguments: Arguments) -> Result<u8, CommandError> {
+    let default_level = match &arguments.command {
         Command::Up { .. } => "info",
         _ => "warn",
     };
-    oatloom_logging::init(level, arguments.log_format).map_err(wrong)?;
+    oatloom_logging::init(default_level, arguments.log_format).map_err(usage_error)?;
     match arguments.command {
         Command::Up { file, data, operators, timetable } => {
             let local = match &file {
-                Some(path) => Local::parse(&read_file(path)?)
-                    .map_err(|e| wrong(format!("{}: {e}", path.display())))?,
-                None => Local::default(),
+                Some(path) => LocalSettings::parse(&read_file(path)?)
+                    .map_err(|e| usage_error(format!("{}: {e}", path.display())))?,
+                None => LocalSettings::default(),
             };
             run_up(local, &data, operators.as_deref(), timetable.as_deref())
         }
-        Command::Submit { file, sketch, wait, at, region } => {
-            let number = std::time::SystemTime::now()
+        Command::Submit { file, job_options, wait, controllers, region } => {
+            let id_number = std::time::SystemTime::now()
                 .duration_since(std::time::UNIX_EPOCH)
                 .map_or(0, |since| since.as_millis() as u64);
-            let spec = match (&file, sketch.spec(number)) {
-                (Some(path), None) => jobs::read(path).map_err(wrong)?,
+            let spec = match (&file, job_options.spec(id_number)) {
+                (Some(path), None) => jobs::read_job(path).map_err(usage_error)?,
                 (None, Some(spec)) => {
-                    spec.check().map_err(wrong)?;
+                    spec.check().map_err(usage_error)?;
                     spec
                 }
-                _ => return Err(wrong("a job is described by a file or by --shape, not by both")),
+                _ => {
+                    return Err(usage_error(
+                        "a job is described by a file or by --shape, not by both",
+                    ));
+                }
             };
-            upload(region, &at, &serde_json::json!(spec));
-            Ok(jobs::submit(&mut Controllers::new(&at.addresses()), spec, wait, at.json))
+            upload_job_to_region(region, &controllers, &serde_json::json!(spec));
+            Ok(jobs::submit(
+                &mut Controllers::new(&controllers.addresses()),
+                spec,
+                wait,
+                controllers.json,
+            ))
+        }
+        Command::Status { id, controllers } => {
+            let request = Wish::View(parse_job_id(&id)?);
+            Ok(jobs::ask(
+                &mut Controllers::new(&controllers.addresses()),
+                &request,
+                controllers.json,
+            ))
         }
-        Command::Status { id, at } => {
-            let wish = Wish::View(job(&id)?);
-            Ok(jobs::ask(&mut Controllers::new(&at.addresses()), &wish, at.json))
+        Command::Abort { id, controllers } => {
+            let request = Wish::Abort(parse_job_id(&id)?);
+            Ok(jobs::ask(
+                &mut Controllers::new(&controllers.addresses()),
+                &request,
+                controllers.json,
+            ))
         }
-        Command::Abort { id, at } => {
-            let wish = Wish::Abort(job(&id)?);
-            Ok(jobs::ask(&mut Controllers::new(&at.addresses()), &wish, at.json))
+        Command::Watch { ids, controllers } => {
+            let ids: Vec<JobId> =
+                ids.iter().map(|id| parse_job_id(id)).collect::<Result<_, _>>()?;
+            Ok(jobs::watch(
+                &mut Controllers::new(&controllers.addresses()),
+                &ids,
+                None,
+                controllers.json,
+            ))
         }
-        Command::Watch { ids, at } => {
-            let ids: Vec<JobId> = ids.iter().map(|id| job(id)).collect::<Result<_, _>>()?;
-            Ok(jobs::watch(&mut Controllers::new(&at.addresses()), &ids, None, at.json))
+        Command::Usage { query, controllers } => {
+            usage::run(&query, &controllers.addresses(), controllers.json)
+                .map_err(|e| CommandError(e.exit_code(), e.to_string()))
+        }
+        Command::Graph { command, controllers } => {
+            graphs::run(&command, &controllers.addresses(), controllers.json)
+                .map_err(|e| CommandError(e.exit_code(), e.to_string()))
         }
-        Command::Usage { question, at } => usage::run(&question, &at.addresses(), at.json)
-            .map_err(|e| Failure(e.status(), e.to_string())),
-        Command::Graph { command, at } => graphs::run(&command, &at.addresses(), at.json)
-            .map_err(|e| Failure(e.status(), e.to_string())),
         Command::Schema { name, write } => print_schemas(name.as_deref(), write.as_deref()),
         Command::Fault { fault, region } => {
-            let address = own_address(region);
+            let address = region_address(region);
             let caller = Caller::new(&address, SUBMIT_TIMEOUT_MS, ANSWER_BYTES);
             match caller.ask("POST", "/faults", fault.as_bytes()) {
                 Some(answer) => {
                     let text = String::from_utf8_lossy(&answer.body).into_owned();
                     if answer.status == 200 {
                         println!("{text}");
-                        return Ok(exit::GOOD);
+                        return Ok(exit::SUCCESS);
                     }
-                    Err(wrong(text))
+                    Err(usage_error(text))
                 }
-                None => Err(wrong(format!("no region answers at {address}"))),
+                None => Err(usage_error(format!(
+                    "no region answers at {address}; start one with `oatloomctl up` or set --region"
+                ))),
             }
         }
         Command::Suite { quick, seed, scenario, timetable, data, json } => {
-            let length = if quick { Length::quick() } else { Length::whole() };
+            let length = if quick { SuiteLength::quick() } else { SuiteLength::full() };
             run_suite(
                 length,
                 seed,
@@ -258,127 +295,137 @@
     }
 }
 
-/// Machines of an emulated region learn a job from its user. A real region has its own way, and no such
-/// address: then nothing is uploaded.
-fn upload(region: Option<SocketAddr>, at: &Where, spec: &serde_json::Value) {
-    if region.is_none() && !at.controllers.is_empty() {
+/// Uploads a job to the region, whose emulated machines fetch it from there. A real region has no such address:
+/// nothing is uploaded if only `--controllers` was given.
+fn upload_job_to_region(
+    region: Option<SocketAddr>,
+    controllers: &ControllerOptions,
+    spec: &serde_json::Value,
+) {
+    if region.is_none() && !controllers.controllers.is_empty() {
         return;
     }
-    let caller = Caller::new(&own_address(region), SUBMIT_TIMEOUT_MS, ANSWER_BYTES);
+    let caller = Caller::new(&region_address(region), SUBMIT_TIMEOUT_MS, ANSWER_BYTES);
     if caller.post("/jobs", spec).is_none() {
-        tracing::debug!("no emulated region was told of the job");
+        tracing::debug!("no emulated region accepted the upload of the job");
     }
 }
 
-fn print_schemas(name: Option<&str>, write: Option<&Path>) -> Result<u8, Failure> {
-    let all = schemas::all();
-    if let Some(folder) = write {
-        for (name, schema) in &all {
-            let path = folder.join(format!("{name}.json"));
+fn print_schemas(name: Option<&str>, write: Option<&Path>) -> Result<u8, CommandError> {
+    let known_schemas = schemas::all();
+    if let Some(directory) = write {
+        for (name, schema) in &known_schemas {
+            let path = directory.join(format!("{name}.json"));
             std::fs::write(&path, schemas::text(schema))
-                .map_err(|e| wrong(format!("{}: {e}", path.display())))?;
+                .map_err(|e| usage_error(format!("{}: {e}", path.display())))?;
         }
-        return Ok(exit::GOOD);
+        return Ok(exit::SUCCESS);
     }
-    let wanted: Vec<_> = all.iter().filter(|(known, _)| name.is_none_or(|n| n == *known)).collect();
-    if wanted.is_empty() {
-        let names: Vec<&str> = all.iter().map(|(name, _)| *name).collect();
-        return Err(wrong(format!("there is no such schema; there are {}", names.join(", "))));
+    let selected: Vec<_> =
+        known_schemas.iter().filter(|(known, _)| name.is_none_or(|n| n == *known)).collect();
+    if selected.is_empty() {
+        let names: Vec<&str> = known_schemas.iter().map(|(name, _)| *name).collect();
+        return Err(usage_error(format!("unknown schema; known schemas are {}", names.join(", "))));
     }
-    for (_, schema) in wanted {
+    for (_, schema) in selected {
         print!("{}", schemas::text(schema));
     }
-    Ok(exit::GOOD)
+    Ok(exit::SUCCESS)
 }
 
 fn run_up(
-    local: Local,
+    local: LocalSettings,
     data: &Path,
     operators: Option<&Path>,
     timetable: Option<&Path>,
-) -> Result<u8, Failure> {
-    let planned = planned(timetable)?;
+) -> Result<u8, CommandError> {
+    let faults = read_faults(timetable)?;
     let stop = Arc::new(AtomicBool::new(false));
-    let asked = stop.clone();
-    ctrlc::set_handler(move || asked.store(true, Ordering::Relaxed)).map_err(wrong)?;
-    up::up(local, data, operators, &planned, &stop, |controllers, own| {
+    let stop_requested = stop.clone();
+    ctrlc::set_handler(move || stop_requested.store(true, Ordering::Relaxed))
+        .map_err(usage_error)?;
+    up::up(local, data, operators, &faults, &stop, |controllers, region| {
         println!("controllers: {}", controllers.join(","));
-        println!("region: {own}");
+        println!("region: {region}");
         println!("logs and state: {}", data.display());
         println!(
-            "Ctrl-C ends it; a second start with the same directory goes on with the same jobs"
+            "Ctrl-C stops the region; a later start with the same directory continues the same jobs"
         );
     })
-    .map_err(wrong)?;
+    .map_err(usage_error)?;
     println!("ended");
-    Ok(exit::GOOD)
+    Ok(exit::SUCCESS)
 }
 
-fn planned(timetable: Option<&Path>) -> Result<Vec<oatloom_emulator::faults::Planned>, Failure> {
+fn read_faults(
+    timetable: Option<&Path>,
+) -> Result<Vec<oatloom_emulator::faults::Planned>, CommandError> {
     let Some(path) = timetable else { return Ok(Vec::new()) };
-    suite::read_timetable(&read_file(path)?).map_err(|e| wrong(format!("{}: {e}", path.display())))
+    suite::parse_timetable(&read_file(path)?)
+        .map_err(|e| usage_error(format!("{}: {e}", path.display())))
 }
 
 fn run_suite(
-    length: Length,
+    length: SuiteLength,
     seed: u64,
     scenario: Scenario,
     timetable: Option<&Path>,
     data: Option<&Path>,
     json: Option<&Path>,
-) -> Result<u8, Failure> {
-    let extra = planned(timetable)?;
-    let passing = tempfile::tempdir().map_err(wrong)?;
-    let home = data.unwrap_or(passing.path());
-    let say = |text: &str| println!("{text}");
-    let findings = suite::play(scenario, seed, length, &extra, home, &say).map_err(wrong)?;
-    print(&findings);
+) -> Result<u8, CommandError> {
+    let extra_faults = read_faults(timetable)?;
+    let temporary_directory = tempfile::tempdir().map_err(usage_error)?;
+    let data_directory = data.unwrap_or(temporary_directory.path());
+    let print_line = |text: &str| println!("{text}");
+    let report = suite::run(scenario, seed, length, &extra_faults, data_directory, &print_line)
+        .map_err(usage_error)?;
+    print_report(&report);
     if let Some(path) = json {
-        let text = serde_json::to_string_pretty(&findings).map_err(wrong)?;
-        std::fs::write(path, text).map_err(|e| wrong(format!("{}: {e}", path.display())))?;
+        let text = serde_json::to_string_pretty(&report).map_err(usage_error)?;
+        std::fs::write(path, text).map_err(|e| usage_error(format!("{}: {e}", path.display())))?;
     }
-    Ok(if findings.good() { exit::GOOD } else { exit::BAD })
+    Ok(if report.is_passed() { exit::SUCCESS } else { exit::FAILURE })
 }
 
-fn print(findings: &Findings) {
-    for job in &findings.jobs {
-        let heard: Vec<String> = job
+fn print_report(report: &SuiteReport) {
+    for job in &report.jobs {
+        let answers: Vec<String> = job
             .answers
             .iter()
-            .map(|h| format!("{:.1} s {}", h.at_ms as f64 / 1_000.0, h.status))
+            .map(|answer| format!("{:.1} s {}", answer.at_ms as f64 / 1_000.0, answer.status))
             .collect();
-        let verdict = if job.exactly_one { "" } else { "  NOT EXACTLY ONE FINAL ANSWER" };
+        let note = if job.exactly_one { "" } else { "  NOT EXACTLY ONE FINAL ANSWER" };
         println!(
-            "{} {} of {}: {}; in the end {}{verdict}",
+            "{} {} of {}: {}; in the end {}{note}",
             job.job,
             job.shape,
             job.tasks,
-            if heard.is_empty() { "never answered".to_owned() } else { heard.join(", ") },
+            if answers.is_empty() { "never answered".to_owned() } else { answers.join(", ") },
             job.finals.join(", ")
         );
     }
-    for rule in &findings.rules_broken {
+    for rule in &report.rules_broken {
         println!("rule broken: {rule}");
     }
-    let first =
-        findings.first_final_ms.map_or("none".into(), |ms| format!("{:.1} s", ms as f64 / 1e3));
+    let first_final =
+        report.first_final_ms.map_or("none".into(), |ms| format!("{:.1} s", ms as f64 / 1e3));
     println!(
-        "{} starts, {} restarts, at most {} MB in a controller; after the troubles: first final answer {first}, last {:.1} s",
-        findings.starts,
-        findings.restarts,
-        findings.controller_memory_mb,
-        findings.settled_ms as f64 / 1e3
+        "{} starts, {} restarts, at most {} MB in a controller; after the faults: first final answer {first_final}, last {:.1} s",
+        report.starts,
+        report.restarts,
+        report.controller_memory_mb,
+        report.settled_ms as f64 / 1e3
     );
-    println!("{}", findings.line());
+    println!("{}", report.summary());
 }
 
 fn main() -> ExitCode {
     match run(Arguments::parse()) {
-        Ok(status) => ExitCode::from(status),
-        Err(Failure(status, text)) => {
-            let line = text.split_whitespace().collect::<Vec<_>>().join(" ");
-            eprintln!("oatloomctl: {line}");
-            ExitCode::from(status)
+        Ok(exit_code) => ExitCode::from(exit_code),
+        Err(CommandError(exit_code, text)) => {
+            let message = text.split_whitespace().collect::<Vec<_>>().join(" ");
+            eprintln!("oatloomctl: {message}");
+            ExitCode::from(exit_code)
         }
     }
 }
--- a/crates/ctl/src/schemas.rs
+++ b/crates/ctl/src/schemas.rs
@@ -1,4 +1,4 @@
-//! JSON Schemas of what is said over HTTP, made from the types that read and write it.
+//! JSON Schemas of the HTTP messages, derived from the types that read and write them.
 
 use oatloom_core::operators::OperatorSettings;
 use oatloom_graph::answers::{GraphView, JobNodes, SessionView};
@@ -11,35 +11,35 @@
 use schemars::generate::SchemaSettings;
 use schemars::{JsonSchema, Schema};
 
-fn of<T: JsonSchema>() -> Schema {
+fn schema_of<T: JsonSchema>() -> Schema {
     SchemaSettings::draft2020_12().into_generator().into_root_schema_for::<T>()
 }
 
-/// Every schema by its name.
+/// All schemas with their names.
 pub fn all() -> Vec<(&'static str, Schema)> {
     vec![
-        ("submission", of::<JobSpec>()),
-        ("job", of::<JobView>()),
-        ("usage", of::<UsagePage>()),
-        ("operators", of::<OperatorSettings>()),
-        ("session-open", of::<OpenSession>()),
-        ("session", of::<SessionView>()),
-        ("graph-create", of::<CreateGraph>()),
-        ("graph-nodes", of::<AddNodes>()),
-        ("graph", of::<GraphView>()),
-        ("graph-job", of::<JobNodes>()),
-        ("report", of::<Report>()),
-        ("report-answer", of::<ReportAnswer>()),
-        ("command", of::<Command>()),
-        ("redirect", of::<Redirect>()),
-        ("catalog", of::<Catalog>()),
-        ("hire", of::<HireRequest>()),
-        ("hosts", of::<Hosts>()),
-        ("machines", of::<MachineList>()),
+        ("submission", schema_of::<JobSpec>()),
+        ("job", schema_of::<JobView>()),
+        ("usage", schema_of::<UsagePage>()),
+        ("operators", schema_of::<OperatorSettings>()),
+        ("session-open", schema_of::<OpenSession>()),
+        ("session", schema_of::<SessionView>()),
+        ("graph-create", schema_of::<CreateGraph>()),
+        ("graph-nodes", schema_of::<AddNodes>()),
+        ("graph", schema_of::<GraphView>()),
+        ("graph-job", schema_of::<JobNodes>()),
+        ("report", schema_of::<Report>()),
+        ("report-answer", schema_of::<ReportAnswer>()),
+        ("command", schema_of::<Command>()),
+        ("redirect", schema_of::<Redirect>()),
+        ("catalog", schema_of::<Catalog>()),
+        ("hire", schema_of::<HireRequest>()),
+        ("hosts", schema_of::<Hosts>()),
+        ("machines", schema_of::<MachineList>()),
     ]
 }
 
-/// A schema as it is published.
+/// A schema in its published form: indented JSON with a final newline.
 pub fn text(schema: &Schema) -> String {
     serde_json::to_string_pretty(schema).unwrap_or_default() + "\n"
 }
@@ -54,33 +54,33 @@
         jsonschema::validator_for(schema.as_value()).expect("a schema")
     }
 
-    /// What stands under docs/schemas is what the types say. `oatloomctl schema --write docs/schemas` renews it.
+    /// The files under docs/schemas match the types. `oatloomctl schema --write docs/schemas` updates them.
     #[test]
-    fn the_published_schemas_are_those_of_the_types() {
+    fn published_schemas_match_the_types() {
         let folder = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/schemas");
         for (name, schema) in all() {
             let path = folder.join(format!("{name}.json"));
             let published = std::fs::read_to_string(&path).unwrap_or_default();
-            assert!(published == text(&schema), "{}: is not as the types have it", path.display());
+            assert!(published == text(&schema), "{}: differs from the types", path.display());
         }
         let files = std::fs::read_dir(&folder).expect("a folder").count();
-        assert_eq!(files, all().len(), "a schema of nothing");
+        assert_eq!(files, all().len(), "docs/schemas has a file without a type");
     }
 
-    /// What the operators' settings take in their JSON form is valid, and what they refuse is not.
+    /// The schema of the operator settings accepts and refuses the same JSON as the settings themselves.
     #[test]
-    fn the_operators_settings_are_as_their_schema_says() {
+    fn operator_settings_match_their_schema() {
         let schema = validator("operators");
-        let whole = json!({"log-level":"info","tick-ms":500,"beta":0.9,"max-cores":0.0,"silent-reports":3.5,
+        let all_settings = json!({"log-level":"info","tick-ms":500,"beta":0.9,"max-cores":0.0,"silent-reports":3.5,
             "idle-keep-ms":10000,"ledger":true,"ledger-every-ms":30000,"classes":[
                 {"class":[{"name":["quick"]},{"repeats":[3]},{"on-exhausted":["finish-rest"]}]},
                 {"default":[{"repeats":[5]}]}]});
-        let takes = |value: &Value| {
+        let is_accepted = |value: &Value| {
             serde_json::from_value::<OperatorSettings>(value.clone())
                 .is_ok_and(|read| read.check().is_ok())
         };
-        assert!(takes(&whole) && schema.is_valid(&whole));
-        assert!(takes(&json!({})) && schema.is_valid(&json!({})));
+        assert!(is_accepted(&all_settings) && schema.is_valid(&all_settings));
+        assert!(is_accepted(&json!({})) && schema.is_valid(&json!({})));
         for (field, value) in [
             ("tick-ms", json!(5)),
             ("beta", json!(1.0)),
@@ -93,15 +93,15 @@
             ("classes", json!([{"klass":[]}])),
             ("classes", json!([{"class":[{"repeats":["many"]}]}])),
         ] {
-            let mut bad = whole.clone();
-            bad[field] = value;
-            assert!(!takes(&bad) && !schema.is_valid(&bad), "{bad}");
+            let mut invalid = all_settings.clone();
+            invalid[field] = value;
+            assert!(!is_accepted(&invalid) && !schema.is_valid(&invalid), "{invalid}");
         }
     }
 
-    /// The protocol's own examples are valid, and what its readers refuse is not.
+    /// Examples of the protocol are valid, and a submission that is refused is invalid by its schema too.
     #[test]
-    fn the_protocols_examples_are_valid() {
+    fn protocol_examples_are_valid() {
         let submission = json!({"nameId":"req-000412","jobclass":"train","owner":"vision","shape":"group",
             "rank":"high","shards":16,"cpus":8.0,"gpus":1.0,"memoryGb":64.0,"bundle":"img-07","pullGb":6.2,
             "flavors":["g8"],"yard":null,"samePlace":true,"spread":false,"loaners":true,"expectS":240.0,
@@ -147,7 +147,7 @@
             let found = validator(name).validate(&example).map_err(|e| e.to_string());
             assert_eq!(found, Ok(()), "{name}: {example}");
         }
-        let bad = |field: &str, value: Value| {
+        let assert_refused = |field: &str, value: Value| {
             let mut spec = submission.clone();
             spec[field] = value;
             let read = serde_json::from_value::<JobSpec>(spec.clone());
@@ -166,7 +166,7 @@
             ("dueS", json!(-3.0)),
             ("samePlace", json!(null)),
         ] {
-            bad(field, value);
+            assert_refused(field, value);
         }
     }
 }
--- a/crates/ctl/src/settings.rs
+++ b/crates/ctl/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a region on one machine is like: sizes, times and limits, as an S-expression.
+//! Settings of a region on one machine: sizes, times and limits, read from an S-expression.
 
 use crate::constants::*;
 use oatloom_protocol::ids::{Member, Zone};
@@ -7,13 +7,13 @@
 use serde::Deserialize;
 use std::fmt::Write;
 
-/// Every field has a default; unknown ones are refused.
+/// Settings of a region. Every field has a default; unknown fields are refused.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
-pub struct Local {
-    /// Port of the first controller; 0: any that is free.
+pub struct LocalSettings {
+    /// Port of the first controller; 0: any free ports.
     pub port: u16,
-    /// Machines of one kind that a zone has.
+    /// Machines of each kind that a zone has.
     pub machines: u32,
     pub cpus: f64,
     pub gpus: f64,
@@ -25,22 +25,22 @@
     pub gang_wait_s: f64,
     pub gang_peer_s: f64,
     pub list_lag_s: f64,
-    /// Within how many seconds users want jobs of class `quick` done, and those of `slow` in twice that:
-    /// without such an aim an array may take ten minutes, and no machine is rented for its haste.
+    /// Objective for the run time of jobs of class `quick`, in seconds; twice that for class `slow`. Without an
+    /// objective an array may take ten minutes, and no machine is rented to finish it sooner.
     pub finish_s: f64,
-    /// Requests and changes a second that the state service takes.
+    /// Requests and writes per second that the state service accepts.
     pub state_rps: f64,
     pub write_rps: f64,
     /// Names of the teams; the first has a limit on its GPUs.
     pub teams: Vec<String>,
-    /// Most GPUs that the first team may use; 0: no limit.
+    /// Maximum number of GPUs that the first team may use; 0: no limit.
     pub gpus_max: f64,
 }
 
-impl Default for Local {
+impl Default for LocalSettings {
     fn default() -> Self {
         Self {
-            port: PORT,
+            port: FIRST_CONTROLLER_PORT,
             machines: 4,
             cpus: 32.0,
             gpus: 4.0,
@@ -61,30 +61,30 @@
     }
 }
 
-/// Zones, one for each controller.
-pub const ZONES: [&str; CONTROLLERS] = ["a", "b", "c"];
+/// The zone of each controller.
+pub const ZONES: [&str; CONTROLLER_COUNT] = ["a", "b", "c"];
 
 /// The name of a controller.
-pub fn member(controller: usize) -> Member {
+pub fn controller_name(controller: usize) -> Member {
     Member::new(&format!("loomer-{controller}"))
 }
 
-/// Addresses that a controller's settings name.
+/// Addresses in the settings of a controller.
 #[derive(Clone, Debug)]
 pub struct Addresses {
     pub serve: String,
-    /// Where it listens for the others, and where it reaches each of them, by number.
+    /// Its listening address for other controllers, and the address of each of them by index.
     pub mesh: String,
     pub peers: Vec<String>,
     pub state: String,
     pub cloud: String,
 }
 
-impl Local {
+impl LocalSettings {
     /// Reads and checks an S-expression.
     ///
     /// # Errors
-    /// It cannot be read, names an unknown field, or a value is out of its range.
+    /// The text is not an S-expression, names an unknown field, or a value is out of its range.
     pub fn parse(text: &str) -> Result<Self, InvalidField> {
         let local: Self = serde_lexpr::from_str(text)
             .map_err(|e| InvalidField::new("the region's file", &e.to_string()))?;
@@ -110,9 +110,9 @@
             ("write-rps", self.write_rps, 20.0, 100_000.0),
             ("gpus-max", self.gpus_max, 0.0, 100_000.0),
         ];
-        for (name, value, least, most) in ranges {
-            if !(least..=most).contains(&value) {
-                return Err(InvalidField::new(name, &format!("must be from {least} to {most}")));
+        for (name, value, min, max) in ranges {
+            if !(min..=max).contains(&value) {
+                return Err(InvalidField::new(name, &format!("must be from {min} to {max}")));
             }
         }
         if self.lease_s + 2.0 * self.report_s > self.cancel_s {
@@ -121,8 +121,8 @@
         if self.port > 65_000 {
             return Err(InvalidField::new("port", "must be at most 65000"));
         }
-        let plain = |t: &String| t.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-');
-        if self.teams.is_empty() || !self.teams.iter().all(plain) {
+        let is_plain = |t: &String| t.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-');
+        if self.teams.is_empty() || !self.teams.iter().all(is_plain) {
             return Err(InvalidField::new("teams", "must be names of letters, digits and dashes"));
         }
         Ok(())
@@ -145,20 +145,22 @@
         vec![flavor("whole", 1.0), flavor("half", 0.5)]
     }
 
-    /// A controller's settings file.
-    pub fn controller(&self, at: usize, all: &[Addresses]) -> String {
+    /// The settings file of a controller.
+    pub fn controller_settings(&self, index: usize, addresses: &[Addresses]) -> String {
         let mut text = format!(
             "member = \"{}\"\nlocation = \"{}\"\nserve_on = \"{}\"\nmesh_addr = \"{}\"\n",
-            member(at),
-            ZONES[at],
-            all[at].serve,
-            all[at].mesh
+            controller_name(index),
+            ZONES[index],
+            addresses[index].serve,
+            addresses[index].mesh
         );
-        for (peer, address) in all[at].peers.iter().enumerate().filter(|(peer, _)| *peer != at) {
+        for (peer, address) in
+            addresses[index].peers.iter().enumerate().filter(|(peer, _)| *peer != index)
+        {
             let _ = write!(
                 text,
                 "\n[[peers]]\nmember = \"{}\"\nlocation = \"{}\"\npeer_addr = \"{}\"\n",
-                member(peer),
+                controller_name(peer),
                 ZONES[peer],
                 address
             );
@@ -167,11 +169,11 @@
             text,
             "\n[endpoints]\ncloud = \"{}\"\nstate = \"{}\"\n\n[facts]\nzones = {ZONES:?}\n\
              clock_off_ms = 25.0\n",
-            all[at].cloud, all[at].state
+            addresses[index].cloud, addresses[index].state
         );
-        for (n, team) in self.teams.iter().enumerate() {
-            let most = if n == 0 { self.gpus_max } else { 0.0 };
-            let _ = write!(text, "\n[[facts.teams]]\nname = \"{team}\"\ngpus_max = {most:?}\n");
+        for (team_index, team) in self.teams.iter().enumerate() {
+            let gpus_max = if team_index == 0 { self.gpus_max } else { 0.0 };
+            let _ = write!(text, "\n[[facts.teams]]\nname = \"{team}\"\ngpus_max = {gpus_max:?}\n");
         }
         let _ = write!(
             text,
@@ -196,8 +198,8 @@
         text
     }
 
-    /// The state service's settings file.
-    pub fn state(&self) -> String {
+    /// The settings file of the state service.
+    pub fn state_settings(&self) -> String {
         format!("((rps . {:?}) (write-rps . {:?}))\n", self.state_rps, self.write_rps)
     }
 }
@@ -206,11 +208,11 @@
 mod tests {
     use super::*;
 
-    /// The shipped file says what the defaults are, and mistakes are named.
+    /// `deploy/local.lisp` has the default values, and an error names the field that is invalid.
     #[test]
     fn the_shipped_file_is_the_default() {
         let shipped = include_str!("../../../deploy/local.lisp");
-        assert_eq!(Local::parse(shipped).unwrap(), Local::default());
+        assert_eq!(LocalSettings::parse(shipped).unwrap(), LocalSettings::default());
         for (text, field) in [
             ("((lease-s . 1))", "lease-s"),
             ("((cancel-s . 11))", "cancel-s"),
@@ -218,8 +220,8 @@
             ("((teams . (\"a b\")))", "teams"),
             ("((novel . 1))", "novel"),
         ] {
-            let said = Local::parse(text).unwrap_err().to_string();
-            assert!(said.contains(field) && !said.contains('\n'), "{said}");
+            let message = LocalSettings::parse(text).unwrap_err().to_string();
+            assert!(message.contains(field) && !message.contains('\n'), "{message}");
         }
     }
 }
--- a/crates/ctl/src/suite.rs
+++ b/crates/ctl/src/suite.rs
@@ -1,11 +1,11 @@
-//! The one-machine suite: mixed work with troubles from a seed, then for every job its answers in order and
-//! whether every controller gives the same single final one. The rules are judged by what the emulated machines
-//! saw.
+//! The failure rehearsal on one machine: jobs and injected faults drawn from a seed. The report lists the answers
+//! that each job's user received, in order, and whether all controllers agree on a single final answer. The
+//! scheduling rules are checked against what the emulated machines observed.
 
 use crate::constants::*;
-use crate::launch::{LaunchError, Running};
-use crate::settings::{Local, ZONES};
-use crate::usage::Question;
+use crate::launch::{LaunchError, RunningRegion};
+use crate::settings::{LocalSettings, ZONES};
+use crate::usage::UsageQuery;
 use oatloom_client::users::{Controllers, Told, Wish, judge};
 use oatloom_emulator::faults::{Fault, Planned, Service, Trouble};
 use oatloom_emulator::timetable;
@@ -23,111 +23,113 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// What is rehearsed.
+/// The kind of faults that a rehearsal injects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum Scenario {
-    /// Troubles of all kinds, drawn from the seed
+    /// Faults of all kinds, drawn from the seed
     Mixed,
-    /// The state service restarts while gangs are half placed
+    /// The state service restarts while gangs are partly placed
     Gangs,
-    /// Hires are late or their answers lost, and the leader changes meanwhile
+    /// Answers to hire requests are late or lost while the leader changes
     Hires,
-    /// Replies of the state service are lost, it restarts, then the controllers are killed
+    /// Replies of the state service are lost, it restarts, then controllers are killed
     Replies,
-    /// The cloud refuses for long
+    /// The cloud refuses requests during a long outage
     Night,
-    /// The state service refuses for long
+    /// The state service refuses requests during a long outage
     Pause,
-    /// All controllers are killed again and again, and one is started with wrong settings
+    /// All controllers are killed repeatedly, and one is started with invalid settings
     Killed,
-    /// Controllers end without end, one, two in turn, or all, and are back within a fraction of a second
+    /// Controllers crash at a high rate (one, two in turn, or all) and restart within a second
     Restless,
-    /// Users ask eight times as often, some jobs were submitted with a mistake, and controllers are killed meanwhile
+    /// Users poll eight times as often, some submitted jobs are invalid, and controllers are killed meanwhile
     Asked,
 }
 
-/// How long it goes on.
+/// Number of jobs and faults in a rehearsal, and the duration of its phases.
 #[derive(Clone, Copy, Debug)]
-pub struct Length {
+pub struct SuiteLength {
     pub jobs: u64,
-    pub troubled_ms: u64,
-    pub calm_ms: u64,
-    pub troubles: u64,
-    /// Span of one long outage.
+    pub fault_phase_ms: u64,
+    pub recovery_phase_ms: u64,
+    pub faults: u64,
+    /// Duration of the outage in the scenarios `night` and `pause`.
     pub outage_s: u64,
     pub kills: u64,
 }
 
-impl Length {
-    pub fn whole() -> Self {
+impl SuiteLength {
+    /// A run of about three minutes.
+    pub fn full() -> Self {
         Self {
-            jobs: JOBS,
-            troubled_ms: TROUBLED_MS,
-            calm_ms: CALM_MS,
-            troubles: TROUBLES,
+            jobs: JOB_COUNT,
+            fault_phase_ms: FAULT_PHASE_MS,
+            recovery_phase_ms: RECOVERY_PHASE_MS,
+            faults: FAULT_COUNT,
             outage_s: 60,
             kills: 20,
         }
     }
 
+    /// A run of less than a minute.
     pub fn quick() -> Self {
         Self {
-            jobs: QUICK_JOBS,
-            troubled_ms: QUICK_TROUBLED_MS,
-            calm_ms: QUICK_CALM_MS,
-            troubles: QUICK_TROUBLES,
+            jobs: QUICK_JOB_COUNT,
+            fault_phase_ms: QUICK_FAULT_PHASE_MS,
+            recovery_phase_ms: QUICK_RECOVERY_PHASE_MS,
+            faults: QUICK_FAULT_COUNT,
             outage_s: 10,
             kills: 4,
         }
     }
 }
 
-/// What was heard of a job, and when.
+/// A change of the job status that a user received.
 #[derive(Clone, Debug, Serialize)]
-pub struct Heard {
+pub struct StatusChange {
     pub at_ms: u64,
     pub status: String,
 }
 
-/// What became of a job.
+/// The result of a job.
 #[derive(Clone, Debug, Serialize)]
-pub struct Outcome {
+pub struct JobOutcome {
     pub job: String,
     pub shape: String,
     pub tasks: u32,
     pub accepted: bool,
-    /// Answers in order, each state once.
-    pub answers: Vec<Heard>,
-    /// The final answer of each controller.
+    /// Answers in order; repeats of the same status are left out.
+    pub answers: Vec<StatusChange>,
+    /// The status that each controller reports at the end.
     pub finals: Vec<String>,
     pub exactly_one: bool,
 }
 
-/// What the suite has found.
+/// The result of a rehearsal.
 #[derive(Debug, Serialize)]
-pub struct Findings {
+pub struct SuiteReport {
     pub scenario: String,
     pub seed: u64,
-    pub jobs: Vec<Outcome>,
+    pub jobs: Vec<JobOutcome>,
     pub without_exactly_one: usize,
     pub rules_broken: Vec<String>,
-    /// From the end of the last trouble to the last final answer, in milliseconds.
+    /// From the end of the fault phase to the last final answer, in milliseconds.
     pub settled_ms: u64,
-    /// From the end of the last trouble to the first final answer after it.
+    /// From the end of the fault phase to the first final answer after it, in milliseconds.
     pub first_final_ms: Option<u64>,
     pub starts: usize,
     pub controller_memory_mb: f64,
     pub restarts: u32,
 }
 
-impl Findings {
-    /// Whether nothing is to be complained of.
-    pub fn good(&self) -> bool {
+impl SuiteReport {
+    /// Whether every job has exactly one final answer and no rule was violated.
+    pub fn is_passed(&self) -> bool {
         self.without_exactly_one == 0 && self.rules_broken.is_empty()
     }
 
-    /// The last line of the suite.
-    pub fn line(&self) -> String {
+    /// The summary that is printed last.
+    pub fn summary(&self) -> String {
         format!(
             "jobs {}, without exactly one final answer {}, rules broken {}",
             self.jobs.len(),
@@ -137,23 +139,34 @@
     }
 }
 
-/// What a job's user does.
+/// A job and what its user does.
 #[derive(Clone)]
 struct Plan {
     spec: JobSpec,
-    at: u64,
+    submit_at: u64,
     abort_at: Option<u64>,
-    /// It cannot be accepted: its final answer is the refusal.
-    senseless: bool,
-    /// Its tasks fail by their own doing.
-    broken: Option<Broken>,
+    /// The job cannot be accepted: the refusal is its final answer.
+    invalid: bool,
+    /// How its tasks fail by themselves, without an injected fault.
+    failure_mode: Option<Broken>,
 }
 
-fn plans(local: &Local, scenario: Scenario, length: &Length, rng: &mut ChaCha8Rng) -> Vec<Plan> {
-    (0..length.jobs).map(|n| plan(local, scenario, length, n, rng)).collect()
+fn draw_plans(
+    local: &LocalSettings,
+    scenario: Scenario,
+    length: &SuiteLength,
+    rng: &mut ChaCha8Rng,
+) -> Vec<Plan> {
+    (0..length.jobs).map(|n| draw_plan(local, scenario, length, n, rng)).collect()
 }
 
-fn plan(local: &Local, scenario: Scenario, length: &Length, n: u64, rng: &mut ChaCha8Rng) -> Plan {
+fn draw_plan(
+    local: &LocalSettings,
+    scenario: Scenario,
+    length: &SuiteLength,
+    index: u64,
+    rng: &mut ChaCha8Rng,
+) -> Plan {
     let shape = match (scenario, rng.random_range(0..10)) {
         (Scenario::Gangs, 0..8) => Shape::Gang,
         (_, 0..5) => Shape::Array,
@@ -165,19 +178,19 @@
         Shape::Gang => rng.random_range(1..5),
         Shape::Service => rng.random_range(1..4),
     };
-    let senseless = n % 12 == 11;
-    let (one_zone, saves) = (rng.random_bool(0.25), rng.random_bool(0.4));
+    let invalid = index % 12 == 11;
+    let (one_zone, has_checkpoints) = (rng.random_bool(0.25), rng.random_bool(0.4));
     let zone = rng.random_bool(0.15).then(|| Zone::new(ZONES[rng.random_range(0..ZONES.len())]));
     let ranks = [Rank::Low, Rank::Standard, Rank::High, Rank::Critical];
     let spec = JobSpec {
-        id: JobId::new(&format!("req-{:08}", rng.random_range(0..90_000) * 1_000 + n)),
+        id: JobId::new(&format!("req-{:08}", rng.random_range(0..90_000) * 1_000 + index)),
         class: if rng.random_bool(0.5) { "quick" } else { "slow" }.into(),
         team: local.teams.choose(rng).cloned().unwrap_or_default(),
         shape,
         rank: ranks.choose(rng).copied().unwrap_or(Rank::Standard),
         tasks,
         cpus: 2.0,
-        gpus: if senseless { 1_000.0 } else { f64::from(rng.random_range(0..3u32)) },
+        gpus: if invalid { 1_000.0 } else { f64::from(rng.random_range(0..3u32)) },
         memory_gb: 8.0,
         image: format!("img-{}", rng.random_range(0..4)),
         image_gb: 2.0,
@@ -187,64 +200,72 @@
         zone,
         spot: shape != Shape::Service && rng.random_bool(0.6),
         estimate_s: if shape == Shape::Service { 0.0 } else { rng.random_range(0.5..4.0) },
-        checkpoint_s: if saves { 1.0 } else { 0.0 },
-        save_s: if saves { 0.5 } else { 0.0 },
+        checkpoint_s: if has_checkpoints { 1.0 } else { 0.0 },
+        save_s: if has_checkpoints { 0.5 } else { 0.0 },
         deadline_s: rng.random_bool(0.3).then_some(60.0),
         dependencies: Vec::new(),
     };
-    let last = length.troubled_ms;
-    let at = rng.random_range(200..last * 3 / 4);
-    let aborts = shape == Shape::Service || rng.random_bool(0.15);
-    let abort_at = aborts.then(|| rng.random_range(at + 500..last + 1_000));
-    // A gang has to find room for each of its tries: more than a quick suite has time for, after its troubles.
-    let in_time = shape == Shape::Array || length.calm_ms > QUICK_CALM_MS;
-    let broken =
-        (n % BROKEN_EVERY == 3 && in_time && !senseless).then(|| match rng.random_range(0..3) {
-            0 => Broken::Always,
-            1 => Broken::Task(0),
-            _ => Broken::Often(0.4),
+    let fault_phase_end = length.fault_phase_ms;
+    let submit_at = rng.random_range(200..fault_phase_end * 3 / 4);
+    let is_aborted = shape == Shape::Service || rng.random_bool(0.15);
+    let abort_at = is_aborted.then(|| rng.random_range(submit_at + 500..fault_phase_end + 1_000));
+    // Each attempt of a gang needs free machines for all its tasks; the recovery
+    // phase of a quick run is too short for its retries.
+    let has_time_to_fail =
+        shape == Shape::Array || length.recovery_phase_ms > QUICK_RECOVERY_PHASE_MS;
+    let failure_mode =
+        (index % FAILING_JOB_INTERVAL == 3 && has_time_to_fail && !invalid).then(|| {
+            match rng.random_range(0..3) {
+                0 => Broken::Always,
+                1 => Broken::Task(0),
+                _ => Broken::Often(0.4),
+            }
         });
-    // What fails needs time for its repeats, and for the verdict.
-    let at = if broken.is_some() { at / 3 } else { at };
-    Plan { spec, at, abort_at, senseless, broken }
+    // A failing job needs time for its retries and the final status.
+    let submit_at = if failure_mode.is_some() { submit_at / 3 } else { submit_at };
+    Plan { spec, submit_at, abort_at, invalid, failure_mode }
 }
 
-/// The troubles of a scenario, in order of time.
-fn troubles(scenario: Scenario, length: &Length, rng: &mut ChaCha8Rng) -> Vec<Planned> {
-    let end = length.troubled_ms;
-    let mut list = Vec::new();
+/// The faults of a scenario, ordered by start time.
+fn draw_faults(scenario: Scenario, length: &SuiteLength, rng: &mut ChaCha8Rng) -> Vec<Planned> {
+    let fault_phase_end = length.fault_phase_ms;
+    let mut faults = Vec::new();
     let mut add = |at: u64, span: u64, fault: Fault| {
-        list.push(Planned { at, until: (at + span).min(end), fault });
+        faults.push(Planned { at, until: (at + span).min(fault_phase_end), fault });
     };
-    let state = |trouble| Fault::At { service: Service::State, trouble, controller: None };
-    let cloud = |trouble| Fault::At { service: Service::Cloud, trouble, controller: None };
+    let state_fault = |trouble| Fault::At { service: Service::State, trouble, controller: None };
+    let cloud_fault = |trouble| Fault::At { service: Service::Cloud, trouble, controller: None };
     match scenario {
         Scenario::Mixed => {
-            for _ in 0..length.troubles {
-                let at = rng.random_range(1_000..end - 4_000);
-                add(at, rng.random_range(1_000..7_000), drawn(rng));
+            for _ in 0..length.faults {
+                let at = rng.random_range(1_000..fault_phase_end - 4_000);
+                add(at, rng.random_range(1_000..7_000), random_fault(rng));
             }
         }
         Scenario::Gangs => {
             for n in 0..length.kills * 2 {
-                add(1_500 + n * (end - 3_000) / (length.kills * 2), 0, Fault::RestartState);
+                add(
+                    1_500 + n * (fault_phase_end - 3_000) / (length.kills * 2),
+                    0,
+                    Fault::RestartState,
+                );
             }
         }
         Scenario::Hires => {
-            add(0, end * 3 / 4, cloud(Trouble::Late(0.3, 4_000)));
-            add(0, end * 3 / 4, cloud(Trouble::Lose(0.4)));
+            add(0, fault_phase_end * 3 / 4, cloud_fault(Trouble::Late(0.3, 4_000)));
+            add(0, fault_phase_end * 3 / 4, cloud_fault(Trouble::Lose(0.4)));
             for n in 0..length.kills {
                 add(
-                    2_500 + n * (end - 4_000) / length.kills,
+                    2_500 + n * (fault_phase_end - 4_000) / length.kills,
                     0,
-                    Fault::CrashController(n as usize % CONTROLLERS, None),
+                    Fault::CrashController(n as usize % CONTROLLER_COUNT, None),
                 );
             }
         }
         Scenario::Replies => {
             for n in 0..length.kills {
-                let at = 2_000 + n * (end - 4_000) / length.kills;
-                add(at, 400, state(Trouble::Lose(1.0)));
+                let at = 2_000 + n * (fault_phase_end - 4_000) / length.kills;
+                add(at, 400, state_fault(Trouble::Lose(1.0)));
                 add(at + 300, 0, Fault::RestartState);
                 add(
                     at + 400,
@@ -252,67 +273,68 @@
                     if n % 2 == 0 {
                         Fault::CrashAll(None)
                     } else {
-                        Fault::CrashController(n as usize % CONTROLLERS, None)
+                        Fault::CrashController(n as usize % CONTROLLER_COUNT, None)
                     },
                 );
             }
         }
-        Scenario::Night => add(1_500, length.outage_s * 1_000, cloud(Trouble::Refuse)),
-        Scenario::Pause => add(5_000, length.outage_s * 1_000, state(Trouble::Refuse)),
+        Scenario::Night => add(1_500, length.outage_s * 1_000, cloud_fault(Trouble::Refuse)),
+        Scenario::Pause => add(5_000, length.outage_s * 1_000, state_fault(Trouble::Refuse)),
         Scenario::Restless => {
-            let kills = length.kills * RESTLESS_KILLS;
+            let kills = length.kills * RESTLESS_KILL_FACTOR;
             for n in 0..kills {
-                let back = Some(Millis(rng.random_range(0..1_000)));
+                let restart_delay = Some(Millis(rng.random_range(0..1_000)));
                 let fault = match n * 3 / kills {
-                    0 => Fault::CrashController(0, back),
-                    1 => Fault::CrashController(n as usize % 2, back),
-                    _ => Fault::CrashAll(back),
+                    0 => Fault::CrashController(0, restart_delay),
+                    1 => Fault::CrashController(n as usize % 2, restart_delay),
+                    _ => Fault::CrashAll(restart_delay),
                 };
-                add(2_000 + n * (end - 4_000) / kills, 0, fault);
+                add(2_000 + n * (fault_phase_end - 4_000) / kills, 0, fault);
             }
         }
         Scenario::Asked => {
             for n in 0..length.kills {
-                let fault = Fault::CrashController(n as usize % CONTROLLERS, Some(Millis(300)));
-                add(2_000 + n * (end - 4_000) / length.kills, 0, fault);
+                let fault =
+                    Fault::CrashController(n as usize % CONTROLLER_COUNT, Some(Millis(300)));
+                add(2_000 + n * (fault_phase_end - 4_000) / length.kills, 0, fault);
             }
         }
         Scenario::Killed => {
             for n in 0..length.kills {
-                add(2_000 + n * (end - 4_000) / length.kills, 0, Fault::CrashAll(None));
+                add(2_000 + n * (fault_phase_end - 4_000) / length.kills, 0, Fault::CrashAll(None));
             }
         }
     }
-    list.sort_by_key(|p| p.at);
-    list
+    faults.sort_by_key(|p| p.at);
+    faults
 }
 
-fn drawn(rng: &mut ChaCha8Rng) -> Fault {
-    let one = rng.random_range(0..CONTROLLERS);
-    let controller = rng.random_bool(0.4).then_some(one);
-    let at = |service, trouble| Fault::At { service, trouble, controller };
-    let back = rng.random_bool(0.5).then(|| Millis(rng.random_range(0..1_000)));
+fn random_fault(rng: &mut ChaCha8Rng) -> Fault {
+    let index = rng.random_range(0..CONTROLLER_COUNT);
+    let controller = rng.random_bool(0.4).then_some(index);
+    let service_fault = |service, trouble| Fault::At { service, trouble, controller };
+    let restart_delay = rng.random_bool(0.5).then(|| Millis(rng.random_range(0..1_000)));
     match rng.random_range(0..17) {
-        0 | 1 => Fault::CrashController(one, back),
-        2 => Fault::CrashAll(back),
+        0 | 1 => Fault::CrashController(index, restart_delay),
+        2 => Fault::CrashAll(restart_delay),
         3 => Fault::RestartState,
-        4 => at(Service::State, Trouble::Refuse),
-        5 => at(Service::State, Trouble::Slow(400)),
-        6 => at(Service::State, Trouble::Lose(0.3)),
-        7 => at(Service::State, Trouble::Late(0.2, 5_000)),
-        8 => at(Service::State, Trouble::Silent),
-        9 => at(Service::Cloud, Trouble::Refuse),
-        10 => at(Service::Cloud, Trouble::Lose(0.4)),
-        11 => at(Service::Cloud, Trouble::Late(0.3, 5_000)),
-        12 => Fault::CutController(one),
-        13 => Fault::CutZone(ZONES[one].to_owned()),
+        4 => service_fault(Service::State, Trouble::Refuse),
+        5 => service_fault(Service::State, Trouble::Slow(400)),
+        6 => service_fault(Service::State, Trouble::Lose(0.3)),
+        7 => service_fault(Service::State, Trouble::Late(0.2, 5_000)),
+        8 => service_fault(Service::State, Trouble::Silent),
+        9 => service_fault(Service::Cloud, Trouble::Refuse),
+        10 => service_fault(Service::Cloud, Trouble::Lose(0.4)),
+        11 => service_fault(Service::Cloud, Trouble::Late(0.3, 5_000)),
+        12 => Fault::CutController(index),
+        13 => Fault::CutZone(ZONES[index].to_owned()),
         14 => Fault::TakeSpot(3),
         15 => Fault::MachinesDie(1),
         _ => Fault::MachinesHang(2),
     }
 }
 
-fn word(status: JobStatus) -> &'static str {
+fn status_text(status: JobStatus) -> &'static str {
     match status {
         JobStatus::Queued => "queued",
         JobStatus::Running => "running",
@@ -350,123 +372,138 @@
     matches!(status, "done" | "cancelled" | "failed") || status.starts_with("refused")
 }
 
-/// Whether there was one final answer, nothing after it, and every controller says the same.
-fn exactly_one(answers: &[Heard], finals: &[String]) -> bool {
-    let Some(last) = answers.last().map(|heard| &heard.status) else { return false };
+/// Whether there was one final answer, nothing after it, and every controller reports the same.
+fn has_exactly_one_final(answers: &[StatusChange], final_answers: &[String]) -> bool {
+    let Some(last) = answers.last().map(|change| &change.status) else { return false };
     is_final(last)
-        && answers.iter().filter(|heard| is_final(&heard.status)).count() == 1
-        && !finals.is_empty()
-        && finals.iter().all(|said| said == last)
+        && answers.iter().filter(|change| is_final(&change.status)).count() == 1
+        && !final_answers.is_empty()
+        && final_answers.iter().all(|answer| answer == last)
 }
 
-/// A job's user, until the job is over or the time is up.
+/// The simulated user of a job, active until the job is finished or the run ends.
 struct User {
     plan: Plan,
     controllers: Controllers,
     rng: ChaCha8Rng,
     accepted: bool,
-    answers: Vec<Heard>,
+    answers: Vec<StatusChange>,
 }
 
 impl User {
-    fn over(&self) -> bool {
-        self.answers.last().is_some_and(|heard| is_final(&heard.status))
+    fn is_finished(&self) -> bool {
+        self.answers.last().is_some_and(|change| is_final(&change.status))
     }
 
-    fn heard(&mut self, at_ms: u64, status: String) {
+    fn record_status(&mut self, at_ms: u64, status: String) {
         if self.answers.last().is_none_or(|last| last.status != status) {
-            self.answers.push(Heard { at_ms, status });
+            self.answers.push(StatusChange { at_ms, status });
         }
     }
 
-    /// Does what is due, and says when to come again.
-    fn act(&mut self, running: &oatloom_emulator::serve::Emulator, now: u64, hurry: u64) -> u64 {
+    /// Sends the next request and returns the time of the following one.
+    fn poll(
+        &mut self,
+        emulator: &oatloom_emulator::serve::Emulator,
+        now: u64,
+        rate_factor: u64,
+    ) -> u64 {
         let id = self.plan.spec.id.clone();
-        let aborts = self.plan.abort_at.is_some_and(|at| now >= at);
-        let wish = if !self.accepted || self.rng.random_bool(0.05) && !self.over() {
+        let is_abort_due = self.plan.abort_at.is_some_and(|at| now >= at);
+        let request = if !self.accepted || self.rng.random_bool(0.05) && !self.is_finished() {
             Wish::Submit(Box::new(self.plan.spec.clone()))
-        } else if aborts && !self.over() {
+        } else if is_abort_due && !self.is_finished() {
             Wish::Abort(id.clone())
         } else {
             Wish::View(id.clone())
         };
-        match &wish {
-            Wish::Submit(spec) if !self.plan.senseless => {
-                let mut region = running.region();
+        match &request {
+            Wish::Submit(spec) if !self.plan.invalid => {
+                let mut region = emulator.region();
                 region.upload(spec);
-                if let Some(broken) = self.plan.broken.clone() {
-                    region.outside.broken.insert(id.to_string(), broken);
+                if let Some(failure_mode) = self.plan.failure_mode.clone() {
+                    region.outside.broken.insert(id.to_string(), failure_mode);
                 }
             }
-            Wish::Abort(id) => running.region().checker.cancel_asked(id.as_str()),
+            Wish::Abort(id) => emulator.region().checker.cancel_asked(id.as_str()),
             _ => {}
         }
-        let at = self.rng.random_range(0..self.controllers.len());
-        let asked = running.shared.now();
-        let answer = self.controllers.ask(at, &wish);
-        let now = running.shared.now();
+        let controller = self.rng.random_range(0..self.controllers.len());
+        let requested_at = emulator.shared.now();
+        let answer = self.controllers.ask(controller, &request);
+        let now = emulator.shared.now();
         if let Some(answer) = &answer {
-            if !self.plan.senseless {
+            if !self.plan.invalid {
                 let body = String::from_utf8_lossy(&answer.body);
-                let submission = matches!(wish, Wish::Submit(_));
-                let mut region = running.region();
-                region.checker.answered(now, asked, id.as_str(), answer.status, &body, submission);
+                let is_submission = matches!(request, Wish::Submit(_));
+                let mut region = emulator.region();
+                region.checker.answered(
+                    now,
+                    requested_at,
+                    id.as_str(),
+                    answer.status,
+                    &body,
+                    is_submission,
+                );
             }
-            match judge(&wish, answer) {
+            match judge(&request, answer) {
                 Some(Told::View(view)) => {
                     self.accepted = true;
-                    self.heard(now, word(view.status).to_owned());
+                    self.record_status(now, status_text(view.status).to_owned());
                 }
                 Some(Told::Refused(status, _))
-                    if !self.accepted && matches!(wish, Wish::Submit(_)) =>
+                    if !self.accepted && matches!(request, Wish::Submit(_)) =>
                 {
-                    self.heard(now, format!("refused {status}"));
+                    self.record_status(now, format!("refused {status}"));
                 }
-                Some(Told::Refused(status, _)) => self.heard(now, format!("lost {status}")),
+                Some(Told::Refused(status, _)) => self.record_status(now, format!("lost {status}")),
                 Some(Told::Nothing(_) | Told::Unreachable) | None => {}
             }
         }
-        now + self.rng.random_range(POLL_MS.0..POLL_MS.1) / hurry
+        now + self.rng.random_range(USER_POLL_INTERVAL_RANGE_MS.0..USER_POLL_INTERVAL_RANGE_MS.1)
+            / rate_factor
     }
 }
 
-/// Plays a scenario in a directory and judges it.
+/// Runs a scenario with its files under `data` and checks the result.
 ///
 /// # Errors
 /// The region cannot be started.
-pub fn play(
+pub fn run(
     scenario: Scenario,
     seed: u64,
-    length: Length,
-    extra: &[Planned],
+    length: SuiteLength,
+    extra_faults: &[Planned],
     data: &Path,
-    say: &dyn Fn(&str),
-) -> Result<Findings, LaunchError> {
+    print_line: &dyn Fn(&str),
+) -> Result<SuiteReport, LaunchError> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let local = Local { port: 0, ..Local::default() };
-    let plans = plans(&local, scenario, &length, &mut rng);
-    let mut troubles = troubles(scenario, &length, &mut rng);
-    troubles.extend_from_slice(extra);
-    troubles.sort_by_key(|p| p.at);
+    let local = LocalSettings { port: 0, ..LocalSettings::default() };
+    let plans = draw_plans(&local, scenario, &length, &mut rng);
+    let mut faults = draw_faults(scenario, &length, &mut rng);
+    faults.extend_from_slice(extra_faults);
+    faults.sort_by_key(|p| p.at);
     let operators = data.join("operators.lisp");
     std::fs::create_dir_all(data)
-        .and_then(|()| std::fs::write(&operators, CLASSES))
+        .and_then(|()| std::fs::write(&operators, OPERATOR_SETTINGS))
         .map_err(|cause| LaunchError::File { path: operators.clone(), cause })?;
-    let mut running = Running::start(local, data, Some(&operators), seed)?;
-    running.emulator.region().checker.repeats =
-        REPEATS.iter().map(|(class, repeats)| ((*class).to_owned(), *repeats)).collect();
-    say(&format!(
-        "{} jobs, {} troubles, controllers at {}",
+    let mut running = RunningRegion::start(local, data, Some(&operators), seed)?;
+    running.emulator.region().checker.repeats = MAX_RETRIES_BY_CLASS
+        .iter()
+        .map(|(class, repeats)| ((*class).to_owned(), *repeats))
+        .collect();
+    print_line(&format!(
+        "{} jobs, {} faults, controllers at {}",
         plans.len(),
-        troubles.len(),
+        faults.len(),
         running.controllers.join(", ")
     ));
     if scenario == Scenario::Killed {
-        running.misled = Some(CONTROLLERS - 1);
+        running.misconfigured = Some(CONTROLLER_COUNT - 1);
     }
-    let often = if scenario == Scenario::Asked { STORM_TIMES } else { 1 };
+    let storm_factor = if scenario == Scenario::Asked { REQUEST_STORM_FACTOR } else { 1 };
     let start = running.emulator.shared.now();
-    let calm = Arc::new(AtomicBool::new(false));
+    let is_recovering = Arc::new(AtomicBool::new(false));
     let stop = Arc::new(AtomicBool::new(false));
     let users: Vec<Arc<Mutex<User>>> = plans
         .into_iter()
@@ -480,260 +517,290 @@
     let mut threads = Vec::new();
     for user in &users {
         let (user, emulator) = (user.clone(), running.emulator.clone());
-        let (calm, stop) = (calm.clone(), stop.clone());
+        let (is_recovering, stop) = (is_recovering.clone(), stop.clone());
         let started = spawn("user", move || {
             let mut user = user.lock().unwrap_or_else(PoisonError::into_inner);
-            let mut next = start + user.plan.at;
-            let abort = user.plan.abort_at;
-            user.plan.abort_at = abort.map(|at| start + at);
-            while !stop.load(Ordering::Relaxed) && !user.over() {
+            let mut next_poll = start + user.plan.submit_at;
+            let abort_at = user.plan.abort_at;
+            user.plan.abort_at = abort_at.map(|at| start + at);
+            while !stop.load(Ordering::Relaxed) && !user.is_finished() {
                 let now = emulator.shared.now();
-                if now >= next {
-                    let hurry = if calm.load(Ordering::Relaxed) { 2 } else { often };
-                    next = user.act(&emulator, now, hurry);
+                if now >= next_poll {
+                    let rate_factor =
+                        if is_recovering.load(Ordering::Relaxed) { 2 } else { storm_factor };
+                    next_poll = user.poll(&emulator, now, rate_factor);
                 } else {
-                    std::thread::sleep(Duration::from_millis((next - now).min(TEND_MS.0)));
+                    std::thread::sleep(Duration::from_millis(
+                        (next_poll - now).min(SUPERVISION_INTERVAL_MS.0),
+                    ));
                 }
             }
         });
         threads.push(started.map_err(|e| LaunchError::Start(e.into()))?);
     }
-    let mut memory = 0;
-    let mut next = 0;
+    let mut max_memory = 0;
+    let mut next_fault = 0;
     loop {
-        std::thread::sleep(Duration::from_millis(TEND_MS.0));
-        running.tend();
-        memory = memory.max(running.controllers_memory());
+        std::thread::sleep(Duration::from_millis(SUPERVISION_INTERVAL_MS.0));
+        running.supervise();
+        max_memory = max_memory.max(running.max_controller_memory_bytes());
         let now = running.emulator.shared.now() - start;
-        while next < troubles.len() && troubles[next].at <= now {
-            running.strike(&troubles[next]);
-            next += 1;
+        while next_fault < faults.len() && faults[next_fault].at <= now {
+            running.inject_fault(&faults[next_fault]);
+            next_fault += 1;
         }
-        if now >= length.troubled_ms && !calm.swap(true, Ordering::Relaxed) {
+        if now >= length.fault_phase_ms && !is_recovering.swap(true, Ordering::Relaxed) {
             running.emulator.shared.faults.lock().unwrap_or_else(PoisonError::into_inner).clear();
-            say("troubles are over");
+            print_line("all faults have ended");
         }
-        let over = threads.iter().all(|t| t.is_finished());
-        let seen = now > length.troubled_ms + unseen_ms(&running.local);
-        if now >= length.troubled_ms + length.calm_ms || over && seen {
+        let all_finished = threads.iter().all(|t| t.is_finished());
+        let machines_checked = now > length.fault_phase_ms + unseen_limit_ms(&running.local);
+        if now >= length.fault_phase_ms + length.recovery_phase_ms
+            || all_finished && machines_checked
+        {
             break;
         }
     }
     stop.store(true, Ordering::Relaxed);
-    // Processes are looked after until the last user is through.
+    // Processes are supervised until the last user thread has finished.
     while !threads.iter().all(|t| t.is_finished()) {
-        running.tend();
-        std::thread::sleep(Duration::from_millis(TEND_MS.0));
+        running.supervise();
+        std::thread::sleep(Duration::from_millis(SUPERVISION_INTERVAL_MS.0));
     }
-    let account = settled_account(&mut running);
-    let mut findings = findings(scenario, seed, &mut running, &users, start, &length, memory);
-    findings.rules_broken.extend(misaccounted(&running, &users, account));
-    Ok(findings)
+    let usage = settled_usage(&mut running);
+    let mut report = build_report(scenario, seed, &mut running, &users, start, &length, max_memory);
+    report.rules_broken.extend(usage_violations(&running, &users, usage));
+    Ok(report)
 }
 
-/// The account, once it no longer changes; `None`: it could not be had.
-fn settled_account(running: &mut Running) -> Option<UsagePage> {
-    let began = Instant::now();
-    let (mut last, mut same) = (None, 0);
-    while began.elapsed() < Duration::from_millis(SETTLE_MS) && same < SETTLE_LOOKS {
-        running.tend();
-        std::thread::sleep(Duration::from_millis(SETTLE_EVERY_MS));
-        let page = Question::default().look(&running.controllers);
-        same = if page.is_some() && page == last { same + 1 } else { 0 };
+/// The recorded usage once it no longer changes; `None` if it cannot be read.
+fn settled_usage(running: &mut RunningRegion) -> Option<UsagePage> {
+    let started = Instant::now();
+    let (mut last, mut unchanged_count) = (None, 0);
+    while started.elapsed() < Duration::from_millis(USAGE_SETTLE_TIMEOUT_MS)
+        && unchanged_count < USAGE_STABLE_POLL_COUNT
+    {
+        running.supervise();
+        std::thread::sleep(Duration::from_millis(USAGE_POLL_INTERVAL_MS));
+        let page = UsageQuery::default().try_fetch(&running.controllers);
+        unchanged_count = if page.is_some() && page == last { unchanged_count + 1 } else { 0 };
         last = page;
     }
     last
 }
 
-/// Whether what is accounted can be what the machines saw: no more tasks have completed than they know of, in no more
-/// time, and no fewer than users were told of, but for those whose end nobody saw.
-fn misaccounted(
-    running: &Running,
+/// Compares the recorded usage with what the machines observed. It must not have more completed tasks or run time
+/// than the machines saw, nor fewer completed tasks than users were told of, except attempts whose end was not
+/// observed (`unseen`).
+fn usage_violations(
+    running: &RunningRegion,
     users: &[Arc<Mutex<User>>],
-    account: Option<UsagePage>,
+    usage: Option<UsagePage>,
 ) -> Vec<String> {
-    let Some(account) = account else { return vec!["ledger: no account is to be had".into()] };
-    let (mut told, mut gangs) = (0, 0);
+    let Some(usage) = usage else { return vec!["ledger: no account is to be had".into()] };
+    let (mut reported_done, mut gang_tasks) = (0, 0);
     for user in users {
         let user = user.lock().unwrap_or_else(PoisonError::into_inner);
         let tasks = u64::from(user.plan.spec.tasks);
-        let done = user.answers.last().is_some_and(|heard| heard.status == "done");
-        told += if done { tasks } else { 0 };
-        gangs += if done && user.plan.spec.shape == Shape::Gang { tasks } else { 0 };
+        let done = user.answers.last().is_some_and(|change| change.status == "done");
+        reported_done += if done { tasks } else { 0 };
+        gang_tasks += if done && user.plan.spec.shape == Shape::Gang { tasks } else { 0 };
     }
-    let of = |cause: &str| -> (u64, u64) {
-        let rows = account.rows.iter().filter(|row| row.cause == cause);
-        rows.fold((0, 0), |(n, ran), row| (n + row.sums.attempts, ran + row.sums.ran_ms))
+    let sums_of = |cause: &str| -> (u64, u64) {
+        let rows = usage.rows.iter().filter(|row| row.cause == cause);
+        rows.fold((0, 0), |(count, ran_ms), row| {
+            (count + row.sums.attempts, ran_ms + row.sums.ran_ms)
+        })
     };
-    let (done, done_ms) = of("done");
-    let (unseen, _) = of("unseen");
+    let (done, done_ms) = sums_of("done");
+    let (unseen_attempts, _) = sums_of("unseen");
     let region = running.emulator.region();
     let exits = region.checker.exits.values().filter(|(cause, _)| *cause == ExitCause::Done);
-    let (seen, seen_ms) = exits.fold((0, 0), |(n, sum), (_, ran)| (n + 1, sum + ran));
-    let mut wrong = Vec::new();
-    // The first task of a gang speaks for all of them.
-    if done > seen + gangs || done_ms > seen_ms && gangs == 0 {
-        wrong.push(format!(
-            "ledger: {done} tasks done in {done_ms} ms are accounted, machines saw {seen} in {seen_ms} ms"
+    let (machine_done, machine_done_ms) =
+        exits.fold((0, 0), |(count, sum), (_, ran_ms)| (count + 1, sum + ran_ms));
+    let mut violations = Vec::new();
+    // The first task of a gang reports for all tasks of the gang.
+    if done > machine_done + gang_tasks || done_ms > machine_done_ms && gang_tasks == 0 {
+        violations.push(format!(
+            "ledger: {done} tasks done in {done_ms} ms are accounted, machines saw {machine_done} in {machine_done_ms} ms"
         ));
     }
-    if done + unseen < told {
-        wrong.push(format!(
-            "ledger: users were told of {told} tasks done, {done} and {unseen} unseen ones are accounted"
+    if done + unseen_attempts < reported_done {
+        violations.push(format!(
+            "ledger: users were told of {reported_done} tasks done, {done} and {unseen_attempts} unseen ones are accounted"
         ));
     }
-    for row in &account.rows {
-        let line = &row.sums;
-        if line.ran_ms != line.useful_ms + line.repeated_ms + line.lost_ms {
-            wrong.push(format!("ledger: a row's run time is not its parts: {row:?}"));
+    for row in &usage.rows {
+        let sums = &row.sums;
+        if sums.ran_ms != sums.useful_ms + sums.repeated_ms + sums.lost_ms {
+            violations.push(format!("ledger: a row's run time is not its parts: {row:?}"));
         }
     }
-    wrong.extend(account.gaps.iter().map(|gap| format!("ledger: {gap} cannot be read")));
-    wrong
+    violations.extend(usage.gaps.iter().map(|gap| format!("ledger: {gap} cannot be read")));
+    violations
 }
 
-/// After so long a machine that was rented has been used or returned, if all is well. Guards against a bound
-/// below the patience that controllers have with a boot: one play in ten found a machine that was merely late.
-fn unseen_ms(local: &Local) -> u64 {
-    ((local.boot_s * UNSEEN_BOOTS + local.lease_s + UNSEEN_SLACK_S) * 1000.0) as u64
+/// How long a rented machine may stay without being used or returned. The bound must be above the time that
+/// controllers allow for a boot: a lower one reported a machine that was merely late in one run of ten.
+fn unseen_limit_ms(local: &LocalSettings) -> u64 {
+    ((local.boot_s * UNSEEN_MACHINE_BOOT_FACTOR + local.lease_s + UNSEEN_MACHINE_SLACK_S) * 1000.0)
+        as u64
 }
 
-fn findings(
+fn build_report(
     scenario: Scenario,
     seed: u64,
-    running: &mut Running,
+    running: &mut RunningRegion,
     users: &[Arc<Mutex<User>>],
     start: u64,
-    length: &Length,
-    memory: u64,
-) -> Findings {
+    length: &SuiteLength,
+    max_memory: u64,
+) -> SuiteReport {
     let mut jobs = Vec::new();
     for user in users {
         let mut user = user.lock().unwrap_or_else(PoisonError::into_inner);
-        let finals = finals(running, &mut user);
-        let exactly_one = exactly_one(&user.answers, &finals);
-        for heard in &mut user.answers {
-            heard.at_ms = heard.at_ms.saturating_sub(start);
+        let final_answers = final_answers_of(running, &mut user);
+        let exactly_one = has_exactly_one_final(&user.answers, &final_answers);
+        for change in &mut user.answers {
+            change.at_ms = change.at_ms.saturating_sub(start);
         }
-        jobs.push(Outcome {
+        jobs.push(JobOutcome {
             job: user.plan.spec.id.to_string(),
             shape: shape_text(user.plan.spec.shape).to_owned(),
             tasks: user.plan.spec.tasks,
             accepted: user.accepted,
             answers: user.answers.clone(),
-            finals,
+            finals: final_answers,
             exactly_one,
         });
     }
     let now = running.emulator.shared.now();
-    let unseen_ms = unseen_ms(&running.local);
+    let unseen_limit_ms = unseen_limit_ms(&running.local);
     let mut region = running.emulator.region();
     region.checker.look(now);
-    let mut broken = region.checker.broken.clone();
-    // While troubles last, a machine may be late to be seen, or a refused release keep it.
-    let calm = start + length.troubled_ms;
-    let unseen = region.unseen.iter().filter(|(_, rented)| now > calm.max(**rented) + unseen_ms);
-    broken.extend(unseen.map(|(host, rented)| {
+    let mut rules_broken = region.checker.broken.clone();
+    // During the fault phase a machine may report late, or be kept because its release was refused.
+    let recovery_start = start + length.fault_phase_ms;
+    let unseen_machines = region
+        .unseen
+        .iter()
+        .filter(|(_, rented_at)| now > recovery_start.max(**rented_at) + unseen_limit_ms);
+    rules_broken.extend(unseen_machines.map(|(host, rented_at)| {
         format!(
             "{:.3} s paid_unseen: {host}, rented at {:.3} s",
             now as f64 / 1e3,
-            *rented as f64 / 1e3
+            *rented_at as f64 / 1e3
         )
     }));
-    let ended = |job: &Outcome| job.answers.last().filter(|h| is_final(&h.status)).map(|h| h.at_ms);
-    let finals = jobs.iter().filter_map(ended);
-    let after = length.troubled_ms;
-    let last = finals.clone().max().unwrap_or(0);
-    Findings {
+    let final_at = |job: &JobOutcome| {
+        job.answers.last().filter(|change| is_final(&change.status)).map(|change| change.at_ms)
+    };
+    let final_times = jobs.iter().filter_map(final_at);
+    let fault_phase_ms = length.fault_phase_ms;
+    let last_final_at = final_times.clone().max().unwrap_or(0);
+    SuiteReport {
         scenario: scenario_text(scenario).to_owned(),
         seed,
         without_exactly_one: jobs.iter().filter(|job| !job.exactly_one).count(),
-        rules_broken: broken,
-        settled_ms: last.saturating_sub(after),
-        first_final_ms: finals.filter(|at| *at >= after).min().map(|at| at - after),
+        rules_broken,
+        settled_ms: last_final_at.saturating_sub(fault_phase_ms),
+        first_final_ms: final_times
+            .filter(|at| *at >= fault_phase_ms)
+            .min()
+            .map(|at| at - fault_phase_ms),
         starts: region.checker.starts,
-        controller_memory_mb: (memory as f64 / 1e5).round() / 10.0,
-        restarts: running.ends().values().sum(),
+        controller_memory_mb: (max_memory as f64 / 1e5).round() / 10.0,
+        restarts: running.exit_counts().values().sum(),
         jobs,
     }
 }
 
-/// What each controller says in the end.
-fn finals(running: &mut Running, user: &mut User) -> Vec<String> {
-    let wish = if user.plan.senseless {
+/// The status that each controller reports at the end.
+fn final_answers_of(running: &mut RunningRegion, user: &mut User) -> Vec<String> {
+    let request = if user.plan.invalid {
         Wish::Submit(Box::new(user.plan.spec.clone()))
     } else {
         Wish::View(user.plan.spec.id.clone())
     };
     (0..user.controllers.len())
-        .map(|at| {
-            let mut alone = Controllers::new(&running.controllers[at..=at]);
-            let began = Instant::now();
-            let told = alone.insist(&wish, Millis(5_000));
-            running.tend();
-            match told {
-                Told::View(view) => word(view.status).to_owned(),
-                Told::Refused(status, _) if user.plan.senseless => format!("refused {status}"),
+        .map(|index| {
+            let mut controller = Controllers::new(&running.controllers[index..=index]);
+            let started = Instant::now();
+            let answer = controller.insist(&request, Millis(5_000));
+            running.supervise();
+            match answer {
+                Told::View(view) => status_text(view.status).to_owned(),
+                Told::Refused(status, _) if user.plan.invalid => format!("refused {status}"),
                 Told::Refused(status, _) => format!("lost {status}"),
                 Told::Unreachable => "unreachable".to_owned(),
                 Told::Nothing(text) => {
-                    format!("no answer in {} s: {text}", began.elapsed().as_secs())
+                    format!("no answer in {} s: {text}", started.elapsed().as_secs())
                 }
             }
         })
         .collect()
 }
 
-/// Reads a timetable's file for a suite.
+/// Parses a timetable of faults.
 ///
 /// # Errors
-/// The line and what is wrong in it.
-pub fn read_timetable(text: &str) -> Result<Vec<Planned>, timetable::BadTimetable> {
-    timetable::read(text, CONTROLLERS)
+/// The line that is invalid and the reason.
+pub fn parse_timetable(text: &str) -> Result<Vec<Planned>, timetable::BadTimetable> {
+    timetable::read(text, CONTROLLER_COUNT)
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    fn one(answers: &[&str], finals: &[&str]) -> bool {
-        let heard = |status: &&str| Heard { at_ms: 0, status: (*status).to_owned() };
-        let answers: Vec<Heard> = answers.iter().map(heard).collect();
-        let finals: Vec<String> = finals.iter().map(|f| (*f).to_owned()).collect();
-        exactly_one(&answers, &finals)
+    fn is_accepted(answers: &[&str], final_answers: &[&str]) -> bool {
+        let change = |status: &&str| StatusChange { at_ms: 0, status: (*status).to_owned() };
+        let answers: Vec<StatusChange> = answers.iter().map(change).collect();
+        let final_answers: Vec<String> = final_answers.iter().map(|f| (*f).to_owned()).collect();
+        has_exactly_one_final(&answers, &final_answers)
     }
 
-    /// The suite's verdict on a job can be bad, in every way that it is meant to find.
+    /// Each kind of wrong answer is detected: none, unfinished, two final ones, controllers that differ or forget.
     #[test]
     fn a_job_without_exactly_one_final_answer_is_found() {
         let all = ["done"; 3];
-        assert!(one(&["queued", "running", "done"], &all));
-        assert!(one(&["refused 422"], &["refused 422"; 3]));
-        assert!(!one(&[], &all), "never answered");
-        assert!(!one(&["queued", "running"], &["running"; 3]), "not over");
-        assert!(!one(&["done", "running"], &all), "went on after its end");
-        assert!(!one(&["cancelled", "done"], &all), "two ends");
-        assert!(!one(&["queued", "done"], &["done", "done", "cancelled"]), "controllers differ");
-        assert!(!one(&["queued", "done"], &["done", "unreachable", "done"]), "one does not say");
-        assert!(!one(&["queued", "lost 404"], &["lost 404"; 3]), "forgotten");
+        assert!(is_accepted(&["queued", "running", "done"], &all));
+        assert!(is_accepted(&["refused 422"], &["refused 422"; 3]));
+        assert!(!is_accepted(&[], &all), "never answered");
+        assert!(!is_accepted(&["queued", "running"], &["running"; 3]), "not finished");
+        assert!(!is_accepted(&["done", "running"], &all), "a status after the final one");
+        assert!(!is_accepted(&["cancelled", "done"], &all), "two final answers");
+        assert!(
+            !is_accepted(&["queued", "done"], &["done", "done", "cancelled"]),
+            "controllers differ"
+        );
+        assert!(
+            !is_accepted(&["queued", "done"], &["done", "unreachable", "done"]),
+            "one controller is unreachable"
+        );
+        assert!(!is_accepted(&["queued", "lost 404"], &["lost 404"; 3]), "forgotten");
     }
 
-    /// A seed gives the same jobs and troubles, which end before the calm.
+    /// The same seed gives the same jobs and faults, and all faults end within the fault phase.
     #[test]
-    fn a_seed_gives_the_same_suite() {
-        let (local, length) = (Local::default(), Length::quick());
+    fn a_seed_gives_the_same_jobs_and_faults() {
+        let (local, length) = (LocalSettings::default(), SuiteLength::quick());
         let draw = |scenario, seed| {
             let mut rng = ChaCha8Rng::seed_from_u64(seed);
-            let plans = plans(&local, scenario, &length, &mut rng);
+            let plans = draw_plans(&local, scenario, &length, &mut rng);
             let ids: Vec<String> = plans.iter().map(|p| p.spec.id.to_string()).collect();
-            (ids, troubles(scenario, &length, &mut rng))
+            (ids, draw_faults(scenario, &length, &mut rng))
         };
         for scenario in <Scenario as clap::ValueEnum>::value_variants() {
             assert_eq!(draw(*scenario, 3), draw(*scenario, 3));
-            let (ids, troubles) = draw(*scenario, 4);
+            let (ids, faults) = draw(*scenario, 4);
             assert_eq!(ids.len() as u64, length.jobs);
-            assert!(!troubles.is_empty());
-            assert!(troubles.iter().all(|t| t.at <= t.until && t.until <= length.troubled_ms));
+            assert!(!faults.is_empty());
+            assert!(
+                faults
+                    .iter()
+                    .all(|fault| fault.at <= fault.until && fault.until <= length.fault_phase_ms)
+            );
         }
         assert_ne!(draw(Scenario::Mixed, 3), draw(Scenario::Mixed, 4));
     }
--- a/crates/ctl/src/up.rs
+++ b/crates/ctl/src/up.rs
@@ -1,8 +1,8 @@
-//! A region that runs until it is told to end, and takes faults from its operator meanwhile.
+//! Runs a region until it is stopped. Meanwhile the region accepts faults and job descriptions over HTTP.
 
 use crate::constants::*;
-use crate::launch::{LaunchError, Running};
-use crate::settings::Local;
+use crate::launch::{LaunchError, RunningRegion};
+use crate::settings::LocalSettings;
 use crossbeam::channel::{Receiver, bounded};
 use oatloom_emulator::faults::Planned;
 use oatloom_emulator::timetable;
@@ -15,105 +15,118 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// What the region itself is asked, beside its controllers.
+/// A request to the address of the region itself, not to a controller.
 enum Request {
-    /// A fault that begins at once.
-    Strike(String),
-    /// How the machines are doing.
-    Show,
-    /// A job's description, which users upload for the machines to fetch.
-    Upload(Box<JobSpec>),
+    /// Starts a fault at once.
+    InjectFault(String),
+    /// Returns counts of machines, tasks and rule violations.
+    Status,
+    /// Stores a job description for the emulated machines to fetch.
+    UploadJob(Box<JobSpec>),
 }
 
-fn read(method: &str, path: &str, body: &[u8]) -> Result<Request, HttpReply> {
-    let bad = |e: String| HttpReply::error(400, &e);
+fn parse_request(method: &str, path: &str, body: &[u8]) -> Result<Request, HttpReply> {
+    let bad_request = |e: String| HttpReply::error(400, &e);
     match (method, path) {
-        ("GET", "/region") => Ok(Request::Show),
-        ("POST", "/faults") => {
-            String::from_utf8(body.to_vec()).map(Request::Strike).map_err(|e| bad(e.to_string()))
-        }
+        ("GET", "/region") => Ok(Request::Status),
+        ("POST", "/faults") => String::from_utf8(body.to_vec())
+            .map(Request::InjectFault)
+            .map_err(|e| bad_request(e.to_string())),
         ("POST", "/jobs") => {
-            let spec: JobSpec = serde_json::from_slice(body).map_err(|e| bad(e.to_string()))?;
-            spec.check().map_err(bad)?;
-            Ok(Request::Upload(Box::new(spec)))
+            let spec: JobSpec =
+                serde_json::from_slice(body).map_err(|e| bad_request(e.to_string()))?;
+            spec.check().map_err(bad_request)?;
+            Ok(Request::UploadJob(Box::new(spec)))
         }
         _ => Err(HttpReply::error(404, "no such path")),
     }
 }
 
-/// Runs a region until `stop` is set; `said` is told where it is, once it serves.
+/// Runs a region until `stop` is set. `on_ready` gets the addresses of the controllers and of the region once they
+/// accept requests.
 ///
 /// # Errors
-/// It cannot be started.
+/// The region cannot be started.
 pub fn up(
-    local: Local,
+    local: LocalSettings,
     data: &Path,
     operators: Option<&Path>,
     timetable: &[Planned],
     stop: &Arc<AtomicBool>,
-    said: impl FnOnce(&[String], &str),
+    on_ready: impl FnOnce(&[String], &str),
 ) -> Result<(), LaunchError> {
     let port = local.port;
-    let mut running = Running::start(local, data, operators, u64::from(std::process::id()))?;
-    // What users have uploaded outlives the machines that fetch it.
-    let uploads = data.join("uploads.jsonl");
-    for line in std::fs::read_to_string(&uploads).unwrap_or_default().lines() {
+    let mut running = RunningRegion::start(local, data, operators, u64::from(std::process::id()))?;
+    // Uploaded job descriptions are kept on disk so that machines of a later run can fetch them.
+    let uploads_path = data.join("uploads.jsonl");
+    for line in std::fs::read_to_string(&uploads_path).unwrap_or_default().lines() {
         match serde_json::from_str::<JobSpec>(line) {
             Ok(spec) => running.emulator.region().upload(&spec),
-            Err(e) => tracing::warn!("{}: a line cannot be read: {e}", uploads.display()),
+            Err(e) => tracing::warn!(
+                "{}: skipping an invalid job description: {e}",
+                uploads_path.display()
+            ),
         }
     }
-    let failed = |cause| LaunchError::File { path: uploads.clone(), cause };
-    let mut kept =
-        std::fs::File::options().create(true).append(true).open(&uploads).map_err(failed)?;
+    let file_error = |cause| LaunchError::File { path: uploads_path.clone(), cause };
+    let mut upload_log = std::fs::File::options()
+        .create(true)
+        .append(true)
+        .open(&uploads_path)
+        .map_err(file_error)?;
     let (sender, requests): (_, Receiver<Incoming<Request>>) = bounded(16);
     let deliver = move |incoming| sender.try_send(incoming).is_ok();
-    let own = format!("127.0.0.1:{}", if port == 0 { 0 } else { port + OWN_PORT_BEYOND });
-    let answers = server::start(&own, OWN_CONNECTIONS, read, deliver)?;
-    said(&running.controllers, &answers.address().to_string());
+    let region_address =
+        format!("127.0.0.1:{}", if port == 0 { 0 } else { port + REGION_PORT_OFFSET });
+    let answers = server::start(&region_address, MAX_REGION_CONNECTIONS, parse_request, deliver)?;
+    on_ready(&running.controllers, &answers.address().to_string());
     let start = running.emulator.shared.now();
-    let mut next = 0;
+    let mut next_fault = 0;
     while !stop.load(Ordering::Relaxed) {
-        running.tend();
+        running.supervise();
         let now = running.emulator.shared.now() - start;
-        while next < timetable.len() && timetable[next].at <= now {
-            running.strike(&timetable[next]);
-            next += 1;
+        while next_fault < timetable.len() && timetable[next_fault].at <= now {
+            running.inject_fault(&timetable[next_fault]);
+            next_fault += 1;
         }
-        if let Ok(incoming) = requests.recv_timeout(Duration::from_millis(TEND_MS.0)) {
-            answer(&mut running, &answers, incoming, &mut kept);
+        if let Ok(incoming) =
+            requests.recv_timeout(Duration::from_millis(SUPERVISION_INTERVAL_MS.0))
+        {
+            handle_request(&mut running, &answers, incoming, &mut upload_log);
         }
     }
     Ok(())
 }
 
-fn answer(
-    running: &mut Running,
+fn handle_request(
+    running: &mut RunningRegion,
     answers: &Answers,
     incoming: Incoming<Request>,
-    kept: &mut std::fs::File,
+    upload_log: &mut std::fs::File,
 ) {
     let now = running.emulator.shared.now();
     let reply = match incoming.request {
-        Request::Strike(text) => match timetable::read_one(&text, now, CONTROLLERS) {
+        Request::InjectFault(text) => match timetable::read_one(&text, now, CONTROLLER_COUNT) {
             Ok(planned) => {
-                running.strike(&planned);
+                running.inject_fault(&planned);
                 let span = planned.until - planned.at;
                 HttpReply::json(200, &serde_json::json!({"fault": text.trim(), "forMs": span}))
             }
             Err(e) => HttpReply::error(400, &e.text),
         },
-        Request::Upload(spec) => {
+        Request::UploadJob(spec) => {
             let line = serde_json::to_string(&spec).unwrap_or_default();
-            match writeln!(kept, "{line}") {
+            match writeln!(upload_log, "{line}") {
                 Ok(()) => {
                     running.emulator.region().upload(&spec);
                     HttpReply::json(200, &serde_json::json!({}))
                 }
-                Err(e) => HttpReply::unavailable(&format!("the upload cannot be kept: {e}")),
+                Err(e) => {
+                    HttpReply::unavailable(&format!("the uploaded job cannot be stored: {e}"))
+                }
             }
         }
-        Request::Show => {
+        Request::Status => {
             let region = running.emulator.region();
             HttpReply::json(
                 200,
@@ -122,7 +135,7 @@
                     "tasks": region.tasks(),
                     "starts": region.checker.starts,
                     "rulesBroken": region.checker.broken,
-                    "ends": running.ends(),
+                    "ends": running.exit_counts(),
                 }),
             )
         }
--- a/crates/ctl/src/usage.rs
+++ b/crates/ctl/src/usage.rs
@@ -1,4 +1,4 @@
-//! The account of usage from the command line: all pages of a question, as a table, CSV or JSON.
+//! Usage queries from the command line: all pages of the result, as a table, CSV or JSON.
 
 use crate::constants::*;
 use crate::jobs::exit;
@@ -12,9 +12,9 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-/// What is asked.
+/// Filters of a usage query, and where the rows are written.
 #[derive(Clone, Debug, Default, clap::Args)]
-pub struct Question {
+pub struct UsageQuery {
     #[arg(long)]
     pub team: Option<String>,
     #[arg(long)]
@@ -25,45 +25,45 @@
     /// Last day
     #[arg(long, value_name = "DAY")]
     pub to: Option<String>,
-    /// Write every row there, as CSV; `-` for standard output
+    /// Write every row to this file as CSV; `-` for standard output
     #[arg(long, value_name = "FILE")]
     pub csv: Option<PathBuf>,
 }
 
-/// Why there is no account.
+/// Why a usage query failed.
 #[derive(Debug, thiserror::Error)]
 pub enum UsageError {
     #[error("{0}")]
     Refused(String),
     #[error("no controller can be reached; --controllers says where they are")]
     Unreachable,
-    #[error("no answer that counts: {0}")]
+    #[error("no usable answer from any controller: {0}")]
     NoAnswer(String),
     #[error("{0}")]
     Write(String),
 }
 
 impl UsageError {
-    /// What scripts see of it.
-    pub fn status(&self) -> u8 {
+    /// The exit code of the program.
+    pub fn exit_code(&self) -> u8 {
         match self {
-            Self::Refused(_) | Self::Unreachable | Self::Write(_) => exit::WRONG,
+            Self::Refused(_) | Self::Unreachable | Self::Write(_) => exit::USAGE_ERROR,
             Self::NoAnswer(_) => exit::NO_ANSWER,
         }
     }
 }
 
-impl Question {
+impl UsageQuery {
     fn path(&self, after: Option<&str>) -> String {
         let mut query = form_urlencoded::Serializer::new(String::new());
-        let given = [
+        let parameters = [
             ("team", self.team.as_deref()),
             ("class", self.class.as_deref()),
             ("from", self.from.as_deref()),
             ("to", self.to.as_deref()),
             ("after", after),
         ];
-        for (name, value) in given {
+        for (name, value) in parameters {
             if let Some(value) = value {
                 query.append_pair(name, value);
             }
@@ -71,77 +71,77 @@
         format!("/v2/usage?{}", query.finish())
     }
 
-    /// One page, from whichever controller answers.
-    fn page(&self, callers: &[Caller], after: Option<&str>) -> Result<UsagePage, UsageError> {
-        let (began, mut last) = (Instant::now(), None);
+    /// Fetches one page, trying the controllers in turn until one answers.
+    fn fetch_page(&self, callers: &[Caller], after: Option<&str>) -> Result<UsagePage, UsageError> {
+        let (started, mut last_error) = (Instant::now(), None);
         for caller in callers.iter().cycle() {
             let answer = caller.ask("GET", &self.path(after), &[]);
-            let text = |body: &[u8]| String::from_utf8_lossy(body).into_owned();
+            let body_text = |body: &[u8]| String::from_utf8_lossy(body).into_owned();
             match &answer {
                 Some(a) if a.status == 200 => {
                     return serde_json::from_slice(&a.body)
                         .map_err(|e| UsageError::NoAnswer(e.to_string()));
                 }
                 Some(a) if matches!(a.status, 400 | 404) => {
-                    return Err(UsageError::Refused(text(&a.body)));
+                    return Err(UsageError::Refused(body_text(&a.body)));
                 }
-                Some(a) => last = Some(format!("{} {}", a.status, text(&a.body))),
+                Some(a) => last_error = Some(format!("{} {}", a.status, body_text(&a.body))),
                 None => {}
             }
-            let waited = began.elapsed().as_millis() as u64;
-            match &last {
-                Some(last) if waited >= GIVE_UP_MS.0 => {
-                    return Err(UsageError::NoAnswer(last.clone()));
+            let elapsed_ms = started.elapsed().as_millis() as u64;
+            match &last_error {
+                Some(last_error) if elapsed_ms >= GIVE_UP_MS.0 => {
+                    return Err(UsageError::NoAnswer(last_error.clone()));
                 }
-                None if waited >= UNREACHABLE_MS.0 => return Err(UsageError::Unreachable),
+                None if elapsed_ms >= UNREACHABLE_MS.0 => return Err(UsageError::Unreachable),
                 _ => std::thread::sleep(Duration::from_millis(pause(answer.as_ref()).0)),
             }
         }
         Err(UsageError::Unreachable)
     }
 
-    /// All pages of an answer, one after the other.
-    fn pages<E>(
-        mut page: impl FnMut(Option<&str>) -> Result<UsagePage, E>,
+    /// Fetches the pages of a result one after the other and joins them.
+    fn fetch_all_pages<E>(
+        mut fetch_page: impl FnMut(Option<&str>) -> Result<UsagePage, E>,
     ) -> Result<UsagePage, E> {
         let mut all = UsagePage::default();
         let mut after: Option<String> = None;
         loop {
-            let next = page(after.as_deref())?;
-            all.rows.extend(next.rows);
-            all.gaps.extend(next.gaps);
-            after = next.next;
+            let fetched = fetch_page(after.as_deref())?;
+            all.rows.extend(fetched.rows);
+            all.gaps.extend(fetched.gaps);
+            after = fetched.next;
             if after.is_none() {
                 return Ok(all);
             }
         }
     }
 
-    /// All rows, if the controllers give them at the first try.
-    pub fn look(&self, controllers: &[String]) -> Option<UsagePage> {
-        let page = |after: Option<&str>| {
-            let ask = |a: &String| {
+    /// Fetches all rows without retries; `None` if a page is not available.
+    pub fn try_fetch(&self, controllers: &[String]) -> Option<UsagePage> {
+        let fetch_page = |after: Option<&str>| {
+            let request = |a: &String| {
                 let caller = Caller::new(a, POLL_TIMEOUT_MS, ANSWER_BYTES);
                 caller.ask("GET", &self.path(after), &[]).filter(|a| a.status == 200)
             };
-            let answer = controllers.iter().find_map(ask).ok_or(())?;
+            let answer = controllers.iter().find_map(request).ok_or(())?;
             serde_json::from_slice(&answer.body).map_err(|_| ())
         };
-        Self::pages(page).ok()
+        Self::fetch_all_pages(fetch_page).ok()
     }
 
-    /// All rows.
+    /// Fetches all rows, with retries.
     ///
     /// # Errors
-    /// The question is refused, or no controller answers it.
-    pub fn ask(&self, controllers: &[String]) -> Result<UsagePage, UsageError> {
+    /// The query is refused, or no controller answers it.
+    pub fn fetch(&self, controllers: &[String]) -> Result<UsagePage, UsageError> {
         let caller = |a: &String| Caller::new(a, SUBMIT_TIMEOUT_MS, ANSWER_BYTES);
         let callers: Vec<Caller> = controllers.iter().map(caller).collect();
-        Self::pages(|after| self.page(&callers, after))
+        Self::fetch_all_pages(|after| self.fetch_page(&callers, after))
     }
 }
 
-/// Rows as CSV, with a line of names.
+/// Writes rows as CSV with a header.
 ///
 /// # Errors
 /// They cannot be written.
@@ -169,57 +169,57 @@
         "gbMs",
         "costMicros",
     ])?;
-    for r in rows {
-        let l = &r.sums;
+    for row in rows {
+        let sums = &row.sums;
         let numbers = [
-            l.attempts,
-            l.held_ms,
-            l.ran_ms,
-            l.useful_ms,
-            l.repeated_ms,
-            l.lost_ms,
-            r.waited_ms,
-            l.unseen_ms,
-            l.core_ms,
-            l.gpu_ms,
-            l.gb_ms,
-            l.cost_micros,
+            sums.attempts,
+            sums.held_ms,
+            sums.ran_ms,
+            sums.useful_ms,
+            sums.repeated_ms,
+            sums.lost_ms,
+            row.waited_ms,
+            sums.unseen_ms,
+            sums.core_ms,
+            sums.gpu_ms,
+            sums.gb_ms,
+            sums.cost_micros,
         ];
-        let words = [
-            r.day.clone(),
-            r.closed.to_string(),
-            r.team.clone(),
-            r.class.clone(),
-            r.flavor.clone(),
-            r.yard.clone(),
-            r.loaners.to_string(),
-            r.cause.clone(),
+        let labels = [
+            row.day.clone(),
+            row.closed.to_string(),
+            row.team.clone(),
+            row.class.clone(),
+            row.flavor.clone(),
+            row.yard.clone(),
+            row.loaners.to_string(),
+            row.cause.clone(),
         ];
-        writer.write_record(words.into_iter().chain(numbers.map(|n| n.to_string())))?;
+        writer.write_record(labels.into_iter().chain(numbers.map(|n| n.to_string())))?;
     }
     writer.flush()?;
     Ok(())
 }
 
-/// Sums by day, team and class, for people.
+/// A table of the sums by day, team and class.
 pub fn table(rows: &[UsageRow]) -> Table {
-    let mut sums: BTreeMap<(String, String, String), ([u64; 8], bool)> = BTreeMap::new();
-    for r in rows {
-        let key = (r.day.clone(), r.team.clone(), r.class.clone());
-        let (sum, closed) = sums.entry(key).or_default();
-        let l = &r.sums;
-        let more = [
-            l.attempts,
-            l.useful_ms,
-            l.repeated_ms,
-            l.lost_ms,
-            r.waited_ms,
-            l.core_ms,
-            l.gpu_ms,
-            l.cost_micros,
+    let mut totals_by_key: BTreeMap<(String, String, String), ([u64; 8], bool)> = BTreeMap::new();
+    for row in rows {
+        let key = (row.day.clone(), row.team.clone(), row.class.clone());
+        let (totals, closed) = totals_by_key.entry(key).or_default();
+        let attempt_sums = &row.sums;
+        let added = [
+            attempt_sums.attempts,
+            attempt_sums.useful_ms,
+            attempt_sums.repeated_ms,
+            attempt_sums.lost_ms,
+            row.waited_ms,
+            attempt_sums.core_ms,
+            attempt_sums.gpu_ms,
+            attempt_sums.cost_micros,
         ];
-        sum.iter_mut().zip(more).for_each(|(sum, more)| *sum += more);
-        *closed = r.closed;
+        totals.iter_mut().zip(added).for_each(|(total, added)| *total += added);
+        *closed = row.closed;
     }
     let mut table = Table::new();
     table.load_preset(UTF8_HORIZONTAL_ONLY).set_header([
@@ -236,11 +236,11 @@
         "cost",
         "",
     ]);
-    for ((day, team, class), (sum, closed)) in sums {
+    for ((day, team, class), (totals, closed)) in totals_by_key {
         let hours = |ms: u64| format!("{:.3}", ms as f64 / 3_600_000.0);
-        let [attempts, times @ .., cost] = sum;
+        let [attempts, durations @ .., cost] = totals;
         let mut row = vec![day, team, class, attempts.to_string()];
-        row.extend(times.map(hours));
+        row.extend(durations.map(hours));
         row.push(format!("{:.4}", cost as f64 / 1e6));
         row.push(if closed { "closed".into() } else { "open".into() });
         table.add_row(row);
@@ -251,36 +251,36 @@
     table
 }
 
-/// Asks, and writes what was asked for.
+/// Runs a usage query and prints the result or writes it to a file.
 ///
 /// # Errors
-/// The question is refused, nobody answers, or the file cannot be written.
-pub fn run(question: &Question, controllers: &[String], json: bool) -> Result<u8, UsageError> {
-    let page = question.ask(controllers)?;
-    let unwritten = |e: &dyn std::fmt::Display| UsageError::Write(format!("cannot write: {e}"));
-    match &question.csv {
+/// The query is refused, no controller answers, or the file cannot be written.
+pub fn run(query: &UsageQuery, controllers: &[String], json: bool) -> Result<u8, UsageError> {
+    let page = query.fetch(controllers)?;
+    let write_error = |e: &dyn std::fmt::Display| UsageError::Write(format!("cannot write: {e}"));
+    match &query.csv {
         Some(path) if path.as_os_str() == "-" => {
-            write_csv(&page.rows, std::io::stdout()).map_err(|e| unwritten(&e))?;
+            write_csv(&page.rows, std::io::stdout()).map_err(|e| write_error(&e))?;
         }
         Some(path) => {
             let file = std::fs::File::create(path)
                 .map_err(|e| UsageError::Write(format!("{}: {e}", path.display())))?;
-            write_csv(&page.rows, file).map_err(|e| unwritten(&e))?;
+            write_csv(&page.rows, file).map_err(|e| write_error(&e))?;
         }
         None if json => println!("{}", serde_json::json!(page)),
         None => println!("{}", table(&page.rows)),
     }
     for gap in &page.gaps {
-        eprintln!("oatloomctl: {gap}: something could not be read and is not in the sums");
+        eprintln!("oatloomctl: {gap}: the record could not be read and is missing from the sums");
     }
-    Ok(if page.gaps.is_empty() { exit::GOOD } else { exit::BAD })
+    Ok(if page.gaps.is_empty() { exit::SUCCESS } else { exit::FAILURE })
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    fn rows() -> Vec<UsageRow> {
+    fn example_rows() -> Vec<UsageRow> {
         let text = r#"{"rows":[{"day":"2026-12-01","closed":false,"team":"a,b","class":"c","flavor":"g",
             "yard":"z","loaners":true,"cause":"done","waitedMs":3,"attempts":2,"heldMs":13,"ranMs":10,
             "usefulMs":10,"repeatedMs":0,"lostMs":0,"unseenMs":0,"coreMs":20,"gpuMs":0,"gbMs":80,
@@ -289,29 +289,29 @@
         [page.rows.clone(), page.rows].concat()
     }
 
-    /// The table and the file hold the same sums, whatever a team is called.
+    /// The table and the CSV file have the same sums, also for a team name that needs quoting.
     #[test]
-    fn tables_and_files_hold_the_sums() {
+    fn table_and_csv_have_the_same_sums() {
         let mut file = Vec::new();
-        write_csv(&rows(), &mut file).unwrap();
+        write_csv(&example_rows(), &mut file).unwrap();
         let mut reader = csv::Reader::from_reader(&file[..]);
         let at = reader.headers().unwrap().iter().position(|name| name == "costMicros").unwrap();
         let read: Vec<csv::StringRecord> = reader.records().map(Result::unwrap).collect();
         assert!(read.len() == 2 && read.iter().all(|r| &r[2] == "a,b" && &r[at] == "1500000"));
-        let text = table(&rows()).to_string();
+        let text = table(&example_rows()).to_string();
         assert!(text.contains("3.0000") && text.contains("a,b") && text.contains("open"), "{text}");
     }
 
     #[test]
-    fn questions_are_escaped() {
-        let question = Question {
+    fn query_parameters_are_escaped() {
+        let query = UsageQuery {
             team: Some("a b&c".into()),
             class: None,
             from: Some("2026-12-01".into()),
             to: None,
             csv: None,
         };
-        let path = question.path(Some("use/020788/a/b"));
+        let path = query.path(Some("use/020788/a/b"));
         assert_eq!(path, "/v2/usage?team=a+b%26c&from=2026-12-01&after=use%2F020788%2Fa%2Fb");
     }
 }
--- a/crates/ctl/tests/ended.rs
+++ b/crates/ctl/tests/ended.rs
@@ -1,10 +1,10 @@
-//! A region that has run many jobs: those that have ended cost a takeover nothing, are found by every controller, and
-//! leave the controllers as small as they were. `OATLOOM_ENDED` says how many there are.
+//! A region with many finished jobs: they must not slow down a change of the leader, every controller must find them,
+//! and the memory of the controllers must stay small. `OATLOOM_ENDED` sets the number of finished jobs.
 
 use hdrhistogram::Histogram;
 use oatloom_ctl::constants::{ANSWER_BYTES, POLL_TIMEOUT_MS, SUBMIT_TIMEOUT_MS};
-use oatloom_ctl::launch::Running;
-use oatloom_ctl::settings::Local;
+use oatloom_ctl::launch::RunningRegion;
+use oatloom_ctl::settings::LocalSettings;
 use oatloom_emulator::faults::{Fault, Planned};
 use oatloom_state::disk::Directory;
 use oatloom_state::journal::{SnapshotWriter, Step};
@@ -15,8 +15,8 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// A state service's directory with the final states of so many jobs.
-fn fill(directory: &Path, ended: u64) {
+/// Writes a data directory of the state service with the final records of `job_count` jobs.
+fn write_finished_jobs(directory: &Path, job_count: u64) {
     std::fs::create_dir_all(directory).expect("a directory");
     let mut writer = SnapshotWriter::new(Directory::new(directory));
     writer.step(&Step::Begin).expect("begun");
@@ -33,60 +33,64 @@
             lease: 0,
         }
     };
-    for first in (0..ended).step_by(1_000) {
-        let rows = (first..(first + 1_000).min(ended)).map(row).collect();
+    for first in (0..job_count).step_by(1_000) {
+        let rows = (first..(first + 1_000).min(job_count)).map(row).collect();
         writer.step(&Step::Rows(rows)).expect("written");
     }
-    let close = Close { rows: ended, from: 1, revision: ended, ..Close::default() };
+    let close = Close { rows: job_count, from: 1, revision: job_count, ..Close::default() };
     writer.step(&Step::Close(close)).expect("closed");
 }
 
-/// Until every controller tells of an ended job.
-fn all_answer(running: &mut Running, ended: u64) -> Duration {
-    let began = Instant::now();
-    let path = format!("/v2/runs/req-{:09}", ended / 2);
+/// Waits until every controller answers for a finished job.
+fn wait_until_all_answer(running: &mut RunningRegion, job_count: u64) -> Duration {
+    let started = Instant::now();
+    let path = format!("/v2/runs/req-{:09}", job_count / 2);
     for address in running.controllers.clone() {
         let caller = Caller::new(&address, POLL_TIMEOUT_MS, ANSWER_BYTES);
         while caller.get(&path).is_none_or(|(status, _)| status != 200) {
-            assert!(began.elapsed() < Duration::from_secs(60), "{address} does not answer");
-            running.tend();
+            assert!(started.elapsed() < Duration::from_secs(60), "{address} does not answer");
+            running.supervise();
             std::thread::sleep(Duration::from_millis(20));
         }
     }
-    began.elapsed()
+    started.elapsed()
 }
 
 #[test]
-fn jobs_that_have_ended_cost_little() {
-    let ended: u64 =
+fn finished_jobs_cost_little() {
+    let job_count: u64 =
         std::env::var("OATLOOM_ENDED").ok().and_then(|n| n.parse().ok()).unwrap_or(3_000);
     let data = tempfile::tempdir().expect("a directory");
-    fill(&data.path().join("state"), ended);
+    write_finished_jobs(&data.path().join("state"), job_count);
     let operators = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/ledger.sample.lisp");
-    let local = Local { port: 0, state_rps: 5_000.0, ..Local::default() };
-    let began = Instant::now();
-    let mut running = Running::start(local, data.path(), Some(&operators), 1).expect("a region");
-    let first = all_answer(&mut running, ended);
+    let local = LocalSettings { port: 0, state_rps: 5_000.0, ..LocalSettings::default() };
+    let started = Instant::now();
+    let mut running =
+        RunningRegion::start(local, data.path(), Some(&operators), 1).expect("a region");
+    let first_answers = wait_until_all_answer(&mut running, job_count);
     println!(
-        "{ended} ended jobs: started in {:?}, all controllers answer {first:?} later",
-        began.elapsed() - first
+        "{job_count} finished jobs: started in {:?}, all controllers answer {first_answers:?} later",
+        started.elapsed() - first_answers
     );
     let mut rng = ChaCha8Rng::seed_from_u64(1);
-    let mut times = Histogram::<u64>::new(3).expect("a histogram");
+    let mut lookup_times_us = Histogram::<u64>::new(3).expect("a histogram");
     for n in 0..3_000 {
-        let job = rng.random_range(0..ended);
+        let job = rng.random_range(0..job_count);
         let address = &running.controllers[n % running.controllers.len()];
         let caller = Caller::new(address, POLL_TIMEOUT_MS, ANSWER_BYTES);
-        let asked = Instant::now();
+        let asked_at = Instant::now();
         let (status, body) = caller.get(&format!("/v2/runs/req-{job:09}")).expect("an answer");
-        let _ = times.record(asked.elapsed().as_micros() as u64);
-        let word = if job.is_multiple_of(9) { "cancelled" } else { "done" };
-        assert!(status == 200 && String::from_utf8_lossy(&body).contains(word), "{job}: {status}");
+        let _ = lookup_times_us.record(asked_at.elapsed().as_micros() as u64);
+        let expected_status = if job.is_multiple_of(9) { "cancelled" } else { "done" };
+        assert!(
+            status == 200 && String::from_utf8_lossy(&body).contains(expected_status),
+            "{job}: {status}"
+        );
         if n.is_multiple_of(100) {
-            running.tend();
+            running.supervise();
         }
     }
-    // A repeated submission of one, and an abort of another, get its final state.
+    // A repeated submission and an abort of a finished job are answered with its final status.
     let caller = Caller::new(&running.controllers[0], SUBMIT_TIMEOUT_MS, ANSWER_BYTES);
     let spec = serde_json::json!({"nameId": "req-000000009", "jobclass": "quick", "owner": "red", "shape": "sweep",
         "rank": "low", "shards": 1, "cpus": 1.0, "gpus": 0.0, "memoryGb": 1.0, "bundle": "i", "pullGb": 1.0,
@@ -96,13 +100,16 @@
     let (status, body) =
         caller.post("/v2/runs/req-000000010/abort", &serde_json::json!({})).expect("an answer");
     assert!(status == 200 && String::from_utf8_lossy(&body).contains("done"), "{status}");
-    running.strike(&Planned { at: 0, until: 0, fault: Fault::CrashAll(None) });
-    let back = all_answer(&mut running, ended);
+    running.inject_fault(&Planned { at: 0, until: 0, fault: Fault::CrashAll(None) });
+    let recovery_time = wait_until_all_answer(&mut running, job_count);
     println!(
-        "lookups p50 {:.2} ms, p99 {:.2} ms; all controllers killed: all answer after {back:?}; {:.1} MB in a controller",
-        times.value_at_quantile(0.5) as f64 / 1e3,
-        times.value_at_quantile(0.99) as f64 / 1e3,
-        running.controllers_memory() as f64 / 1e6
+        "lookups p50 {:.2} ms, p99 {:.2} ms; all controllers killed: all answer after {recovery_time:?}; {:.1} MB in a controller",
+        lookup_times_us.value_at_quantile(0.5) as f64 / 1e3,
+        lookup_times_us.value_at_quantile(0.99) as f64 / 1e3,
+        running.max_controller_memory_bytes() as f64 / 1e6
+    );
+    assert!(
+        recovery_time < Duration::from_secs(20)
+            && running.max_controller_memory_bytes() < 40_000_000
     );
-    assert!(back < Duration::from_secs(20) && running.controllers_memory() < 40_000_000);
 }
--- a/crates/ctl/tests/region.rs
+++ b/crates/ctl/tests/region.rs
@@ -1,12 +1,12 @@
-//! The programs as their users run them: a region on this machine, a job to its end, a second start that goes
-//! on, and one line for what is wrongly asked. Rehearsals with troubles are the suite's, not the tests'.
+//! Tests of the programs as users run them: a region on this machine, a job until it is done, a restart with the same
+//! state, and errors of one line. Rehearsals with faults are left to `oatloomctl suite`.
 
 use std::io::{BufRead, BufReader};
 use std::path::Path;
 use std::process::{Child, Command, Output, Stdio};
 use std::time::{Duration, Instant};
 
-fn ctl(arguments: &[&str]) -> Output {
+fn run_ctl(arguments: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_oatloomctl"));
     command.args(arguments).env("LOG_LEVEL", "error").stdin(Stdio::null());
     command.output().expect("oatloomctl")
@@ -15,7 +15,7 @@
 struct Region {
     child: Child,
     controllers: String,
-    own: String,
+    region_address: String,
 }
 
 impl Region {
@@ -37,36 +37,36 @@
             let line = lines.next().expect("a line").expect("text");
             line.strip_prefix(name).unwrap_or_else(|| panic!("{line}")).to_owned()
         };
-        let (controllers, own) = (next("controllers: "), next("region: "));
+        let (controllers, region_address) = (next("controllers: "), next("region: "));
         std::thread::spawn(move || lines.for_each(drop));
-        Self { child, controllers, own }
+        Self { child, controllers, region_address }
     }
 
-    /// As Ctrl-C does.
-    fn end(mut self) {
+    /// Stops the region with SIGINT, as Ctrl-C does.
+    fn stop(mut self) {
         let id = self.child.id().to_string();
         assert!(Command::new("kill").args(["-INT", &id]).status().expect("kill").success());
         let began = Instant::now();
         while self.child.try_wait().expect("its status").is_none() {
-            assert!(began.elapsed() < Duration::from_secs(10), "does not end");
+            assert!(began.elapsed() < Duration::from_secs(10), "the region does not stop");
             std::thread::sleep(Duration::from_millis(20));
         }
     }
 
-    fn ask(&self, arguments: &[&str]) -> (i32, String) {
-        let more = ["--controllers", &self.controllers, "--json"];
-        let output = ctl(&[arguments, &more].concat());
+    fn run_json(&self, arguments: &[&str]) -> (i32, String) {
+        let options = ["--controllers", &self.controllers, "--json"];
+        let output = run_ctl(&[arguments, &options].concat());
         let text = String::from_utf8_lossy(&output.stdout).into_owned();
         (output.status.code().unwrap_or(-1), text)
     }
 }
 
 #[test]
-fn a_region_serves_a_job_to_its_end_and_goes_on_after_a_second_start() {
+fn a_region_finishes_a_job_and_continues_after_a_restart() {
     let data = tempfile::tempdir().expect("a directory");
-    let (file, home) = (data.path().join("local.lisp"), data.path().join("region"));
+    let (file, data_directory) = (data.path().join("local.lisp"), data.path().join("region"));
     std::fs::write(&file, "((port . 0) (boot-s . 0.5))").expect("written");
-    let region = Region::start(&file, &home);
+    let region = Region::start(&file, &data_directory);
     let job = [
         "submit",
         "--shape",
@@ -79,49 +79,63 @@
         "--id",
         "req-1",
         "--region",
-        &region.own,
+        &region.region_address,
     ];
-    let (status, text) = region.ask(&job);
+    let (status, text) = region.run_json(&job);
     assert_eq!(status, 0, "{text}");
     assert!(text.lines().last().is_some_and(|l| l.contains(r#""status":"done""#)), "{text}");
-    let service = ["submit", "--shape", "service", "--id", "req-2", "--region", &region.own];
-    assert_eq!(region.ask(&service).0, 0);
-    let (status, text) =
-        region.ask(&["submit", "--shape", "gang", "--gpus", "99", "--region", &region.own]);
+    let service =
+        ["submit", "--shape", "service", "--id", "req-2", "--region", &region.region_address];
+    assert_eq!(region.run_json(&service).0, 0);
+    let (status, text) = region.run_json(&[
+        "submit",
+        "--shape",
+        "gang",
+        "--gpus",
+        "99",
+        "--region",
+        &region.region_address,
+    ]);
     assert!(status == 1 && text.contains("422"), "{status} {text}");
-    assert_eq!(region.ask(&["status", "req-404"]).0, 1);
-    assert_eq!(ctl(&["fault", "(crash-all)", "--region", &region.own]).status.code(), Some(0));
-    assert_eq!(ctl(&["fault", "(explode)", "--region", &region.own]).status.code(), Some(2));
-    region.end();
+    assert_eq!(region.run_json(&["status", "req-404"]).0, 1);
+    assert_eq!(
+        run_ctl(&["fault", "(crash-all)", "--region", &region.region_address]).status.code(),
+        Some(0)
+    );
+    assert_eq!(
+        run_ctl(&["fault", "(explode)", "--region", &region.region_address]).status.code(),
+        Some(2)
+    );
+    region.stop();
 
-    let region = Region::start(&file, &home);
-    let (status, text) = region.ask(&["status", "req-1"]);
+    let region = Region::start(&file, &data_directory);
+    let (status, text) = region.run_json(&["status", "req-1"]);
     assert!(status == 0 && text.contains(r#""status":"done""#), "{status} {text}");
-    // The new leader counts what ended before it.
+    // The new leader accounts for jobs that finished before its term.
     let began = Instant::now();
     let counted =
         |text: &str| text.contains(r#""cause":"done""#) && text.contains(r#""team":"red""#);
-    while !counted(&region.ask(&["usage", "--team", "red"]).1) {
-        assert!(began.elapsed() < Duration::from_secs(30), "nothing is accounted");
+    while !counted(&region.run_json(&["usage", "--team", "red"]).1) {
+        assert!(began.elapsed() < Duration::from_secs(30), "no usage is recorded");
         std::thread::sleep(Duration::from_millis(200));
     }
-    let (status, text) = region.ask(&["usage", "--team", "blue"]);
+    let (status, text) = region.run_json(&["usage", "--team", "blue"]);
     assert!(status == 0 && text.contains(r#""rows":[]"#), "{status} {text}");
-    assert_eq!(region.ask(&["usage", "--from", "soon"]).0, 2);
-    // Its machines are new, and learn again what was uploaded before.
+    assert_eq!(region.run_json(&["usage", "--from", "soon"]).0, 2);
+    // Its machines are new and fetch job descriptions that were uploaded before the restart.
     let began = Instant::now();
-    while !region.ask(&["status", "req-2"]).1.contains(r#""status":"running""#) {
+    while !region.run_json(&["status", "req-2"]).1.contains(r#""status":"running""#) {
         assert!(began.elapsed() < Duration::from_secs(30), "the service does not run again");
         std::thread::sleep(Duration::from_millis(200));
     }
-    let (status, text) = region.ask(&["abort", "req-2"]);
+    let (status, text) = region.run_json(&["abort", "req-2"]);
     assert!(status == 0 && text.contains(r#""status":"cancelled""#), "{status} {text}");
-    region.end();
+    region.stop();
 }
 
-/// One clear line and status 2, whatever is wrongly asked.
+/// Invalid arguments and files give one line of error text and exit code 2.
 #[test]
-fn what_is_wrongly_asked_is_said_in_one_line() {
+fn invalid_arguments_give_an_error_of_one_line() {
     let data = tempfile::tempdir().expect("a directory");
     let path = |name: &str| data.path().join(name).display().to_string();
     let write = |name: &str, text: &str| std::fs::write(path(name), text).expect("written");
@@ -143,14 +157,14 @@
         (&["fault", "crash-all", "--region", "127.0.0.1:1"], "no region answers"),
     ];
     std::thread::scope(|scope| {
-        for (arguments, words) in cases {
+        for (arguments, expected) in cases {
             scope.spawn(move || {
-                let output = ctl(arguments);
+                let output = run_ctl(arguments);
                 let text = String::from_utf8_lossy(&output.stderr).into_owned();
                 assert_eq!(output.status.code(), Some(2), "{arguments:?}: {text}");
-                assert!(text.contains(words) && text.trim_end().lines().count() == 1, "{text}");
+                assert!(text.contains(expected) && text.trim_end().lines().count() == 1, "{text}");
             });
         }
     });
-    assert_eq!(ctl(&["dance"]).status.code(), Some(2));
+    assert_eq!(run_ctl(&["dance"]).status.code(), Some(2));
 }
