--- a/crates/ctl/src/graphs.rs
+++ b/crates/ctl/src/graphs.rs
@@ -92,7 +92,7 @@
     pub fn exit_code(&self) -> u8 {
         match self {
             Self::InvalidInput(_) => exit::USAGE_ERROR,
-            Self::Graph(GraphError::NoAnswer(_)) => exit::NO_ANSWER,
+            Self::Graph(GraphError::NoFinalResponse(_)) => exit::NO_ANSWER,
             Self::Graph(_) => exit::FAILURE,
         }
     }
@@ -131,7 +131,7 @@
 /// The nodes of a file in an order in which inputs come first.
 fn build_model(file: &GraphFile) -> Result<Model, GraphCommandError> {
     // The model is only shown and never stored, so the size limits of stored values do not apply.
-    let room = Room { value: usize::MAX / 4, values: usize::MAX };
+    let room = RecordSpace { value_bytes: usize::MAX / 4, value_count: usize::MAX };
     let mut model = Model::default();
     let refused = |text: String| GraphCommandError::InvalidInput(text);
     let prepared = model.prepare(&as_addition(file), 0, room).map_err(|e| refused(e.1))?;
@@ -148,14 +148,14 @@
 /// The nodes do not form a valid graph.
 pub fn format_plan(file: &GraphFile, all: bool) -> Result<String, GraphCommandError> {
     let mut model = build_model(file)?;
-    let critical_path_s = model.weigh(|kind| seconds(kind, 1.0));
+    let critical_path_s = model.compute_paths(|kind| run_time_s(kind, 1.0));
     let mut start_times: Vec<f64> = Vec::new();
     let mut rows = Vec::new();
-    for index in (0..model.len()).map(NodeIx) {
+    for index in (0..model.len()).map(NodeId) {
         let Some(node) = model.node(index) else { continue };
-        let finish_time = |input: NodeIx| {
+        let finish_time = |input: NodeId| {
             let node = model.node(input)?;
-            Some(start_times[input.0 as usize] + seconds(model.kind_of(node), 1.0))
+            Some(start_times[input.0 as usize] + run_time_s(model.kind_of(node), 1.0))
         };
         let start = model.needs(index).filter_map(finish_time).fold(0.0, f64::max);
         let remaining_path_s = f64::from(node.path_s);
@@ -179,8 +179,10 @@
             format!("{remaining_path_s:.0}"),
         ]);
     }
-    let total_task_s: f64 =
-        rows.iter().map(|(_, _, n, _)| seconds(model.kind_of(n), 1.0) * f64::from(n.shards)).sum();
+    let total_task_s: f64 = rows
+        .iter()
+        .map(|(_, _, n, _)| run_time_s(model.kind_of(n), 1.0) * f64::from(n.shards))
+        .sum();
     Ok(format!(
         "{table}\n{} nodes, {total_task_s:.0} s of tasks; the critical path (*) takes {critical_path_s:.0} s, without boots and fetches",
         model.len()
@@ -234,7 +236,7 @@
             println!("{}: {}{job}", node.name, status.as_str().unwrap_or_default());
         }
     };
-    let final_view = watch.to_end(print_node)?;
+    let final_view = watch.wait_until_final(print_node)?;
     Ok(print_status(&final_view, json))
 }
 
@@ -251,7 +253,7 @@
     let id = file.graph.map_or_else(|| parse_graph_id(&random_id), Ok)?;
     let session_name = format!("ctl-{:016x}", rng.random::<u64>());
     let session = Session::open(controllers, &session_name, &key, &file.owner, SESSION_TTL_S)?;
-    let plan = Plan {
+    let plan = GraphOptions {
         class: file.jobclass.clone(),
         rank: file.rank,
         due_s: file.due_s,
@@ -266,7 +268,7 @@
     let model = build_model(file)?;
     let by_name: BTreeMap<&str, &NewNode> =
         file.nodes.iter().map(|node| (node.name.as_str(), node)).collect();
-    for index in (0..model.len()).map(NodeIx) {
+    for index in (0..model.len()).map(NodeId) {
         let node = model.node(index).and_then(|node| by_name.get(&*node.name));
         if let Some(node) = node {
             graph.add((*node).clone())?;
@@ -296,7 +298,7 @@
         }
         Command::Status { id } => {
             let mut watch = Watch::new(controllers, parse_graph_id(id)?, String::new());
-            Ok(print_status(&watch.look()?, json))
+            Ok(print_status(&watch.poll()?, json))
         }
         Command::Watch { id, after } => {
             follow(Watch::new(controllers, parse_graph_id(id)?, after.clone()), json)
--- a/crates/ctl/src/jobs.rs
+++ b/crates/ctl/src/jobs.rs
@@ -146,9 +146,9 @@
 }
 
 /// Prints the result of a request and returns the exit code.
-fn print_result(id: &JobId, result: &Told, json: bool) -> u8 {
+fn print_result(id: &JobId, result: &JobResponse, json: bool) -> u8 {
     let (text, value, exit_code) = match result {
-        Told::View(view) => {
+        JobResponse::View(view) => {
             let tasks = format!("{} done, {} running", view.done, view.running);
             let status_name = serde_json::json!(view.status);
             let mut text = format!("{id}: {} ({tasks})", status_name.as_str().unwrap_or_default());
@@ -192,8 +192,8 @@
 }
 
 /// Sends a request, with retries until [`GIVE_UP_MS`] has passed, and prints the result.
-pub fn ask(controllers: &mut Controllers, request: &Wish, json: bool) -> u8 {
-    let result = controllers.insist(request, GIVE_UP_MS);
+pub fn ask(controllers: &mut Controllers, request: &JobRequest, json: bool) -> u8 {
+    let result = controllers.request_with_retry(request, REQUEST_RETRY_TIMEOUT_MS);
     print_result(request.id(), &result, json)
 }
 
@@ -210,8 +210,10 @@
     while !unfinished.is_empty() {
         let mut still_unfinished = Vec::new();
         for (id, previous) in unfinished {
-            match controllers.insist(&Wish::View(id.clone()), GIVE_UP_MS) {
-                Told::View(view) => {
+            match controllers
+                .request_with_retry(&JobRequest::View(id.clone()), REQUEST_RETRY_TIMEOUT_MS)
+            {
+                JobResponse::View(view) => {
                     let is_finished = view.status.is_final();
                     if is_finished && view.status != JobStatus::Done {
                         worst_exit_code = worst_exit_code.max(exit::FAILURE);
@@ -222,7 +224,7 @@
                             bar.set_message(format!("{id} {:?}", view.status));
                         }
                         None if previous.as_ref() != Some(&view) => {
-                            print_result(&id, &Told::View(view.clone()), json);
+                            print_result(&id, &JobResponse::View(view.clone()), json);
                         }
                         None => {}
                     }
@@ -230,7 +232,7 @@
                         still_unfinished.push((id, Some(view)));
                     } else if let Some(bar) = &bar {
                         bar.finish_and_clear();
-                        print_result(&id, &Told::View(view), json);
+                        print_result(&id, &JobResponse::View(view), json);
                     }
                 }
                 result => worst_exit_code = worst_exit_code.max(print_result(&id, &result, json)),
@@ -247,8 +249,9 @@
 /// Submits a job, and follows it to its end if `wait` is set.
 pub fn submit(controllers: &mut Controllers, spec: JobSpec, wait: bool, json: bool) -> u8 {
     let (id, tasks) = (spec.id.clone(), spec.tasks);
-    let result = controllers.insist(&Wish::Submit(Box::new(spec)), GIVE_UP_MS);
-    if !wait || !matches!(result, Told::View(_)) {
+    let result = controllers
+        .request_with_retry(&JobRequest::Submit(Box::new(spec)), REQUEST_RETRY_TIMEOUT_MS);
+    if !wait || !matches!(result, JobResponse::View(_)) {
         return print_result(&id, &result, json);
     }
     watch(controllers, &[id], Some(tasks), json)
--- a/crates/ctl/src/launch.rs
+++ b/crates/ctl/src/launch.rs
@@ -264,8 +264,10 @@
         state.start()?;
         wait_for(&mut state, &state_address, "/status")?;
 
-        let shared =
-            Shared { faults: Arc::new(Mutex::new(Faults::default())), start: Instant::now() };
+        let shared = FaultContext {
+            faults: Arc::new(Mutex::new(FaultSet::default())),
+            start: Instant::now(),
+        };
         let controllers: Vec<String> = serve_ports.iter().map(loopback).collect();
         let nodes: Vec<Node> = controllers
             .iter()
@@ -280,14 +282,16 @@
         let mut addresses = Vec::new();
         for (index, serve) in controllers.iter().enumerate() {
             let start_gate = |target: &str, service| {
-                gate::start(target, service, index, seed, &shared)
+                service_proxy::start(target, service, index, seed, &shared)
                     .map(|address| address.to_string())
             };
             addresses.push(Addresses {
                 serve: serve.clone(),
                 mesh: mesh_addresses[index].clone(),
                 peers: (0..CONTROLLER_COUNT)
-                    .map(|peer| line::start(&mesh_addresses[peer], (index, peer), &nodes, &shared))
+                    .map(|peer| {
+                        link_proxy::start(&mesh_addresses[peer], (index, peer), &nodes, &shared)
+                    })
                     .map(|address| address.map(|address| address.to_string()))
                     .collect::<Result<_, _>>()?,
                 state: start_gate(&state_address, Service::State)?,
@@ -347,7 +351,7 @@
     }
 
     /// Starts a fault.
-    pub fn inject_fault(&mut self, planned: &Planned) {
+    pub fn inject_fault(&mut self, planned: &ScheduledFault) {
         tracing::info!("fault: {:?} until {} ms", planned.fault, planned.until);
         match planned.fault {
             Fault::CrashController(index, requested_delay) => {
@@ -395,17 +399,17 @@
     let to_ms = |s: f64| (s * 1000.0) as u64;
     // Machine names must not be reused, even by a later region with the same state.
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    let terms = Terms {
+    let terms = CloudConfig {
         flavors: local.flavors(),
         capacity: local.machines,
         boot_ms: (to_ms(local.boot_s * 0.6), to_ms(local.boot_s * 1.5)),
-        never_boots: 0.02,
-        late_boots: 0.04,
+        never_boot_share: 0.02,
+        late_boot_share: 0.04,
         list_age_ms: (to_ms(local.list_lag_s), to_ms(local.list_lag_s * 2.0)),
-        page: 500,
+        max_page_machines: 500,
         fetch_ms: None,
-        prices_move: true,
-        first_machine: since_epoch.as_millis() as u64,
+        has_varying_prices: true,
+        first_machine_number: since_epoch.as_millis() as u64,
         nodes: (0..CONTROLLER_COUNT).map(controller_name).collect(),
     };
     let facts = WorkerFacts {
@@ -416,7 +420,7 @@
         cancel_s: local.cancel_s,
     };
     let limits = local.teams.iter().enumerate();
-    let gpu_limit = |index| Limit::gpus(if index == 0 { local.gpus_max } else { 0.0 });
+    let gpu_limit = |index| Limit::gpus_only(if index == 0 { local.gpus_max } else { 0.0 });
     let limits = limits.map(|(index, team)| (team.clone(), gpu_limit(index))).collect();
     let checker = Checker::new(limits, to_ms(local.cancel_s));
     Region::new(terms, (&facts).into(), checker, seed)
@@ -424,7 +428,7 @@
 
 /// Waits until a started program answers with status 200.
 fn wait_for(process: &mut SupervisedProcess, address: &str, path: &str) -> Result<(), LaunchError> {
-    let caller = Caller::new(address, POLL_TIMEOUT_MS, ANSWER_BYTES);
+    let caller = HttpClient::new(address, POLL_TIMEOUT_MS, MAX_RESPONSE_BYTES);
     let started = Instant::now();
     loop {
         if caller.get(path).is_some_and(|(status, _)| status == 200) {
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,9 +1,10 @@
 //! The command line arguments of `oatloomctl` and the dispatch of its subcommands.
 
 use clap::{Parser, Subcommand};
-use oatloom_client::users::{Controllers, Wish};
+use oatloom_client::controllers::{Controllers, JobRequest};
 use oatloom_ctl::constants::{
-    ANSWER_BYTES, CONTROLLER_COUNT, FIRST_CONTROLLER_PORT, REGION_PORT_OFFSET, SUBMIT_TIMEOUT_MS,
+    CONTROLLER_COUNT, FIRST_CONTROLLER_PORT, MAX_RESPONSE_BYTES, REGION_PORT_OFFSET,
+    SUBMIT_TIMEOUT_MS,
 };
 use oatloom_ctl::graphs;
 use oatloom_ctl::jobs::{self, JobOptions, exit};
@@ -230,7 +231,7 @@
             ))
         }
         Command::Status { id, controllers } => {
-            let request = Wish::View(parse_job_id(&id)?);
+            let request = JobRequest::View(parse_job_id(&id)?);
             Ok(jobs::ask(
                 &mut Controllers::new(&controllers.addresses()),
                 &request,
@@ -238,7 +239,7 @@
             ))
         }
         Command::Abort { id, controllers } => {
-            let request = Wish::Abort(parse_job_id(&id)?);
+            let request = JobRequest::Abort(parse_job_id(&id)?);
             Ok(jobs::ask(
                 &mut Controllers::new(&controllers.addresses()),
                 &request,
@@ -266,8 +267,8 @@
         Command::Schema { name, write } => print_schemas(name.as_deref(), write.as_deref()),
         Command::Fault { fault, region } => {
             let address = region_address(region);
-            let caller = Caller::new(&address, SUBMIT_TIMEOUT_MS, ANSWER_BYTES);
-            match caller.ask("POST", "/faults", fault.as_bytes()) {
+            let caller = HttpClient::new(&address, SUBMIT_TIMEOUT_MS, MAX_RESPONSE_BYTES);
+            match caller.request("POST", "/faults", fault.as_bytes()) {
                 Some(answer) => {
                     let text = String::from_utf8_lossy(&answer.body).into_owned();
                     if answer.status == 200 {
@@ -305,7 +306,7 @@
     if region.is_none() && !controllers.controllers.is_empty() {
         return;
     }
-    let caller = Caller::new(&region_address(region), SUBMIT_TIMEOUT_MS, ANSWER_BYTES);
+    let caller = HttpClient::new(&region_address(region), SUBMIT_TIMEOUT_MS, MAX_RESPONSE_BYTES);
     if caller.post("/jobs", spec).is_none() {
         tracing::debug!("no emulated region accepted the upload of the job");
     }
@@ -359,7 +360,7 @@
 
 fn read_faults(
     timetable: Option<&Path>,
-) -> Result<Vec<oatloom_emulator::faults::Planned>, CommandError> {
+) -> Result<Vec<oatloom_emulator::faults::ScheduledFault>, CommandError> {
     let Some(path) = timetable else { return Ok(Vec::new()) };
     suite::parse_timetable(&read_file(path)?)
         .map_err(|e| usage_error(format!("{}: {e}", path.display())))
--- a/crates/ctl/src/suite.rs
+++ b/crates/ctl/src/suite.rs
@@ -6,8 +6,8 @@
 use crate::launch::{LaunchError, RunningRegion};
 use crate::settings::{LocalSettings, ZONES};
 use crate::usage::UsageQuery;
-use oatloom_client::users::{Controllers, Told, Wish, judge};
-use oatloom_emulator::faults::{Fault, Planned, Service, Trouble};
+use oatloom_client::controllers::{Controllers, JobRequest, JobResponse, interpret_response};
+use oatloom_emulator::faults::{Fault, ScheduledFault, Service, ServiceFault};
 use oatloom_emulator::timetable;
 use oatloom_emulator::worker::JobFailures;
 use oatloom_ledger::query::UsagePage;
@@ -148,7 +148,7 @@
     /// The job cannot be accepted: the refusal is its final answer.
     invalid: bool,
     /// How its tasks fail by themselves, without an injected fault.
-    failure_mode: Option<Broken>,
+    failure_mode: Option<JobFailures>,
 }
 
 fn draw_plans(
@@ -216,9 +216,9 @@
     let failure_mode =
         (index % FAILING_JOB_INTERVAL == 3 && has_time_to_fail && !invalid).then(|| {
             match rng.random_range(0..3) {
-                0 => Broken::Always,
-                1 => Broken::Task(0),
-                _ => Broken::Often(0.4),
+                0 => JobFailures::Always,
+                1 => JobFailures::Task(0),
+                _ => JobFailures::Share(0.4),
             }
         });
     // A failing job needs time for its retries and the final status.
@@ -227,14 +227,26 @@
 }
 
 /// The faults of a scenario, ordered by start time.
-fn draw_faults(scenario: Scenario, length: &SuiteLength, rng: &mut ChaCha8Rng) -> Vec<Planned> {
+fn draw_faults(
+    scenario: Scenario,
+    length: &SuiteLength,
+    rng: &mut ChaCha8Rng,
+) -> Vec<ScheduledFault> {
     let fault_phase_end = length.fault_phase_ms;
     let mut faults = Vec::new();
     let mut add = |at: u64, span: u64, fault: Fault| {
-        faults.push(Planned { at, until: (at + span).min(fault_phase_end), fault });
+        faults.push(ScheduledFault { at, until: (at + span).min(fault_phase_end), fault });
+    };
+    let state_fault = |trouble| Fault::OnService {
+        service: Service::State,
+        service_fault: trouble,
+        controller: None,
+    };
+    let cloud_fault = |trouble| Fault::OnService {
+        service: Service::Cloud,
+        service_fault: trouble,
+        controller: None,
     };
-    let state_fault = |trouble| Fault::At { service: Service::State, trouble, controller: None };
-    let cloud_fault = |trouble| Fault::At { service: Service::Cloud, trouble, controller: None };
     match scenario {
         Scenario::Mixed => {
             for _ in 0..length.faults {
@@ -252,8 +264,8 @@
             }
         }
         Scenario::Hires => {
-            add(0, fault_phase_end * 3 / 4, cloud_fault(Trouble::Late(0.3, 4_000)));
-            add(0, fault_phase_end * 3 / 4, cloud_fault(Trouble::Lose(0.4)));
+            add(0, fault_phase_end * 3 / 4, cloud_fault(ServiceFault::Late(0.3, 4_000)));
+            add(0, fault_phase_end * 3 / 4, cloud_fault(ServiceFault::Lose(0.4)));
             for n in 0..length.kills {
                 add(
                     2_500 + n * (fault_phase_end - 4_000) / length.kills,
@@ -265,7 +277,7 @@
         Scenario::Replies => {
             for n in 0..length.kills {
                 let at = 2_000 + n * (fault_phase_end - 4_000) / length.kills;
-                add(at, 400, state_fault(Trouble::Lose(1.0)));
+                add(at, 400, state_fault(ServiceFault::Lose(1.0)));
                 add(at + 300, 0, Fault::RestartState);
                 add(
                     at + 400,
@@ -278,8 +290,8 @@
                 );
             }
         }
-        Scenario::Night => add(1_500, length.outage_s * 1_000, cloud_fault(Trouble::Refuse)),
-        Scenario::Pause => add(5_000, length.outage_s * 1_000, state_fault(Trouble::Refuse)),
+        Scenario::Night => add(1_500, length.outage_s * 1_000, cloud_fault(ServiceFault::Refuse)),
+        Scenario::Pause => add(5_000, length.outage_s * 1_000, state_fault(ServiceFault::Refuse)),
         Scenario::Restless => {
             let kills = length.kills * RESTLESS_KILL_FACTOR;
             for n in 0..kills {
@@ -312,23 +324,24 @@
 fn random_fault(rng: &mut ChaCha8Rng) -> Fault {
     let index = rng.random_range(0..CONTROLLER_COUNT);
     let controller = rng.random_bool(0.4).then_some(index);
-    let service_fault = |service, trouble| Fault::At { service, trouble, controller };
+    let service_fault =
+        |service, trouble| Fault::OnService { service, service_fault: trouble, controller };
     let restart_delay = rng.random_bool(0.5).then(|| Millis(rng.random_range(0..1_000)));
     match rng.random_range(0..17) {
         0 | 1 => Fault::CrashController(index, restart_delay),
         2 => Fault::CrashAll(restart_delay),
         3 => Fault::RestartState,
-        4 => service_fault(Service::State, Trouble::Refuse),
-        5 => service_fault(Service::State, Trouble::Slow(400)),
-        6 => service_fault(Service::State, Trouble::Lose(0.3)),
-        7 => service_fault(Service::State, Trouble::Late(0.2, 5_000)),
-        8 => service_fault(Service::State, Trouble::Silent),
-        9 => service_fault(Service::Cloud, Trouble::Refuse),
-        10 => service_fault(Service::Cloud, Trouble::Lose(0.4)),
-        11 => service_fault(Service::Cloud, Trouble::Late(0.3, 5_000)),
-        12 => Fault::CutController(index),
-        13 => Fault::CutZone(ZONES[index].to_owned()),
-        14 => Fault::TakeSpot(3),
+        4 => service_fault(Service::State, ServiceFault::Refuse),
+        5 => service_fault(Service::State, ServiceFault::Slow(400)),
+        6 => service_fault(Service::State, ServiceFault::Lose(0.3)),
+        7 => service_fault(Service::State, ServiceFault::Late(0.2, 5_000)),
+        8 => service_fault(Service::State, ServiceFault::Silent),
+        9 => service_fault(Service::Cloud, ServiceFault::Refuse),
+        10 => service_fault(Service::Cloud, ServiceFault::Lose(0.4)),
+        11 => service_fault(Service::Cloud, ServiceFault::Late(0.3, 5_000)),
+        12 => Fault::PartitionController(index),
+        13 => Fault::PartitionZone(ZONES[index].to_owned()),
+        14 => Fault::PreemptSpot(3),
         15 => Fault::MachinesDie(1),
         _ => Fault::MachinesHang(2),
     }
@@ -411,33 +424,35 @@
         let id = self.plan.spec.id.clone();
         let is_abort_due = self.plan.abort_at.is_some_and(|at| now >= at);
         let request = if !self.accepted || self.rng.random_bool(0.05) && !self.is_finished() {
-            Wish::Submit(Box::new(self.plan.spec.clone()))
+            JobRequest::Submit(Box::new(self.plan.spec.clone()))
         } else if is_abort_due && !self.is_finished() {
-            Wish::Abort(id.clone())
+            JobRequest::Abort(id.clone())
         } else {
             JobRequest::View(id.clone())
         };
         match &request {
-            Wish::Submit(spec) if !self.plan.invalid => {
-                let mut region = emulator.region();
-                region.upload(spec);
+            JobRequest::Submit(spec) if !self.plan.invalid => {
+                let mut region = emulator.lock_region();
+                region.upload_job(spec);
                 if let Some(failure_mode) = self.plan.failure_mode.clone() {
-                    region.outside.broken.insert(id.to_string(), failure_mode);
+                    region.external.failing_jobs.insert(id.to_string(), failure_mode);
                 }
             }
-            Wish::Abort(id) => emulator.region().checker.cancel_asked(id.as_str()),
+            JobRequest::Abort(id) => {
+                emulator.lock_region().checker.record_cancel_request(id.as_str())
+            }
             _ => {}
         }
         let controller = self.rng.random_range(0..self.controllers.len());
         let requested_at = emulator.shared.now();
-        let answer = self.controllers.ask(controller, &request);
+        let answer = self.controllers.request(controller, &request);
         let now = emulator.shared.now();
         if let Some(answer) = &answer {
             if !self.plan.invalid {
                 let body = String::from_utf8_lossy(&answer.body);
-                let is_submission = matches!(request, Wish::Submit(_));
-                let mut region = emulator.region();
-                region.checker.answered(
+                let is_submission = matches!(request, JobRequest::Submit(_));
+                let mut region = emulator.lock_region();
+                region.checker.handle_answer(
                     now,
                     requested_at,
                     id.as_str(),
@@ -446,18 +461,20 @@
                     is_submission,
                 );
             }
-            match judge(&request, answer) {
-                Some(Told::View(view)) => {
+            match interpret_response(&request, answer) {
+                Some(JobResponse::View(view)) => {
                     self.accepted = true;
                     self.record_status(now, status_text(view.status).to_owned());
                 }
-                Some(Told::Refused(status, _))
-                    if !self.accepted && matches!(request, Wish::Submit(_)) =>
+                Some(JobResponse::Rejected(status, _))
+                    if !self.accepted && matches!(request, JobRequest::Submit(_)) =>
                 {
                     self.record_status(now, format!("refused {status}"));
                 }
-                Some(Told::Refused(status, _)) => self.record_status(now, format!("lost {status}")),
-                Some(Told::Nothing(_) | Told::Unreachable) | None => {}
+                Some(JobResponse::Rejected(status, _)) => {
+                    self.record_status(now, format!("lost {status}"))
+                }
+                Some(JobResponse::NoFinalResponse(_) | JobResponse::Unreachable) | None => {}
             }
         }
         now + self.rng.random_range(USER_POLL_INTERVAL_RANGE_MS.0..USER_POLL_INTERVAL_RANGE_MS.1)
@@ -473,7 +490,7 @@
     scenario: Scenario,
     seed: u64,
     length: SuiteLength,
-    extra_faults: &[Planned],
+    extra_faults: &[ScheduledFault],
     data: &Path,
     print_line: &dyn Fn(&str),
 ) -> Result<SuiteReport, LaunchError> {
@@ -488,7 +505,7 @@
         .and_then(|()| std::fs::write(&operators, OPERATOR_SETTINGS))
         .map_err(|cause| LaunchError::File { path: operators.clone(), cause })?;
     let mut running = RunningRegion::start(local, data, Some(&operators), seed)?;
-    running.emulator.region().checker.repeats = MAX_RETRIES_BY_CLASS
+    running.emulator.lock_region().checker.max_retries = MAX_RETRIES_BY_CLASS
         .iter()
         .map(|(class, repeats)| ((*class).to_owned(), *repeats))
         .collect();
@@ -614,7 +631,7 @@
     };
     let (done, done_ms) = sums_of("done");
     let (unseen_attempts, _) = sums_of("unseen");
-    let region = running.emulator.region();
+    let region = running.emulator.lock_region();
     let exits = region.checker.exits.values().filter(|(cause, _)| *cause == ExitCause::Done);
     let (machine_done, machine_done_ms) =
         exits.fold((0, 0), |(count, sum), (_, ran_ms)| (count + 1, sum + ran_ms));
@@ -676,13 +693,13 @@
     }
     let now = running.emulator.shared.now();
     let unseen_limit_ms = unseen_limit_ms(&running.local);
-    let mut region = running.emulator.region();
-    region.checker.look(now);
-    let mut rules_broken = region.checker.broken.clone();
+    let mut region = running.emulator.lock_region();
+    region.checker.check_cancelled_jobs(now);
+    let mut rules_broken = region.checker.violations.clone();
     // During the fault phase a machine may report late, or be kept because its release was refused.
     let recovery_start = start + length.fault_phase_ms;
     let unseen_machines = region
-        .unseen
+        .unreported_machines
         .iter()
         .filter(|(_, rented_at)| now > recovery_start.max(**rented_at) + unseen_limit_ms);
     rules_broken.extend(unseen_machines.map(|(host, rented_at)| {
@@ -708,7 +725,7 @@
             .filter(|at| *at >= fault_phase_ms)
             .min()
             .map(|at| at - fault_phase_ms),
-        starts: region.checker.starts,
+        starts: region.checker.start_count,
         controller_memory_mb: (max_memory as f64 / 1e5).round() / 10.0,
         restarts: running.exit_counts().values().sum(),
         jobs,
@@ -718,7 +735,7 @@
 /// The status that each controller reports at the end.
 fn final_answers_of(running: &mut RunningRegion, user: &mut User) -> Vec<String> {
     let request = if user.plan.invalid {
-        Wish::Submit(Box::new(user.plan.spec.clone()))
+        JobRequest::Submit(Box::new(user.plan.spec.clone()))
     } else {
         JobRequest::View(user.plan.spec.id.clone())
     };
@@ -726,14 +743,16 @@
         .map(|index| {
             let mut controller = Controllers::new(&running.controllers[index..=index]);
             let started = Instant::now();
-            let answer = controller.insist(&request, Millis(5_000));
+            let answer = controller.request_with_retry(&request, Millis(5_000));
             running.supervise();
             match answer {
-                Told::View(view) => status_text(view.status).to_owned(),
-                Told::Refused(status, _) if user.plan.invalid => format!("refused {status}"),
-                Told::Refused(status, _) => format!("lost {status}"),
-                Told::Unreachable => "unreachable".to_owned(),
-                Told::Nothing(text) => {
+                JobResponse::View(view) => status_text(view.status).to_owned(),
+                JobResponse::Rejected(status, _) if user.plan.invalid => {
+                    format!("refused {status}")
+                }
+                JobResponse::Rejected(status, _) => format!("lost {status}"),
+                JobResponse::Unreachable => "unreachable".to_owned(),
+                JobResponse::NoFinalResponse(text) => {
                     format!("no answer in {} s: {text}", started.elapsed().as_secs())
                 }
             }
@@ -745,8 +764,8 @@
 ///
 /// # Errors
 /// The line that is invalid and the reason.
-pub fn parse_timetable(text: &str) -> Result<Vec<Planned>, timetable::BadTimetable> {
-    timetable::read(text, CONTROLLER_COUNT)
+pub fn parse_timetable(text: &str) -> Result<Vec<ScheduledFault>, timetable::TimetableError> {
+    timetable::parse(text, CONTROLLER_COUNT)
 }
 
 #[cfg(test)]
--- a/crates/ctl/src/up.rs
+++ b/crates/ctl/src/up.rs
@@ -61,7 +61,7 @@
     let uploads_path = data.join("uploads.jsonl");
     for line in std::fs::read_to_string(&uploads_path).unwrap_or_default().lines() {
         match serde_json::from_str::<JobSpec>(line) {
-            Ok(spec) => running.emulator.region().upload(&spec),
+            Ok(spec) => running.emulator.lock_region().upload_job(&spec),
             Err(e) => tracing::warn!(
                 "{}: skipping an invalid job description: {e}",
                 uploads_path.display()
@@ -100,13 +100,13 @@
 
 fn handle_request(
     running: &mut RunningRegion,
-    answers: &Answers,
+    answers: &ReplySender,
     incoming: Incoming<Request>,
     upload_log: &mut std::fs::File,
 ) {
     let now = running.emulator.shared.now();
     let reply = match incoming.request {
-        Request::InjectFault(text) => match timetable::read_one(&text, now, CONTROLLER_COUNT) {
+        Request::InjectFault(text) => match timetable::parse_one(&text, now, CONTROLLER_COUNT) {
             Ok(planned) => {
                 running.inject_fault(&planned);
                 let span = planned.until - planned.at;
@@ -127,14 +127,14 @@
             }
         }
         Request::Status => {
-            let region = running.emulator.region();
+            let region = running.emulator.lock_region();
             HttpReply::json(
                 200,
                 &serde_json::json!({
                     "machines": region.workers.len(),
-                    "tasks": region.tasks(),
-                    "starts": region.checker.starts,
-                    "rulesBroken": region.checker.broken,
+                    "tasks": region.count_tasks(),
+                    "starts": region.checker.start_count,
+                    "rulesBroken": region.checker.violations,
                     "ends": running.exit_counts(),
                 }),
             )
--- a/crates/ctl/src/usage.rs
+++ b/crates/ctl/src/usage.rs
@@ -72,10 +72,14 @@
     }
 
     /// Fetches one page, trying the controllers in turn until one answers.
-    fn fetch_page(&self, callers: &[Caller], after: Option<&str>) -> Result<UsagePage, UsageError> {
+    fn fetch_page(
+        &self,
+        callers: &[HttpClient],
+        after: Option<&str>,
+    ) -> Result<UsagePage, UsageError> {
         let (started, mut last_error) = (Instant::now(), None);
         for caller in callers.iter().cycle() {
-            let answer = caller.ask("GET", &self.path(after), &[]);
+            let answer = caller.request("GET", &self.path(after), &[]);
             let body_text = |body: &[u8]| String::from_utf8_lossy(body).into_owned();
             match &answer {
                 Some(a) if a.status == 200 => {
@@ -90,11 +94,13 @@
             }
             let elapsed_ms = started.elapsed().as_millis() as u64;
             match &last_error {
-                Some(last_error) if elapsed_ms >= GIVE_UP_MS.0 => {
+                Some(last_error) if elapsed_ms >= REQUEST_RETRY_TIMEOUT_MS.0 => {
                     return Err(UsageError::NoAnswer(last_error.clone()));
                 }
-                None if elapsed_ms >= UNREACHABLE_MS.0 => return Err(UsageError::Unreachable),
-                _ => std::thread::sleep(Duration::from_millis(pause(answer.as_ref()).0)),
+                None if elapsed_ms >= UNREACHABLE_TIMEOUT_MS.0 => {
+                    return Err(UsageError::Unreachable);
+                }
+                _ => std::thread::sleep(Duration::from_millis(retry_delay(answer.as_ref()).0)),
             }
         }
         Err(UsageError::Unreachable)
@@ -121,8 +127,8 @@
     pub fn try_fetch(&self, controllers: &[String]) -> Option<UsagePage> {
         let fetch_page = |after: Option<&str>| {
             let request = |a: &String| {
-                let caller = Caller::new(a, POLL_TIMEOUT_MS, ANSWER_BYTES);
-                caller.ask("GET", &self.path(after), &[]).filter(|a| a.status == 200)
+                let caller = HttpClient::new(a, POLL_TIMEOUT_MS, MAX_RESPONSE_BYTES);
+                caller.request("GET", &self.path(after), &[]).filter(|a| a.status == 200)
             };
             let answer = controllers.iter().find_map(request).ok_or(())?;
             serde_json::from_slice(&answer.body).map_err(|_| ())
@@ -135,8 +141,8 @@
     /// # Errors
     /// The query is refused, or no controller answers it.
     pub fn fetch(&self, controllers: &[String]) -> Result<UsagePage, UsageError> {
-        let caller = |a: &String| Caller::new(a, SUBMIT_TIMEOUT_MS, ANSWER_BYTES);
-        let callers: Vec<Caller> = controllers.iter().map(caller).collect();
+        let caller = |a: &String| HttpClient::new(a, SUBMIT_TIMEOUT_MS, MAX_RESPONSE_BYTES);
+        let callers: Vec<HttpClient> = controllers.iter().map(caller).collect();
         Self::fetch_all_pages(|after| self.fetch_page(&callers, after))
     }
 }
--- a/crates/ctl/tests/ended.rs
+++ b/crates/ctl/tests/ended.rs
@@ -2,10 +2,10 @@
 //! and the memory of the controllers must stay small. `OATLOOM_ENDED` sets the number of finished jobs.
 
 use hdrhistogram::Histogram;
-use oatloom_ctl::constants::{ANSWER_BYTES, POLL_TIMEOUT_MS, SUBMIT_TIMEOUT_MS};
+use oatloom_ctl::constants::{MAX_RESPONSE_BYTES, POLL_TIMEOUT_MS, SUBMIT_TIMEOUT_MS};
 use oatloom_ctl::launch::RunningRegion;
 use oatloom_ctl::settings::LocalSettings;
-use oatloom_emulator::faults::{Fault, Planned};
+use oatloom_emulator::faults::{Fault, ScheduledFault};
 use oatloom_state::disk::Directory;
 use oatloom_state::records::{SnapshotFooter, SnapshotRow};
 use oatloom_state::wal::{SnapshotStep, SnapshotWriter};
@@ -35,10 +35,15 @@
     };
     for first in (0..job_count).step_by(1_000) {
         let rows = (first..(first + 1_000).min(job_count)).map(row).collect();
-        writer.step(&Step::Rows(rows)).expect("written");
+        writer.execute(&SnapshotStep::Rows(rows)).expect("written");
     }
-    let close = Close { rows: job_count, from: 1, revision: job_count, ..Close::default() };
-    writer.step(&Step::Close(close)).expect("closed");
+    let close = SnapshotFooter {
+        row_count: job_count,
+        first_group: 1,
+        revision: job_count,
+        ..SnapshotFooter::default()
+    };
+    writer.execute(&SnapshotStep::Close(close)).expect("closed");
 }
 
 /// Waits until every controller answers for a finished job.
@@ -77,7 +82,7 @@
     for n in 0..3_000 {
         let job = rng.random_range(0..job_count);
         let address = &running.controllers[n % running.controllers.len()];
-        let caller = Caller::new(address, POLL_TIMEOUT_MS, ANSWER_BYTES);
+        let caller = HttpClient::new(address, POLL_TIMEOUT_MS, MAX_RESPONSE_BYTES);
         let asked_at = Instant::now();
         let (status, body) = caller.get(&format!("/v2/runs/req-{job:09}")).expect("an answer");
         let _ = lookup_times_us.record(asked_at.elapsed().as_micros() as u64);
@@ -91,7 +96,7 @@
         }
     }
     // A repeated submission and an abort of a finished job are answered with its final status.
-    let caller = Caller::new(&running.controllers[0], SUBMIT_TIMEOUT_MS, ANSWER_BYTES);
+    let caller = HttpClient::new(&running.controllers[0], SUBMIT_TIMEOUT_MS, MAX_RESPONSE_BYTES);
     let spec = serde_json::json!({"nameId": "req-000000009", "jobclass": "quick", "owner": "red", "shape": "sweep",
         "rank": "low", "shards": 1, "cpus": 1.0, "gpus": 0.0, "memoryGb": 1.0, "bundle": "i", "pullGb": 1.0,
         "samePlace": false, "spread": false, "loaners": false, "expectS": 1.0, "snapshotS": 0.0, "flushS": 0.0});
@@ -100,7 +105,7 @@
     let (status, body) =
         caller.post("/v2/runs/req-000000010/abort", &serde_json::json!({})).expect("an answer");
     assert!(status == 200 && String::from_utf8_lossy(&body).contains("done"), "{status}");
-    running.inject_fault(&Planned { at: 0, until: 0, fault: Fault::CrashAll(None) });
+    running.inject_fault(&ScheduledFault { at: 0, until: 0, fault: Fault::CrashAll(None) });
     let recovery_time = wait_until_all_answer(&mut running, job_count);
     println!(
         "lookups p50 {:.2} ms, p99 {:.2} ms; all controllers killed: all answer after {recovery_time:?}; {:.1} MB in a controller",
--- a/crates/explorer/src/lib.rs
+++ b/crates/explorer/src/lib.rs
@@ -106,7 +106,7 @@
     let mut report =
         Report { states: 1, steps: 0, depth: 0, is_complete: false, counterexample: None };
     if let Some(violation) = model.find_violation(&start) {
-        report.counterexample = Some(Counterexample { steps: Vec::new(), violation: violation });
+        report.counterexample = Some(Counterexample { steps: Vec::new(), violation });
         return report;
     }
     let mut level = vec![(start, root)];
@@ -123,8 +123,7 @@
                         let steps = steps_to(model, &known, root, next.digest);
                         report.states = known.len();
                         report.depth = steps.len();
-                        report.counterexample =
-                            Some(Counterexample { steps, violation: violation });
+                        report.counterexample = Some(Counterexample { steps, violation });
                         return report;
                     }
                     next_level.push((next.state, next.digest));
