--- a/crates/ctl/src/jobs.rs
+++ b/crates/ctl/src/jobs.rs
@@ -191,7 +191,7 @@
     exit_code
 }
 
-/// Sends a request, with retries until [`GIVE_UP_MS`] has passed, and prints the result.
+/// Sends a request, with retries until [`REQUEST_RETRY_TIMEOUT_MS`] has passed, and prints the result.
 pub fn ask(controllers: &mut Controllers, request: &JobRequest, json: bool) -> u8 {
     let result = controllers.request_with_retry(request, REQUEST_RETRY_TIMEOUT_MS);
     print_result(request.id(), &result, json)
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -3,7 +3,7 @@
 //! happened on the machines, not on what controllers say.
 //!
 //! [`region`], [`worker`], [`checker`], [`faults`] and [`timetable`] are deterministic; sockets and threads
-//! are in [`serve`], [`gate`] and [`line`].
+//! are in [`serve`], [`service_proxy`] and [`link_proxy`].
 
 pub mod checker;
 pub mod constants;
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -1,7 +1,7 @@
 //! A durable key-value state service that speaks the protocol which oatloom's controllers expect.
 //!
 //! The keyspace is held in memory. Changes are made durable by a write-ahead log, which snapshots keep short.
-//! The core is deterministic: [`engine::Engine`] turns `(event, now)` into actions. [`journal`] and [`recovery`]
+//! The core is deterministic: [`engine::Engine`] turns `(event, now)` into actions. [`wal`] and [`recovery`]
 //! write and read files through [`disk::Disk`], so that tests can simulate a crash between any two operations.
 //! Threads, sockets and the clock are confined to [`service`].
 
