--- a/crates/logging/src/lib.rs
+++ b/crates/logging/src/lib.rs
@@ -18,26 +18,29 @@
 /// Errors while setting up logging.
 #[derive(Debug, thiserror::Error)]
 pub enum LoggingError {
+    /// The text names no log level.
     #[error("{0} is not a log level: error, warn, info, debug or trace")]
-    Level(String),
+    InvalidLevel(String),
+    /// The global logger is already set, or cannot be installed.
     #[error("logging cannot be set up: {0}")]
     Setup(String),
 }
 
 /// Builds the filter: oatloom's own crates log at `level`, all others at `warn`.
 fn build_filter(level: &str) -> Result<EnvFilter, LoggingError> {
-    let level_filter: LevelFilter = level.parse().map_err(|_| LoggingError::Level(level.into()))?;
+    let level_filter: LevelFilter =
+        level.parse().map_err(|_| LoggingError::InvalidLevel(level.into()))?;
     Ok(EnvFilter::new(format!("warn,oatloom={level_filter}")))
 }
 
-/// Sets up logging for the whole process. `LOG_LEVEL` takes precedence over `level`; if it is invalid, it is ignored, because
-/// a scheduler must start nevertheless.
+/// Sets up logging for the whole process. `LOG_LEVEL` takes precedence over `level`. An invalid `LOG_LEVEL` is
+/// ignored, because a scheduler must start nevertheless.
 ///
 /// # Errors
 /// `level` is invalid, or logging is set up already.
 pub fn init(level: &str, format: Format) -> Result<(), LoggingError> {
-    let requested = std::env::var(LEVEL_VARIABLE).ok();
-    let filter = match requested.map(|requested| build_filter(&requested)) {
+    let requested_level = std::env::var(LEVEL_VARIABLE).ok();
+    let filter = match requested_level.map(|requested_level| build_filter(&requested_level)) {
         Some(Ok(filter)) => filter,
         _ => build_filter(level)?,
     };
@@ -63,6 +66,8 @@
         for level in ["error", "warn", "info", "debug", "trace"] {
             assert!(build_filter(level).is_ok());
         }
-        assert!(matches!(build_filter("loud"), Err(LoggingError::Level(level)) if level == "loud"));
+        assert!(
+            matches!(build_filter("loud"), Err(LoggingError::InvalidLevel(level)) if level == "loud")
+        );
     }
 }
--- a/crates/state/benches/service.rs
+++ b/crates/state/benches/service.rs
@@ -17,7 +17,7 @@
 
 const KEY_COUNT: u64 = 1_000_000;
 
-fn create_caller(address: &str) -> HttpClient {
+fn create_client(address: &str) -> HttpClient {
     HttpClient::new(address, Millis(30_000), 16 * 1024 * 1024)
 }
 
@@ -27,32 +27,34 @@
     let address = listener.local_addr().expect("an address").to_string();
     drop(listener);
     let (ready, is_ready) = std::sync::mpsc::channel();
-    let (listen_address, home) = (address.clone(), directory.to_owned());
+    let (listen_address, data_directory) = (address.clone(), directory.to_owned());
     std::thread::spawn(move || {
-        let result =
-            service::run(&listen_address, &home, settings, || ready.send(()).expect("a receiver"));
+        let result = service::run(&listen_address, &data_directory, settings, || {
+            ready.send(()).expect("a receiver")
+        });
         eprintln!("{result:?}");
     });
     is_ready.recv().expect("serving");
     address
 }
 
-/// Has `clients` make `count` changes in total, each to its own keys. Returns the time taken.
-fn measure_changes(address: &str, clients: u64, count: u64) -> Duration {
-    let barrier = std::sync::Barrier::new(clients as usize + 1);
+/// Makes `count` changes in total from `client_count` clients, each to its own keys. Returns the time taken.
+fn measure_changes(address: &str, client_count: u64, count: u64) -> Duration {
+    let barrier = std::sync::Barrier::new(client_count as usize + 1);
     std::thread::scope(|scope| {
-        let threads: Vec<_> = (0..clients)
-            .map(|client| {
+        let threads: Vec<_> = (0..client_count)
+            .map(|client_index| {
                 let barrier = &barrier;
-                let share = count / clients + u64::from(client < count % clients);
+                let share = count / client_count + u64::from(client_index < count % client_count);
                 scope.spawn(move || {
-                    let caller = create_caller(address);
-                    let _ = caller.get("/status");
+                    let client = create_client(address);
+                    let _ = client.get("/status");
                     barrier.wait();
                     for n in 0..share {
                         let value = json!({"job": "req-000412", "task": n, "host": "i-000231"});
-                        let put = json!({"put": format!("asg/{client}/{}", n % 50), "data": value});
-                        let reply = caller.post("/multi", &json!({"when": [], "then": [put]}));
+                        let put =
+                            json!({"put": format!("asg/{client_index}/{}", n % 50), "data": value});
+                        let reply = client.post("/multi", &json!({"when": [], "then": [put]}));
                         assert!(matches!(reply, Some((200, _))));
                     }
                 })
@@ -74,10 +76,11 @@
     for sync in [true, false] {
         let directory = tempfile::tempdir_in(env!("CARGO_TARGET_TMPDIR")).expect("a directory");
         let address = start_service(directory.path(), Settings { sync, ..Settings::default() });
-        for clients in [1, 16, 256] {
-            let name = format!("{clients} clients, {}", if sync { "fsync" } else { "no fsync" });
+        for client_count in [1, 16, 256] {
+            let name =
+                format!("{client_count} clients, {}", if sync { "fsync" } else { "no fsync" });
             group.bench_function(name, |bencher| {
-                bencher.iter_custom(|count| measure_changes(&address, clients, count));
+                bencher.iter_custom(|count| measure_changes(&address, client_count, count));
             });
         }
     }
@@ -138,18 +141,18 @@
     write_snapshot(directory.path());
     let address =
         start_service(directory.path(), Settings { snapshot_mb: 4.0, ..Settings::default() });
-    let get_snapshot_count = |caller: &HttpClient| -> u64 {
-        let (_, body) = caller.get("/status").expect("a reply");
+    let get_snapshot_count = |client: &HttpClient| -> u64 {
+        let (_, body) = client.get("/status").expect("a reply");
         serde_json::from_slice::<StateStatus>(&body).expect("a status").snapshots
     };
-    let caller = create_caller(&address);
-    let initial_count = get_snapshot_count(&caller);
+    let client = create_client(&address);
+    let initial_count = get_snapshot_count(&client);
     let (mut idle, mut busy) =
         (Histogram::<u64>::new(3).expect("a histogram"), Histogram::new(3).expect("a histogram"));
     let probe = |histogram: &mut Histogram<u64>, n: u64| {
         let started_at = Instant::now();
         let put = json!({"put": format!("probe/{}", n % 10), "data": "x".repeat(40)});
-        assert!(matches!(caller.post("/multi", &json!({"then": [put]})), Some((200, _))));
+        assert!(matches!(client.post("/multi", &json!({"then": [put]})), Some((200, _))));
         let _ = histogram.record(started_at.elapsed().as_micros() as u64);
     };
     (0..5_000).for_each(|n| probe(&mut idle, n));
@@ -157,15 +160,15 @@
     let filler = {
         let address = address.clone();
         std::thread::spawn(move || {
-            let caller = create_caller(&address);
+            let client = create_client(&address);
             for n in 0..400 {
                 let put = json!({"put": format!("fill/{n}"), "data": "y".repeat(15_000)});
-                let _ = caller.post("/multi", &json!({"then": [put]}));
+                let _ = client.post("/multi", &json!({"then": [put]}));
             }
         })
     };
     let mut n = 0;
-    while get_snapshot_count(&caller) == initial_count && n < 400_000 {
+    while get_snapshot_count(&client) == initial_count && n < 400_000 {
         probe(&mut busy, n);
         n += 1;
     }
--- a/crates/state/src/api.rs
+++ b/crates/state/src/api.rs
@@ -12,7 +12,9 @@
 /// A validated transaction: its writes are applied together if all conditions hold.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Txn {
+    /// The revisions that keys must have.
     pub conditions: Vec<Condition>,
+    /// The puts and deletes.
     pub writes: Vec<Write>,
 }
 
@@ -20,32 +22,19 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Request {
     /// Reads a key.
-    Get {
-        key: String,
-    },
+    Get { key: String },
     /// Reads a page of the keys with a prefix.
-    List {
-        prefix: String,
-        after: Option<String>,
-        max_rows: usize,
-    },
+    List { prefix: String, after: Option<String>, max_rows: usize },
     /// Applies writes if all conditions hold.
     Txn(Txn),
-    GrantLease {
-        ttl_ms: u64,
-    },
-    RenewLease {
-        lease: u64,
-    },
-    RevokeLease {
-        lease: u64,
-    },
-    /// Waits for changes after a revision.
-    Watch {
-        prefix: String,
-        after: u64,
-        wait_ms: u64,
-    },
+    /// Creates a lease.
+    GrantLease { ttl_ms: u64 },
+    /// Gives a lease its full time to live again.
+    RenewLease { lease: u64 },
+    /// Ends a lease and deletes its keys.
+    RevokeLease { lease: u64 },
+    /// Waits for changes of keys with a prefix after a revision.
+    Watch { prefix: String, after: u64, wait_ms: u64 },
     /// The state of the service, for operators. Not subject to rate limits.
     Status,
 }
@@ -60,24 +49,26 @@
     }
 }
 
-fn bad_request(text: impl AsRef<str>) -> HttpReply {
+fn build_bad_request(text: impl AsRef<str>) -> HttpReply {
     HttpReply::error(400, text.as_ref())
 }
 
-fn is_key(text: &str) -> bool {
+fn is_valid_key(text: &str) -> bool {
     let is_allowed = |c: char| !c.is_whitespace() && !c.is_control();
     (1..=MAX_KEY_BYTES).contains(&text.len()) && text.chars().all(is_allowed)
 }
 
 fn decode_percent(text: &str) -> Result<Cow<'_, str>, HttpReply> {
-    percent_encoding::percent_decode_str(text).decode_utf8().map_err(|_| bad_request("not UTF-8"))
+    percent_encoding::percent_decode_str(text)
+        .decode_utf8()
+        .map_err(|_| build_bad_request("not UTF-8"))
 }
 
 fn parse_number<T: std::str::FromStr>(text: &str, name: &str) -> Result<T, HttpReply> {
-    text.parse().map_err(|_| bad_request(format!("{name} must be a whole number")))
+    text.parse().map_err(|_| build_bad_request(format!("{name} must be a whole number")))
 }
 
-/// Parses a request.
+/// Parses and validates a request.
 ///
 /// # Errors
 /// Returns the reply to a request that is malformed or exceeds a size limit.
@@ -97,14 +88,14 @@
         _ => match (method, path.strip_prefix("/keys/"), path.strip_prefix("/grants/")) {
             ("GET", Some(key), _) => {
                 let key = decode_percent(key)?.into_owned();
-                if is_key(&key) {
+                if is_valid_key(&key) {
                     Ok(Request::Get { key })
                 } else {
-                    Err(bad_request("invalid key"))
+                    Err(build_bad_request("invalid key"))
                 }
             }
-            ("POST", _, Some(rest)) if rest.ends_with("/touch") => {
-                let lease = parse_number(rest.trim_end_matches("/touch"), "the lease")?;
+            ("POST", _, Some(lease_path)) if lease_path.ends_with("/touch") => {
+                let lease = parse_number(lease_path.trim_end_matches("/touch"), "the lease")?;
                 Ok(Request::RenewLease { lease })
             }
             ("DELETE", _, Some(lease)) => {
@@ -119,6 +110,7 @@
     }
 }
 
+/// Parses the query of `GET /keys`: the prefix, the key to continue after, and the maximum number of rows.
 fn parse_list(query: &str) -> Result<Request, HttpReply> {
     let (mut prefix, mut after, mut max_rows) = (String::new(), None, MAX_PAGE_ROWS);
     for (name, value) in form_urlencoded::parse(query.as_bytes()) {
@@ -130,11 +122,13 @@
         }
     }
     if max_rows == 0 {
-        return Err(bad_request("most must be at least 1"));
+        return Err(build_bad_request("most must be at least 1"));
     }
     Ok(Request::List { prefix, after, max_rows: max_rows.min(MAX_PAGE_ROWS) })
 }
 
+/// Parses the query of `GET /follow`: the prefix, the revision after which changes are reported, and how long to wait
+/// for one.
 fn parse_watch(query: &str) -> Result<Request, HttpReply> {
     let (mut prefix, mut after, mut wait_ms) = (String::new(), None, 0);
     for (name, value) in form_urlencoded::parse(query.as_bytes()) {
@@ -145,61 +139,67 @@
             _ => {}
         }
     }
-    let after = after.ok_or_else(|| bad_request("after is missing"))?;
+    let after = after.ok_or_else(|| build_bad_request("after is missing"))?;
     if wait_ms > MAX_WATCH_WAIT_MS {
-        return Err(bad_request(format!("holdMs must be at most {MAX_WATCH_WAIT_MS}")));
+        return Err(build_bad_request(format!("holdMs must be at most {MAX_WATCH_WAIT_MS}")));
     }
     Ok(Request::Watch { prefix, after, wait_ms })
 }
 
-/// Parses a JSON object. Rejects arrays, which serde would accept as the fields in their order.
+/// Parses a JSON object. Rejects arrays, which serde would accept as a list of the field values.
 fn parse_object<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Result<T, HttpReply> {
     if body.trim_ascii_start().first() != Some(&b'{') {
-        return Err(bad_request("not a JSON object"));
+        return Err(build_bad_request("not a JSON object"));
     }
-    serde_json::from_slice(body).map_err(|e| bad_request(e.to_string()))
+    serde_json::from_slice(body).map_err(|e| build_bad_request(e.to_string()))
 }
 
+/// Parses the body of `POST /grants` and checks the time to live.
 fn parse_grant(body: &[u8]) -> Result<Request, HttpReply> {
     let request: GrantRequest = parse_object(body)?;
     if !(MIN_LEASE_TTL_MS..=MAX_LEASE_TTL_MS).contains(&request.ttl_ms) {
-        return Err(bad_request(format!(
+        return Err(build_bad_request(format!(
             "ttlMs must be from {MIN_LEASE_TTL_MS} to {MAX_LEASE_TTL_MS}"
         )));
     }
     Ok(Request::GrantLease { ttl_ms: request.ttl_ms })
 }
 
+/// Parses the body of `POST /multi` and checks its limits and keys.
 fn parse_txn(settings: &Settings, body: &[u8]) -> Result<Txn, HttpReply> {
     let raw: wire::Txn<RawChange> = parse_object(body)?;
     if raw.changes.len() > settings.txn_ops {
-        return Err(bad_request(format!("over {} puts and deletes", settings.txn_ops)));
+        return Err(build_bad_request(format!("over {} puts and deletes", settings.txn_ops)));
     }
     if raw.conditions.len() > settings.txn_ops * MAX_CONDITIONS_PER_CHANGE {
-        return Err(bad_request(format!(
+        return Err(build_bad_request(format!(
             "over {} conditions",
             settings.txn_ops * MAX_CONDITIONS_PER_CHANGE
         )));
     }
-    if let Some(condition) = raw.conditions.iter().find(|c| !is_key(&c.key)) {
-        return Err(bad_request(format!("invalid key: {:?}", condition.key)));
+    if let Some(condition) = raw.conditions.iter().find(|c| !is_valid_key(&c.key)) {
+        return Err(build_bad_request(format!("invalid key: {:?}", condition.key)));
     }
     let writes = raw.changes.into_iter().map(|change| parse_write(settings, change));
     Ok(Txn { writes: writes.collect::<Result<_, _>>()?, conditions: raw.conditions })
 }
 
+/// Validates one change of a transaction.
 fn parse_write(settings: &Settings, change: RawChange) -> Result<Write, HttpReply> {
     let (key, value) = match (change.put, change.delete) {
         // A missing value counts as null.
         (Some(key), None) => (key, Some(change.value.map_or("null".into(), Box::<str>::from))),
         (None, Some(key)) => (key, None),
-        _ => return Err(bad_request("a change must be either a put or a delete")),
+        _ => return Err(build_bad_request("a change must be either a put or a delete")),
     };
-    if !is_key(&key) {
-        return Err(bad_request(format!("invalid key: {key:?}")));
+    if !is_valid_key(&key) {
+        return Err(build_bad_request(format!("invalid key: {key:?}")));
     }
     if value.as_ref().is_some_and(|v| v.len() as f64 > settings.value_kb * 1024.0) {
-        return Err(bad_request(format!("the value of {key} is over {} KiB", settings.value_kb)));
+        return Err(build_bad_request(format!(
+            "the value of {key} is over {} KiB",
+            settings.value_kb
+        )));
     }
     let lease = change.lease.filter(|_| value.is_some()).map_or(0, |LeaseId(lease)| lease);
     Ok(Write { key: key.into(), value: value.map(Into::into), lease })
@@ -244,9 +244,10 @@
     /// Malformed requests get an error status and cause no panic.
     #[test]
     fn malformed_requests_are_rejected() {
-        let long = format!(r#"{{"then":[{{"put":"a","data":"{}"}}]}}"#, "x".repeat(1_100));
-        let many = format!(r#"{{"then":[{}]}}"#, [r#"{"delete":"a"}"#; 3].join(","));
-        let conditions = format!(r#"{{"when":[{}]}}"#, [r#"{"path":"a","stamp":0}"#; 9].join(","));
+        let long_value = format!(r#"{{"then":[{{"put":"a","data":"{}"}}]}}"#, "x".repeat(1_100));
+        let too_many_changes = format!(r#"{{"then":[{}]}}"#, [r#"{"delete":"a"}"#; 3].join(","));
+        let too_many_conditions =
+            format!(r#"{{"when":[{}]}}"#, [r#"{"path":"a","stamp":0}"#; 9].join(","));
         for body in [
             "",
             "[]",
@@ -257,15 +258,15 @@
             r#"{"then":[{"put":"a","data":1,"tenancy":-1}]}"#,
             r#"{"when":[{"path":"a"}]}"#,
             r#"{"then":[{"put":"a","data":{]}"#,
-            &long,
-            &many,
-            &conditions,
+            &long_value,
+            &too_many_changes,
+            &too_many_conditions,
         ] {
             assert_eq!(parse_request("POST", "/multi", body), Err(400), "{body}");
         }
-        let long = format!("/keys/{}", "k".repeat(201));
+        let long_key = format!("/keys/{}", "k".repeat(201));
         for target in [
-            &*long,
+            &*long_key,
             "/keys/",
             "/keys/%ff",
             "/keys/a%20b",
--- a/crates/state/src/constants.rs
+++ b/crates/state/src/constants.rs
@@ -4,7 +4,7 @@
 
 // --- Protocol ----------------------------------------------------------------
 
-/// Largest key, in bytes (fixed by the protocol).
+/// Maximum size of a key (fixed by the protocol).
 pub const MAX_KEY_BYTES: usize = 200;
 /// Maximum number of rows in a page of a listing (fixed by the protocol).
 pub const MAX_PAGE_ROWS: usize = 1_000;
@@ -27,11 +27,11 @@
 
 /// Format version of log and snapshot files. Files of a later version are refused.
 pub const FORMAT_VERSION: u16 = 1;
-/// Unit that a disk writes atomically, in bytes. A torn write leaves whole sectors unwritten, which tells it from
-/// corruption.
+/// Unit that a disk writes atomically, in bytes. A torn write leaves whole sectors unwritten, which distinguishes
+/// it from corruption.
 pub const SECTOR_BYTES: usize = 512;
-/// Size that a group of records written at once must not exceed, in bytes: some hundred of the largest
-/// transactions. Further changes are refused once half of it waits to be written.
+/// Size that a group of records written at once is to stay below: about 25 of the largest transactions under the
+/// default limits. Further changes are refused once half of it waits to be written.
 pub const MAX_GROUP_BYTES: usize = 8 * 1024 * 1024;
 /// Default size of the log after which a snapshot is taken: recovery reads this much in two seconds.
 pub const DEFAULT_SNAPSHOT_LOG_BYTES: u64 = 64 * 1024 * 1024;
@@ -53,7 +53,7 @@
 /// late.
 pub const TICK_INTERVAL_MS: Millis = Millis(20);
 /// A gap between two events longer than this counts as an outage of the process. All leases are renewed then,
-/// since renewals may wait unread.
+/// since renewals may have arrived without being read.
 pub const STALL_TIMEOUT_MS: Millis = Millis(1_000);
 
 // --- Sizes -----------------------------------------------------------------------
@@ -61,7 +61,7 @@
 /// Events that may wait for the engine thread before requests are refused: four for each connection.
 pub const MAX_QUEUED_EVENT_COUNT: usize = 4_096;
 /// Default limit of open connections. Their number does not grow with the number of machines: a controller sends
-/// requests over 14 and keeps as many open for a while; the rest serves operators' tools.
+/// requests over 14 of them and keeps as many open for a while; the rest is for operators' tools.
 pub const DEFAULT_MAX_CONNECTION_COUNT: usize = 1_000;
 /// Default size limit of a value: the larger of the limits in the controllers' settings.
 pub const DEFAULT_MAX_VALUE_KIB: f64 = 16.0;
--- a/crates/state/src/disk.rs
+++ b/crates/state/src/disk.rs
@@ -27,7 +27,7 @@
     fn sync_directory(&mut self) -> io::Result<()>;
 }
 
-/// A directory of the file system. Keeps the file that was written last open.
+/// A directory of the file system. Keeps the most recently written file open.
 #[derive(Debug)]
 pub struct Directory {
     path: PathBuf,
--- a/crates/state/src/engine.rs
+++ b/crates/state/src/engine.rs
@@ -16,23 +16,19 @@
 use serde_json::value::RawValue;
 use std::collections::VecDeque;
 
-/// Identifies a request whose caller waits for a reply.
+/// Identifies a request whose client waits for a reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct ConnId(pub u64);
+pub struct RequestId(pub u64);
 
 /// Result of writing a group to the log.
 #[derive(Debug)]
 pub enum WriteOutcome {
+    /// The group is in the log and survives a crash.
     Durable,
     /// No part of the group is in the log; writing it may be retried.
-    NotWritten {
-        group: Group,
-        cause: String,
-    },
+    NotWritten { group: Group, cause: String },
     /// It is unknown whether the group is in the log.
-    Unknown {
-        cause: String,
-    },
+    Unknown { cause: String },
 }
 
 /// Input of the engine.
@@ -40,28 +36,19 @@
 pub enum Event {
     /// Time has passed without another event.
     Tick,
-    Request {
-        conn: ConnId,
-        request: Request,
-    },
-    /// The log thread is done with a group.
-    GroupWritten {
-        number: u64,
-        outcome: WriteOutcome,
-    },
-    /// The snapshot thread is done with a step.
-    SnapshotStepDone {
-        succeeded: bool,
-    },
+    /// A validated request was received.
+    Request { request_id: RequestId, request: Request },
+    /// The log thread finished a group.
+    GroupWritten { number: u64, outcome: WriteOutcome },
+    /// The snapshot thread finished a step.
+    SnapshotStepDone { succeeded: bool },
 }
 
 /// Output of the engine.
 #[derive(Debug, PartialEq)]
 pub enum Action {
-    Reply {
-        conn: ConnId,
-        reply: HttpReply,
-    },
+    /// Replies to a request.
+    Reply { request_id: RequestId, reply: HttpReply },
     /// Writes a group to the log, to be answered by [`Event::GroupWritten`]. At most one group is in flight.
     Write(Group),
     /// Executes a step of a snapshot, to be answered by [`Event::SnapshotStepDone`]. At most one step is in flight.
@@ -73,11 +60,10 @@
 /// Whether changes can be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
+    /// Changes are accepted.
     Serving,
     /// The disk rejected the last group, which is retried at this time. Changes are refused.
-    DiskFull {
-        retry_at: Mono,
-    },
+    DiskFull { retry_at: Mono },
     /// It is unknown what was written; the process is about to end.
     Failed,
 }
@@ -85,15 +71,15 @@
 /// A reply that is held back until a group is durable.
 struct PendingReply {
     group: u64,
-    conn: ConnId,
+    request_id: RequestId,
     reply: HttpReply,
     /// The request changed nothing.
     is_read: bool,
 }
 
-/// A caller that waits for changes of keys with a prefix after a revision.
+/// A client that waits for changes of keys with a prefix after a revision.
 struct Watch {
-    conn: ConnId,
+    request_id: RequestId,
     prefix: String,
     after: u64,
     deadline: Mono,
@@ -101,7 +87,7 @@
 
 /// The group that the log thread is writing.
 struct InFlightGroup {
-    /// The revision that the group reaches.
+    /// Revision of the keyspace after the group.
     revision: u64,
     bytes: usize,
 }
@@ -109,9 +95,9 @@
 /// State of the service: the keyspace, the position in the log, and the requests that wait.
 pub struct Engine {
     keyspace: Keyspace,
-    limits: RateLimiter,
+    rate_limiter: RateLimiter,
     health: Health,
-    /// Encoded records that were applied but not yet handed to the log thread.
+    /// Encoded records that were applied but not yet sent to the log thread.
     unwritten: Vec<u8>,
     /// Number of the next group.
     next_group: u64,
@@ -120,7 +106,7 @@
     rejected_group: Option<Group>,
     /// The next group begins a new log file.
     starts_file: bool,
-    /// The last durable group, and the revision that it reaches.
+    /// The last durable group, and the revision of the keyspace after it.
     durable_group: u64,
     durable_revision: u64,
     pending_replies: VecDeque<PendingReply>,
@@ -159,7 +145,7 @@
     LoggedChange { put, delete, value, version: Revision(change.revision) }
 }
 
-/// A reply that asks the caller to retry later.
+/// Builds an error reply that asks the client to retry later.
 fn build_retry_reply(status: u16, text: &str) -> HttpReply {
     HttpReply { status, ..HttpReply::unavailable(text) }
 }
@@ -172,7 +158,7 @@
     /// Continues from the recovered state.
     pub fn new(settings: &Settings, recovered: Recovered, now: Mono) -> Self {
         Self {
-            limits: RateLimiter::new(settings.rps, settings.write_rps, now),
+            rate_limiter: RateLimiter::new(settings.rps, settings.write_rps, now),
             snapshots: SnapshotScheduler::new(recovered.snapshots, recovered.log_bytes, settings),
             health: Health::Serving,
             unwritten: Vec::new(),
@@ -206,7 +192,7 @@
         self.last_event_at = now;
         match event {
             Event::Tick => {}
-            Event::Request { conn, request } => self.on_request(conn, request, now),
+            Event::Request { request_id, request } => self.on_request(request_id, request, now),
             Event::GroupWritten { number, outcome } => self.on_group_written(number, outcome, now),
             Event::SnapshotStepDone { succeeded } => {
                 let step = self.snapshots.on_step_done(succeeded, now);
@@ -220,13 +206,14 @@
     /// Changes the health. All transitions go through here.
     fn set_health(&mut self, health: Health, now: Mono) {
         if matches!(self.health, Health::DiskFull { .. }) && health == Health::Serving {
-            // As after any outage, leases get their full time again.
+            // As after any outage, leases get their full time to live again.
             self.keyspace.renew_all_leases(now);
         }
         self.health = health;
     }
 
-    /// Does what may be due after any event: retries, lease expiry, group writes, watches and snapshots.
+    /// Does the work that may be due after any event: retries a rejected group, ends expired leases, starts writing
+    /// the next group, replies to watches and continues the snapshot.
     fn advance(&mut self, now: Mono) {
         match self.health {
             Health::Failed => return,
@@ -255,7 +242,7 @@
         if self.unwritten.is_empty() { self.next_group - 1 } else { self.next_group }
     }
 
-    /// Hands the unwritten records to the log thread, unless it is still writing a group.
+    /// Sends the unwritten records to the log thread, unless it is still writing a group.
     fn start_group_write(&mut self, now: Mono) {
         if self.in_flight_group.is_some() {
             return;
@@ -275,6 +262,8 @@
         self.next_group += 1;
     }
 
+    /// Handles the result of a group write: sends the replies that waited for it, schedules a retry, or ends
+    /// the process.
     fn on_group_written(&mut self, number: u64, outcome: WriteOutcome, now: Mono) {
         match outcome {
             WriteOutcome::Durable => {
@@ -286,9 +275,9 @@
                 self.snapshots.add_log_bytes(written.bytes);
                 let ready_count = self.pending_replies.partition_point(|r| r.group <= number);
                 let replies = self.pending_replies.drain(..ready_count);
-                self.actions.extend(
-                    replies.map(|PendingReply { conn, reply, .. }| Action::Reply { conn, reply }),
-                );
+                self.actions.extend(replies.map(|PendingReply { request_id, reply, .. }| {
+                    Action::Reply { request_id, reply }
+                }));
             }
             WriteOutcome::NotWritten { group, cause } => {
                 if self.health == Health::Serving {
@@ -309,7 +298,7 @@
                 self.pending_replies = changes;
                 for read in reads {
                     let reply = build_retry_reply(503, "the disk is full");
-                    self.actions.push(Action::Reply { conn: read.conn, reply });
+                    self.actions.push(Action::Reply { request_id: read.request_id, reply });
                 }
             }
             WriteOutcome::Unknown { cause } => {
@@ -320,18 +309,18 @@
     }
 
     /// Sends the reply once all changes applied so far are durable.
-    fn reply_when_durable(&mut self, conn: ConnId, reply: HttpReply, is_read: bool) {
+    fn reply_when_durable(&mut self, request_id: RequestId, reply: HttpReply, is_read: bool) {
         let group = self.last_applied_group();
         if group <= self.durable_group {
-            self.actions.push(Action::Reply { conn, reply });
+            self.actions.push(Action::Reply { request_id, reply });
         } else {
-            self.pending_replies.push_back(PendingReply { group, conn, reply, is_read });
+            self.pending_replies.push_back(PendingReply { group, request_id, reply, is_read });
         }
     }
 
     /// Sends the reply at once: it reveals no change that may be lost.
-    fn reply_now(&mut self, conn: ConnId, reply: HttpReply) {
-        self.actions.push(Action::Reply { conn, reply });
+    fn reply_now(&mut self, request_id: RequestId, reply: HttpReply) {
+        self.actions.push(Action::Reply { request_id, reply });
     }
 
     /// Applies a record and adds it to the next group.
@@ -344,33 +333,41 @@
         }
     }
 
+    /// Ends a lease and deletes its keys.
     fn end_lease(&mut self, lease: u64, now: Mono) {
         for record in self.keyspace.build_lease_end_records(lease) {
             self.apply_and_log(&record, now);
         }
     }
 
-    fn on_request(&mut self, conn: ConnId, request: Request, now: Mono) {
+    /// Checks the health and the rate limits, then executes the request.
+    fn on_request(&mut self, request_id: RequestId, request: Request, now: Mono) {
         if request == Request::Status {
             let status = self.build_status();
-            return self.reply_now(conn, HttpReply::json(200, &status));
+            return self.reply_now(request_id, HttpReply::json(200, &status));
         }
         let makes_changes = matches!(&request, Request::Txn(txn) if !txn.writes.is_empty())
             || matches!(request, Request::GrantLease { .. } | Request::RevokeLease { .. });
-        let reads_changes =
+        let reads_keys =
             matches!(request, Request::Get { .. } | Request::List { .. } | Request::Txn(_));
+        // While the disk accepts no writes, changes are refused, and so are reads that would have to wait for a change
+        // to become durable.
         let is_write_blocked = self.health != Health::Serving;
         if is_write_blocked
-            && (makes_changes || reads_changes && self.last_applied_group() > self.durable_group)
+            && (makes_changes || reads_keys && self.last_applied_group() > self.durable_group)
         {
-            return self.reply_now(conn, build_retry_reply(503, "the disk accepts no writes"));
+            return self
+                .reply_now(request_id, build_retry_reply(503, "the disk accepts no writes"));
         }
         if makes_changes && self.unwritten.len() > MAX_GROUP_BYTES / 2 {
-            return self.reply_now(conn, build_retry_reply(503, "the disk is behind"));
+            return self.reply_now(
+                request_id,
+                build_retry_reply(503, "too many changes are waiting to be written to the disk"),
+            );
         }
-        if !self.limits.try_acquire(request.change_count(), now) {
+        if !self.rate_limiter.try_acquire(request.change_count(), now) {
             return self.reply_now(
-                conn,
+                request_id,
                 build_retry_reply(429, "too many requests or changes per second"),
             );
         }
@@ -381,51 +378,63 @@
                     Some(entry) => HttpReply::json(200, &to_row(&key, entry)),
                     None => build_revision_reply(404, self.keyspace.revision(), Vec::new()),
                 };
-                self.reply_when_durable(conn, reply, true);
+                self.reply_when_durable(request_id, reply, true);
             }
             Request::List { prefix, after, max_rows } => {
                 let reply =
                     HttpReply::json(200, &self.list_page(&prefix, after.as_deref(), max_rows));
-                self.reply_when_durable(conn, reply, true);
+                self.reply_when_durable(request_id, reply, true);
             }
-            Request::Txn(txn) => self.execute_txn(conn, txn, now),
+            Request::Txn(txn) => self.execute_txn(request_id, txn, now),
             Request::GrantLease { ttl_ms } => {
                 let lease = self.keyspace.next_lease();
                 self.apply_and_log(&Record::Granted { lease, ttl_ms }, now);
                 self.reply_when_durable(
-                    conn,
+                    request_id,
                     HttpReply::json(200, &Grant { lease: LeaseId(lease) }),
                     false,
                 );
             }
             Request::RenewLease { lease } => {
                 if self.keyspace.renew_lease(lease, now) {
-                    self.reply_now(conn, HttpReply::json(200, &Grant { lease: LeaseId(lease) }));
+                    self.reply_now(
+                        request_id,
+                        HttpReply::json(200, &Grant { lease: LeaseId(lease) }),
+                    );
                 } else {
-                    self.reply_when_durable(conn, HttpReply::error(404, "no such lease"), true);
+                    self.reply_when_durable(
+                        request_id,
+                        HttpReply::error(404, "no such lease"),
+                        true,
+                    );
                 }
             }
             Request::RevokeLease { lease } => {
                 if self.keyspace.has_lease(lease) {
                     self.end_lease(lease, now);
                     self.reply_when_durable(
-                        conn,
+                        request_id,
                         HttpReply::json(200, &Grant { lease: LeaseId(lease) }),
                         false,
                     );
                 } else {
-                    self.reply_when_durable(conn, HttpReply::error(404, "no such lease"), true);
+                    self.reply_when_durable(
+                        request_id,
+                        HttpReply::error(404, "no such lease"),
+                        true,
+                    );
                 }
             }
             Request::Watch { prefix, after, wait_ms } => {
                 let deadline = now.plus(Millis(wait_ms));
-                self.watches.push(Watch { conn, prefix, after, deadline });
+                self.watches.push(Watch { request_id, prefix, after, deadline });
                 // Forces a check: the watch may start at a revision in the past.
                 self.last_watch_check.0 = u64::MAX;
             }
         }
     }
 
+    /// Returns a page of rows, limited in number and size; it has at least one row if any key matches.
     fn list_page<'a>(
         &'a self,
         prefix: &'a str,
@@ -444,10 +453,15 @@
         Page { rows, more, revision: Revision(self.keyspace.revision()) }
     }
 
-    fn execute_txn(&mut self, conn: ConnId, txn: Txn, now: Mono) {
+    /// Applies a transaction if its leases exist and its conditions hold, and replies.
+    fn execute_txn(&mut self, request_id: RequestId, txn: Txn, now: Mono) {
         let Txn { conditions, writes } = txn;
         if writes.iter().any(|w| w.lease > 0 && !self.keyspace.has_lease(w.lease)) {
-            return self.reply_when_durable(conn, HttpReply::error(400, "no such lease"), true);
+            return self.reply_when_durable(
+                request_id,
+                HttpReply::error(400, "no such lease"),
+                true,
+            );
         }
         let get_revision = |key: &str| self.keyspace.get(key).map_or(0, |entry| entry.revision);
         let failed: Vec<String> = conditions
@@ -458,7 +472,7 @@
         if !failed.is_empty() {
             let revision = self.keyspace.revision();
             return self.reply_when_durable(
-                conn,
+                request_id,
                 build_revision_reply(409, revision, failed),
                 true,
             );
@@ -469,13 +483,13 @@
             self.apply_and_log(&Record::Changed { revision, writes }, now);
         }
         self.reply_when_durable(
-            conn,
+            request_id,
             build_revision_reply(200, self.keyspace.revision(), Vec::new()),
             is_read,
         );
     }
 
-    /// Answers watches whose changes are durable or whose time is over. Watches report durable changes only.
+    /// Replies to watches that have durable changes or whose wait has ended. Watches report durable changes only.
     fn reply_to_watches(&mut self, now: Mono) {
         let (keyspace, to) = (&self.keyspace, self.durable_revision);
         if to == self.last_watch_check.0 && now.since(self.last_watch_check.1) < TICK_INTERVAL_MS {
@@ -498,7 +512,8 @@
                 }
             };
             let is_pending = reply.is_none();
-            actions.extend(reply.map(|reply| Action::Reply { conn: watch.conn, reply }));
+            actions
+                .extend(reply.map(|reply| Action::Reply { request_id: watch.request_id, reply }));
             is_pending
         });
     }
--- a/crates/state/src/keyspace.rs
+++ b/crates/state/src/keyspace.rs
@@ -21,6 +21,7 @@
 
 #[derive(Clone, Debug)]
 struct Lease {
+    /// Time to live, granted anew by each renewal.
     ttl_ms: u64,
     expires_at: Mono,
     keys: BTreeSet<Arc<str>>,
@@ -30,7 +31,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecentChange {
     pub key: Arc<str>,
+    /// The new value as JSON text.
     pub value: Option<Arc<str>>,
+    /// Revision of the change.
     pub revision: u64,
 }
 
@@ -256,7 +259,7 @@
         self.leases.iter().map(|(id, lease)| (*id, lease.ttl_ms)).collect()
     }
 
-    /// The highest id that was given to a lease.
+    /// Highest lease id granted so far; 0 if none.
     pub fn last_lease(&self) -> u64 {
         self.last_lease
     }
@@ -296,7 +299,7 @@
         assert_eq!((keyspace.next_lease(), keyspace.revision()), (2, 5));
     }
 
-    /// A range begins after the given key and stays within its prefix.
+    /// A range begins after the key `after` and stays within its prefix.
     #[test]
     fn ranges_stay_within_their_prefix() {
         let mut keyspace = Keyspace::default();
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -1,6 +1,7 @@
-//! A durable key-value state service that speaks the protocol which oatloom's controllers expect.
+//! A durable key-value state service that speaks the protocol that oatloom's controllers expect.
 //!
-//! The keyspace is held in memory. Changes are made durable by a write-ahead log, which snapshots keep short.
+//! The keyspace is held in memory. Changes are made durable by a write-ahead log; snapshots limit its
+//! length.
 //! The core is deterministic: [`engine::Engine`] turns `(event, now)` into actions. [`wal`] and [`recovery`]
 //! write and read files through [`disk::Disk`], so that tests can simulate a crash between any two operations.
 //! Threads, sockets and the clock are confined to [`service`].
--- a/crates/state/src/main.rs
+++ b/crates/state/src/main.rs
@@ -31,22 +31,25 @@
     log_format: Format,
 }
 
+/// Reads the settings file; returns the defaults if no file is set. Errors begin with the file's name.
 fn load_settings(file: &Option<PathBuf>) -> Result<Settings, String> {
     let Some(path) = file else { return Ok(Settings::default()) };
-    let name = path.display();
-    let text = std::fs::read_to_string(path).map_err(|e| format!("{name}: cannot be read: {e}"))?;
-    Settings::parse(&text).map_err(|e| format!("{name}: {e}"))
+    let file_name = path.display();
+    let text =
+        std::fs::read_to_string(path).map_err(|e| format!("{file_name}: cannot be read: {e}"))?;
+    Settings::parse(&text).map_err(|e| format!("{file_name}: {e}"))
 }
 
+/// Exits with status 2 if the service cannot start, and with status 1 if it fails while serving.
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    let fail = |text: String, status: u8| {
-        eprintln!("oatloom-state: {text}");
+    let fail = |message: String, status: u8| {
+        eprintln!("oatloom-state: {message}");
         ExitCode::from(status)
     };
     let settings = match load_settings(&arguments.file) {
         Ok(settings) => settings,
-        Err(text) => return fail(text, 2),
+        Err(message) => return fail(message, 2),
     };
     if let Err(e) = oatloom_logging::init("info", arguments.log_format) {
         return fail(e.to_string(), 2);
--- a/crates/state/src/rate_limiter.rs
+++ b/crates/state/src/rate_limiter.rs
@@ -22,6 +22,7 @@
         self.refilled_at = now;
     }
 
+    /// Whether this many tokens are available; tolerates rounding errors.
     fn has_tokens(&self, count: f64) -> bool {
         self.rate <= 0.0 || self.tokens + 1e-9 >= count
     }
@@ -46,15 +47,16 @@
         Self { requests: TokenBucket::new(rps, now), changes: TokenBucket::new(write_rps, now) }
     }
 
-    /// Admits a request with this many changes, or returns false if a limit is exceeded. Only admitted requests count.
-    pub fn try_acquire(&mut self, changes: usize, now: Mono) -> bool {
+    /// Admits a request with this many changes, or returns false if a limit is exceeded. Rejected
+    /// requests consume no tokens.
+    pub fn try_acquire(&mut self, change_count: usize, now: Mono) -> bool {
         self.requests.refill(now);
         self.changes.refill(now);
-        let changes = changes as f64;
-        let is_admitted = self.requests.has_tokens(1.0) && self.changes.has_tokens(changes);
+        let change_count = change_count as f64;
+        let is_admitted = self.requests.has_tokens(1.0) && self.changes.has_tokens(change_count);
         if is_admitted {
             self.requests.remove(1.0);
-            self.changes.remove(changes);
+            self.changes.remove(change_count);
         }
         is_admitted
     }
@@ -67,14 +69,14 @@
     /// Admits a burst of one second's budget, then the rate; idle time beyond a second adds nothing.
     #[test]
     fn bursts_are_limited_to_one_second() {
-        let mut limits = RateLimiter::new(100.0, 25.0, Mono(0));
-        let count_admitted = |limits: &mut RateLimiter, changes, now| {
-            (0..1_000).filter(|_| limits.try_acquire(changes, Mono(now))).count()
+        let mut limiter = RateLimiter::new(100.0, 25.0, Mono(0));
+        let count_admitted = |limiter: &mut RateLimiter, change_count, now| {
+            (0..1_000).filter(|_| limiter.try_acquire(change_count, Mono(now))).count()
         };
-        assert_eq!(count_admitted(&mut limits, 1, 0), 25);
-        assert_eq!(count_admitted(&mut limits, 0, 0), 75);
-        assert_eq!(count_admitted(&mut limits, 1, 200), 5);
-        assert_eq!(count_admitted(&mut limits, 5, 60_000), 5);
+        assert_eq!(count_admitted(&mut limiter, 1, 0), 25);
+        assert_eq!(count_admitted(&mut limiter, 0, 0), 75);
+        assert_eq!(count_admitted(&mut limiter, 1, 200), 5);
+        assert_eq!(count_admitted(&mut limiter, 5, 60_000), 5);
         assert_eq!(count_admitted(&mut RateLimiter::new(0.0, 0.0, Mono(0)), 20, 0), 1_000);
     }
 }
--- a/crates/state/src/records.rs
+++ b/crates/state/src/records.rs
@@ -12,6 +12,7 @@
 /// One put or delete.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Write {
+    /// The key that is put or deleted.
     pub key: Arc<str>,
     /// The value as JSON text; `None` deletes the key.
     pub value: Option<Arc<str>>,
@@ -53,7 +54,9 @@
     /// Recovery needs the log up to this frame: rows were copied while the keyspace changed, so they may include
     /// changes up to it.
     pub last_group: u64,
+    /// Revision of the keyspace once all rows were copied.
     pub revision: u64,
+    /// Highest lease id granted by then.
     pub last_lease: u64,
     /// Lease ids with their times to live in milliseconds.
     pub leases: Vec<(u64, u64)>,
@@ -62,7 +65,9 @@
 /// Payload of a frame in a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SnapshotPart {
+    /// Rows, in key order.
     Rows(Vec<SnapshotRow>),
+    /// The last part.
     Footer(SnapshotFooter),
 }
 
@@ -81,7 +86,9 @@
 /// Type of a file in the data directory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FileKind {
+    /// A file of the write-ahead log.
     Log,
+    /// A snapshot.
     Snapshot,
 }
 
@@ -143,7 +150,9 @@
 /// A decoded frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Frame<'a> {
+    /// Sequence number.
     pub number: u64,
+    /// Records of a group, or a part of a snapshot.
     pub payload: &'a [u8],
 }
 
@@ -190,8 +199,8 @@
     })
 }
 
-fn read_u32(bytes: &[u8], at: usize) -> Option<u32> {
-    Some(u32::from_le_bytes(bytes.get(at..at + 4)?.try_into().ok()?))
+fn read_u32(bytes: &[u8], offset: usize) -> Option<u32> {
+    Some(u32::from_le_bytes(bytes.get(offset..offset + 4)?.try_into().ok()?))
 }
 
 /// Decodes the frame at the start of `bytes`; `None` if it is incomplete or a checksum does not match.
@@ -206,7 +215,7 @@
 /// What follows the last valid frame of a log file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Tail {
-    /// Nothing.
+    /// Nothing: the file ends there.
     Empty,
     /// A torn write: the process ended while it was writing, so nothing of it was acknowledged.
     Torn,
@@ -251,25 +260,25 @@
 mod tests {
     use super::*;
 
-    /// A log with this many frames, and the offsets at which they end, from 0 on.
-    fn encode_log(groups: u64) -> (Vec<u8>, Vec<usize>) {
+    /// Returns a log with this many frames, and the offsets of their boundaries, starting with 0.
+    fn encode_log(frame_count: u64) -> (Vec<u8>, Vec<usize>) {
         let mut bytes = Vec::new();
-        let mut ends = vec![0];
-        for number in 1..=groups {
+        let mut boundaries = vec![0];
+        for number in 1..=frame_count {
             let write = Write { key: "a/b".into(), value: Some("{\"x\":1}".into()), lease: 0 };
             let record = Record::Changed { revision: number, writes: vec![write; 40] };
             append_frame(&mut bytes, number, &postcard::to_allocvec(&record).unwrap());
-            ends.push(bytes.len());
+            boundaries.push(bytes.len());
         }
-        (bytes, ends)
+        (bytes, boundaries)
     }
 
     /// A frame decodes to the number and the records that were encoded.
     #[test]
     fn a_frame_decodes_to_its_records() {
-        let (bytes, ends) = encode_log(2);
+        let (bytes, boundaries) = encode_log(2);
         let first = decode_frame(&bytes).unwrap();
-        assert_eq!((first.number, first.size()), (1, ends[1]));
+        assert_eq!((first.number, first.size()), (1, boundaries[1]));
         let records = decode_frame(&bytes[first.size()..]).unwrap().decode_records().unwrap();
         assert!(
             matches!(&records[..], [Record::Changed { revision: 2, writes }] if writes.len() == 40)
@@ -280,17 +289,17 @@
     /// service would not start after a crash.
     #[test]
     fn an_incomplete_write_is_torn() {
-        let (bytes, ends) = encode_log(3);
-        for cut in ends[2] + 1..ends[3] {
-            assert_eq!(classify_tail(&bytes[..cut], ends[2]), Tail::Torn, "cut at {cut}");
+        let (bytes, boundaries) = encode_log(3);
+        for cut in boundaries[2] + 1..boundaries[3] {
+            assert_eq!(classify_tail(&bytes[..cut], boundaries[2]), Tail::Torn, "cut at {cut}");
         }
-        for sector in ends[2] / SECTOR_BYTES..=(ends[3] - 1) / SECTOR_BYTES {
+        for sector in boundaries[2] / SECTOR_BYTES..=(boundaries[3] - 1) / SECTOR_BYTES {
             let mut torn = bytes.clone();
-            let start = (sector * SECTOR_BYTES).max(ends[2]);
-            let end = ((sector + 1) * SECTOR_BYTES).min(ends[3]);
+            let start = (sector * SECTOR_BYTES).max(boundaries[2]);
+            let end = ((sector + 1) * SECTOR_BYTES).min(boundaries[3]);
             torn[start..end].fill(0);
-            assert!(decode_frame(&torn[ends[2]..]).is_none());
-            assert_eq!(classify_tail(&torn, ends[2]), Tail::Torn, "sector {sector}");
+            assert!(decode_frame(&torn[boundaries[2]..]).is_none());
+            assert_eq!(classify_tail(&torn, boundaries[2]), Tail::Torn, "sector {sector}");
         }
     }
 
@@ -298,16 +307,16 @@
     /// write, recovery would drop an acknowledged change.
     #[test]
     fn a_flipped_bit_is_damage() {
-        let (bytes, ends) = encode_log(3);
+        let (bytes, boundaries) = encode_log(3);
         for group in [1, 2] {
-            for at in ends[group]..ends[group + 1] {
+            for offset in boundaries[group]..boundaries[group + 1] {
                 let mut flipped = bytes.clone();
-                flipped[at] ^= 0x10;
-                assert!(decode_frame(&flipped[ends[group]..]).is_none(), "{at}");
+                flipped[offset] ^= 0x10;
+                assert!(decode_frame(&flipped[boundaries[group]..]).is_none(), "{offset}");
                 assert_eq!(
-                    classify_tail(&flipped, ends[group]),
+                    classify_tail(&flipped, boundaries[group]),
                     Tail::Damaged,
-                    "group {group}, byte {at}"
+                    "group {group}, byte {offset}"
                 );
             }
         }
--- a/crates/state/src/recovery.rs
+++ b/crates/state/src/recovery.rs
@@ -1,6 +1,6 @@
 //! Recovery at startup: loads the newest valid snapshot and applies the log to it. What a crash can leave behind (torn
-//! writes, unfinished snapshots) is repaired and logged; any other corruption is an error, never repaired by
-//! guessing.
+//! writes, unfinished snapshots) is repaired and logged; any other corruption is an error and is not
+//! repaired.
 
 use crate::disk::{Disk, LOCK_FILE};
 use crate::keyspace::Keyspace;
@@ -29,7 +29,7 @@
     UnknownFile { name: String },
     /// A frame of the log is corrupt, and not a torn write at its end.
     #[error(
-        "{name} is damaged at byte {offset}: what follows was acknowledged and cannot be trusted"
+        "{name} is damaged at byte {offset}: the acknowledged changes from there on cannot be recovered"
     )]
     Damaged { name: String, offset: usize },
     /// A log file between the snapshot and the end of the log is missing.
@@ -48,6 +48,7 @@
 /// The recovered state and the position at which the log continues.
 #[derive(Debug)]
 pub struct Recovered {
+    /// The keys and leases.
     pub keyspace: Keyspace,
     /// Name and length of the log file to continue; if the name is empty, the next group begins a new file.
     pub log_file: String,
@@ -234,11 +235,12 @@
     Ok(decode_parts(&bytes[FILE_HEADER_BYTES..]))
 }
 
-/// Decompresses and decodes the parts of a snapshot in blocks of 1 MiB.
+/// Decompresses a snapshot in blocks of 1 MiB and decodes its parts; `None` if it is damaged or has no footer. The
+/// block size limits how much undecoded data is held in memory.
 fn decode_parts(compressed: &[u8]) -> Option<(Vec<SnapshotRow>, SnapshotFooter)> {
     let mut decoder = zstd::stream::read::Decoder::with_buffer(compressed).ok()?;
     let (mut block, mut pending) = (vec![0; 1024 * 1024], Vec::new());
-    let (mut rows, mut footer, mut number) = (Vec::new(), None, 0);
+    let (mut rows, mut footer, mut frame_count) = (Vec::new(), None, 0);
     loop {
         let count = decoder.read(&mut block).ok()?;
         if count == 0 {
@@ -247,8 +249,8 @@
         pending.extend_from_slice(&block[..count]);
         let mut offset = 0;
         while let Some(frame) = decode_frame(&pending[offset..]) {
-            number += 1;
-            if frame.number != number || footer.is_some() {
+            frame_count += 1;
+            if frame.number != frame_count || footer.is_some() {
                 return None;
             }
             match postcard::from_bytes(frame.payload).ok()? {
--- a/crates/state/src/service.rs
+++ b/crates/state/src/service.rs
@@ -4,7 +4,7 @@
 use crate::api::{self, Request};
 use crate::constants::*;
 use crate::disk::{Directory, lock};
-use crate::engine::{Action, ConnId, Engine, Event, WriteOutcome};
+use crate::engine::{Action, Engine, Event, RequestId, WriteOutcome};
 use crate::recovery::{RecoveryError, recover};
 use crate::settings::Settings;
 use crate::wal::{AppendError, Group, SnapshotStep, SnapshotWriter, WriteAheadLog};
@@ -19,12 +19,16 @@
 /// Why the service ended or did not start.
 #[derive(Debug, thiserror::Error)]
 pub enum ServiceError {
+    /// The data directory cannot be created or locked.
     #[error("{directory}: {cause}")]
     Directory { directory: String, cause: std::io::Error },
+    /// The state cannot be recovered from the data directory.
     #[error("{directory}: {error}")]
     Recovery { directory: String, error: RecoveryError },
+    /// The server cannot listen at the address.
     #[error(transparent)]
     Start(#[from] StartError),
+    /// The log or snapshot thread cannot be started.
     #[error("cannot start a thread: {0}")]
     Thread(#[from] std::io::Error),
     /// A write failed while serving, and it is unknown what was written. Recovery at the next start finds out.
@@ -58,11 +62,12 @@
 struct Runtime {
     engine: Engine,
     clock: Clock,
-    answers: server::ReplySender,
-    callers: HashMap<ConnId, ConnectionId>,
-    next_conn: u64,
-    log_groups: Sender<Group>,
-    snapshot_steps: Sender<SnapshotStep>,
+    reply_sender: server::ReplySender,
+    /// The connection that waits for the reply to each pending request.
+    connections: HashMap<RequestId, ConnectionId>,
+    last_request_id: u64,
+    group_sender: Sender<Group>,
+    step_sender: Sender<SnapshotStep>,
 }
 
 /// Serves a data directory at an address until the process is killed. Calls `on_ready` once requests are accepted.
@@ -91,69 +96,71 @@
         read_ms = clock.now().0,
         "recovered the data directory"
     );
-    let (inputs, events) = bounded(MAX_QUEUED_EVENT_COUNT);
+    let (input_sender, inputs) = bounded(MAX_QUEUED_EVENT_COUNT);
     let log = WriteAheadLog::new(
         Directory::new(directory),
         recovered.log_file.clone(),
         recovered.log_file_length,
         settings.sync,
     );
-    let log_groups = start_log_thread(log, inputs.clone())?;
-    let snapshot_steps =
-        start_snapshot_thread(SnapshotWriter::new(Directory::new(directory)), inputs.clone())?;
+    let group_sender = start_log_thread(log, input_sender.clone())?;
+    let step_sender = start_snapshot_thread(
+        SnapshotWriter::new(Directory::new(directory)),
+        input_sender.clone(),
+    )?;
     let request_settings = settings.clone();
     let parse_request = move |method: &str, path: &str, body: &[u8]| {
         api::parse(&request_settings, method, path, body)
     };
-    let enqueue = move |incoming| inputs.try_send(Input::Http(incoming)).is_ok();
-    let answers = server::start(address, settings.connections, parse_request, enqueue)?;
+    let enqueue = move |incoming| input_sender.try_send(Input::Http(incoming)).is_ok();
+    let reply_sender = server::start(address, settings.connections, parse_request, enqueue)?;
     let now = clock.now();
     let engine = Engine::new(&settings, recovered, now);
     let mut runtime = Runtime {
         engine,
         clock,
-        answers,
-        callers: HashMap::new(),
-        next_conn: 0,
-        log_groups,
-        snapshot_steps,
+        reply_sender,
+        connections: HashMap::new(),
+        last_request_id: 0,
+        group_sender,
+        step_sender,
     };
     on_ready();
-    let cause = runtime.serve(&events);
+    let cause = runtime.serve(&inputs);
     drop(directory_lock);
     Err(ServiceError::Disk(cause))
 }
 
 impl Runtime {
     /// Serves until a disk failure that only recovery can resolve, and returns its cause.
-    fn serve(&mut self, events: &Receiver<Input>) -> String {
+    fn serve(&mut self, inputs: &Receiver<Input>) -> String {
         loop {
-            let event = match events.recv_timeout(Duration::from_millis(TICK_INTERVAL_MS.0)) {
+            let event = match inputs.recv_timeout(Duration::from_millis(TICK_INTERVAL_MS.0)) {
                 Ok(Input::Event(event)) => event,
                 Ok(Input::Http(incoming)) => {
-                    self.next_conn += 1;
-                    let conn = ConnId(self.next_conn);
-                    self.callers.insert(conn, incoming.caller);
-                    Event::Request { conn, request: incoming.request }
+                    self.last_request_id += 1;
+                    let request_id = RequestId(self.last_request_id);
+                    self.connections.insert(request_id, incoming.caller);
+                    Event::Request { request_id, request: incoming.request }
                 }
                 Err(RecvTimeoutError::Timeout) => Event::Tick,
                 Err(RecvTimeoutError::Disconnected) => return "all event sources ended".to_owned(),
             };
             for action in self.engine.handle(self.clock.now(), event) {
                 match action {
-                    Action::Reply { conn, reply } => {
-                        if let Some(caller) = self.callers.remove(&conn) {
-                            self.answers.send(caller, reply);
+                    Action::Reply { request_id, reply } => {
+                        if let Some(connection) = self.connections.remove(&request_id) {
+                            self.reply_sender.send(connection, reply);
                         }
                     }
                     // The engine has at most one group and one step in flight, so neither channel is ever full.
                     Action::Write(group) => {
-                        if self.log_groups.send(group).is_err() {
+                        if self.group_sender.send(group).is_err() {
                             return "the log thread ended".to_owned();
                         }
                     }
                     Action::Snapshot(step) => {
-                        if self.snapshot_steps.send(step).is_err() {
+                        if self.step_sender.send(step).is_err() {
                             return "the snapshot thread ended".to_owned();
                         }
                     }
@@ -166,7 +173,7 @@
 
 fn start_log_thread(
     mut log: WriteAheadLog<Directory>,
-    inputs: Sender<Input>,
+    input_sender: Sender<Input>,
 ) -> std::io::Result<Sender<Group>> {
     let (sender, groups) = bounded::<Group>(1);
     spawn("log", move || {
@@ -179,7 +186,7 @@
                 }
                 Err(AppendError::Unknown(e)) => WriteOutcome::Unknown { cause: e.to_string() },
             };
-            if inputs.send(Input::Event(Event::GroupWritten { number, outcome })).is_err() {
+            if input_sender.send(Input::Event(Event::GroupWritten { number, outcome })).is_err() {
                 return;
             }
         }
@@ -189,7 +196,7 @@
 
 fn start_snapshot_thread(
     mut writer: SnapshotWriter<Directory>,
-    inputs: Sender<Input>,
+    input_sender: Sender<Input>,
 ) -> std::io::Result<Sender<SnapshotStep>> {
     let (sender, steps) = bounded::<SnapshotStep>(1);
     spawn("snapshot", move || {
@@ -207,7 +214,7 @@
                 _ => {}
             }
             let event = Event::SnapshotStepDone { succeeded: result.is_ok() };
-            if inputs.send(Input::Event(event)).is_err() {
+            if input_sender.send(Input::Event(event)).is_err() {
                 return;
             }
         }
--- a/crates/state/src/snapshots.rs
+++ b/crates/state/src/snapshots.rs
@@ -13,12 +13,12 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Stage {
     Idle,
-    /// Rows up to the cursor were handed to the writer.
+    /// Rows up to the cursor were sent to the writer.
     CopyingRows {
         cursor: Option<Arc<str>>,
         row_count: u64,
     },
-    /// All rows were handed over; the log up to the snapshot's end is not durable yet.
+    /// All rows were sent to the writer; the log up to the snapshot's end is not durable yet.
     AwaitingLog(SnapshotFooter),
     /// The footer is being written, and the file synced and renamed.
     Closing,
--- a/crates/state/src/wal.rs
+++ b/crates/state/src/wal.rs
@@ -30,13 +30,15 @@
 /// Encoded records that are written to the log as one frame (group commit).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Group {
+    /// Number of the frame; the first is 1.
     pub number: u64,
+    /// Payload of the frame.
     pub records: Vec<u8>,
     /// The group begins a new log file.
     pub starts_file: bool,
 }
 
-/// Why a group is not known to be durable.
+/// Why a group could not be made durable.
 #[derive(Debug)]
 pub enum AppendError {
     /// No part of the group is in the log; appending it may be retried.
@@ -52,6 +54,7 @@
     /// The file that is written to, and the length of its valid part.
     file_name: String,
     length: u64,
+    /// Whether each group is synced before it counts as durable.
     sync: bool,
     buffer: Vec<u8>,
 }
@@ -116,7 +119,7 @@
         if self.sync { self.disk.sync_directory().map_err(AppendError::Unknown) } else { Ok(()) }
     }
 
-    /// Returns the disk, for a test that starts the simulated process again.
+    /// Returns the disk.
     pub fn into_disk(self) -> D {
         self.disk
     }
@@ -131,9 +134,9 @@
     Rows(Vec<SnapshotRow>),
     /// Writes the footer, syncs the file and gives it its final name.
     Close(SnapshotFooter),
-    /// Gives up the snapshot and removes its temporary file.
+    /// Discards the unfinished snapshot and removes its temporary file.
     Abort,
-    /// Removes older snapshots and log files.
+    /// Removes the snapshots and log files with numbers below these.
     Prune { snapshots_below: u64, logs_below: u64 },
 }
 
@@ -167,7 +170,8 @@
                 )?);
                 Ok(())
             }
-            // Cloning rows only increments reference counts, so the engine does not wait for their encoding.
+            // Cloning rows only increments reference counts. They are encoded here, on the snapshot thread, so that the
+            // engine does not wait for it.
             SnapshotStep::Rows(rows) => self.write_part(&SnapshotPart::Rows(rows.clone())),
             SnapshotStep::Close(footer) => {
                 self.write_part(&SnapshotPart::Footer(footer.clone()))?;
@@ -214,7 +218,7 @@
         Ok(())
     }
 
-    /// Returns the disk, for a test that starts the simulated process again.
+    /// Returns the disk.
     pub fn into_disk(self) -> D {
         self.disk
     }
--- a/crates/state/tests/crash/disk.rs
+++ b/crates/state/tests/crash/disk.rs
@@ -11,12 +11,12 @@
 
 const SECTOR_BYTES: usize = 512;
 
-/// A file with the content that survives any crash.
+/// A file: the synced content, which survives any crash, and the current content.
 #[derive(Clone, Default)]
 struct File {
     synced: Vec<u8>,
     data: Vec<u8>,
-    /// The longest content since the last sync: a truncation may be lost too.
+    /// The longest content since the last sync: a crash may also lose a truncation.
     longest: Vec<u8>,
 }
 
@@ -28,6 +28,7 @@
     Remove(String),
 }
 
+/// Content and faults of the disk.
 #[derive(Default)]
 pub struct Inner {
     files: Vec<File>,
@@ -35,14 +36,17 @@
     synced_names: BTreeMap<String, usize>,
     /// Changes of names since the directory was synced.
     name_changes: Vec<NameChange>,
-    /// Operations until the crash.
+    /// Operations that still succeed before the crash; `None` if no crash is planned.
     pub operations_left: Option<u64>,
-    /// Bytes that still fit on the disk.
+    /// Bytes that still fit on the disk; `None` for no limit.
     pub free_bytes: Option<usize>,
+    /// Every sync fails.
     pub sync_fails: bool,
+    /// Number of operations begun.
     pub operations: u64,
 }
 
+/// The simulated disk. Clones share their content.
 #[derive(Clone, Default)]
 pub struct SimDisk(pub Rc<RefCell<Inner>>);
 
@@ -60,7 +64,7 @@
 
 impl SimDisk {
     /// Counts an operation, or fails if the crash has happened.
-    fn begin(&self) -> io::Result<()> {
+    fn begin_operation(&self) -> io::Result<()> {
         let mut inner = self.0.borrow_mut();
         if inner.operations_left == Some(0) {
             return Err(io::Error::other("crashed"));
@@ -70,11 +74,12 @@
         Ok(())
     }
 
+    /// Whether the planned crash has happened; every further operation fails.
     pub fn has_crashed(&self) -> bool {
         self.0.borrow().operations_left == Some(0)
     }
 
-    /// Reduces the disk to what survives the crash: a random part of what was not synced.
+    /// Reduces the disk to what survives the crash: the synced data and a random part of the rest.
     pub fn crash(&self, rng: &mut ChaCha8Rng) {
         let mut inner = self.0.borrow_mut();
         let mut names = inner.synced_names.clone();
@@ -112,11 +117,11 @@
     }
 
     /// Flips a bit of an existing file.
-    pub fn flip_bit(&self, name: &str, at: usize, bit: u8) {
+    pub fn flip_bit(&self, name: &str, offset: usize, bit: u8) {
         let mut inner = self.0.borrow_mut();
         let file = inner.names[name];
         let file = &mut inner.files[file];
-        file.data[at] ^= 1 << bit;
+        file.data[offset] ^= 1 << bit;
         file.synced.clone_from(&file.data);
     }
 
@@ -148,7 +153,7 @@
     }
 
     fn create(&mut self, name: &str) -> io::Result<()> {
-        self.begin()?;
+        self.begin_operation()?;
         let mut inner = self.0.borrow_mut();
         inner.files.push(File::default());
         let file = inner.files.len() - 1;
@@ -158,7 +163,7 @@
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        self.begin()?;
+        self.begin_operation()?;
         let free_bytes = self.0.borrow().free_bytes;
         let length = free_bytes.map_or(bytes.len(), |free_bytes| free_bytes.min(bytes.len()));
         self.with_file(name, |file| {
@@ -172,12 +177,12 @@
     }
 
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()> {
-        self.begin()?;
+        self.begin_operation()?;
         self.with_file(name, |file| file.data.truncate(length as usize))
     }
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
-        self.begin()?;
+        self.begin_operation()?;
         if self.0.borrow().sync_fails {
             return Err(io::Error::other("the disk reports an error"));
         }
@@ -188,7 +193,7 @@
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
-        self.begin()?;
+        self.begin_operation()?;
         let mut inner = self.0.borrow_mut();
         let change = NameChange::Rename(from.to_owned(), to.to_owned());
         apply_name_change(&mut inner.names, &change);
@@ -197,7 +202,7 @@
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
-        self.begin()?;
+        self.begin_operation()?;
         let mut inner = self.0.borrow_mut();
         inner.names.remove(name).ok_or(io::ErrorKind::NotFound)?;
         inner.name_changes.push(NameChange::Remove(name.to_owned()));
@@ -205,7 +210,7 @@
     }
 
     fn sync_directory(&mut self) -> io::Result<()> {
-        self.begin()?;
+        self.begin_operation()?;
         let mut inner = self.0.borrow_mut();
         inner.synced_names = inner.names.clone();
         inner.name_changes.clear();
--- a/crates/state/tests/crashes.rs
+++ b/crates/state/tests/crashes.rs
@@ -13,7 +13,7 @@
 use oatloom_protocol::wire::{Changes, Condition, Grant, RevisionReply, Row};
 use oatloom_state::api::{Request, Txn};
 use oatloom_state::disk::Disk;
-use oatloom_state::engine::{Action, ConnId, Engine, Event, WriteOutcome};
+use oatloom_state::engine::{Action, Engine, Event, RequestId, WriteOutcome};
 use oatloom_state::records::Write;
 use oatloom_state::recovery::{RecoveryError, recover};
 use oatloom_state::settings::Settings;
@@ -30,7 +30,7 @@
     Settings { snapshot_mb: 0.01, slice_rows: 3, ..Settings::default() }
 }
 
-/// The reply that a client expects.
+/// The reply that the reference model predicts.
 enum Expected {
     /// Exactly this status and body. They reveal the state of the reference model with this index, which must survive
     /// crashes once the reply is sent.
@@ -44,9 +44,11 @@
     engine: Engine,
     log: WriteAheadLog<SimDisk>,
     snapshots: SnapshotWriter<SimDisk>,
+    /// The group that the engine wants written, until the simulated log thread writes it.
     group: Option<Group>,
+    /// The snapshot step that is still to be executed.
     step: Option<SnapshotStep>,
-    expected: HashMap<ConnId, Expected>,
+    expected: HashMap<RequestId, Expected>,
 }
 
 /// The clients, the disk and the reference model, over all runs of the service.
@@ -60,7 +62,7 @@
     acknowledged: usize,
     /// Revision up to which the watching client has read changes.
     watched_revision: u64,
-    last_conn: u64,
+    last_request_id: u64,
     is_disk_full: bool,
     crash_count: u32,
     snapshot_count: u32,
@@ -70,11 +72,11 @@
 
 fn read_state(engine: &Engine) -> State {
     let keyspace = engine.keyspace();
-    let to_key = |row: &oatloom_state::records::SnapshotRow| {
+    let to_entry = |row: &oatloom_state::records::SnapshotRow| {
         (row.key.to_string(), (row.value.to_string(), row.revision, row.lease))
     };
     State {
-        keys: keyspace.copy_rows(None, usize::MAX).iter().map(to_key).collect(),
+        keys: keyspace.copy_rows(None, usize::MAX).iter().map(to_entry).collect(),
         leases: keyspace.list_lease_ttls().into_iter().collect(),
         revision: keyspace.revision(),
         last_lease: keyspace.last_lease(),
@@ -91,7 +93,7 @@
             reference: Reference::new(),
             acknowledged: 0,
             watched_revision: 0,
-            last_conn: 0,
+            last_request_id: 0,
             is_disk_full: false,
             crash_count: 0,
             snapshot_count: 0,
@@ -144,7 +146,7 @@
     /// Makes a random request, and derives the expected reply from the reference model.
     fn make_request(&mut self) -> (Request, Expected) {
         let now = self.now;
-        let random_key = |rng: &mut ChaCha8Rng| format!("k/{:02}", rng.random_range(0..KEY_COUNT));
+        let choose_key = |rng: &mut ChaCha8Rng| format!("k/{:02}", rng.random_range(0..KEY_COUNT));
         let state = self.reference.current().clone();
         let encode_revision = |revision, failed: Vec<String>| {
             serde_json::to_string(&RevisionReply { revision: Revision(revision), failed }).unwrap()
@@ -160,12 +162,12 @@
                             format!("{{\"n\":{},\"t\":\"{padding}\"}}", self.rng.random::<u32>())
                         });
                         let lease = if value.is_some() { lease } else { 0 };
-                        (random_key(&mut self.rng), value, lease)
+                        (choose_key(&mut self.rng), value, lease)
                     })
                     .collect();
                 let conditions: Vec<Condition> = (0..self.rng.random_range(0..3))
                     .map(|_| {
-                        let key = random_key(&mut self.rng);
+                        let key = choose_key(&mut self.rng);
                         let revision = state.keys.get(&key).map_or(0, |(_, revision, _)| *revision);
                         let is_wrong = self.rng.random_bool(0.2);
                         Condition { key, version: Revision(revision + u64::from(is_wrong)) }
@@ -227,7 +229,7 @@
                 (Request::RenewLease { lease }, expected)
             }
             16 | 17 => {
-                let key = random_key(&mut self.rng);
+                let key = choose_key(&mut self.rng);
                 let (status, body) = match state.keys.get(&key) {
                     Some((value, revision, lease)) => {
                         let value =
@@ -259,7 +261,8 @@
         Expected::Reply(reply.status, reply.body, self.reference.current_index())
     }
 
-    /// Has the engine handle an event; returns false if the process must end.
+    /// Passes an event to the engine, checks its replies and stores the group or step to execute; returns false if the
+    /// process must end.
     fn handle_event(&mut self, run: &mut Run, event: Event) -> bool {
         let mut actions = run.engine.handle(Mono(self.now), event);
         if !self.is_disk_full {
@@ -268,7 +271,7 @@
         let mut is_alive = true;
         for action in actions.drain(..) {
             match action {
-                Action::Reply { conn, reply } => self.check_reply(run, conn, &reply),
+                Action::Reply { request_id, reply } => self.check_reply(run, request_id, &reply),
                 Action::Write(group) => assert!(run.group.replace(group).is_none()),
                 Action::Snapshot(step) => assert!(run.step.replace(step).is_none()),
                 Action::Fail(_) => is_alive = false,
@@ -277,10 +280,10 @@
         is_alive
     }
 
-    fn check_reply(&mut self, run: &mut Run, conn: ConnId, reply: &HttpReply) {
+    fn check_reply(&mut self, run: &mut Run, request_id: RequestId, reply: &HttpReply) {
         let seed = self.seed;
-        match run.expected.remove(&conn).expect("exactly one reply to each request") {
-            // Refused or abandoned while the disk was full.
+        match run.expected.remove(&request_id).expect("exactly one reply to each request") {
+            // Refused, or failed while pending, because the disk was full.
             Expected::Reply(..) if reply.status == 503 => self.refused_count += 1,
             Expected::Reply(status, body, index) => {
                 assert_eq!((reply.status, &reply.body), (status, &body), "seed {seed}");
@@ -324,11 +327,11 @@
                 0..45 => {
                     let before = self.reference.clone();
                     let (request, expected) = self.make_request();
-                    self.last_conn += 1;
-                    let conn = ConnId(self.last_conn);
+                    self.last_request_id += 1;
+                    let request_id = RequestId(self.last_request_id);
                     let refused_before = self.refused_count;
-                    run.expected.insert(conn, expected);
-                    is_alive = self.handle_event(&mut run, Event::Request { conn, request });
+                    run.expected.insert(request_id, expected);
+                    is_alive = self.handle_event(&mut run, Event::Request { request_id, request });
                     if self.refused_count > refused_before {
                         // A refused request must have had no effect.
                         let (acknowledged, expirations) =
@@ -394,7 +397,7 @@
                 run = self.start();
             }
         }
-        // The disk works again; every request gets its reply, also watches once their time is over.
+        // The disk works again: every request gets its reply, and every watch does at the latest when its wait ends.
         (self.disk.0.borrow_mut().free_bytes, self.disk.0.borrow_mut().sync_fails) = (None, false);
         self.disk.0.borrow_mut().operations_left = None;
         for _ in 0..400 {
@@ -466,13 +469,13 @@
 /// Recovery from files with a flipped bit fails or gives the same state. Guards against a corrupt file that is loaded
 /// as a different state.
 #[test]
-fn damage_is_never_repaired_by_guessing() {
+fn a_flipped_bit_never_changes_the_recovered_state() {
     let (mut refused_count, mut harmless_count) = (0, 0);
     for seed in 1..12 {
         let mut simulation = Simulation::new(seed);
         simulation.run(1_500);
         let undamaged = recover(&mut simulation.disk.deep_copy(), Mono(0)).expect("valid files");
-        let undamaged = read_state(&Engine::new(&make_settings(), undamaged, Mono(0)));
+        let expected_state = read_state(&Engine::new(&make_settings(), undamaged, Mono(0)));
         let mut files = simulation.disk.clone();
         for _ in 0..400 {
             let names = files.list().unwrap();
@@ -489,7 +492,10 @@
                 Err(_) => refused_count += 1,
                 Ok(recovered) => {
                     let state = read_state(&Engine::new(&make_settings(), recovered, Mono(0)));
-                    assert_eq!(state, undamaged, "seed {seed}: {name}, byte {offset}, bit {bit}");
+                    assert_eq!(
+                        state, expected_state,
+                        "seed {seed}: {name}, byte {offset}, bit {bit}"
+                    );
                     harmless_count += 1;
                 }
             }
@@ -501,8 +507,8 @@
     );
 }
 
-/// Recovery refuses a directory that no crash can leave: a missing log file, a later format version, an unknown file.
-/// Guards against a start with a part of the state.
+/// Recovery refuses a directory that no crash can leave behind: a missing log file, a later format version, an unknown
+/// file. Guards against a start with only a part of the state.
 #[test]
 fn impossible_directories_are_refused() {
     let mut simulation = Simulation::new(7);
--- a/crates/state/tests/kill.rs
+++ b/crates/state/tests/kill.rs
@@ -21,26 +21,26 @@
     listener.local_addr().expect("an address").to_string()
 }
 
-fn build_command(address: &str, data: &Path, arguments: &[&str]) -> Command {
+fn build_command(address: &str, data_directory: &Path, arguments: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_oatloom-state"));
-    command.args(["--listen", address, "--data"]).arg(data).args(arguments);
+    command.args(["--listen", address, "--data"]).arg(data_directory).args(arguments);
     command.env("LOG_LEVEL", "error").stdin(Stdio::null());
     command
 }
 
-fn create_caller(address: &str) -> HttpClient {
+fn create_client(address: &str) -> HttpClient {
     HttpClient::new(address, Millis(2_000), 16 * 1024 * 1024)
 }
 
-fn get_json<T: serde::de::DeserializeOwned>(caller: &HttpClient, path: &str) -> Option<(u16, T)> {
-    let (status, body) = caller.get(path)?;
+fn get_json<T: serde::de::DeserializeOwned>(client: &HttpClient, path: &str) -> Option<(u16, T)> {
+    let (status, body) = client.get(path)?;
     Some((status, serde_json::from_slice(&body).ok()?))
 }
 
-fn wait_until_ready(caller: &HttpClient) -> StateStatus {
+fn wait_until_ready(client: &HttpClient) -> StateStatus {
     let start = Instant::now();
     loop {
-        if let Some((200, status)) = get_json(caller, "/status") {
+        if let Some((200, status)) = get_json(client, "/status") {
             return status;
         }
         assert!(start.elapsed() < Duration::from_secs(10), "not ready within 10 s");
@@ -64,7 +64,7 @@
     keys: &mut [WriterKey],
     stop: &AtomicBool,
 ) -> u64 {
-    let caller = create_caller(address);
+    let client = create_client(address);
     let mut revision = 0;
     for round in 0.. {
         let key = &mut keys[round % KEYS_PER_WRITER as usize];
@@ -72,7 +72,7 @@
         key.requested += 1;
         let txn = json!({"when": [{"path": path, "stamp": key.revision}],
             "then": [{"put": path, "data": key.requested}, {"delete": "nothing/there"}]});
-        match caller.post("/multi", &txn) {
+        match client.post("/multi", &txn) {
             Some((200, body)) => {
                 let reply: serde_json::Value = serde_json::from_slice(&body).expect("a JSON reply");
                 revision = reply["epoch"].as_u64().expect("a revision");
@@ -96,26 +96,27 @@
 fn acknowledged_changes_survive_kills() {
     let kill_count: u32 =
         std::env::var("OATLOOM_KILLS").ok().and_then(|n| n.parse().ok()).unwrap_or(200);
-    let data = tempfile::tempdir().expect("a directory");
-    let settings = data.path().join("settings.lisp");
+    let temp_directory = tempfile::tempdir().expect("a directory");
+    let settings = temp_directory.path().join("settings.lisp");
     // Small sizes, so that kills also happen during snapshots.
     std::fs::write(&settings, "((snapshot-mb . 0.05) (slice-rows . 4))").expect("write the file");
-    let (address, home) = (find_free_address(), data.path().join("state"));
+    let (address, data_directory) = (find_free_address(), temp_directory.path().join("state"));
     let file = settings.display().to_string();
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     let mut writer_keys = vec![[WriterKey::default(); KEYS_PER_WRITER as usize]; WRITER_COUNT];
     let (mut acknowledged_revision, mut watched_revision, mut written, mut compacted_count) =
         (0, 0, 0, 0);
     for kill in 0..=kill_count {
-        let mut child =
-            build_command(&address, &home, &["--file", &file]).spawn().expect("start the process");
-        let caller = create_caller(&address);
-        let status = wait_until_ready(&caller);
+        let mut child = build_command(&address, &data_directory, &["--file", &file])
+            .spawn()
+            .expect("start the process");
+        let client = create_client(&address);
+        let status = wait_until_ready(&client);
         assert!(
             status.revision.0 >= acknowledged_revision,
             "the revision decreased from {acknowledged_revision} to {status:?}"
         );
-        // Revisions are dense: at most one for each requested change.
+        // Revisions skip no numbers: there is at most one for each requested change.
         let requested: u64 = writer_keys.iter().flatten().map(|key| key.requested).sum();
         assert!(
             status.revision.0 <= requested,
@@ -124,7 +125,7 @@
         for (writer, keys) in writer_keys.iter_mut().enumerate() {
             for (index, key) in keys.iter_mut().enumerate() {
                 let path = format!("/keys/w{writer}/{index}");
-                let (value, revision) = match get_json::<Row>(&caller, &path) {
+                let (value, revision) = match get_json::<Row>(&client, &path) {
                     Some((200, row)) => (row.value.as_u64().expect("a number"), row.version.0),
                     _ => (0, 0),
                 };
@@ -133,7 +134,7 @@
                 (key.acknowledged, key.revision) = (value, revision);
             }
         }
-        match caller.get(&format!("/follow?prefix=w&after={watched_revision}")) {
+        match client.get(&format!("/follow?prefix=w&after={watched_revision}")) {
             Some((410, _)) => compacted_count += 1,
             Some((200, body)) => {
                 let changes: Changes = serde_json::from_slice(&body).expect("changes");
@@ -147,7 +148,7 @@
         }
         watched_revision = status.revision.0;
         if kill == kill_count {
-            let (_, page): (u16, Page) = get_json(&caller, "/keys?prefix=w").expect("a page");
+            let (_, page): (u16, Page) = get_json(&client, "/keys?prefix=w").expect("a page");
             assert_eq!(page.rows.len(), WRITER_COUNT * KEYS_PER_WRITER as usize);
             kill_process(&mut child);
             break;
@@ -187,46 +188,65 @@
 /// Errors at startup are reported with exit status 2 and, beyond the command line's syntax, in one line.
 #[test]
 fn startup_errors_are_one_line() {
-    let data = tempfile::tempdir().expect("a directory");
-    let (address, home) = (find_free_address(), data.path().join("state"));
-    let expect_failure = |address: &str, home: &Path, arguments: &[&str], message: &str| {
-        let output = build_command(address, home, arguments).output().expect("start the process");
-        let text = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert_eq!(output.status.code(), Some(2), "{text}");
-        assert!(text.contains(message), "{text}");
-        text
-    };
+    let temp_directory = tempfile::tempdir().expect("a directory");
+    let (address, data_directory) = (find_free_address(), temp_directory.path().join("state"));
+    let expect_failure =
+        |address: &str, data_directory: &Path, arguments: &[&str], message: &str| {
+            let output = build_command(address, data_directory, arguments)
+                .output()
+                .expect("start the process");
+            let text = String::from_utf8_lossy(&output.stderr).into_owned();
+            assert_eq!(output.status.code(), Some(2), "{text}");
+            assert!(text.contains(message), "{text}");
+            text
+        };
     let assert_one_line = |text: String| assert_eq!(text.trim_end().lines().count(), 1, "{text}");
-    expect_failure("nowhere", &home, &[], "invalid value");
-    expect_failure(&address, &home, &["--loud"], "unexpected argument");
+    expect_failure("nowhere", &data_directory, &[], "invalid value");
+    expect_failure(&address, &data_directory, &["--loud"], "unexpected argument");
     assert_one_line(expect_failure(
         &address,
-        &home,
+        &data_directory,
         &["--file", "/no/such/file"],
         "cannot be read",
     ));
-    let bad_settings = data.path().join("bad.lisp");
+    let bad_settings = temp_directory.path().join("bad.lisp");
     std::fs::write(&bad_settings, "((rps . -1))").expect("write the file");
     assert_one_line(expect_failure(
         &address,
-        &home,
+        &data_directory,
         &["--file", &bad_settings.display().to_string()],
         "rps: must be",
     ));
     assert_one_line(expect_failure(&address, &bad_settings, &[], "bad.lisp: "));
-    let mut child = build_command(&address, &home, &[]).spawn().expect("start the process");
-    wait_until_ready(&create_caller(&address));
-    assert_one_line(expect_failure(&find_free_address(), &home, &[], "another process uses it"));
-    assert_one_line(expect_failure(&address, &data.path().join("other"), &[], "cannot listen"));
+    let mut child =
+        build_command(&address, &data_directory, &[]).spawn().expect("start the process");
+    wait_until_ready(&create_client(&address));
+    assert_one_line(expect_failure(
+        &find_free_address(),
+        &data_directory,
+        &[],
+        "another process uses it",
+    ));
+    assert_one_line(expect_failure(
+        &address,
+        &temp_directory.path().join("other"),
+        &[],
+        "cannot listen",
+    ));
     kill_process(&mut child);
-    std::fs::write(home.join("diary"), "x").expect("write the file");
-    assert_one_line(expect_failure(&address, &home, &[], "diary is not a file of this service"));
-    std::fs::remove_file(home.join("diary")).expect("remove the file");
-    let log = home.join("log-00000000000000000001");
+    std::fs::write(data_directory.join("diary"), "x").expect("write the file");
+    assert_one_line(expect_failure(
+        &address,
+        &data_directory,
+        &[],
+        "diary is not a file of this service",
+    ));
+    std::fs::remove_file(data_directory.join("diary")).expect("remove the file");
+    let log = data_directory.join("log-00000000000000000001");
     std::fs::write(&log, b"oatlog\x09\x00").expect("write the file");
     assert_one_line(expect_failure(
         &address,
-        &home,
+        &data_directory,
         &[],
         "is of format 9, which a later version wrote",
     ));
@@ -236,42 +256,43 @@
 /// that wait.
 #[test]
 fn requests_are_served_over_http() {
-    let data = tempfile::tempdir().expect("a directory");
-    let file = data.path().join("settings.lisp");
+    let temp_directory = tempfile::tempdir().expect("a directory");
+    let file = temp_directory.path().join("settings.lisp");
     std::fs::write(&file, "((rps . 40) (write-rps . 10) (txn-ops . 3))").expect("write the file");
-    let (address, home) = (find_free_address(), data.path().join("state"));
+    let (address, data_directory) = (find_free_address(), temp_directory.path().join("state"));
     let file = file.display().to_string();
-    let mut child =
-        build_command(&address, &home, &["--file", &file]).spawn().expect("start the process");
-    let caller = create_caller(&address);
-    wait_until_ready(&caller);
+    let mut child = build_command(&address, &data_directory, &["--file", &file])
+        .spawn()
+        .expect("start the process");
+    let client = create_client(&address);
+    wait_until_ready(&client);
     let get_status = |reply: Option<(u16, Vec<u8>)>| reply.expect("a reply").0;
     let put = |key: &str, revision: u64| {
         let txn = json!({"when": [{"path": key, "stamp": revision}],
             "then": [{"put": key, "data": {"k": key}}]});
-        caller.post("/multi", &txn)
+        client.post("/multi", &txn)
     };
     assert_eq!(get_status(put("a/b", 0)), 200);
     assert_eq!(get_status(put("a/b", 0)), 409);
-    assert_eq!(get_status(caller.post("/multi", &json!([]))), 400);
+    assert_eq!(get_status(client.post("/multi", &json!([]))), 400);
     assert_eq!(
-        get_status(caller.post("/multi", &json!({"then": vec![json!({"delete": "x"}); 4]}))),
+        get_status(client.post("/multi", &json!({"then": vec![json!({"delete": "x"}); 4]}))),
         400
     );
-    assert_eq!(get_status(caller.get("/keys/a/b")), 200);
-    assert_eq!(get_status(caller.get("/keys/a/c")), 404);
-    let (_, body) = caller.post("/grants", &json!({"ttlMs": 100})).expect("a reply");
+    assert_eq!(get_status(client.get("/keys/a/b")), 200);
+    assert_eq!(get_status(client.get("/keys/a/c")), 404);
+    let (_, body) = client.post("/grants", &json!({"ttlMs": 100})).expect("a reply");
     let lease =
         serde_json::from_slice::<serde_json::Value>(&body).expect("JSON")["tenancy"].clone();
     let txn = json!({"then": [{"put": "leased", "data": 1, "tenancy": lease}]});
-    assert_eq!(get_status(caller.post("/multi", &txn)), 200);
-    let (_, body) = caller.get("/follow?prefix=leased&after=2&holdMs=3000").expect("a reply");
+    assert_eq!(get_status(client.post("/multi", &txn)), 200);
+    let (_, body) = client.get("/follow?prefix=leased&after=2&holdMs=3000").expect("a reply");
     let changes: Changes = serde_json::from_slice(&body).expect("changes");
     assert_eq!(changes.log[0].delete.as_deref(), Some("leased"), "{changes:?}");
-    assert_eq!(get_status(caller.post(&format!("/grants/{lease}/touch"), &json!({}))), 404);
-    assert_eq!(get_status(caller.post("/multi", &txn)), 400, "no such lease");
+    assert_eq!(get_status(client.post(&format!("/grants/{lease}/touch"), &json!({}))), 404);
+    assert_eq!(get_status(client.post("/multi", &txn)), 400, "no such lease");
     let started_at = Instant::now();
-    let (code, body) = caller.get("/follow?prefix=zzz&after=3&holdMs=150").expect("a reply");
+    let (code, body) = client.get("/follow?prefix=zzz&after=3&holdMs=150").expect("a reply");
     assert!(code == 200 && started_at.elapsed() >= Duration::from_millis(140));
     assert!(String::from_utf8_lossy(&body).contains("\"log\":[]"));
     let codes: Vec<u16> = (0..15).map(|n| get_status(put(&format!("n/{n}"), 0))).collect();
