--- a/crates/client/examples/first_graph.rs
+++ b/crates/client/examples/first_graph.rs
@@ -1,4 +1,5 @@
-//! Runs a small graph against `oatloomctl up --operators deploy/graphs.sample.lisp`: three nodes, and one that needs them.
+//! Runs a small graph against `oatloomctl up --operators deploy/graphs.sample.lisp`: three nodes, and one that depends
+//! on them.
 
 use oatloom_client::graphs::GraphOptions;
 use oatloom_client::{Controllers, Session};
--- a/crates/client/src/controllers.rs
+++ b/crates/client/src/controllers.rs
@@ -19,7 +19,7 @@
     Unreachable,
 }
 
-/// Why retrying a request was given up.
+/// Why a request is no longer retried.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RetryError {
     /// No final response; holds the last response.
@@ -59,20 +59,20 @@
 
 /// Interprets a response; `None` if it is not final and the request is to be retried after a delay.
 pub fn interpret_response(request: &JobRequest, response: &HttpResponse) -> Option<JobResponse> {
-    let text = || String::from_utf8_lossy(&response.body).into_owned();
+    let decode_body = || String::from_utf8_lossy(&response.body).into_owned();
     match response.status {
         200 | 201 => match serde_json::from_slice(&response.body) {
             Ok(view) => Some(JobResponse::View(view)),
             Err(e) => Some(JobResponse::Rejected(
                 response.status,
-                format!("invalid response: {e}: {}", text()),
+                format!("invalid response: {e}: {}", decode_body()),
             )),
         },
         400 | 422 | 413 if matches!(request, JobRequest::Submit(_)) => {
-            Some(JobResponse::Rejected(response.status, text()))
+            Some(JobResponse::Rejected(response.status, decode_body()))
         }
         404 if !matches!(request, JobRequest::Submit(_)) => {
-            Some(JobResponse::Rejected(404, text()))
+            Some(JobResponse::Rejected(404, decode_body()))
         }
         _ => None,
     }
@@ -85,27 +85,28 @@
     Millis(MIN_RETRY_DELAY_MS.0.max(u64::from(retry_after_s) * 1_000))
 }
 
-/// The controllers of a region; requests go to one after the other.
+/// The controllers of a region. Requests go to them in turn.
 #[derive(Clone, Debug)]
 pub struct Controllers {
     submit_clients: Vec<HttpClient>,
     poll_clients: Vec<HttpClient>,
-    next: usize,
+    /// Index of the controller for the next request; taken modulo the number of controllers.
+    next_index: usize,
 }
 
 impl Controllers {
     /// Creates HTTP clients for the controllers at these addresses.
     pub fn new(addresses: &[String]) -> Self {
-        let http_clients = |timeout: Millis| {
+        let create_clients = |timeout: Millis| {
             addresses
                 .iter()
                 .map(|address| HttpClient::new(address, timeout, MAX_RESPONSE_BYTES))
                 .collect()
         };
         Self {
-            submit_clients: http_clients(SUBMIT_TIMEOUT_MS),
-            poll_clients: http_clients(POLL_TIMEOUT_MS),
-            next: 0,
+            submit_clients: create_clients(SUBMIT_TIMEOUT_MS),
+            poll_clients: create_clients(POLL_TIMEOUT_MS),
+            next_index: 0,
         }
     }
 
@@ -114,16 +115,19 @@
         self.poll_clients.len()
     }
 
+    /// Whether there are no controllers.
     pub fn is_empty(&self) -> bool {
         self.poll_clients.is_empty()
     }
 
-    /// Sends a job request to one controller, without retries.
+    /// Sends a job request to the controller at `index`, without retries.
     pub fn request(&self, index: usize, request: &JobRequest) -> Option<HttpResponse> {
         let (method, path, body) = request.to_http();
         self.send(index, method, &path, &body)
     }
 
+    /// Sends a request to the controller at `index`, modulo the number of controllers. `GET` requests have the timeout
+    /// of polls.
     fn send(&self, index: usize, method: &str, path: &str, body: &[u8]) -> Option<HttpResponse> {
         let http_clients = if method == "GET" { &self.poll_clients } else { &self.submit_clients };
         http_clients.get(index % http_clients.len().max(1))?.request(method, path, body)
@@ -131,8 +135,8 @@
 
     /// Sends a request to the next controller, without retries.
     pub fn request_next(&mut self, method: &str, path: &str, body: &[u8]) -> Option<HttpResponse> {
-        let response = self.send(self.next, method, path, body);
-        self.next += 1;
+        let response = self.send(self.next_index, method, path, body);
+        self.next_index += 1;
         response
     }
 
@@ -142,12 +146,14 @@
         let interpret = |response: &HttpResponse| interpret_response(request, response);
         match self.retry((method, &path, &body), timeout, UNREACHABLE_TIMEOUT_MS, interpret) {
             Ok(outcome) => outcome,
-            Err(RetryError::NoFinalResponse(last)) => JobResponse::NoFinalResponse(last),
+            Err(RetryError::NoFinalResponse(last_response)) => {
+                JobResponse::NoFinalResponse(last_response)
+            }
             Err(RetryError::Unreachable) => JobResponse::Unreachable,
         }
     }
 
-    /// Sends a request to one controller after the other until `interpret` returns a result for a response. If no controller
+    /// Sends a request to the controllers in turn until `interpret` returns a result for a response. If no controller
     /// has been reached at all, it gives up after `unreachable_timeout` if that is shorter than `timeout`.
     ///
     /// # Errors
@@ -160,30 +166,32 @@
         interpret: impl Fn(&HttpResponse) -> Option<T>,
     ) -> Result<T, RetryError> {
         let started = Instant::now();
-        let mut last = None;
+        let mut last_response = None;
         loop {
             let response = self.request_next(method, path, body);
             if let Some(outcome) = response.as_ref().and_then(&interpret) {
                 return Ok(outcome);
             }
             if let Some(response) = &response {
-                last = Some(format!(
+                last_response = Some(format!(
                     "{} {}",
                     response.status,
                     String::from_utf8_lossy(&response.body)
                 ));
             }
             // After an unreachable controller the next one is tried at once, with a delay only after each full round.
-            let is_round_complete = self.next.is_multiple_of(self.len());
+            let is_round_complete = self.next_index.is_multiple_of(self.len());
             let delay = if response.is_none() && !is_round_complete {
                 Millis(0)
             } else {
                 retry_delay(response.as_ref())
             };
             let total_wait_ms = started.elapsed().as_millis() as u64 + delay.0;
-            match last.take_if(|_| total_wait_ms >= timeout.0) {
-                Some(last) => return Err(RetryError::NoFinalResponse(last)),
-                None if last.is_none() && total_wait_ms >= timeout.0.min(unreachable_timeout.0) => {
+            match last_response.take_if(|_| total_wait_ms >= timeout.0) {
+                Some(last_response) => return Err(RetryError::NoFinalResponse(last_response)),
+                None if last_response.is_none()
+                    && total_wait_ms >= timeout.0.min(unreachable_timeout.0) =>
+                {
                     return Err(RetryError::Unreachable);
                 }
                 None => {}
@@ -197,10 +205,10 @@
 mod tests {
     use super::*;
 
-    /// Final responses are told apart from those that are retried, depending on the request.
+    /// Which responses are final and which are retried depends on the request.
     #[test]
     fn responses_are_interpreted_by_request() {
-        let response = |status, body: &str, retry_after_s| HttpResponse {
+        let make_response = |status, body: &str, retry_after_s| HttpResponse {
             status,
             body: body.as_bytes().to_vec(),
             retry_after_s,
@@ -208,20 +216,20 @@
         let request = JobRequest::View(JobId::new("req-1"));
         let text = r#"{"nameId":"req-1","status":"done","done":3,"running":0}"#;
         let Some(JobResponse::View(job_view)) =
-            interpret_response(&request, &response(200, text, None))
+            interpret_response(&request, &make_response(200, text, None))
         else {
-            panic!("the response is not interpreted")
+            panic!("the response was not interpreted as final")
         };
         assert_eq!(job_view.done, 3);
         assert!(matches!(
-            interpret_response(&request, &response(404, "", None)),
+            interpret_response(&request, &make_response(404, "", None)),
             Some(JobResponse::Rejected(404, _))
         ));
         for status in [429, 500, 503, 504, 421] {
-            assert_eq!(interpret_response(&request, &response(status, "", None)), None);
+            assert_eq!(interpret_response(&request, &make_response(status, "", None)), None);
         }
-        assert_eq!(retry_delay(Some(&response(503, "", Some(7)))), Millis(7_000));
-        assert_eq!(retry_delay(Some(&response(503, "", Some(900)))), Millis(30_000));
+        assert_eq!(retry_delay(Some(&make_response(503, "", Some(7)))), Millis(7_000));
+        assert_eq!(retry_delay(Some(&make_response(503, "", Some(900)))), Millis(30_000));
         assert_eq!(retry_delay(None), MIN_RETRY_DELAY_MS);
     }
 }
--- a/crates/client/src/graphs.rs
+++ b/crates/client/src/graphs.rs
@@ -1,4 +1,5 @@
-//! Task graphs: sessions that are kept alive by heartbeats, graphs to which nodes are added in batches, and their progress.
+//! Task graphs: sessions that are kept alive by heartbeats, graphs to which nodes are added in batches, and their
+//! progress.
 
 use crate::constants::*;
 use crate::controllers::Controllers;
@@ -18,7 +19,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Errors of requests about graphs.
+/// Errors of requests about sessions and graphs.
 #[derive(Debug, thiserror::Error)]
 pub enum GraphError {
     /// Rejected permanently: a retry would get the same response.
@@ -62,14 +63,16 @@
     outcome.unwrap_or(Err(GraphError::NoFinalResponse(timeout.0 / 1000)))
 }
 
-/// A session, kept alive by a heartbeat thread until it is closed or dropped, or its process ends. Its graphs and nodes that
-/// are not detached are then cancelled, at the latest when its time to live has expired.
+/// A session, kept alive by a heartbeat thread until it is closed or dropped, or its process ends. The controllers then
+/// cancel its graphs and nodes that are not detached, at the latest when its time to live has expired.
 #[derive(Debug)]
 pub struct Session {
     controllers: Controllers,
     name: String,
     key: String,
-    is_stopped: Arc<AtomicBool>,
+    /// Tells the heartbeat thread to stop.
+    is_stop_requested: Arc<AtomicBool>,
+    /// Set by the heartbeat thread when a heartbeat is rejected.
     is_lost: Arc<AtomicBool>,
     heartbeat_thread: Option<JoinHandle<()>>,
 }
@@ -98,17 +101,17 @@
             &open_request,
             REQUEST_RETRY_TIMEOUT_MS,
         )?;
-        let (is_stopped, is_lost) =
+        let (is_stop_requested, is_lost) =
             (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
         let heartbeat_thread = {
-            let (is_stopped, is_lost, mut controllers) =
-                (is_stopped.clone(), is_lost.clone(), controllers.clone());
+            let (is_stop_requested, is_lost, mut controllers) =
+                (is_stop_requested.clone(), is_lost.clone(), controllers.clone());
             let path = format!("/v2/sessions/{name}/beat");
             let key_request = KeyedRequest { key: key.to_owned() };
             let interval = Millis::from_secs(ttl_s / HEARTBEATS_PER_TTL_COUNT as f64);
             std::thread::Builder::new().name("session".into()).spawn(move || {
                 let mut next_heartbeat = Instant::now();
-                while !is_stopped.load(Ordering::Relaxed) {
+                while !is_stop_requested.load(Ordering::Relaxed) {
                     if Instant::now() >= next_heartbeat {
                         match request_with_retry::<SessionView>(
                             &mut controllers,
@@ -136,7 +139,7 @@
             controllers,
             name,
             key,
-            is_stopped,
+            is_stop_requested,
             is_lost,
             heartbeat_thread: Some(heartbeat_thread),
         })
@@ -147,8 +150,9 @@
         self.is_lost.load(Ordering::Relaxed)
     }
 
+    /// Stops the heartbeat thread and waits for its end.
     fn stop_heartbeats(&mut self) {
-        self.is_stopped.store(true, Ordering::Relaxed);
+        self.is_stop_requested.store(true, Ordering::Relaxed);
         if let Some(heartbeat_thread) = self.heartbeat_thread.take() {
             let _ = heartbeat_thread.join();
         }
@@ -200,7 +204,7 @@
             kinds: BTreeMap::new(),
             pending_nodes: Vec::new(),
             pending_bytes: 0,
-            sent_additions: 0,
+            sent_addition_count: 0,
         })
     }
 }
@@ -211,22 +215,24 @@
     }
 }
 
-/// Options of a graph as a whole.
+/// Options of a graph.
 #[derive(Clone, Debug)]
 pub struct GraphOptions {
     /// Job class of the nodes.
     pub class: String,
+    /// Priority of the nodes in scheduling.
     pub rank: Rank,
     /// When the graph is due, in seconds after its creation; `None` if it has no due time.
     pub due_s: Option<f64>,
+    /// What happens to the other nodes when a node fails.
     pub on_failure: OnFailure,
     /// Whether the graph survives the end of its session.
     pub detached: bool,
 }
 
 impl GraphOptions {
-    /// Options for graphs of a job class, with defaults: standard rank, no due time, bound to the session, and cancelled when
-    /// a node fails.
+    /// Options for graphs of a job class, with defaults: standard rank, no due time, bound to the session, and
+    /// cancelled when a node fails.
     pub fn new(class: &str) -> Self {
         Self {
             class: class.to_owned(),
@@ -238,8 +244,8 @@
     }
 }
 
-/// A graph to which nodes can be added. Nodes are buffered and sent in additions of bounded size. Each addition has its own
-/// name, so that a retry after a lost response adds nothing twice.
+/// A graph to which nodes can be added. Nodes are buffered and sent in additions of bounded size. Each addition has its
+/// own name, so that a retry after a lost response adds nothing twice.
 #[derive(Debug)]
 pub struct Graph {
     controllers: Controllers,
@@ -248,7 +254,7 @@
     kinds: BTreeMap<String, KindSpec>,
     pending_nodes: Vec<NewNode>,
     pending_bytes: usize,
-    sent_additions: usize,
+    sent_addition_count: usize,
 }
 
 impl Graph {
@@ -263,7 +269,7 @@
         self
     }
 
-    /// Adds a node that depends on other nodes, which have been added before.
+    /// Adds a node that depends on the nodes `needs`, which must have been added before.
     ///
     /// # Errors
     /// The buffered nodes had to be sent first, and sending failed.
@@ -277,7 +283,7 @@
         self.add(NewNode { name: name.to_owned(), kind: kind.to_owned(), needs, shards: 1 })
     }
 
-    /// Adds a node with all its settings.
+    /// Adds a node, buffered until the next call of [`Graph::send`] or until the buffer is full.
     ///
     /// # Errors
     /// The buffered nodes had to be sent first, and sending failed.
@@ -302,7 +308,7 @@
     pub fn send(&mut self, seal: bool) -> Result<GraphView, GraphError> {
         let add_request = AddNodes {
             key: self.key.clone(),
-            addition: format!("a-{}", self.sent_additions),
+            addition: format!("a-{}", self.sent_addition_count),
             kinds: self.kinds.clone(),
             nodes: self.pending_nodes.clone(),
             seal,
@@ -314,7 +320,7 @@
             &add_request,
             REQUEST_RETRY_TIMEOUT_MS,
         )?;
-        self.sent_additions += 1;
+        self.sent_addition_count += 1;
         self.pending_bytes = 0;
         self.pending_nodes.clear();
         Ok(view)
@@ -344,20 +350,20 @@
     )
 }
 
-/// Reports the progress of a graph, as nodes that have changed, until the graph is final. A watch can be resumed from its
-/// position, also by another process; after a change of leader, nodes may be reported again.
+/// Reports the progress of a graph, as nodes that have changed, until the graph is final. A watch can be resumed from
+/// its position, also by another process; after a change of leader, nodes may be reported again.
 #[derive(Debug)]
 pub struct Watch {
     controllers: Controllers,
     id: GraphId,
     position: String,
-    is_over: bool,
+    is_finished: bool,
 }
 
 impl Watch {
-    /// Starts at the position that an earlier watch has reached; an empty position is the beginning.
+    /// Creates a watch that starts at the position of an earlier one; an empty position is the beginning.
     pub fn new(controllers: Controllers, id: GraphId, position: String) -> Self {
-        Self { controllers, id, position, is_over: false }
+        Self { controllers, id, position, is_finished: false }
     }
 
     /// The current position, from which a new watch can resume.
@@ -378,7 +384,7 @@
             REQUEST_RETRY_TIMEOUT_MS,
         )?;
         self.position.clone_from(&view.next);
-        self.is_over = view.status.is_final() && !view.more;
+        self.is_finished = view.status.is_final() && !view.more;
         Ok(view)
     }
 
@@ -393,7 +399,7 @@
         loop {
             let view = self.poll()?;
             view.changed.iter().for_each(&mut on_change);
-            if self.is_over {
+            if self.is_finished {
                 return Ok(view);
             }
             if !view.more {
@@ -439,7 +445,7 @@
         (Controllers::new(&[address]), requests)
     }
 
-    fn view(status: &str, next: &str, more: bool) -> String {
+    fn format_view(status: &str, next: &str, more: bool) -> String {
         format!(
             r#"{{"graph":"graph-1","status":"{status}","nodes":2,"waiting":0,"started":0,"done":2,"failed":0,
             "cancelled":0,"skipped":0,"next":"{next}","more":{more},"changed":[{{"name":"n","status":"done"}}]}}"#
@@ -457,7 +463,7 @@
                 (422, r#"{"error":"a cycle"}"#.into())
             }
             path if path.starts_with("/v2/sessions") => (200, SESSION.into()),
-            _ => (200, view("open", "1.0", false)),
+            _ => (200, format_view("open", "1.0", false)),
         });
         let session = Session::open(controllers, "s", "secret-1", "red", 10.0).unwrap();
         let id = GraphId::parse("graph-1").unwrap();
@@ -483,17 +489,17 @@
     #[test]
     fn a_watch_resumes_from_its_position() {
         let (controllers, requests) = start_controller(|path, _| match path {
-            "/v2/graphs/graph-1?after=" => (200, view("open", "5.7", true)),
-            "/v2/graphs/graph-1?after=5.7" => (200, view("done", "over.00000", false)),
+            "/v2/graphs/graph-1?after=" => (200, format_view("open", "5.7", true)),
+            "/v2/graphs/graph-1?after=5.7" => (200, format_view("done", "over.00000", false)),
             _ => (404, "{}".into()),
         });
         let id = GraphId::parse("graph-1").unwrap();
         let mut watch = Watch::new(controllers.clone(), id, String::new());
         watch.poll().unwrap();
         let mut resumed = Watch::new(controllers, id, watch.position().to_owned());
-        let mut changes = 0;
-        let final_view = resumed.wait_until_final(|_| changes += 1).unwrap();
-        assert!(final_view.status.is_final() && changes == 1);
+        let mut change_count = 0;
+        let final_view = resumed.wait_until_final(|_| change_count += 1).unwrap();
+        assert!(final_view.status.is_final() && change_count == 1);
         assert_eq!(requests.lock().unwrap().len(), 2);
     }
 
--- a/crates/graphd/build.rs
+++ b/crates/graphd/build.rs
@@ -1,4 +1,5 @@
-//! Generates Rust code from the `.proto` file. The Protobuf compiler is a library, so that `protoc` need not be installed.
+//! Generates Rust code from the `.proto` file. The Protobuf compiler is a library, so that `protoc` need not be
+//! installed.
 
 use prost::Message;
 use std::path::PathBuf;
--- a/crates/graphd/src/convert.rs
+++ b/crates/graphd/src/convert.rs
@@ -12,16 +12,16 @@
 use serde::Serialize;
 use tonic::Status;
 
-/// The text of an enum value in the JSON of the controllers.
-fn json_text(value: impl Serialize) -> String {
+/// Returns the text of an enum value as controllers write it in JSON.
+fn to_json_text(value: impl Serialize) -> String {
     serde_json::to_value(value).ok().and_then(|v| v.as_str().map(str::to_owned)).unwrap_or_default()
 }
 
 /// Parses a graph ID.
-pub(crate) fn graph_id(text: &str) -> Result<GraphId, Status> {
-    let invalid_id =
+pub(crate) fn parse_graph_id(text: &str) -> Result<GraphId, Status> {
+    let make_error =
         || Status::invalid_argument("a graph id is `graph-` followed by up to ten digits");
-    GraphId::parse(text).ok_or_else(invalid_id)
+    GraphId::parse(text).ok_or_else(make_error)
 }
 
 /// Checks that a session name is safe to use in a URL path. Further rules are checked by the controllers.
@@ -33,13 +33,14 @@
     })
 }
 
-fn unknown_value(field: &str) -> Status {
+/// Error for a field whose enum value is not defined.
+fn unknown_value_error(field: &str) -> Status {
     Status::invalid_argument(format!("{field}: unknown value"))
 }
 
 /// Converts a request to create a graph.
-pub(crate) fn create_request(request: wire::CreateGraphRequest) -> Result<CreateGraph, Status> {
-    let rank = match wire::Rank::try_from(request.rank).map_err(|_| unknown_value("rank"))? {
+pub(crate) fn to_create_graph(request: wire::CreateGraphRequest) -> Result<CreateGraph, Status> {
+    let rank = match wire::Rank::try_from(request.rank).map_err(|_| unknown_value_error("rank"))? {
         wire::Rank::Standard => Rank::Standard,
         wire::Rank::Low => Rank::Low,
         wire::Rank::High => Rank::High,
@@ -47,13 +48,13 @@
     };
     let on_failure = wire::OnFailure::try_from(request.on_failure);
     Ok(CreateGraph {
-        graph: graph_id(&request.graph)?,
+        graph: parse_graph_id(&request.graph)?,
         session: request.session,
         key: request.key,
         jobclass: request.jobclass,
         rank,
         due_s: request.due_s,
-        on_failure: match on_failure.map_err(|_| unknown_value("on_failure"))? {
+        on_failure: match on_failure.map_err(|_| unknown_value_error("on_failure"))? {
             wire::OnFailure::CancelRest => OnFailure::CancelRest,
             wire::OnFailure::FinishIndependent => OnFailure::FinishIndependent,
         },
@@ -61,15 +62,16 @@
     })
 }
 
-fn kind_spec(kind: wire::Kind) -> Result<KindSpec, Status> {
+/// Converts a node kind.
+fn to_kind_spec(kind: wire::Kind) -> Result<KindSpec, Status> {
     Ok(KindSpec {
-        shape: match wire::Shape::try_from(kind.shape).map_err(|_| unknown_value("shape"))? {
+        shape: match wire::Shape::try_from(kind.shape).map_err(|_| unknown_value_error("shape"))? {
             wire::Shape::Task => NodeShape::Task,
             wire::Shape::Gang => NodeShape::Gang,
             wire::Shape::Actor => NodeShape::Actor,
         },
         strategy: match wire::Strategy::try_from(kind.strategy)
-            .map_err(|_| unknown_value("strategy"))?
+            .map_err(|_| unknown_value_error("strategy"))?
         {
             wire::Strategy::Pack => Strategy::Pack,
             wire::Strategy::Spread => Strategy::Spread,
@@ -93,8 +95,8 @@
 }
 
 /// Converts a request to add nodes to a graph.
-pub(crate) fn add_request(request: wire::AddNodesRequest) -> Result<AddNodes, Status> {
-    let kinds = request.kinds.into_iter().map(|(name, spec)| Ok((name, kind_spec(spec)?)));
+pub(crate) fn to_add_nodes(request: wire::AddNodesRequest) -> Result<AddNodes, Status> {
+    let kinds = request.kinds.into_iter().map(|(name, spec)| Ok((name, to_kind_spec(spec)?)));
     let nodes = request.nodes.into_iter().map(|node| NewNode {
         name: node.name,
         kind: node.kind,
@@ -110,12 +112,13 @@
     })
 }
 
-/// Converts a session as a controller reports it.
-pub(crate) fn session(view: SessionView) -> wire::Session {
-    wire::Session { session: view.session, status: json_text(view.status), ttl_s: view.ttl_s }
+/// Converts the state of a session from a response of a controller.
+pub(crate) fn to_wire_session(view: SessionView) -> wire::Session {
+    wire::Session { session: view.session, status: to_json_text(view.status), ttl_s: view.ttl_s }
 }
 
-fn failure(failure: &Failure) -> wire::Failure {
+/// Converts the failures of a node's job.
+fn to_wire_failure(failure: &Failure) -> wire::Failure {
     wire::Failure {
         task: failure.task.clone(),
         failures: failure.failures,
@@ -123,29 +126,31 @@
     }
 }
 
-fn node(view: NodeView) -> wire::Node {
+/// Converts the state of a node.
+fn to_wire_node(view: NodeView) -> wire::Node {
     wire::Node {
         name: view.name,
-        status: json_text(view.status),
+        status: to_json_text(view.status),
         job: view.job.map(|job| job.to_string()).unwrap_or_default(),
-        failure: view.failure.as_deref().map(failure),
+        failure: view.failure.as_deref().map(to_wire_failure),
     }
 }
 
-fn first_failed(failed: FailedNode) -> wire::Node {
+/// Converts the first failed node of a graph, of which the response holds no job.
+fn to_wire_failed_node(failed_node: FailedNode) -> wire::Node {
     wire::Node {
-        name: failed.node,
+        name: failed_node.node,
         status: "failed".into(),
         job: String::new(),
-        failure: failed.failure.as_deref().map(failure),
+        failure: failed_node.failure.as_deref().map(to_wire_failure),
     }
 }
 
-/// Converts a graph as a controller reports it.
-pub(crate) fn graph(view: GraphView) -> wire::Graph {
+/// Converts the state of a graph from a response of a controller.
+pub(crate) fn to_wire_graph(view: GraphView) -> wire::Graph {
     wire::Graph {
         graph: view.graph.to_string(),
-        status: json_text(view.status),
+        status: to_json_text(view.status),
         sealed: view.sealed,
         nodes: view.nodes,
         waiting: view.waiting,
@@ -155,9 +160,9 @@
         cancelled: view.cancelled,
         skipped: view.skipped,
         path_s: view.path_s,
-        first_failed: view.failure.map(first_failed),
+        first_failed: view.failure.map(to_wire_failed_node),
         why: view.reason,
-        changed: view.changed.into_iter().map(node).collect(),
+        changed: view.changed.into_iter().map(to_wire_node).collect(),
         next: view.next,
     }
 }
--- a/crates/graphd/src/lib.rs
+++ b/crates/graphd/src/lib.rs
@@ -1,5 +1,6 @@
-//! gRPC server for task graphs. It is stateless: every call becomes a request to the controllers, and any number of instances
-//! may run side by side. The async runtime that the gRPC library needs runs on the serving thread only.
+//! gRPC server for task graphs. It is stateless: every call is converted to a request to the controllers, and any
+//! number of instances may run side by side. The async runtime that the gRPC library needs runs on the serving thread
+//! only.
 
 pub mod constants;
 pub mod controller_pool;
--- a/crates/graphd/src/main.rs
+++ b/crates/graphd/src/main.rs
@@ -53,14 +53,14 @@
         tracing::warn!("cannot install the signal handler: {e}");
     }
     let cert_and_key = arguments.tls_cert.clone().zip(arguments.tls_key.clone());
-    let files = cert_and_key.map(|(cert, key)| TlsFiles {
+    let tls_files = cert_and_key.map(|(cert, key)| TlsFiles {
         cert,
         key,
         client_ca: arguments.client_ca.clone(),
     });
-    let tls_mode = if files.is_some() { "TLS" } else { "no TLS" };
+    let tls_mode = if tls_files.is_some() { "TLS" } else { "no TLS" };
     tracing::info!("listening at {}, {tls_mode}", arguments.listen);
-    serve(listener, &Controllers::new(&addresses), files, shutdown_receiver)
+    serve(listener, &Controllers::new(&addresses), tls_files, shutdown_receiver)
 }
 
 fn main() -> ExitCode {
--- a/crates/graphd/src/server.rs
+++ b/crates/graphd/src/server.rs
@@ -30,19 +30,19 @@
     Transport(#[from] tonic::transport::Error),
 }
 
-/// Serves on this thread until `shutdown` becomes true. Calls in progress are completed, streams are closed. With `files`,
-/// serves over TLS only.
+/// Serves on this thread until `shutdown` becomes true. Calls in progress are completed, streams are closed. With
+/// `tls_files`, serves over TLS only.
 ///
 /// # Errors
 /// The server cannot start, or the transport fails.
 pub fn serve(
     listener: TcpListener,
     controllers: &Controllers,
-    files: Option<TlsFiles>,
+    tls_files: Option<TlsFiles>,
     mut shutdown: watch::Receiver<bool>,
 ) -> Result<(), ServeError> {
     let controllers = ControllerPool::start(controllers)?;
-    let configs = files.map(tls::watch_files).transpose()?;
+    let tls_configs = tls_files.map(tls::watch_files).transpose()?;
     listener.set_nonblocking(true)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(async move {
@@ -78,16 +78,16 @@
             .add_service(health)
             .add_service(reflection)
             .add_service(service);
-        match configs {
-            Some(configs) => {
-                let (sender, streams) = mpsc::channel(STREAM_BUFFER_COUNT);
-                tokio::spawn(tls::accept(listener, configs, sender));
-                let streams = ReceiverStream::new(streams);
-                server.serve_with_incoming_shutdown(streams, shutdown).await?;
+        match tls_configs {
+            Some(tls_configs) => {
+                let (sender, connections) = mpsc::channel(STREAM_BUFFER_COUNT);
+                tokio::spawn(tls::accept(listener, tls_configs, sender));
+                let connections = ReceiverStream::new(connections);
+                server.serve_with_incoming_shutdown(connections, shutdown).await?;
             }
             None => {
-                let streams = TcpIncoming::from(listener);
-                server.serve_with_incoming_shutdown(streams, shutdown).await?;
+                let connections = TcpIncoming::from(listener);
+                server.serve_with_incoming_shutdown(connections, shutdown).await?;
             }
         }
         Ok(())
--- a/crates/graphd/src/service.rs
+++ b/crates/graphd/src/service.rs
@@ -23,10 +23,12 @@
 #[derive(Clone, Debug)]
 pub struct Service {
     controllers: ControllerPool,
+    /// Permits for [`MAX_WATCH_COUNT`] watch streams.
     watch_permits: Arc<Semaphore>,
 }
 
-/// Converts an error response to a gRPC status. The retry delay, in seconds, goes into the metadata `retry-after`.
+/// Converts an error response of a controller to a gRPC status. The retry delay, in seconds, goes into the metadata
+/// `retry-after`.
 pub fn to_status(response: &HttpResponse) -> Status {
     let error: serde_json::Value = serde_json::from_slice(&response.body).unwrap_or_default();
     let text = error["error"].as_str().unwrap_or("no reason given").to_owned();
@@ -34,7 +36,8 @@
         400 | 422 => Code::InvalidArgument,
         403 => Code::PermissionDenied,
         404 => Code::NotFound,
-        // Either it already exists with different contents, or its state does not allow the request.
+        // A conflict means either that the item already exists with different contents, which only the text tells, or
+        // that its state does not allow the request.
         409 if text.contains("there already") || text.contains("another") => Code::AlreadyExists,
         409 => Code::FailedPrecondition,
         413 => Code::OutOfRange,
@@ -50,6 +53,7 @@
     status
 }
 
+/// Parses the response of a controller, or converts its absence or an error response to a gRPC status.
 fn parse_response<T: DeserializeOwned>(
     response: Result<Option<HttpResponse>, QueueFull>,
 ) -> Result<T, Status> {
@@ -63,10 +67,12 @@
 }
 
 impl Service {
+    /// Creates the service, which sends its requests through `controllers`.
     pub fn new(controllers: ControllerPool) -> Self {
         Self { controllers, watch_permits: Arc::new(Semaphore::new(MAX_WATCH_COUNT)) }
     }
 
+    /// Sends a `POST` request with a JSON body to a controller and parses the response.
     async fn post<T: DeserializeOwned>(
         &self,
         path: String,
@@ -76,6 +82,7 @@
         parse_response(self.controllers.send("POST", path, body).await)
     }
 
+    /// Sends a `POST` request whose body holds only the key of a session.
     async fn post_key<T: DeserializeOwned>(&self, path: String, key: String) -> Result<T, Status> {
         self.post(path, &KeyedRequest { key }).await
     }
@@ -86,7 +93,7 @@
         parse_response(self.controllers.send("GET", path, Vec::new()).await)
     }
 
-    /// Streams changes until the graph is final, the client has gone, or no controller has responded for
+    /// Streams changes until the graph is final, the client has disconnected, or no request has succeeded for
     /// [`WATCH_RETRY_TIMEOUT_MS`].
     async fn stream_changes(
         self,
@@ -95,18 +102,20 @@
         sender: mpsc::Sender<Result<Graph, Status>>,
         _permit: OwnedSemaphorePermit,
     ) {
-        let mut last_response = Instant::now();
+        let mut last_success_at = Instant::now();
         let mut is_first = true;
         loop {
             match self.fetch_changes(graph, &after).await {
                 Ok(view) => {
-                    last_response = Instant::now();
-                    let (has_more, is_over) = (view.more, view.status.is_final() && !view.more);
-                    let has_news = is_first || is_over || !view.changed.is_empty();
+                    last_success_at = Instant::now();
+                    let (has_more, is_finished) = (view.more, view.status.is_final() && !view.more);
+                    let must_send = is_first || is_finished || !view.changed.is_empty();
                     is_first = false;
                     after.clone_from(&view.next);
                     // Waits for a client that reads slowly; the controllers are not polled meanwhile.
-                    if has_news && sender.send(Ok(convert::graph(view))).await.is_err() || is_over {
+                    if must_send && sender.send(Ok(convert::to_wire_graph(view))).await.is_err()
+                        || is_finished
+                    {
                         return;
                     }
                     if has_more {
@@ -117,7 +126,8 @@
                     let is_transient =
                         matches!(e.code(), Code::Unavailable | Code::ResourceExhausted);
                     if !is_transient
-                        || last_response.elapsed() > Duration::from_millis(WATCH_RETRY_TIMEOUT_MS.0)
+                        || last_success_at.elapsed()
+                            > Duration::from_millis(WATCH_RETRY_TIMEOUT_MS.0)
                     {
                         let _ = sender.send(Err(e)).await;
                         return;
@@ -143,7 +153,7 @@
         let wire::OpenSessionRequest { session, key, owner, ttl_s } = request.into_inner();
         let open_request = OpenSession { session, key, owner, ttl_s };
         let view: SessionView = self.post("/v2/sessions".into(), &open_request).await?;
-        Ok(Response::new(convert::session(view)))
+        Ok(Response::new(convert::to_wire_session(view)))
     }
 
     async fn heartbeat(
@@ -152,7 +162,7 @@
     ) -> Result<Response<Session>, Status> {
         let wire::SessionRequest { session, key } = request.into_inner();
         let path = format!("/v2/sessions/{}/beat", convert::validate_session_name(&session)?);
-        Ok(Response::new(convert::session(self.post_key(path, key).await?)))
+        Ok(Response::new(convert::to_wire_session(self.post_key(path, key).await?)))
     }
 
     async fn close_session(
@@ -161,16 +171,16 @@
     ) -> Result<Response<Session>, Status> {
         let wire::SessionRequest { session, key } = request.into_inner();
         let path = format!("/v2/sessions/{}/close", convert::validate_session_name(&session)?);
-        Ok(Response::new(convert::session(self.post_key(path, key).await?)))
+        Ok(Response::new(convert::to_wire_session(self.post_key(path, key).await?)))
     }
 
     async fn create_graph(
         &self,
         request: Request<wire::CreateGraphRequest>,
     ) -> Result<Response<Graph>, Status> {
-        let create_request = convert::create_request(request.into_inner())?;
+        let create_request = convert::to_create_graph(request.into_inner())?;
         let view = self.post("/v2/graphs".into(), &create_request).await?;
-        Ok(Response::new(convert::graph(view)))
+        Ok(Response::new(convert::to_wire_graph(view)))
     }
 
     async fn add_nodes(
@@ -178,10 +188,10 @@
         request: Request<wire::AddNodesRequest>,
     ) -> Result<Response<Graph>, Status> {
         let request = request.into_inner();
-        let graph = convert::graph_id(&request.graph)?;
-        let add_request = convert::add_request(request)?;
+        let graph = convert::parse_graph_id(&request.graph)?;
+        let add_request = convert::to_add_nodes(request)?;
         let view = self.post(format!("/v2/graphs/{graph}/nodes"), &add_request).await?;
-        Ok(Response::new(convert::graph(view)))
+        Ok(Response::new(convert::to_wire_graph(view)))
     }
 
     async fn cancel_graph(
@@ -189,19 +199,19 @@
         request: Request<wire::CancelGraphRequest>,
     ) -> Result<Response<Graph>, Status> {
         let wire::CancelGraphRequest { graph, key } = request.into_inner();
-        let graph = convert::graph_id(&graph)?;
+        let graph = convert::parse_graph_id(&graph)?;
         let view = self.post_key(format!("/v2/graphs/{graph}/cancel"), key).await?;
-        Ok(Response::new(convert::graph(view)))
+        Ok(Response::new(convert::to_wire_graph(view)))
     }
 
     async fn get_graph(
         &self,
         request: Request<wire::GetGraphRequest>,
     ) -> Result<Response<Graph>, Status> {
-        let graph = convert::graph_id(&request.into_inner().graph)?;
+        let graph = convert::parse_graph_id(&request.into_inner().graph)?;
         let path = format!("/v2/graphs/{graph}?most=0");
         let view: GraphView = parse_response(self.controllers.send("GET", path, Vec::new()).await)?;
-        Ok(Response::new(convert::graph(view)))
+        Ok(Response::new(convert::to_wire_graph(view)))
     }
 
     async fn watch_graph(
@@ -209,7 +219,7 @@
         request: Request<wire::WatchGraphRequest>,
     ) -> Result<Response<Self::WatchGraphStream>, Status> {
         let wire::WatchGraphRequest { graph, after } = request.into_inner();
-        let graph = convert::graph_id(&graph)?;
+        let graph = convert::parse_graph_id(&graph)?;
         let permit = self.watch_permits.clone().try_acquire_owned();
         let permit = permit.map_err(|_| Status::resource_exhausted("too many watch streams"))?;
         let (sender, stream) = mpsc::channel(STREAM_BUFFER_COUNT);
--- a/crates/graphd/src/tls.rs
+++ b/crates/graphd/src/tls.rs
@@ -1,5 +1,5 @@
-//! TLS with certificates that are reloaded when their files change. If a reload fails, a warning is logged and the previous
-//! certificates stay in use.
+//! TLS with certificates that are reloaded when their files change. If a reload fails, a warning is logged and the
+//! previous certificates stay in use.
 
 use crate::constants::*;
 use std::path::{Path, PathBuf};
@@ -17,8 +17,9 @@
 /// Paths of the PEM files for TLS.
 #[derive(Clone, Debug)]
 pub struct TlsFiles {
-    /// The certificate chain of the server, and its private key.
+    /// The certificate chain of the server.
     pub cert: PathBuf,
+    /// The private key of the server certificate.
     pub key: PathBuf,
     /// The authority that must have issued client certificates; `None` if clients need no certificate.
     pub client_ca: Option<PathBuf>,
@@ -38,17 +39,17 @@
 }
 
 fn load_certificates(path: &Path) -> Result<Vec<CertificateDer<'static>>, TlsError> {
-    let pem_error = |e| TlsError::Pem(path.to_owned(), e);
-    let loaded = CertificateDer::pem_file_iter(path).map_err(pem_error)?;
-    let loaded = loaded.collect::<Result<Vec<_>, _>>().map_err(pem_error)?;
-    if loaded.is_empty() { Err(TlsError::Empty(path.to_owned())) } else { Ok(loaded) }
+    let to_pem_error = |e| TlsError::Pem(path.to_owned(), e);
+    let certificates = CertificateDer::pem_file_iter(path).map_err(to_pem_error)?;
+    let certificates = certificates.collect::<Result<Vec<_>, _>>().map_err(to_pem_error)?;
+    if certificates.is_empty() { Err(TlsError::Empty(path.to_owned())) } else { Ok(certificates) }
 }
 
-/// Loads the certificates.
+/// Loads the certificates into a configuration for the TLS server.
 ///
 /// # Errors
 /// A file cannot be read, or the key does not match the certificate.
-pub fn load(files: &TlsFiles) -> Result<Arc<ServerConfig>, TlsError> {
+pub fn load_config(files: &TlsFiles) -> Result<Arc<ServerConfig>, TlsError> {
     let chain = load_certificates(&files.cert)?;
     let key = PrivateKeyDer::from_pem_file(&files.key)
         .map_err(|e| TlsError::Pem(files.key.clone(), e))?;
@@ -68,8 +69,9 @@
     Ok(Arc::new(config))
 }
 
-/// Modification time and size of each file; `None` where they are unavailable.
-fn file_versions(files: &TlsFiles) -> Vec<Option<(SystemTime, u64)>> {
+/// Returns the modification time and size of each file, from which a change is detected; `None` where they are
+/// unavailable.
+fn read_file_versions(files: &TlsFiles) -> Vec<Option<(SystemTime, u64)>> {
     let paths = [Some(&files.cert), Some(&files.key), files.client_ca.as_ref()];
     let read_version = |path: &PathBuf| {
         let metadata = std::fs::metadata(path).ok()?;
@@ -85,16 +87,16 @@
 pub fn watch_files(
     files: TlsFiles,
 ) -> Result<watch::Receiver<Arc<ServerConfig>>, crate::server::ServeError> {
-    let mut loaded_versions = file_versions(&files);
-    let (sender, configs) = watch::channel(load(&files)?);
+    let mut loaded_versions = read_file_versions(&files);
+    let (sender, configs) = watch::channel(load_config(&files)?);
     std::thread::Builder::new().name("certificates".into()).spawn(move || {
         while !sender.is_closed() {
             std::thread::sleep(Duration::from_millis(CERTIFICATE_CHECK_INTERVAL_MS.0));
-            let versions = file_versions(&files);
+            let versions = read_file_versions(&files);
             if versions == loaded_versions {
                 continue;
             }
-            match load(&files) {
+            match load_config(&files) {
                 Ok(config) => {
                     tracing::info!("reloaded the certificates");
                     sender.send_replace(config);
@@ -108,8 +110,8 @@
     Ok(configs)
 }
 
-/// Accepts connections and performs TLS handshakes, several at a time. Connections whose handshake fails or times out are
-/// dropped.
+/// Accepts connections and performs TLS handshakes, several at a time, until the receiver of `sender` is dropped.
+/// Connections whose handshake fails or times out are dropped.
 pub async fn accept(
     listener: TcpListener,
     configs: watch::Receiver<Arc<ServerConfig>>,
--- a/crates/graphd/tests/grpc.rs
+++ b/crates/graphd/tests/grpc.rs
@@ -1,4 +1,4 @@
-//! gRPC calls against a fake controller: requests that calls send, status codes of responses, watch streams, and TLS.
+//! gRPC calls against a fake controller: their requests to the controller, their status codes, watch streams, and TLS.
 
 use oatloom_client::Controllers;
 use oatloom_graphd::server::serve;
@@ -19,7 +19,8 @@
 /// Paths of the received requests.
 type RequestLog = Arc<Mutex<Vec<String>>>;
 
-/// Starts a fake controller. `respond` maps path, body and the number of requests for the path so far to status and body.
+/// Starts a fake controller. `respond` maps path, body and the number of requests for the path so far to status and
+/// body.
 fn start_controller(
     respond: impl Fn(&str, &str, usize) -> (u16, String) + Send + 'static,
 ) -> (String, RequestLog) {
@@ -65,7 +66,7 @@
     (address, shutdown, thread)
 }
 
-fn runtime() -> tokio::runtime::Runtime {
+fn create_runtime() -> tokio::runtime::Runtime {
     tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap()
 }
 
@@ -73,7 +74,7 @@
     GraphsClient::connect(format!("http://{address}")).await.unwrap()
 }
 
-fn view(status: &str, next: &str, more: bool) -> String {
+fn format_view(status: &str, next: &str, more: bool) -> String {
     format!(
         r#"{{"graph":"graph-1","status":"{status}","nodes":1,"waiting":0,"started":0,"done":1,"failed":0,
         "cancelled":0,"skipped":0,"next":"{next}","more":{more},"changed":[{{"name":"n","status":"done"}}]}}"#
@@ -91,23 +92,24 @@
             (429, r#"{"error":"too many nodes"}"#.into())
         }
         "/v2/graphs/graph-1/nodes" if body.contains(r#""max_retries":2"#) => {
-            (200, view("open", "", false))
+            (200, format_view("open", "", false))
         }
         _ => (404, r#"{"error":"no such graph"}"#.into()),
     });
     let (grpc_address, shutdown, thread) = start_server(&[address]);
-    runtime().block_on(async {
+    create_runtime().block_on(async {
         let mut client = connect(grpc_address).await;
-        let open_request = |key: &str| OpenSessionRequest {
+        let make_open_request = |key: &str| OpenSessionRequest {
             session: "s".into(),
             key: key.into(),
             owner: "red".into(),
             ttl_s: 20.0,
         };
-        let session = client.open_session(open_request("secret-1")).await.unwrap().into_inner();
+        let session =
+            client.open_session(make_open_request("secret-1")).await.unwrap().into_inner();
         assert_eq!((session.status.as_str(), session.ttl_s), ("open", 20.0));
         assert_eq!(
-            client.open_session(open_request("x")).await.unwrap_err().code(),
+            client.open_session(make_open_request("x")).await.unwrap_err().code(),
             Code::InvalidArgument
         );
         let kind = Kind { num_cpus: 1.0, max_retries: Some(2), ..Kind::default() };
@@ -123,13 +125,13 @@
         assert_eq!(rejected.code(), Code::ResourceExhausted);
         assert_eq!(rejected.metadata().get("retry-after").unwrap(), "3");
         assert_eq!(client.add_nodes(add_request).await.unwrap().into_inner().status, "open");
-        let get_request = |graph: &str| GetGraphRequest { graph: graph.into() };
+        let make_get_request = |graph: &str| GetGraphRequest { graph: graph.into() };
         assert_eq!(
-            client.get_graph(get_request("graph-2")).await.unwrap_err().code(),
+            client.get_graph(make_get_request("graph-2")).await.unwrap_err().code(),
             Code::NotFound
         );
         assert_eq!(
-            client.get_graph(get_request("7")).await.unwrap_err().code(),
+            client.get_graph(make_get_request("7")).await.unwrap_err().code(),
             Code::InvalidArgument
         );
     });
@@ -138,22 +140,22 @@
     thread.join().unwrap();
 }
 
-/// A watch stream resumes after a position, reports no change twice under the same leader, retries unavailable responses, and
-/// ends with the graph.
+/// A watch stream resumes after a position, reports no change twice under the same leader, retries unavailable
+/// responses, and ends with the graph.
 #[test]
 fn a_watch_stream_resumes_and_ends_with_the_graph() {
     let (address, _) = start_controller(|path, _, request_count| match path {
         "/v2/graphs/graph-1?after=1.5" if request_count < 2 => (503, "{}".into()),
-        "/v2/graphs/graph-1?after=1.5" => (200, view("open", "1.6", true)),
-        "/v2/graphs/graph-1?after=1.6" => (200, view("done", "over.00000", false)),
+        "/v2/graphs/graph-1?after=1.5" => (200, format_view("open", "1.6", true)),
+        "/v2/graphs/graph-1?after=1.6" => (200, format_view("done", "over.00000", false)),
         _ => (404, r#"{"error":"no such graph"}"#.into()),
     });
     let (grpc_address, shutdown, thread) = start_server(&[address]);
-    runtime().block_on(async {
+    create_runtime().block_on(async {
         let mut client = connect(grpc_address).await;
-        let watch_request =
+        let make_watch_request =
             |after: &str| WatchGraphRequest { graph: "graph-1".into(), after: after.into() };
-        let mut stream = client.watch_graph(watch_request("1.5")).await.unwrap().into_inner();
+        let mut stream = client.watch_graph(make_watch_request("1.5")).await.unwrap().into_inner();
         let mut received = Vec::new();
         while let Some(graph) = stream.message().await.unwrap() {
             received.push((graph.status, graph.next));
@@ -162,14 +164,15 @@
             received,
             [("open".into(), "1.6".into()), ("done".into(), "over.00000".to_owned())]
         );
-        let mut rejected = client.watch_graph(watch_request("9")).await.unwrap().into_inner();
+        let mut rejected = client.watch_graph(make_watch_request("9")).await.unwrap().into_inner();
         assert_eq!(rejected.message().await.unwrap_err().code(), Code::NotFound);
     });
     shutdown.send(true).unwrap();
     thread.join().unwrap();
 }
 
-/// A call ends at the deadline of its client even if the controllers are slow, and fails as unavailable if no controller runs.
+/// A call ends at the deadline of its client even if the controllers are slow, and fails as unavailable if no
+/// controller runs.
 #[test]
 fn deadlines_and_unreachable_controllers_are_reported() {
     let (slow, _) = start_controller(|_, _, _| {
@@ -177,7 +180,7 @@
         (404, "{}".into())
     });
     let (grpc_address, shutdown, thread) = start_server(&[slow]);
-    runtime().block_on(async {
+    create_runtime().block_on(async {
         let mut client = connect(grpc_address).await;
         let mut request = Request::new(GetGraphRequest { graph: "graph-1".into() });
         request.set_timeout(Duration::from_millis(200));
@@ -190,7 +193,7 @@
     thread.join().unwrap();
     let unused_address = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let (grpc_address, shutdown, thread) = start_server(&[unused_address.to_string()]);
-    runtime().block_on(async {
+    create_runtime().block_on(async {
         let mut client = connect(grpc_address).await;
         let result = client.get_graph(GetGraphRequest { graph: "graph-1".into() }).await;
         assert_eq!(result.unwrap_err().code(), Code::Unavailable);
@@ -225,11 +228,11 @@
     Ok(response.into_inner().nodes)
 }
 
-/// Only clients that trust the certificate of the server and present one of the required authority can call it. A replaced
-/// certificate is loaded; an invalid replacement is ignored.
+/// Only clients that trust the certificate of the server and present one of the required authority can call it. A
+/// replaced certificate is loaded; an invalid replacement is ignored.
 #[test]
 fn client_certificates_are_required_and_server_certificates_reloaded() {
-    let (address, _) = start_controller(|_, _, _| (200, view("open", "", false)));
+    let (address, _) = start_controller(|_, _, _| (200, format_view("open", "", false)));
     let directory = tempfile::tempdir().unwrap();
     let [cert, key, ca] = ["cert", "key", "ca"].map(|name| directory.path().join(name));
     let (first, second, client) =
@@ -239,7 +242,7 @@
     std::fs::write(&ca, &client.0).unwrap();
     let files = TlsFiles { cert: cert.clone(), key: key.clone(), client_ca: Some(ca) };
     let (grpc_address, shutdown, thread) = start_server_with(&[address], Some(files));
-    runtime().block_on(async {
+    create_runtime().block_on(async {
         assert_eq!(call_over_tls(grpc_address, &first.0, Some(&client)).await, Ok(1));
         assert!(
             call_over_tls(grpc_address, &first.0, None).await.is_err(),
@@ -282,10 +285,10 @@
     thread.join().unwrap();
 }
 
-/// Final rejections and retryable errors of controllers map to different status codes.
+/// Permanent rejections and retryable errors of controllers map to different status codes.
 #[test]
 fn error_responses_map_to_grpc_statuses() {
-    let response = |status: u16, text: &str| HttpResponse {
+    let make_response = |status: u16, text: &str| HttpResponse {
         status,
         body: format!(r#"{{"error":"{text}"}}"#).into_bytes(),
         retry_after_s: None,
@@ -302,6 +305,6 @@
         (503, "no leader can be reached", Code::Unavailable),
         (500, "", Code::Unavailable),
     ] {
-        assert_eq!(to_status(&response(status, text)).code(), code, "{status} {text}");
+        assert_eq!(to_status(&make_response(status, text)).code(), code, "{status} {text}");
     }
 }
--- a/crates/web/src/client.rs
+++ b/crates/web/src/client.rs
@@ -25,8 +25,8 @@
     max_bytes: u64,
 }
 
-/// Resolves numeric addresses without a DNS lookup. The library starts a thread for each lookup,
-/// which ended the calling thread when the system had no thread left.
+/// Resolves numeric addresses without a DNS lookup. The HTTP library starts a thread for each lookup, and the calling
+/// thread terminated when the system could not start another thread.
 #[derive(Debug)]
 struct NumericResolver(DefaultResolver);
 
@@ -49,7 +49,7 @@
 }
 
 impl HttpClient {
-    /// `timeout` bounds the whole call and `max_bytes` the size of the response body. With an empty
+    /// Creates a client. `timeout` bounds the whole call and `max_bytes` the size of the response body. With an empty
     /// `address`, the path of each call contains the address.
     pub fn new(address: &str, timeout: Millis, max_bytes: u64) -> Self {
         let config = Agent::config_builder()
@@ -63,6 +63,7 @@
         Self { agent, base_url: format!("http://{address}"), max_bytes }
     }
 
+    /// Reads the status and body of a response; logs an error and returns `None` if the request failed.
     fn read_response(
         &self,
         result: Result<ureq::http::Response<ureq::Body>, ureq::Error>,
@@ -86,7 +87,8 @@
         self.read_response(request.content_type("application/json").send(&body[..]))
     }
 
-    /// Sends a request and also returns the `Retry-After` delay of the response.
+    /// Sends a request and also returns the `Retry-After` delay of the response. Methods other than `POST` are sent as
+    /// `GET`.
     pub fn request(&self, method: &str, path: &str, body: &[u8]) -> Option<HttpResponse> {
         let url = format!("{}{path}", self.base_url);
         let result = match method {
@@ -101,7 +103,7 @@
         Some(HttpResponse { status, body, retry_after_s })
     }
 
-    /// Forwards a request unchanged.
+    /// Sends a request of a proxy. Methods other than `POST` and `DELETE` are sent as `GET`.
     pub fn forward(&self, method: &str, path: &str, body: &[u8]) -> RawResponse {
         let url = format!("{}{path}", self.base_url);
         self.read_response(match method {
@@ -117,7 +119,7 @@
     }
 }
 
-/// Percent-encodes text for use in a query string.
+/// Percent-encodes text for use in a query string; `/` is not encoded.
 pub fn escape(text: &str) -> String {
     let is_unreserved = |b: u8| b.is_ascii_alphanumeric() || b"-._~/".contains(&b);
     let mut escaped = String::new();
--- a/crates/web/src/connection_limit.rs
+++ b/crates/web/src/connection_limit.rs
@@ -1,9 +1,9 @@
 //! Limits how many connections stay open between requests.
 //!
 //! When only one controller is left, more workers and users contact it than it may have connections. A client needs its
-//! connection only during a request. Connections are therefore kept alive while there are enough of them; above
-//! [`MAX_KEEP_ALIVE_FRACTION`] each is closed after its response, as HTTP allows at any time. The connections that stay free
-//! serve new clients, health probes included.
+//! connection only during a request. Connections are therefore kept alive while few are open; above
+//! [`MAX_KEEP_ALIVE_FRACTION`] of the limit each is closed after its response, as HTTP allows at any time. The
+//! connections that stay free serve new clients, health probes included.
 
 use crate::constants::*;
 use oatloom_protocol::ids::Millis;
@@ -29,11 +29,12 @@
 }
 
 impl ConnectionLimit {
+    /// Creates the limit for a server with at most `max_connections` connections.
     pub fn new(max_connections: usize) -> Self {
         Self { max_connections, is_full_logged: false }
     }
 
-    /// Number of connections from which on each is closed after its response.
+    /// Number of open connections at which each is closed after its response.
     fn near_limit_count(&self) -> usize {
         (self.max_connections as f64 * MAX_KEEP_ALIVE_FRACTION) as usize
     }
@@ -54,9 +55,10 @@
         usage
     }
 
-    /// Selects the connections to evict from `(key, idle time)` pairs: the longest idle ones, several at once so that not
-    /// every new connection has to search all of them. Recently active connections are not evicted, because their clients
-    /// may be sending another request, and neither are new ones, whose clients have not had time to send their first.
+    /// Selects the connections to evict from `(key, idle time)` pairs: the longest idle ones, several at once so that
+    /// not every new connection has to search all of them. Recently active connections are not evicted, because their
+    /// clients may be sending another request, and neither are new ones, whose clients have not had time to send their
+    /// first.
     pub fn select_evictions(&self, idle: impl Iterator<Item = (usize, Millis)>) -> Vec<usize> {
         let mut idle: Vec<(usize, Millis)> =
             idle.filter(|(_, idle_time)| *idle_time >= MIN_EVICTION_IDLE_MS).collect();
--- a/crates/web/src/lib.rs
+++ b/crates/web/src/lib.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 server and client shared by oatloom's programs. The server handles all connections on one thread; client calls
-//! end with a response or a timeout. The crate does not interpret the contents of requests.
+//! HTTP/1.1 server and client shared by oatloom's programs. The server handles all connections on one thread; client
+//! calls end with a response or a timeout. The crate does not interpret the contents of requests.
 
 pub mod client;
 mod connection_limit;
@@ -52,7 +52,7 @@
     }
 }
 
-/// Starts a thread with a small stack, because controllers have little memory and many threads.
+/// Starts a thread with a stack of [`THREAD_STACK_BYTES`], because controllers have little memory and many threads.
 ///
 /// # Errors
 /// The system cannot start another thread.
@@ -71,16 +71,16 @@
     /// A restarted controller must not exit because the sockets of its predecessor are still open.
     #[test]
     fn bind_retries_while_the_address_is_in_use_but_not_on_other_errors() {
-        let occupant = TcpListener::bind("127.0.0.1:0").unwrap();
-        let address = occupant.local_addr().unwrap();
-        let release = std::thread::spawn(move || {
+        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+        let address = listener.local_addr().unwrap();
+        let release_thread = std::thread::spawn(move || {
             std::thread::sleep(Duration::from_millis(300));
-            drop(occupant);
+            drop(listener);
         });
         let started = Instant::now();
         let bound = bind_with_retry("test", || TcpListener::bind(address));
         assert!(bound.is_ok() && started.elapsed() >= Duration::from_millis(250));
-        release.join().unwrap();
+        release_thread.join().unwrap();
         let started = Instant::now();
         assert!(bind_with_retry("test", || TcpListener::bind("192.0.2.1:80")).is_err());
         assert!(started.elapsed() < Duration::from_millis(BIND_TIMEOUT_MS.0));
--- a/crates/web/src/server.rs
+++ b/crates/web/src/server.rs
@@ -20,18 +20,20 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// Identifies a connection that waits for a reply.
+/// Identifies a connection, to which a reply can be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ConnectionId(usize);
 
 /// A request and the connection that waits for its reply.
 #[derive(Debug)]
 pub struct Incoming<R> {
+    /// The connection that waits for the reply.
     pub caller: ConnectionId,
+    /// The request as decoded by the application.
     pub request: R,
 }
 
-/// How a request ends.
+/// Outcome of a request, queued for the server thread.
 #[derive(Debug)]
 enum Outcome {
     Reply(HttpReply),
@@ -46,8 +48,8 @@
     queue: Option<Sender<(ConnectionId, Outcome)>>,
     waker: Waker,
     address: SocketAddr,
-    /// Whether the server thread has been woken and has not read the queue since.
-    is_woken: Arc<AtomicBool>,
+    /// Whether the server thread has been woken and has not yet read the queue.
+    is_wake_pending: Arc<AtomicBool>,
 }
 
 impl ReplySender {
@@ -66,10 +68,11 @@
         self.address
     }
 
+    /// Queues an outcome for the server thread and wakes that thread, unless an earlier wake-up is still pending.
     fn enqueue(&self, caller: ConnectionId, outcome: Outcome) {
         let is_queued =
             self.queue.as_ref().is_some_and(|queue| queue.send((caller, outcome)).is_ok());
-        if is_queued && !self.is_woken.swap(true, Ordering::AcqRel) {
+        if is_queued && !self.is_wake_pending.swap(true, Ordering::AcqRel) {
             self.wake();
         }
     }
@@ -107,52 +110,52 @@
     stream: TcpStream,
     phase: Phase,
     codec: HttpCodec,
-    /// Time of the last phase change, or of the last received bytes while reading.
-    since: Instant,
+    /// Time of the last phase change or of the last received bytes.
+    last_activity: Instant,
     /// The peer has closed its sending side.
     is_peer_closed: bool,
 }
 
 /// Whether a connection stays open.
 #[derive(PartialEq)]
-enum Next {
+enum NextAction {
     Keep,
     Close,
 }
 
 impl Connection {
-    /// Changes the phase; no other code does.
+    /// Changes the phase and records the time. The phase is changed only here.
     fn enter_phase(&mut self, phase: Phase) {
         self.phase = phase;
-        self.since = Instant::now();
+        self.last_activity = Instant::now();
     }
 
     /// Reads the available bytes, up to the size of the largest allowed request.
-    fn read(&mut self, buffer: &mut [u8]) -> Next {
+    fn read(&mut self, buffer: &mut [u8]) -> NextAction {
         while !self.codec.is_input_full() {
             match self.stream.read(buffer) {
                 Ok(0) => {
                     self.is_peer_closed = true;
-                    return Next::Keep;
+                    return NextAction::Keep;
                 }
                 Ok(count) => {
                     self.codec.push_input(&buffer[..count]);
-                    self.since = Instant::now();
+                    self.last_activity = Instant::now();
                     if count < buffer.len() && self.codec.can_be_complete() {
                         // A short read drained the socket; further bytes raise a new event.
-                        return Next::Keep;
+                        return NextAction::Keep;
                     }
                 }
-                Err(e) if e.kind() == ErrorKind::WouldBlock => return Next::Keep,
+                Err(e) if e.kind() == ErrorKind::WouldBlock => return NextAction::Keep,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(_) => return Next::Close,
+                Err(_) => return NextAction::Close,
             }
         }
-        Next::Keep
+        NextAction::Keep
     }
 
     /// Starts sending a reply. With `close_after`, the connection closes after it.
-    fn send_reply(&mut self, reply: &HttpReply, close_after: bool) -> Next {
+    fn send_reply(&mut self, reply: &HttpReply, close_after: bool) -> NextAction {
         if close_after {
             self.codec.close_after_reply();
         }
@@ -161,20 +164,22 @@
         self.write()
     }
 
-    fn write(&mut self) -> Next {
+    /// Sends pending output until all is sent or the socket accepts no more.
+    fn write(&mut self) -> NextAction {
         while !self.codec.pending_output().is_empty() {
             match self.stream.write(self.codec.pending_output()) {
-                Ok(0) => return Next::Close,
+                Ok(0) => return NextAction::Close,
                 Ok(count) => self.codec.mark_sent(count),
-                Err(e) if e.kind() == ErrorKind::WouldBlock => return Next::Keep,
+                Err(e) if e.kind() == ErrorKind::WouldBlock => return NextAction::Keep,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(_) => return Next::Close,
+                Err(_) => return NextAction::Close,
             }
         }
-        Next::Keep
+        NextAction::Keep
     }
 }
 
+/// State of the server thread.
 struct Server<Decode, Deliver> {
     poll: Poll,
     listener: TcpListener,
@@ -190,7 +195,7 @@
     read_buffer: Box<[u8]>,
 }
 
-/// Opens a listening socket with the given accept backlog.
+/// Opens a listening socket with an accept backlog of `backlog` connections.
 fn listen(address: SocketAddr, backlog: usize) -> std::io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
@@ -202,7 +207,7 @@
 
 /// Starts the server on its own thread, with at most `max_connections` connections. `decode` turns method,
 /// path and body into a request, or into the reply that rejects it. `deliver` passes the request on and
-/// returns whether it was accepted; if not, the client is told at once to retry later.
+/// returns whether it was accepted; if not, the client gets a 503 reply at once.
 ///
 /// # Errors
 /// The address cannot be listened on, or a thread cannot be started.
@@ -217,12 +222,12 @@
     Decode: Fn(&str, &str, &[u8]) -> Result<R, HttpReply> + Send + 'static,
     Deliver: Fn(Incoming<R>) -> bool + Send + 'static,
 {
-    let listen_error = |cause: String| StartError::Listen { address: address.to_owned(), cause };
+    let to_listen_error = |cause: String| StartError::Listen { address: address.to_owned(), cause };
     let socket = address
         .to_socket_addrs()
-        .map_err(|e| listen_error(e.to_string()))?
+        .map_err(|e| to_listen_error(e.to_string()))?
         .next()
-        .ok_or_else(|| listen_error("no address".into()))?;
+        .ok_or_else(|| to_listen_error("no address".into()))?;
     let poll = Poll::new()?;
     let backlog = (max_connections / BACKLOG_DIVISOR).clamp(MIN_BACKLOG_COUNT, MAX_BACKLOG_COUNT);
     let max_accepted = max_connections - backlog.min(max_connections / BACKLOG_DIVISOR);
@@ -232,7 +237,7 @@
     let waker = Waker::new(poll.registry(), WAKER)?;
     let (queue, outcomes) =
         bounded(max_connections.max(1) * MAX_QUEUED_REPLIES_PER_CONNECTION_COUNT);
-    let is_woken = Arc::new(AtomicBool::new(false));
+    let is_wake_pending = Arc::new(AtomicBool::new(false));
     let mut server = Server {
         poll,
         listener,
@@ -245,9 +250,9 @@
         deliver,
         read_buffer: vec![0; READ_BUFFER_BYTES].into_boxed_slice(),
     };
-    let server_woken = is_woken.clone();
-    spawn("http", move || server.serve(&outcomes, &server_woken))?;
-    Ok(ReplySender { queue: Some(queue), waker, address, is_woken })
+    let server_wake_pending = is_wake_pending.clone();
+    spawn("http", move || server.serve(&outcomes, &server_wake_pending))?;
+    Ok(ReplySender { queue: Some(queue), waker, address, is_wake_pending })
 }
 
 impl<R, Decode, Deliver> Server<Decode, Deliver>
@@ -255,7 +260,12 @@
     Decode: Fn(&str, &str, &[u8]) -> Result<R, HttpReply>,
     Deliver: Fn(Incoming<R>) -> bool,
 {
-    fn serve(&mut self, outcomes: &Receiver<(ConnectionId, Outcome)>, is_woken: &AtomicBool) {
+    /// Handles socket events and queued outcomes until the [`ReplySender`] is dropped.
+    fn serve(
+        &mut self,
+        outcomes: &Receiver<(ConnectionId, Outcome)>,
+        is_wake_pending: &AtomicBool,
+    ) {
         let mut events = Events::with_capacity(256);
         let sweep_interval = Duration::from_millis(SOCKET_SWEEP_INTERVAL_MS.0);
         let mut last_sweep = Instant::now();
@@ -273,7 +283,7 @@
                     Token(key) => self.handle_ready(key),
                 }
             }
-            is_woken.store(false, Ordering::Release);
+            is_wake_pending.store(false, Ordering::Release);
             loop {
                 match outcomes.try_recv() {
                     Ok((ConnectionId(key), Outcome::Reply(reply))) => {
@@ -296,10 +306,10 @@
         }
     }
 
-    /// Accepts connections while there is room for them. Others wait in the bounded accept backlog.
+    /// Accepts connections up to the connection limit. Others wait in the bounded accept backlog.
     fn accept(&mut self) {
         loop {
-            self.is_accept_paused = !self.ensure_room();
+            self.is_accept_paused = !self.ensure_capacity();
             if self.is_accept_paused {
                 return;
             }
@@ -315,6 +325,7 @@
         }
     }
 
+    /// Adds an accepted connection.
     fn register(&mut self, mut stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let key = self.next_key;
@@ -323,20 +334,21 @@
             return;
         }
         self.next_key += 1;
-        let (phase, since) = (Phase::Reading, Instant::now());
+        let (phase, last_activity) = (Phase::Reading, Instant::now());
         let codec = HttpCodec::default();
-        let connection = Connection { stream, phase, codec, since, is_peer_closed: false };
+        let connection = Connection { stream, phase, codec, last_activity, is_peer_closed: false };
         self.connections.insert(key, connection);
     }
 
-    /// Makes sure that a further connection can be accepted, evicting idle ones if needed; returns whether it can. A failed
-    /// search is not repeated for a short time: searching all connections for each waiting one cost more than serving them.
-    fn ensure_room(&mut self) -> bool {
+    /// Makes sure that a further connection can be accepted, evicting idle ones if needed; returns whether it can.
+    /// After a search that found none, the next one is delayed by [`EVICTION_RETRY_INTERVAL_MS`]: searching all
+    /// connections for each waiting one cost more than serving them.
+    fn ensure_capacity(&mut self) -> bool {
         if self.connection_limit.usage(self.connections.len()) != ConnectionUsage::Full {
             return true;
         }
         let retry_interval = Duration::from_millis(EVICTION_RETRY_INTERVAL_MS.0);
-        if self.last_failed_eviction.is_some_and(|at| at.elapsed() < retry_interval) {
+        if self.last_failed_eviction.is_some_and(|failed_at| failed_at.elapsed() < retry_interval) {
             return false;
         }
         let has_evicted = self.evict_idle();
@@ -344,16 +356,15 @@
         has_evicted
     }
 
-    /// Closes idle connections to make room for new ones; none of them has a request in progress. Returns whether any was
-    /// closed.
+    /// Closes idle connections, which have no request in progress, so that new ones can be accepted. Returns whether
+    /// any was closed.
     fn evict_idle(&mut self) -> bool {
         let now = Instant::now();
         let is_idle = |c: &Connection| c.phase == Phase::Reading && !c.codec.has_input();
-        let idle = self
-            .connections
-            .iter()
-            .filter(|(_, c)| is_idle(c))
-            .map(|(key, c)| (*key, Millis(now.duration_since(c.since).as_millis() as u64)));
+        let idle =
+            self.connections.iter().filter(|(_, c)| is_idle(c)).map(|(key, c)| {
+                (*key, Millis(now.duration_since(c.last_activity).as_millis() as u64))
+            });
         let evicted = self.connection_limit.select_evictions(idle);
         for key in &evicted {
             self.connections.remove(key);
@@ -364,49 +375,52 @@
     /// Handles a socket that became readable or writable.
     fn handle_ready(&mut self, key: usize) {
         let Some(connection) = self.connections.get_mut(&key) else { return };
-        let mut next = connection.read(&mut self.read_buffer);
-        if next == Next::Keep && connection.phase == Phase::Writing {
-            next = connection.write();
+        let mut next_action = connection.read(&mut self.read_buffer);
+        if next_action == NextAction::Keep && connection.phase == Phase::Writing {
+            next_action = connection.write();
         }
-        if next == Next::Keep {
-            next = self.advance(key);
+        if next_action == NextAction::Keep {
+            next_action = self.advance(key);
         }
-        if next == Next::Close {
+        if next_action == NextAction::Close {
             self.connections.remove(&key);
         }
     }
 
     /// Advances a connection as far as its phase and buffers allow.
-    fn advance(&mut self, key: usize) -> Next {
+    fn advance(&mut self, key: usize) -> NextAction {
         let close_after =
             self.connection_limit.usage(self.connections.len()) != ConnectionUsage::Normal;
         loop {
-            let Some(connection) = self.connections.get_mut(&key) else { return Next::Keep };
+            let Some(connection) = self.connections.get_mut(&key) else { return NextAction::Keep };
             match connection.phase {
                 Phase::Writing if !connection.codec.pending_output().is_empty() => {
-                    return Next::Keep;
+                    return NextAction::Keep;
                 }
-                Phase::Writing if connection.codec.is_closing() => return Next::Close,
+                Phase::Writing if connection.codec.is_closing() => return NextAction::Close,
                 Phase::Writing => {
                     connection.enter_phase(Phase::Reading);
                     // Bytes left in the socket raise no further event.
                     if connection.codec.has_input()
-                        && connection.read(&mut self.read_buffer) == Next::Close
+                        && connection.read(&mut self.read_buffer) == NextAction::Close
                     {
-                        return Next::Close;
+                        return NextAction::Close;
                     }
                 }
-                Phase::Waiting => return Next::Keep,
+                Phase::Waiting => return NextAction::Keep,
                 Phase::Reading => {
                     let parsed = match connection.codec.parse(&self.decode) {
-                        Parsed::Incomplete if connection.is_peer_closed => return Next::Close,
+                        Parsed::Incomplete if connection.is_peer_closed => {
+                            return NextAction::Close;
+                        }
                         Parsed::Incomplete => return connection.write(),
                         Parsed::Malformed(reply) => Err(reply),
                         Parsed::Request(request) => *request,
                     };
-                    // Near the connection limit, connections wait to be accepted, and their clients may have given up meanwhile.
+                    // Near the connection limit, connections may have waited in the accept backlog until their clients
+                    // gave up; a request whose client has closed its sending side is then dropped.
                     if connection.is_peer_closed && close_after {
-                        return Next::Close;
+                        return NextAction::Close;
                     }
                     connection.enter_phase(Phase::Waiting);
                     let rejection = match parsed {
@@ -417,15 +431,17 @@
                             (!is_accepted).then(|| HttpReply::unavailable("busy"))
                         }
                     };
-                    let Some(reply) = rejection else { return Next::Keep };
-                    if connection.send_reply(&reply, close_after) == Next::Close {
-                        return Next::Close;
+                    let Some(reply) = rejection else { return NextAction::Keep };
+                    if connection.send_reply(&reply, close_after) == NextAction::Close {
+                        return NextAction::Close;
                     }
                 }
             }
         }
     }
 
+    /// Sends a reply on a connection that waits for one, then continues with its buffered input. Ignored if the
+    /// connection has closed.
     fn handle_reply(&mut self, key: usize, reply: &HttpReply) {
         let close_after =
             self.connection_limit.usage(self.connections.len()) != ConnectionUsage::Normal;
@@ -433,24 +449,27 @@
         if connection.phase != Phase::Waiting {
             return;
         }
-        let next = match connection.send_reply(reply, close_after) {
-            Next::Keep => self.advance(key),
-            Next::Close => Next::Close,
+        let next_action = match connection.send_reply(reply, close_after) {
+            NextAction::Keep => self.advance(key),
+            NextAction::Close => NextAction::Close,
         };
-        if next == Next::Close {
+        if next_action == NextAction::Close {
             self.connections.remove(&key);
         }
     }
 
     /// Closes connections that have been idle or slow for too long.
     fn close_stale_connections(&mut self) {
-        let is_expired =
-            |since: Instant, timeout: Millis| since.elapsed().as_millis() as u64 > timeout.0;
+        let is_expired = |last_activity: Instant, timeout: Millis| {
+            last_activity.elapsed().as_millis() as u64 > timeout.0
+        };
         self.connections.retain(|_, c| match c.phase {
-            Phase::Reading if c.codec.has_input() => !is_expired(c.since, SLOW_REQUEST_TIMEOUT_MS),
-            Phase::Reading => !is_expired(c.since, IDLE_CONNECTION_TIMEOUT_MS),
+            Phase::Reading if c.codec.has_input() => {
+                !is_expired(c.last_activity, SLOW_REQUEST_TIMEOUT_MS)
+            }
+            Phase::Reading => !is_expired(c.last_activity, IDLE_CONNECTION_TIMEOUT_MS),
             Phase::Waiting => true,
-            Phase::Writing => !is_expired(c.since, SLOW_REQUEST_TIMEOUT_MS),
+            Phase::Writing => !is_expired(c.last_activity, SLOW_REQUEST_TIMEOUT_MS),
         });
     }
 }
--- a/crates/web/tests/connection_limit.rs
+++ b/crates/web/tests/connection_limit.rs
@@ -1,4 +1,4 @@
-//! More clients than connections, as for a controller that is the only one left.
+//! A server with more clients than connections, like the only controller that is left of a region.
 
 use crossbeam::channel::unbounded;
 use oatloom_protocol::reply::HttpReply;
@@ -50,9 +50,9 @@
     Some(!text.contains("Connection: close"))
 }
 
-/// Three times as many workers as connections, each of which would keep its own connection, report in turn for several
-/// rounds. All get a response every time, and so does a health probe. Without this, a controller at its connection limit
-/// served no new client, health probes included.
+/// Three times as many workers as connections send requests in turn for several rounds, each on a connection that it
+/// keeps open if the server does. All get a response every time, and so does a health probe. Guards against a
+/// controller at its connection limit that serves no new client, health probes included.
 #[test]
 fn every_client_is_served_when_there_are_more_clients_than_connections() {
     let address = start_server();
@@ -60,9 +60,9 @@
     for round in 0..5 {
         for (n, worker) in workers.iter_mut().enumerate() {
             let mut stream = worker.take().unwrap_or_else(|| connect(address));
-            let is_kept =
+            let stays_open =
                 send_request(&mut stream).unwrap_or_else(|| panic!("round {round}, worker {n}"));
-            *worker = is_kept.then_some(stream);
+            *worker = stays_open.then_some(stream);
         }
         let open = workers.iter().flatten().count();
         assert!(
@@ -76,20 +76,20 @@
     }
 }
 
-/// Idle connections, whose clients are gone or send no request, are evicted for new ones. Until they have been idle long
-/// enough, new clients wait instead.
+/// Idle connections, whose clients are gone or send no request, are evicted for new ones. Until they have been idle
+/// long enough, new clients wait instead.
 #[test]
 fn idle_connections_are_evicted() {
     let address = start_server();
     let idle: Vec<TcpStream> = (0..MAX_CONNECTIONS).map(|_| connect(address)).collect();
     let started = Instant::now();
-    let served = loop {
+    let waited = loop {
         assert!(started.elapsed() < Duration::from_secs(20), "no idle connection was evicted");
         if send_request(&mut connect(address)).is_some() {
             break started.elapsed();
         }
         std::thread::sleep(Duration::from_millis(100));
     };
-    assert!(served > Duration::from_millis(1_000), "{served:?}");
+    assert!(waited > Duration::from_millis(1_000), "{waited:?}");
     drop(idle);
 }
