--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -33,7 +33,7 @@
 use crate::workers::Fleet;
 use crate::write_backoff::{RejectionResponse, WriteBackoff};
 use oatloom_graph::graph_table::{LoadRead, WriteOutcome};
-use oatloom_graph::requests::GraphRequest as GraphAsk;
+use oatloom_graph::requests::GraphRequest;
 use oatloom_ledger::entry::UsageEntry;
 use oatloom_ledger::query::UsageQuery;
 use oatloom_ledger::rollup::Cursor;
@@ -172,10 +172,10 @@
     ResolveGraphs {
         token: Token,
     },
-    /// Reads the final answer of a graph that is not open on this controller.
+    /// Reads the final record of a graph that is not open on this controller.
     FinishedGraph {
         conn: ConnId,
-        request: Box<GraphAsk>,
+        request: Box<GraphRequest>,
         step: graphs::FinalReadStep,
     },
     /// Reads or writes the members' version keys.
--- a/crates/core/src/leader_term/graphs.rs
+++ b/crates/core/src/leader_term/graphs.rs
@@ -9,17 +9,21 @@
 pub(super) type NodeCosts = BTreeMap<(GraphId, u16), (Kalman, Measurement)>;
 
 /// The task graphs of a new leader term; `None` if graphs are not served.
-pub(super) fn desk(config: &LeaderConfig, token: Token, now: Mono) -> Option<GraphTable> {
+pub(super) fn new_graph_table(
+    config: &LeaderConfig,
+    token: Token,
+    now: Mono,
+) -> Option<GraphTable> {
     let (limits, record_space) = config.graphs.clone()?;
     Some(GraphTable::new(limits, token, record_space, now))
 }
 
 /// Space for the records of one addition under the state service's limits, announced ones included.
-pub(super) fn record_space(settings: &Settings) -> RecordRoom {
+pub(super) fn record_space(settings: &Settings) -> RecordSpace {
     let state = settings.facts.state.strictest();
-    let value = (state.value_kb * 1024.0) as usize;
-    RecordRoom {
-        value_bytes: value,
+    let value_bytes = (state.value_kb * 1024.0) as usize;
+    RecordSpace {
+        value_bytes,
         value_count: state.txn_ops.saturating_sub(GRAPH_RESERVED_TXN_OPS).max(1),
     }
 }
@@ -36,19 +40,19 @@
 
     /// Feeds the tick's measurements into the filters and passes their estimates to the graphs. Called once per tick.
     pub(super) fn update_node_costs(&mut self) {
-        let Some(desk) = self.graphs.as_mut() else { return };
-        self.node_costs.retain(|(graph, _), _| desk.graph(*graph).is_some());
+        let Some(graph_table) = self.graphs.as_mut() else { return };
+        self.node_costs.retain(|(graph, _), _| graph_table.graph(*graph).is_some());
         for ((graph, kind), (filter, measured)) in &mut self.node_costs {
             if let Some(seconds) = measured.take() {
                 filter.update(seconds);
-                desk.set_kind_run_time(*graph, *kind, filter.cost().unwrap_or(seconds));
+                graph_table.set_kind_run_time(*graph, *kind, filter.cost().unwrap_or(seconds));
             }
         }
-        for class in desk.classes() {
-            let allowed =
-                self.job_table.classes.policy_for(&class).map(|allowance| allowance.max_retries);
+        for class in graph_table.classes() {
+            let max_retries =
+                self.job_table.classes.policy_for(&class).map(|policy| policy.max_retries);
             let bias = self.class_biases.get(&class).copied().unwrap_or_default().mean;
-            desk.set_class_estimates(&class, allowed, bias);
+            graph_table.set_class_estimates(&class, max_retries, bias);
         }
     }
 
--- a/crates/core/src/leader_term/mod.rs
+++ b/crates/core/src/leader_term/mod.rs
@@ -21,7 +21,7 @@
 use crate::workers::{Fleet, Freshness, Image, Machine, MachineState, Resources};
 use oatloom_graph::graph_table::GraphTable;
 use oatloom_graph::limits::Limits;
-use oatloom_graph::model::RecordSpace as RecordRoom;
+use oatloom_graph::model::RecordSpace;
 use oatloom_policy::classes::Classes;
 use oatloom_policy::fault_attribution::Evidence;
 use oatloom_protocol::ids::*;
@@ -83,7 +83,7 @@
     /// How often finished attempts are added to the stored usage totals.
     pub usage_flush_interval: Millis,
     /// Limits on task graphs and on the size of their records; `None` if graphs are not served.
-    pub graphs: Option<(Limits, RecordRoom)>,
+    pub graphs: Option<(Limits, RecordSpace)>,
     /// Maximum size of a stored value in bytes, under the current and any announced limits.
     pub max_value_bytes: usize,
 }
@@ -204,7 +204,7 @@
             direct_stops: BTreeMap::new(),
             changed_machines: Vec::new(),
             overdue_machines: Vec::new(),
-            graphs: graphs::desk(config, token, now),
+            graphs: graphs::new_graph_table(config, token, now),
             node_costs: graphs::NodeCosts::new(),
             placement_needed: true,
             next_placement: Mono(0),
