--- a/crates/core/src/controller/graphs.rs
+++ b/crates/core/src/controller/graphs.rs
@@ -1,5 +1,5 @@
-//! Task graphs: clients' requests, what a new leader reads of them, and their writes, which
-//! alternate with those of the job table.
+//! Task graphs: requests of clients, loading by a new leader, and writes, which alternate with
+//! those of the job table.
 
 use super::*;
 use oatloom_graph::graph_table::{
@@ -28,31 +28,33 @@
     rows: Vec<Option<Row>>,
 }
 
-fn live_record_of(launch: JobLaunch) -> LiveRecord {
+fn build_live_record(launch: JobLaunch) -> LiveRecord {
     let JobLaunch { spec, wall_ms, part, .. } = launch;
     LiveRecord { spec, wall_ms, part: Some(part.into()) }
 }
 
-/// Live key, final key and live record of a job that a graph starts.
-fn launch_record(launch: &JobLaunch) -> (String, String, Value) {
-    let value = serde_json::to_value(live_record_of(launch.clone())).unwrap_or(Value::Null);
+/// Encodes a job that a graph starts: live key, final key and live record.
+fn encode_launch(launch: &JobLaunch) -> (String, String, Value) {
+    let value = serde_json::to_value(build_live_record(launch.clone())).unwrap_or(Value::Null);
     (jobs::live_key(launch.id()), jobs::final_key(launch.id()), value)
 }
 
-/// The nodes that a job runs, according to its live or final record.
-fn nodes_of(value: &Value) -> Option<NodeRanges> {
+/// Decodes the nodes that a job runs from its live or final record.
+fn decode_nodes(value: &Value) -> Option<NodeRanges> {
     serde_json::from_value(value.get("g")?.get("n")?.clone()).ok()
 }
 
 impl Controller {
     /// The graphs of the current leader term; `None` if graphs are not served, or while they are
     /// moved out for a call.
-    fn open_graphs(&mut self) -> Option<&mut GraphTable> {
+    fn graph_table(&mut self) -> Option<&mut GraphTable> {
         self.leader_term.as_mut()?.graphs.as_mut()
     }
 
     // --- Requests --------------------------------------------------------------
 
+    /// Handles a client's request. A controller that does not lead forwards it to the leader, or
+    /// answers from the final records if no leader is known.
     pub(super) fn on_graph_request(
         &mut self,
         now: Now,
@@ -71,22 +73,22 @@
                 Some(leader) => {
                     self.ask_peer(now.mono, conn, leader, PeerRequest::Graph(Box::new(request)));
                 }
-                None => self.read_graph(now.mono, conn, request),
+                None => self.read_finished_graph(now.mono, conn, request),
             };
         }
         // Moved out of the leader term during the call, since the closures borrow the controller.
         let graphs = self.leader_term.as_mut().and_then(|leader_term| leader_term.graphs.take());
         let Some(mut graphs) = graphs else {
-            return self.reply(conn, HttpReply::unavailable("graphs are being read"));
+            return self.reply(conn, HttpReply::unavailable("graphs are being loaded"));
         };
-        let unfit = |spec: &JobSpec| self.rejection(spec);
-        let team = |name: &str| self.settings.team(name).is_some();
-        let around = RequestContext { rejection: &unfit, team_exists: &team };
-        let verdict = graphs.handle_request(now, conn.0, &request, &around);
+        let find_rejection = |spec: &JobSpec| self.rejection(spec);
+        let team_exists = |name: &str| self.settings.team(name).is_some();
+        let context = RequestContext { find_rejection: &find_rejection, team_exists: &team_exists };
+        let outcome = graphs.handle_request(now, conn.0, &request, &context);
         if let Some(leader_term) = self.leader_term.as_mut() {
             leader_term.graphs = Some(graphs);
         }
-        match verdict {
+        match outcome {
             RequestOutcome::Reply(reply) => self.reply(conn, reply),
             RequestOutcome::Deferred => {}
             RequestOutcome::Job(id, nodes) => {
@@ -95,18 +97,18 @@
                     .as_ref()
                     .and_then(|leader_term| leader_term.job_table.get(&id));
                 let reply = match job {
-                    Some(job) => HttpReply::json(200, &nodes.with(&job.spec)),
+                    Some(job) => HttpReply::json(200, &nodes.with_job(&job.spec)),
                     None => HttpReply::error(404, "no such job of a graph is open"),
                 };
                 self.reply(conn, reply);
             }
-            RequestOutcome::NotOpen => self.read_graph(now.mono, conn, request),
+            RequestOutcome::NotOpen => self.read_finished_graph(now.mono, conn, request),
         }
         self.apply_graph_effects(now);
     }
 
-    /// Reads the final answer of a graph that is not open on this controller.
-    pub(super) fn read_graph(&mut self, now: Mono, conn: ConnId, request: GraphRequest) {
+    /// Reads the final record of a graph that is not open on this controller, to answer a request.
+    pub(super) fn read_finished_graph(&mut self, now: Mono, conn: ConnId, request: GraphRequest) {
         let Some(id) = request.graph() else {
             return self.reply(conn, HttpReply::unavailable("no leader can be reached"));
         };
@@ -121,6 +123,8 @@
         }
     }
 
+    /// Answers a request from the final record of a graph and, if it asks for nodes, from the final
+    /// pages.
     pub(super) fn on_finished_graph(
         &mut self,
         now: Mono,
@@ -129,23 +133,23 @@
         step: FinalReadStep,
         reply: StoreReply,
     ) {
-        let unreadable = || HttpReply::unavailable("its record cannot be read");
+        let unreadable_reply = || HttpReply::unavailable("its record cannot be read");
         match (step, reply) {
             (FinalReadStep::Answer, StoreReply::Missing(_)) => {
-                // Only a leader that has loaded all graphs knows whether a graph is open; one that
-                // has not could call a graph unknown that it is about to continue.
-                let leads = self.leadership.valid(now).is_some();
+                // Only a leader that has loaded all graphs knows whether a graph is open; before
+                // that, it could report a graph as missing that it is about to load.
+                let is_leader = self.leadership.valid(now).is_some();
                 let graphs =
                     self.leader_term.as_ref().and_then(|leader_term| leader_term.graphs.as_ref());
                 let id = request.graph();
-                let not_open = graphs.is_some_and(|graphs| {
+                let is_not_open = graphs.is_some_and(|graphs| {
                     graphs.is_ready() && id.is_none_or(|id| graphs.graph(id).is_none())
                 });
                 // The end may have become durable while its key was being read.
                 let finished = id.and_then(|id| Some((id, graphs?.final_record(id)?)));
-                let reply = if let Some((id, record)) = finished.filter(|_| leads) {
+                let reply = if let Some((id, record)) = finished.filter(|_| is_leader) {
                     GraphTable::final_reply(id, &request, record)
-                } else if leads && not_open {
+                } else if is_leader && is_not_open {
                     GraphTable::missing_reply(&request)
                 } else {
                     HttpReply::unavailable("no leader can be reached")
@@ -154,13 +158,13 @@
             }
             (FinalReadStep::Answer, StoreReply::Found(row)) => {
                 let Ok(record) = serde_json::from_value::<records::FinalRecord>(row.value) else {
-                    return self.reply(conn, unreadable());
+                    return self.reply(conn, unreadable_reply());
                 };
                 let id = row
                     .key
                     .strip_prefix(records::FINAL_GRAPHS_PREFIX)
                     .and_then(GraphId::from_digits);
-                let Some(id) = id else { return self.reply(conn, unreadable()) };
+                let Some(id) = id else { return self.reply(conn, unreadable_reply()) };
                 match &*request {
                     GraphRequest::GetGraph(_, range) if range.max_nodes > 0 && record.pages > 0 => {
                         let after = final_pages_after(id, range);
@@ -177,7 +181,7 @@
             }
             (FinalReadStep::Nodes(record), StoreReply::Page(page)) => {
                 let GraphRequest::GetGraph(id, range) = &*request else {
-                    return self.reply(conn, unreadable());
+                    return self.reply(conn, unreadable_reply());
                 };
                 let mut view = answers::GraphView::from_final_record(*id, &record);
                 let mut last = range.after.clone();
@@ -189,7 +193,7 @@
                     }
                     let number = row.key.rsplit_once('/').map(|(_, n)| n.to_owned());
                     let Ok(page) = serde_json::from_value::<FinalPage>(row.value) else {
-                        return self.reply(conn, unreadable());
+                        return self.reply(conn, unreadable_reply());
                     };
                     view.changed.extend(answers::final_node_views(*id, page));
                     last = format!("over.{}", number.unwrap_or_default());
@@ -203,10 +207,10 @@
 
     // --- Effects ------------------------------------------------------------------
 
-    /// Applies the decisions of the graphs.
+    /// Applies the effects that the graphs request, until there are none left.
     pub(super) fn apply_graph_effects(&mut self, now: Now) {
         loop {
-            let effects = self.open_graphs().map(GraphTable::take_effects).unwrap_or_default();
+            let effects = self.graph_table().map(GraphTable::take_effects).unwrap_or_default();
             if effects.is_empty() {
                 return;
             }
@@ -215,7 +219,7 @@
                     Effect::Reply { ticket, reply } => self.reply(ConnId(ticket), reply),
                     Effect::Admit(launch, revision) => {
                         let sent_under = self.leadership.token();
-                        self.admit(now, live_record_of(*launch), revision, sent_under);
+                        self.admit(now, build_live_record(*launch), revision, sent_under);
                     }
                     Effect::Cancel(id) => {
                         if let Some(leader_term) = self.leader_term.as_mut() {
@@ -235,7 +239,7 @@
     /// Notifies a job's graph, if it has one, that the job's end is durable.
     pub(super) fn graph_job_finished(&mut self, id: &JobId, record: &FinalRecord) {
         let Some(part) = &record.part else { return };
-        if let Some(graphs) = self.open_graphs() {
+        if let Some(graphs) = self.graph_table() {
             graphs.on_job_finished(id, part, record.status, record.failure.as_ref());
         }
     }
@@ -257,24 +261,25 @@
         if valid {
             graphs.tick(now.mono);
         }
-        self.read_graphs(now.mono);
+        self.load_graphs(now.mono);
         self.apply_graph_effects(now);
     }
 
-    // --- Reading ------------------------------------------------------------------
+    // --- Loading ------------------------------------------------------------------
 
-    fn read_graphs(&mut self, now: Mono) {
+    /// Submits the next read of the graphs that a new leader loads.
+    fn load_graphs(&mut self, now: Mono) {
         if self.graph_read_in_flight || now < self.next_graph_read || self.writer != Writer::Idle {
             return;
         }
         let Some(token) = self.leadership.token() else { return };
-        let Some(read) = self.open_graphs().and_then(|graphs| graphs.next_read()) else { return };
+        let Some(read) = self.graph_table().and_then(|graphs| graphs.next_read()) else { return };
         let op = match &read {
             LoadRead::Key(key) => StoreOp::Get { key: key.clone() },
             LoadRead::List { prefix, after } => {
                 StoreOp::List { prefix: prefix.clone(), after: after.clone() }
             }
-            LoadRead::Ended { after } => StoreOp::List {
+            LoadRead::FinishedJobs { after } => StoreOp::List {
                 prefix: format!("{}{}", jobs::FINAL_PREFIX, graph_table::GRAPH_JOBS_PREFIX),
                 after: jobs::final_key(after),
             },
@@ -286,6 +291,7 @@
         }
     }
 
+    /// Passes on to the graphs what was read for a new leader.
     pub(super) fn on_graph_rows(
         &mut self,
         now: Now,
@@ -300,18 +306,18 @@
         // Moved out of the leader term during the call, since the leader term is queried for the
         // jobs of graphs.
         let Some(mut graphs) = leader_term.graphs.take() else { return };
-        let expected = graphs.next_read().as_ref() == Some(&read);
+        let is_expected = graphs.next_read().as_ref() == Some(&read);
         match (read, reply) {
-            _ if !expected => {}
-            (LoadRead::Key(_), StoreReply::Missing(_)) => graphs.read_count(Revision(0)),
-            (LoadRead::Key(_), StoreReply::Found(row)) => graphs.read_count(row.version),
+            _ if !is_expected => {}
+            (LoadRead::Key(_), StoreReply::Missing(_)) => graphs.load_session_count(Revision(0)),
+            (LoadRead::Key(_), StoreReply::Found(row)) => graphs.load_session_count(row.version),
             (LoadRead::List { .. }, StoreReply::Page(page)) => {
-                graphs.read_rows(page.rows, page.more, now)
+                graphs.load_rows(page.rows, page.more, now)
             }
-            (LoadRead::Ended { .. }, StoreReply::Page(page)) => {
-                let id = |row: &Row| JobId::parse(row.key.strip_prefix(jobs::FINAL_PREFIX)?);
-                let last = page.rows.last().and_then(id).filter(|_| page.more);
-                let ended = page.rows.iter().filter_map(|row| {
+            (LoadRead::FinishedJobs { .. }, StoreReply::Page(page)) => {
+                let parse_id = |row: &Row| JobId::parse(row.key.strip_prefix(jobs::FINAL_PREFIX)?);
+                let last = page.rows.last().and_then(parse_id).filter(|_| page.more);
+                let finished = page.rows.iter().filter_map(|row| {
                     let read = serde_json::from_value::<FinalRecord>(row.value.clone());
                     let record = read
                         .map_err(|e| {
@@ -320,10 +326,15 @@
                         .ok()?;
                     let end = (*record.part?).clone();
                     let (status, failure) = (record.status, record.failure);
-                    Some(FinishedJob { id: id(row)?, end, status, failure })
+                    Some(FinishedJob { id: parse_id(row)?, end, status, failure })
                 });
-                let ended = ended.collect();
-                graphs.read_ended(ended, last, &|graph| leader_term.open_jobs(graph), now.mono);
+                let finished = finished.collect();
+                graphs.load_finished_jobs(
+                    finished,
+                    last,
+                    &|graph| leader_term.open_jobs(graph),
+                    now.mono,
+                );
             }
             // Retried after a pause.
             _ => self.next_graph_read = now.mono.plus(GRAPH_READ_RETRY_PAUSE_MS),
@@ -341,13 +352,14 @@
         let (Some(token), Some(fence)) = (self.leadership.token(), self.leadership.fence()) else {
             return false;
         };
-        let ops = self.limits.max_changes();
+        let max_change_count = self.limits.max_changes();
         let retried = self.graph_refusals.take_due(now.mono);
         let max_items = if retried.is_some() { 1 } else { self.graph_refusals.max_items() };
-        let Some(graphs) = self.open_graphs() else { return false };
+        let Some(graphs) = self.graph_table() else { return false };
         graphs.max_items = max_items;
         retried.into_iter().for_each(|item| graphs.retry(item));
-        let Some((txn, written)) = graphs.next_txn(fence, ops, now, &launch_record) else {
+        let Some((txn, written)) = graphs.next_txn(fence, max_change_count, now, &encode_launch)
+        else {
             return false;
         };
         self.writer = Writer::Writing;
@@ -370,11 +382,11 @@
             return;
         }
         self.writer = Writer::Idle;
-        let Some(graphs) = self.open_graphs() else { return };
+        let Some(graphs) = self.graph_table() else { return };
         match reply {
             StoreReply::Committed(revision) => {
                 graphs.committed(&written, revision);
-                self.graph_refusals.accepted(written.iter().map(|wrote| &wrote.item));
+                self.graph_refusals.accepted(written.iter().map(|outcome| &outcome.item));
             }
             StoreReply::Conflict(failed) if failed.iter().any(|k| k == LEADER_KEY) => {
                 graphs.refused(written);
@@ -408,17 +420,17 @@
         text: &str,
     ) {
         if !self.on_write_refused(text) {
-            let items: Vec<_> = written.iter().map(|wrote| wrote.item.clone()).collect();
+            let items: Vec<_> = written.iter().map(|outcome| outcome.item.clone()).collect();
             if let Some(RejectionResponse::Deferred(item, pause)) =
                 self.graph_refusals.rejected(&items, now)
             {
                 log::error!(
                     "state service: refused the graph write {item:?} on its own; retrying in {pause:?}"
                 );
-                written.retain(|wrote| wrote.item != item);
+                written.retain(|outcome| outcome.item != item);
             }
         }
-        if let Some(graphs) = self.open_graphs() {
+        if let Some(graphs) = self.graph_table() {
             graphs.refused(written);
         }
     }
@@ -432,7 +444,7 @@
                 self.writer = Writer::Idle;
                 return;
             };
-            let Some(graphs) = self.open_graphs() else { return };
+            let Some(graphs) = self.graph_table() else { return };
             if unresolved.rows.is_empty() {
                 unresolved.keys = graphs.keys_to_resolve(&item, &live_key, &final_key);
             }
@@ -444,10 +456,11 @@
             }
             let rows = std::mem::take(&mut unresolved.rows);
             unresolved.items.pop();
-            graphs.resolved(item, &rows, &nodes_of);
+            graphs.resolved(item, &rows, &decode_nodes);
         }
     }
 
+    /// Adds a row that was read for a write with an unknown outcome.
     pub(super) fn on_graphs_resolved(&mut self, now: Now, token: Token, reply: StoreReply) {
         if self.leader_term.as_ref().is_none_or(|term| term.token != token) {
             return;
--- a/crates/core/src/controller/users.rs
+++ b/crates/core/src/controller/users.rs
@@ -62,9 +62,9 @@
                 self.traffic.user_requests += 1;
                 self.on_usage_request(now.mono, conn, query);
             }
-            Request::Graph(ask) => {
+            Request::Graph(request) => {
                 self.traffic.user_requests += 1;
-                self.on_graph_request(now, conn, *ask, forwarded);
+                self.on_graph_request(now, conn, *request, forwarded);
             }
             Request::Abort(id) => self.on_job_request(now, conn, PeerRequest::Abort(id), forwarded),
         }
@@ -298,7 +298,7 @@
             PeerRequest::View(id) => self.lookup(now, conn, id, LookupReason::View),
             PeerRequest::Abort(id) => self.lookup(now, conn, id, LookupReason::Abort),
             PeerRequest::LeaderHints(_) | PeerRequest::Gossip(_) => {}
-            PeerRequest::Graph(ask) => self.read_graph(now, conn, *ask),
+            PeerRequest::Graph(request) => self.read_finished_graph(now, conn, *request),
             PeerRequest::Submit(_) => {
                 self.reply(conn, HttpReply::unavailable("the state service cannot be reached"));
             }
--- a/crates/graph/src/answers.rs
+++ b/crates/graph/src/answers.rs
@@ -90,7 +90,7 @@
         }
     }
 
-    fn of_letter(letter: char) -> Self {
+    fn from_letter(letter: char) -> Self {
         let statuses = [Self::Waiting, Self::Started, Self::Done, Self::Failed, Self::Skipped];
         statuses.into_iter().find(|status| status.letter() == letter).unwrap_or(Self::Cancelled)
     }
@@ -202,7 +202,7 @@
 
 impl JobNodes {
     /// Adds the job's description.
-    pub fn with(self, spec: &JobSpec) -> Self {
+    pub fn with_job(self, spec: &JobSpec) -> Self {
         Self { job: Some(spec.clone()), ..self }
     }
 }
@@ -214,12 +214,12 @@
         let position = failures.iter().position(|failed| failed.node == name);
         let failure = position.and_then(|position| failures.swap_remove(position).failure);
         let job = job.checked_sub(1).map(|seq| graph.job(JobSeq(seq)));
-        NodeView { name, status: NodeStatus::of_letter(letter), job, failure }
+        NodeView { name, status: NodeStatus::from_letter(letter), job, failure }
     };
     nodes.into_iter().map(view).collect()
 }
 
 /// A temporary rejection (429), which tells the client when to retry.
-pub fn busy(text: &str) -> HttpReply {
+pub fn too_many_requests(text: &str) -> HttpReply {
     HttpReply { retry_after_s: Some(RETRY_AFTER_S), ..HttpReply::error(429, text) }
 }
--- a/crates/graph/src/constants.rs
+++ b/crates/graph/src/constants.rs
@@ -21,13 +21,14 @@
 /// Value size to which [`MAX_BATCH_NODE_COUNT`] and [`MAX_BATCH_RANGE_COUNT`] apply; they are scaled down for smaller
 /// values.
 pub const REFERENCE_VALUE_BYTES: usize = 8 * 1024;
-/// Size of a node's row in a final page without its name, in bytes: the sequence number of its job has at most nine digits.
+/// Size of a node's row in a final page without its name, in bytes: the sequence number of its job has at most nine
+/// digits.
 pub const FINAL_ROW_BYTES: usize = 18;
 /// Size of a final page without its rows, in bytes.
 pub const FINAL_PAGE_OVERHEAD_BYTES: usize = 20;
 /// Maximum nodes in one array: the final states of all of them fit into a record of 8 KiB.
 pub const MAX_BATCH_NODE_COUNT: usize = 400;
-/// Maximum ranges of consecutive nodes in one array, for the same reason.
+/// Maximum ranges of consecutive nodes in one array, so that they fit into the same record.
 pub const MAX_BATCH_RANGE_COUNT: usize = 200;
 /// Maximum shards of a node; the protocol's limit on the tasks of a job.
 pub const MAX_SHARD_COUNT: u32 = oatloom_protocol::constants::MAX_TASKS;
@@ -50,7 +51,8 @@
 /// Assumed time until a graph without a due time is due, in seconds; the design specification's value for jobs without
 /// one.
 pub const DEFAULT_DUE_S: f64 = 600.0;
-/// Assumed run time of a node whose kind states none, in seconds; about one task of the first measurement in the paper.
+/// Assumed run time of a node whose kind states none, in seconds; about that of a task in the first measurement in
+/// the paper.
 pub const DEFAULT_RUN_TIME_S: f64 = 10.0;
 /// Minimum time until a node is due, in seconds: one tick of the control loop.
 pub const MIN_NODE_DUE_S: f64 = 1.0;
--- a/crates/graph/src/graph_table.rs
+++ b/crates/graph/src/graph_table.rs
@@ -2,10 +2,10 @@
 //! `(request or event, now) -> replies, effects`.
 //! It also queues the writes that [`crate::writing`] turns into transactions.
 
-use crate::answers::{GraphView, JobNodes, SessionStatus, SessionView, busy};
+use crate::answers::{GraphView, JobNodes, SessionStatus, SessionView, too_many_requests};
 use crate::constants::*;
 use crate::ids::{GraphId, JobSeq};
-use crate::launching::job_spec;
+use crate::launching::build_job_spec;
 pub use crate::launching::{JobLaunch, LaunchOrder};
 use crate::limits::{Limits, RateLimiter};
 use crate::loading::{DamagedGraphs, LoadStage};
@@ -15,7 +15,7 @@
 use crate::paths::graph_due;
 use crate::records::{FinalRecord, GraphHead, GraphPart, GraphPartEnd, Page, SessionRecord};
 use crate::requests::{AddNodes, CreateGraph, GraphRequest, OpenSession, check};
-use crate::sessions::{self, Session, digest, hash_key};
+use crate::sessions::{self, Session, compute_digest, hash_key};
 use crate::writing::GraphWriteQueue;
 pub use crate::writing::{GraphWrite, WriteOutcome};
 use oatloom_protocol::ids::{JobId, Millis, Mono, Now, Revision, Token};
@@ -50,10 +50,10 @@
     Job(JobId, Box<JobNodes>),
 }
 
-/// Knowledge of the rest of the leader that decisions on requests need.
+/// Queries to the rest of the leader that the handling of requests needs.
 pub struct RequestContext<'a> {
     /// The error reply for a job that can never run.
-    pub rejection: &'a dyn Fn(&JobSpec) -> Option<HttpReply>,
+    pub find_rejection: &'a dyn Fn(&JobSpec) -> Option<HttpReply>,
     /// Whether the team exists.
     pub team_exists: &'a dyn Fn(&str) -> bool,
 }
@@ -83,7 +83,8 @@
     class_max_retries: BTreeMap<String, Option<u32>>,
     /// Ratio of measured to estimated run time of each class.
     run_time_biases: BTreeMap<String, f64>,
-    pub(crate) open_jobs: usize,
+    /// Number of open jobs of all graphs.
+    pub(crate) open_job_count: usize,
     /// Graphs whose records cannot be decoded, until they are stopped.
     pub(crate) damaged: DamagedGraphs,
     next_session_check: Mono,
@@ -112,7 +113,7 @@
             team_rate_limiters: BTreeMap::new(),
             class_max_retries: BTreeMap::new(),
             run_time_biases: BTreeMap::new(),
-            open_jobs: 0,
+            open_job_count: 0,
             damaged: DamagedGraphs::new(),
             next_session_check: now,
         }
@@ -133,6 +134,7 @@
         std::mem::take(&mut self.effects)
     }
 
+    /// An open graph.
     pub fn graph(&self, id: GraphId) -> Option<&OpenGraph> {
         self.graphs.get(&id)
     }
@@ -184,7 +186,7 @@
             (seconds - previous).abs() > MIN_RUN_TIME_CHANGE_FRACTION * previous;
     }
 
-    fn bias(&self, class: &str) -> f64 {
+    fn run_time_bias(&self, class: &str) -> f64 {
         self.run_time_biases.get(class).copied().unwrap_or(1.0)
     }
 
@@ -199,7 +201,7 @@
         context: &RequestContext,
     ) -> RequestOutcome {
         if !self.is_ready() {
-            return RequestOutcome::Reply(HttpReply::unavailable("graphs are being read"));
+            return RequestOutcome::Reply(HttpReply::unavailable("graphs are being loaded"));
         }
         let validation = match request {
             GraphRequest::Open(open) => check(open),
@@ -257,12 +259,13 @@
         let is_allowed = self.rate_limiter.has_permit(total_rate, now)
             && team_limiter.has_permit(team_rate, now);
         if is_allowed {
-            self.rate_limiter.take();
-            team_limiter.take();
+            self.rate_limiter.take_token();
+            team_limiter.take_token();
         }
         is_allowed
     }
 
+    /// The state of a session for its client; `None` if the table does not contain it.
     fn session_view(&self, name: &str) -> Option<SessionView> {
         let session = self.sessions.get(name)?;
         let status = match session.phase {
@@ -273,6 +276,7 @@
         Some(SessionView { session: name.to_owned(), status, ttl_s })
     }
 
+    /// The reply with the state of a session; one that does not exist is reported as closed.
     pub(crate) fn session_reply(&self, name: &str, status: u16) -> HttpReply {
         let closed =
             SessionView { session: name.into(), status: SessionStatus::Closed, ttl_s: 0.0 };
@@ -300,7 +304,7 @@
                     session.last_heartbeat = now;
                     RequestOutcome::Reply(self.session_reply(name, 200))
                 }
-                _ => RequestOutcome::Reply(busy("the session is closing")),
+                _ => RequestOutcome::Reply(too_many_requests("the session is closing")),
             };
         }
         if !(context.team_exists)(&open.owner) {
@@ -311,10 +315,10 @@
         if self.sessions.len() >= self.limits.sessions as usize
             || team_count >= self.limits.team_sessions as usize
         {
-            return RequestOutcome::Reply(busy("too many sessions"));
+            return RequestOutcome::Reply(too_many_requests("too many sessions"));
         }
         if !self.try_take_write_permit(&open.owner, now) {
-            return RequestOutcome::Reply(busy("too many additions per second"));
+            return RequestOutcome::Reply(too_many_requests("too many additions per second"));
         }
         let ttl_ms = Millis::from_secs(open.ttl_s).0;
         let (key, owner) = (hash_key(&open.key), open.owner.clone());
@@ -367,6 +371,7 @@
         }
     }
 
+    /// Starts to end a session: its end is written next.
     fn end_session(&mut self, name: &str) {
         if let Some(session) = self.sessions.get_mut(name) {
             session.enter(sessions::Phase::Closing);
@@ -408,10 +413,10 @@
         if self.graphs.len() >= self.limits.graphs as usize
             || team_count >= self.limits.team_graphs as usize
         {
-            return RequestOutcome::Reply(busy("too many graphs"));
+            return RequestOutcome::Reply(too_many_requests("too many graphs"));
         }
         if !self.try_take_write_permit(&owner, now.mono) {
-            return RequestOutcome::Reply(busy("too many additions per second"));
+            return RequestOutcome::Reply(too_many_requests("too many additions per second"));
         }
         let head = GraphHead {
             session: create.session.clone(),
@@ -437,12 +442,13 @@
         if !open_graph.head.detached
             && let Some(session) = self.sessions.get_mut(&open_graph.head.session)
         {
-            session.open_graphs += 1;
+            session.open_graph_count += 1;
         }
         self.graphs.insert(open_graph.id, open_graph);
     }
 
-    /// Removes a graph that has finished or was never created. The record of its session is deleted with its last graph.
+    /// Removes a graph that has finished or was never created. If it was the last graph of an ended session, the
+    /// deletion of the session's record is queued.
     pub(crate) fn remove_graph(&mut self, id: GraphId) -> Option<OpenGraph> {
         let open_graph = self.graphs.remove(&id)?;
         self.launchable.remove(&id);
@@ -450,14 +456,15 @@
         if !open_graph.head.detached
             && let Some(session) = self.sessions.get_mut(name)
         {
-            session.open_graphs = session.open_graphs.saturating_sub(1);
-            if session.phase == sessions::Phase::Ended && session.open_graphs == 0 {
+            session.open_graph_count = session.open_graph_count.saturating_sub(1);
+            if session.phase == sessions::Phase::Ended && session.open_graph_count == 0 {
                 self.queue.push_session(name);
             }
         }
         Some(open_graph)
     }
 
+    /// Validates an addition and queues its write.
     fn add_nodes(
         &mut self,
         now: Mono,
@@ -472,8 +479,8 @@
             return refuse(403, "wrong key");
         }
         // The digest covers the decoded request, so it does not depend on the JSON formatting.
-        let digest = digest(&(&add.kinds, &add.nodes, add.seal));
-        match open_graph.model.addition(&add.addition) {
+        let digest = compute_digest(&(&add.kinds, &add.nodes, add.seal));
+        match open_graph.model.addition_digest(&add.addition) {
             Some(known) if known == digest => {
                 let view = open_graph.view(self.token, &Default::default());
                 return RequestOutcome::Reply(HttpReply::json(200, &view));
@@ -492,13 +499,13 @@
             _ => return refuse(409, "the graph is ending"),
         }
         if open_graph.pending_addition.is_some() {
-            return RequestOutcome::Reply(busy("another addition is being written"));
+            return RequestOutcome::Reply(too_many_requests("another addition is being written"));
         }
         let prepared = match open_graph.model.prepare(add, digest, self.record_space) {
             Ok(prepared) => prepared,
             Err(RejectedAddition(status, text)) => return refuse(status, &text),
         };
-        if let Some(reply) = find_rejection(open_graph, &prepared.pages, context) {
+        if let Some(reply) = find_rejected_node(open_graph, &prepared.pages, context) {
             return RequestOutcome::Reply(reply);
         }
         let owner = open_graph.head.owner.clone();
@@ -516,10 +523,10 @@
             || exceeds(all_bytes, bytes, limits.bytes)
             || exceeds(team_bytes, bytes, limits.team_bytes)
         {
-            return RequestOutcome::Reply(busy("too many nodes"));
+            return RequestOutcome::Reply(too_many_requests("too many nodes"));
         }
         if !self.try_take_write_permit(&owner, now) {
-            return RequestOutcome::Reply(busy("too many additions per second"));
+            return RequestOutcome::Reply(too_many_requests("too many additions per second"));
         }
         if let Some(open_graph) = self.graphs.get_mut(&id) {
             open_graph.pending_addition = Some(PendingAddition { prepared, ticket });
@@ -576,7 +583,7 @@
                 HttpReply::error(409, "the graph is another's")
             }
             _ if is_wrong_key => HttpReply::error(403, "wrong key"),
-            GraphRequest::Add(..) => HttpReply::error(409, "the graph is over"),
+            GraphRequest::Add(..) => HttpReply::error(409, "the graph has finished"),
             _ => HttpReply::json(200, &GraphView::from_final_record(id, record)),
         }
     }
@@ -595,7 +602,7 @@
     pub fn on_tasks_done(&mut self, id: &JobId, done: &[u32]) {
         let Some((graph, seq)) = GraphId::from_job_id(id) else { return };
         let Some(open_graph) = self.graphs.get_mut(&graph) else { return };
-        open_graph.tasks_done(seq, done);
+        open_graph.mark_tasks_done(seq, done);
         self.update_graph(graph);
     }
 
@@ -616,7 +623,8 @@
         let Some(open_graph) = self.graphs.get_mut(&graph) else { return };
         let open_before = open_graph.jobs.len();
         open_graph.finish_job(seq, end, status, failure);
-        self.open_jobs = self.open_jobs.saturating_sub(open_before - open_graph.jobs.len());
+        self.open_job_count =
+            self.open_job_count.saturating_sub(open_before - open_graph.jobs.len());
         self.update_graph(graph);
     }
 
@@ -652,8 +660,9 @@
         self.update_graph(id);
     }
 
-    /// Processes the durable end of a session: stops all its graphs that are not detached.
-    pub(crate) fn session_ended(&mut self, name: &str) {
+    /// Processes the durable end of a session: stops all its graphs that are not detached. If there are none, the
+    /// deletion of its record is queued.
+    pub(crate) fn on_session_ended(&mut self, name: &str) {
         let is_owned =
             |open_graph: &&OpenGraph| !open_graph.head.detached && open_graph.head.session == name;
         let ids: Vec<GraphId> =
@@ -661,12 +670,12 @@
         for id in ids {
             self.stop(id, EndReason::SessionEnded);
         }
-        if self.sessions.get(name).is_some_and(|session| session.open_graphs == 0) {
+        if self.sessions.get(name).is_some_and(|session| session.open_graph_count == 0) {
             self.queue.push_session(name);
         }
     }
 
-    /// Restarts the time to live of all sessions at `now`, because heartbeats could not reach the leader until then.
+    /// Restarts the time to live of all sessions at `now`, because the leader refused heartbeats until then.
     pub fn restart_session_ttls(&mut self, now: Mono) {
         self.sessions
             .values_mut()
@@ -693,7 +702,7 @@
 
     /// The next job of all graphs: highest rank first, then least slack between due time and longest remaining path.
     pub(crate) fn next_launch(&mut self, now: Now) -> Option<JobLaunch> {
-        if self.open_jobs >= MAX_OPEN_JOB_COUNT {
+        if self.open_job_count >= MAX_OPEN_JOB_COUNT {
             return None;
         }
         loop {
@@ -712,7 +721,7 @@
             let (_, _, id) = self.launchable.iter().filter_map(urgency).min()?;
             let class = self.graphs.get(&id)?.head.class.clone();
             let (class_max_retries, bias) =
-                (self.class_max_retries.get(&class).copied().flatten(), self.bias(&class));
+                (self.class_max_retries.get(&class).copied().flatten(), self.run_time_bias(&class));
             let order = self.order;
             let open_graph = self.graphs.get_mut(&id)?;
             open_graph.update_paths(bias, now.mono);
@@ -727,7 +736,7 @@
                 self.launchable.remove(&id);
             }
             if let Some(launch) = launch {
-                self.open_jobs += 1;
+                self.open_job_count += 1;
                 return Some(launch);
             }
         }
@@ -750,14 +759,14 @@
         self.final_records.get(&id)
     }
 
-    /// Number of nodes of a graph in a state, for benchmarks.
+    /// Number of nodes of a graph in a state; used by benchmarks.
     pub fn count(&self, id: GraphId, state: NodeState) -> u32 {
         self.graphs.get(&id).map_or(0, |open_graph| open_graph.model.count(state))
     }
 }
 
 /// The error reply if a node of an addition can never run.
-fn find_rejection(
+fn find_rejected_node(
     open_graph: &OpenGraph,
     pages: &[Page],
     context: &RequestContext,
@@ -782,8 +791,9 @@
         let kind = known.or_else(|| {
             new_kinds.get(usize::from(kind).checked_sub(open_graph.model.kinds.len())?)
         })?;
-        let spec = job_spec(&open_graph.head, kind, open_graph.id.job(JobSeq(0)), shards, None);
-        if let Some(mut reply) = (context.rejection)(&spec) {
+        let spec =
+            build_job_spec(&open_graph.head, kind, open_graph.id.job(JobSeq(0)), shards, None);
+        if let Some(mut reply) = (context.find_rejection)(&spec) {
             reply.body =
                 reply.body.replacen("\"error\":\"", &format!("\"error\":\"node {name}: "), 1);
             return Some(reply);
--- a/crates/graph/src/ids.rs
+++ b/crates/graph/src/ids.rs
@@ -19,7 +19,7 @@
         (number < GRAPH_NUMBER_END).then_some(Self(number))
     }
 
-    /// Parses the ten digits of a key.
+    /// Parses the ten digits of a record's key.
     pub fn from_digits(digits: &str) -> Option<Self> {
         (digits.len() == 10).then(|| Self::parse(&format!("graph-{digits}"))).flatten()
     }
--- a/crates/graph/src/launching.rs
+++ b/crates/graph/src/launching.rs
@@ -39,8 +39,8 @@
     }
 }
 
-/// The description of the job for one node of a kind, or for several nodes as the tasks of one array.
-pub(crate) fn job_spec(
+/// Builds the description of the job for one node of a kind, or for several nodes as the tasks of one array.
+pub(crate) fn build_job_spec(
     head: &GraphHead,
     kind: &NodeKind,
     id: JobId,
@@ -48,11 +48,11 @@
     deadline_s: Option<f64>,
 ) -> JobSpec {
     let spec = &kind.spec;
-    let strict = matches!(spec.strategy, Strategy::StrictPack | Strategy::StrictSpread);
+    let is_strict = matches!(spec.strategy, Strategy::StrictPack | Strategy::StrictSpread);
     let shape = match spec.shape {
         NodeShape::Actor => Shape::Service,
         NodeShape::Gang => Shape::Gang,
-        NodeShape::Task if strict => Shape::Gang,
+        NodeShape::Task if is_strict => Shape::Gang,
         NodeShape::Task => Shape::Array,
     };
     // Strict packing runs all shards as one task with their total resources, which guarantees a single machine.
@@ -87,7 +87,7 @@
 }
 
 impl OpenGraph {
-    /// Expected run time of a kind, in seconds.
+    /// Expected run time of a node of a kind, in seconds.
     fn node_run_time_s(&self, kind: u16, bias: f64) -> f64 {
         run_time_s(&self.model.kinds[usize::from(kind)], bias)
     }
@@ -96,8 +96,9 @@
     pub fn update_paths(&mut self, bias: f64, now: Mono) -> bool {
         let interval =
             Millis((f64::from(self.model.len()) * PATH_UPDATE_INTERVAL_PER_NODE_MS) as u64);
-        let due = self.paths_updated_at.is_none_or(|updated_at| now.since(updated_at) >= interval);
-        if !self.paths_stale || !due {
+        let is_due =
+            self.paths_updated_at.is_none_or(|updated_at| now.since(updated_at) >= interval);
+        if !self.paths_stale || !is_due {
             return false;
         }
         self.paths_stale = false;
@@ -106,7 +107,8 @@
         true
     }
 
-    /// The next job of ready nodes, if there are any. `class_max_retries` limits the retries of its class.
+    /// Creates the next job of ready nodes, if there are any, and marks its nodes as launching. `class_max_retries`
+    /// limits the retries of its class.
     pub fn next_job(
         &mut self,
         class_max_retries: Option<u32>,
@@ -129,7 +131,8 @@
             }
         };
         let seq = self.next_seq?;
-        let (runs, taken_count) = NodeRanges::from_nodes(&nodes, record_space.max_batch_ranges());
+        let (node_ranges, taken_count) =
+            NodeRanges::from_nodes(&nodes, record_space.max_batch_ranges());
         let nodes = &nodes[..taken_count];
         let node_run_time_s = self.node_run_time_s(group.kind, bias);
         let due = graph_due(self.created, self.head.due_s, self.path_s, now);
@@ -143,21 +146,21 @@
             (Some(requested), Some(class_max_retries)) => Some(requested.min(class_max_retries)),
             (requested, class_max_retries) => requested.or(class_max_retries),
         };
-        let apart = match kind.spec.strategy {
+        let strict_spread = match kind.spec.strategy {
             Strategy::Spread => Some(false),
             Strategy::StrictSpread => Some(true),
             Strategy::Pack | Strategy::StrictPack => None,
         };
         let part = GraphPart {
-            nodes: runs,
+            nodes: node_ranges,
             max_retries: max_retries
                 .map(|max_retries| max_retries.saturating_sub(earlier_failures)),
-            strict_spread: apart,
+            strict_spread,
         };
         let shards =
             nodes.first().and_then(|node_id| self.model.node(*node_id)).map_or(1, |n| n.shards);
         let tasks = if part.is_batch() { nodes.len() as u32 } else { shards };
-        let spec = job_spec(&self.head, kind, self.id.job(seq), tasks, Some(deadline_s));
+        let spec = build_job_spec(&self.head, kind, self.id.job(seq), tasks, Some(deadline_s));
         self.model.mark_launching(nodes.iter().copied());
         self.mark_seq_used(seq);
         self.jobs.insert(seq, (part.clone(), JobPhase::Launching));
--- a/crates/graph/src/lib.rs
+++ b/crates/graph/src/lib.rs
@@ -1,6 +1,6 @@
 //! Task graphs in the style of Ray, kept durably by the scheduler itself: which nodes are ready, which ordinary jobs
-//! run them, which records are written, and how each node and each graph ends. The crate is deterministic and knows
-//! neither placement nor sockets. `docs/design-graphs.md` explains the design.
+//! run them, which records are written, and how each node and each graph ends. The crate is deterministic and contains
+//! neither placement nor network code. `docs/design-graphs.md` explains the design.
 
 pub mod answers;
 pub mod constants;
--- a/crates/graph/src/limits.rs
+++ b/crates/graph/src/limits.rs
@@ -34,7 +34,7 @@
             team_sessions: 100,
             graphs: 1_000,
             team_graphs: 1_000,
-            // About 200 bytes each, which fits into a controller with 40 MB.
+            // About 200 bytes each, which fits into a controller with 40 MB of memory.
             nodes: 50_000,
             team_nodes: 50_000,
             graph_nodes: 50_000,
@@ -53,7 +53,7 @@
     /// # Errors
     /// The first field out of range, with the range.
     pub fn check(&self) -> Result<(), InvalidField> {
-        let invalid = |field: &str, text: &str| {
+        let reject = |field: &str, text: &str| {
             Err(InvalidField::new(&format!("graph-limits: {field}"), text))
         };
         for (field, rate) in [
@@ -61,7 +61,7 @@
             ("team-additions-per-s", self.team_additions_per_s),
         ] {
             if !(0.1..=10_000.0).contains(&rate) {
-                return invalid(field, "must be from 0.1 to 10000");
+                return reject(field, "must be from 0.1 to 10000");
             }
         }
         for (field, number) in [
@@ -74,11 +74,11 @@
             ("graph-nodes", self.graph_nodes),
         ] {
             if !(1..=10_000_000).contains(&number) {
-                return invalid(field, "must be from 1 to 10000000");
+                return reject(field, "must be from 1 to 10000000");
             }
         }
         if self.bytes == 0 || self.team_bytes == 0 {
-            return invalid("bytes", "must be above 0");
+            return reject("bytes", "must be above 0");
         }
         Ok(())
     }
@@ -107,14 +107,14 @@
         self.refilled_at = now;
     }
 
-    /// Whether a token is available.
+    /// Refills the bucket, and returns whether a token is available.
     pub fn has_permit(&mut self, rate: f64, now: Mono) -> bool {
         self.refill(rate, now);
         self.tokens >= 1.0
     }
 
     /// Takes a token.
-    pub fn take(&mut self) {
+    pub fn take_token(&mut self) {
         self.tokens -= 1.0;
     }
 
@@ -134,7 +134,7 @@
         let mut take = |now| {
             let is_allowed = limiter.has_permit(10.0, Mono(now));
             if is_allowed {
-                limiter.take();
+                limiter.take_token();
             }
             is_allowed
         };
--- a/crates/graph/src/loading.rs
+++ b/crates/graph/src/loading.rs
@@ -18,33 +18,27 @@
 /// Progress of loading.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LoadStage {
-    /// The number of sessions is next.
+    /// The key of the number of sessions is read next.
     Count,
-    Sessions {
-        after: String,
-    },
-    Graphs {
-        after: String,
-    },
-    /// Final states of jobs, in the order of their ids, after this one.
-    Jobs {
-        after: JobId,
-    },
+    /// Records of sessions after this key.
+    Sessions { after: String },
+    /// Heads and pages of graphs after this key.
+    Graphs { after: String },
+    /// Final states of jobs, in the order of their ids, after this id.
+    Jobs { after: JobId },
+    /// Loading is complete.
     Ready,
 }
 
 /// The next read from the state service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LoadRead {
+    /// The value of one key.
     Key(String),
-    List {
-        prefix: String,
-        after: String,
-    },
+    /// The rows with a prefix after this key.
+    List { prefix: String, after: String },
     /// Final states of jobs of graphs, after this id.
-    Ended {
-        after: JobId,
-    },
+    FinishedJobs { after: JobId },
 }
 
 /// The final state of a graph's job.
@@ -83,30 +77,30 @@
             LoadStage::Graphs { after } => {
                 Some(LoadRead::List { prefix: OPEN_GRAPHS_PREFIX.to_owned(), after: after.clone() })
             }
-            LoadStage::Jobs { after } => Some(LoadRead::Ended { after: after.clone() }),
+            LoadStage::Jobs { after } => Some(LoadRead::FinishedJobs { after: after.clone() }),
             LoadStage::Ready => None,
         }
     }
 
     /// Processes the number of sessions, of which only the key's version is needed.
-    pub fn read_count(&mut self, version: Revision) {
+    pub fn load_session_count(&mut self, version: Revision) {
         self.count_version = version;
         self.enter(LoadStage::Sessions { after: String::new() });
     }
 
     /// Processes a page of rows of sessions or of graphs.
-    pub fn read_rows(&mut self, rows: Vec<Row>, more: bool, now: Now) {
+    pub fn load_rows(&mut self, rows: Vec<Row>, more: bool, now: Now) {
         let last = rows.last().map(|row| row.key.clone()).filter(|_| more);
         match &self.stage {
             LoadStage::Sessions { .. } => {
-                rows.into_iter().for_each(|row| self.read_session(row, now.mono));
+                rows.into_iter().for_each(|row| self.load_session(row, now.mono));
                 match last {
                     Some(after) => self.enter(LoadStage::Sessions { after }),
                     None => self.enter(LoadStage::Graphs { after: String::new() }),
                 }
             }
             LoadStage::Graphs { .. } => {
-                rows.into_iter().for_each(|row| self.read_graph(row, now));
+                rows.into_iter().for_each(|row| self.load_graph_row(row, now));
                 match last {
                     Some(after) => self.enter(LoadStage::Graphs { after }),
                     None => self.start_loading_jobs(now.mono),
@@ -116,11 +110,11 @@
         }
     }
 
-    fn read_session(&mut self, row: Row, now: Mono) {
+    fn load_session(&mut self, row: Row, now: Mono) {
         let Some(name) = row.key.strip_prefix(SESSIONS_PREFIX) else { return };
-        let read = serde_json::from_value::<SessionRecord>(row.value);
+        let decoded = serde_json::from_value::<SessionRecord>(row.value);
         // A session whose record cannot be decoded counts as ended.
-        let record = read.unwrap_or_else(|_| SessionRecord {
+        let record = decoded.unwrap_or_else(|_| SessionRecord {
             key: String::new(),
             owner: String::new(),
             ttl_ms: 0,
@@ -129,12 +123,12 @@
         self.sessions.insert(name.to_owned(), Session::new(record, row.version, now));
     }
 
-    fn read_graph(&mut self, row: Row, now: Now) {
+    fn load_graph_row(&mut self, row: Row, now: Now) {
         match parse_key(&row.key) {
             Some(GraphKey::Head(id)) => {
-                let read = serde_json::from_value::<GraphHead>(row.value);
-                let text = read.as_ref().err().map(ToString::to_string);
-                let head = read.unwrap_or_else(|_| GraphHead {
+                let decoded = serde_json::from_value::<GraphHead>(row.value);
+                let text = decoded.as_ref().err().map(ToString::to_string);
+                let head = decoded.unwrap_or_else(|_| GraphHead {
                     session: String::new(),
                     key: String::new(),
                     owner: String::new(),
@@ -160,8 +154,8 @@
                     return;
                 };
                 let bytes = row.value.to_string().len();
-                let read = serde_json::from_value(row.value).map_err(|error| error.to_string());
-                let applied = match read {
+                let decoded = serde_json::from_value(row.value).map_err(|error| error.to_string());
+                let applied = match decoded {
                     _ if page != open_graph.model.page_count() => {
                         Err("a page is missing".to_owned())
                     }
@@ -187,15 +181,15 @@
 
     /// Processes a page of final states in the order of their ids. `last` is the last id if more pages follow. `open`
     /// returns the open jobs of a graph.
-    pub fn read_ended(
+    pub fn load_finished_jobs(
         &mut self,
-        ended: Vec<FinishedJob>,
+        finished: Vec<FinishedJob>,
         last: Option<JobId>,
         open: &dyn Fn(GraphId) -> Vec<OpenJob>,
         now: Mono,
     ) {
         let LoadStage::Jobs { .. } = self.stage else { return };
-        for FinishedJob { id, end, status, failure } in ended {
+        for FinishedJob { id, end, status, failure } in finished {
             if let Some((graph, seq)) = GraphId::from_job_id(&id)
                 && let Some(open_graph) = self.graphs.get_mut(&graph)
             {
@@ -203,18 +197,18 @@
             }
         }
         // All final states of the graphs before the last id are known.
-        let reached = last.as_ref().and_then(GraphId::from_job_id).map(|(graph, _)| graph);
-        let unread = |open_graph: &&OpenGraph| open_graph.phase == Phase::Loading;
+        let last_graph = last.as_ref().and_then(GraphId::from_job_id).map(|(graph, _)| graph);
+        let is_loading = |open_graph: &&OpenGraph| open_graph.phase == Phase::Loading;
         let loading: Vec<GraphId> =
-            self.graphs.values().filter(unread).map(|open_graph| open_graph.id).collect();
-        let (mark_seq_used, ahead): (Vec<GraphId>, Vec<GraphId>) =
+            self.graphs.values().filter(is_loading).map(|open_graph| open_graph.id).collect();
+        let (loaded, remaining): (Vec<GraphId>, Vec<GraphId>) =
             loading.into_iter().partition(|id| {
-                last.is_none() || reached.is_some_and(|reached_graph| *id < reached_graph)
+                last.is_none() || last_graph.is_some_and(|last_graph| *id < last_graph)
             });
-        for id in mark_seq_used {
+        for id in loaded {
             self.activate_graph(id, open(id));
         }
-        match (last, ahead.first()) {
+        match (last, remaining.first()) {
             // Skips the jobs of finished graphs.
             (Some(last), Some(next)) => {
                 let after = id_before_jobs(*next);
@@ -228,11 +222,11 @@
         self.enter(LoadStage::Ready);
         // Heartbeats were refused until now.
         self.restart_session_ttls(now);
-        let ended = |(name, session): (&String, &Session)| {
+        let ended_name = |(name, session): (&String, &Session)| {
             (session.phase == sessions::Phase::Ended).then(|| name.clone())
         };
-        for name in self.sessions.iter().filter_map(ended).collect::<Vec<_>>() {
-            self.session_ended(&name);
+        for name in self.sessions.iter().filter_map(ended_name).collect::<Vec<_>>() {
+            self.on_session_ended(&name);
         }
     }
 
@@ -240,8 +234,8 @@
     fn activate_graph(&mut self, id: GraphId, open: Vec<OpenJob>) {
         let Some(open_graph) = self.graphs.get_mut(&id) else { return };
         for OpenJob { seq, part, done } in open {
-            open_graph.job_open(seq, &part, &done);
-            self.open_jobs += 1;
+            open_graph.mark_job_open(seq, &part, &done);
+            self.open_job_count += 1;
         }
         open_graph.paths_stale = true;
         open_graph.enter(Phase::Open);
--- a/crates/graph/src/model.rs
+++ b/crates/graph/src/model.rs
@@ -31,15 +31,17 @@
 impl NodeState {
     const ALL: usize = 8;
 
+    /// Whether the state never changes again.
     pub fn is_final(self) -> bool {
         self >= Self::Done
     }
 
-    /// Whether dependents of the node can never start.
-    pub fn is_bad(self) -> bool {
+    /// Whether the node ended without being done, so that its dependents can never start.
+    pub fn is_unsuccessful(self) -> bool {
         self >= Self::Failed
     }
 
+    /// The status that clients see.
     pub fn status(self) -> NodeStatus {
         match self {
             Self::Waiting | Self::Ready | Self::Launching => NodeStatus::Waiting,
@@ -98,6 +100,7 @@
             && matches!(self.spec.strategy, Strategy::Pack | Strategy::Spread)
     }
 
+    /// Whether nodes of this kind are actors.
     pub fn is_actor(&self) -> bool {
         self.spec.shape == NodeShape::Actor
     }
@@ -118,7 +121,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RejectedAddition(pub u16, pub String);
 
-fn rejected<T>(status: u16, text: impl Into<String>) -> Result<T, RejectedAddition> {
+fn reject_addition<T>(status: u16, text: impl Into<String>) -> Result<T, RejectedAddition> {
     Err(RejectedAddition(status, text.into()))
 }
 
@@ -197,14 +200,17 @@
 }
 
 impl Model {
+    /// Number of nodes.
     pub fn len(&self) -> u32 {
         self.nodes.node_count() as u32
     }
 
+    /// Whether the graph has no nodes.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
+    /// Number of pages.
     pub fn page_count(&self) -> u32 {
         self.pages
     }
@@ -216,24 +222,28 @@
         first_node(page)..first_node(page + 1)
     }
 
+    /// The node with this id.
     pub fn node(&self, node_id: NodeId) -> Option<&Node> {
         self.nodes.node_weight(NodeIndex::new(node_id.0 as usize))
     }
 
+    /// The kind of a node.
     pub fn kind_of(&self, node: &Node) -> &NodeKind {
         &self.kinds[usize::from(node.kind)]
     }
 
+    /// The id of the node with this name.
     pub fn find(&self, name: &str) -> Option<NodeId> {
         self.nodes_by_name.get(&hash_name(name)).copied()
     }
 
+    /// Number of nodes in a state.
     pub fn count(&self, state: NodeState) -> u32 {
         self.counts[state as usize]
     }
 
     /// The digest of the addition with this name, if there was one.
-    pub fn addition(&self, name: &str) -> Option<u64> {
+    pub fn addition_digest(&self, name: &str) -> Option<u64> {
         self.addition_digests.get(&hash_name(name)).copied()
     }
 
@@ -256,7 +266,8 @@
         self.neighbours(node_id, Direction::Incoming)
     }
 
-    /// Validates an addition against the graph, and splits it into pages for the state service. The graph stays unchanged.
+    /// Validates an addition against the graph, and splits it into pages for the state service. The graph stays
+    /// unchanged.
     ///
     /// # Errors
     /// The first node or kind that cannot be added, and why.
@@ -272,7 +283,7 @@
             match self.kind_names.get(name) {
                 Some(known) if self.kinds[usize::from(*known)].spec == *spec => {}
                 Some(_) => {
-                    return rejected(
+                    return reject_addition(
                         409,
                         format!("kind {name} already exists with a different specification"),
                     );
@@ -280,32 +291,41 @@
                 None => {
                     let kind_number = self.kinds.len() + kinds.len();
                     if kind_number >= MAX_KIND_COUNT {
-                        return rejected(422, format!("more than {MAX_KIND_COUNT} kinds"));
+                        return reject_addition(422, format!("more than {MAX_KIND_COUNT} kinds"));
                     }
                     kind_numbers.insert(name, kind_number as u16);
                     kinds.push((name.clone(), spec.clone()));
                 }
             }
         }
-        let kind_number = |name: &str| {
+        let find_kind = |name: &str| {
             kind_numbers.get(name).copied().or_else(|| self.kind_names.get(name).copied())
         };
         let spec_of = |kind_number: u16| {
-            let new = usize::from(kind_number).checked_sub(self.kinds.len());
-            new.map_or_else(|| &self.kinds[usize::from(kind_number)].spec, |new| &kinds[new].1)
+            let position = usize::from(kind_number).checked_sub(self.kinds.len());
+            position.map_or_else(
+                || &self.kinds[usize::from(kind_number)].spec,
+                |position| &kinds[position].1,
+            )
         };
         let mut new_nodes: BTreeMap<&str, usize> = BTreeMap::new();
         let mut addition: DiGraph<usize, (), u32> = DiGraph::new();
         for (position, node) in add.nodes.iter().enumerate() {
             if self.find(&node.name).is_some() || new_nodes.insert(&node.name, position).is_some() {
-                return rejected(409, format!("node {} is there already", node.name));
+                return reject_addition(409, format!("node {} is there already", node.name));
             }
-            let Some(kind) = kind_number(&node.kind) else {
-                return rejected(422, format!("node {}: unknown kind {}", node.name, node.kind));
+            let Some(kind) = find_kind(&node.kind) else {
+                return reject_addition(
+                    422,
+                    format!("node {}: unknown kind {}", node.name, node.kind),
+                );
             };
             let detached = spec_of(kind).detached;
             if detached && spec_of(kind).shape != NodeShape::Actor {
-                return rejected(422, format!("kind {}: only actors can be detached", node.kind));
+                return reject_addition(
+                    422,
+                    format!("kind {}: only actors can be detached", node.kind),
+                );
             }
             addition.add_node(position);
         }
@@ -314,11 +334,14 @@
                 let kind = match (new_nodes.get(input.as_str()), self.find(input)) {
                     (Some(from), _) => {
                         addition.add_edge(NodeIndex::new(*from), NodeIndex::new(position), ());
-                        kind_number(&add.nodes[*from].kind).unwrap_or_default()
+                        find_kind(&add.nodes[*from].kind).unwrap_or_default()
                     }
                     (None, Some(known)) => self.node(known).map_or(0, |known| known.kind),
                     (None, None) => {
-                        return rejected(422, format!("node {}: unknown input {input}", node.name));
+                        return reject_addition(
+                            422,
+                            format!("node {}: unknown input {input}", node.name),
+                        );
                     }
                 };
                 if spec_of(kind).shape == NodeShape::Actor {
@@ -326,22 +349,22 @@
                         "node {}: input {input} is an actor, which has no result",
                         node.name
                     );
-                    return rejected(422, text);
+                    return reject_addition(422, text);
                 }
             }
         }
         // Node numbers increase along every edge, so that each record comes after those of its inputs.
         let order = petgraph::algo::toposort(&addition, None).or_else(|cycle| {
             let name = &add.nodes[addition[cycle.node_id()]].name;
-            rejected(422, format!("node {name} needs itself, by way of others"))
+            reject_addition(422, format!("node {name} needs itself, by way of others"))
         })?;
         let first = self.len();
         let node_ids: BTreeMap<usize, u32> = order
             .iter()
             .enumerate()
-            .map(|(rank, vertex)| (addition[*vertex], first + rank as u32))
+            .map(|(offset, vertex)| (addition[*vertex], first + offset as u32))
             .collect();
-        let row = |position: usize| -> NodeRow {
+        let build_row = |position: usize| -> NodeRow {
             let node = &add.nodes[position];
             let needs: BTreeSet<NodeId> = node
                 .needs
@@ -351,17 +374,17 @@
                     None => self.find(input),
                 })
                 .collect();
-            let kind = kind_number(&node.kind).unwrap_or_default();
+            let kind = find_kind(&node.kind).unwrap_or_default();
             (node.name.clone(), kind, node.shards, needs.into_iter().collect())
         };
-        let rows = order.iter().map(|vertex| row(addition[*vertex])).collect();
+        let rows = order.iter().map(|vertex| build_row(addition[*vertex])).collect();
         split_into_pages(add, digest, record_space, NodeId(first), kinds, rows)
     }
 
     /// Applies a page, either a new one or one read from the state service.
     ///
     /// # Errors
-    /// What is invalid in the page; it is not applied then.
+    /// Describes what is invalid in the page; the graph stays unchanged.
     pub fn apply(&mut self, page: &Page, bytes: usize) -> Result<(), DamagedPage> {
         let page_number = self.pages;
         let reject = |text| Err(DamagedPage { page: page_number, text });
@@ -377,10 +400,10 @@
         for (position, (name, kind, shards, needs)) in page.nodes.iter().enumerate() {
             let node_id = page.first.0.saturating_add(position as u32);
             if usize::from(*kind) >= kinds || *shards == 0 || *shards > MAX_SHARD_COUNT {
-                return reject("a node of no kind");
+                return reject("a node of an unknown kind, or with an invalid number of shards");
             }
             if needs.iter().any(|input| input.0 >= node_id) {
-                return reject("a node that needs a later one");
+                return reject("a node with an input that comes after it");
             }
             if self.nodes_by_name.contains_key(&hash_name(name)) || !names.insert(hash_name(name)) {
                 return reject("a node that is there already");
@@ -410,7 +433,7 @@
             |node_id: &NodeId| self.node(*node_id).map_or(NodeState::Waiting, |node| node.state);
         let unfinished_inputs =
             needs.iter().filter(|node_id| state_of(node_id) != NodeState::Done).count() as u32;
-        let skipped = needs.iter().any(|node_id| state_of(node_id).is_bad());
+        let skipped = needs.iter().any(|node_id| state_of(node_id).is_unsuccessful());
         let node = Node {
             name: name.into(),
             kind,
@@ -445,15 +468,15 @@
 
     /// Changes a node's state and propagates the change to its dependents. All state changes go through here.
     fn set_state(&mut self, node_id: NodeId, state: NodeState) {
-        let mut changes = vec![(node_id, state)];
-        while let Some((node_id, state)) = changes.pop() {
+        let mut pending = vec![(node_id, state)];
+        while let Some((node_id, state)) = pending.pop() {
             let Some(node) = self.node(node_id) else { continue };
-            let (before, group) = (node.state, self.launch_group(node_id, node));
-            if before == state || before.is_final() {
+            let (previous, group) = (node.state, self.launch_group(node_id, node));
+            if previous == state || previous.is_final() {
                 continue;
             }
-            let actor = self.kind_of(node).is_actor();
-            if before == NodeState::Ready
+            let is_actor = self.kind_of(node).is_actor();
+            if previous == NodeState::Ready
                 && let Some(set) = self.ready_groups.get_mut(&group)
             {
                 set.remove(&node_id);
@@ -464,23 +487,23 @@
             if state == NodeState::Ready {
                 self.ready_groups.entry(group).or_default().insert(node_id);
             }
-            self.counts[before as usize] -= 1;
+            self.counts[previous as usize] -= 1;
             self.counts[state as usize] += 1;
-            if before.status() != state.status() {
+            if previous.status() != state.status() {
                 self.changes.push(node_id);
             }
-            self.unfinished_work_count -= u32::from(state.is_final() && !actor);
+            self.unfinished_work_count -= u32::from(state.is_final() && !is_actor);
             self.nodes[NodeIndex::new(node_id.0 as usize)].state = state;
             if state == NodeState::Done {
                 for next in self.dependents(node_id).collect::<Vec<_>>() {
                     let next_node = &mut self.nodes[NodeIndex::new(next.0 as usize)];
                     next_node.unfinished_inputs = next_node.unfinished_inputs.saturating_sub(1);
                     if next_node.unfinished_inputs == 0 && next_node.state == NodeState::Waiting {
-                        changes.push((next, NodeState::Ready));
+                        pending.push((next, NodeState::Ready));
                     }
                 }
-            } else if state.is_bad() {
-                changes.extend(self.dependents(node_id).map(|next| (next, NodeState::Skipped)));
+            } else if state.is_unsuccessful() {
+                pending.extend(self.dependents(node_id).map(|next| (next, NodeState::Skipped)));
             }
         }
     }
@@ -501,6 +524,7 @@
         Some((*group, nodes.iter().copied()))
     }
 
+    /// Whether a node is ready.
     pub fn has_ready_nodes(&self) -> bool {
         !self.ready_groups.is_empty()
     }
@@ -548,8 +572,9 @@
     pub fn end_unfinished(&mut self) {
         for node_id in 0..self.len() {
             let node_id = NodeId(node_id);
-            let is_bad = |input: NodeId| self.node(input).is_some_and(|node| node.state.is_bad());
-            let skipped = self.needs(node_id).any(is_bad);
+            let is_unsuccessful =
+                |input: NodeId| self.node(input).is_some_and(|node| node.state.is_unsuccessful());
+            let skipped = self.needs(node_id).any(is_unsuccessful);
             let state = if skipped { NodeState::Skipped } else { NodeState::Cancelled };
             self.set_state(node_id, state);
         }
@@ -605,7 +630,7 @@
     let (mut page_bytes, mut bytes, mut next) = (0, 0, first.0);
     let mut reserve_bytes = |pages: &mut Vec<Page>, row_bytes: usize, next: u32| {
         if row_bytes > max_page_bytes {
-            return rejected(422, "a kind or node exceeds the size of a record");
+            return reject_addition(422, "a kind or node exceeds the size of a record");
         }
         if page_bytes + row_bytes > max_page_bytes {
             page_bytes = 0;
@@ -628,7 +653,7 @@
     }
     if pages.len() > record_space.value_count || bytes > MAX_TXN_BYTES.max(record_space.value_bytes)
     {
-        return rejected(413, "too many nodes for one addition; add them in several");
+        return reject_addition(413, "too many nodes for one addition; add them in several");
     }
     if let Some(last) = pages.last_mut() {
         last.sealed = add.seal;
--- a/crates/graph/src/node_ranges.rs
+++ b/crates/graph/src/node_ranges.rs
@@ -9,18 +9,18 @@
 pub struct NodeRanges(Vec<(u32, u32)>);
 
 impl NodeRanges {
-    /// Encodes nodes in ascending order into at most `max_count` ranges. Returns the number of nodes taken as well.
+    /// Encodes nodes in ascending order into at most `max_count` ranges. Also returns how many of the nodes fit.
     pub fn from_nodes(nodes: &[NodeId], max_count: usize) -> (Self, usize) {
-        let mut runs: Vec<(u32, u32)> = Vec::new();
+        let mut ranges: Vec<(u32, u32)> = Vec::new();
         for (taken, node) in nodes.iter().enumerate() {
-            let full = runs.len() == max_count;
-            match runs.last_mut() {
+            let is_full = ranges.len() == max_count;
+            match ranges.last_mut() {
                 Some((first, length)) if first.checked_add(*length) == Some(node.0) => *length += 1,
-                _ if full => return (Self(runs), taken),
-                _ => runs.push((node.0, 1)),
+                _ if is_full => return (Self(ranges), taken),
+                _ => ranges.push((node.0, 1)),
             }
         }
-        (Self(runs), nodes.len())
+        (Self(ranges), nodes.len())
     }
 
     /// The number of nodes; saturates, since a damaged record may contain any numbers.
@@ -28,6 +28,7 @@
         self.0.iter().fold(0usize, |sum, (_, length)| sum.saturating_add(*length as usize))
     }
 
+    /// Whether the list contains no node.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -61,10 +62,10 @@
     #[test]
     fn ranges_round_trip() {
         let nodes: Vec<NodeId> = [3, 4, 5, 9, 11, 12].map(NodeId).to_vec();
-        let (runs, taken) = NodeRanges::from_nodes(&nodes, 10);
-        assert_eq!((taken, runs.len()), (6, 6));
-        assert_eq!(runs.iter(99).collect::<Vec<_>>(), nodes);
-        assert_eq!((runs.get(3), runs.get(6)), (Some(NodeId(9)), None));
+        let (ranges, taken) = NodeRanges::from_nodes(&nodes, 10);
+        assert_eq!((taken, ranges.len()), (6, 6));
+        assert_eq!(ranges.iter(99).collect::<Vec<_>>(), nodes);
+        assert_eq!((ranges.get(3), ranges.get(6)), (Some(NodeId(9)), None));
         let (short, taken) = NodeRanges::from_nodes(&nodes, 2);
         assert_eq!((taken, short.get(3)), (4, Some(NodeId(9))));
         let broken: NodeRanges = serde_json::from_str("[[4294967295,9],[0,4294967295]]").unwrap();
--- a/crates/graph/src/open_graph.rs
+++ b/crates/graph/src/open_graph.rs
@@ -101,6 +101,7 @@
 }
 
 impl OpenGraph {
+    /// A graph without nodes and jobs.
     pub fn new(
         id: GraphId,
         head: GraphHead,
@@ -144,8 +145,8 @@
         }
     }
 
-    fn expand_nodes(&self, runs: &crate::node_ranges::NodeRanges) -> Vec<NodeId> {
-        runs.iter(self.model.len() as usize).collect()
+    fn expand_nodes(&self, ranges: &crate::node_ranges::NodeRanges) -> Vec<NodeId> {
+        ranges.iter(self.model.len() as usize).collect()
     }
 
     /// Whether a job continues after its graph has ended, as a detached actor does.
@@ -158,21 +159,22 @@
     }
 
     /// Records that a job was accepted. Returns whether it must be cancelled immediately.
-    pub fn job_open(&mut self, seq: JobSeq, part: &GraphPart, done: &[u32]) -> bool {
+    pub fn mark_job_open(&mut self, seq: JobSeq, part: &GraphPart, done: &[u32]) -> bool {
         self.mark_seq_used(seq);
         for node_id in self.expand_nodes(&part.nodes) {
             self.model.mark_started(node_id, seq);
         }
         let outlives_graph = self.outlives_graph(part);
-        let stopping = matches!(self.phase, Phase::Stopping(_)) && !outlives_graph;
-        let phase = if stopping { JobPhase::Cancelled } else { JobPhase::Open };
+        let must_cancel = matches!(self.phase, Phase::Stopping(_)) && !outlives_graph;
+        let phase = if must_cancel { JobPhase::Cancelled } else { JobPhase::Open };
         self.jobs.insert(seq, (part.clone(), phase));
-        self.tasks_done(seq, done);
-        stopping
+        self.mark_tasks_done(seq, done);
+        must_cancel
     }
 
-    /// Records tasks of an open job that are durably done.
-    pub fn tasks_done(&mut self, seq: JobSeq, done: &[u32]) {
+    /// Marks the nodes of an array as done whose tasks are durably done, while the job is still open. The job of a
+    /// single node is ignored: its node is done when the job is.
+    pub fn mark_tasks_done(&mut self, seq: JobSeq, done: &[u32]) {
         let Some((part, _)) = self.jobs.get(&seq).filter(|(part, _)| part.is_batch()) else {
             return;
         };
@@ -215,7 +217,7 @@
         }
         let failed_task = failure.and_then(|f| TaskId::parse(&f.task)).map(|task| task.index);
         let done: BTreeSet<u32> = end.done.iter().copied().collect();
-        let charged: BTreeMap<u32, u32> = end.failure_counts.iter().copied().collect();
+        let failure_counts: BTreeMap<u32, u32> = end.failure_counts.iter().copied().collect();
         for (task, node_id) in (0..).zip(nodes) {
             if done.contains(&task) {
                 self.finish_node(node_id, NodeState::Done, None);
@@ -223,7 +225,7 @@
                 self.finish_node(node_id, state, failure);
             } else {
                 // The array ended because another node failed; this node runs again.
-                self.model.requeue(node_id, seq, charged.get(&task).copied().unwrap_or(0));
+                self.model.requeue(node_id, seq, failure_counts.get(&task).copied().unwrap_or(0));
             }
         }
     }
@@ -243,18 +245,18 @@
     /// The first failed node, otherwise the first cancelled one. Actors are excepted: they are cancelled when their
     /// graph is done.
     fn first_unsuccessful(&self) -> Option<NodeId> {
-        let first_in = |state: NodeState| {
+        let find_first = |state: NodeState| {
             let is_unsuccessful = |node_id: &NodeId| {
                 self.model.node(*node_id).is_some_and(|node| {
-                    let expected =
+                    let is_stopped_actor =
                         state == NodeState::Cancelled && self.model.kind_of(node).is_actor();
-                    node.state == state && !expected
+                    node.state == state && !is_stopped_actor
                 })
             };
             let has_any = self.model.count(state) > 0;
             has_any.then(|| (0..self.model.len()).map(NodeId).find(is_unsuccessful)).flatten()
         };
-        first_in(NodeState::Failed).or_else(|| first_in(NodeState::Cancelled))
+        find_first(NodeState::Failed).or_else(|| find_first(NodeState::Cancelled))
     }
 
     /// Updates the phase from the states of the nodes. Returns the jobs to cancel.
@@ -406,15 +408,15 @@
         })
     }
 
-    /// The view for clients. A position from another leader's answer restarts at the beginning, since the list of
-    /// changes is kept in memory.
+    /// The view for clients. A position from another leader's answer restarts at the beginning, since each leader
+    /// records the changes in its own memory only.
     pub fn view(&self, token: Token, range: &GetGraph) -> GraphView {
         let count = |state| self.model.count(state);
         let status = match self.phase {
             Phase::Creating | Phase::Loading | Phase::Open => GraphStatus::Open,
             Phase::Cancelling | Phase::Stopping(_) | Phase::Ending(_) => GraphStatus::Ending,
         };
-        let from = range.after.split_once('.').filter(|(leader, _)| *leader == token.to_string());
+        let from = range.after.split_once('.').filter(|(term, _)| *term == token.to_string());
         let from: usize = from.and_then(|(_, position)| position.parse().ok()).unwrap_or(0);
         let changes = &self.model.changes;
         let from = from.min(changes.len());
--- a/crates/graph/src/paths.rs
+++ b/crates/graph/src/paths.rs
@@ -1,5 +1,5 @@
-//! Due times of nodes, from the graph's due time and the longest path that remains after each node. The control loop and
-//! placement then treat jobs of graphs like any others.
+//! Due times of nodes, from the graph's due time and the longest path that remains after each node. With them the
+//! control loop and placement treat jobs of graphs like any others.
 
 use crate::constants::*;
 use crate::model::{Node, NodeKind};
--- a/crates/graph/src/records.rs
+++ b/crates/graph/src/records.rs
@@ -1,5 +1,5 @@
-//! Keys and values of graphs and sessions in the state service. Which job runs a node and how it ended is stored only in
-//! the records of that job, so that no graph record is written when a node starts or ends.
+//! Keys and values of graphs and sessions in the state service. Which job runs a node and how it ended is stored only
+//! in the records of that job, so that no graph record is written when a node starts or ends.
 
 use crate::ids::{GraphId, NodeId};
 use crate::node_ranges::NodeRanges;
@@ -136,7 +136,8 @@
     /// Maximum retries of each task, if limited.
     #[serde(rename = "r", default, skip_serializing_if = "Option::is_none")]
     pub max_retries: Option<u32>,
-    /// Whether tasks spread over different machines: `true` if they must, `false` if they should, `None` without preference.
+    /// Whether tasks spread over different machines: `true` if they must, `false` if they should, `None` without
+    /// preference.
     #[serde(rename = "a", default, skip_serializing_if = "Option::is_none")]
     pub strict_spread: Option<bool>,
 }
--- a/crates/graph/src/sessions.rs
+++ b/crates/graph/src/sessions.rs
@@ -25,19 +25,27 @@
     /// Time of the last heartbeat, or when this leader began to accept heartbeats.
     pub last_heartbeat: Mono,
     /// Number of its open graphs that are not detached.
-    pub open_graphs: u32,
+    pub open_graph_count: u32,
     /// Requests that wait for the write of the record.
     pub tickets: Vec<u64>,
 }
 
 impl Session {
+    /// A session from its record: at version 0 the record is yet to be written.
     pub fn new(record: SessionRecord, version: Revision, now: Mono) -> Self {
         let phase = match (version, record.ended) {
             (Revision(0), _) => Phase::Opening,
             (_, true) => Phase::Ended,
             _ => Phase::Open,
         };
-        Self { record, version, phase, last_heartbeat: now, open_graphs: 0, tickets: Vec::new() }
+        Self {
+            record,
+            version,
+            phase,
+            last_heartbeat: now,
+            open_graph_count: 0,
+            tickets: Vec::new(),
+        }
     }
 
     /// Changes the phase; all phase changes go through here.
@@ -57,17 +65,17 @@
     }
 }
 
-fn hex(bytes: &[u8]) -> String {
+fn to_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
 /// The stored form of a key: its SHA-256 hash in hexadecimal.
 pub fn hash_key(key: &str) -> String {
-    hex(&Sha256::digest(key.as_bytes()))
+    to_hex(&Sha256::digest(key.as_bytes()))
 }
 
 /// Digest of a request's content, stable across restarts and versions.
-pub fn digest(request: &impl serde::Serialize) -> u64 {
+pub fn compute_digest(request: &impl serde::Serialize) -> u64 {
     let text = serde_json::to_vec(request).unwrap_or_default();
     let hash = Sha256::digest(&text);
     hash.iter().take(8).fold(0, |sum, byte| (sum << 8) | u64::from(*byte))
--- a/crates/graph/src/writing.rs
+++ b/crates/graph/src/writing.rs
@@ -52,17 +52,18 @@
 pub(crate) struct GraphWriteQueue {
     /// Items that a client's request waits for.
     urgent: VecDeque<GraphWrite>,
+    /// All other items.
     later: VecDeque<GraphWrite>,
     queued: BTreeSet<GraphWrite>,
     /// Jobs whose acceptance is not confirmed yet.
     launches: BTreeMap<(GraphId, JobSeq), JobLaunch>,
     /// Jobs among them that must be written again.
-    retry: VecDeque<(GraphId, JobSeq)>,
+    retries: VecDeque<(GraphId, JobSeq)>,
 }
 
 impl GraphWriteQueue {
     pub fn len(&self) -> usize {
-        self.queued.len() + self.retry.len()
+        self.queued.len() + self.retries.len()
     }
 
     fn push(&mut self, item: GraphWrite, urgent: bool) {
@@ -105,7 +106,7 @@
         let urgent =
             matches!(item, GraphWrite::Session(_) | GraphWrite::Head(_) | GraphWrite::Addition(_));
         if let GraphWrite::Launch(graph, seq) = item {
-            self.retry.push_front((graph, seq));
+            self.retries.push_front((graph, seq));
         } else if self.queued.insert(item.clone()) {
             let queue = if urgent { &mut self.urgent } else { &mut self.later };
             queue.push_front(item);
@@ -114,7 +115,7 @@
 }
 
 /// The condition that a key is still at this version.
-fn unchanged(key: String, version: Revision) -> Condition {
+fn require_version(key: String, version: Revision) -> Condition {
     Condition { key, version }
 }
 
@@ -123,7 +124,7 @@
     pub fn has_writes(&self) -> bool {
         self.is_ready()
             && (self.queue.len() > 0
-                || !self.launchable.is_empty() && self.open_jobs < MAX_OPEN_JOB_COUNT)
+                || !self.launchable.is_empty() && self.open_job_count < MAX_OPEN_JOB_COUNT)
     }
 
     /// Builds the next fenced transaction of at most `max_change_count` changes, within the limits of the service.
@@ -148,14 +149,14 @@
         {
             let Some(item) = self.next_item(now) else { break };
             let before = (txn.conditions.len(), txn.changes.len());
-            let has_changes = self.write(&item, &mut txn, encode_job);
+            let has_changes = self.append_to_txn(&item, &mut txn, encode_job);
             let added = txn.changes[before.1..].iter().map(change_bytes).sum::<usize>();
             let exceeds_limits = txn.changes.len() > max_change_count
                 || !written.is_empty() && bytes + added > MAX_TXN_BYTES;
             // One session per transaction, since every session writes the same count.
-            let second_session = matches!(item, GraphWrite::Session(_))
+            let is_second_session = matches!(item, GraphWrite::Session(_))
                 && written.iter().any(|w| matches!(w.item, GraphWrite::Session(_)));
-            if has_changes && (exceeds_limits || second_session) {
+            if has_changes && (exceeds_limits || is_second_session) {
                 txn.conditions.truncate(before.0);
                 txn.changes.truncate(before.1);
                 self.queue.put_back(item);
@@ -179,7 +180,7 @@
         if let Some(item) = self.queue.pop(true) {
             return Some(item);
         }
-        if let Some((graph, seq)) = self.queue.retry.pop_front() {
+        if let Some((graph, seq)) = self.queue.retries.pop_front() {
             return Some(GraphWrite::Launch(graph, seq));
         }
         if let Some(launch) = self.next_launch(now) {
@@ -192,8 +193,8 @@
             GraphWrite::FinalRecord(id) => {
                 let open_graph = self.graphs.get(&id)?;
                 let page = open_graph.durable_final_pages;
-                let all_written = page >= open_graph.model.page_count();
-                Some(if all_written {
+                let has_all_pages = page >= open_graph.model.page_count();
+                Some(if has_all_pages {
                     GraphWrite::FinalRecord(id)
                 } else {
                     GraphWrite::FinalPage(id, page)
@@ -204,7 +205,12 @@
     }
 
     /// Adds an item's conditions and changes to a transaction. Returns false if the item needs no write any more.
-    fn write(&mut self, item: &GraphWrite, txn: &mut Txn, encode_job: JobRecordEncoder) -> bool {
+    fn append_to_txn(
+        &mut self,
+        item: &GraphWrite,
+        txn: &mut Txn,
+        encode_job: JobRecordEncoder,
+    ) -> bool {
         let zero = Revision(0);
         let put = |key: String, value: Value| Change::put(key, value);
         match item {
@@ -215,18 +221,22 @@
                     let count = self.sessions.len() as i64 + change;
                     put(SESSION_COUNT_KEY.to_owned(), json!({"n": count.max(0)}))
                 };
-                txn.conditions.push(unchanged(key.clone(), session.version));
+                txn.conditions.push(require_version(key.clone(), session.version));
                 match session.phase {
                     sessions::Phase::Opening => {
-                        txn.conditions
-                            .push(unchanged(SESSION_COUNT_KEY.to_owned(), self.count_version));
+                        txn.conditions.push(require_version(
+                            SESSION_COUNT_KEY.to_owned(),
+                            self.count_version,
+                        ));
                         txn.changes.push(put(key, json!(session.record)));
                         txn.changes.push(put_count(0));
                     }
                     sessions::Phase::Closing => txn.changes.push(put(key, json!(session.record))),
-                    sessions::Phase::Ended if session.open_graphs == 0 => {
-                        txn.conditions
-                            .push(unchanged(SESSION_COUNT_KEY.to_owned(), self.count_version));
+                    sessions::Phase::Ended if session.open_graph_count == 0 => {
+                        txn.conditions.push(require_version(
+                            SESSION_COUNT_KEY.to_owned(),
+                            self.count_version,
+                        ));
                         txn.changes.push(Change::Delete { key });
                         txn.changes.push(put_count(-1));
                     }
@@ -241,33 +251,33 @@
                 if !matches!(open_graph.phase, Phase::Creating | Phase::Cancelling) {
                     return false;
                 }
-                txn.conditions.push(unchanged(head_key(*id), open_graph.version));
+                txn.conditions.push(require_version(head_key(*id), open_graph.version));
                 if open_graph.version == zero {
-                    txn.conditions.push(unchanged(final_graph_key(*id), zero));
+                    txn.conditions.push(require_version(final_graph_key(*id), zero));
                 }
                 txn.changes.push(put(head_key(*id), json!(open_graph.head)));
             }
             GraphWrite::Addition(id) => {
                 let Some(open_graph) = self.graphs.get(id) else { return false };
                 let Some(pending_addition) = &open_graph.pending_addition else { return false };
-                txn.conditions.push(unchanged(head_key(*id), open_graph.version));
+                txn.conditions.push(require_version(head_key(*id), open_graph.version));
                 let pages = pending_addition.prepared.pages.iter();
                 for (number, page) in (open_graph.model.page_count()..).zip(pages) {
                     let key = page_key(*id, number);
-                    txn.conditions.push(unchanged(key.clone(), zero));
+                    txn.conditions.push(require_version(key.clone(), zero));
                     txn.changes.push(put(key, json!(page)));
                 }
             }
             GraphWrite::Launch(id, seq) => {
                 let Some(launch) = self.queue.launches.get(&(*id, *seq)) else { return false };
                 let (key, final_key, value) = encode_job(launch);
-                txn.conditions.push(unchanged(key.clone(), zero));
-                txn.conditions.push(unchanged(final_key, zero));
+                txn.conditions.push(require_version(key.clone(), zero));
+                txn.conditions.push(require_version(final_key, zero));
                 txn.changes.push(put(key, value));
             }
             GraphWrite::FinalPage(id, page) => {
                 let Some(open_graph) = self.graphs.get(id) else { return false };
-                txn.conditions.push(unchanged(head_key(*id), open_graph.version));
+                txn.conditions.push(require_version(head_key(*id), open_graph.version));
                 txn.changes.push(put(
                     final_page_key(*id, *page),
                     json!(open_graph.final_page(*page, self.record_space.value_bytes)),
@@ -276,8 +286,8 @@
             GraphWrite::FinalRecord(id) => {
                 let Some(open_graph) = self.graphs.get(id) else { return false };
                 let Phase::Ending(reason) = &open_graph.phase else { return false };
-                txn.conditions.push(unchanged(head_key(*id), open_graph.version));
-                txn.conditions.push(unchanged(final_graph_key(*id), zero));
+                txn.conditions.push(require_version(head_key(*id), open_graph.version));
+                txn.conditions.push(require_version(final_graph_key(*id), zero));
                 txn.changes.push(put(final_graph_key(*id), json!(open_graph.final_record(reason))));
                 txn.changes.push(Change::Delete { key: head_key(*id) });
             }
@@ -292,10 +302,10 @@
     pub fn committed(&mut self, written: &[WriteOutcome], revision: Revision) {
         for WriteOutcome { item, session } in written {
             match item {
-                GraphWrite::Session(name) => self.session_committed(name, *session, revision),
-                GraphWrite::Head(id) => self.head_committed(*id, revision),
-                GraphWrite::Addition(id) => self.addition_committed(*id),
-                GraphWrite::Launch(id, seq) => self.launch_committed(*id, *seq, revision),
+                GraphWrite::Session(name) => self.on_session_committed(name, *session, revision),
+                GraphWrite::Head(id) => self.on_head_committed(*id, revision),
+                GraphWrite::Addition(id) => self.on_addition_committed(*id),
+                GraphWrite::Launch(id, seq) => self.on_launch_committed(*id, *seq, revision),
                 GraphWrite::FinalPage(id, page) => {
                     if let Some(open_graph) = self.graphs.get_mut(id) {
                         open_graph.durable_final_pages =
@@ -303,13 +313,13 @@
                         self.queue.push_final(*id);
                     }
                 }
-                GraphWrite::FinalRecord(id) => self.graph_finished(*id),
+                GraphWrite::FinalRecord(id) => self.on_graph_finished(*id),
                 GraphWrite::DeletePage(..) => {}
             }
         }
     }
 
-    fn session_committed(
+    fn on_session_committed(
         &mut self,
         name: &str,
         phase: Option<sessions::Phase>,
@@ -328,7 +338,7 @@
             Some(sessions::Phase::Closing) => {
                 session.version = revision;
                 session.enter(sessions::Phase::Ended);
-                self.session_ended(name);
+                self.on_session_ended(name);
             }
             _ => {
                 self.count_version = revision;
@@ -341,7 +351,7 @@
         }
     }
 
-    fn head_committed(&mut self, id: GraphId, revision: Revision) {
+    fn on_head_committed(&mut self, id: GraphId, revision: Revision) {
         let Some(open_graph) = self.graphs.get_mut(&id) else { return };
         open_graph.version = revision;
         let tickets = std::mem::take(&mut open_graph.tickets);
@@ -363,14 +373,15 @@
         tickets.into_iter().for_each(|ticket| self.reply(ticket, reply.clone()));
     }
 
-    fn addition_committed(&mut self, id: GraphId) {
+    fn on_addition_committed(&mut self, id: GraphId) {
         let Some(open_graph) = self.graphs.get_mut(&id) else { return };
         let Some(pending_addition) = open_graph.pending_addition.take() else { return };
         let mut bytes = pending_addition.prepared.bytes;
         for page in &pending_addition.prepared.pages {
             // Fails only if the model changed since the addition was prepared.
             if open_graph.model.apply(page, std::mem::take(&mut bytes)).is_err() {
-                return self.stop(id, EndReason::Damaged("an addition does not fit".into()));
+                return self
+                    .stop(id, EndReason::Damaged("an addition does not match the graph".into()));
             }
         }
         open_graph.paths_stale = true;
@@ -380,12 +391,12 @@
         self.reply(pending_addition.ticket, HttpReply::json(200, &view));
     }
 
-    fn launch_committed(&mut self, id: GraphId, seq: JobSeq, revision: Revision) {
+    fn on_launch_committed(&mut self, id: GraphId, seq: JobSeq, revision: Revision) {
         let Some(launch) = self.queue.launches.remove(&(id, seq)) else { return };
         let Some(open_graph) = self.graphs.get_mut(&id) else { return };
         // The job may have ended already if the outcome of the write was unknown for a while.
         let Some((part, _)) = open_graph.jobs.get(&seq).cloned() else { return };
-        let cancelled = open_graph.job_open(seq, &part, &[]);
+        let cancelled = open_graph.mark_job_open(seq, &part, &[]);
         self.effects.push(Effect::Admit(Box::new(launch), revision));
         if cancelled {
             self.effects.push(Effect::Cancel(id.job(seq)));
@@ -393,7 +404,7 @@
         self.update_graph(id);
     }
 
-    fn graph_finished(&mut self, id: GraphId) {
+    fn on_graph_finished(&mut self, id: GraphId) {
         let Some(open_graph) = self.remove_graph(id) else { return };
         if let Phase::Ending(reason) = &open_graph.phase {
             self.cache_final_record(id, open_graph.final_record(reason));
@@ -403,7 +414,7 @@
 
     /// Queues the items of a transaction again that was refused and certainly not applied.
     pub fn refused(&mut self, written: Vec<WriteOutcome>) {
-        written.into_iter().rev().for_each(|write| self.queue.put_back(write.item));
+        written.into_iter().rev().for_each(|outcome| self.queue.put_back(outcome.item));
     }
 
     /// Queues an item again, at the front, after the service refused it on its own.
@@ -411,8 +422,8 @@
         self.queue.put_back(item);
     }
 
-    /// The keys to read to determine whether an item with an unknown outcome was written. If there are none, the item is
-    /// written again unchanged. `live_key` and `final_key` give the keys of a job's records.
+    /// The keys to read in order to determine whether an item with an unknown outcome was written. If there are none,
+    /// the item is written again unchanged. `live_key` and `final_key` give the keys of a job's records.
     pub fn keys_to_resolve(
         &self,
         written: &WriteOutcome,
@@ -452,12 +463,12 @@
                     serde_json::from_value::<SessionRecord>(row.value.clone()).ok()
                 });
                 let Some(session) = self.sessions.get_mut(name) else { return };
-                let durable = match written.session {
+                let is_durable = match written.session {
                     Some(sessions::Phase::Ended) => row(0).is_none(),
                     _ => found.as_ref() == Some(&session.record),
                 };
-                if durable {
-                    self.session_committed(name, written.session, version(0));
+                if is_durable {
+                    self.on_session_committed(name, written.session, version(0));
                     self.count_version = version(1);
                 } else {
                     session.version = version(0);
@@ -469,9 +480,9 @@
                     .and_then(|row| serde_json::from_value::<GraphHead>(row.value.clone()).ok());
                 let Some(open_graph) = self.graphs.get_mut(id) else { return };
                 if found.as_ref() == Some(&open_graph.head) {
-                    self.head_committed(*id, version(0));
+                    self.on_head_committed(*id, version(0));
                 } else if let Some(final_row) = row(1) {
-                    self.graph_already_finished(*id, &final_row.value);
+                    self.answer_finished_graph(*id, &final_row.value);
                 } else {
                     open_graph.version = version(0);
                     self.queue.put_back(written.item);
@@ -485,16 +496,19 @@
                 let first = pending_addition
                     .and_then(|pending_addition| pending_addition.prepared.pages.first().cloned());
                 match page {
-                    Some(page) if page == first => self.addition_committed(*id),
-                    Some(_) => {
-                        self.stop(*id, EndReason::Damaged("a page that nobody added".into()))
-                    }
+                    Some(page) if page == first => self.on_addition_committed(*id),
+                    Some(_) => self.stop(
+                        *id,
+                        EndReason::Damaged(
+                            "a stored page differs from the pending addition".into(),
+                        ),
+                    ),
                     None => self.queue.put_back(written.item),
                 }
             }
             GraphWrite::Launch(id, seq) => match (row(0), row(1)) {
                 (Some(live_row), _) if self.is_same_launch(*id, *seq, nodes(&live_row.value)) => {
-                    self.launch_committed(*id, *seq, live_row.version)
+                    self.on_launch_committed(*id, *seq, live_row.version)
                 }
                 // The job was accepted and has ended; its end is reported separately.
                 (_, Some(final_row)) if self.is_same_launch(*id, *seq, nodes(&final_row.value)) => {
@@ -506,12 +520,12 @@
                     self.queue.launches.remove(&(*id, *seq));
                     if let Some(open_graph) = self.graphs.get_mut(id) {
                         open_graph.requeue_job(*seq);
-                        self.open_jobs = self.open_jobs.saturating_sub(1);
+                        self.open_job_count = self.open_job_count.saturating_sub(1);
                     }
                     self.update_graph(*id);
                 }
             },
-            GraphWrite::FinalRecord(id) if row(0).is_some() => self.graph_finished(*id),
+            GraphWrite::FinalRecord(id) if row(0).is_some() => self.on_graph_finished(*id),
             GraphWrite::FinalPage(..) | GraphWrite::FinalRecord(_) | GraphWrite::DeletePage(..) => {
                 self.queue.put_back(written.item)
             }
@@ -524,8 +538,8 @@
         launch.is_some_and(|launch| nodes.as_ref() == Some(&launch.part.nodes))
     }
 
-    /// Answers the creation of a graph that has finished already.
-    fn graph_already_finished(&mut self, id: GraphId, value: &Value) {
+    /// Answers the repeated creation of a graph that has finished already, and removes the graph.
+    fn answer_finished_graph(&mut self, id: GraphId, value: &Value) {
         let record = serde_json::from_value::<crate::records::FinalRecord>(value.clone()).ok();
         let Some(open_graph) = self.remove_graph(id) else { return };
         let reply = match record {
--- a/crates/graph/tests/damaged.rs
+++ b/crates/graph/tests/damaged.rs
@@ -35,7 +35,7 @@
     .expect("an addition")
 }
 
-fn graph(number: u64) -> GraphId {
+fn graph_id(number: u64) -> GraphId {
     GraphId::parse(&format!("graph-{number}")).expect("an id")
 }
 
@@ -57,11 +57,11 @@
             wall_ms: 1_000,
             cancelled: false,
         };
-        rows.insert(head_key(graph(number)), json!(head));
+        rows.insert(head_key(graph_id(number)), json!(head));
         let pages =
             Model::default().prepare(&addition("n"), 7, RECORD_SPACE).expect("a graph").pages;
         for (page, value) in pages.iter().enumerate() {
-            rows.insert(page_key(graph(number), page as u32), json!(value));
+            rows.insert(page_key(graph_id(number), page as u32), json!(value));
         }
     }
     rows
@@ -97,20 +97,25 @@
     matching.map(row).collect()
 }
 
-/// Loads the stored records as a new leader does; `ended` are the final states of jobs.
-fn load(stored_records: &BTreeMap<String, Value>, ended: Vec<FinishedJob>) -> GraphTable {
+/// Loads the stored records as a new leader does; `finished` are the final states of jobs.
+fn load(stored_records: &BTreeMap<String, Value>, finished: Vec<FinishedJob>) -> GraphTable {
     let now = Now { mono: Mono(50_000), wall_ms: 60_000 };
     let mut table = GraphTable::new(Limits::default(), Token(9), RECORD_SPACE, now.mono);
-    let mut ended = Some(ended);
+    let mut finished = Some(finished);
     while let Some(read) = table.next_read() {
         match read {
-            LoadRead::Key(_) => table.read_count(Revision(2)),
+            LoadRead::Key(_) => table.load_session_count(Revision(2)),
             LoadRead::List { prefix, .. } => {
                 assert!(prefix == SESSIONS_PREFIX || prefix == OPEN_GRAPHS_PREFIX);
-                table.read_rows(rows(stored_records, &prefix), false, now);
+                table.load_rows(rows(stored_records, &prefix), false, now);
             }
-            LoadRead::Ended { .. } => {
-                table.read_ended(ended.take().unwrap_or_default(), None, &|_| Vec::new(), now.mono);
+            LoadRead::FinishedJobs { .. } => {
+                table.load_finished_jobs(
+                    finished.take().unwrap_or_default(),
+                    None,
+                    &|_| Vec::new(),
+                    now.mono,
+                );
             }
         }
     }
@@ -150,42 +155,42 @@
 #[test]
 fn damaged_records_end_only_their_graph() {
     let mut rng = ChaCha8Rng::seed_from_u64(11);
-    let (mut ended_alone, mut unaffected) = (0, 0);
+    let (mut stopped_count, mut continued_count) = (0, 0);
     for _ in 0..1_500 {
         let mut records = stored_records();
         let keys: Vec<String> =
-            records.keys().filter(|key| key.contains(&graph(1).digits())).cloned().collect();
+            records.keys().filter(|key| key.contains(&graph_id(1).digits())).cloned().collect();
         let key = &keys[rng.random_range(0..keys.len())];
         let damaged = damage(&records[key], &mut rng);
         records.insert(key.clone(), damaged);
         let mut table = load(&records, Vec::new());
-        let is_stopped = table.graph(graph(1)).is_some_and(|open_graph| {
+        let is_stopped = table.graph(graph_id(1)).is_some_and(|open_graph| {
             matches!(
                 &open_graph.phase,
                 Phase::Stopping(EndReason::Damaged(_)) | Phase::Ending(EndReason::Damaged(_))
             )
         });
         let written = write_all(&mut table);
-        let final_record = &written[&final_graph_key(graph(2))];
+        let final_record = &written[&final_graph_key(graph_id(2))];
         assert_eq!(
             (&final_record["s"], &final_record["n"]),
             (&json!("done"), &json!(5)),
             "{key}: the undamaged graph must finish"
         );
         if is_stopped {
-            ended_alone += 1;
-            let final_record = &written[&final_graph_key(graph(1))];
+            stopped_count += 1;
+            let final_record = &written[&final_graph_key(graph_id(1))];
             assert_eq!(final_record["s"], json!("cancelled"));
             assert!(
                 final_record["w"].as_str().is_some_and(|reason| reason.contains("damaged")),
                 "{final_record}"
             );
         } else {
-            unaffected += 1;
+            continued_count += 1;
         }
     }
-    println!("{ended_alone} graphs ended by damage, {unaffected} continued");
-    assert!(ended_alone > 500 && unaffected > 100);
+    println!("{stopped_count} graphs ended by damage, {continued_count} continued");
+    assert!(stopped_count > 500 && continued_count > 100);
 }
 
 #[test]
@@ -197,14 +202,19 @@
         let read = serde_json::from_value::<GraphPartEnd>(damage(&end, &mut rng));
         let status =
             [JobStatus::Done, JobStatus::Failed, JobStatus::Cancelled][rng.random_range(0..3)];
-        let ended =
-            read.map(|end| FinishedJob { id: graph(1).job(JobSeq(4)), end, status, failure: None });
+        let ended = read.map(|end| FinishedJob {
+            id: graph_id(1).job(JobSeq(4)),
+            end,
+            status,
+            failure: None,
+        });
         let mut table = load(&stored_records(), ended.into_iter().collect());
-        let context = RequestContext { rejection: &|_| None, team_exists: &|_| true };
+        let context = RequestContext { find_rejection: &|_| None, team_exists: &|_| true };
         if let Ok(add) = serde_json::from_value::<AddNodes>(damage(&add, &mut rng)) {
             let is_valid = check(&add).is_ok();
             let now = Now { mono: Mono(50_500), wall_ms: 60_500 };
-            let outcome = table.handle_request(now, 1, &GraphRequest::Add(graph(2), add), &context);
+            let outcome =
+                table.handle_request(now, 1, &GraphRequest::Add(graph_id(2), add), &context);
             // The graph is sealed, so every addition must be rejected.
             let RequestOutcome::Reply(reply) = outcome else { panic!("the reply was deferred") };
             assert!(
@@ -218,7 +228,7 @@
         let now = Now { mono: Mono(50_600), wall_ms: 60_600 };
         let range = GetGraph { after: "9.99999999999".into(), max_nodes: 3 };
         if let RequestOutcome::Reply(reply) =
-            table.handle_request(now, 1, &GraphRequest::GetGraph(graph(1), range), &context)
+            table.handle_request(now, 1, &GraphRequest::GetGraph(graph_id(1), range), &context)
         {
             let view: GraphView = serde_json::from_str(&reply.body).expect("a view");
             assert!(view.changed.len() <= 3);
--- a/crates/graph/tests/scale.rs
+++ b/crates/graph/tests/scale.rs
@@ -1,5 +1,5 @@
-//! Large graphs in the graph crate alone. Measures decision time, memory and state service changes per node, and compares
-//! launching by longest remaining path with launching in the order of addition. Small in CI; to measure, run
+//! Large graphs in the graph crate alone. Measures decision time, memory and state service changes per node, and
+//! compares launching by longest remaining path with launching in the order of addition. Small in CI; to measure, run
 //! `OATLOOM_NODES=100000 cargo test --release -p oatloom-graph --test scale -- --nocapture --test-threads 1`.
 
 use oatloom_graph::graph_table::{
@@ -78,9 +78,9 @@
             RecordSpace { value_bytes: MAX_VALUE_BYTES, value_count: MAX_TXN_CHANGE_COUNT - 2 };
         let mut table = GraphTable::new(limits, Token(1), record_space, Mono(0)).with_order(order);
         let now = Now { mono: Mono(0), wall_ms: 0 };
-        table.read_count(Revision(0));
-        table.read_rows(Vec::new(), false, now);
-        table.read_rows(Vec::new(), false, now);
+        table.load_session_count(Revision(0));
+        table.load_rows(Vec::new(), false, now);
+        table.load_rows(Vec::new(), false, now);
         assert!(table.is_ready());
         let mut harness = Self {
             table,
@@ -103,7 +103,7 @@
             owner: "red".into(),
             ttl_s: 86_400.0,
         };
-        assert_eq!(harness.ask(GraphRequest::Open(open_session)), 201);
+        assert_eq!(harness.send_request(GraphRequest::Open(open_session)), 201);
         harness
     }
 
@@ -112,8 +112,8 @@
     }
 
     /// Sends a request, and commits a transaction if the reply is deferred. Returns the HTTP status.
-    fn ask(&mut self, request: GraphRequest) -> u16 {
-        let context = RequestContext { rejection: &accept_all, team_exists: &|_| true };
+    fn send_request(&mut self, request: GraphRequest) -> u16 {
+        let context = RequestContext { find_rejection: &accept_all, team_exists: &|_| true };
         match self.table.handle_request(self.now(), 7, &request, &context) {
             RequestOutcome::Reply(reply) => reply.status,
             RequestOutcome::Deferred => {
@@ -142,7 +142,7 @@
             on_failure: OnFailure::CancelRest,
             detached: false,
         };
-        assert_eq!(self.ask(GraphRequest::Create(create)), 201);
+        assert_eq!(self.send_request(GraphRequest::Create(create)), 201);
         graph
     }
 
@@ -164,7 +164,7 @@
                     "mid": {"num_cpus": 1.0, "expectS": 7.0},
                     "long": {"num_cpus": 1.0, "expectS": 30.0}}}))
                 .expect("an addition");
-            assert_eq!(self.ask(GraphRequest::Add(graph, add)), 200);
+            assert_eq!(self.send_request(GraphRequest::Add(graph, add)), 200);
         }
     }
 
@@ -341,7 +341,7 @@
                     json!({"key": KEY, "addition": format!("g-{n}"), "nodes": rows, "seal": seal}),
                 )
                 .expect("an addition");
-                assert_eq!(harness.ask(GraphRequest::Add(graph, add)), 200);
+                assert_eq!(harness.send_request(GraphRequest::Add(graph, add)), 200);
             }
         } else {
             harness.add(graph, part, false);
