--- a/crates/ctl/src/constants.rs
+++ b/crates/ctl/src/constants.rs
@@ -13,7 +13,8 @@
 
 // --- Task graphs ----------------------------------------------------------------
 
-/// Lifetime of a command line session without a heartbeat: long enough for a change of the leader, and little more.
+/// Time without a heartbeat after which a command line session expires: slightly longer than a change of the leader
+/// takes.
 pub const SESSION_TTL_S: f64 = 30.0;
 /// Maximum number of rows of a graph plan that are printed without `--all`.
 pub const MAX_PLAN_ROWS: usize = 40;
@@ -28,9 +29,9 @@
 pub const START_TIMEOUT_MS: Millis = Millis(10_000);
 /// Attempts to start a region on free ports: another program may take a port before it is bound.
 pub const MAX_START_ATTEMPTS: u32 = 4;
-/// Delay before a program that ended is restarted, and its maximum: the delay doubles while the program ends
-/// soon after its start.
+/// Delay before a program that ended is restarted. It doubles each time the program ends soon after its start.
 pub const MIN_RESTART_DELAY_MS: Millis = Millis(500);
+/// Maximum of that delay.
 pub const MAX_RESTART_DELAY_MS: Millis = Millis(10_000);
 /// A program that ran this long is stable: its restart delay is reset.
 pub const MIN_STABLE_UPTIME_MS: Millis = Millis(5_000);
@@ -41,26 +42,35 @@
 
 // --- Suite --------------------------------------------------------------------
 
-/// Number of jobs of a full and of a quick run.
+/// Number of jobs of a full run.
 pub const JOB_COUNT: u64 = 60;
+/// Number of jobs of a quick run.
 pub const QUICK_JOB_COUNT: u64 = 24;
-/// How long faults are injected.
+/// How long faults are injected in a full run.
 pub const FAULT_PHASE_MS: u64 = 120_000;
+/// How long faults are injected in a quick run.
 pub const QUICK_FAULT_PHASE_MS: u64 = 16_000;
-/// How long all jobs may take to finish after the last fault: a silent machine has to be proven gone, and lost
-/// tasks run again.
+/// How long all jobs may take to finish after the last fault of a full run: a machine that stopped reporting has to
+/// be proven gone, and lost tasks run again.
 pub const RECOVERY_PHASE_MS: u64 = 60_000;
+/// The same for a quick run.
 pub const QUICK_RECOVERY_PHASE_MS: u64 = 26_000;
-/// Number of faults of a full and of a quick run in the scenario `mixed`.
+/// Number of faults of a full run in the scenario `mixed`.
 pub const FAULT_COUNT: u64 = 24;
+/// Number of faults of a quick run in the scenario `mixed`.
 pub const QUICK_FAULT_COUNT: u64 = 8;
-/// Operator settings of the controllers, and the same retry limits for the checker: class, retries.
-pub const OPERATOR_SETTINGS: &str = "((classes (class (name \"quick\") (repeats 2))\n (class (name \"slow\") (repeats 1) (on-exhausted finish-rest)))\n (ledger . #t) (ledger-every-ms . 1000))\n";
+/// Operator settings of the controllers.
+pub const OPERATOR_SETTINGS: &str = "((classes (class (name \"quick\") (repeats 2))\n \
+    (class (name \"slow\") (repeats 1) (on-exhausted finish-rest)))\n \
+    (ledger . #t) (ledger-every-ms . 1000))\n";
+/// The retry limits in [`OPERATOR_SETTINGS`], for the checker: class, retries.
 pub const MAX_RETRIES_BY_CLASS: [(&str, u32); 2] = [("quick", 2), ("slow", 1)];
-/// How long the recorded usage may take to settle after all jobs finished, how often it is polled, and for how many
-/// polls it must stay the same: longer than the interval at which the controllers record finished attempts.
+/// How long the recorded usage may take to stop changing after all jobs finished.
 pub const USAGE_SETTLE_TIMEOUT_MS: u64 = 6_000;
+/// Interval at which the recorded usage is polled meanwhile.
 pub const USAGE_POLL_INTERVAL_MS: u64 = 250;
+/// For how many polls the recorded usage must stay the same: together longer than the interval at which the
+/// controllers record finished attempts.
 pub const USAGE_STABLE_POLL_COUNT: u32 = 6;
 /// One job in this many fails by itself, without an injected fault.
 pub const FAILING_JOB_INTERVAL: u64 = 8;
@@ -68,8 +78,7 @@
 pub const REQUEST_STORM_FACTOR: u64 = 8;
 /// Shortest and longest interval between the polls of a user.
 pub const USER_POLL_INTERVAL_RANGE_MS: (u64, u64) = (400, 1_200);
-/// A machine that is not up after this many usual boot times plus a lease must be returned
-/// (docs/operations.md).
+/// A machine that is not up after this many usual boot times plus a lease must be returned (docs/operations.md).
 pub const UNSEEN_MACHINE_BOOT_FACTOR: f64 = 4.0;
 /// Time allowed for that return: a leader elected just before waits for some reports before it judges a machine,
 /// and a refused call is retried after a delay.
--- a/crates/ctl/src/graphs.rs
+++ b/crates/ctl/src/graphs.rs
@@ -25,9 +25,11 @@
     /// Id of the graph; an unused one is drawn if left out.
     #[serde(default)]
     pub graph: Option<GraphId>,
+    /// The team to which the graph is charged.
     pub owner: String,
+    /// Job class of the graph's jobs.
     pub jobclass: String,
-    #[serde(default = "standard")]
+    #[serde(default = "default_rank")]
     pub rank: Rank,
     #[serde(rename = "dueS", default)]
     pub due_s: Option<f64>,
@@ -37,7 +39,7 @@
     pub nodes: Vec<NewNode>,
 }
 
-fn standard() -> Rank {
+fn default_rank() -> Rank {
     Rank::Standard
 }
 
@@ -99,12 +101,12 @@
 }
 
 fn parse_graph_id(id: &str) -> Result<GraphId, GraphCommandError> {
-    let invalid_id = || {
+    let make_error = || {
         GraphCommandError::InvalidInput(format!(
             "{id}: not a graph id; an id is `graph-` and up to ten digits"
         ))
     };
-    GraphId::parse(id).ok_or_else(invalid_id)
+    GraphId::parse(id).ok_or_else(make_error)
 }
 
 /// Reads and checks a graph file.
@@ -113,12 +115,13 @@
 /// The file cannot be read, is not JSON, or has a value that is invalid on its own.
 pub fn read_graph_file(path: &Path) -> Result<GraphFile, GraphCommandError> {
     let file: GraphFile = read_json(path).map_err(GraphCommandError::InvalidInput)?;
-    check(&as_addition(&file))
+    check(&to_add_nodes(&file))
         .map_err(|e| GraphCommandError::InvalidInput(format!("{}: {e}", path.display())))?;
     Ok(file)
 }
 
-fn as_addition(file: &GraphFile) -> AddNodes {
+/// The whole file as one request that adds nodes, to check and order its nodes without sending them.
+fn to_add_nodes(file: &GraphFile) -> AddNodes {
     AddNodes {
         key: "not-a-key".into(),
         addition: "file".into(),
@@ -128,15 +131,15 @@
     }
 }
 
-/// The nodes of a file in an order in which inputs come first.
+/// Builds a model of the file's nodes, ordered so that inputs come first.
 fn build_model(file: &GraphFile) -> Result<Model, GraphCommandError> {
     // The model is only shown and never stored, so the size limits of stored values do not apply.
-    let room = RecordSpace { value_bytes: usize::MAX / 4, value_count: usize::MAX };
+    let space = RecordSpace { value_bytes: usize::MAX / 4, value_count: usize::MAX };
     let mut model = Model::default();
-    let refused = |text: String| GraphCommandError::InvalidInput(text);
-    let prepared = model.prepare(&as_addition(file), 0, room).map_err(|e| refused(e.1))?;
+    let to_input_error = |text: String| GraphCommandError::InvalidInput(text);
+    let prepared = model.prepare(&to_add_nodes(file), 0, space).map_err(|e| to_input_error(e.1))?;
     for page in &prepared.pages {
-        model.apply(page, 0).map_err(|e| refused(e.to_string()))?;
+        model.apply(page, 0).map_err(|e| to_input_error(e.to_string()))?;
     }
     Ok(model)
 }
@@ -153,11 +156,11 @@
     let mut rows = Vec::new();
     for index in (0..model.len()).map(NodeId) {
         let Some(node) = model.node(index) else { continue };
-        let finish_time = |input: NodeId| {
+        let compute_finish_time = |input: NodeId| {
             let node = model.node(input)?;
             Some(start_times[input.0 as usize] + run_time_s(model.kind_of(node), 1.0))
         };
-        let start = model.needs(index).filter_map(finish_time).fold(0.0, f64::max);
+        let start = model.needs(index).filter_map(compute_finish_time).fold(0.0, f64::max);
         let remaining_path_s = f64::from(node.path_s);
         let is_critical =
             start + remaining_path_s >= critical_path_s - 1e-3 && !model.kind_of(node).is_actor();
@@ -166,9 +169,9 @@
     }
     let mut table = Table::new();
     table.load_preset(NOTHING).set_header(["", "node", "kind", "tasks", "start s", "path s"]);
-    let shown = rows.iter().filter(|row| all || row.0 || rows.len() <= MAX_PLAN_ROWS);
+    let shown_rows = rows.iter().filter(|row| all || row.0 || rows.len() <= MAX_PLAN_ROWS);
     for (is_critical, start, node, remaining_path_s) in
-        shown.take(if all { usize::MAX } else { MAX_PLAN_ROWS })
+        shown_rows.take(if all { usize::MAX } else { MAX_PLAN_ROWS })
     {
         table.add_row([
             if *is_critical { "*".to_owned() } else { String::new() },
@@ -181,15 +184,16 @@
     }
     let total_task_s: f64 = rows
         .iter()
-        .map(|(_, _, n, _)| run_time_s(model.kind_of(n), 1.0) * f64::from(n.shards))
+        .map(|(_, _, node, _)| run_time_s(model.kind_of(node), 1.0) * f64::from(node.shards))
         .sum();
     Ok(format!(
-        "{table}\n{} nodes, {total_task_s:.0} s of tasks; the critical path (*) takes {critical_path_s:.0} s, without boots and fetches",
+        "{table}\n{} nodes, {total_task_s:.0} s of tasks; the critical path (*) takes {critical_path_s:.0} s, \
+         without boots and fetches",
         model.len()
     ))
 }
 
-fn status_line(view: &GraphView) -> String {
+fn format_status(view: &GraphView) -> String {
     let status = serde_json::json!(view.status);
     let mut text = format!(
         "{}: {} ({} of {} nodes done, {} started, {} failed, {} cancelled, {} skipped)",
@@ -215,10 +219,11 @@
     text
 }
 
+/// Prints the status of a graph and returns the exit code.
 fn print_status(view: &GraphView, json: bool) -> u8 {
     match json {
         true => println!("{}", serde_json::json!(view)),
-        false => println!("{}", status_line(view)),
+        false => println!("{}", format_status(view)),
     }
     match view.status {
         GraphStatus::Failed | GraphStatus::Cancelled => exit::FAILURE,
@@ -226,7 +231,8 @@
     }
 }
 
-fn follow(mut watch: Watch, json: bool) -> Result<u8, GraphCommandError> {
+/// Prints each status change of a graph's nodes and its final status; returns the exit code.
+fn print_until_final(mut watch: Watch, json: bool) -> Result<u8, GraphCommandError> {
     let print_node = |node: &NodeView| {
         if json {
             println!("{}", serde_json::json!(node));
@@ -253,30 +259,30 @@
     let id = file.graph.map_or_else(|| parse_graph_id(&random_id), Ok)?;
     let session_name = format!("ctl-{:016x}", rng.random::<u64>());
     let session = Session::open(controllers, &session_name, &key, &file.owner, SESSION_TTL_S)?;
-    let plan = GraphOptions {
+    let options = GraphOptions {
         class: file.jobclass.clone(),
         rank: file.rank,
         due_s: file.due_s,
         on_failure: file.on_failure,
         detached: !wait,
     };
-    let mut graph = session.create_graph(id, &plan)?;
+    let mut graph = session.create_graph(id, &options)?;
     for (name, spec) in &file.kinds {
         graph.define_kind(name, spec.clone());
     }
     // Inputs have to be added before the nodes that use them, whatever the order in the file.
     let model = build_model(file)?;
-    let by_name: BTreeMap<&str, &NewNode> =
+    let nodes_by_name: BTreeMap<&str, &NewNode> =
         file.nodes.iter().map(|node| (node.name.as_str(), node)).collect();
     for index in (0..model.len()).map(NodeId) {
-        let node = model.node(index).and_then(|node| by_name.get(&*node.name));
+        let node = model.node(index).and_then(|node| nodes_by_name.get(&*node.name));
         if let Some(node) = node {
             graph.add((*node).clone())?;
         }
     }
     let view = graph.send(true)?;
     let status = if wait {
-        follow(graph.watch(), json)?
+        print_until_final(graph.watch(), json)?
     } else {
         print_status(&view, json);
         eprintln!("oatloomctl: the graph runs without this program; cancel it with --key {key}");
@@ -301,7 +307,7 @@
             Ok(print_status(&watch.poll()?, json))
         }
         Command::Watch { id, after } => {
-            follow(Watch::new(controllers, parse_graph_id(id)?, after.clone()), json)
+            print_until_final(Watch::new(controllers, parse_graph_id(id)?, after.clone()), json)
         }
         Command::Cancel { id, key } => {
             let view = graphs::cancel(&mut controllers, parse_graph_id(id)?, key)?;
--- a/crates/ctl/src/jobs.rs
+++ b/crates/ctl/src/jobs.rs
@@ -86,8 +86,9 @@
 }
 
 impl JobOptions {
-    /// The job that the options describe, with an id made from `number` if none was given; `None` without a shape.
-    pub fn spec(&self, number: u64) -> Option<JobSpec> {
+    /// Builds the job that the options describe, with an id made from `number` if none was given; `None` without a
+    /// shape.
+    pub fn build_spec(&self, number: u64) -> Option<JobSpec> {
         let shape = match self.shape? {
             ShapeArg::Array => Shape::Array,
             ShapeArg::Gang => Shape::Gang,
@@ -145,7 +146,7 @@
     Ok(spec)
 }
 
-/// Prints the result of a request and returns the exit code.
+/// Prints the result of a request, errors on standard error unless `json` is set, and returns the exit code.
 fn print_result(id: &JobId, result: &JobResponse, json: bool) -> u8 {
     let (text, value, exit_code) = match result {
         JobResponse::View(view) => {
@@ -192,7 +193,7 @@
 }
 
 /// Sends a request, with retries until [`REQUEST_RETRY_TIMEOUT_MS`] has passed, and prints the result.
-pub fn ask(controllers: &mut Controllers, request: &JobRequest, json: bool) -> u8 {
+pub fn send_request(controllers: &mut Controllers, request: &JobRequest, json: bool) -> u8 {
     let result = controllers.request_with_retry(request, REQUEST_RETRY_TIMEOUT_MS);
     print_result(request.id(), &result, json)
 }
--- a/crates/ctl/src/launch.rs
+++ b/crates/ctl/src/launch.rs
@@ -1,5 +1,6 @@
 //! A whole region as processes and threads of this machine: the state service, the emulated cloud with its
-//! workers, fault-injecting proxies (gates) before both, and three controllers. Programs that end are restarted.
+//! workers, fault-injecting proxies between these and three controllers, and the controllers. Programs that end are
+//! restarted.
 
 use crate::constants::*;
 use crate::settings::{Addresses, LocalSettings, ZONES, controller_name};
@@ -27,19 +28,20 @@
     #[error("{path}: {cause}")]
     File { path: PathBuf, cause: std::io::Error },
     #[error(
-        "{program} does not exist; it must be in the directory of oatloomctl: build it with `cargo build --release --workspace`"
+        "{program} does not exist; it must be in the directory of oatloomctl: \
+         build it with `cargo build --release --workspace`"
     )]
-    Program { program: PathBuf },
+    MissingProgram { program: PathBuf },
     #[error("{program} cannot be started: {cause}")]
     Process { program: PathBuf, cause: std::io::Error },
     #[error("{program} ended during its start with {status}; see its log {log}")]
     Ended { program: PathBuf, status: ExitStatus, log: PathBuf },
     #[error("{program} does not answer at {address} within {} s; see its log {log}", START_TIMEOUT_MS.0 / 1000)]
-    Silent { program: PathBuf, address: String, log: PathBuf },
+    StartTimeout { program: PathBuf, address: String, log: PathBuf },
     #[error("port {port} is in use; another region may be running")]
-    Port { port: u16 },
+    PortInUse { port: u16 },
     #[error("no free port: {0}")]
-    NoPort(std::io::Error),
+    NoFreePort(std::io::Error),
     #[error(transparent)]
     Start(#[from] StartError),
 }
@@ -123,7 +125,7 @@
     }
 
     /// Whether it is not running and its restart time has come.
-    fn is_due(&self) -> bool {
+    fn is_restart_due(&self) -> bool {
         self.child.is_none() && Instant::now() >= self.next_start
     }
 
@@ -140,7 +142,8 @@
         }
     }
 
-    /// Kills the process. It is restarted after the given delay (0: at once), or after its own restart delay.
+    /// Kills the process. It is restarted after `requested_delay` (0: at once), or without one after its own
+    /// restart delay.
     fn crash(&mut self, requested_delay: Option<Millis>) {
         if self.child.is_none() {
             // Already ended: the requested delay must not apply to its next end.
@@ -168,9 +171,11 @@
 
 /// A running region.
 pub struct RunningRegion {
+    /// The emulated cloud and its workers.
     pub emulator: Arc<Emulator>,
     /// Addresses of the controllers for users.
     pub controllers: Vec<String>,
+    /// The settings that the region was started with.
     pub local: LocalSettings,
     state: SupervisedProcess,
     controller_processes: Vec<SupervisedProcess>,
@@ -178,32 +183,33 @@
     pub misconfigured: Option<usize>,
 }
 
-fn free_port() -> Result<u16, LaunchError> {
-    let listener = TcpListener::bind("127.0.0.1:0").map_err(LaunchError::NoPort)?;
-    listener.local_addr().map(|a| a.port()).map_err(LaunchError::NoPort)
+fn find_free_port() -> Result<u16, LaunchError> {
+    let listener = TcpListener::bind("127.0.0.1:0").map_err(LaunchError::NoFreePort)?;
+    listener.local_addr().map(|a| a.port()).map_err(LaunchError::NoFreePort)
 }
 
 /// Consecutive ports from `first`, each of which must be free; any free ports if `first` is 0.
-fn free_ports(first: u16, count: u16) -> Result<Vec<u16>, LaunchError> {
+fn find_free_ports(first: u16, count: u16) -> Result<Vec<u16>, LaunchError> {
     (0..count)
         .map(|n| {
             if first == 0 {
-                return free_port();
+                return find_free_port();
             }
             let port = first + n;
-            TcpListener::bind(("127.0.0.1", port)).map_err(|_| LaunchError::Port { port })?;
+            TcpListener::bind(("127.0.0.1", port)).map_err(|_| LaunchError::PortInUse { port })?;
             Ok(port)
         })
         .collect()
 }
 
+/// Finds a program of the workspace beside the running one.
 fn find_program(name: &str) -> Result<PathBuf, LaunchError> {
     let mut directory = std::env::current_exe().unwrap_or_default();
     directory.pop();
     // Test binaries are one directory below the programs.
     let candidates = [directory.join(name), directory.join("..").join(name)];
     let program = candidates.iter().find(|path| path.is_file()).cloned();
-    program.ok_or_else(|| LaunchError::Program { program: directory.join(name) })
+    program.ok_or_else(|| LaunchError::MissingProgram { program: directory.join(name) })
 }
 
 fn write_file(path: &Path, text: &str) -> Result<(), LaunchError> {
@@ -241,9 +247,9 @@
     ) -> Result<Self, LaunchError> {
         std::fs::create_dir_all(data)
             .map_err(|cause| LaunchError::File { path: data.into(), cause })?;
-        let serve_ports = free_ports(local.port, CONTROLLER_COUNT as u16)?;
-        let loopback = |port: &u16| format!("127.0.0.1:{port}");
-        let state_address = loopback(&free_port()?);
+        let serve_ports = find_free_ports(local.port, CONTROLLER_COUNT as u16)?;
+        let to_loopback_address = |port: &u16| format!("127.0.0.1:{port}");
+        let state_address = to_loopback_address(&find_free_port()?);
         let (state_directory, state_file) = (data.join("state"), data.join("state.lisp"));
         write_file(&state_file, &local.state_settings())?;
         let arguments = [
@@ -268,20 +274,24 @@
             faults: Arc::new(Mutex::new(FaultSet::default())),
             start: Instant::now(),
         };
-        let controllers: Vec<String> = serve_ports.iter().map(loopback).collect();
+        let controllers: Vec<String> = serve_ports.iter().map(to_loopback_address).collect();
         let nodes: Vec<Node> = controllers
             .iter()
             .zip(ZONES)
             .map(|(address, zone)| Node { address: address.clone(), zone: Zone::new(zone) })
             .collect();
         let mesh_addresses: Vec<String> = (0..CONTROLLER_COUNT)
-            .map(|_| free_port().map(|port| loopback(&port)))
+            .map(|_| find_free_port().map(|port| to_loopback_address(&port)))
             .collect::<Result<_, _>>()?;
-        let (emulator, cloud) =
-            Emulator::start(emulated_region(&local, seed), nodes.clone(), 6.0, shared.clone())?;
+        let (emulator, cloud) = Emulator::start(
+            build_emulated_region(&local, seed),
+            nodes.clone(),
+            6.0,
+            shared.clone(),
+        )?;
         let mut addresses = Vec::new();
         for (index, serve) in controllers.iter().enumerate() {
-            let start_gate = |target: &str, service| {
+            let start_proxy = |target: &str, service| {
                 service_proxy::start(target, service, index, seed, &shared)
                     .map(|address| address.to_string())
             };
@@ -294,8 +304,8 @@
                     })
                     .map(|address| address.map(|address| address.to_string()))
                     .collect::<Result<_, _>>()?,
-                state: start_gate(&state_address, Service::State)?,
-                cloud: start_gate(&cloud.to_string(), Service::Cloud)?,
+                state: start_proxy(&state_address, Service::State)?,
+                cloud: start_proxy(&cloud.to_string(), Service::Cloud)?,
             });
         }
         let mut controller_processes = Vec::new();
@@ -334,7 +344,7 @@
             }
         }
         for (index, process) in self.controller_processes.iter_mut().enumerate() {
-            if !process.is_due() {
+            if !process.is_restart_due() {
                 continue;
             }
             let arguments = process.arguments.clone();
@@ -345,21 +355,22 @@
             process.restart();
             process.arguments = arguments;
         }
-        if self.state.is_due() {
+        if self.state.is_restart_due() {
             self.state.restart();
         }
     }
 
-    /// Starts a fault.
-    pub fn inject_fault(&mut self, planned: &ScheduledFault) {
-        tracing::info!("fault: {:?} until {} ms", planned.fault, planned.until);
-        match planned.fault {
+    /// Starts a fault: kills processes itself, and passes every other fault on to the emulator.
+    pub fn inject_fault(&mut self, scheduled: &ScheduledFault) {
+        tracing::info!("fault: {:?} until {} ms", scheduled.fault, scheduled.until);
+        match scheduled.fault {
             Fault::CrashController(index, requested_delay) => {
                 self.controller_processes[index].crash(requested_delay)
             }
-            Fault::CrashAll(requested_delay) => {
-                self.controller_processes.iter_mut().for_each(|node| node.crash(requested_delay))
-            }
+            Fault::CrashAll(requested_delay) => self
+                .controller_processes
+                .iter_mut()
+                .for_each(|process| process.crash(requested_delay)),
             Fault::RestartState => {
                 // Killed rather than shut down, and restarted without a delay.
                 self.state.terminate();
@@ -367,24 +378,24 @@
                     tracing::error!("{e}");
                 }
             }
-            _ => self.emulator.inject(planned),
+            _ => self.emulator.inject(scheduled),
         }
     }
 
-    /// How often each program has ended or was killed.
+    /// How often each program has ended. A [`Fault::RestartState`] is not counted.
     pub fn exit_counts(&self) -> HashMap<String, u32> {
-        let all = self.controller_processes.iter().chain([&self.state]);
-        all.map(|process| (process.name.clone(), process.exit_count)).collect()
+        let processes = self.controller_processes.iter().chain([&self.state]);
+        processes.map(|process| (process.name.clone(), process.exit_count)).collect()
     }
 
     /// Resident memory of the controller that uses most, in bytes.
     pub fn max_controller_memory_bytes(&self) -> u64 {
-        let resident_bytes = |process: &SupervisedProcess| {
+        let read_resident_bytes = |process: &SupervisedProcess| {
             let id = process.child.as_ref()?.id();
             let text = std::fs::read_to_string(format!("/proc/{id}/statm")).ok()?;
             Some(text.split(' ').nth(1)?.parse::<u64>().ok()? * 4096)
         };
-        self.controller_processes.iter().filter_map(resident_bytes).max().unwrap_or(0)
+        self.controller_processes.iter().filter_map(read_resident_bytes).max().unwrap_or(0)
     }
 }
 
@@ -395,11 +406,11 @@
     }
 }
 
-fn emulated_region(local: &LocalSettings, seed: u64) -> Region {
+fn build_emulated_region(local: &LocalSettings, seed: u64) -> Region {
     let to_ms = |s: f64| (s * 1000.0) as u64;
     // Machine names must not be reused, even by a later region with the same state.
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    let terms = CloudConfig {
+    let config = CloudConfig {
         flavors: local.flavors(),
         capacity: local.machines,
         boot_ms: (to_ms(local.boot_s * 0.6), to_ms(local.boot_s * 1.5)),
@@ -419,19 +430,19 @@
         gang_peer_s: local.gang_peer_s,
         cancel_s: local.cancel_s,
     };
-    let limits = local.teams.iter().enumerate();
-    let gpu_limit = |index| Limit::gpus_only(if index == 0 { local.gpus_max } else { 0.0 });
-    let limits = limits.map(|(index, team)| (team.clone(), gpu_limit(index))).collect();
+    let teams = local.teams.iter().enumerate();
+    let make_gpu_limit = |index| Limit::gpus_only(if index == 0 { local.gpus_max } else { 0.0 });
+    let limits = teams.map(|(index, team)| (team.clone(), make_gpu_limit(index))).collect();
     let checker = Checker::new(limits, to_ms(local.cancel_s));
-    Region::new(terms, (&facts).into(), checker, seed)
+    Region::new(config, (&facts).into(), checker, seed)
 }
 
 /// Waits until a started program answers with status 200.
 fn wait_for(process: &mut SupervisedProcess, address: &str, path: &str) -> Result<(), LaunchError> {
-    let caller = HttpClient::new(address, POLL_TIMEOUT_MS, MAX_RESPONSE_BYTES);
+    let client = HttpClient::new(address, POLL_TIMEOUT_MS, MAX_RESPONSE_BYTES);
     let started = Instant::now();
     loop {
-        if caller.get(path).is_some_and(|(status, _)| status == 200) {
+        if client.get(path).is_some_and(|(status, _)| status == 200) {
             return Ok(());
         }
         let (program, log) = (process.program.clone(), process.log.clone());
@@ -439,7 +450,7 @@
             return Err(LaunchError::Ended { program, status, log });
         }
         if started.elapsed() >= Duration::from_millis(START_TIMEOUT_MS.0) {
-            return Err(LaunchError::Silent { program, address: address.to_owned(), log });
+            return Err(LaunchError::StartTimeout { program, address: address.to_owned(), log });
         }
         std::thread::sleep(Duration::from_millis(SUPERVISION_INTERVAL_MS.0));
     }
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -28,8 +28,9 @@
     name = "oatloomctl",
     version,
     about,
-    after_help = "Exit code: 0 success; 1 request refused, unknown id, or not finished as done; 2 invalid arguments or files; \
-3 no controller answered in time. LOG_LEVEL sets the level of the log on standard error."
+    after_help = "Exit code: 0 success; 1 request refused, unknown id, or not finished as done; \
+    2 invalid arguments or files; 3 no controller answered in time. \
+    LOG_LEVEL sets the level of the log on standard error."
 )]
 struct Arguments {
     #[command(subcommand)]
@@ -57,6 +58,7 @@
 }
 
 impl ControllerOptions {
+    /// The addresses given on the command line, or those of a region that `up` started with its default port.
     fn addresses(&self) -> Vec<String> {
         if self.controllers.is_empty() {
             (0..CONTROLLER_COUNT as u16)
@@ -170,6 +172,7 @@
 /// The exit code and message of a failed command.
 struct CommandError(u8, String);
 
+/// An error that ends the program with the exit code for invalid arguments or files.
 fn usage_error(text: impl std::fmt::Display) -> CommandError {
     CommandError(exit::USAGE_ERROR, text.to_string())
 }
@@ -184,7 +187,8 @@
         .ok_or_else(|| usage_error(format!("{id}: not a job id; an id is `req-` and digits")))
 }
 
-fn region_address(region: Option<SocketAddr>) -> String {
+/// The given address, or that of a region that `up` started with its default port.
+fn resolve_region_address(region: Option<SocketAddr>) -> String {
     region.map_or_else(
         || format!("127.0.0.1:{}", FIRST_CONTROLLER_PORT + REGION_PORT_OFFSET),
         |address| address.to_string(),
@@ -209,8 +213,8 @@
         Command::Submit { file, job_options, wait, controllers, region } => {
             let id_number = std::time::SystemTime::now()
                 .duration_since(std::time::UNIX_EPOCH)
-                .map_or(0, |since| since.as_millis() as u64);
-            let spec = match (&file, job_options.spec(id_number)) {
+                .map_or(0, |since_epoch| since_epoch.as_millis() as u64);
+            let spec = match (&file, job_options.build_spec(id_number)) {
                 (Some(path), None) => jobs::read_job(path).map_err(usage_error)?,
                 (None, Some(spec)) => {
                     spec.check().map_err(usage_error)?;
@@ -232,7 +236,7 @@
         }
         Command::Status { id, controllers } => {
             let request = JobRequest::View(parse_job_id(&id)?);
-            Ok(jobs::ask(
+            Ok(jobs::send_request(
                 &mut Controllers::new(&controllers.addresses()),
                 &request,
                 controllers.json,
@@ -240,7 +244,7 @@
         }
         Command::Abort { id, controllers } => {
             let request = JobRequest::Abort(parse_job_id(&id)?);
-            Ok(jobs::ask(
+            Ok(jobs::send_request(
                 &mut Controllers::new(&controllers.addresses()),
                 &request,
                 controllers.json,
@@ -266,12 +270,12 @@
         }
         Command::Schema { name, write } => print_schemas(name.as_deref(), write.as_deref()),
         Command::Fault { fault, region } => {
-            let address = region_address(region);
-            let caller = HttpClient::new(&address, SUBMIT_TIMEOUT_MS, MAX_RESPONSE_BYTES);
-            match caller.request("POST", "/faults", fault.as_bytes()) {
-                Some(answer) => {
-                    let text = String::from_utf8_lossy(&answer.body).into_owned();
-                    if answer.status == 200 {
+            let address = resolve_region_address(region);
+            let client = HttpClient::new(&address, SUBMIT_TIMEOUT_MS, MAX_RESPONSE_BYTES);
+            match client.request("POST", "/faults", fault.as_bytes()) {
+                Some(response) => {
+                    let text = String::from_utf8_lossy(&response.body).into_owned();
+                    if response.status == 200 {
                         println!("{text}");
                         return Ok(exit::SUCCESS);
                     }
@@ -306,30 +310,33 @@
     if region.is_none() && !controllers.controllers.is_empty() {
         return;
     }
-    let caller = HttpClient::new(&region_address(region), SUBMIT_TIMEOUT_MS, MAX_RESPONSE_BYTES);
-    if caller.post("/jobs", spec).is_none() {
+    let client =
+        HttpClient::new(&resolve_region_address(region), SUBMIT_TIMEOUT_MS, MAX_RESPONSE_BYTES);
+    if client.post("/jobs", spec).is_none() {
         tracing::debug!("no emulated region accepted the upload of the job");
     }
 }
 
 fn print_schemas(name: Option<&str>, write: Option<&Path>) -> Result<u8, CommandError> {
-    let known_schemas = schemas::all();
+    let known_schemas = schemas::derive_all();
     if let Some(directory) = write {
         for (name, schema) in &known_schemas {
             let path = directory.join(format!("{name}.json"));
-            std::fs::write(&path, schemas::text(schema))
+            std::fs::write(&path, schemas::format_schema(schema))
                 .map_err(|e| usage_error(format!("{}: {e}", path.display())))?;
         }
         return Ok(exit::SUCCESS);
     }
-    let selected: Vec<_> =
-        known_schemas.iter().filter(|(known, _)| name.is_none_or(|n| n == *known)).collect();
+    let selected: Vec<_> = known_schemas
+        .iter()
+        .filter(|(known_name, _)| name.is_none_or(|name| name == *known_name))
+        .collect();
     if selected.is_empty() {
         let names: Vec<&str> = known_schemas.iter().map(|(name, _)| *name).collect();
         return Err(usage_error(format!("unknown schema; known schemas are {}", names.join(", "))));
     }
     for (_, schema) in selected {
-        print!("{}", schemas::text(schema));
+        print!("{}", schemas::format_schema(schema));
     }
     Ok(exit::SUCCESS)
 }
@@ -411,7 +418,8 @@
     let first_final =
         report.first_final_ms.map_or("none".into(), |ms| format!("{:.1} s", ms as f64 / 1e3));
     println!(
-        "{} starts, {} restarts, at most {} MB in a controller; after the faults: first final answer {first_final}, last {:.1} s",
+        "{} starts, {} restarts, at most {} MB in a controller; after the faults: \
+         first final answer {first_final}, last {:.1} s",
         report.starts,
         report.restarts,
         report.controller_memory_mb,
--- a/crates/ctl/src/schemas.rs
+++ b/crates/ctl/src/schemas.rs
@@ -11,36 +11,36 @@
 use schemars::generate::SchemaSettings;
 use schemars::{JsonSchema, Schema};
 
-fn schema_of<T: JsonSchema>() -> Schema {
+fn derive_schema<T: JsonSchema>() -> Schema {
     SchemaSettings::draft2020_12().into_generator().into_root_schema_for::<T>()
 }
 
-/// All schemas with their names.
-pub fn all() -> Vec<(&'static str, Schema)> {
+/// Derives all published schemas; returns them with their names.
+pub fn derive_all() -> Vec<(&'static str, Schema)> {
     vec![
-        ("submission", schema_of::<JobSpec>()),
-        ("job", schema_of::<JobView>()),
-        ("usage", schema_of::<UsagePage>()),
-        ("operators", schema_of::<OperatorSettings>()),
-        ("session-open", schema_of::<OpenSession>()),
-        ("session", schema_of::<SessionView>()),
-        ("graph-create", schema_of::<CreateGraph>()),
-        ("graph-nodes", schema_of::<AddNodes>()),
-        ("graph", schema_of::<GraphView>()),
-        ("graph-job", schema_of::<JobNodes>()),
-        ("report", schema_of::<Report>()),
-        ("report-answer", schema_of::<ReportAnswer>()),
-        ("command", schema_of::<Command>()),
-        ("redirect", schema_of::<Redirect>()),
-        ("catalog", schema_of::<Catalog>()),
-        ("hire", schema_of::<HireRequest>()),
-        ("hosts", schema_of::<Hosts>()),
-        ("machines", schema_of::<MachineList>()),
+        ("submission", derive_schema::<JobSpec>()),
+        ("job", derive_schema::<JobView>()),
+        ("usage", derive_schema::<UsagePage>()),
+        ("operators", derive_schema::<OperatorSettings>()),
+        ("session-open", derive_schema::<OpenSession>()),
+        ("session", derive_schema::<SessionView>()),
+        ("graph-create", derive_schema::<CreateGraph>()),
+        ("graph-nodes", derive_schema::<AddNodes>()),
+        ("graph", derive_schema::<GraphView>()),
+        ("graph-job", derive_schema::<JobNodes>()),
+        ("report", derive_schema::<Report>()),
+        ("report-answer", derive_schema::<ReportAnswer>()),
+        ("command", derive_schema::<Command>()),
+        ("redirect", derive_schema::<Redirect>()),
+        ("catalog", derive_schema::<Catalog>()),
+        ("hire", derive_schema::<HireRequest>()),
+        ("hosts", derive_schema::<Hosts>()),
+        ("machines", derive_schema::<MachineList>()),
     ]
 }
 
 /// A schema in its published form: indented JSON with a final newline.
-pub fn text(schema: &Schema) -> String {
+pub fn format_schema(schema: &Schema) -> String {
     serde_json::to_string_pretty(schema).unwrap_or_default() + "\n"
 }
 
@@ -50,21 +50,26 @@
     use serde_json::{Value, json};
 
     fn validator(name: &str) -> jsonschema::Validator {
-        let (_, schema) = all().into_iter().find(|(known, _)| *known == name).expect("known");
+        let (_, schema) =
+            derive_all().into_iter().find(|(known_name, _)| *known_name == name).expect("known");
         jsonschema::validator_for(schema.as_value()).expect("a schema")
     }
 
     /// The files under docs/schemas match the types. `oatloomctl schema --write docs/schemas` updates them.
     #[test]
     fn published_schemas_match_the_types() {
-        let folder = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/schemas");
-        for (name, schema) in all() {
-            let path = folder.join(format!("{name}.json"));
+        let directory = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/schemas");
+        for (name, schema) in derive_all() {
+            let path = directory.join(format!("{name}.json"));
             let published = std::fs::read_to_string(&path).unwrap_or_default();
-            assert!(published == text(&schema), "{}: differs from the types", path.display());
+            assert!(
+                published == format_schema(&schema),
+                "{}: differs from the types",
+                path.display()
+            );
         }
-        let files = std::fs::read_dir(&folder).expect("a folder").count();
-        assert_eq!(files, all().len(), "docs/schemas has a file without a type");
+        let files = std::fs::read_dir(&directory).expect("a folder").count();
+        assert_eq!(files, derive_all().len(), "docs/schemas has a file without a type");
     }
 
     /// The schema of the operator settings accepts and refuses the same JSON as the settings themselves.
@@ -77,7 +82,7 @@
                 {"default":[{"repeats":[5]}]}]});
         let is_accepted = |value: &Value| {
             serde_json::from_value::<OperatorSettings>(value.clone())
-                .is_ok_and(|read| read.check().is_ok())
+                .is_ok_and(|settings| settings.check().is_ok())
         };
         assert!(is_accepted(&all_settings) && schema.is_valid(&all_settings));
         assert!(is_accepted(&json!({})) && schema.is_valid(&json!({})));
@@ -144,14 +149,14 @@
             ),
         ];
         for (name, example) in examples {
-            let found = validator(name).validate(&example).map_err(|e| e.to_string());
-            assert_eq!(found, Ok(()), "{name}: {example}");
+            let result = validator(name).validate(&example).map_err(|e| e.to_string());
+            assert_eq!(result, Ok(()), "{name}: {example}");
         }
         let assert_refused = |field: &str, value: Value| {
             let mut spec = submission.clone();
             spec[field] = value;
-            let read = serde_json::from_value::<JobSpec>(spec.clone());
-            let refused = read.map_err(|e| e.to_string()).and_then(|spec| spec.check()).is_err();
+            let parsed = serde_json::from_value::<JobSpec>(spec.clone());
+            let refused = parsed.map_err(|e| e.to_string()).and_then(|spec| spec.check()).is_err();
             assert!(refused && !validator("submission").is_valid(&spec), "{spec}");
         };
         for (field, value) in [
--- a/crates/ctl/src/settings.rs
+++ b/crates/ctl/src/settings.rs
@@ -13,17 +13,21 @@
 pub struct LocalSettings {
     /// Port of the first controller; 0: any free ports.
     pub port: u16,
-    /// Machines of each kind that a zone has.
+    /// Maximum number of machines of each price kind (spot or ordinary) in a zone.
     pub machines: u32,
+    /// Size of the larger machine type; the smaller one has half of it.
     pub cpus: f64,
     pub gpus: f64,
     pub memory_gb: f64,
+    /// Usual boot time of a machine, in seconds.
     pub boot_s: f64,
+    /// Time limits of the worker protocol, in seconds: `facts.workers` in the settings of the controllers.
     pub report_s: f64,
     pub lease_s: f64,
     pub cancel_s: f64,
     pub gang_wait_s: f64,
     pub gang_peer_s: f64,
+    /// Minimum age of a returned machine list, in seconds; the maximum is twice that.
     pub list_lag_s: f64,
     /// Objective for the run time of jobs of class `quick`, in seconds; twice that for class `slow`. Without an
     /// objective an array may take ten minutes, and no machine is rented to finish it sooner.
@@ -61,10 +65,10 @@
     }
 }
 
-/// The zone of each controller.
+/// The zone of each controller by index; the cloud has the same zones.
 pub const ZONES: [&str; CONTROLLER_COUNT] = ["a", "b", "c"];
 
-/// The name of a controller.
+/// The name of the controller with this index.
 pub fn controller_name(controller: usize) -> Member {
     Member::new(&format!("loomer-{controller}"))
 }
@@ -72,11 +76,15 @@
 /// Addresses in the settings of a controller.
 #[derive(Clone, Debug)]
 pub struct Addresses {
+    /// Its listening address for users and workers.
     pub serve: String,
-    /// Its listening address for other controllers, and the address of each of them by index.
+    /// Its listening address for other controllers.
     pub mesh: String,
+    /// Addresses at which it reaches the other controllers, by index.
     pub peers: Vec<String>,
+    /// Address at which it reaches the state service.
     pub state: String,
+    /// Address at which it reaches the cloud.
     pub cloud: String,
 }
 
@@ -121,8 +129,8 @@
         if self.port > 65_000 {
             return Err(InvalidField::new("port", "must be at most 65000"));
         }
-        let is_plain = |t: &String| t.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-');
-        if self.teams.is_empty() || !self.teams.iter().all(is_plain) {
+        let is_valid_name = |t: &String| t.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-');
+        if self.teams.is_empty() || !self.teams.iter().all(is_valid_name) {
             return Err(InvalidField::new("teams", "must be names of letters, digits and dashes"));
         }
         Ok(())
@@ -130,7 +138,7 @@
 
     /// The machine types of the emulated cloud.
     pub fn flavors(&self) -> Vec<Flavor> {
-        let flavor = |label: &str, share: f64| Flavor {
+        let make_flavor = |label: &str, share: f64| Flavor {
             label: label.into(),
             cpus: self.cpus * share,
             gpus: self.gpus * share,
@@ -142,7 +150,7 @@
             boot_s: self.boot_s,
             zones: ZONES.iter().map(|zone| Zone::new(zone)).collect(),
         };
-        vec![flavor("whole", 1.0), flavor("half", 0.5)]
+        vec![make_flavor("whole", 1.0), make_flavor("half", 0.5)]
     }
 
     /// The settings file of a controller.
--- a/crates/ctl/src/suite.rs
+++ b/crates/ctl/src/suite.rs
@@ -49,37 +49,39 @@
 /// Number of jobs and faults in a rehearsal, and the duration of its phases.
 #[derive(Clone, Copy, Debug)]
 pub struct SuiteLength {
-    pub jobs: u64,
+    pub job_count: u64,
     pub fault_phase_ms: u64,
     pub recovery_phase_ms: u64,
-    pub faults: u64,
+    /// Number of faults in the scenario `mixed`.
+    pub fault_count: u64,
     /// Duration of the outage in the scenarios `night` and `pause`.
     pub outage_s: u64,
-    pub kills: u64,
+    /// Number of injected kills; the scenarios `gangs` and `restless` use a multiple of it.
+    pub kill_count: u64,
 }
 
 impl SuiteLength {
     /// A run of about three minutes.
     pub fn full() -> Self {
         Self {
-            jobs: JOB_COUNT,
+            job_count: JOB_COUNT,
             fault_phase_ms: FAULT_PHASE_MS,
             recovery_phase_ms: RECOVERY_PHASE_MS,
-            faults: FAULT_COUNT,
+            fault_count: FAULT_COUNT,
             outage_s: 60,
-            kills: 20,
+            kill_count: 20,
         }
     }
 
     /// A run of less than a minute.
     pub fn quick() -> Self {
         Self {
-            jobs: QUICK_JOB_COUNT,
+            job_count: QUICK_JOB_COUNT,
             fault_phase_ms: QUICK_FAULT_PHASE_MS,
             recovery_phase_ms: QUICK_RECOVERY_PHASE_MS,
-            faults: QUICK_FAULT_COUNT,
+            fault_count: QUICK_FAULT_COUNT,
             outage_s: 10,
-            kills: 4,
+            kill_count: 4,
         }
     }
 }
@@ -97,11 +99,13 @@
     pub job: String,
     pub shape: String,
     pub tasks: u32,
+    /// Whether a controller accepted the submission.
     pub accepted: bool,
     /// Answers in order; repeats of the same status are left out.
     pub answers: Vec<StatusChange>,
     /// The status that each controller reports at the end.
     pub finals: Vec<String>,
+    /// Whether the user received exactly one final answer, with which all controllers agree.
     pub exactly_one: bool,
 }
 
@@ -111,14 +115,19 @@
     pub scenario: String,
     pub seed: u64,
     pub jobs: Vec<JobOutcome>,
+    /// Number of jobs without exactly one final answer.
     pub without_exactly_one: usize,
+    /// Violations of the scheduling rules.
     pub rules_broken: Vec<String>,
     /// From the end of the fault phase to the last final answer, in milliseconds.
     pub settled_ms: u64,
     /// From the end of the fault phase to the first final answer after it, in milliseconds.
     pub first_final_ms: Option<u64>,
+    /// Number of task starts.
     pub starts: usize,
+    /// Maximum resident memory of a controller.
     pub controller_memory_mb: f64,
+    /// How often the programs of the region ended, see [`RunningRegion::exit_counts`].
     pub restarts: u32,
 }
 
@@ -139,9 +148,9 @@
     }
 }
 
-/// A job and what its user does.
+/// A job, when its user submits and aborts it, and how its tasks fail.
 #[derive(Clone)]
-struct Plan {
+struct JobPlan {
     spec: JobSpec,
     submit_at: u64,
     abort_at: Option<u64>,
@@ -156,8 +165,8 @@
     scenario: Scenario,
     length: &SuiteLength,
     rng: &mut ChaCha8Rng,
-) -> Vec<Plan> {
-    (0..length.jobs).map(|n| draw_plan(local, scenario, length, n, rng)).collect()
+) -> Vec<JobPlan> {
+    (0..length.job_count).map(|n| draw_plan(local, scenario, length, n, rng)).collect()
 }
 
 fn draw_plan(
@@ -166,7 +175,7 @@
     length: &SuiteLength,
     index: u64,
     rng: &mut ChaCha8Rng,
-) -> Plan {
+) -> JobPlan {
     let shape = match (scenario, rng.random_range(0..10)) {
         (Scenario::Gangs, 0..8) => Shape::Gang,
         (_, 0..5) => Shape::Array,
@@ -223,7 +232,7 @@
         });
     // A failing job needs time for its retries and the final status.
     let submit_at = if failure_mode.is_some() { submit_at / 3 } else { submit_at };
-    Plan { spec, submit_at, abort_at, invalid, failure_mode }
+    JobPlan { spec, submit_at, abort_at, invalid, failure_mode }
 }
 
 /// The faults of a scenario, ordered by start time.
@@ -237,47 +246,47 @@
     let mut add = |at: u64, span: u64, fault: Fault| {
         faults.push(ScheduledFault { at, until: (at + span).min(fault_phase_end), fault });
     };
-    let state_fault = |trouble| Fault::OnService {
+    let make_state_fault = |service_fault| Fault::OnService {
         service: Service::State,
-        service_fault: trouble,
+        service_fault,
         controller: None,
     };
-    let cloud_fault = |trouble| Fault::OnService {
+    let make_cloud_fault = |service_fault| Fault::OnService {
         service: Service::Cloud,
-        service_fault: trouble,
+        service_fault,
         controller: None,
     };
     match scenario {
         Scenario::Mixed => {
-            for _ in 0..length.faults {
+            for _ in 0..length.fault_count {
                 let at = rng.random_range(1_000..fault_phase_end - 4_000);
-                add(at, rng.random_range(1_000..7_000), random_fault(rng));
+                add(at, rng.random_range(1_000..7_000), draw_fault(rng));
             }
         }
         Scenario::Gangs => {
-            for n in 0..length.kills * 2 {
+            for n in 0..length.kill_count * 2 {
                 add(
-                    1_500 + n * (fault_phase_end - 3_000) / (length.kills * 2),
+                    1_500 + n * (fault_phase_end - 3_000) / (length.kill_count * 2),
                     0,
                     Fault::RestartState,
                 );
             }
         }
         Scenario::Hires => {
-            add(0, fault_phase_end * 3 / 4, cloud_fault(ServiceFault::Late(0.3, 4_000)));
-            add(0, fault_phase_end * 3 / 4, cloud_fault(ServiceFault::Lose(0.4)));
-            for n in 0..length.kills {
+            add(0, fault_phase_end * 3 / 4, make_cloud_fault(ServiceFault::Late(0.3, 4_000)));
+            add(0, fault_phase_end * 3 / 4, make_cloud_fault(ServiceFault::Lose(0.4)));
+            for n in 0..length.kill_count {
                 add(
-                    2_500 + n * (fault_phase_end - 4_000) / length.kills,
+                    2_500 + n * (fault_phase_end - 4_000) / length.kill_count,
                     0,
                     Fault::CrashController(n as usize % CONTROLLER_COUNT, None),
                 );
             }
         }
         Scenario::Replies => {
-            for n in 0..length.kills {
-                let at = 2_000 + n * (fault_phase_end - 4_000) / length.kills;
-                add(at, 400, state_fault(ServiceFault::Lose(1.0)));
+            for n in 0..length.kill_count {
+                let at = 2_000 + n * (fault_phase_end - 4_000) / length.kill_count;
+                add(at, 400, make_state_fault(ServiceFault::Lose(1.0)));
                 add(at + 300, 0, Fault::RestartState);
                 add(
                     at + 400,
@@ -290,55 +299,63 @@
                 );
             }
         }
-        Scenario::Night => add(1_500, length.outage_s * 1_000, cloud_fault(ServiceFault::Refuse)),
-        Scenario::Pause => add(5_000, length.outage_s * 1_000, state_fault(ServiceFault::Refuse)),
+        Scenario::Night => {
+            add(1_500, length.outage_s * 1_000, make_cloud_fault(ServiceFault::Refuse))
+        }
+        Scenario::Pause => {
+            add(5_000, length.outage_s * 1_000, make_state_fault(ServiceFault::Refuse))
+        }
         Scenario::Restless => {
-            let kills = length.kills * RESTLESS_KILL_FACTOR;
-            for n in 0..kills {
+            let kill_count = length.kill_count * RESTLESS_KILL_FACTOR;
+            for n in 0..kill_count {
                 let restart_delay = Some(Millis(rng.random_range(0..1_000)));
-                let fault = match n * 3 / kills {
+                let fault = match n * 3 / kill_count {
                     0 => Fault::CrashController(0, restart_delay),
                     1 => Fault::CrashController(n as usize % 2, restart_delay),
                     _ => Fault::CrashAll(restart_delay),
                 };
-                add(2_000 + n * (fault_phase_end - 4_000) / kills, 0, fault);
+                add(2_000 + n * (fault_phase_end - 4_000) / kill_count, 0, fault);
             }
         }
         Scenario::Asked => {
-            for n in 0..length.kills {
+            for n in 0..length.kill_count {
                 let fault =
                     Fault::CrashController(n as usize % CONTROLLER_COUNT, Some(Millis(300)));
-                add(2_000 + n * (fault_phase_end - 4_000) / length.kills, 0, fault);
+                add(2_000 + n * (fault_phase_end - 4_000) / length.kill_count, 0, fault);
             }
         }
         Scenario::Killed => {
-            for n in 0..length.kills {
-                add(2_000 + n * (fault_phase_end - 4_000) / length.kills, 0, Fault::CrashAll(None));
+            for n in 0..length.kill_count {
+                add(
+                    2_000 + n * (fault_phase_end - 4_000) / length.kill_count,
+                    0,
+                    Fault::CrashAll(None),
+                );
             }
         }
     }
-    faults.sort_by_key(|p| p.at);
+    faults.sort_by_key(|fault| fault.at);
     faults
 }
 
-fn random_fault(rng: &mut ChaCha8Rng) -> Fault {
+fn draw_fault(rng: &mut ChaCha8Rng) -> Fault {
     let index = rng.random_range(0..CONTROLLER_COUNT);
     let controller = rng.random_bool(0.4).then_some(index);
-    let service_fault =
-        |service, trouble| Fault::OnService { service, service_fault: trouble, controller };
+    let make_service_fault =
+        |service, service_fault| Fault::OnService { service, service_fault, controller };
     let restart_delay = rng.random_bool(0.5).then(|| Millis(rng.random_range(0..1_000)));
     match rng.random_range(0..17) {
         0 | 1 => Fault::CrashController(index, restart_delay),
         2 => Fault::CrashAll(restart_delay),
         3 => Fault::RestartState,
-        4 => service_fault(Service::State, ServiceFault::Refuse),
-        5 => service_fault(Service::State, ServiceFault::Slow(400)),
-        6 => service_fault(Service::State, ServiceFault::Lose(0.3)),
-        7 => service_fault(Service::State, ServiceFault::Late(0.2, 5_000)),
-        8 => service_fault(Service::State, ServiceFault::Silent),
-        9 => service_fault(Service::Cloud, ServiceFault::Refuse),
-        10 => service_fault(Service::Cloud, ServiceFault::Lose(0.4)),
-        11 => service_fault(Service::Cloud, ServiceFault::Late(0.3, 5_000)),
+        4 => make_service_fault(Service::State, ServiceFault::Refuse),
+        5 => make_service_fault(Service::State, ServiceFault::Slow(400)),
+        6 => make_service_fault(Service::State, ServiceFault::Lose(0.3)),
+        7 => make_service_fault(Service::State, ServiceFault::Late(0.2, 5_000)),
+        8 => make_service_fault(Service::State, ServiceFault::Silent),
+        9 => make_service_fault(Service::Cloud, ServiceFault::Refuse),
+        10 => make_service_fault(Service::Cloud, ServiceFault::Lose(0.4)),
+        11 => make_service_fault(Service::Cloud, ServiceFault::Late(0.3, 5_000)),
         12 => Fault::PartitionController(index),
         13 => Fault::PartitionZone(ZONES[index].to_owned()),
         14 => Fault::PreemptSpot(3),
@@ -347,7 +364,8 @@
     }
 }
 
-fn status_text(status: JobStatus) -> &'static str {
+/// Name of a job status in the report.
+fn format_status(status: JobStatus) -> &'static str {
     match status {
         JobStatus::Queued => "queued",
         JobStatus::Running => "running",
@@ -358,7 +376,7 @@
 }
 
 /// Name of a job shape in the report.
-fn shape_text(shape: Shape) -> &'static str {
+fn format_shape(shape: Shape) -> &'static str {
     match shape {
         Shape::Array => "array",
         Shape::Gang => "gang",
@@ -367,7 +385,7 @@
 }
 
 /// Name of a scenario in the report.
-fn scenario_text(scenario: Scenario) -> &'static str {
+fn format_scenario(scenario: Scenario) -> &'static str {
     match scenario {
         Scenario::Mixed => "mixed",
         Scenario::Gangs => "gangs",
@@ -385,7 +403,7 @@
     matches!(status, "done" | "cancelled" | "failed") || status.starts_with("refused")
 }
 
-/// Whether there was one final answer, nothing after it, and every controller reports the same.
+/// Whether the user received one final answer and nothing after it, and every controller reports the same.
 fn has_exactly_one_final(answers: &[StatusChange], final_answers: &[String]) -> bool {
     let Some(last) = answers.last().map(|change| &change.status) else { return false };
     is_final(last)
@@ -396,7 +414,7 @@
 
 /// The simulated user of a job, active until the job is finished or the run ends.
 struct User {
-    plan: Plan,
+    plan: JobPlan,
     controllers: Controllers,
     rng: ChaCha8Rng,
     accepted: bool,
@@ -414,7 +432,7 @@
         }
     }
 
-    /// Sends the next request and returns the time of the following one.
+    /// Sends one request, records the answer, and returns the time of the next request.
     fn poll(
         &mut self,
         emulator: &oatloom_emulator::serve::Emulator,
@@ -464,7 +482,7 @@
             match interpret_response(&request, answer) {
                 Some(JobResponse::View(view)) => {
                     self.accepted = true;
-                    self.record_status(now, status_text(view.status).to_owned());
+                    self.record_status(now, format_status(view.status).to_owned());
                 }
                 Some(JobResponse::Rejected(status, _))
                     if !self.accepted && matches!(request, JobRequest::Submit(_)) =>
@@ -499,7 +517,7 @@
     let plans = draw_plans(&local, scenario, &length, &mut rng);
     let mut faults = draw_faults(scenario, &length, &mut rng);
     faults.extend_from_slice(extra_faults);
-    faults.sort_by_key(|p| p.at);
+    faults.sort_by_key(|fault| fault.at);
     let operators = data.join("operators.lisp");
     std::fs::create_dir_all(data)
         .and_then(|()| std::fs::write(&operators, OPERATOR_SETTINGS))
@@ -535,7 +553,7 @@
     for user in &users {
         let (user, emulator) = (user.clone(), running.emulator.clone());
         let (is_recovering, stop) = (is_recovering.clone(), stop.clone());
-        let started = spawn("user", move || {
+        let thread = spawn("user", move || {
             let mut user = user.lock().unwrap_or_else(PoisonError::into_inner);
             let mut next_poll = start + user.plan.submit_at;
             let abort_at = user.plan.abort_at;
@@ -553,14 +571,14 @@
                 }
             }
         });
-        threads.push(started.map_err(|e| LaunchError::Start(e.into()))?);
+        threads.push(thread.map_err(|e| LaunchError::Start(e.into()))?);
     }
-    let mut max_memory = 0;
+    let mut max_memory_bytes = 0;
     let mut next_fault = 0;
     loop {
         std::thread::sleep(Duration::from_millis(SUPERVISION_INTERVAL_MS.0));
         running.supervise();
-        max_memory = max_memory.max(running.max_controller_memory_bytes());
+        max_memory_bytes = max_memory_bytes.max(running.max_controller_memory_bytes());
         let now = running.emulator.shared.now() - start;
         while next_fault < faults.len() && faults[next_fault].at <= now {
             running.inject_fault(&faults[next_fault]);
@@ -571,9 +589,10 @@
             print_line("all faults have ended");
         }
         let all_finished = threads.iter().all(|t| t.is_finished());
-        let machines_checked = now > length.fault_phase_ms + unseen_limit_ms(&running.local);
+        let has_machine_limit_passed =
+            now > length.fault_phase_ms + compute_unseen_limit_ms(&running.local);
         if now >= length.fault_phase_ms + length.recovery_phase_ms
-            || all_finished && machines_checked
+            || all_finished && has_machine_limit_passed
         {
             break;
         }
@@ -584,32 +603,34 @@
         running.supervise();
         std::thread::sleep(Duration::from_millis(SUPERVISION_INTERVAL_MS.0));
     }
-    let usage = settled_usage(&mut running);
-    let mut report = build_report(scenario, seed, &mut running, &users, start, &length, max_memory);
-    report.rules_broken.extend(usage_violations(&running, &users, usage));
+    let usage = fetch_stable_usage(&mut running);
+    let mut report =
+        build_report(scenario, seed, &mut running, &users, start, &length, max_memory_bytes);
+    report.rules_broken.extend(check_usage(&running, &users, usage));
     Ok(report)
 }
 
-/// The recorded usage once it no longer changes; `None` if it cannot be read.
-fn settled_usage(running: &mut RunningRegion) -> Option<UsagePage> {
+/// Polls the recorded usage until it no longer changes or a timeout passes, and returns the last page read; `None` if
+/// the last poll failed.
+fn fetch_stable_usage(running: &mut RunningRegion) -> Option<UsagePage> {
     let started = Instant::now();
-    let (mut last, mut unchanged_count) = (None, 0);
+    let (mut last_page, mut unchanged_count) = (None, 0);
     while started.elapsed() < Duration::from_millis(USAGE_SETTLE_TIMEOUT_MS)
         && unchanged_count < USAGE_STABLE_POLL_COUNT
     {
         running.supervise();
         std::thread::sleep(Duration::from_millis(USAGE_POLL_INTERVAL_MS));
         let page = UsageQuery::default().try_fetch(&running.controllers);
-        unchanged_count = if page.is_some() && page == last { unchanged_count + 1 } else { 0 };
-        last = page;
+        unchanged_count = if page.is_some() && page == last_page { unchanged_count + 1 } else { 0 };
+        last_page = page;
     }
-    last
+    last_page
 }
 
 /// Compares the recorded usage with what the machines observed. It must not have more completed tasks or run time
-/// than the machines saw, nor fewer completed tasks than users were told of, except attempts whose end was not
-/// observed (`unseen`).
-fn usage_violations(
+/// than the machines observed, nor fewer completed tasks than were reported to users, except attempts whose end was
+/// not observed (`unseen`).
+fn check_usage(
     running: &RunningRegion,
     users: &[Arc<Mutex<User>>],
     usage: Option<UsagePage>,
@@ -623,14 +644,14 @@
         reported_done += if done { tasks } else { 0 };
         gang_tasks += if done && user.plan.spec.shape == Shape::Gang { tasks } else { 0 };
     }
-    let sums_of = |cause: &str| -> (u64, u64) {
+    let sum_by_cause = |cause: &str| -> (u64, u64) {
         let rows = usage.rows.iter().filter(|row| row.cause == cause);
         rows.fold((0, 0), |(count, ran_ms), row| {
             (count + row.sums.attempts, ran_ms + row.sums.ran_ms)
         })
     };
-    let (done, done_ms) = sums_of("done");
-    let (unseen_attempts, _) = sums_of("unseen");
+    let (done, done_ms) = sum_by_cause("done");
+    let (unseen_attempts, _) = sum_by_cause("unseen");
     let region = running.emulator.lock_region();
     let exits = region.checker.exits.values().filter(|(cause, _)| *cause == ExitCause::Done);
     let (machine_done, machine_done_ms) =
@@ -639,12 +660,14 @@
     // The first task of a gang reports for all tasks of the gang.
     if done > machine_done + gang_tasks || done_ms > machine_done_ms && gang_tasks == 0 {
         violations.push(format!(
-            "ledger: {done} tasks done in {done_ms} ms are accounted, machines saw {machine_done} in {machine_done_ms} ms"
+            "ledger: {done} tasks done in {done_ms} ms are accounted, \
+             machines saw {machine_done} in {machine_done_ms} ms"
         ));
     }
     if done + unseen_attempts < reported_done {
         violations.push(format!(
-            "ledger: users were told of {reported_done} tasks done, {done} and {unseen_attempts} unseen ones are accounted"
+            "ledger: users were told of {reported_done} tasks done, \
+             {done} and {unseen_attempts} unseen ones are accounted"
         ));
     }
     for row in &usage.rows {
@@ -659,7 +682,7 @@
 
 /// How long a rented machine may stay without being used or returned. The bound must be above the time that
 /// controllers allow for a boot: a lower one reported a machine that was merely late in one run of ten.
-fn unseen_limit_ms(local: &LocalSettings) -> u64 {
+fn compute_unseen_limit_ms(local: &LocalSettings) -> u64 {
     ((local.boot_s * UNSEEN_MACHINE_BOOT_FACTOR + local.lease_s + UNSEEN_MACHINE_SLACK_S) * 1000.0)
         as u64
 }
@@ -671,19 +694,19 @@
     users: &[Arc<Mutex<User>>],
     start: u64,
     length: &SuiteLength,
-    max_memory: u64,
+    max_memory_bytes: u64,
 ) -> SuiteReport {
     let mut jobs = Vec::new();
     for user in users {
         let mut user = user.lock().unwrap_or_else(PoisonError::into_inner);
-        let final_answers = final_answers_of(running, &mut user);
+        let final_answers = fetch_final_answers(running, &mut user);
         let exactly_one = has_exactly_one_final(&user.answers, &final_answers);
         for change in &mut user.answers {
             change.at_ms = change.at_ms.saturating_sub(start);
         }
         jobs.push(JobOutcome {
             job: user.plan.spec.id.to_string(),
-            shape: shape_text(user.plan.spec.shape).to_owned(),
+            shape: format_shape(user.plan.spec.shape).to_owned(),
             tasks: user.plan.spec.tasks,
             accepted: user.accepted,
             answers: user.answers.clone(),
@@ -692,7 +715,7 @@
         });
     }
     let now = running.emulator.shared.now();
-    let unseen_limit_ms = unseen_limit_ms(&running.local);
+    let unseen_limit_ms = compute_unseen_limit_ms(&running.local);
     let mut region = running.emulator.lock_region();
     region.checker.check_cancelled_jobs(now);
     let mut rules_broken = region.checker.violations.clone();
@@ -709,14 +732,14 @@
             *rented_at as f64 / 1e3
         )
     }));
-    let final_at = |job: &JobOutcome| {
+    let find_final_time = |job: &JobOutcome| {
         job.answers.last().filter(|change| is_final(&change.status)).map(|change| change.at_ms)
     };
-    let final_times = jobs.iter().filter_map(final_at);
+    let final_times = jobs.iter().filter_map(find_final_time);
     let fault_phase_ms = length.fault_phase_ms;
     let last_final_at = final_times.clone().max().unwrap_or(0);
     SuiteReport {
-        scenario: scenario_text(scenario).to_owned(),
+        scenario: format_scenario(scenario).to_owned(),
         seed,
         without_exactly_one: jobs.iter().filter(|job| !job.exactly_one).count(),
         rules_broken,
@@ -726,14 +749,14 @@
             .min()
             .map(|at| at - fault_phase_ms),
         starts: region.checker.start_count,
-        controller_memory_mb: (max_memory as f64 / 1e5).round() / 10.0,
+        controller_memory_mb: (max_memory_bytes as f64 / 1e5).round() / 10.0,
         restarts: running.exit_counts().values().sum(),
         jobs,
     }
 }
 
 /// The status that each controller reports at the end.
-fn final_answers_of(running: &mut RunningRegion, user: &mut User) -> Vec<String> {
+fn fetch_final_answers(running: &mut RunningRegion, user: &mut User) -> Vec<String> {
     let request = if user.plan.invalid {
         JobRequest::Submit(Box::new(user.plan.spec.clone()))
     } else {
@@ -746,7 +769,7 @@
             let answer = controller.request_with_retry(&request, Millis(5_000));
             running.supervise();
             match answer {
-                JobResponse::View(view) => status_text(view.status).to_owned(),
+                JobResponse::View(view) => format_status(view.status).to_owned(),
                 JobResponse::Rejected(status, _) if user.plan.invalid => {
                     format!("refused {status}")
                 }
@@ -779,7 +802,8 @@
         has_exactly_one_final(&answers, &final_answers)
     }
 
-    /// Each kind of wrong answer is detected: none, unfinished, two final ones, controllers that differ or forget.
+    /// Each kind of wrong answer is detected: none, unfinished, two final ones, controllers that disagree or no
+    /// longer know the job.
     #[test]
     fn a_job_without_exactly_one_final_answer_is_found() {
         let all = ["done"; 3];
@@ -807,13 +831,13 @@
         let draw = |scenario, seed| {
             let mut rng = ChaCha8Rng::seed_from_u64(seed);
             let plans = draw_plans(&local, scenario, &length, &mut rng);
-            let ids: Vec<String> = plans.iter().map(|p| p.spec.id.to_string()).collect();
+            let ids: Vec<String> = plans.iter().map(|plan| plan.spec.id.to_string()).collect();
             (ids, draw_faults(scenario, &length, &mut rng))
         };
         for scenario in <Scenario as clap::ValueEnum>::value_variants() {
             assert_eq!(draw(*scenario, 3), draw(*scenario, 3));
             let (ids, faults) = draw(*scenario, 4);
-            assert_eq!(ids.len() as u64, length.jobs);
+            assert_eq!(ids.len() as u64, length.job_count);
             assert!(!faults.is_empty());
             assert!(
                 faults
--- a/crates/ctl/src/up.rs
+++ b/crates/ctl/src/up.rs
@@ -78,8 +78,9 @@
     let deliver = move |incoming| sender.try_send(incoming).is_ok();
     let region_address =
         format!("127.0.0.1:{}", if port == 0 { 0 } else { port + REGION_PORT_OFFSET });
-    let answers = server::start(&region_address, MAX_REGION_CONNECTIONS, parse_request, deliver)?;
-    on_ready(&running.controllers, &answers.address().to_string());
+    let reply_sender =
+        server::start(&region_address, MAX_REGION_CONNECTIONS, parse_request, deliver)?;
+    on_ready(&running.controllers, &reply_sender.address().to_string());
     let start = running.emulator.shared.now();
     let mut next_fault = 0;
     while !stop.load(Ordering::Relaxed) {
@@ -92,25 +93,29 @@
         if let Ok(incoming) =
             requests.recv_timeout(Duration::from_millis(SUPERVISION_INTERVAL_MS.0))
         {
-            handle_request(&mut running, &answers, incoming, &mut upload_log);
+            handle_request(&mut running, &reply_sender, incoming, &mut upload_log);
         }
     }
     Ok(())
 }
 
+/// Handles a request to the address of the region itself and sends the reply.
 fn handle_request(
     running: &mut RunningRegion,
-    answers: &ReplySender,
+    reply_sender: &ReplySender,
     incoming: Incoming<Request>,
     upload_log: &mut std::fs::File,
 ) {
     let now = running.emulator.shared.now();
     let reply = match incoming.request {
         Request::InjectFault(text) => match timetable::parse_one(&text, now, CONTROLLER_COUNT) {
-            Ok(planned) => {
-                running.inject_fault(&planned);
-                let span = planned.until - planned.at;
-                HttpReply::json(200, &serde_json::json!({"fault": text.trim(), "forMs": span}))
+            Ok(scheduled) => {
+                running.inject_fault(&scheduled);
+                let duration_ms = scheduled.until - scheduled.at;
+                HttpReply::json(
+                    200,
+                    &serde_json::json!({"fault": text.trim(), "forMs": duration_ms}),
+                )
             }
             Err(e) => HttpReply::error(400, &e.text),
         },
@@ -140,5 +145,5 @@
             )
         }
     };
-    answers.send(incoming.caller, reply);
+    reply_sender.send(incoming.caller, reply);
 }
--- a/crates/ctl/src/usage.rs
+++ b/crates/ctl/src/usage.rs
@@ -54,7 +54,8 @@
 }
 
 impl UsageQuery {
-    fn path(&self, after: Option<&str>) -> String {
+    /// The request path with the filters as query parameters; `after` is the position of the next page.
+    fn build_path(&self, after: Option<&str>) -> String {
         let mut query = form_urlencoded::Serializer::new(String::new());
         let parameters = [
             ("team", self.team.as_deref()),
@@ -74,22 +75,25 @@
     /// Fetches one page, trying the controllers in turn until one answers.
     fn fetch_page(
         &self,
-        callers: &[HttpClient],
+        clients: &[HttpClient],
         after: Option<&str>,
     ) -> Result<UsagePage, UsageError> {
         let (started, mut last_error) = (Instant::now(), None);
-        for caller in callers.iter().cycle() {
-            let answer = caller.request("GET", &self.path(after), &[]);
-            let body_text = |body: &[u8]| String::from_utf8_lossy(body).into_owned();
-            match &answer {
-                Some(a) if a.status == 200 => {
-                    return serde_json::from_slice(&a.body)
+        for client in clients.iter().cycle() {
+            let response = client.request("GET", &self.build_path(after), &[]);
+            let decode_body = |body: &[u8]| String::from_utf8_lossy(body).into_owned();
+            match &response {
+                Some(response) if response.status == 200 => {
+                    return serde_json::from_slice(&response.body)
                         .map_err(|e| UsageError::NoAnswer(e.to_string()));
                 }
-                Some(a) if matches!(a.status, 400 | 404) => {
-                    return Err(UsageError::Refused(body_text(&a.body)));
+                Some(response) if matches!(response.status, 400 | 404) => {
+                    return Err(UsageError::Refused(decode_body(&response.body)));
+                }
+                Some(response) => {
+                    last_error =
+                        Some(format!("{} {}", response.status, decode_body(&response.body)))
                 }
-                Some(a) => last_error = Some(format!("{} {}", a.status, body_text(&a.body))),
                 None => {}
             }
             let elapsed_ms = started.elapsed().as_millis() as u64;
@@ -100,7 +104,7 @@
                 None if elapsed_ms >= UNREACHABLE_TIMEOUT_MS.0 => {
                     return Err(UsageError::Unreachable);
                 }
-                _ => std::thread::sleep(Duration::from_millis(retry_delay(answer.as_ref()).0)),
+                _ => std::thread::sleep(Duration::from_millis(retry_delay(response.as_ref()).0)),
             }
         }
         Err(UsageError::Unreachable)
@@ -110,15 +114,15 @@
     fn fetch_all_pages<E>(
         mut fetch_page: impl FnMut(Option<&str>) -> Result<UsagePage, E>,
     ) -> Result<UsagePage, E> {
-        let mut all = UsagePage::default();
+        let mut joined = UsagePage::default();
         let mut after: Option<String> = None;
         loop {
             let fetched = fetch_page(after.as_deref())?;
-            all.rows.extend(fetched.rows);
-            all.gaps.extend(fetched.gaps);
+            joined.rows.extend(fetched.rows);
+            joined.gaps.extend(fetched.gaps);
             after = fetched.next;
             if after.is_none() {
-                return Ok(all);
+                return Ok(joined);
             }
         }
     }
@@ -126,28 +130,31 @@
     /// Fetches all rows without retries; `None` if a page is not available.
     pub fn try_fetch(&self, controllers: &[String]) -> Option<UsagePage> {
         let fetch_page = |after: Option<&str>| {
-            let request = |a: &String| {
-                let caller = HttpClient::new(a, POLL_TIMEOUT_MS, MAX_RESPONSE_BYTES);
-                caller.request("GET", &self.path(after), &[]).filter(|a| a.status == 200)
+            let request_from = |address: &String| {
+                let client = HttpClient::new(address, POLL_TIMEOUT_MS, MAX_RESPONSE_BYTES);
+                client
+                    .request("GET", &self.build_path(after), &[])
+                    .filter(|response| response.status == 200)
             };
-            let answer = controllers.iter().find_map(request).ok_or(())?;
-            serde_json::from_slice(&answer.body).map_err(|_| ())
+            let response = controllers.iter().find_map(request_from).ok_or(())?;
+            serde_json::from_slice(&response.body).map_err(|_| ())
         };
         Self::fetch_all_pages(fetch_page).ok()
     }
 
-    /// Fetches all rows, with retries.
+    /// Fetches all rows; each page is requested with retries.
     ///
     /// # Errors
     /// The query is refused, or no controller answers it.
     pub fn fetch(&self, controllers: &[String]) -> Result<UsagePage, UsageError> {
-        let caller = |a: &String| HttpClient::new(a, SUBMIT_TIMEOUT_MS, MAX_RESPONSE_BYTES);
-        let callers: Vec<HttpClient> = controllers.iter().map(caller).collect();
-        Self::fetch_all_pages(|after| self.fetch_page(&callers, after))
+        let make_client =
+            |address: &String| HttpClient::new(address, SUBMIT_TIMEOUT_MS, MAX_RESPONSE_BYTES);
+        let clients: Vec<HttpClient> = controllers.iter().map(make_client).collect();
+        Self::fetch_all_pages(|after| self.fetch_page(&clients, after))
     }
 }
 
-/// Writes rows as CSV with a header.
+/// Writes rows as CSV with a header line.
 ///
 /// # Errors
 /// They cannot be written.
@@ -207,8 +214,8 @@
     Ok(())
 }
 
-/// A table of the sums by day, team and class.
-pub fn table(rows: &[UsageRow]) -> Table {
+/// Builds a table of the sums by day, team and class.
+pub fn build_table(rows: &[UsageRow]) -> Table {
     let mut totals_by_key: BTreeMap<(String, String, String), ([u64; 8], bool)> = BTreeMap::new();
     for row in rows {
         let key = (row.day.clone(), row.team.clone(), row.class.clone());
@@ -243,10 +250,10 @@
         "",
     ]);
     for ((day, team, class), (totals, closed)) in totals_by_key {
-        let hours = |ms: u64| format!("{:.3}", ms as f64 / 3_600_000.0);
+        let format_hours = |ms: u64| format!("{:.3}", ms as f64 / 3_600_000.0);
         let [attempts, durations @ .., cost] = totals;
         let mut row = vec![day, team, class, attempts.to_string()];
-        row.extend(durations.map(hours));
+        row.extend(durations.map(format_hours));
         row.push(format!("{:.4}", cost as f64 / 1e6));
         row.push(if closed { "closed".into() } else { "open".into() });
         table.add_row(row);
@@ -263,18 +270,19 @@
 /// The query is refused, no controller answers, or the file cannot be written.
 pub fn run(query: &UsageQuery, controllers: &[String], json: bool) -> Result<u8, UsageError> {
     let page = query.fetch(controllers)?;
-    let write_error = |e: &dyn std::fmt::Display| UsageError::Write(format!("cannot write: {e}"));
+    let to_write_error =
+        |e: &dyn std::fmt::Display| UsageError::Write(format!("cannot write: {e}"));
     match &query.csv {
         Some(path) if path.as_os_str() == "-" => {
-            write_csv(&page.rows, std::io::stdout()).map_err(|e| write_error(&e))?;
+            write_csv(&page.rows, std::io::stdout()).map_err(|e| to_write_error(&e))?;
         }
         Some(path) => {
             let file = std::fs::File::create(path)
                 .map_err(|e| UsageError::Write(format!("{}: {e}", path.display())))?;
-            write_csv(&page.rows, file).map_err(|e| write_error(&e))?;
+            write_csv(&page.rows, file).map_err(|e| to_write_error(&e))?;
         }
         None if json => println!("{}", serde_json::json!(page)),
-        None => println!("{}", table(&page.rows)),
+        None => println!("{}", build_table(&page.rows)),
     }
     for gap in &page.gaps {
         eprintln!("oatloomctl: {gap}: the record could not be read and is missing from the sums");
@@ -301,10 +309,14 @@
         let mut file = Vec::new();
         write_csv(&example_rows(), &mut file).unwrap();
         let mut reader = csv::Reader::from_reader(&file[..]);
-        let at = reader.headers().unwrap().iter().position(|name| name == "costMicros").unwrap();
-        let read: Vec<csv::StringRecord> = reader.records().map(Result::unwrap).collect();
-        assert!(read.len() == 2 && read.iter().all(|r| &r[2] == "a,b" && &r[at] == "1500000"));
-        let text = table(&example_rows()).to_string();
+        let cost_column =
+            reader.headers().unwrap().iter().position(|name| name == "costMicros").unwrap();
+        let records: Vec<csv::StringRecord> = reader.records().map(Result::unwrap).collect();
+        assert!(
+            records.len() == 2
+                && records.iter().all(|r| &r[2] == "a,b" && &r[cost_column] == "1500000")
+        );
+        let text = build_table(&example_rows()).to_string();
         assert!(text.contains("3.0000") && text.contains("a,b") && text.contains("open"), "{text}");
     }
 
@@ -317,7 +329,7 @@
             to: None,
             csv: None,
         };
-        let path = query.path(Some("use/020788/a/b"));
+        let path = query.build_path(Some("use/020788/a/b"));
         assert_eq!(path, "/v2/usage?team=a+b%26c&from=2026-12-01&after=use%2F020788%2Fa%2Fb");
     }
 }
--- a/crates/ctl/tests/ended.rs
+++ b/crates/ctl/tests/ended.rs
@@ -37,13 +37,13 @@
         let rows = (first..(first + 1_000).min(job_count)).map(row).collect();
         writer.execute(&SnapshotStep::Rows(rows)).expect("written");
     }
-    let close = SnapshotFooter {
+    let footer = SnapshotFooter {
         row_count: job_count,
         first_group: 1,
         revision: job_count,
         ..SnapshotFooter::default()
     };
-    writer.execute(&SnapshotStep::Close(close)).expect("closed");
+    writer.execute(&SnapshotStep::Close(footer)).expect("closed");
 }
 
 /// Waits until every controller answers for a finished job.
@@ -51,8 +51,8 @@
     let started = Instant::now();
     let path = format!("/v2/runs/req-{:09}", job_count / 2);
     for address in running.controllers.clone() {
-        let caller = HttpClient::new(&address, POLL_TIMEOUT_MS, MAX_RESPONSE_BYTES);
-        while caller.get(&path).is_none_or(|(status, _)| status != 200) {
+        let client = HttpClient::new(&address, POLL_TIMEOUT_MS, MAX_RESPONSE_BYTES);
+        while client.get(&path).is_none_or(|(status, _)| status != 200) {
             assert!(started.elapsed() < Duration::from_secs(60), "{address} does not answer");
             running.supervise();
             std::thread::sleep(Duration::from_millis(20));
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn finished_jobs_cost_little() {
+fn finished_jobs_do_not_slow_down_a_region() {
     let job_count: u64 =
         std::env::var("OATLOOM_ENDED").ok().and_then(|n| n.parse().ok()).unwrap_or(3_000);
     let data = tempfile::tempdir().expect("a directory");
@@ -72,20 +72,20 @@
     let started = Instant::now();
     let mut running =
         RunningRegion::start(local, data.path(), Some(&operators), 1).expect("a region");
-    let first_answers = wait_until_all_answer(&mut running, job_count);
+    let answer_delay = wait_until_all_answer(&mut running, job_count);
     println!(
-        "{job_count} finished jobs: started in {:?}, all controllers answer {first_answers:?} later",
-        started.elapsed() - first_answers
+        "{job_count} finished jobs: started in {:?}, all controllers answer {answer_delay:?} later",
+        started.elapsed() - answer_delay
     );
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut lookup_times_us = Histogram::<u64>::new(3).expect("a histogram");
     for n in 0..3_000 {
         let job = rng.random_range(0..job_count);
         let address = &running.controllers[n % running.controllers.len()];
-        let caller = HttpClient::new(address, POLL_TIMEOUT_MS, MAX_RESPONSE_BYTES);
-        let asked_at = Instant::now();
-        let (status, body) = caller.get(&format!("/v2/runs/req-{job:09}")).expect("an answer");
-        let _ = lookup_times_us.record(asked_at.elapsed().as_micros() as u64);
+        let client = HttpClient::new(address, POLL_TIMEOUT_MS, MAX_RESPONSE_BYTES);
+        let requested_at = Instant::now();
+        let (status, body) = client.get(&format!("/v2/runs/req-{job:09}")).expect("an answer");
+        let _ = lookup_times_us.record(requested_at.elapsed().as_micros() as u64);
         let expected_status = if job.is_multiple_of(9) { "cancelled" } else { "done" };
         assert!(
             status == 200 && String::from_utf8_lossy(&body).contains(expected_status),
@@ -96,19 +96,20 @@
         }
     }
     // A repeated submission and an abort of a finished job are answered with its final status.
-    let caller = HttpClient::new(&running.controllers[0], SUBMIT_TIMEOUT_MS, MAX_RESPONSE_BYTES);
+    let client = HttpClient::new(&running.controllers[0], SUBMIT_TIMEOUT_MS, MAX_RESPONSE_BYTES);
     let spec = serde_json::json!({"nameId": "req-000000009", "jobclass": "quick", "owner": "red", "shape": "sweep",
         "rank": "low", "shards": 1, "cpus": 1.0, "gpus": 0.0, "memoryGb": 1.0, "bundle": "i", "pullGb": 1.0,
         "samePlace": false, "spread": false, "loaners": false, "expectS": 1.0, "snapshotS": 0.0, "flushS": 0.0});
-    let (status, body) = caller.post("/v2/runs", &spec).expect("an answer");
+    let (status, body) = client.post("/v2/runs", &spec).expect("an answer");
     assert!(status == 200 && String::from_utf8_lossy(&body).contains("cancelled"), "{status}");
     let (status, body) =
-        caller.post("/v2/runs/req-000000010/abort", &serde_json::json!({})).expect("an answer");
+        client.post("/v2/runs/req-000000010/abort", &serde_json::json!({})).expect("an answer");
     assert!(status == 200 && String::from_utf8_lossy(&body).contains("done"), "{status}");
     running.inject_fault(&ScheduledFault { at: 0, until: 0, fault: Fault::CrashAll(None) });
     let recovery_time = wait_until_all_answer(&mut running, job_count);
     println!(
-        "lookups p50 {:.2} ms, p99 {:.2} ms; all controllers killed: all answer after {recovery_time:?}; {:.1} MB in a controller",
+        "lookups p50 {:.2} ms, p99 {:.2} ms; all controllers killed: all answer after {recovery_time:?}; \
+         {:.1} MB in a controller",
         lookup_times_us.value_at_quantile(0.5) as f64 / 1e3,
         lookup_times_us.value_at_quantile(0.99) as f64 / 1e3,
         running.max_controller_memory_bytes() as f64 / 1e6
--- a/crates/ctl/tests/region.rs
+++ b/crates/ctl/tests/region.rs
@@ -33,11 +33,11 @@
             .spawn()
             .expect("started");
         let mut lines = BufReader::new(child.stdout.take().expect("its output")).lines();
-        let mut next = |name: &str| {
+        let mut read_value = |name: &str| {
             let line = lines.next().expect("a line").expect("text");
             line.strip_prefix(name).unwrap_or_else(|| panic!("{line}")).to_owned()
         };
-        let (controllers, region_address) = (next("controllers: "), next("region: "));
+        let (controllers, region_address) = (read_value("controllers: "), read_value("region: "));
         std::thread::spawn(move || lines.for_each(drop));
         Self { child, controllers, region_address }
     }
@@ -46,9 +46,9 @@
     fn stop(mut self) {
         let id = self.child.id().to_string();
         assert!(Command::new("kill").args(["-INT", &id]).status().expect("kill").success());
-        let began = Instant::now();
+        let started = Instant::now();
         while self.child.try_wait().expect("its status").is_none() {
-            assert!(began.elapsed() < Duration::from_secs(10), "the region does not stop");
+            assert!(started.elapsed() < Duration::from_secs(10), "the region does not stop");
             std::thread::sleep(Duration::from_millis(20));
         }
     }
@@ -112,20 +112,20 @@
     let (status, text) = region.run_json(&["status", "req-1"]);
     assert!(status == 0 && text.contains(r#""status":"done""#), "{status} {text}");
     // The new leader accounts for jobs that finished before its term.
-    let began = Instant::now();
-    let counted =
+    let started = Instant::now();
+    let has_recorded_usage =
         |text: &str| text.contains(r#""cause":"done""#) && text.contains(r#""team":"red""#);
-    while !counted(&region.run_json(&["usage", "--team", "red"]).1) {
-        assert!(began.elapsed() < Duration::from_secs(30), "no usage is recorded");
+    while !has_recorded_usage(&region.run_json(&["usage", "--team", "red"]).1) {
+        assert!(started.elapsed() < Duration::from_secs(30), "no usage is recorded");
         std::thread::sleep(Duration::from_millis(200));
     }
     let (status, text) = region.run_json(&["usage", "--team", "blue"]);
     assert!(status == 0 && text.contains(r#""rows":[]"#), "{status} {text}");
     assert_eq!(region.run_json(&["usage", "--from", "soon"]).0, 2);
     // Its machines are new and fetch job descriptions that were uploaded before the restart.
-    let began = Instant::now();
+    let started = Instant::now();
     while !region.run_json(&["status", "req-2"]).1.contains(r#""status":"running""#) {
-        assert!(began.elapsed() < Duration::from_secs(30), "the service does not run again");
+        assert!(started.elapsed() < Duration::from_secs(30), "the service does not run again");
         std::thread::sleep(Duration::from_millis(200));
     }
     let (status, text) = region.run_json(&["abort", "req-2"]);
