--- a/crates/graph/src/model.rs
+++ b/crates/graph/src/model.rs
@@ -400,10 +400,10 @@
         for (position, (name, kind, shards, needs)) in page.nodes.iter().enumerate() {
             let node_id = page.first.0.saturating_add(position as u32);
             if usize::from(*kind) >= kinds || *shards == 0 || *shards > MAX_SHARD_COUNT {
-                return reject("a node of an unknown kind, or with an invalid number of shards");
+                return reject("a node of no kind");
             }
             if needs.iter().any(|input| input.0 >= node_id) {
-                return reject("a node with an input that comes after it");
+                return reject("a node that needs a later one");
             }
             if self.nodes_by_name.contains_key(&hash_name(name)) || !names.insert(hash_name(name)) {
                 return reject("a node that is there already");
--- a/crates/graph/src/writing.rs
+++ b/crates/graph/src/writing.rs
@@ -380,8 +380,7 @@
         for page in &pending_addition.prepared.pages {
             // Fails only if the model changed since the addition was prepared.
             if open_graph.model.apply(page, std::mem::take(&mut bytes)).is_err() {
-                return self
-                    .stop(id, EndReason::Damaged("an addition does not match the graph".into()));
+                return self.stop(id, EndReason::Damaged("an addition does not fit".into()));
             }
         }
         open_graph.paths_stale = true;
@@ -497,12 +496,9 @@
                     .and_then(|pending_addition| pending_addition.prepared.pages.first().cloned());
                 match page {
                     Some(page) if page == first => self.on_addition_committed(*id),
-                    Some(_) => self.stop(
-                        *id,
-                        EndReason::Damaged(
-                            "a stored page differs from the pending addition".into(),
-                        ),
-                    ),
+                    Some(_) => {
+                        self.stop(*id, EndReason::Damaged("a page that nobody added".into()))
+                    }
                     None => self.queue.put_back(written.item),
                 }
             }
