--- a/crates/emulator/src/checker.rs
+++ b/crates/emulator/src/checker.rs
@@ -8,16 +8,21 @@
 /// A task on a machine, from the moment its image is fetched until it exits or is killed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct PlacedTask {
+    /// ID of its job.
     pub job: String,
+    /// Index of the task in its job.
     pub index: u32,
+    /// ID of the machine.
     pub host: String,
 }
 
 /// Type, zone and price kind of a machine.
 #[derive(Clone, Debug)]
 pub struct Place {
+    /// Label of the machine type.
     pub flavor: String,
     pub zone: String,
+    /// Whether it is a spot machine.
     pub spot: bool,
 }
 
@@ -99,11 +104,13 @@
 }
 
 /// Cores and GPUs that a task of the job needs, in thousandths.
-fn resource_needs(spec: &JobSpec) -> [i64; 2] {
+fn get_resource_needs(spec: &JobSpec) -> [i64; 2] {
     [to_thousandths(spec.cpus), to_thousandths(spec.gpus)]
 }
 
 impl Checker {
+    /// Creates a checker for teams with these limits. Tasks of a cancelled job must be off their machines
+    /// `cancel_timeout_ms` after the user saw the cancellation.
     pub fn new(limits: HashMap<String, Limit>, cancel_timeout_ms: u64) -> Self {
         Self {
             violations: Vec::new(),
@@ -155,8 +162,8 @@
         is_job_fault: bool,
         is_machine_fault: bool,
     ) {
-        let max_retries = self.allowed_retries(&task.job);
-        let failure_index = self.failure_index(&task.job, task.index);
+        let max_retries = self.get_allowed_retries(&task.job);
+        let failure_index = self.get_failure_index(&task.job, task.index);
         let failures = self.failures.entry((task.job.clone(), failure_index)).or_default();
         if !is_job_fault {
             return;
@@ -176,9 +183,9 @@
     /// failures are checked here against the allowed retries: a machine that is lost before it reports leaves
     /// failures that no controller can know about.
     pub fn record_forget(&mut self, now: u64, job: &str, index: u32, attempt: u64) {
-        let Some(max_retries) = self.allowed_retries(job) else { return };
+        let Some(max_retries) = self.get_allowed_retries(job) else { return };
         let Some(failures) =
-            self.failures.get_mut(&(job.to_owned(), self.failure_index(job, index)))
+            self.failures.get_mut(&(job.to_owned(), self.get_failure_index(job, index)))
         else {
             return;
         };
@@ -202,7 +209,7 @@
     }
 
     /// Index under which failures of a task are counted: its own, or 0 for the tasks of a gang.
-    fn failure_index(&self, job: &str, index: u32) -> u32 {
+    fn get_failure_index(&self, job: &str, index: u32) -> u32 {
         let is_gang = self.specs.get(job).is_some_and(|spec| spec.shape == Shape::Gang);
         if is_gang { 0 } else { index }
     }
@@ -213,14 +220,14 @@
     }
 
     /// Allowed retries of the tasks of a job; `None` means no limit.
-    fn allowed_retries(&self, job: &str) -> Option<u32> {
+    fn get_allowed_retries(&self, job: &str) -> Option<u32> {
         self.max_retries.get(&self.specs.get(job)?.class).copied()
     }
 
     /// Whether a task of the job, or the gang, has failed more often than its class allows retries, counting
     /// failures on all machines.
     fn has_exhausted_retries(&self, job: &str) -> bool {
-        let Some(max_retries) = self.allowed_retries(job) else { return false };
+        let Some(max_retries) = self.get_allowed_retries(job) else { return false };
         let indexes = (job.to_owned(), 0)..=(job.to_owned(), u32::MAX);
         self.failures
             .range(indexes)
@@ -232,7 +239,7 @@
         let indexes = (job.to_owned(), 0)..=(job.to_owned(), u32::MAX);
         let failures: Vec<TaskFailures> =
             self.failures.range(indexes).map(|(_, failures)| failures.clone()).collect();
-        let max_retries = self.allowed_retries(job);
+        let max_retries = self.get_allowed_retries(job);
         if !self.has_exhausted_retries(job) {
             let text = format!(
                 "{job} failed with retries left: {failures:?}, {max_retries:?} retries allowed"
@@ -286,10 +293,10 @@
     pub fn record_start(&mut self, now: u64, task: PlacedTask, place: Place) {
         self.start_count += 1;
         let Some(spec) = self.specs.get(&task.job).cloned() else { return };
-        let first = PlacedTask { job: task.job.clone(), index: 0, host: String::new() };
+        let first_key = PlacedTask { job: task.job.clone(), index: 0, host: String::new() };
         let siblings: Vec<(PlacedTask, Place)> = self
             .tasks_on_machines
-            .range(first..)
+            .range(first_key..)
             .take_while(|(other, _)| other.job == task.job)
             .map(|(other, other_place)| (other.clone(), other_place.clone()))
             .collect();
@@ -301,12 +308,12 @@
         }
         let in_zone_count =
             siblings.iter().filter(|(_, other)| other.zone == place.zone).count() as u32 + 1;
-        let is_elsewhere = siblings.iter().any(|(_, other)| other.zone != place.zone);
+        let has_other_zone = siblings.iter().any(|(_, other)| other.zone != place.zone);
         let is_misplaced =
             spec.flavors.as_ref().is_some_and(|flavors| !flavors.contains(&place.flavor))
                 || spec.zone.as_ref().is_some_and(|zone| zone.as_str() != place.zone)
                 || (place.spot && !spec.spot)
-                || (spec.one_zone && is_elsewhere)
+                || (spec.one_zone && has_other_zone)
                 || (spec.spread && in_zone_count > spec.tasks.div_ceil(2));
         if is_misplaced {
             let text = format!("{task:?} at {place:?}, {siblings:?}, {spec:?}");
@@ -324,12 +331,12 @@
         if is_late {
             self.report_violation(now, "ran_cancelled", format!("{task:?} starts"));
         }
-        if let Some(begun) = &mut self.started_tasks {
-            begun.push(task.clone());
+        if let Some(started_tasks) = &mut self.started_tasks {
+            started_tasks.push(task.clone());
         }
         let used = self.team_usage.entry(spec.team.clone()).or_default();
         if self.tasks_on_machines.insert(task, place).is_none() {
-            used.iter_mut().zip(resource_needs(&spec)).for_each(|(used, need)| *used += need);
+            used.iter_mut().zip(get_resource_needs(&spec)).for_each(|(used, need)| *used += need);
         }
         let [cpus, gpus] = *used;
         let limit = self.limits.get(&spec.team).copied().unwrap_or_default();
@@ -347,7 +354,7 @@
             && let Some(spec) = self.specs.get(&task.job)
             && let Some(used) = self.team_usage.get_mut(&spec.team)
         {
-            used.iter_mut().zip(resource_needs(spec)).for_each(|(used, need)| *used -= need);
+            used.iter_mut().zip(get_resource_needs(spec)).for_each(|(used, need)| *used -= need);
         }
     }
 
@@ -375,8 +382,8 @@
         }
     }
 
-    /// A controller sends orders: none may start a task of a job whose user has already seen a final status,
-    /// however long the orders are on their way.
+    /// A controller sends orders: none may start a task of a job whose user has already seen a final status.
+    /// Checked when they are sent, so their delay does not matter.
     pub fn check_orders(&mut self, now: u64, orders: &[Order]) {
         for order in orders {
             let Order::Run { task, .. } = order else { continue };
@@ -391,12 +398,12 @@
         }
     }
 
-    /// A user has received the answer to a request sent at `asked_at`. An answer to a request sent before the
-    /// user saw the job accepted, or its final status, may be out of order, whichever node it comes from.
+    /// A user has received the answer to a request sent at `sent_at`. If the request was sent before the user
+    /// saw the job accepted, or saw its final status, any node may still answer with the earlier status.
     pub fn handle_answer(
         &mut self,
         now: u64,
-        asked_at: u64,
+        sent_at: u64,
         job: &str,
         status: u16,
         body: &str,
@@ -406,7 +413,7 @@
         let was_accepted = self
             .client_views
             .get(job)
-            .is_some_and(|view| view.accepted && asked_at >= view.accepted_at);
+            .is_some_and(|view| view.accepted && sent_at >= view.accepted_at);
         if was_accepted && (status == 404 || submission && matches!(status, 400 | 422)) {
             self.report_violation(now, "forgotten", format!("{job} got {status}"));
         }
@@ -433,7 +440,7 @@
         // Two different final statuses cannot come from reordered answers: one of them was never true.
         let is_contradiction =
             view.final_status.is_some_and(|final_status| final_status != status_seen)
-                && (asked_at >= view.final_status_at || status_seen.is_final());
+                && (sent_at >= view.final_status_at || status_seen.is_final());
         let is_unexplained_cancellation = status_seen == JobStatus::Cancelled && !may_be_cancelled;
         let previous = view.final_status;
         let is_first_final = status_seen.is_final() && view.final_status.is_none();
@@ -452,7 +459,7 @@
             self.check_final_statuses(now, job, status_seen);
         }
         if matches!(status_seen, JobStatus::Queued | JobStatus::Running) {
-            self.check_not_orphaned(now, asked_at, job);
+            self.check_not_orphaned(now, sent_at, job);
         }
         if is_contradiction || is_unexplained_cancellation {
             self.report_violation(
--- a/crates/emulator/src/faults.rs
+++ b/crates/emulator/src/faults.rs
@@ -58,7 +58,9 @@
 /// A fault with its start and end, in milliseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScheduledFault {
+    /// Start.
     pub at: u64,
+    /// End.
     pub until: u64,
     pub fault: Fault,
 }
@@ -100,14 +102,16 @@
         self.active.retain(|scheduled| now < scheduled.until);
     }
 
-    fn active_faults(&self, now: u64) -> impl Iterator<Item = &Fault> {
+    /// Faults that have started and not ended at `now`.
+    fn find_active_faults(&self, now: u64) -> impl Iterator<Item = &Fault> {
         let is_active =
             move |scheduled: &&ScheduledFault| (scheduled.at..scheduled.until).contains(&now);
         self.active.iter().filter(is_active).map(|scheduled| &scheduled.fault)
     }
 
-    /// Decides what happens to a request of a controller to a service. If several faults are active, the most
-    /// severe one applies; delays add up.
+    /// Decides what happens to a request of a controller to a service. Of several active faults, a silent
+    /// one overrides the others, and a refusal with 503 all but a silent one; of the rest, the first one added
+    /// applies. Delays add up, and apply only to requests that are passed on.
     pub fn decide(
         &self,
         service: Service,
@@ -117,8 +121,8 @@
     ) -> RequestAction {
         let mut total_delay_ms = 0;
         let mut action = None;
-        for fault in self.active_faults(now) {
-            let trouble = match fault {
+        for fault in self.find_active_faults(now) {
+            let service_fault = match fault {
                 Fault::PartitionController(partitioned) if *partitioned == controller => {
                     ServiceFault::Silent
                 }
@@ -130,7 +134,7 @@
                 }
                 _ => continue,
             };
-            match trouble {
+            match service_fault {
                 ServiceFault::Silent => return RequestAction::Silent,
                 ServiceFault::Slow(ms) => total_delay_ms += ms,
                 ServiceFault::Refuse => action = Some(RequestAction::Refuse(503)),
@@ -155,7 +159,7 @@
         controller_zone: &str,
         now: u64,
     ) -> bool {
-        self.active_faults(now).any(|fault| match fault {
+        self.find_active_faults(now).any(|fault| match fault {
             Fault::PartitionController(partitioned) => *partitioned == controller,
             Fault::PartitionZone(partitioned) => {
                 (partitioned == zone) != (partitioned == controller_zone)
@@ -174,9 +178,9 @@
     fn the_most_severe_active_fault_applies() {
         let mut rng = ChaCha8Rng::seed_from_u64(1);
         let mut faults = FaultSet::default();
-        let build_service_fault = |trouble, controller| Fault::OnService {
+        let build_service_fault = |service_fault, controller| Fault::OnService {
             service: Service::State,
-            service_fault: trouble,
+            service_fault,
             controller,
         };
         faults.add(ScheduledFault {
--- a/crates/emulator/src/region.rs
+++ b/crates/emulator/src/region.rs
@@ -81,10 +81,11 @@
 }
 
 impl Region {
-    pub fn new(terms: CloudConfig, times: WorkerTimes, checker: Checker, seed: u64) -> Self {
+    /// Creates a region without machines.
+    pub fn new(config: CloudConfig, times: WorkerTimes, checker: Checker, seed: u64) -> Self {
         Self {
-            last_machine_number: terms.first_machine_number,
-            config: terms,
+            last_machine_number: config.first_machine_number,
+            config,
             times,
             rng: ChaCha8Rng::seed_from_u64(seed),
             workers: BTreeMap::new(),
@@ -124,7 +125,7 @@
         self.config.flavors.iter().find(|flavor| flavor.label == label)
     }
 
-    /// A page of the machine list, which is as old as `list_age_ms` of the terms allows.
+    /// A page of the machine list, which is as old as `list_age_ms` of the configuration allows.
     pub fn list_machines(&mut self, now: u64, after: &str, max: usize) -> MachineList {
         let (min_age, max_age) = self.config.list_age_ms;
         let age = self.rng.random_range(min_age..max_age);
@@ -269,10 +270,10 @@
         let get_gang_state = |job: &str, attempt: u64| {
             gang_states.get(&(job.to_owned(), attempt)).copied().unwrap_or_default()
         };
-        let (mut reports_due, mut taken) = (Vec::new(), Vec::new());
+        let (mut reports_due, mut reclaimed) = (Vec::new(), Vec::new());
         for (host, worker) in &mut self.workers {
             if worker.notice_until.is_some_and(|until| now >= until) {
-                taken.push(host.clone());
+                reclaimed.push(host.clone());
             }
             if now < worker.up_at {
                 continue;
@@ -300,11 +301,13 @@
                 reports_due.push(OutgoingReport { host: host.clone(), id, node, report });
             }
         }
-        taken.iter().for_each(|host| self.remove_machine(host));
+        reclaimed.iter().for_each(|host| self.remove_machine(host));
         reports_due
     }
 
-    /// Delivers a node's answer to a report to its worker.
+    /// Delivers a node's answer to a report, given by its ID and the time it was sent, to its worker. An answer
+    /// that comes too late, while the machine hangs, or to another report than the pending one is dropped. On a
+    /// redirect to another node the worker reports to that node next; on any other failure, to the next node.
     pub fn handle_answer(
         &mut self,
         now: u64,
@@ -380,19 +383,19 @@
         booted.choose(&mut self.rng).cloned()
     }
 
-    /// Takes back up to `max` spot machines: two of three with notice, the third without. Returns how many.
+    /// Preempts up to `max` spot machines: two of three with notice, every third without. Returns how many.
     pub fn preempt_spot_machines(&mut self, now: u64, max: usize, notice_ms: u64) -> usize {
-        let select_spot_host = |(host, w): (&String, &Worker)| w.place.spot.then(|| host.clone());
-        let taken: Vec<String> =
-            self.workers.iter().filter_map(select_spot_host).take(max).collect();
-        for (n, host) in taken.iter().enumerate() {
+        let get_spot_host = |(host, w): (&String, &Worker)| w.place.spot.then(|| host.clone());
+        let reclaimed: Vec<String> =
+            self.workers.iter().filter_map(get_spot_host).take(max).collect();
+        for (n, host) in reclaimed.iter().enumerate() {
             if n % 3 == 2 {
                 self.remove_machine(host);
             } else if let Some(worker) = self.workers.get_mut(host) {
                 worker.notice_until = Some(now + notice_ms);
             }
         }
-        taken.len()
+        reclaimed.len()
     }
 
     /// The worker on a machine.
--- a/crates/emulator/src/serve.rs
+++ b/crates/emulator/src/serve.rs
@@ -36,7 +36,7 @@
 
 /// A direct request to a worker.
 enum WorkerRequest {
-    Do(Command),
+    Execute(Command),
     Show,
 }
 
@@ -44,7 +44,7 @@
 struct ReportTransit {
     host: String,
     id: u64,
-    sent: u64,
+    sent_at: u64,
     node: usize,
 }
 
@@ -115,9 +115,9 @@
     }
 
     /// Starts a fault of machines or of the network. Faults of processes are left to the caller.
-    pub fn inject(&self, planned: &ScheduledFault) {
+    pub fn inject(&self, scheduled: &ScheduledFault) {
         let now = self.shared.now();
-        let duration_ms = planned.until.saturating_sub(planned.at);
+        let duration_ms = scheduled.until.saturating_sub(scheduled.at);
         let mut region = self.lock_region();
         let mut for_random_machines = |count: usize, action: &mut dyn FnMut(&mut Region, &str)| {
             for _ in 0..count {
@@ -126,7 +126,7 @@
                 }
             }
         };
-        match &planned.fault {
+        match &scheduled.fault {
             Fault::PreemptSpot(count) => {
                 _ = region.preempt_spot_machines(now, *count, SPOT_NOTICE_MS)
             }
@@ -151,7 +151,7 @@
                 lock(&self.shared.faults).add(ScheduledFault {
                     at: now,
                     until: now + duration_ms,
-                    ..planned.clone()
+                    ..scheduled.clone()
                 });
             }
             Fault::CrashController(..) | Fault::CrashAll(_) | Fault::RestartState => {}
@@ -229,17 +229,18 @@
         Ok(self.start_reports(queue)?)
     }
 
+    /// Starts the thread that sends a worker's reports to the controllers, one at a time.
     fn start_reports(&self, queue: Receiver<(ReportTransit, Report)>) -> std::io::Result<()> {
-        let new_caller =
+        let new_client =
             |node: &Node| HttpClient::new(&node.address, REPORT_TIMEOUT_MS, MAX_RESPONSE_BYTES);
-        let callers: Vec<HttpClient> = self.nodes.iter().map(new_caller).collect();
+        let clients: Vec<HttpClient> = self.nodes.iter().map(new_client).collect();
         let result_sender = self.result_sender.clone();
         let mut known_jobs = BTreeSet::new();
         spawn("reports", move || {
             while let Ok((transit, report)) = queue.recv() {
-                let answer = callers[transit.node].post("/v1/report", &report);
+                let answer = clients[transit.node].post("/v1/report", &report);
                 let jobs =
-                    fetch_graph_jobs(&callers, transit.node, answer.as_ref(), &mut known_jobs);
+                    fetch_graph_jobs(&clients, transit.node, answer.as_ref(), &mut known_jobs);
                 if result_sender.send(ReportResult { transit, answer, jobs }).is_err() {
                     return;
                 }
@@ -248,8 +249,9 @@
         Ok(())
     }
 
+    /// Handles direct requests to workers.
     fn serve_workers(&self, commands: &Receiver<(String, Incoming<WorkerRequest>)>) {
-        // Commands to hanging machines: executed when the machine resumes, however late.
+        // Commands to hanging or partitioned machines: executed once the machine no longer hangs, however late.
         let mut delayed: Vec<(String, Command)> = Vec::new();
         loop {
             if let Ok((host, incoming)) =
@@ -291,14 +293,14 @@
         let is_zone_partitioned =
             lock(&self.shared.faults).is_partitioned(&zone, usize::MAX, "", now);
         if now < worker.hung_until || is_zone_partitioned {
-            if let WorkerRequest::Do(command) = incoming.request {
+            if let WorkerRequest::Execute(command) = incoming.request {
                 delayed.push((host.to_owned(), command));
             }
             return answers.close(connection);
         }
         let reply = match incoming.request {
             WorkerRequest::Show => HttpReply::json(200, &worker.build_report(now)),
-            WorkerRequest::Do(command) => match region.handle_command(now, host, &command) {
+            WorkerRequest::Execute(command) => match region.handle_command(now, host, &command) {
                 Some((true, report)) => HttpReply::json(200, &report),
                 Some((false, report)) => HttpReply::json(409, &report),
                 None => return answers.close(connection),
@@ -335,14 +337,15 @@
         }
     }
 
-    /// Whether the worker of a machine and a controller node cannot reach each other.
+    /// Whether the worker of a machine and a controller node cannot reach each other. Also true if the machine no
+    /// longer exists.
     fn is_partitioned(&self, region: &Region, host: &str, node: usize, now: u64) -> bool {
         let Some(worker) = region.workers.get(host) else { return true };
         let controller_zone = self.nodes[node].zone.as_str();
         lock(&self.shared.faults).is_partitioned(&worker.place.zone, node, controller_zone, now)
     }
 
-    /// Passes a report to the thread that sends it, unless the two are partitioned.
+    /// Passes a report to the thread that sends it, unless worker and controller are partitioned.
     fn send(&self, now: u64, outgoing: OutgoingReport) {
         let OutgoingReport { host, id, node, report } = outgoing;
         if self.is_partitioned(&self.lock_region(), &host, node, now) {
@@ -352,18 +355,18 @@
             // A full queue means that the thread still waits for earlier reports: this report is dropped, as
             // on a bad connection.
             let _ =
-                endpoint.reports.try_send((ReportTransit { host, id, sent: now, node }, report));
+                endpoint.reports.try_send((ReportTransit { host, id, sent_at: now, node }, report));
         }
     }
 
-    /// Delivers the answer to a report to its worker, unless the two are partitioned now.
+    /// Delivers the answer to a report to its worker, unless worker and controller are partitioned now.
     fn deliver_answer(&self, now: u64, transit: &ReportTransit, answer: NodeAnswer) {
-        let ReportTransit { host, id, sent, node } = transit;
+        let ReportTransit { host, id, sent_at, node } = transit;
         let mut region = self.lock_region();
         if !self.is_partitioned(&region, host, *node, now) {
             let (status, body) = answer.unwrap_or((0, Vec::new()));
             let body = String::from_utf8_lossy(&body);
-            region.handle_answer(now, host, (*id, *sent), status, &body);
+            region.handle_answer(now, host, (*id, *sent_at), status, &body);
         }
     }
 }
@@ -371,7 +374,7 @@
 /// Jobs of graphs have no uploaded description: fetches the descriptions of those that the answer orders to
 /// run from a controller.
 fn fetch_graph_jobs(
-    callers: &[HttpClient],
+    clients: &[HttpClient],
     node: usize,
     answer: Option<&(u16, Vec<u8>)>,
     known_jobs: &mut BTreeSet<String>,
@@ -389,9 +392,9 @@
         }
         let path = format!("/v2/runs/{job}/nodes");
         let request_job =
-            |caller: &HttpClient| caller.get(&path).filter(|(status, _)| *status == 200);
-        let job_body = (0..callers.len())
-            .find_map(|offset| request_job(&callers[(node + offset) % callers.len()]));
+            |client: &HttpClient| client.get(&path).filter(|(status, _)| *status == 200);
+        let job_body = (0..clients.len())
+            .find_map(|offset| request_job(&clients[(node + offset) % clients.len()]));
         let job_answer =
             job_body.and_then(|(_, body)| serde_json::from_slice::<JobAnswer>(&body).ok());
         if let Some(spec) = job_answer.and_then(|job_answer| job_answer.job) {
@@ -440,7 +443,9 @@
 fn parse_worker_request(method: &str, path: &str, body: &[u8]) -> Result<WorkerRequest, HttpReply> {
     match (method, path) {
         ("GET", "/show") => Ok(WorkerRequest::Show),
-        ("POST", "/do") => serde_json::from_slice(body).map(WorkerRequest::Do).map_err(bad_request),
+        ("POST", "/do") => {
+            serde_json::from_slice(body).map(WorkerRequest::Execute).map_err(bad_request)
+        }
         _ => Err(HttpReply::error(404, "no such path")),
     }
 }
--- a/crates/emulator/src/service_proxy.rs
+++ b/crates/emulator/src/service_proxy.rs
@@ -56,10 +56,10 @@
     let address = answers.address();
     for thread in 0..PROXY_THREAD_COUNT {
         let (queue, answers, shared) = (queue.clone(), answers.clone(), shared.clone());
-        let caller = HttpClient::new(target, PROXY_TIMEOUT_MS, MAX_RESPONSE_BYTES);
+        let client = HttpClient::new(target, PROXY_TIMEOUT_MS, MAX_RESPONSE_BYTES);
         let rng = ChaCha8Rng::seed_from_u64(seed ^ ((controller * 64 + thread) as u64) << 8);
         spawn("gate", move || {
-            forward_requests(&queue, &answers, &caller, service, controller, &shared, rng)
+            forward_requests(&queue, &answers, &client, service, controller, &shared, rng)
         })?;
     }
     Ok(address)
@@ -69,7 +69,7 @@
 fn forward_requests(
     queue: &Receiver<Incoming<RawRequest>>,
     answers: &Arc<ReplySender>,
-    caller: &HttpClient,
+    client: &HttpClient,
     service: Service,
     controller: usize,
     shared: &FaultContext,
@@ -80,7 +80,7 @@
             Ok(faults) => faults.decide(service, controller, shared.now(), rng),
             Err(_) => RequestAction::Pass { delay_ms: 0 },
         };
-        let forward = || caller.forward(&request.method, &request.path, &request.body);
+        let forward = || client.forward(&request.method, &request.path, &request.body);
         match decide(&mut rng) {
             RequestAction::Refuse(status) => {
                 answers.send(connection, HttpReply::error(status, "trouble"))
@@ -94,12 +94,12 @@
                 run_later(SILENT_CLOSE_DELAY_MS, move || late_answers.close(connection));
             }
             RequestAction::Late { delay_ms } => {
-                let (late_answers, late_caller) = (answers.clone(), caller.clone());
+                let (late_answers, late_client) = (answers.clone(), client.clone());
                 run_later(Millis(delay_ms), move || {
                     // The request may block for long, so it gets a thread of its own: other delayed requests
                     // must not wait for it.
                     let started = spawn("late", move || {
-                        let _ = late_caller.forward(&request.method, &request.path, &request.body);
+                        let _ = late_client.forward(&request.method, &request.path, &request.body);
                         late_answers.close(connection);
                     });
                     if let Err(e) = started {
--- a/crates/emulator/src/timetable.rs
+++ b/crates/emulator/src/timetable.rs
@@ -58,7 +58,7 @@
     ("job-breaks", &["job", "share"], "this share of a job's attempts fails on every machine"),
 ];
 
-/// The options of one fault, as far as they are given.
+/// The options of one fault, `None` if an option is missing.
 #[derive(Default)]
 struct Options {
     duration_s: Option<f64>,
@@ -70,7 +70,7 @@
     job: Option<String>,
 }
 
-fn line_of(datum: &Datum) -> usize {
+fn get_line(datum: &Datum) -> usize {
     datum.span().start().line()
 }
 
@@ -90,7 +90,7 @@
         line: e.location().map_or(0, |l| l.line()),
         text: format!("not an S-expression: {e}"),
     })? {
-        let line = line_of(&datum);
+        let line = get_line(&datum);
         let Some(mut items) = datum.list_iter() else {
             return syntax_error(line, "an entry is a list: (at SECONDS FAULT OPTION ...)");
         };
@@ -198,15 +198,15 @@
 
 fn build_fault(line: usize, name: &str, options: Options) -> Result<Fault, TimetableError> {
     let Options { ms, share, controller, count, zone, job, .. } = options;
-    let delay_or = |default: f64| ms.unwrap_or(default) as u64;
+    let get_delay_or = |default: f64| ms.unwrap_or(default) as u64;
     // 0 is allowed: a process may be restarted within a fraction of a second.
     let restart_after = ms.map(|ms| Millis(ms as u64));
     let count = count.unwrap_or(1);
-    let job_share = share.unwrap_or(1.0);
+    let job_failure_share = share.unwrap_or(1.0);
     let share = share.unwrap_or(DEFAULT_FAULT_SHARE);
     let service = if name.starts_with("state-") { Service::State } else { Service::Cloud };
     let build_service_fault =
-        |trouble| Ok(Fault::OnService { service, service_fault: trouble, controller });
+        |service_fault| Ok(Fault::OnService { service, service_fault, controller });
     let require_controller = || {
         controller
             .ok_or_else(|| TimetableError { line, text: format!("{name} needs (controller N)") })
@@ -214,13 +214,13 @@
     match name {
         "state-restart" => Ok(Fault::RestartState),
         "state-slow" | "cloud-slow" => {
-            build_service_fault(ServiceFault::Slow(delay_or(DEFAULT_SLOW_DELAY_MS)))
+            build_service_fault(ServiceFault::Slow(get_delay_or(DEFAULT_SLOW_DELAY_MS)))
         }
         "state-refuse" | "cloud-refuse" => build_service_fault(ServiceFault::Refuse),
         "state-throttle" | "cloud-throttle" => build_service_fault(ServiceFault::Throttle),
         "state-lose" | "cloud-lose" => build_service_fault(ServiceFault::Lose(share)),
         "state-late" | "cloud-late" => {
-            build_service_fault(ServiceFault::Late(share, delay_or(DEFAULT_LATE_DELAY_MS)))
+            build_service_fault(ServiceFault::Late(share, get_delay_or(DEFAULT_LATE_DELAY_MS)))
         }
         "state-silent" | "cloud-silent" => build_service_fault(ServiceFault::Silent),
         "cut-controller" => require_controller().map(Fault::PartitionController),
@@ -237,7 +237,7 @@
         "machine-hangs" => Ok(Fault::MachinesHang(count)),
         "machine-faulty" => Ok(Fault::MachineFaulty),
         "job-breaks" => match job {
-            Some(job) => Ok(Fault::JobFails(job, job_share)),
+            Some(job) => Ok(Fault::JobFails(job, job_failure_share)),
             None => syntax_error(line, "job-breaks needs (job ID)"),
         },
         _ => syntax_error(line, format!("unknown fault {name}")),
--- a/crates/emulator/src/worker.rs
+++ b/crates/emulator/src/worker.rs
@@ -73,17 +73,18 @@
     }
 
     /// The key of a task's progress in `saved`.
-    fn progress_key(spec: &JobSpec, index: u32) -> (String, u32) {
+    fn get_progress_key(spec: &JobSpec, index: u32) -> (String, u32) {
         (spec.id.to_string(), if spec.shape == Shape::Gang { 0 } else { index })
     }
 
-    fn progress(&self, spec: &JobSpec, index: u32) -> u64 {
-        self.saved.get(&Self::progress_key(spec, index)).copied().unwrap_or(0)
+    /// Saved progress of a task, in milliseconds.
+    fn get_progress(&self, spec: &JobSpec, index: u32) -> u64 {
+        self.saved.get(&Self::get_progress_key(spec, index)).copied().unwrap_or(0)
     }
 
     /// Saves progress; it never decreases.
     fn save(&mut self, spec: &JobSpec, index: u32, progress: u64) {
-        let saved = self.saved.entry(Self::progress_key(spec, index)).or_default();
+        let saved = self.saved.entry(Self::get_progress_key(spec, index)).or_default();
         *saved = progress.max(*saved);
     }
 }
@@ -176,12 +177,13 @@
     pub faulty: bool,
     /// Whether the state has changed since the last report.
     changed: bool,
-    last_report: u64,
+    last_report_at: u64,
     /// Time of the last step or execution of orders.
     clock: u64,
 }
 
 impl Worker {
+    /// Creates a machine that has booted at `up_at`, without tasks.
     pub fn new(
         host: String,
         place: Place,
@@ -212,31 +214,32 @@
             notice_until: None,
             faulty: false,
             changed: false,
-            last_report: 0,
+            last_report_at: 0,
             clock: 0,
         }
     }
 
-    fn task_on_machine(&self, key: &(String, u32, u64)) -> PlacedTask {
+    fn to_placed_task(&self, key: &(String, u32, u64)) -> PlacedTask {
         PlacedTask { job: key.0.clone(), index: key.1, host: self.host.clone() }
     }
 
     /// Kills all tasks, as when the cloud takes back the machine or the lease expires.
     pub fn kill(&mut self, checker: &mut Checker) {
         for key in std::mem::take(&mut self.tasks).into_keys() {
-            checker.record_end(&self.task_on_machine(&key));
+            checker.record_end(&self.to_placed_task(&key));
         }
     }
 
+    /// Ends an attempt; it stays in the reports until a controller orders the worker to forget it.
     fn exit(&mut self, key: &(String, u32, u64), cause: ExitCause, checker: &mut Checker) {
-        let task_on_machine = self.task_on_machine(key);
+        let placed_task = self.to_placed_task(key);
         if let Some(task) = self.tasks.get_mut(key) {
             task.phase = TaskPhase::Exited;
             task.cause = Some(cause);
             task.stopped_at = task.stopped_at.or(Some(self.clock));
             checker.record_exit(&self.host, key, cause, task.run_time_ms(self.clock));
             self.changed = true;
-            checker.record_end(&task_on_machine);
+            checker.record_end(&placed_task);
         }
     }
 
@@ -274,7 +277,7 @@
             };
             match task.phase {
                 TaskPhase::Fetching if now >= task.until => {
-                    checker.record_start(now, self.task_on_machine(&key), self.place.clone());
+                    checker.record_start(now, self.to_placed_task(&key), self.place.clone());
                     if external.has_stored_results && checker.is_done(&key.0, key.1) {
                         self.exit(&key, ExitCause::Done, checker);
                     } else if is_gang {
@@ -299,7 +302,7 @@
                     let is_job_fault = external.is_failing_attempt(&key);
                     checker.record_error(
                         now,
-                        &self.task_on_machine(&key),
+                        &self.to_placed_task(&key),
                         key.2,
                         is_job_fault,
                         self.faulty,
@@ -311,8 +314,8 @@
                 }
                 TaskPhase::Running if spec.shape != Shape::Service && now >= task.until => {
                     // The tasks of a gang complete together.
-                    let completed = 0..spec.tasks;
-                    completed
+                    let indexes = 0..spec.tasks;
+                    indexes
                         .filter(|i| is_gang || *i == key.1)
                         .for_each(|i| checker.record_task_done(&key.0, i));
                     self.exit(&key, ExitCause::Done, checker);
@@ -336,7 +339,7 @@
         spec: &JobSpec,
         external: &ExternalState,
     ) {
-        let base = external.progress(spec, key.1);
+        let base = external.get_progress(spec, key.1);
         let run_time_ms = (spec.estimate_s * self.run_time_factor * 1000.0) as u64;
         let (phase, until) = (TaskPhase::Running, now + run_time_ms.saturating_sub(base));
         self.tasks.insert(
@@ -380,14 +383,14 @@
 
     /// Whether a report has to be sent now.
     pub fn is_report_due(&self, now: u64) -> bool {
-        let is_change_due = self.changed && now >= self.last_report + 500;
+        let is_change_due = self.changed && now >= self.last_report_at + 500;
         self.pending_report.is_none() && (now >= self.next_report || is_change_due)
     }
 
     /// Returns the report to send now and schedules the next one.
     pub fn begin_report(&mut self, now: u64, id: u64, rng: &mut ChaCha8Rng) -> Report {
         self.changed = false;
-        self.last_report = now;
+        self.last_report_at = now;
         self.pending_report = Some((id, now));
         self.next_report = now
             + self.times.report_interval_ms * 3 / 4
@@ -476,6 +479,8 @@
         self.build_report(now)
     }
 
+    /// Executes the orders of a controller. Each may arrive more than once, so those that no longer change
+    /// anything are ignored. A task that is stopped saves its progress first if the grace period suffices.
     fn execute(
         &mut self,
         now: u64,
@@ -522,6 +527,8 @@
         }
     }
 
+    /// Starts an attempt by fetching its image. It exits at once if the job is unknown, if another attempt of the
+    /// task is on the machine, or if there are too few free GPUs.
     fn run(
         &mut self,
         now: u64,
@@ -545,7 +552,7 @@
             Some(_) => None,
         };
         let phase = if cause.is_some() { TaskPhase::Exited } else { TaskPhase::Fetching };
-        let until = spec.map_or(now, |spec| self.fetched_at(now, spec, rng));
+        let until = spec.map_or(now, |spec| self.compute_fetch_end(now, spec, rng));
         let (waiting_since, running_since, base, stored) = (0, 0, 0, false);
         let task = TaskAttempt {
             phase,
@@ -562,7 +569,7 @@
     }
 
     /// When the machine will have fetched the job's image.
-    fn fetched_at(&mut self, now: u64, spec: &JobSpec, rng: &mut ChaCha8Rng) -> u64 {
+    fn compute_fetch_end(&mut self, now: u64, spec: &JobSpec, rng: &mut ChaCha8Rng) -> u64 {
         match &mut self.fetch {
             ImageFetch::Range(min, max) => now + rng.random_range(*min..*max),
             ImageFetch::Rate(rate, fetched_at) => {
--- a/crates/explorer/src/lib.rs
+++ b/crates/explorer/src/lib.rs
@@ -11,7 +11,9 @@
 
 /// A model to explore: its states, the steps between them, and the invariants.
 pub trait Model: Sync {
+    /// A state of the whole model.
     type State: Clone + Hash + Send + Sync;
+    /// A transition from one state to the next.
     type Step: Clone + Debug + PartialEq + Send;
 
     /// The initial state.
@@ -37,7 +39,9 @@
 /// The steps from the initial state to a state that violates an invariant.
 #[derive(Clone, Debug)]
 pub struct Counterexample<Step> {
+    /// The steps, in order.
     pub steps: Vec<Step>,
+    /// Description of the violated invariant.
     pub violation: String,
 }
 
@@ -52,6 +56,7 @@
     pub depth: usize,
     /// Whether all reachable states were explored.
     pub is_complete: bool,
+    /// A shortest path to a violation, if one was found.
     pub counterexample: Option<Counterexample<Step>>,
 }
 
@@ -75,10 +80,10 @@
     }
 }
 
-fn digest(state: &impl Hash) -> Digest {
+fn compute_digest(state: &impl Hash) -> Digest {
     let hasher = BuildHasherDefault::<DefaultHasher>::default();
-    let hash_with = |salt: u64| u128::from(hasher.hash_one((salt, state)));
-    hash_with(1) << 64 | hash_with(2)
+    let hash_with_salt = |salt: u64| u128::from(hasher.hash_one((salt, state)));
+    hash_with_salt(1) << 64 | hash_with_salt(2)
 }
 
 /// How a state was first reached: the state before it and the index of the step.
@@ -99,7 +104,7 @@
 /// Explores the states that are reachable within the bounds, up to the first one that violates an invariant.
 pub fn explore<M: Model>(model: &M, bounds: Bounds) -> Report<M::Step> {
     let start = model.initial_state();
-    let root = digest(&start);
+    let root = compute_digest(&start);
     let mut known: HashMap<Digest, Predecessor, BuildHasherDefault<DigestHasher>> =
         HashMap::default();
     known.insert(root, Predecessor { previous: root, step: 0 });
@@ -112,15 +117,14 @@
     let mut level = vec![(start, root)];
     while !level.is_empty() && report.depth < bounds.depth && known.len() < bounds.states {
         let mut next_level = Vec::new();
-        // In slices, so that memory never has to hold the successors of the whole level at once, only those
-        // that are new.
+        // In slices, so that memory holds the successors that are already known for at most one slice at a time.
         for slice in level.chunks(CHUNK_STATE_COUNT * THREAD_COUNT * 4) {
-            for next in successors(model, slice, &mut report.steps) {
+            for next in find_successors(model, slice, &mut report.steps) {
                 if let std::collections::hash_map::Entry::Vacant(vacant) = known.entry(next.digest)
                 {
                     vacant.insert(next.predecessor);
                     if let Some(violation) = next.violation {
-                        let steps = steps_to(model, &known, root, next.digest);
+                        let steps = reconstruct_steps(model, &known, root, next.digest);
                         report.states = known.len();
                         report.depth = steps.len();
                         report.counterexample = Some(Counterexample { steps, violation });
@@ -145,7 +149,7 @@
 }
 
 /// The successors of the states in a slice of a level, in the order of the slice.
-fn successors<M: Model>(
+fn find_successors<M: Model>(
     model: &M,
     slice: &[(M::State, Digest)],
     total_steps: &mut usize,
@@ -156,7 +160,7 @@
             for (index, step) in model.steps(state).iter().enumerate() {
                 step_count += 1;
                 let Some(after) = model.apply(state, step) else { continue };
-                let digest = digest(&after);
+                let digest = compute_digest(&after);
                 let predecessor = Predecessor { previous: *previous, step: index as u16 };
                 found.push(Successor {
                     violation: model.find_violation(&after),
@@ -188,7 +192,7 @@
 }
 
 /// The steps from the initial state to a known state.
-fn steps_to<M: Model>(
+fn reconstruct_steps<M: Model>(
     model: &M,
     known: &HashMap<Digest, Predecessor, BuildHasherDefault<DigestHasher>>,
     root: Digest,
@@ -284,8 +288,8 @@
         }
 
         fn find_violation(&self, state: &State) -> Option<String> {
-            let all = state.done == [true; 2] && state.value < 2;
-            all.then(|| format!("an update was lost: {}", state.value))
+            let is_update_lost = state.done == [true; 2] && state.value < 2;
+            is_update_lost.then(|| format!("an update was lost: {}", state.value))
         }
     }
 
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -48,12 +48,12 @@
     world
 }
 
-/// Whether a job counts as neglected by `until`; no other rule may be broken.
+/// Whether a job counts as neglected by `until`; no other rule may be violated.
 fn is_neglected(world: &mut World, until: u64) -> bool {
     world.run_until(until);
-    let broken = &world.region.checker.violations;
-    assert!(broken.iter().all(|text| text.contains(" neglected: ")), "{broken:?}");
-    !broken.is_empty()
+    let violations = &world.region.checker.violations;
+    assert!(violations.iter().all(|text| text.contains(" neglected: ")), "{violations:?}");
+    !violations.is_empty()
 }
 
 /// Lets a task of another job hold this many of the machine's GPUs for ever.
@@ -118,11 +118,11 @@
     let mut unaccepted = world_with_waiting_job(0.0, |_| {});
     unaccepted.add_job(small_array("req-3", 5));
     assert!(is_neglected(&mut unaccepted, past_limit));
-    let broken = &unaccepted.region.checker.violations;
-    assert!(broken.iter().all(|text| text.contains("req-1")), "{broken:?}");
-    let mut broken = world_with_waiting_job(0.0, |_| {});
-    broken.region.external.failing_jobs.insert("req-1".into(), JobFailures::Always);
-    assert!(!is_neglected(&mut broken, past_limit), "it waits because it fails");
+    let violations = &unaccepted.region.checker.violations;
+    assert!(violations.iter().all(|text| text.contains("req-1")), "{violations:?}");
+    let mut failing = world_with_waiting_job(0.0, |_| {});
+    failing.region.external.failing_jobs.insert("req-1".into(), JobFailures::Always);
+    assert!(!is_neglected(&mut failing, past_limit), "it waits because it fails");
     // Free room and limits are judged by what the workers actually run.
     let mut full = world_with_waiting_job(0.0, |_| {});
     occupy(&mut full, 3.5);
--- a/tests/members.rs
+++ b/tests/members.rs
@@ -56,8 +56,8 @@
         }
         let mut world = World::with_faults(seed, faults, 120_000, None);
         world.run();
-        let broken = &world.region.checker.violations;
-        assert!(broken.is_empty(), "seed {seed} breaks rules: {broken:#?}");
+        let violations = &world.region.checker.violations;
+        assert!(violations.is_empty(), "seed {seed} breaks rules: {violations:#?}");
         let unfinished = world.unfinished();
         assert!(unfinished.is_empty(), "seed {seed} has unfinished jobs: {unfinished:#?}");
     }
--- a/tests/ops.rs
+++ b/tests/ops.rs
@@ -15,8 +15,8 @@
 const FAULTS_END_MS: u64 = 150_000;
 
 fn assert_no_broken_rule(world: &World, seed: u64) {
-    let broken = &world.region.checker.violations;
-    assert!(broken.is_empty(), "seed {seed} breaks rules: {broken:#?}");
+    let violations = &world.region.checker.violations;
+    assert!(violations.is_empty(), "seed {seed} breaks rules: {violations:#?}");
     assert_eq!(world.two_leaders_at, None, "seed {seed}: two leaders at once");
     // Guards against work of a team whose quota is used up according to the job table after a takeover: its starts were
     // planned and refused forever.
@@ -145,7 +145,7 @@
         while world.leader().is_none() {
             assert!(
                 world.continues_before(at + 20_000),
-                "seed {seed}: there is no leader, or a rule is broken"
+                "seed {seed}: there is no leader, or a rule is violated"
             );
             world.run_until(world.now + 1);
         }
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -39,20 +39,21 @@
     (1..4).map(new_job).collect()
 }
 
-/// The rules that `act` breaks on a checker that knows the chain of jobs.
-fn violations(act: impl Fn(&mut Checker)) -> Vec<String> {
+/// Names of the rules that `act` violates on a checker that knows the chain of jobs.
+fn find_violated_rules(act: impl Fn(&mut Checker)) -> Vec<String> {
     let mut checker =
         Checker::new([("blue".to_owned(), Limit::gpus_only(0.0))].into(), MAX_CANCEL_MS);
     chain_of_three().iter().for_each(|spec| checker.record_submission(spec));
     act(&mut checker);
-    let rule_of = |broken: &String| broken.split([' ', ':']).nth(2).unwrap_or_default().to_owned();
-    checker.violations.iter().map(rule_of).collect()
+    let get_rule =
+        |violation: &String| violation.split([' ', ':']).nth(2).unwrap_or_default().to_owned();
+    checker.violations.iter().map(get_rule).collect()
 }
 
 fn start_task(checker: &mut Checker, now: u64, job: &str) {
-    let on = PlacedTask { job: job.into(), index: 0, host: "x".into() };
+    let task = PlacedTask { job: job.into(), index: 0, host: "x".into() };
     let place = Place { flavor: "g4".into(), zone: "a".into(), spot: false };
-    checker.record_start(now, on, place);
+    checker.record_start(now, task, place);
 }
 
 /// Passes the checker the answer to a status request that was sent at the same moment.
@@ -62,15 +63,15 @@
 
 #[test]
 fn checker_reports_a_start_before_a_dependency_is_done() {
-    assert_eq!(violations(|c| start_task(c, 1, "req-2")), ["too_early"]);
-    let in_order = violations(|c| {
+    assert_eq!(find_violated_rules(|c| start_task(c, 1, "req-2")), ["too_early"]);
+    let in_order = find_violated_rules(|c| {
         start_task(c, 1, "req-1");
         c.record_task_done("req-1", 0);
         start_task(c, 2, "req-2");
     });
     assert!(in_order.is_empty());
     assert_eq!(
-        violations(|c| start_task(c, 1, "req-3")),
+        find_violated_rules(|c| start_task(c, 1, "req-3")),
         ["too_early"],
         "its own dependency counts"
     );
@@ -79,7 +80,7 @@
 #[test]
 fn checker_reports_a_job_left_open_after_its_dependency_was_cancelled() {
     let violations_if_open_at = |job: &'static str, at: u64| {
-        violations(move |c| {
+        find_violated_rules(move |c| {
             answer_status(c, 1, "req-2", "queued");
             answer_status(c, 1, "req-3", "queued");
             c.record_cancel_request("req-1");
@@ -91,7 +92,7 @@
         assert!(violations_if_open_at(job, 10 + MAX_CANCEL_MS).is_empty(), "{job}");
         assert_eq!(violations_if_open_at(job, 11 + MAX_CANCEL_MS), ["orphaned"], "{job}");
     }
-    let done = violations(|c| {
+    let done = find_violated_rules(|c| {
         c.record_cancel_request("req-1");
         c.record_task_done("req-1", 0);
         answer_status(c, 10, "req-1", "done");
@@ -102,16 +103,16 @@
 
 #[test]
 fn checker_reports_contradictory_final_states_in_a_pipeline() {
-    let not_requested = violations(|c| answer_status(c, 1, "req-2", "cancelled"));
+    let not_requested = find_violated_rules(|c| answer_status(c, 1, "req-2", "cancelled"));
     assert_eq!(not_requested, ["went_back"], "none of its dependencies was cancelled");
-    let cascade = violations(|c| {
+    let cascade = find_violated_rules(|c| {
         c.record_cancel_request("req-1");
         answer_status(c, 1, "req-1", "cancelled");
         answer_status(c, 2, "req-3", "cancelled");
         answer_status(c, 3, "req-2", "cancelled");
     });
     assert!(cascade.is_empty(), "{cascade:?}");
-    let dependency_cancelled = violations(|c| {
+    let dependency_cancelled = find_violated_rules(|c| {
         c.record_cancel_request("req-3");
         answer_status(c, 1, "req-2", "cancelled");
     });
@@ -120,7 +121,7 @@
         ["went_back"],
         "a dependency is not cancelled with its dependents"
     );
-    let done_after_all = violations(|c| {
+    let done_after_all = find_violated_rules(|c| {
         c.record_cancel_request("req-1");
         answer_status(c, 1, "req-2", "cancelled");
         c.record_task_done("req-1", 0);
@@ -131,7 +132,7 @@
         ["crossed"],
         "its cancellation was answered with the status done, so its dependents go on"
     );
-    let after_done = violations(|c| {
+    let after_done = find_violated_rules(|c| {
         c.record_cancel_request("req-1");
         c.record_task_done("req-1", 0);
         answer_status(c, 1, "req-1", "done");
@@ -139,7 +140,7 @@
     });
     assert_eq!(after_done, ["went_back"]);
     for cancelled_first in [true, false] {
-        let both = violations(move |c| {
+        let both = find_violated_rules(move |c| {
             c.record_cancel_request("req-1");
             c.record_task_done("req-2", 0);
             let ends = [("req-1", "cancelled"), ("req-2", "done")];
@@ -200,25 +201,36 @@
 /// The checker detects final states that are reported before a record shows them, and refusals of jobs that may be submitted.
 #[test]
 fn checker_reports_answers_without_a_durable_record() {
-    let first_violation = |records: &[(&str, &str)], job: &str, status: u16, job_status: &str| {
-        let mut world = world_without_controllers();
-        for (job, end) in records {
-            world.write(&put(&format!("over/{job}"), json!({"s": end, "n": 1})));
-        }
-        let reply = HttpReply { status, ..HttpReply::json(200, &json!({"status": job_status})) };
-        world.check_user_response(job, &reply, status != 200);
-        let broken = world.region.checker.violations.first().cloned().unwrap_or_default();
-        broken.split([' ', ':']).nth(2).unwrap_or_default().to_owned()
-    };
-    assert_eq!(first_violation(&[], "req-3", 200, "queued"), "");
-    assert_eq!(first_violation(&[], "req-3", 200, "cancelled"), "not_durable");
-    assert_eq!(first_violation(&[("req-1", "cancelled")], "req-3", 200, "cancelled"), "");
-    assert_eq!(first_violation(&[("req-1", "done")], "req-3", 200, "cancelled"), "not_durable");
-    assert_eq!(first_violation(&[("req-1", "cancelled")], "req-3", 200, "done"), "not_durable");
-    assert_eq!(first_violation(&[("req-3", "done")], "req-3", 200, "done"), "");
-    assert_eq!(first_violation(&[("req-3", "cancelled")], "req-3", 200, "done"), "not_durable");
-    assert_eq!(first_violation(&[], "req-3", 422, ""), "refused");
-    assert_eq!(first_violation(&[], "req-1", 422, ""), "", "it has no dependencies");
+    let find_first_violation =
+        |records: &[(&str, &str)], job: &str, status: u16, job_status: &str| {
+            let mut world = world_without_controllers();
+            for (job, end) in records {
+                world.write(&put(&format!("over/{job}"), json!({"s": end, "n": 1})));
+            }
+            let reply =
+                HttpReply { status, ..HttpReply::json(200, &json!({"status": job_status})) };
+            world.check_user_response(job, &reply, status != 200);
+            let violation = world.region.checker.violations.first().cloned().unwrap_or_default();
+            violation.split([' ', ':']).nth(2).unwrap_or_default().to_owned()
+        };
+    assert_eq!(find_first_violation(&[], "req-3", 200, "queued"), "");
+    assert_eq!(find_first_violation(&[], "req-3", 200, "cancelled"), "not_durable");
+    assert_eq!(find_first_violation(&[("req-1", "cancelled")], "req-3", 200, "cancelled"), "");
+    assert_eq!(
+        find_first_violation(&[("req-1", "done")], "req-3", 200, "cancelled"),
+        "not_durable"
+    );
+    assert_eq!(
+        find_first_violation(&[("req-1", "cancelled")], "req-3", 200, "done"),
+        "not_durable"
+    );
+    assert_eq!(find_first_violation(&[("req-3", "done")], "req-3", 200, "done"), "");
+    assert_eq!(
+        find_first_violation(&[("req-3", "cancelled")], "req-3", 200, "done"),
+        "not_durable"
+    );
+    assert_eq!(find_first_violation(&[], "req-3", 422, ""), "refused");
+    assert_eq!(find_first_violation(&[], "req-1", 422, ""), "", "it has no dependencies");
 }
 
 /// A job that waits for its dependencies doesn't count as neglected; once they are durably done, it does.
@@ -232,9 +244,9 @@
             world.write(&put("over/req-1", json!({"s": "done", "n": 1})));
         }
         world.run_until(2 * NEGLECTED_MS);
-        let broken = &world.region.checker.violations;
-        assert!(broken.iter().all(|text| text.contains(" neglected: ")), "{broken:?}");
-        broken.iter().filter(|text| text.contains("req-2")).count()
+        let violations = &world.region.checker.violations;
+        assert!(violations.iter().all(|text| text.contains(" neglected: ")), "{violations:?}");
+        violations.iter().filter(|text| text.contains("req-2")).count()
     };
     assert_eq!(count_neglected(false), 0);
     assert_eq!(count_neglected(true), 1);
@@ -287,8 +299,8 @@
     world.write(&larger);
     assert!(world.region.checker.violations.is_empty());
     world.write(&large);
-    let broken = &world.region.checker.violations;
-    assert!(broken.len() == 1 && broken[0].contains(" asked_again: "), "{broken:?}");
+    let violations = &world.region.checker.violations;
+    assert!(violations.len() == 1 && violations[0].contains(" asked_again: "), "{violations:?}");
 }
 
 // --- Days with random faults ---------------------------------------------------------------------
--- a/tests/repeats.rs
+++ b/tests/repeats.rs
@@ -27,20 +27,20 @@
     attribution_errors: Vec<String>,
 }
 
-/// A day with broken jobs and faulty machines.
+/// A day with failing jobs and faulty machines.
 fn day(seed: u64, classes: &str) -> World {
     let mut world = World::new(seed, true);
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut jobs: Vec<String> = world.region.external.specs.keys().cloned().collect();
     jobs.sort();
     for job in jobs {
-        let broken = match rng.random_range(0..20) {
+        let failures = match rng.random_range(0..20) {
             0 => JobFailures::Always,
             1 => JobFailures::Task(0),
             2 => JobFailures::Share(0.3),
             _ => continue,
         };
-        world.region.external.failing_jobs.insert(job, broken);
+        world.region.external.failing_jobs.insert(job, failures);
     }
     world.add_faults((0..1).map(|_| (rng.random_range(8_000..110_000), Fault::FaultyMachine)));
     world.add_faults((0..3).map(|n| (rng.random_range(8_000..110_000), Fault::Crash(n))));
@@ -51,9 +51,14 @@
 fn run_seed(seed: u64, outcome: &mut Outcome) {
     let mut world = day(seed, CLASSES);
     world.run();
-    let (attribution_errors, broken): (Vec<String>, Vec<String>) =
-        world.region.checker.violations.iter().cloned().partition(|b| b.contains(" repeats: "));
-    assert!(broken.is_empty(), "seed {seed} breaks rules: {broken:#?}");
+    let (attribution_errors, other_violations): (Vec<String>, Vec<String>) = world
+        .region
+        .checker
+        .violations
+        .iter()
+        .cloned()
+        .partition(|violation| violation.contains(" repeats: "));
+    assert!(other_violations.is_empty(), "seed {seed} breaks rules: {other_violations:#?}");
     if attribution_errors.is_empty() {
         let unfinished = world.unfinished();
         assert!(unfinished.is_empty(), "seed {seed} has unfinished jobs: {unfinished:#?}");
@@ -92,7 +97,7 @@
     let at =
         |share: f64| outcome.refused_ms.get((outcome.refused_ms.len() as f64 * share) as usize);
     println!(
-        "{} days, {} broken jobs, {} failed, {} attribution errors; refused after {:?} ms (p50), {:?} ms (p99)",
+        "{} days, {} failing jobs, {} failed, {} attribution errors; refused after {:?} ms (p50), {:?} ms (p99)",
         count + more,
         outcome.broken_jobs,
         outcome.failed,
@@ -193,17 +198,22 @@
         let mut jobs: Vec<String> = world.region.external.specs.keys().cloned().collect();
         jobs.sort();
         for (n, job) in jobs.into_iter().enumerate().filter(|(n, _)| n % 9 == 0) {
-            let broken = if n % 2 == 0 { JobFailures::Always } else { JobFailures::Share(0.5) };
-            world.region.external.failing_jobs.insert(job, broken);
+            let failures = if n % 2 == 0 { JobFailures::Always } else { JobFailures::Share(0.5) };
+            world.region.external.failing_jobs.insert(job, failures);
         }
         world.set_operator_settings(CLASSES);
         world.run();
         // Three different tasks of a job that fails every other time may fail on one healthy machine by chance, which is then
         // considered faulty independently of takeovers (step 16 with restarts after 1 s). This counts as an attribution error as in
         // the other tests; the failure counts themselves are exact.
-        let (errors_of_run, broken): (Vec<String>, Vec<String>) =
-            world.region.checker.violations.iter().cloned().partition(|b| b.contains(" repeats: "));
-        assert!(broken.is_empty(), "step {step} breaks rules: {broken:#?}");
+        let (errors_of_run, other_violations): (Vec<String>, Vec<String>) = world
+            .region
+            .checker
+            .violations
+            .iter()
+            .cloned()
+            .partition(|violation| violation.contains(" repeats: "));
+        assert!(other_violations.is_empty(), "step {step} breaks rules: {other_violations:#?}");
         assert_exact_failure_counts(&world, step);
         if errors_of_run.is_empty() {
             assert!(world.unfinished().is_empty(), "step {step}: {:#?}", world.unfinished());
@@ -238,8 +248,8 @@
             }
             world.set_operator_settings("((classes (default (repeats 1000))))");
             world.run();
-            let broken = &world.region.checker.violations;
-            assert!(broken.is_empty(), "seed {seed}: {broken:#?}");
+            let violations = &world.region.checker.violations;
+            assert!(violations.is_empty(), "seed {seed}: {violations:#?}");
             let healthy = jobs.iter().filter(|job| !arrays.iter().step_by(4).any(|a| a == *job));
             for at in healthy.filter_map(|job| world.region.checker.final_status_at(job)) {
                 sum += at;
--- a/tests/scheduled_faults.rs
+++ b/tests/scheduled_faults.rs
@@ -8,8 +8,8 @@
 use world::{Fault, World};
 
 fn assert_no_broken_rule(world: &World, seed: u64) {
-    let broken = &world.region.checker.violations;
-    assert!(broken.is_empty(), "seed {seed} breaks rules: {broken:#?}");
+    let violations = &world.region.checker.violations;
+    assert!(violations.is_empty(), "seed {seed} breaks rules: {violations:#?}");
 }
 
 fn assert_finished(world: &World, seed: u64) {
--- a/tests/served.rs
+++ b/tests/served.rs
@@ -192,7 +192,7 @@
     );
 }
 
-/// Runs a day to its end, sampling once a second, and asserts that no rule was broken.
+/// Runs a day to its end, sampling once a second, and asserts that no rule was violated.
 fn run_sampled(context: &str, world: &mut World, mut sample: impl FnMut(&World)) -> ServiceMonitor {
     let mut monitor = ServiceMonitor::default();
     while world.continues_before(world.faults_end_at) {
@@ -200,8 +200,8 @@
         monitor.sample(world);
         sample(world);
     }
-    let broken = &world.region.checker.violations;
-    assert!(broken.is_empty(), "{context} breaks rules: {broken:#?}");
+    let violations = &world.region.checker.violations;
+    assert!(violations.is_empty(), "{context} breaks rules: {violations:#?}");
     assert_eq!(world.two_leaders_at, None, "{context}: two leaders at once");
     monitor
 }
--- a/tests/usage.rs
+++ b/tests/usage.rs
@@ -58,8 +58,8 @@
         let mut world = World::new(seed, true);
         world.set_operator_settings("((ledger . #t))");
         world.run();
-        let broken = &world.region.checker.violations;
-        assert!(broken.is_empty(), "seed {seed} breaks rules: {broken:#?}");
+        let violations = &world.region.checker.violations;
+        assert!(violations.is_empty(), "seed {seed} breaks rules: {violations:#?}");
         assert!(world.unfinished().is_empty(), "seed {seed}: {:#?}", world.unfinished());
         // An entry counts if and only if the end of its attempt is durable: these are the last entries, as many as there
         // were ends. Earlier entries belong to leaders that crashed before the write. A leader may also have started an
--- a/tests/world/aggressive_users.rs
+++ b/tests/world/aggressive_users.rs
@@ -214,7 +214,7 @@
         })
     }
 
-    /// Runs in fine steps to the given time, or to the first broken rule.
+    /// Runs in fine steps to the given time, or to the first violated rule.
     pub fn run_finely_until(&mut self, until: u64) {
         self.step_ms = FINE_STEP_MS;
         self.run_until(until);
--- a/tests/world/graphs.rs
+++ b/tests/world/graphs.rs
@@ -440,11 +440,11 @@
         let nodes = self.nodes.get(&graph);
         let always_fails =
             |at: NodeId| nodes.and_then(|n| n.get(&at)).is_some_and(|n| n.0.starts_with("bad"));
-        let broken = (0u32..).zip(part.nodes.iter(10_000)).find(|(_, at)| always_fails(*at));
-        if let Some((task, _)) = broken {
-            let broken =
+        let failing_node = (0u32..).zip(part.nodes.iter(10_000)).find(|(_, at)| always_fails(*at));
+        if let Some((task, _)) = failing_node {
+            let failures =
                 if part.is_batch() { JobFailures::Task(task) } else { JobFailures::Always };
-            region.external.failing_jobs.insert(job.to_owned(), broken);
+            region.external.failing_jobs.insert(job.to_owned(), failures);
         }
         self.parts.insert(job.to_owned(), part);
     }
--- a/tests/world/machine_faults.rs
+++ b/tests/world/machine_faults.rs
@@ -290,7 +290,7 @@
         busy.map(|worker| worker.partitioned_until = now + span).count()
     }
 
-    /// Runs to the given time, or to the first broken rule, and checks the job table after every step.
+    /// Runs to the given time, or to the first violated rule, and checks the job table after every step.
     pub fn run_checked_until(&mut self, until: u64) {
         while self.continues_before(until) {
             self.step();
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -395,10 +395,10 @@
     let _ = env_logger::Builder::new().parse_filters(&level).is_test(true).try_init();
 }
 
-/// Asserts that no rule is broken, two nodes never led at once and no plan contained an invalid start.
+/// Asserts that no rule is violated, two nodes never led at once and no plan contained an invalid start.
 pub fn assert_rules(world: &World, context: &str) {
-    let broken = &world.region.checker.violations;
-    assert!(broken.is_empty(), "{context}: broken rules: {broken:#?}");
+    let violations = &world.region.checker.violations;
+    assert!(violations.is_empty(), "{context}: violated rules: {violations:#?}");
     assert_eq!(world.two_leaders_at, None, "{context}: two nodes led at once");
     assert_eq!(world.max_invalid_starts, 0, "{context}: a plan had an invalid start");
 }
@@ -465,7 +465,7 @@
         boot_s: 5.0,
         zones: zones.clone(),
     };
-    let terms = CloudConfig {
+    let config = CloudConfig {
         flavors: site.sizes.iter().map(|n| new_flavor(format!("g{n}"), f64::from(*n))).collect(),
         capacity: site.capacity,
         boot_ms: (1_000, 12_000),
@@ -486,7 +486,7 @@
     let limits = settings.facts.teams.iter().map(limit_of).collect();
     let cancel_ms = Millis::from_secs(settings.facts.workers.cancel_s).0;
     let checker = Checker::new(limits, cancel_ms);
-    Region::new(terms, (&settings.facts.workers).into(), checker, seed)
+    Region::new(config, (&settings.facts.workers).into(), checker, seed)
 }
 
 /// An array of two small tasks with this expected duration in seconds.
@@ -1479,7 +1479,7 @@
         (self.now < until && self.nodes[*node].controller.is_some()).then_some(until)
     }
 
-    /// Whether the simulation continues and has not reached `until`: it stops at the first broken rule, so that loops which
+    /// Whether the simulation continues and has not reached `until`: it stops at the first violated rule, so that loops which
     /// wait for a condition end and the test fails instead of hanging.
     pub fn continues_before(&self, until: u64) -> bool {
         self.now < until && self.region.checker.violations.is_empty()
@@ -1538,7 +1538,7 @@
         }
     }
 
-    /// Runs to the given time, or to the first broken rule.
+    /// Runs to the given time, or to the first violated rule.
     pub fn run_until(&mut self, until: u64) {
         while self.continues_before(until) {
             self.step();
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -102,8 +102,8 @@
         }
     }
     world.run();
-    let broken = &world.region.checker.violations;
-    assert!(broken.is_empty(), "seed {seed} breaks rules: {broken:#?}");
+    let violations = &world.region.checker.violations;
+    assert!(violations.is_empty(), "seed {seed} breaks rules: {violations:#?}");
     let unfinished = world.unfinished();
     assert!(unfinished.is_empty(), "seed {seed} has unfinished jobs: {unfinished:#?}");
     eprintln!("seed {seed}: {in_lost_zone} in the lost zone, {elsewhere} elsewhere");
