--- a/crates/emulator/src/checker.rs
+++ b/crates/emulator/src/checker.rs
@@ -425,11 +425,12 @@
             return;
         }
         let value: serde_json::Value = serde_json::from_str(body).unwrap_or_default();
-        let Ok(status_seen) = serde_json::from_value::<JobStatus>(value["status"].clone()) else {
+        let Ok(observed_status) = serde_json::from_value::<JobStatus>(value["status"].clone())
+        else {
             self.report_violation(now, "answer", format!("{job}: {body}"));
             return;
         };
-        if status_seen == JobStatus::Done && !self.is_job_done(job) {
+        if observed_status == JobStatus::Done && !self.is_job_done(job) {
             self.report_violation(now, "not_done", job.into());
         }
         let may_be_cancelled = self.may_be_cancelled(job);
@@ -439,16 +440,17 @@
         }
         // Two different final statuses cannot come from reordered answers: one of them was never true.
         let is_contradiction =
-            view.final_status.is_some_and(|final_status| final_status != status_seen)
-                && (sent_at >= view.final_status_at || status_seen.is_final());
-        let is_unexplained_cancellation = status_seen == JobStatus::Cancelled && !may_be_cancelled;
+            view.final_status.is_some_and(|final_status| final_status != observed_status)
+                && (sent_at >= view.final_status_at || observed_status.is_final());
+        let is_unexplained_cancellation =
+            observed_status == JobStatus::Cancelled && !may_be_cancelled;
         let previous = view.final_status;
-        let is_first_final = status_seen.is_final() && view.final_status.is_none();
-        let is_first_failure = is_first_final && status_seen == JobStatus::Failed;
-        if status_seen.is_final() && view.final_status.is_none() {
-            view.final_status = Some(status_seen);
+        let is_first_final = observed_status.is_final() && view.final_status.is_none();
+        let is_first_failure = is_first_final && observed_status == JobStatus::Failed;
+        if observed_status.is_final() && view.final_status.is_none() {
+            view.final_status = Some(observed_status);
             view.final_status_at = now;
-            if status_seen == JobStatus::Cancelled {
+            if observed_status == JobStatus::Cancelled {
                 view.cancelled_at = Some(now);
             }
         }
@@ -456,16 +458,16 @@
             self.check_first_failure(now, job);
         }
         if is_first_final {
-            self.check_final_statuses(now, job, status_seen);
+            self.check_final_statuses(now, job, observed_status);
         }
-        if matches!(status_seen, JobStatus::Queued | JobStatus::Running) {
+        if matches!(observed_status, JobStatus::Queued | JobStatus::Running) {
             self.check_not_orphaned(now, sent_at, job);
         }
         if is_contradiction || is_unexplained_cancellation {
             self.report_violation(
                 now,
                 "went_back",
-                format!("{job} was {previous:?}, is {status_seen:?}"),
+                format!("{job} was {previous:?}, is {observed_status:?}"),
             );
         }
     }
--- a/crates/emulator/src/link_proxy.rs
+++ b/crates/emulator/src/link_proxy.rs
@@ -55,22 +55,22 @@
     let (target, open_count) = (target.to_owned(), Arc::new(AtomicUsize::new(0)));
     let ends = LinkEnds { nodes: nodes.to_vec(), from, to, shared: shared.clone() };
     spawn("line", move || {
-        for near in listener.incoming().flatten() {
+        for inbound in listener.incoming().flatten() {
             if open_count.load(Ordering::Relaxed) >= MAX_LINK_CONNECTIONS {
                 continue;
             }
             let (ends, target, open_count) = (ends.clone(), target.clone(), open_count.clone());
             open_count.fetch_add(1, Ordering::Relaxed);
-            let spawn_count = open_count.clone();
+            let open_count_on_failure = open_count.clone();
             let started = spawn("line-pair", move || {
                 ends.wait_until_connected();
-                if let Ok(far) = TcpStream::connect(&target) {
-                    forward(near, far, &ends);
+                if let Ok(outbound) = TcpStream::connect(&target) {
+                    forward(inbound, outbound, &ends);
                 }
                 open_count.fetch_sub(1, Ordering::Relaxed);
             });
             if started.is_err() {
-                spawn_count.fetch_sub(1, Ordering::Relaxed);
+                open_count_on_failure.fetch_sub(1, Ordering::Relaxed);
             }
         }
     })?;
@@ -78,14 +78,17 @@
 }
 
 /// Forwards both directions until either end closes.
-fn forward(near: TcpStream, far: TcpStream, ends: &LinkEnds) {
-    let _ = (near.set_nodelay(true), far.set_nodelay(true));
-    let (Ok(back_from), Ok(back_to)) = (far.try_clone(), near.try_clone()) else { return };
-    let ends_back = ends.clone();
-    let back = spawn("line-back", move || forward_one_way(back_from, back_to, &ends_back));
-    forward_one_way(near, far, ends);
-    if let Ok(back) = back {
-        let _ = back.join();
+fn forward(inbound: TcpStream, outbound: TcpStream, ends: &LinkEnds) {
+    let _ = (inbound.set_nodelay(true), outbound.set_nodelay(true));
+    let (Ok(reverse_from), Ok(reverse_to)) = (outbound.try_clone(), inbound.try_clone()) else {
+        return;
+    };
+    let reverse_ends = ends.clone();
+    let reverse_thread =
+        spawn("line-back", move || forward_one_way(reverse_from, reverse_to, &reverse_ends));
+    forward_one_way(inbound, outbound, ends);
+    if let Ok(reverse_thread) = reverse_thread {
+        let _ = reverse_thread.join();
     }
 }
 
--- a/crates/emulator/src/region.rs
+++ b/crates/emulator/src/region.rs
@@ -44,8 +44,11 @@
 /// A report to send to a controller node.
 #[derive(Debug)]
 pub struct OutgoingReport {
+    /// ID of the machine that sends it.
     pub host: String,
+    /// Number of the report, unique in the region.
     pub id: u64,
+    /// Index of the controller node.
     pub node: usize,
     pub report: Report,
 }
@@ -63,8 +66,11 @@
     config: CloudConfig,
     times: WorkerTimes,
     rng: ChaCha8Rng,
+    /// Rented machines, by ID.
     pub workers: BTreeMap<String, Worker>,
+    /// Uploaded job descriptions and saved progress.
     pub external: ExternalState,
+    /// Checker of the protocol's rules.
     pub checker: Checker,
     hosts_by_request: HashMap<String, Vec<HostId>>,
     list_snapshots: Vec<(u64, Vec<ListedMachine>)>,
--- a/crates/emulator/src/serve.rs
+++ b/crates/emulator/src/serve.rs
@@ -71,6 +71,7 @@
     command_sender: Sender<(String, Incoming<WorkerRequest>)>,
     result_sender: Sender<ReportResult>,
     nodes: Vec<Node>,
+    /// Active faults and clock.
     pub shared: FaultContext,
 }
 
--- a/crates/emulator/src/service_proxy.rs
+++ b/crates/emulator/src/service_proxy.rs
@@ -26,6 +26,7 @@
 #[derive(Clone)]
 pub struct FaultContext {
     pub faults: Arc<Mutex<FaultSet>>,
+    /// Origin of all times.
     pub start: Instant,
 }
 
--- a/crates/emulator/src/timetable.rs
+++ b/crates/emulator/src/timetable.rs
@@ -84,7 +84,7 @@
 /// # Errors
 /// If the text is not a valid timetable; the error has the line.
 pub fn parse(text: &str, controllers: usize) -> Result<Vec<ScheduledFault>, TimetableError> {
-    let mut planned = Vec::new();
+    let mut scheduled = Vec::new();
     let mut parser = Parser::from_str(text);
     while let Some(datum) = parser.next_datum().map_err(|e| TimetableError {
         line: e.location().map_or(0, |l| l.line()),
@@ -107,10 +107,10 @@
             );
         };
         let rest: Vec<Ref> = items.collect();
-        planned.push(parse_entry(line, &rest, (at * 1000.0) as u64, controllers)?);
+        scheduled.push(parse_entry(line, &rest, (at * 1000.0) as u64, controllers)?);
     }
-    planned.sort_by_key(|p| p.at);
-    Ok(planned)
+    scheduled.sort_by_key(|entry| entry.at);
+    Ok(scheduled)
 }
 
 /// Parses one fault that begins at `now`: `(state-refuse (for 6))`.
@@ -252,16 +252,16 @@
     fn timetable_is_parsed_and_sorted_by_time() {
         let text = "; a bad evening\n(at 8 crash-all)\n(at 2.5 state-lose (for 3)\n (share 0.5))\n\
                     (at 1 cut-zone (zone b))";
-        let planned = parse(text, 3).unwrap();
+        let scheduled = parse(text, 3).unwrap();
         let lose = ServiceFault::Lose(0.5);
         assert_eq!(
-            planned[0],
+            scheduled[0],
             ScheduledFault { at: 1_000, until: 6_000, fault: Fault::PartitionZone("b".into()) }
         );
         let fault =
             Fault::OnService { service: Service::State, service_fault: lose, controller: None };
-        assert_eq!(planned[1], ScheduledFault { at: 2_500, until: 5_500, fault });
-        assert_eq!(planned[2].fault, Fault::CrashAll(None));
+        assert_eq!(scheduled[1], ScheduledFault { at: 2_500, until: 5_500, fault });
+        assert_eq!(scheduled[2].fault, Fault::CrashAll(None));
         let single = parse_one("(cloud-refuse (for 2))", 700, 3).unwrap();
         assert_eq!((single.at, single.until), (700, 2_700));
         assert_eq!(parse_one("crash-all", 0, 3).unwrap().fault, Fault::CrashAll(None));
--- a/crates/emulator/src/worker.rs
+++ b/crates/emulator/src/worker.rs
@@ -14,9 +14,13 @@
 /// Intervals and timeouts of workers, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct WorkerTimes {
+    /// Average interval between two reports.
     pub report_interval_ms: u64,
+    /// A worker kills all its tasks when no report sent within this time has been answered.
     pub lease_ms: u64,
+    /// A gang's task that has waited this long for the other tasks to fetch their images exits.
     pub gang_wait_ms: u64,
+    /// A stopped gang's task that has waited this long for the other tasks to be stopped exits.
     pub gang_peer_ms: u64,
 }
 
@@ -35,6 +39,7 @@
 /// State stored outside the machines: uploaded job descriptions and saved progress.
 #[derive(Debug, Default)]
 pub struct ExternalState {
+    /// Descriptions of jobs, by job ID.
     pub specs: HashMap<String, JobSpec>,
     /// Saved progress in milliseconds, by job and task; a gang has one entry, under its task 0.
     pub saved: HashMap<(String, u32), u64>,
@@ -105,10 +110,13 @@
 /// An attempt of a task on a machine.
 #[derive(Clone, Debug)]
 pub struct TaskAttempt {
+    /// Phase that reports show.
     pub phase: TaskPhase,
+    /// Why it exited; `None` before that.
     pub cause: Option<ExitCause>,
     /// End of the current phase: of the image fetch, of the run, or of saving.
     pub until: u64,
+    /// When it began to wait for the other tasks of its gang.
     pub waiting_since: u64,
     /// Start of the run, and the saved progress with which it started.
     pub running_since: u64,
@@ -145,10 +153,12 @@
     /// Address for direct commands.
     pub addr: String,
     times: WorkerTimes,
+    /// How long it takes to fetch images.
     pub fetch: ImageFetch,
     /// Factor on the run time that the job's owner estimated.
     pub run_time_factor: f64,
     pub place: Place,
+    /// Number of GPUs.
     pub gpus: f64,
     /// When the machine has booted.
     pub up_at: u64,
@@ -164,6 +174,7 @@
     pub lease_from: u64,
     /// Index of the controller node that it reports to.
     pub node: usize,
+    /// When the next periodic report is due.
     pub next_report: u64,
     /// Report without an answer yet: its id and when it was sent.
     pub pending_report: Option<(u64, u64)>,
@@ -255,13 +266,13 @@
         }
     }
 
-    /// Advances the machine to `now`; `gang_state` returns the state of an attempt of a gang over all
+    /// Advances the machine to `now`; `get_gang_state` returns the state of an attempt of a gang over all
     /// machines.
     pub fn step(
         &mut self,
         now: u64,
         external: &mut ExternalState,
-        gang_state: &dyn Fn(&str, u64) -> GangState,
+        get_gang_state: &dyn Fn(&str, u64) -> GangState,
         checker: &mut Checker,
     ) {
         self.clock = now;
@@ -272,7 +283,7 @@
             let task = self.tasks[&key].clone();
             let is_gang = spec.shape == Shape::Gang;
             let has_lost_peer = || {
-                let gang = gang_state(&key.0, key.2);
+                let gang = get_gang_state(&key.0, key.2);
                 gang.active < gang.task_count && gang.done == 0
             };
             match task.phase {
@@ -288,7 +299,7 @@
                     }
                     self.changed = true;
                 }
-                TaskPhase::Waiting if gang_state(&key.0, key.2).active == spec.tasks => {
+                TaskPhase::Waiting if get_gang_state(&key.0, key.2).active == spec.tasks => {
                     self.begin(now, key, task, &spec, external);
                     self.changed = true;
                 }
@@ -296,7 +307,7 @@
                     self.exit(&key, ExitCause::Incomplete, checker);
                 }
                 TaskPhase::Saving if now >= task.until => {
-                    self.finish_saving(now, &key, &task, &spec, external, gang_state, checker);
+                    self.finish_saving(now, &key, &task, &spec, external, get_gang_state, checker);
                 }
                 TaskPhase::Running if self.faulty || external.is_failing_attempt(&key) => {
                     let is_job_fault = external.is_failing_attempt(&key);
@@ -358,14 +369,14 @@
         task: &TaskAttempt,
         spec: &JobSpec,
         external: &mut ExternalState,
-        gang_state: &dyn Fn(&str, u64) -> GangState,
+        get_gang_state: &dyn Fn(&str, u64) -> GangState,
         checker: &mut Checker,
     ) {
         let stopped_at = task.until.saturating_sub((spec.save_s * 1000.0) as u64);
         let progress = task.base_progress_ms + stopped_at.saturating_sub(task.running_since);
         if spec.shape == Shape::Gang {
             let attempt = (key.0.clone(), key.2);
-            if gang_state(&key.0, key.2).saving >= spec.tasks {
+            if get_gang_state(&key.0, key.2).saving >= spec.tasks {
                 external.complete_checkpoints.insert(attempt.clone());
             }
             if !external.complete_checkpoints.contains(&attempt) {
