--- a/crates/emulator/src/timetable.rs
+++ b/crates/emulator/src/timetable.rs
@@ -58,7 +58,7 @@
     ("job-breaks", &["job", "share"], "this share of a job's attempts fails on every machine"),
 ];
 
-/// The options of one fault, as far as they are given.
+/// The options of one fault, `None` if an option is missing.
 #[derive(Default)]
 struct Options {
     duration_s: Option<f64>,
@@ -70,7 +70,7 @@
     job: Option<String>,
 }
 
-fn line_of(datum: &Datum) -> usize {
+fn get_line(datum: &Datum) -> usize {
     datum.span().start().line()
 }
 
@@ -84,13 +84,13 @@
 /// # Errors
 /// If the text is not a valid timetable; the error has the line.
 pub fn parse(text: &str, controllers: usize) -> Result<Vec<ScheduledFault>, TimetableError> {
-    let mut planned = Vec::new();
+    let mut scheduled = Vec::new();
     let mut parser = Parser::from_str(text);
     while let Some(datum) = parser.next_datum().map_err(|e| TimetableError {
         line: e.location().map_or(0, |l| l.line()),
         text: format!("not an S-expression: {e}"),
     })? {
-        let line = line_of(&datum);
+        let line = get_line(&datum);
         let Some(mut items) = datum.list_iter() else {
             return syntax_error(line, "an entry is a list: (at SECONDS FAULT OPTION ...)");
         };
@@ -107,10 +107,10 @@
             );
         };
         let rest: Vec<Ref> = items.collect();
-        planned.push(parse_entry(line, &rest, (at * 1000.0) as u64, controllers)?);
+        scheduled.push(parse_entry(line, &rest, (at * 1000.0) as u64, controllers)?);
     }
-    planned.sort_by_key(|p| p.at);
-    Ok(planned)
+    scheduled.sort_by_key(|entry| entry.at);
+    Ok(scheduled)
 }
 
 /// Parses one fault that begins at `now`: `(state-refuse (for 6))`.
@@ -198,15 +198,15 @@
 
 fn build_fault(line: usize, name: &str, options: Options) -> Result<Fault, TimetableError> {
     let Options { ms, share, controller, count, zone, job, .. } = options;
-    let delay_or = |default: f64| ms.unwrap_or(default) as u64;
+    let get_delay_or = |default: f64| ms.unwrap_or(default) as u64;
     // 0 is allowed: a process may be restarted within a fraction of a second.
     let restart_after = ms.map(|ms| Millis(ms as u64));
     let count = count.unwrap_or(1);
-    let job_share = share.unwrap_or(1.0);
+    let job_failure_share = share.unwrap_or(1.0);
     let share = share.unwrap_or(DEFAULT_FAULT_SHARE);
     let service = if name.starts_with("state-") { Service::State } else { Service::Cloud };
     let build_service_fault =
-        |trouble| Ok(Fault::OnService { service, service_fault: trouble, controller });
+        |service_fault| Ok(Fault::OnService { service, service_fault, controller });
     let require_controller = || {
         controller
             .ok_or_else(|| TimetableError { line, text: format!("{name} needs (controller N)") })
@@ -214,13 +214,13 @@
     match name {
         "state-restart" => Ok(Fault::RestartState),
         "state-slow" | "cloud-slow" => {
-            build_service_fault(ServiceFault::Slow(delay_or(DEFAULT_SLOW_DELAY_MS)))
+            build_service_fault(ServiceFault::Slow(get_delay_or(DEFAULT_SLOW_DELAY_MS)))
         }
         "state-refuse" | "cloud-refuse" => build_service_fault(ServiceFault::Refuse),
         "state-throttle" | "cloud-throttle" => build_service_fault(ServiceFault::Throttle),
         "state-lose" | "cloud-lose" => build_service_fault(ServiceFault::Lose(share)),
         "state-late" | "cloud-late" => {
-            build_service_fault(ServiceFault::Late(share, delay_or(DEFAULT_LATE_DELAY_MS)))
+            build_service_fault(ServiceFault::Late(share, get_delay_or(DEFAULT_LATE_DELAY_MS)))
         }
         "state-silent" | "cloud-silent" => build_service_fault(ServiceFault::Silent),
         "cut-controller" => require_controller().map(Fault::PartitionController),
@@ -237,7 +237,7 @@
         "machine-hangs" => Ok(Fault::MachinesHang(count)),
         "machine-faulty" => Ok(Fault::MachineFaulty),
         "job-breaks" => match job {
-            Some(job) => Ok(Fault::JobFails(job, job_share)),
+            Some(job) => Ok(Fault::JobFails(job, job_failure_share)),
             None => syntax_error(line, "job-breaks needs (job ID)"),
         },
         _ => syntax_error(line, format!("unknown fault {name}")),
@@ -252,16 +252,16 @@
     fn timetable_is_parsed_and_sorted_by_time() {
         let text = "; a bad evening\n(at 8 crash-all)\n(at 2.5 state-lose (for 3)\n (share 0.5))\n\
                     (at 1 cut-zone (zone b))";
-        let planned = parse(text, 3).unwrap();
+        let scheduled = parse(text, 3).unwrap();
         let lose = ServiceFault::Lose(0.5);
         assert_eq!(
-            planned[0],
+            scheduled[0],
             ScheduledFault { at: 1_000, until: 6_000, fault: Fault::PartitionZone("b".into()) }
         );
         let fault =
             Fault::OnService { service: Service::State, service_fault: lose, controller: None };
-        assert_eq!(planned[1], ScheduledFault { at: 2_500, until: 5_500, fault });
-        assert_eq!(planned[2].fault, Fault::CrashAll(None));
+        assert_eq!(scheduled[1], ScheduledFault { at: 2_500, until: 5_500, fault });
+        assert_eq!(scheduled[2].fault, Fault::CrashAll(None));
         let single = parse_one("(cloud-refuse (for 2))", 700, 3).unwrap();
         assert_eq!((single.at, single.until), (700, 2_700));
         assert_eq!(parse_one("crash-all", 0, 3).unwrap().fault, Fault::CrashAll(None));
--- a/crates/emulator/src/worker.rs
+++ b/crates/emulator/src/worker.rs
@@ -14,9 +14,13 @@
 /// Intervals and timeouts of workers, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct WorkerTimes {
+    /// Average interval between two reports.
     pub report_interval_ms: u64,
+    /// A worker kills all its tasks when no report sent within this time has been answered.
     pub lease_ms: u64,
+    /// A gang's task that has waited this long for the other tasks to fetch their images exits.
     pub gang_wait_ms: u64,
+    /// A stopped gang's task that has waited this long for the other tasks to be stopped exits.
     pub gang_peer_ms: u64,
 }
 
@@ -35,6 +39,7 @@
 /// State stored outside the machines: uploaded job descriptions and saved progress.
 #[derive(Debug, Default)]
 pub struct ExternalState {
+    /// Descriptions of jobs, by job ID.
     pub specs: HashMap<String, JobSpec>,
     /// Saved progress in milliseconds, by job and task; a gang has one entry, under its task 0.
     pub saved: HashMap<(String, u32), u64>,
@@ -73,17 +78,18 @@
     }
 
     /// The key of a task's progress in `saved`.
-    fn progress_key(spec: &JobSpec, index: u32) -> (String, u32) {
+    fn get_progress_key(spec: &JobSpec, index: u32) -> (String, u32) {
         (spec.id.to_string(), if spec.shape == Shape::Gang { 0 } else { index })
     }
 
-    fn progress(&self, spec: &JobSpec, index: u32) -> u64 {
-        self.saved.get(&Self::progress_key(spec, index)).copied().unwrap_or(0)
+    /// Saved progress of a task, in milliseconds.
+    fn get_progress(&self, spec: &JobSpec, index: u32) -> u64 {
+        self.saved.get(&Self::get_progress_key(spec, index)).copied().unwrap_or(0)
     }
 
     /// Saves progress; it never decreases.
     fn save(&mut self, spec: &JobSpec, index: u32, progress: u64) {
-        let saved = self.saved.entry(Self::progress_key(spec, index)).or_default();
+        let saved = self.saved.entry(Self::get_progress_key(spec, index)).or_default();
         *saved = progress.max(*saved);
     }
 }
@@ -104,10 +110,13 @@
 /// An attempt of a task on a machine.
 #[derive(Clone, Debug)]
 pub struct TaskAttempt {
+    /// Phase that reports show.
     pub phase: TaskPhase,
+    /// Why it exited; `None` before that.
     pub cause: Option<ExitCause>,
     /// End of the current phase: of the image fetch, of the run, or of saving.
     pub until: u64,
+    /// When it began to wait for the other tasks of its gang.
     pub waiting_since: u64,
     /// Start of the run, and the saved progress with which it started.
     pub running_since: u64,
@@ -144,10 +153,12 @@
     /// Address for direct commands.
     pub addr: String,
     times: WorkerTimes,
+    /// How long it takes to fetch images.
     pub fetch: ImageFetch,
     /// Factor on the run time that the job's owner estimated.
     pub run_time_factor: f64,
     pub place: Place,
+    /// Number of GPUs.
     pub gpus: f64,
     /// When the machine has booted.
     pub up_at: u64,
@@ -163,6 +174,7 @@
     pub lease_from: u64,
     /// Index of the controller node that it reports to.
     pub node: usize,
+    /// When the next periodic report is due.
     pub next_report: u64,
     /// Report without an answer yet: its id and when it was sent.
     pub pending_report: Option<(u64, u64)>,
@@ -176,12 +188,13 @@
     pub faulty: bool,
     /// Whether the state has changed since the last report.
     changed: bool,
-    last_report: u64,
+    last_report_at: u64,
     /// Time of the last step or execution of orders.
     clock: u64,
 }
 
 impl Worker {
+    /// Creates a machine that has booted at `up_at`, without tasks.
     pub fn new(
         host: String,
         place: Place,
@@ -212,31 +225,32 @@
             notice_until: None,
             faulty: false,
             changed: false,
-            last_report: 0,
+            last_report_at: 0,
             clock: 0,
         }
     }
 
-    fn task_on_machine(&self, key: &(String, u32, u64)) -> PlacedTask {
+    fn to_placed_task(&self, key: &(String, u32, u64)) -> PlacedTask {
         PlacedTask { job: key.0.clone(), index: key.1, host: self.host.clone() }
     }
 
     /// Kills all tasks, as when the cloud takes back the machine or the lease expires.
     pub fn kill(&mut self, checker: &mut Checker) {
         for key in std::mem::take(&mut self.tasks).into_keys() {
-            checker.record_end(&self.task_on_machine(&key));
+            checker.record_end(&self.to_placed_task(&key));
         }
     }
 
+    /// Ends an attempt; it stays in the reports until a controller orders the worker to forget it.
     fn exit(&mut self, key: &(String, u32, u64), cause: ExitCause, checker: &mut Checker) {
-        let task_on_machine = self.task_on_machine(key);
+        let placed_task = self.to_placed_task(key);
         if let Some(task) = self.tasks.get_mut(key) {
             task.phase = TaskPhase::Exited;
             task.cause = Some(cause);
             task.stopped_at = task.stopped_at.or(Some(self.clock));
             checker.record_exit(&self.host, key, cause, task.run_time_ms(self.clock));
             self.changed = true;
-            checker.record_end(&task_on_machine);
+            checker.record_end(&placed_task);
         }
     }
 
@@ -252,13 +266,13 @@
         }
     }
 
-    /// Advances the machine to `now`; `gang_state` returns the state of an attempt of a gang over all
+    /// Advances the machine to `now`; `get_gang_state` returns the state of an attempt of a gang over all
     /// machines.
     pub fn step(
         &mut self,
         now: u64,
         external: &mut ExternalState,
-        gang_state: &dyn Fn(&str, u64) -> GangState,
+        get_gang_state: &dyn Fn(&str, u64) -> GangState,
         checker: &mut Checker,
     ) {
         self.clock = now;
@@ -269,12 +283,12 @@
             let task = self.tasks[&key].clone();
             let is_gang = spec.shape == Shape::Gang;
             let has_lost_peer = || {
-                let gang = gang_state(&key.0, key.2);
+                let gang = get_gang_state(&key.0, key.2);
                 gang.active < gang.task_count && gang.done == 0
             };
             match task.phase {
                 TaskPhase::Fetching if now >= task.until => {
-                    checker.record_start(now, self.task_on_machine(&key), self.place.clone());
+                    checker.record_start(now, self.to_placed_task(&key), self.place.clone());
                     if external.has_stored_results && checker.is_done(&key.0, key.1) {
                         self.exit(&key, ExitCause::Done, checker);
                     } else if is_gang {
@@ -285,7 +299,7 @@
                     }
                     self.changed = true;
                 }
-                TaskPhase::Waiting if gang_state(&key.0, key.2).active == spec.tasks => {
+                TaskPhase::Waiting if get_gang_state(&key.0, key.2).active == spec.tasks => {
                     self.begin(now, key, task, &spec, external);
                     self.changed = true;
                 }
@@ -293,13 +307,13 @@
                     self.exit(&key, ExitCause::Incomplete, checker);
                 }
                 TaskPhase::Saving if now >= task.until => {
-                    self.finish_saving(now, &key, &task, &spec, external, gang_state, checker);
+                    self.finish_saving(now, &key, &task, &spec, external, get_gang_state, checker);
                 }
                 TaskPhase::Running if self.faulty || external.is_failing_attempt(&key) => {
                     let is_job_fault = external.is_failing_attempt(&key);
                     checker.record_error(
                         now,
-                        &self.task_on_machine(&key),
+                        &self.to_placed_task(&key),
                         key.2,
                         is_job_fault,
                         self.faulty,
@@ -311,8 +325,8 @@
                 }
                 TaskPhase::Running if spec.shape != Shape::Service && now >= task.until => {
                     // The tasks of a gang complete together.
-                    let completed = 0..spec.tasks;
-                    completed
+                    let indexes = 0..spec.tasks;
+                    indexes
                         .filter(|i| is_gang || *i == key.1)
                         .for_each(|i| checker.record_task_done(&key.0, i));
                     self.exit(&key, ExitCause::Done, checker);
@@ -336,7 +350,7 @@
         spec: &JobSpec,
         external: &ExternalState,
     ) {
-        let base = external.progress(spec, key.1);
+        let base = external.get_progress(spec, key.1);
         let run_time_ms = (spec.estimate_s * self.run_time_factor * 1000.0) as u64;
         let (phase, until) = (TaskPhase::Running, now + run_time_ms.saturating_sub(base));
         self.tasks.insert(
@@ -355,14 +369,14 @@
         task: &TaskAttempt,
         spec: &JobSpec,
         external: &mut ExternalState,
-        gang_state: &dyn Fn(&str, u64) -> GangState,
+        get_gang_state: &dyn Fn(&str, u64) -> GangState,
         checker: &mut Checker,
     ) {
         let stopped_at = task.until.saturating_sub((spec.save_s * 1000.0) as u64);
         let progress = task.base_progress_ms + stopped_at.saturating_sub(task.running_since);
         if spec.shape == Shape::Gang {
             let attempt = (key.0.clone(), key.2);
-            if gang_state(&key.0, key.2).saving >= spec.tasks {
+            if get_gang_state(&key.0, key.2).saving >= spec.tasks {
                 external.complete_checkpoints.insert(attempt.clone());
             }
             if !external.complete_checkpoints.contains(&attempt) {
@@ -380,14 +394,14 @@
 
     /// Whether a report has to be sent now.
     pub fn is_report_due(&self, now: u64) -> bool {
-        let is_change_due = self.changed && now >= self.last_report + 500;
+        let is_change_due = self.changed && now >= self.last_report_at + 500;
         self.pending_report.is_none() && (now >= self.next_report || is_change_due)
     }
 
     /// Returns the report to send now and schedules the next one.
     pub fn begin_report(&mut self, now: u64, id: u64, rng: &mut ChaCha8Rng) -> Report {
         self.changed = false;
-        self.last_report = now;
+        self.last_report_at = now;
         self.pending_report = Some((id, now));
         self.next_report = now
             + self.times.report_interval_ms * 3 / 4
@@ -476,6 +490,8 @@
         self.build_report(now)
     }
 
+    /// Executes the orders of a controller. Each may arrive more than once, so those that no longer change
+    /// anything are ignored. A task that is stopped saves its progress first if the grace period suffices.
     fn execute(
         &mut self,
         now: u64,
@@ -522,6 +538,8 @@
         }
     }
 
+    /// Starts an attempt by fetching its image. It exits at once if the job is unknown, if another attempt of the
+    /// task is on the machine, or if there are too few free GPUs.
     fn run(
         &mut self,
         now: u64,
@@ -545,7 +563,7 @@
             Some(_) => None,
         };
         let phase = if cause.is_some() { TaskPhase::Exited } else { TaskPhase::Fetching };
-        let until = spec.map_or(now, |spec| self.fetched_at(now, spec, rng));
+        let until = spec.map_or(now, |spec| self.compute_fetch_end(now, spec, rng));
         let (waiting_since, running_since, base, stored) = (0, 0, 0, false);
         let task = TaskAttempt {
             phase,
@@ -562,7 +580,7 @@
     }
 
     /// When the machine will have fetched the job's image.
-    fn fetched_at(&mut self, now: u64, spec: &JobSpec, rng: &mut ChaCha8Rng) -> u64 {
+    fn compute_fetch_end(&mut self, now: u64, spec: &JobSpec, rng: &mut ChaCha8Rng) -> u64 {
         match &mut self.fetch {
             ImageFetch::Range(min, max) => now + rng.random_range(*min..*max),
             ImageFetch::Rate(rate, fetched_at) => {
